--- a/adapter/src/main/java/trailthread/adapter/Adapter.java
+++ b/adapter/src/main/java/trailthread/adapter/Adapter.java
@@ -280,7 +280,9 @@
                 case "latency_ms" -> latencyMs = value;
                 case "qps" -> qps = value;
                 case "eps" -> eps = value;
-                default -> { }
+                default -> {
+                    // a value that no decision reads
+                }
             }
             from = to + 1;
         }
--- a/decisions/src/main/java/trailthread/Balancer.java
+++ b/decisions/src/main/java/trailthread/Balancer.java
@@ -377,7 +377,9 @@
                     }
                 }
             }
-            default -> { }
+            default -> {
+                // a cancelled attempt, or one never sent, tells nothing of its backend
+            }
         }
         rest(b, now);
     }
