--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # What there is to do here; deploy/balancer.toml holds the commands that the platform runs.
-.PHONY: build test lint run platform bench isolation jmh clean
+.PHONY: build test lint format run platform bench isolation jmh clean
 
 MVN = mvn
 RUN = $(shell sed -n 's/^run = "\(.*\)"$$/\1/p' deploy/balancer.toml)
@@ -12,9 +12,13 @@
 test:
 	.ci/run
 
-# The compiler's warnings are errors in every build; this is the style.
+# The compiler's warnings are errors in every build; this is the format and the style.
 lint:
-	$(MVN) -q checkstyle:check@lint
+	$(MVN) -q spotless:check checkstyle:check@lint
+
+# Formats all sources (google-java-format, AOSP style).
+format:
+	$(MVN) -q spotless:apply
 
 # Two services behind one node, with a small stand-in worker for each; ends with it.
 FILE ?= deploy/operator.example.toml
