--- a/adapter/src/main/java/trailthread/adapter/Adapter.java
+++ b/adapter/src/main/java/trailthread/adapter/Adapter.java
@@ -17,7 +17,10 @@
 import trailthread.settings.SettingsParser;
 import trailthread.settings.WireException;
 
-/** Brings the wire's events to the balancers, one per instance, and their actions back; decides nothing. */
+/**
+ * Brings the wire's events to the balancers, one per instance, and their actions back; decides
+ * nothing.
+ */
 public final class Adapter {
     private static final int PAGES = 16;
     private static final int HINT_VALID = 1;
@@ -132,9 +135,14 @@
                 throw new WireException(in.line(), "message", "entry " + (i + 1) + " of " + count);
             }
             in.expectParts(4, 8, "entry");
-            entries.add(new Entry(in.name(1, "backend"), in.absent(2) ? 1 : in.decimal(2, "power_hint"),
-                    state(in.number(3, "state")), in.absent(4) ? "" : in.name(4, "zone"),
-                    in.numberOr(6, "up_since_ns", 0), (int) in.numberOr(7, "unit_group", -1)));
+            entries.add(
+                    new Entry(
+                            in.name(1, "backend"),
+                            in.absent(2) ? 1 : in.decimal(2, "power_hint"),
+                            state(in.number(3, "state")),
+                            in.absent(4) ? "" : in.name(4, "zone"),
+                            in.numberOr(6, "up_since_ns", 0),
+                            (int) in.numberOr(7, "unit_group", -1)));
         }
         pages.set(page, entries);
     }
@@ -178,9 +186,15 @@
                 in.expectParts(5, 8, word);
                 boolean hinted = (in.numberOr(6, "flags", 0) & HINT_VALID) != 0;
                 boolean repeat = (in.numberOr(6, "flags", 0) & CLIENT_REPEAT) != 0;
-                balancer.request(now, in.number(1, "ref"), in.name(3, "category"),
-                        hinted ? in.numberOr(2, "expected_ns", 0) : 0, in.number(4, "client_deadline_ns"),
-                        in.nameOrNull(5), repeat, in.hexOrZero(7, "entity"));
+                balancer.request(
+                        now,
+                        in.number(1, "ref"),
+                        in.name(3, "category"),
+                        hinted ? in.numberOr(2, "expected_ns", 0) : 0,
+                        in.number(4, "client_deadline_ns"),
+                        in.nameOrNull(5),
+                        repeat,
+                        in.hexOrZero(7, "entity"));
             }
             case "head_received" -> {
                 in.expectParts(5, 5, word);
@@ -191,8 +205,14 @@
             case "result" -> {
                 in.expectParts(7, 8, word);
                 in.name(3, "backend");
-                balancer.outcome(now, in.number(1, "ref"), (int) in.number(2, "leg"), outcome(4),
-                        in.number(5, "latency_ns"), in.bool(6, "closed"), load(7));
+                balancer.outcome(
+                        now,
+                        in.number(1, "ref"),
+                        (int) in.number(2, "leg"),
+                        outcome(4),
+                        in.number(5, "latency_ns"),
+                        in.bool(6, "closed"),
+                        load(7));
             }
             case "timed_out_client" -> {
                 in.expectParts(2, 2, word);
@@ -204,13 +224,20 @@
             }
             case "health_result" -> {
                 in.expectParts(4, 5, word);
-                balancer.probed(now, in.name(1, "backend"), outcome(2), in.number(3, "latency_ns"), load(4));
+                balancer.probed(
+                        now,
+                        in.name(1, "backend"),
+                        outcome(2),
+                        in.number(3, "latency_ns"),
+                        load(4));
             }
             case "inbox" -> {
                 in.expectParts(2, 3, word);
                 balancer.peer(now, (int) in.number(1, "src_peer"), in.bytes(2, "contents"));
             }
-            default -> throw new WireException(in.line(), "message", "a known message, got '" + word + "'");
+            default ->
+                    throw new WireException(
+                            in.line(), "message", "a known message, got '" + word + "'");
         }
     }
 
@@ -249,7 +276,9 @@
             case "ResetByPeer" -> Outcome.RESET;
             case "Canceled" -> Outcome.CANCELLED;
             case "Ignored" -> Outcome.MOOT;
-            default -> throw new WireException(in.line(), "ending", "a known outcome, got '" + word + "'");
+            default ->
+                    throw new WireException(
+                            in.line(), "ending", "a known outcome, got '" + word + "'");
         };
     }
 
@@ -265,12 +294,13 @@
         double qps = Double.NaN;
         double eps = Double.NaN;
         String text = in.text(part);
-        for (int from = 0; from < text.length();) {
+        for (int from = 0; from < text.length(); ) {
             int to = text.indexOf(',', from);
             to = to < 0 ? text.length() : to;
             int colon = text.indexOf(':', from);
             if (colon < from || colon > to) {
-                throw new WireException(in.line(), "feedback", "name:value pairs, got '" + text + "'");
+                throw new WireException(
+                        in.line(), "feedback", "name:value pairs, got '" + text + "'");
             }
             double value = value(text.substring(colon + 1, to));
             switch (text.substring(from, colon)) {
--- a/adapter/src/main/java/trailthread/adapter/WireReader.java
+++ b/adapter/src/main/java/trailthread/adapter/WireReader.java
@@ -6,7 +6,9 @@
 import java.util.Arrays;
 import trailthread.settings.WireException;
 
-/** Reads tab-separated lines; the parts of the current line are parsed on demand, without copies. */
+/**
+ * Reads tab-separated lines; the parts of the current line are parsed on demand, without copies.
+ */
 final class WireReader {
     private static final int MAX_LINE_BYTES = 1 << 26;
 
@@ -52,7 +54,8 @@
             int got = in.read(buffer, filled, buffer.length - filled);
             if (got < 0) {
                 if (filled > next) {
-                    throw new WireException(line + 1, "line", "a line break before the end of the input");
+                    throw new WireException(
+                            line + 1, "line", "a line break before the end of the input");
                 }
                 return false;
             }
@@ -92,7 +95,8 @@
     }
 
     boolean absent(int part) {
-        return part >= parts || ends[part] == starts[part]
+        return part >= parts
+                || ends[part] == starts[part]
                 || ends[part] - starts[part] == 1 && buffer[starts[part]] == '-';
     }
 
--- a/adapter/src/test/java/trailthread/adapter/AdapterTest.java
+++ b/adapter/src/test/java/trailthread/adapter/AdapterTest.java
@@ -15,12 +15,13 @@
 
 /** Short transcripts through the adapter. */
 class AdapterTest {
-    private static final String BEGIN = "begin\t5\ttick_ns=1000000\tcategories.count=1\tcategories.0.name=get"
-            + "\tcategories.0.aim_ns=100000000\tcategories.0.deadline_ns=500000000"
-            + "\tcategories.0.semantics=retryable\tunheard.of=7\n";
+    private static final String BEGIN =
+            "begin\t5\ttick_ns=1000000\tcategories.count=1\tcategories.0.name=get"
+                    + "\tcategories.0.aim_ns=100000000\tcategories.0.deadline_ns=500000000"
+                    + "\tcategories.0.semantics=retryable\tunheard.of=7\n";
     private static final String POOL = "pool\t3\t1\nentry\th:1\t1\t2\teast\tany\t-\t0\n";
-    private static final String START = "frame\t1000\nswitch_to\tnode/0\n" + BEGIN + POOL
-            + "membership\t3\t1\t2\nend\n";
+    private static final String START =
+            "frame\t1000\nswitch_to\tnode/0\n" + BEGIN + POOL + "membership\t3\t1\t2\nend\n";
 
     private static String run(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -35,8 +36,11 @@
 
     @Test
     void aRequestIsForwarded() throws IOException {
-        String reply = run(START + "frame\t2000\nswitch_to\tnode/0\n"
-                + "knock\t77\t-\tget\t400000000\t-\t0\t-\nend\n");
+        String reply =
+                run(
+                        START
+                                + "frame\t2000\nswitch_to\tnode/0\n"
+                                + "knock\t77\t-\tget\t400000000\t-\t0\t-\nend\n");
         assertTrue(reply.contains("from\tnode/0\n"), reply);
         assertTrue(reply.contains("forward\t77\t0\th:1\n"), reply);
         assertTrue(reply.endsWith("next\n"), reply);
@@ -44,51 +48,70 @@
 
     @Test
     void anAnswerAndEveryOtherEventIsTaken() throws IOException {
-        String reply = run(START + "frame\t2000\nswitch_to\tnode/0\n"
-                + "knock\t77\t5000\tget\t400000000\t-\t3\t00ff00ff00ff00ff\n"
-                + "head_received\t77\t0\th:1\t9\nresult\t77\t0\th:1\tOk\t9\t1\tqueue:2,other:1\n"
-                + "timed_out_client\t77\ntick_due\t3\nhealth_result\th:1\tTimedOut\t9\ninbox\t2\t6869\n"
-                + "membership\t-\t-\t3\n".replace("-\t-", "0\t2") + "end\n");
+        String reply =
+                run(
+                        START
+                                + "frame\t2000\nswitch_to\tnode/0\n"
+                                + "knock\t77\t5000\tget\t400000000\t-\t3\t00ff00ff00ff00ff\n"
+                                + "head_received\t77\t0\th:1\t9\nresult\t77\t0\th:1\tOk\t9\t1\tqueue:2,other:1\n"
+                                + "timed_out_client\t77\ntick_due\t3\nhealth_result\th:1\tTimedOut\t9\ninbox\t2\t6869\n"
+                                + "membership\t-\t-\t3\n".replace("-\t-", "0\t2")
+                                + "end\n");
         assertTrue(reply.contains("forward\t77"), reply);
     }
 
     @Test
     void pagesAreReadInEventOrder() throws IOException {
         String other = POOL.replace("h:1", "h:2");
-        String reply = run("frame\t1000\nswitch_to\tnode/0\n" + BEGIN + POOL + "membership\t3\t1\t2\n" + other
-                + "switch_to\tnode/1\n" + BEGIN + "membership\t3\t1\t2\nend\n"
-                + "frame\t2000\nswitch_to\tnode/0\nknock\t1\t-\tget\t400000000\nswitch_to\tnode/1\n"
-                + "knock\t2\t-\tget\t400000000\nend\n");
+        String reply =
+                run(
+                        "frame\t1000\nswitch_to\tnode/0\n"
+                                + BEGIN
+                                + POOL
+                                + "membership\t3\t1\t2\n"
+                                + other
+                                + "switch_to\tnode/1\n"
+                                + BEGIN
+                                + "membership\t3\t1\t2\nend\n"
+                                + "frame\t2000\nswitch_to\tnode/0\nknock\t1\t-\tget\t400000000\nswitch_to\tnode/1\n"
+                                + "knock\t2\t-\tget\t400000000\nend\n");
         assertTrue(reply.contains("forward\t1\t0\th:1\n"), reply);
         assertTrue(reply.contains("forward\t2\t0\th:2\n"), reply);
     }
 
     @Test
     void aStoppedInstanceForgetsAndMayBeginInTheSameBatch() throws IOException {
-        String reply = run(START + "frame\t2000\nswitch_to\tnode/0\nstop\n" + BEGIN
-                + "membership\t3\t1\t2\nknock\t9\t-\tget\t400000000\nend\n");
+        String reply =
+                run(
+                        START
+                                + "frame\t2000\nswitch_to\tnode/0\nstop\n"
+                                + BEGIN
+                                + "membership\t3\t1\t2\nknock\t9\t-\tget\t400000000\nend\n");
         assertTrue(reply.contains("forward\t9"), reply);
     }
 
     @Test
     void anExceptionInTheModuleIsReportedOnTheWire() throws IOException {
-        String reply = run(START + "frame\t2000\nswitch_to\tnode/0\nknock\t77\t-\tput\t400000000\nend\n");
+        String reply =
+                run(START + "frame\t2000\nswitch_to\tnode/0\nknock\t77\t-\tput\t400000000\nend\n");
         assertTrue(reply.contains("internal_error\t") && reply.contains("put"), reply);
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "hello\\n | line 1: message: expected frame",
-        "frame\\tx\\nend\\n | line 1: frame: expected a whole number",
-        "frame\\t1\\n | line 2: message: expected end",
-        "frame\\t1\\nswitch_to\\tnode/0\\nsing\\nend\\n | line 3: sing: expected begin",
-        "frame\\t1\\ntick_due\\t1\\nend\\n | line 2: tick_due: expected switch_to",
-        "frame\\t1\\nswitch_to\\tnode/0\\nbegin\\t1\\tme=x\\nend\\n | line 3: me: expected a whole number",
-        "frame\\t1\\nswitch_to\\tnode/0\\nbegin\\t1\\nend\\n | line 3: options: expected usable settings",
-        "frame\\t1\\npool\\t16\\t0\\nend\\n | line 2: page: expected 0 to 15",
-        "frame\\t1\\npool\\t1\\t2\\nend\\n | line 3: message: expected entry 1 of 2",
-        "frame\\t1\\npool\\t1\\t1\\nentry\\ta\\t1\\t9\\nend\\n | line 3: state: expected 0, 2 or 3",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "hello\\n | line 1: message: expected frame",
+                "frame\\tx\\nend\\n | line 1: frame: expected a whole number",
+                "frame\\t1\\n | line 2: message: expected end",
+                "frame\\t1\\nswitch_to\\tnode/0\\nsing\\nend\\n | line 3: sing: expected begin",
+                "frame\\t1\\ntick_due\\t1\\nend\\n | line 2: tick_due: expected switch_to",
+                "frame\\t1\\nswitch_to\\tnode/0\\nbegin\\t1\\tme=x\\nend\\n | line 3: me: expected a whole number",
+                "frame\\t1\\nswitch_to\\tnode/0\\nbegin\\t1\\nend\\n | line 3: options: expected usable settings",
+                "frame\\t1\\npool\\t16\\t0\\nend\\n | line 2: page: expected 0 to 15",
+                "frame\\t1\\npool\\t1\\t2\\nend\\n | line 3: message: expected entry 1 of 2",
+                "frame\\t1\\npool\\t1\\t1\\nentry\\ta\\t1\\t9\\nend\\n | line 3: state: expected 0, 2 or 3",
+            })
     void malformedInputIsNamedByLineAndField(String input, String message) {
         String wire = input.replace("\\n", "\n").replace("\\t", "\t");
         WireException e = assertThrows(WireException.class, () -> run(wire));
@@ -96,21 +119,26 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "knock\\t1 | knock: expected 4 to 7 values",
-        "result\\t1\\t0\\th:1\\tGood\\t1\\t1 | ending: expected a known outcome",
-        "result\\t1\\t0\\th:1\\tOk\\t1\\t2 | expected 0 or 1",
-        "result\\t1\\t0\\th:1\\tOk\\t1\\t1\\tqueue | feedback: expected name:value",
-        "membership\\t7\\t1\\t1 | page: expected the number of a pool",
-        "membership\\t3\\t1\\t8 | scope: expected 0, 1, 2 or 3",
-        "inbox\\t1\\t6 | contents: expected pairs of hex digits",
-        "knock\\t1\\t-\\tget\\t5\\t-\\t0\\txyz | entity: expected hex digits",
-        "tick_due\\t99999999999999999999 | name: expected a whole number",
-        "frobnicate\\t1 | message: expected a known message",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "knock\\t1 | knock: expected 4 to 7 values",
+                "result\\t1\\t0\\th:1\\tGood\\t1\\t1 | ending: expected a known outcome",
+                "result\\t1\\t0\\th:1\\tOk\\t1\\t2 | expected 0 or 1",
+                "result\\t1\\t0\\th:1\\tOk\\t1\\t1\\tqueue | feedback: expected name:value",
+                "membership\\t7\\t1\\t1 | page: expected the number of a pool",
+                "membership\\t3\\t1\\t8 | scope: expected 0, 1, 2 or 3",
+                "inbox\\t1\\t6 | contents: expected pairs of hex digits",
+                "knock\\t1\\t-\\tget\\t5\\t-\\t0\\txyz | entity: expected hex digits",
+                "tick_due\\t99999999999999999999 | name: expected a whole number",
+                "frobnicate\\t1 | message: expected a known message",
+            })
     void malformedEventsAreNamed(String event, String message) {
-        String wire = START + "frame\t2000\nswitch_to\tnode/0\n" + event.replace("\\t", "\t") + "\nend\n";
+        String wire =
+                START + "frame\t2000\nswitch_to\tnode/0\n" + event.replace("\\t", "\t") + "\nend\n";
         WireException e = assertThrows(WireException.class, () -> run(wire));
-        assertTrue(e.getMessage().contains("line 10: ") && e.getMessage().contains(message), e.getMessage());
+        assertTrue(
+                e.getMessage().contains("line 10: ") && e.getMessage().contains(message),
+                e.getMessage());
     }
 }
--- a/benchmarks/src/main/java/trailthread/benchmark/Arguments.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/Arguments.java
@@ -10,14 +10,16 @@
 
     /**
      * @param defaults every option there is
-     * @throws IllegalArgumentException if there is another one, or one without a value; the message names it
+     * @throws IllegalArgumentException if there is another one, or one without a value; the message
+     *     names it
      */
     Arguments(Map<String, String> defaults, String... args) {
         values = new HashMap<>(defaults);
         for (int i = 0; i < args.length; i += 2) {
             String name = args[i].startsWith("--") ? args[i].substring(2) : "";
             if (!defaults.containsKey(name) || i + 1 == args.length) {
-                throw new IllegalArgumentException("not '" + args[i] + "' but --name value of " + defaults);
+                throw new IllegalArgumentException(
+                        "not '" + args[i] + "' but --name value of " + defaults);
             }
             values.put(name, args[i + 1]);
         }
--- a/benchmarks/src/main/java/trailthread/benchmark/Child.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/Child.java
@@ -12,7 +12,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A program started for the benchmark, pinned to a core if one is given; closing ends it at once. */
+/**
+ * A program started for the benchmark, pinned to a core if one is given; closing ends it at once.
+ */
 final class Child implements AutoCloseable {
     private static final String END = "(end)";
 
@@ -22,7 +24,7 @@
     private final List<String> said = new ArrayList<>();
 
     /**
-     * @param core        or a negative number: any
+     * @param core or a negative number: any
      * @param environment what is set besides that of this program
      */
     Child(int core, Map<String, String> environment, List<String> command) throws IOException {
@@ -36,10 +38,12 @@
         builder.environment().putAll(environment);
         process = builder.start();
         BufferedReader reader = process.inputReader(StandardCharsets.UTF_8);
-        Thread drain = new Thread(() -> {
-            reader.lines().forEach(lines::add);
-            lines.add(END);
-        });
+        Thread drain =
+                new Thread(
+                        () -> {
+                            reader.lines().forEach(lines::add);
+                            lines.add(END);
+                        });
         drain.setDaemon(true);
         drain.start();
     }
@@ -47,7 +51,10 @@
     /** Whether a program can be pinned to this core here. */
     static boolean canPin(int core) throws InterruptedException {
         try {
-            return new ProcessBuilder("taskset", "-c", Integer.toString(core), "true").start().waitFor() == 0;
+            return new ProcessBuilder("taskset", "-c", Integer.toString(core), "true")
+                            .start()
+                            .waitFor()
+                    == 0;
         } catch (IOException e) {
             return false;
         }
@@ -63,8 +70,13 @@
         while (true) {
             String line = lines.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS);
             if (line == null || line.equals(END)) {
-                throw new IOException("no '" + pattern + "' from " + command + ", which said:\n"
-                        + String.join("\n", said));
+                throw new IOException(
+                        "no '"
+                                + pattern
+                                + "' from "
+                                + command
+                                + ", which said:\n"
+                                + String.join("\n", said));
             }
             said.add(line);
             Matcher matcher = pattern.matcher(line);
--- a/benchmarks/src/main/java/trailthread/benchmark/Comparison.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/Comparison.java
@@ -12,9 +12,9 @@
 import java.util.stream.IntStream;
 
 /**
- * Compares the node with Undertow's proxy before the same workers, in turns: each turn a fresh process, its
- * warm-up, its measured calls, its end. To be run at the root of the repository after a build;
- * docs/benchmarks.md says more.
+ * Compares the node with Undertow's proxy before the same workers, in turns: each turn a fresh
+ * process, its warm-up, its measured calls, its end. To be run at the root of the repository after
+ * a build; docs/benchmarks.md says more.
  */
 public final class Comparison {
     private static final Path DEPLOY = Path.of("deploy", "balancer.toml");
@@ -26,7 +26,8 @@
     private static final long STARTS_WITHIN_S = 30;
     private static final int BAD_USE = 2;
 
-    private static final String SETTINGS = """
+    private static final String SETTINGS =
+            """
             {"name":"bench","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"%x",
              "limits":{"sockets":1024},
              "known":{"generation":0,"reset":true,"instances":[%s]},
@@ -36,7 +37,8 @@
               "zone":"a","discovery":"on_request","report":{"how":"piggyback","fields":["inflight","queue"]},
               "limits":{"retry_after":true,"max_retry_after_ns":1200000000,"dial_timeout_ns":100000000}}}
             """;
-    private static final String INSTANCE = """
+    private static final String INSTANCE =
+            """
             {"instanceId":"s-%d","hostPort":"127.0.0.1:%s","zone":"a","cell":0,"lifecycle":"active",
              "weight":1.0,"startedAtMs":0}""";
 
@@ -50,24 +52,50 @@
         this.arguments = arguments;
         toml = Files.readString(DEPLOY);
         cores = cores(arguments.text("cores"));
-        workers = new Child(cores[1], Map.of(),
-                ours("trailthread.benchmark.InstantWorkers", "--delays", arguments.text("delays")));
+        workers =
+                new Child(
+                        cores[1],
+                        Map.of(),
+                        ours(
+                                "trailthread.benchmark.InstantWorkers",
+                                "--delays",
+                                arguments.text("delays")));
         ports = workers.await(SERVES, STARTS_WITHIN_S).group(1);
     }
 
     /**
      * Runs the comparison and prints its table.
      *
-     * @param args {@code --connections}, {@code --rounds}, {@code --seconds} and {@code --warm-up} (s) of a
-     *             turn, {@code --delays} of the workers (ms), {@code --cores} of the program under test, the
-     *             workers and the load, or none
+     * @param args {@code --connections}, {@code --rounds}, {@code --seconds} and {@code --warm-up}
+     *     (s) of a turn, {@code --delays} of the workers (ms), {@code --cores} of the program under
+     *     test, the workers and the load, or none
      */
     public static void main(String[] args) throws IOException, InterruptedException {
-        Runtime.getRuntime().addShutdownHook(new Thread(
-                () -> ProcessHandle.current().children().forEach(ProcessHandle::destroyForcibly)));
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(
+                                () ->
+                                        ProcessHandle.current()
+                                                .children()
+                                                .forEach(ProcessHandle::destroyForcibly)));
         try {
-            new Comparison(new Arguments(Map.of("connections", "16,64,256", "rounds", "3", "seconds", "5",
-                    "warm-up", "3", "delays", "0,0,0,0", "cores", "1,2,3"), args)).run();
+            new Comparison(
+                            new Arguments(
+                                    Map.of(
+                                            "connections",
+                                            "16,64,256",
+                                            "rounds",
+                                            "3",
+                                            "seconds",
+                                            "5",
+                                            "warm-up",
+                                            "3",
+                                            "delays",
+                                            "0,0,0,0",
+                                            "cores",
+                                            "1,2,3"),
+                                    args))
+                    .run();
         } catch (IllegalArgumentException e) {
             System.err.println("benchmark: " + e.getMessage());
             System.exit(BAD_USE);
@@ -93,10 +121,14 @@
     }
 
     private void run() throws IOException, InterruptedException {
-        System.out.printf(Locale.ROOT, "workers answer after %s ms; cores (program, workers, load) %s%n",
-                arguments.text("delays"), cores[0] < 0 ? "any" : arguments.text("cores"));
-        System.out.println("who   conns round  calls/s   p50 ms   p99 ms p99.9 ms   max ms   slow  refused"
-                + "  failed  reopened  CPU us/call  program workers load others");
+        System.out.printf(
+                Locale.ROOT,
+                "workers answer after %s ms; cores (program, workers, load) %s%n",
+                arguments.text("delays"),
+                cores[0] < 0 ? "any" : arguments.text("cores"));
+        System.out.println(
+                "who   conns round  calls/s   p50 ms   p99 ms p99.9 ms   max ms   slow  refused"
+                        + "  failed  reopened  CPU us/call  program workers load others");
         List<String> summaries = new ArrayList<>();
         for (int connections : arguments.list("connections")) {
             List<Turn> node = new ArrayList<>();
@@ -124,16 +156,31 @@
     }
 
     private Child proxy() throws IOException {
-        return new Child(cores[0], Map.of(), RunCommand.other(toml, System.getProperty("java.class.path"),
-                "trailthread.benchmark.ProxyNode", "--workers", ports));
+        return new Child(
+                cores[0],
+                Map.of(),
+                RunCommand.other(
+                        toml,
+                        System.getProperty("java.class.path"),
+                        "trailthread.benchmark.ProxyNode",
+                        "--workers",
+                        ports));
     }
 
     /** A program of the benchmark's own, with room to spare. */
     private static List<String> ours(String main, String... args) {
-        List<String> words = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-Xms256m", "-Xmx256m", "-XX:-UsePerfData",
-                "-cp", System.getProperty("java.class.path"), main));
+        List<String> words =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:+UseSerialGC",
+                                "-XX:TieredStopAtLevel=1",
+                                "-Xms256m",
+                                "-Xmx256m",
+                                "-XX:-UsePerfData",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                main));
         words.addAll(List.of(args));
         return words;
     }
@@ -143,9 +190,20 @@
         String port = program.await(SERVES, STARTS_WITHIN_S).group(1);
         int warmUp = arguments.whole("warm-up");
         int seconds = arguments.whole("seconds");
-        try (Child load = new Child(cores[2], Map.of(), ours("trailthread.benchmark.LoadGenerator",
-                "--port", port, "--connections", Integer.toString(connections),
-                "--warm-up", Integer.toString(warmUp), "--seconds", Integer.toString(seconds)))) {
+        try (Child load =
+                new Child(
+                        cores[2],
+                        Map.of(),
+                        ours(
+                                "trailthread.benchmark.LoadGenerator",
+                                "--port",
+                                port,
+                                "--connections",
+                                Integer.toString(connections),
+                                "--warm-up",
+                                Integer.toString(warmUp),
+                                "--seconds",
+                                Integer.toString(seconds)))) {
             Child[] all = {program, workers, load};
             load.await(MEASURING, warmUp + STARTS_WITHIN_S);
             double[] own = ownSeconds(all);
@@ -154,9 +212,17 @@
             own = minus(ownSeconds(all), own);
             double[] others = minus(minus(busySeconds(), busy), own);
             Turn turn = Turn.parse(load.await(TURN, STARTS_WITHIN_S).group());
-            System.out.printf(Locale.ROOT, "%-5s %5d %5d %s %11.1f  %6.0f%% %6.0f%% %3.0f%% %5.0f%%%n", who,
-                    connections, round, turn.cells(), own[0] * 1e6 / turn.calls(), 100 * own[0] / seconds,
-                    100 * own[1] / seconds, 100 * own[2] / seconds,
+            System.out.printf(
+                    Locale.ROOT,
+                    "%-5s %5d %5d %s %11.1f  %6.0f%% %6.0f%% %3.0f%% %5.0f%%%n",
+                    who,
+                    connections,
+                    round,
+                    turn.cells(),
+                    own[0] * 1e6 / turn.calls(),
+                    100 * own[0] / seconds,
+                    100 * own[1] / seconds,
+                    100 * own[2] / seconds,
                     100 * Arrays.stream(others).max().orElseThrow() / seconds);
             return turn;
         }
--- a/benchmarks/src/main/java/trailthread/benchmark/CpuTime.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/CpuTime.java
@@ -5,22 +5,28 @@
 import java.nio.file.Path;
 
 /**
- * CPU time in seconds, of a process with all its threads and of a core; no number where the system does not
- * tell. See proc_pid_stat(5) and proc_stat(5).
+ * CPU time in seconds, of a process with all its threads and of a core; no number where the system
+ * does not tell. See proc_pid_stat(5) and proc_stat(5).
  */
 final class CpuTime {
     /** Ticks in a second, as Linux tells them to programs on all but long gone machines. */
     private static final double TICKS = 100;
-    /** Fields after the name, which may itself hold blanks and brackets: the first of them is the state. */
+
+    /**
+     * Fields after the name, which may itself hold blanks and brackets: the first of them is the
+     * state.
+     */
     private static final int USER = 11;
+
     private static final int SYSTEM = 12;
+
     /** Fields of a core after its name: user, nice, system, idle, waiting, irq, softirq, steal. */
     private static final int CORE_FIELDS = 8;
+
     private static final int IDLE = 3;
     private static final int WAITING = 4;
 
-    private CpuTime() {
-    }
+    private CpuTime() {}
 
     /** User's and system's time of a process. */
     static double ofProcess(long pid) {
--- a/benchmarks/src/main/java/trailthread/benchmark/InstantWorkers.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/InstantWorkers.java
@@ -17,8 +17,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Workers that answer every request with 200 at once, or after a delay of their own; all on one thread. They
- * print the ports that they serve on, in order.
+ * Workers that answer every request with 200 at once, or after a delay of their own; all on one
+ * thread. They print the ports that they serve on, in order.
  */
 public final class InstantWorkers {
     private static final int BACKLOG = 1024;
@@ -29,8 +29,7 @@
     private final ByteBuffer out = ByteBuffer.allocateDirect(512);
     private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::at));
 
-    private InstantWorkers() throws IOException {
-    }
+    private InstantWorkers() throws IOException {}
 
     /**
      * Serves until it is ended.
@@ -54,12 +53,10 @@
     }
 
     /** A connection to a worker. */
-    private record Connection(Worker worker, SocketChannel channel, MessageReader request) {
-    }
+    private record Connection(Worker worker, SocketChannel channel, MessageReader request) {}
 
     /** An answer and when it is to go, by the monotonic clock. */
-    private record Due(long at, Connection connection) {
-    }
+    private record Due(long at, Connection connection) {}
 
     private void run(int[] delaysMs) throws IOException {
         List<String> ports = new ArrayList<>();
@@ -102,7 +99,9 @@
             if (channel != null) {
                 channel.configureBlocking(false);
                 channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                channel.register(selector, SelectionKey.OP_READ,
+                channel.register(
+                        selector,
+                        SelectionKey.OP_READ,
                         new Connection(worker, channel, new MessageReader()));
             }
         } catch (IOException e) {
@@ -139,8 +138,14 @@
         String load = "{\"inflight\":" + inflight + ",\"queue\":0}";
         String body = to.request.startLine().startsWith("GET /status/load ") ? load : "served";
         out.clear();
-        out.put(("HTTP/1.1 200 OK\r\nX-Backend-Load: " + load + "\r\nContent-Length: " + body.length()
-                + "\r\n\r\n" + body).getBytes(StandardCharsets.ISO_8859_1));
+        out.put(
+                ("HTTP/1.1 200 OK\r\nX-Backend-Load: "
+                                + load
+                                + "\r\nContent-Length: "
+                                + body.length()
+                                + "\r\n\r\n"
+                                + body)
+                        .getBytes(StandardCharsets.ISO_8859_1));
         try {
             writeWhole(to.channel, out.flip());
             if (!to.request.isLasting()) {
@@ -151,7 +156,10 @@
         }
     }
 
-    /** Writes a message for which there is always room, as one at a time is under way on a connection. */
+    /**
+     * Writes a message for which there is always room, as one at a time is under way on a
+     * connection.
+     */
     static void writeWhole(SocketChannel channel, ByteBuffer message) throws IOException {
         channel.write(message);
         if (message.hasRemaining()) {
--- a/benchmarks/src/main/java/trailthread/benchmark/Isolation.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/Isolation.java
@@ -10,19 +10,35 @@
 import java.util.regex.Pattern;
 
 /**
- * Whether one pool feels another's overload: {@code sim.example.org} under a steady load, alone, and while
- * {@code marks.example.org} is offered a multiple of what its worker can do. Two pools in one node on one core.
+ * Whether one pool feels another's overload: {@code sim.example.org} under a steady load, alone,
+ * and while {@code marks.example.org} is offered a multiple of what its worker can do. Two pools in
+ * one node on one core.
  */
 public final class Isolation {
-    private static final Map<String, String> DEFAULTS = Map.of("rounds", "2", "seconds", "30", "warm-up", "5",
-            "sim-rate", "300", "marks-times", "4", "cores", "1,2,3");
+    private static final Map<String, String> DEFAULTS =
+            Map.of(
+                    "rounds",
+                    "2",
+                    "seconds",
+                    "30",
+                    "warm-up",
+                    "5",
+                    "sim-rate",
+                    "300",
+                    "marks-times",
+                    "4",
+                    "cores",
+                    "1,2,3");
     private static final int MARKS_SLOTS = 4;
     private static final int MARKS_MS = 20;
+
     /** Enough that none waits for its turn: what is not served is held for up to its aim. */
     private static final int MARKS_CONNECTIONS = 400;
+
     private static final int SIM_SLOTS = 16;
     private static final int SIM_MS = 5;
-    private static final String FILE = """
+    private static final String FILE =
+            """
             [node]
             listen = "127.0.0.1:0"
             descriptors = 1024
@@ -44,26 +60,39 @@
             pool = "marks"
             """;
 
-    private Isolation() {
-    }
+    private Isolation() {}
 
     /** Runs it; the options are pairs of --name value. */
     public static void main(String[] args) throws IOException, InterruptedException {
         Arguments options = new Arguments(DEFAULTS, args);
         int[] cores = options.list("cores");
         String classPath = System.getProperty("java.class.path");
-        List<String> workers = new ArrayList<>(List.of("java", "-cp", classPath, PacedWorkers.class.getName()));
+        List<String> workers =
+                new ArrayList<>(List.of("java", "-cp", classPath, PacedWorkers.class.getName()));
         for (int i = 0; i < 2; i++) {
             workers.addAll(List.of(Integer.toString(SIM_SLOTS), Integer.toString(SIM_MS), "0"));
         }
         workers.addAll(List.of(Integer.toString(MARKS_SLOTS), Integer.toString(MARKS_MS), "0"));
-        System.out.printf("%-8s %-6s %8s %8s %8s %8s %8s %8s %6s %5s%n", "phase", "who", "served/s", "p50 ms", "p99 ms",
-                "p99.9", "refused", "failed", "late", "node%");
+        System.out.printf(
+                "%-8s %-6s %8s %8s %8s %8s %8s %8s %6s %5s%n",
+                "phase",
+                "who",
+                "served/s",
+                "p50 ms",
+                "p99 ms",
+                "p99.9",
+                "refused",
+                "failed",
+                "late",
+                "node%");
         try (Child fleet = new Child(cores[1], Map.of(), workers)) {
             Matcher ports = fleet.await(Pattern.compile("ports (\\d+) (\\d+) (\\d+)"), 20);
             for (int round = 0; round < options.whole("rounds"); round++) {
                 for (boolean loaded : new boolean[] {false, true}) {
-                    phase(options, String.format(FILE, ports.group(1), ports.group(2), ports.group(3)), cores[0],
+                    phase(
+                            options,
+                            String.format(FILE, ports.group(1), ports.group(2), ports.group(3)),
+                            cores[0],
                             loaded);
                 }
             }
@@ -76,16 +105,34 @@
         try {
             Files.writeString(file, toml);
             String deploy = Files.readString(Path.of("deploy", "balancer.toml"));
-            List<String> node = RunCommand.other(deploy,
-                    "daemon/target/trailthread.jar:command/target/trailthread-command.jar:command/target/lib/*",
-                    "trailthread.command.Trailthread", "serve", file.toString());
+            List<String> node =
+                    RunCommand.other(
+                            deploy,
+                            "daemon/target/trailthread.jar:command/target/trailthread-command.jar:command/target/lib/*",
+                            "trailthread.command.Trailthread",
+                            "serve",
+                            file.toString());
             try (Child child = new Child(core, Map.of(), node)) {
-                int port = Integer.parseInt(child.await(Pattern.compile("serves on .*:(\\d+)"), 20).group(1));
+                int port =
+                        Integer.parseInt(
+                                child.await(Pattern.compile("serves on .*:(\\d+)"), 20).group(1));
                 long warmUp = options.whole("warm-up") * 1_000_000_000L;
                 long time = options.whole("seconds") * 1_000_000_000L;
-                PacedLoad sim = new PacedLoad(port, "sim.example.org", options.whole("sim-rate"), warmUp, time);
-                PacedLoad marks = new PacedLoad(port, "marks.example.org",
-                        loaded ? options.whole("marks-times") * 1000.0 * MARKS_SLOTS / MARKS_MS : 0.001, warmUp, time);
+                PacedLoad sim =
+                        new PacedLoad(
+                                port, "sim.example.org", options.whole("sim-rate"), warmUp, time);
+                PacedLoad marks =
+                        new PacedLoad(
+                                port,
+                                "marks.example.org",
+                                loaded
+                                        ? options.whole("marks-times")
+                                                * 1000.0
+                                                * MARKS_SLOTS
+                                                / MARKS_MS
+                                        : 0.001,
+                                warmUp,
+                                time);
                 double cpu = child.cpuSeconds();
                 long begun = System.nanoTime();
                 sim.begin(64);
@@ -105,9 +152,17 @@
     }
 
     private static void print(String phase, String who, PacedLoad load, int seconds, double share) {
-        System.out.printf("%-8s %-6s %8.0f %8.2f %8.2f %8.2f %8d %8d %6d %5.0f%n", phase, who,
-                load.served.getTotalCount() / (double) seconds, load.served.getValueAtPercentile(50) / 1e6,
-                load.served.getValueAtPercentile(99) / 1e6, load.served.getValueAtPercentile(99.9) / 1e6,
-                load.refused.get(), load.failed.get(), load.late.get(), 100 * share);
+        System.out.printf(
+                "%-8s %-6s %8.0f %8.2f %8.2f %8.2f %8d %8d %6d %5.0f%n",
+                phase,
+                who,
+                load.served.getTotalCount() / (double) seconds,
+                load.served.getValueAtPercentile(50) / 1e6,
+                load.served.getValueAtPercentile(99) / 1e6,
+                load.served.getValueAtPercentile(99.9) / 1e6,
+                load.refused.get(),
+                load.failed.get(),
+                load.late.get(),
+                100 * share);
     }
 }
--- a/benchmarks/src/main/java/trailthread/benchmark/LoadGenerator.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/LoadGenerator.java
@@ -15,15 +15,18 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients in a closed loop, all on one thread: on each connection one call at a time, the next as soon as the
- * last has its answer. Counted are the calls begun after the warm-up and before the end; what is out at the
- * end is waited for. It prints {@code measuring} and {@code measured} at both, and then its figures.
+ * Clients in a closed loop, all on one thread: on each connection one call at a time, the next as
+ * soon as the last has its answer. Counted are the calls begun after the warm-up and before the
+ * end; what is out at the end is waited for. It prints {@code measuring} and {@code measured} at
+ * both, and then its figures.
  */
 public final class LoadGenerator {
     private static final long SECOND_NS = 1_000_000_000;
     private static final long LOOK_MS = 20;
+
     /** Past every deadline: what has no answer by then is lost. */
     private static final long GIVEN_UP_NS = 5 * SECOND_NS;
+
     private static final int DIGITS = 3;
 
     private final InetSocketAddress address;
@@ -31,8 +34,10 @@
     private final ByteBuffer in = ByteBuffer.allocateDirect(16 * 1024);
     private final ByteBuffer out = ByteBuffer.allocateDirect(512);
     private final Histogram served = new Histogram(2 * GIVEN_UP_NS, DIGITS);
+
     /** Ids differ from those of a generator before this one. */
     private long lastId = System.nanoTime() << 20;
+
     private long from;
     private long to;
     private long refused;
@@ -46,13 +51,19 @@
     /**
      * Makes the calls of one turn.
      *
-     * @param args {@code --port} on loopback, {@code --connections}, {@code --warm-up} and {@code --seconds}
+     * @param args {@code --port} on loopback, {@code --connections}, {@code --warm-up} and {@code
+     *     --seconds}
      */
     public static void main(String[] args) throws IOException {
-        Arguments arguments = new Arguments(
-                Map.of("port", "8080", "connections", "16", "warm-up", "3", "seconds", "5"), args);
+        Arguments arguments =
+                new Arguments(
+                        Map.of("port", "8080", "connections", "16", "warm-up", "3", "seconds", "5"),
+                        args);
         new LoadGenerator(arguments.whole("port"))
-                .run(arguments.whole("connections"), arguments.whole("warm-up"), arguments.whole("seconds"));
+                .run(
+                        arguments.whole("connections"),
+                        arguments.whole("warm-up"),
+                        arguments.whole("seconds"));
     }
 
     /** One connection and the call that is out on it. */
@@ -74,9 +85,12 @@
         /** A connection that ended since its last answer fails the call that finds it so. */
         private void call() throws IOException {
             out.clear();
-            out.put(("GET /bench-state HTTP/1.1\r\nHost: 127.0.0.1\r\nX-Service-Class: bench-state\r\n"
-                    + "X-Correlation-Id: " + Long.toHexString(++lastId) + "\r\nX-Time-Left: 1.2\r\n\r\n")
-                    .getBytes(StandardCharsets.ISO_8859_1));
+            out.put(
+                    ("GET /bench-state HTTP/1.1\r\nHost: 127.0.0.1\r\nX-Service-Class: bench-state\r\n"
+                                    + "X-Correlation-Id: "
+                                    + Long.toHexString(++lastId)
+                                    + "\r\nX-Time-Left: 1.2\r\n\r\n")
+                            .getBytes(StandardCharsets.ISO_8859_1));
             sentAt = System.nanoTime();
             waits = true;
             try {
--- a/benchmarks/src/main/java/trailthread/benchmark/MessageReader.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/MessageReader.java
@@ -6,8 +6,9 @@
 import java.util.Locale;
 
 /**
- * Reads HTTP/1.1 messages, requests or answers, however they come in pieces, and skips their bodies; pure. It
- * knows bodies with a Content-Length alone, which is all that the programs here exchange.
+ * Reads HTTP/1.1 messages, requests or answers, however they come in pieces, and skips their
+ * bodies; pure. It knows bodies with a Content-Length alone, which is all that the programs here
+ * exchange.
  */
 final class MessageReader {
     private static final int MOST_LINE_BYTES = 8 * 1024;
@@ -23,7 +24,8 @@
     private int left;
 
     /**
-     * Takes in what has come, as far as it belongs to the message; after a whole one the next begins.
+     * Takes in what has come, as far as it belongs to the message; after a whole one the next
+     * begins.
      *
      * @return whether the message is whole
      * @throws ProtocolException if it is none that can be read; nothing more can be read then
@@ -57,7 +59,8 @@
     /** The status of the last message, which was an answer. */
     int status() throws ProtocolException {
         try {
-            return Integer.parseInt(startLine.substring("HTTP/1.1 ".length(), "HTTP/1.1 200".length()));
+            return Integer.parseInt(
+                    startLine.substring("HTTP/1.1 ".length(), "HTTP/1.1 200".length()));
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
             throw new ProtocolException("no status: " + startLine);
         }
@@ -93,8 +96,11 @@
             inHead = true;
             lasting = true;
             left = 0;
-        } else if (lineBytes > 0 && (line[0] == 'C' || line[0] == 'c' || line[0] == 'T' || line[0] == 't')) {
-            header(new String(line, 0, lineBytes, StandardCharsets.ISO_8859_1).toLowerCase(Locale.ROOT));
+        } else if (lineBytes > 0
+                && (line[0] == 'C' || line[0] == 'c' || line[0] == 'T' || line[0] == 't')) {
+            header(
+                    new String(line, 0, lineBytes, StandardCharsets.ISO_8859_1)
+                            .toLowerCase(Locale.ROOT));
         }
         lineBytes = 0;
         return ends;
--- a/benchmarks/src/main/java/trailthread/benchmark/PacedLoad.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/PacedLoad.java
@@ -13,8 +13,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * An open loop: calls are due at times drawn ahead (Poisson), whatever became of those before, and their latency counts
- * from then (Tene, "How NOT to Measure Latency"). A call that no connection was free for in time counts as late.
+ * An open loop: calls are due at times drawn ahead (Poisson), whatever became of those before, and
+ * their latency counts from then (Tene, "How NOT to Measure Latency"). A call that no connection
+ * was free for in time counts as late.
  */
 final class PacedLoad {
     private static final long LATE_NS = 5_000_000;
@@ -40,7 +41,9 @@
     PacedLoad(int port, String host, double perSecond, long warmUpNs, long forNs) {
         this.port = port;
         this.perSecond = perSecond;
-        request = ("GET /x HTTP/1.1\r\nHost: " + host + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
+        request =
+                ("GET /x HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
+                        .getBytes(StandardCharsets.US_ASCII);
         nextDue = System.nanoTime();
         countFrom = nextDue + warmUpNs;
         endsAt = countFrom + forNs;
@@ -86,7 +89,11 @@
                 connection.getOutputStream().write(request);
                 String head = read(connection.getInputStream(), buffer);
                 if (counts) {
-                    count(head.startsWith("HTTP/1.1 200") ? 200 : head.startsWith("HTTP/1.1 503") ? 503 : 0, due);
+                    count(
+                            head.startsWith("HTTP/1.1 200")
+                                    ? 200
+                                    : head.startsWith("HTTP/1.1 503") ? 503 : 0,
+                            due);
                 }
                 if (head.contains("\r\nConnection: close")) {
                     connection.close();
--- a/benchmarks/src/main/java/trailthread/benchmark/RouteMatch.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/RouteMatch.java
@@ -21,7 +21,10 @@
 import trailthread.engine.routes.RouteTable;
 import trailthread.engine.routes.Target;
 
-/** What it costs to read a target and to find its route, by the size of the table and the depth of the path. */
+/**
+ * What it costs to read a target and to find its route, by the size of the table and the depth of
+ * the path.
+ */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -46,10 +49,18 @@
     public void setUp() throws BadTargetException {
         List<Route> all = new ArrayList<>();
         for (int i = 0; i < routes; i++) {
-            String host = i % 10 == 0 ? "*.h" + i % HOSTS + ".example" : "h" + i % HOSTS + ".example";
-            all.add(new Route("r" + i, HostPattern.parse(host), PathPattern.parse(path(i, i % 3)),
-                    i % 4 == 0 ? Set.of("GET") : Set.of(), i % 7 == 0 ? Map.of("x-a", "1") : Map.of(), null, "pool",
-                    null));
+            String host =
+                    i % 10 == 0 ? "*.h" + i % HOSTS + ".example" : "h" + i % HOSTS + ".example";
+            all.add(
+                    new Route(
+                            "r" + i,
+                            HostPattern.parse(host),
+                            PathPattern.parse(path(i, i % 3)),
+                            i % 4 == 0 ? Set.of("GET") : Set.of(),
+                            i % 7 == 0 ? Map.of("x-a", "1") : Map.of(),
+                            null,
+                            "pool",
+                            null));
         }
         table = new RouteTable(all);
         for (int i = 0; i < REQUESTS; i++) {
@@ -64,7 +75,10 @@
     private String path(int route, int kind) {
         StringBuilder path = new StringBuilder();
         for (int level = 0; level < depth; level++) {
-            path.append(kind == 1 && level == depth / 2 ? "/{v}" : "/s" + level + (level == 0 ? "-" + route : ""));
+            path.append(
+                    kind == 1 && level == depth / 2
+                            ? "/{v}"
+                            : "/s" + level + (level == 0 ? "-" + route : ""));
         }
         return path + (kind == 2 ? "/**" : "");
     }
--- a/benchmarks/src/main/java/trailthread/benchmark/RunCommand.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/RunCommand.java
@@ -10,8 +10,7 @@
 final class RunCommand {
     private static final Pattern RUN = Pattern.compile("(?m)^run = \"exec (.*)\"$");
 
-    private RunCommand() {
-    }
+    private RunCommand() {}
 
     /**
      * The words of the command.
@@ -26,7 +25,10 @@
         return Arrays.asList(run.group(1).split(" +"));
     }
 
-    /** Another program with the node's flags, but for the archive, which holds the node's classes alone. */
+    /**
+     * Another program with the node's flags, but for the archive, which holds the node's classes
+     * alone.
+     */
     static List<String> other(String toml, String classPath, String... program) {
         List<String> node = node(toml);
         List<String> words = new ArrayList<>(node.subList(0, node.indexOf("-jar")));
--- a/benchmarks/src/main/java/trailthread/benchmark/Summary.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/Summary.java
@@ -7,17 +7,23 @@
 
 /** What the rounds of one number of connections come to; pure. */
 final class Summary {
-    private Summary() {
-    }
+    private Summary() {}
 
     static String line(int connections, List<Turn> node, List<Turn> proxy) {
         double nodeNs = median(node.stream().mapToLong(Turn::p99Ns).toArray());
         double proxyNs = median(proxy.stream().mapToLong(Turn::p99Ns).toArray());
-        return String.format(Locale.ROOT,
+        return String.format(
+                Locale.ROOT,
                 "%d connections: median p99 node %.2f ms, proxy %.2f ms, ratio %.2f; "
-                + "refused node %d, proxy %d; slow, refused or failed node %.3f%%, proxy %.3f%%",
-                connections, nodeNs / 1e6, proxyNs / 1e6, nodeNs / proxyNs, sum(node, Turn::refused),
-                sum(proxy, Turn::refused), spoiltPercent(node), spoiltPercent(proxy));
+                        + "refused node %d, proxy %d; slow, refused or failed node %.3f%%, proxy %.3f%%",
+                connections,
+                nodeNs / 1e6,
+                proxyNs / 1e6,
+                nodeNs / proxyNs,
+                sum(node, Turn::refused),
+                sum(proxy, Turn::refused),
+                spoiltPercent(node),
+                spoiltPercent(proxy));
     }
 
     /** The middle one, or the mean of the two there. */
@@ -25,7 +31,9 @@
         long[] sorted = values.clone();
         Arrays.sort(sorted);
         int middle = sorted.length / 2;
-        return sorted.length % 2 == 1 ? sorted[middle] : (sorted[middle - 1] + sorted[middle]) / 2.0;
+        return sorted.length % 2 == 1
+                ? sorted[middle]
+                : (sorted[middle - 1] + sorted[middle]) / 2.0;
     }
 
     /** Percent of the calls of all rounds that were not served soon. */
--- a/benchmarks/src/test/java/trailthread/benchmark/MessageReaderTest.java
+++ b/benchmarks/src/test/java/trailthread/benchmark/MessageReaderTest.java
@@ -14,16 +14,18 @@
 
 /** Messages in any pieces, one after the other. */
 public class MessageReaderTest {
-    private static final String THREE = "HTTP/1.1 200 OK\r\ncontent-length: 3\r\nX-A: b\r\n\r\na\n\n"
-            + "HTTP/1.1 503 Busy\r\nContent-Length:0\r\nConnection: Close\r\n\r\n"
-            + "GET /bench-state HTTP/1.1\r\nTe: x\r\n\r\n";
+    private static final String THREE =
+            "HTTP/1.1 200 OK\r\ncontent-length: 3\r\nX-A: b\r\n\r\na\n\n"
+                    + "HTTP/1.1 503 Busy\r\nContent-Length:0\r\nConnection: Close\r\n\r\n"
+                    + "GET /bench-state HTTP/1.1\r\nTe: x\r\n\r\n";
 
     private static List<String> read(String text, int pieceBytes) throws ProtocolException {
         MessageReader reader = new MessageReader();
         List<String> heard = new ArrayList<>();
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         for (int from = 0; from < bytes.length; from += pieceBytes) {
-            ByteBuffer piece = ByteBuffer.wrap(bytes, from, Math.min(pieceBytes, bytes.length - from));
+            ByteBuffer piece =
+                    ByteBuffer.wrap(bytes, from, Math.min(pieceBytes, bytes.length - from));
             while (reader.read(piece)) {
                 heard.add(reader.startLine() + (reader.isLasting() ? "" : ", closing"));
             }
@@ -35,8 +37,12 @@
     @Test
     public void messagesAreReadHoweverTheyCome() throws ProtocolException {
         for (int pieceBytes = 1; pieceBytes <= THREE.length(); pieceBytes++) {
-            assertEquals(List.of("HTTP/1.1 200 OK", "HTTP/1.1 503 Busy, closing",
-                    "GET /bench-state HTTP/1.1"), read(THREE, pieceBytes));
+            assertEquals(
+                    List.of(
+                            "HTTP/1.1 200 OK",
+                            "HTTP/1.1 503 Busy, closing",
+                            "GET /bench-state HTTP/1.1"),
+                    read(THREE, pieceBytes));
         }
     }
 
@@ -58,9 +64,16 @@
 
     @Test
     public void whatHasNoClearEndIsNoMessage() {
-        for (String header : List.of("Content-Length: x", "Content-Length: -1", "Content-Length: 4294967295",
-                "Transfer-Encoding: chunked", "X-A: " + "a".repeat(9000))) {
-            assertThrows(header, ProtocolException.class,
+        for (String header :
+                List.of(
+                        "Content-Length: x",
+                        "Content-Length: -1",
+                        "Content-Length: 4294967295",
+                        "Transfer-Encoding: chunked",
+                        "X-A: " + "a".repeat(9000))) {
+            assertThrows(
+                    header,
+                    ProtocolException.class,
                     () -> read("HTTP/1.1 200 OK\r\n" + header + "\r\n\r\n", 64));
         }
     }
--- a/command/src/main/java/trailthread/command/Adapt.java
+++ b/command/src/main/java/trailthread/command/Adapt.java
@@ -6,8 +6,11 @@
 import trailthread.daemon.Main;
 
 /** The decision module on the simulator's wire. */
-@Command(name = "adapter", mixinStandardHelpOptions = true,
-        description = "Plays the decision module on the simulator's wire, over standard input and output.")
+@Command(
+        name = "adapter",
+        mixinStandardHelpOptions = true,
+        description =
+                "Plays the decision module on the simulator's wire, over standard input and output.")
 final class Adapt implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
--- a/command/src/main/java/trailthread/command/Check.java
+++ b/command/src/main/java/trailthread/command/Check.java
@@ -15,8 +15,11 @@
 import trailthread.engine.routes.RouteTable;
 
 /** Tells every fault of a file, or what the node would make of it. */
-@Command(name = "check", mixinStandardHelpOptions = true,
-        description = "Tells every fault of an operator's file, one a line; or, without any, its pools and routes.")
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        description =
+                "Tells every fault of an operator's file, one a line; or, without any, its pools and routes.")
 final class Check implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "The operator's file, in TOML.")
     private Path file;
@@ -39,24 +42,45 @@
     }
 
     private static void print(OperatorFile file, PrintStream out) {
-        out.printf("%s listens on %s, operators on %s; %d calls, %d connections to workers, %s of bodies%n",
-                file.name(), file.listen(), file.operatorListen() == null ? "none" : file.operatorListen(),
-                file.services().calls(), file.services().connections(), file.services().bodyBytes() + " bytes");
+        out.printf(
+                "%s listens on %s, operators on %s; %d calls, %d connections to workers, %s of bodies%n",
+                file.name(),
+                file.listen(),
+                file.operatorListen() == null ? "none" : file.operatorListen(),
+                file.services().calls(),
+                file.services().connections(),
+                file.services().bodyBytes() + " bytes");
         for (PoolConfig pool : file.services().pools()) {
-            out.printf("pool %s: %s, workers %s; calls %s, connections %s, bodies %s, loop weight %s; classes",
-                    pool.name(), pool.profile().name().toLowerCase(Locale.ROOT), source(pool.source()),
-                    part(pool.limits().calls()), part(pool.limits().connections()),
-                    part(pool.limits().bodyBytes()), pool.limits().loopWeight());
-            pool.classes().forEach(c -> out.printf(" %s (%s)", c.rules().name(),
-                    c.repeats().name().toLowerCase(Locale.ROOT)));
+            out.printf(
+                    "pool %s: %s, workers %s; calls %s, connections %s, bodies %s, loop weight %s; classes",
+                    pool.name(),
+                    pool.profile().name().toLowerCase(Locale.ROOT),
+                    source(pool.source()),
+                    part(pool.limits().calls()),
+                    part(pool.limits().connections()),
+                    part(pool.limits().bodyBytes()),
+                    pool.limits().loopWeight());
+            pool.classes()
+                    .forEach(
+                            c ->
+                                    out.printf(
+                                            " %s (%s)",
+                                            c.rules().name(),
+                                            c.repeats().name().toLowerCase(Locale.ROOT)));
             out.println();
         }
         for (Route route : new RouteTable(file.services().routes()).routes()) {
-            out.printf("route %s: %s%s %s%s%s -> pool %s%s%n", route.name(), route.host(), route.path(),
-                    route.methods().isEmpty() ? "any method" : String.join(",", route.methods().stream().sorted()
-                            .toList()),
+            out.printf(
+                    "route %s: %s%s %s%s%s -> pool %s%s%n",
+                    route.name(),
+                    route.host(),
+                    route.path(),
+                    route.methods().isEmpty()
+                            ? "any method"
+                            : String.join(",", route.methods().stream().sorted().toList()),
                     route.headers().isEmpty() ? "" : " " + route.headers(),
-                    route.requestClass() == null ? "" : " class " + route.requestClass(), route.pool(),
+                    route.requestClass() == null ? "" : " class " + route.requestClass(),
+                    route.pool(),
                     route.assigns() == null ? "" : ", as " + route.assigns());
         }
     }
@@ -69,7 +93,8 @@
         if (source instanceof Source.Roster roster) {
             return "by the roster at " + roster.hostPort();
         }
-        return source instanceof Source.ListFile list ? "in " + list.path()
+        return source instanceof Source.ListFile list
+                ? "in " + list.path()
                 : String.join(",", ((Source.Fixed) source).hostPorts());
     }
 }
--- a/command/src/main/java/trailthread/command/Explain.java
+++ b/command/src/main/java/trailthread/command/Explain.java
@@ -20,26 +20,40 @@
 import trailthread.engine.routes.Target;
 
 /** Says which route takes a request, and why the others do not; sends nothing. */
-@Command(name = "route", mixinStandardHelpOptions = true,
-        description = "Says which route, pool and class a request gets, and why the other routes do not have it.")
+@Command(
+        name = "route",
+        mixinStandardHelpOptions = true,
+        description =
+                "Says which route, pool and class a request gets, and why the other routes do not have it.")
 final class Explain implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "The operator's file, in TOML.")
     private Path file;
 
-    @Option(names = "--host", defaultValue = "localhost", description = "Its Host header (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--host",
+            defaultValue = "localhost",
+            description = "Its Host header (${DEFAULT-VALUE}).")
     private String host;
 
-    @Option(names = "--path", defaultValue = "/", description = "Its target: path and query (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--path",
+            defaultValue = "/",
+            description = "Its target: path and query (${DEFAULT-VALUE}).")
     private String path;
 
-    @Option(names = "--method", defaultValue = "GET", description = "Its method (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--method",
+            defaultValue = "GET",
+            description = "Its method (${DEFAULT-VALUE}).")
     private String method;
 
-    @Option(names = "--header", paramLabel = "NAME:VALUE", description = "A header; may be given more than once.")
+    @Option(
+            names = "--header",
+            paramLabel = "NAME:VALUE",
+            description = "A header; may be given more than once.")
     private List<String> headers = List.of();
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() {
@@ -51,9 +65,12 @@
         for (String header : headers) {
             int colon = header.indexOf(':');
             if (colon < 1) {
-                throw new ParameterException(spec.commandLine(), "--header: NAME:VALUE, got '" + header + "'");
+                throw new ParameterException(
+                        spec.commandLine(), "--header: NAME:VALUE, got '" + header + "'");
             }
-            named.put(header.substring(0, colon).toLowerCase(Locale.ROOT), header.substring(colon + 1).strip());
+            named.put(
+                    header.substring(0, colon).toLowerCase(Locale.ROOT),
+                    header.substring(colon + 1).strip());
         }
         Target target;
         try {
@@ -63,11 +80,27 @@
             return Trailthread.BAD;
         }
         RouteTable routes = new RouteTable(read.services().routes());
-        Asked asked = new Asked(target.host(), target.segments(), method, named::get, named.get("x-service-class"));
+        Asked asked =
+                new Asked(
+                        target.host(),
+                        target.segments(),
+                        method,
+                        named::get,
+                        named.get("x-service-class"));
         Route route = routes.match(asked);
-        System.out.println(route == null ? "404: no route takes it" : "route " + route.name() + ", pool "
-                + route.pool() + ", class " + (route.assigns() != null ? route.assigns() : asked.requestClass() != null
-                ? asked.requestClass() : "by the method"));
+        System.out.println(
+                route == null
+                        ? "404: no route takes it"
+                        : "route "
+                                + route.name()
+                                + ", pool "
+                                + route.pool()
+                                + ", class "
+                                + (route.assigns() != null
+                                        ? route.assigns()
+                                        : asked.requestClass() != null
+                                                ? asked.requestClass()
+                                                : "by the method"));
         routes.explain(asked).forEach(line -> System.out.println("  " + line));
         return route == null ? Trailthread.NO : Trailthread.OK;
     }
--- a/command/src/main/java/trailthread/command/Serve.java
+++ b/command/src/main/java/trailthread/command/Serve.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Callable;
+import java.util.concurrent.CompletableFuture;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 import trailthread.configuration.OperatorFile;
@@ -12,9 +12,13 @@
 import trailthread.daemon.services.ServiceNode;
 
 /** Serves: with an operator's file its services, without one what the platform says. */
-@Command(name = "serve", mixinStandardHelpOptions = true, description = {
-    "Serves the services of an operator's file; SIGHUP reads it again, SIGTERM ends in order.",
-    "Without a file it is the platform's node, configured by LB_CONFIG and the other variables."})
+@Command(
+        name = "serve",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Serves the services of an operator's file; SIGHUP reads it again, SIGTERM ends in order.",
+            "Without a file it is the platform's node, configured by LB_CONFIG and the other variables."
+        })
 final class Serve implements Callable<Integer> {
     /** The process lives on after the command line has done its part. */
     static final int GOES_ON = -1;
--- a/command/src/test/java/trailthread/command/CommandLineTest.java
+++ b/command/src/test/java/trailthread/command/CommandLineTest.java
@@ -39,7 +39,9 @@
     }
 
     private void printed(ByteArrayOutputStream where, String part) {
-        assertTrue("'" + part + "' in: " + where, where.toString(StandardCharsets.UTF_8).contains(part));
+        assertTrue(
+                "'" + part + "' in: " + where,
+                where.toString(StandardCharsets.UTF_8).contains(part));
     }
 
     @Test
@@ -57,7 +59,9 @@
             Files.writeString(file, "[node]\nlisten = 1\n[[routes]]\nname = \"a\"\npool = \"x\"\n");
             runs(2, "check", file.toString());
             printed(err, file + ":2:1: node.listen: expected address:port, found 1\n");
-            printed(err, "pools: expected at least one pool, begun with [pools.NAME], found none\n");
+            printed(
+                    err,
+                    "pools: expected at least one pool, begun with [pools.NAME], found none\n");
         } finally {
             Files.delete(file);
         }
@@ -65,8 +69,18 @@
 
     @Test
     public void routeSaysWhoHasARequestAndWhyTheOthersDoNot() {
-        runs(0, "route", EXAMPLE.toString(), "--host", "marks.example.org:80", "--path", "/hooks/7?x", "--method",
-                "POST", "--header", "X-Hook: 1");
+        runs(
+                0,
+                "route",
+                EXAMPLE.toString(),
+                "--host",
+                "marks.example.org:80",
+                "--path",
+                "/hooks/7?x",
+                "--method",
+                "POST",
+                "--header",
+                "X-Hook: 1");
         printed(out, "route marks, pool marks, class by the method");
         printed(out, "  sim: takes it, too, but marks is more specific");
         printed(out, "  attempts: path is not /attempts/{}/use");
@@ -76,7 +90,9 @@
     public void routeWithoutAny() throws Exception {
         Path file = Files.createTempFile("operator", ".toml");
         try {
-            Files.writeString(file, Files.readString(EXAMPLE).replace("path = \"/**\"", "path = \"/sim/**\""));
+            Files.writeString(
+                    file,
+                    Files.readString(EXAMPLE).replace("path = \"/**\"", "path = \"/sim/**\""));
             runs(1, "route", file.toString(), "--path", "/x");
             printed(out, "404: no route takes it");
             runs(2, "route", file.toString(), "--path", "/x/../y");
--- a/command/src/test/java/trailthread/command/ServicesTest.java
+++ b/command/src/test/java/trailthread/command/ServicesTest.java
@@ -41,7 +41,11 @@
     }
 
     private static String pool(String name, String keys) {
-        return "[pools." + name + "]\naim = \"10s\"\ndeadline = \"20s\"\nconnect_within = \"10s\"\n" + keys + "\n";
+        return "[pools."
+                + name
+                + "]\naim = \"10s\"\ndeadline = \"20s\"\nconnect_within = \"10s\"\n"
+                + keys
+                + "\n";
     }
 
     private static String route(String name, String keys) {
@@ -57,7 +61,9 @@
     }
 
     private String file(String simKeys, String marksKeys) {
-        return "[node]\nlisten = \"127.0.0.1:0\"\ndescriptors = 256\n" + pool("sim", simKeys) + pool("marks", marksKeys)
+        return "[node]\nlisten = \"127.0.0.1:0\"\ndescriptors = 256\n"
+                + pool("sim", simKeys)
+                + pool("marks", marksKeys)
                 + route("sim", "host = \"sim.example.org\"\npool = \"sim\"")
                 + route("marks", "host = \"*.example.org\"\npool = \"marks\"");
     }
@@ -70,7 +76,8 @@
         return method + " " + path + " HTTP/1.1\r\nHost: " + host + "\r\n" + headers + "\r\n";
     }
 
-    private Message ask(String method, String path, String host, String headers) throws IOException {
+    private Message ask(String method, String path, String host, String headers)
+            throws IOException {
         try (Socket client = stage.connect()) {
             Message.send(client, request(method, path, host, headers));
             return Message.read(client, method.equals("HEAD"));
@@ -82,25 +89,38 @@
         serve();
         assertEquals("sim", ask("GET", "/x", "sim.example.org", "").body());
         assertEquals("marks", ask("GET", "/x", "marks.example.org", "").body());
-        assertEquals("the exact host goes before the wildcard", "sim",
+        assertEquals(
+                "the exact host goes before the wildcard",
+                "sim",
                 ask("GET", "/x", "SIM.example.org.:80", "").body());
         assertEquals("marks", ask("GET", "http://a.b.example.org/x", "a.b.example.org", "").body());
         assertEquals(400, ask("GET", "http://a.b.example.org/x", "sim.example.org", "").status());
         Message none = ask("GET", "/x", "example.org", "");
         assertEquals(404, none.status());
         assertEquals(400, ask("GET", "/x/../y", "sim.example.org", "").status());
-        assertEquals(400, ask("GET", "/x", "sim.example.org", "Host: marks.example.org\r\n").status());
+        assertEquals(
+                400, ask("GET", "/x", "sim.example.org", "Host: marks.example.org\r\n").status());
         assertEquals(200, ask("GET", "/-/ready", "anything", "").status());
     }
 
     @Test
     public void aPlainClientsHeadersAndTargetPassAndWhatItDoesNotSayIsMade() throws Exception {
         serve();
-        sim.setScript(asked -> asked.answer("201 Created", "Location: /y\r\nX-Hop: 1\r\nConnection: X-Hop\r\n"
-                + "Set-Cookie: a\r\nset-cookie: b\r\n", "made"));
-        Message answer = ask("POST", "/a%20b?q=%2f", "sim.example.org", "Content-Type: text/x\r\nX-Mine: 1\r\n"
-                + "X-Gone: 2\r\nConnection: keep-alive, x-gone\r\n"
-                + "TE: trailers\r\nContent-Length: 0\r\n");
+        sim.setScript(
+                asked ->
+                        asked.answer(
+                                "201 Created",
+                                "Location: /y\r\nX-Hop: 1\r\nConnection: X-Hop\r\n"
+                                        + "Set-Cookie: a\r\nset-cookie: b\r\n",
+                                "made"));
+        Message answer =
+                ask(
+                        "POST",
+                        "/a%20b?q=%2f",
+                        "sim.example.org",
+                        "Content-Type: text/x\r\nX-Mine: 1\r\n"
+                                + "X-Gone: 2\r\nConnection: keep-alive, x-gone\r\n"
+                                + "TE: trailers\r\nContent-Length: 0\r\n");
         assertEquals(201, answer.status());
         assertEquals("/y", answer.header("Location"));
         assertEquals(null, answer.header("X-Hop"));
@@ -120,13 +140,20 @@
     @Test
     public void answersWithoutBodies() throws Exception {
         serve();
-        sim.setScript(asked -> Message.send(asked.connection(), asked.start().startsWith("HEAD")
-                ? "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n" : "HTTP/1.1 204 No Content\r\n\r\n"));
+        sim.setScript(
+                asked ->
+                        Message.send(
+                                asked.connection(),
+                                asked.start().startsWith("HEAD")
+                                        ? "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"
+                                        : "HTTP/1.1 204 No Content\r\n\r\n"));
         for (int i = 0; i < 3; i++) { // on one connection to the worker, as nothing is left on it
             Message head = ask("HEAD", "/x", "sim.example.org", "");
             assertEquals(200, head.status());
             assertEquals("7", head.header("Content-Length"));
-            Thread.sleep(20); // right after an answer its connection is not used, as a second one may come
+            Thread.sleep(
+                    20); // right after an answer its connection is not used, as a second one may
+            // come
             assertEquals(204, ask("DELETE", "/x", "sim.example.org", "").status());
             Thread.sleep(20);
         }
@@ -140,32 +167,47 @@
     public void theMethodSaysWhatIsSentAgain() throws Exception {
         serve();
         int[] times = new int[1];
-        sim.setScript(asked -> {
-            if (times[0]++ % 2 == 0) {
-                asked.connection().close();
-            } else {
-                asked.answer("200 OK", "", "again");
-            }
-        });
+        sim.setScript(
+                asked -> {
+                    if (times[0]++ % 2 == 0) {
+                        asked.connection().close();
+                    } else {
+                        asked.answer("200 OK", "", "again");
+                    }
+                });
         assertEquals("again", ask("GET", "/x", "sim.example.org", "").body());
         assertEquals("again", ask("PUT", "/x", "sim.example.org", "Content-Length: 0\r\n").body());
-        assertEquals("it may have run", 502,
+        assertEquals(
+                "it may have run",
+                502,
                 ask("POST", "/x", "sim.example.org", "Content-Length: 0\r\n").status());
         for (int i = 0; i < 5; i++) {
             sim.asked();
         }
         sim.wasNotAsked();
-        assertEquals("laxer than its method", 400,
-                ask("POST", "/x", "sim.example.org", "X-Service-Class: safe\r\nContent-Length: 0\r\n").status());
+        assertEquals(
+                "laxer than its method",
+                400,
+                ask(
+                                "POST",
+                                "/x",
+                                "sim.example.org",
+                                "X-Service-Class: safe\r\nContent-Length: 0\r\n")
+                        .status());
         times[0] = 0;
-        assertEquals("stricter", 502, ask("GET", "/x", "sim.example.org", "X-Service-Class: unsafe\r\n").status());
+        assertEquals(
+                "stricter",
+                502,
+                ask("GET", "/x", "sim.example.org", "X-Service-Class: unsafe\r\n").status());
     }
 
     @Test
     public void aWorkersFaultIsNoAnswer() throws Exception {
         serve();
         sim.setScript(asked -> asked.answer("429 Too Many Requests", "", ""));
-        assertEquals("only the node's own module refuses", 502,
+        assertEquals(
+                "only the node's own module refuses",
+                502,
                 ask("POST", "/x", "sim.example.org", "Content-Length: 0\r\n").status());
         sim.setScript(asked -> asked.answer("404 Not Found", "", "none such"));
         assertEquals("none such", ask("GET", "/x", "sim.example.org", "").body());
@@ -185,7 +227,9 @@
         ask("GET", "/2", "marks.example.org", "");
         assertSame("the same connection", toSim, sim.asked().connection());
         assertNotSame("another pool", toMarks, marks.asked().connection());
-        assertSame("what the old pool held is closed", toMarks,
+        assertSame(
+                "what the old pool held is closed",
+                toMarks,
                 marks.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
     }
 
@@ -193,22 +237,27 @@
     public void callsOnTheWayEndUnderTheOldFile() throws Exception {
         serve();
         CountDownLatch answer = new CountDownLatch(1);
-        marks.setScript(asked -> {
-            try {
-                answer.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
-            } catch (InterruptedException e) {
-                throw new AssertionError(e);
-            }
-            asked.answer("200 OK", "", "late");
-        });
+        marks.setScript(
+                asked -> {
+                    try {
+                        answer.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+                    } catch (InterruptedException e) {
+                        throw new AssertionError(e);
+                    }
+                    asked.answer("200 OK", "", "late");
+                });
         Socket before = stage.connect();
         Message.send(before, request("POST", "/x", "marks.example.org", "Content-Length: 0\r\n"));
         marks.asked();
         Socket half = stage.connect();
-        Message.send(half, request("POST", "/half", "marks.example.org", "Content-Length: 4\r\n") + "po");
+        Message.send(
+                half,
+                request("POST", "/half", "marks.example.org", "Content-Length: 4\r\n") + "po");
         // Its route has lost its pool meanwhile.
-        stage.reload("[node]\nlisten = \"127.0.0.1:0\"\ndescriptors = 256\n" + pool("sim", workers(sim))
-                + route("all", "pool = \"sim\""));
+        stage.reload(
+                "[node]\nlisten = \"127.0.0.1:0\"\ndescriptors = 256\n"
+                        + pool("sim", workers(sim))
+                        + route("all", "pool = \"sim\""));
         stage.logged("1 pools kept, 0 begun, 1 ending");
         assertEquals("sim", ask("GET", "/x", "marks.example.org", "").body());
         Message.send(half, "ur");
@@ -256,14 +305,20 @@
         try {
             Files.writeString(list, Stage.list(1, true, "active"));
             String keys = "file = \"" + list + "\"\n";
-            stage.serve(file(keys, workers(marks)).replace("aim = \"10s\"\ndeadline = \"20s\"",
-                    "aim = \"300ms\"\ndeadline = \"600ms\""));
+            stage.serve(
+                    file(keys, workers(marks))
+                            .replace(
+                                    "aim = \"10s\"\ndeadline = \"20s\"",
+                                    "aim = \"300ms\"\ndeadline = \"600ms\""));
             Message refused = ask("GET", "/x", "sim.example.org", "");
             assertEquals(stage.log.toString(), 503, refused.status());
             assertNotNull(refused.header("Retry-After"));
             Files.writeString(list, Stage.list(2, true, "leaving", sim));
             for (int i = 0; i < 4; i++) { // across the time in which the file is looked at
-                assertEquals(stage.log.toString(), 503, ask("GET", "/x", "sim.example.org", "").status());
+                assertEquals(
+                        stage.log.toString(),
+                        503,
+                        ask("GET", "/x", "sim.example.org", "").status());
             }
             sim.wasNotAsked();
             assertEquals("marks", ask("GET", "/x", "marks.example.org", "").body());
@@ -274,14 +329,17 @@
 
     private String overloaded(String marksWorkers) {
         return file(workers(sim), "attempts = 2\n" + marksWorkers)
-                .replace("[pools.marks]\naim = \"10s\"\ndeadline = \"20s\"\nconnect_within = \"10s\"",
+                .replace(
+                        "[pools.marks]\naim = \"10s\"\ndeadline = \"20s\"\nconnect_within = \"10s\"",
                         "[pools.marks]\naim = \"1s\"\ndeadline = \"3s\"\nconnect_within = \"300ms\"");
     }
 
     /** Many more calls than clients may have open, all at once, each on a connection of its own. */
     private void crowdMarks() throws IOException {
         for (int i = 0; i < 110; i++) { // clients may hold 124, and calls 83
-            Message.send(stage.connect(), request("POST", "/x", "marks.example.org", "Content-Length: 0\r\n"));
+            Message.send(
+                    stage.connect(),
+                    request("POST", "/x", "marks.example.org", "Content-Length: 0\r\n"));
         }
     }
 
@@ -304,13 +362,14 @@
     @Test
     public void aPoolThatHangsTakesNothingOfTheOthers() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        marks.setScript(asked -> {
-            try {
-                never.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
-            } catch (InterruptedException e) {
-                throw new AssertionError(e);
-            }
-        });
+        marks.setScript(
+                asked -> {
+                    try {
+                        never.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+                    } catch (InterruptedException e) {
+                        throw new AssertionError(e);
+                    }
+                });
         stage.serve(overloaded(workers(marks)));
         crowdMarks();
         simIsServedAsIfAlone();
@@ -333,17 +392,19 @@
     /** Its workers answer a byte a second. */
     @Test
     public void aPoolThatDripsTakesNothingOfTheOthers() throws Exception {
-        marks.setScript(asked -> {
-            Message.send(asked.connection(), "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n");
-            for (int i = 0; i < 5; i++) {
-                Message.send(asked.connection(), "x");
-                try {
-                    Thread.sleep(1000);
-                } catch (InterruptedException e) {
-                    throw new AssertionError(e);
-                }
-            }
-        });
+        marks.setScript(
+                asked -> {
+                    Message.send(
+                            asked.connection(), "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n");
+                    for (int i = 0; i < 5; i++) {
+                        Message.send(asked.connection(), "x");
+                        try {
+                            Thread.sleep(1000);
+                        } catch (InterruptedException e) {
+                            throw new AssertionError(e);
+                        }
+                    }
+                });
         stage.serve(overloaded(workers(marks)));
         crowdMarks();
         simIsServedAsIfAlone();
@@ -388,28 +449,39 @@
     @Test
     public void bodyMemoryIsEachPoolsOwn() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        marks.setScript(asked -> {
-            try {
-                answer.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
-            } catch (InterruptedException e) {
-                throw new AssertionError(e);
-            }
-            asked.answer("200 OK", "", "kept");
-        });
-        stage.serve(file(workers(sim), workers(marks) + "[pools.marks.limits]\nbody_memory_guaranteed = \"64KiB\"\n"
-                + "body_memory_most = \"100KiB\"\n"));
+        marks.setScript(
+                asked -> {
+                    try {
+                        answer.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+                    } catch (InterruptedException e) {
+                        throw new AssertionError(e);
+                    }
+                    asked.answer("200 OK", "", "kept");
+                });
+        stage.serve(
+                file(
+                        workers(sim),
+                        workers(marks)
+                                + "[pools.marks.limits]\nbody_memory_guaranteed = \"64KiB\"\n"
+                                + "body_memory_most = \"100KiB\"\n"));
         String body = "x".repeat(50 * 1024);
         List<Socket> held = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             held.add(stage.connect());
-            Message.send(held.get(i), request("POST", "/x", "marks.example.org", "Content-Length: 51200\r\n") + body);
+            Message.send(
+                    held.get(i),
+                    request("POST", "/x", "marks.example.org", "Content-Length: 51200\r\n") + body);
             marks.asked();
         }
         Socket third = stage.connect();
-        Message.send(third, request("POST", "/x", "marks.example.org", "Content-Length: 51200\r\n") + body);
+        Message.send(
+                third,
+                request("POST", "/x", "marks.example.org", "Content-Length: 51200\r\n") + body);
         assertEquals("no room for it", 503, Message.read(third).status());
         Socket other = stage.connect();
-        Message.send(other, request("POST", "/x", "sim.example.org", "Content-Length: 51200\r\n") + body);
+        Message.send(
+                other,
+                request("POST", "/x", "sim.example.org", "Content-Length: 51200\r\n") + body);
         assertEquals("sim", Message.read(other).body());
         assertEquals(body, sim.asked().body());
         answer.countDown();
@@ -417,7 +489,9 @@
             assertEquals("kept", Message.read(client).body());
         }
         Socket again = stage.connect();
-        Message.send(again, request("POST", "/x", "marks.example.org", "Content-Length: 51200\r\n") + body);
+        Message.send(
+                again,
+                request("POST", "/x", "marks.example.org", "Content-Length: 51200\r\n") + body);
         assertEquals("given back", "kept", Message.read(again).body());
     }
 
@@ -425,28 +499,40 @@
     @Test
     public void manyReloadsUnderLoad() throws Exception {
         serve();
-        String[] files = {file(workers(sim), workers(marks)), file(workers(sim), "attempts = 2\n" + workers(marks)),
-            file("attempts = 2\n" + workers(sim), workers(marks)), "[node\n"};
+        String[] files = {
+            file(workers(sim), workers(marks)),
+            file(workers(sim), "attempts = 2\n" + workers(marks)),
+            file("attempts = 2\n" + workers(sim), workers(marks)),
+            "[node\n"
+        };
         ask("GET", "/warm", "sim.example.org", "");
         ask("GET", "/warm-too", "marks.example.org", "");
         int before = stage.descriptors();
-        Thread reloads = new Thread(() -> {
-            try {
-                for (int i = 0; i < 200; i++) {
-                    stage.reload(files[i % files.length]);
-                    Thread.sleep(20);
-                }
-                stage.reload(files[0]);
-            } catch (IOException | InterruptedException e) {
-                throw new AssertionError(e);
-            }
-        });
+        Thread reloads =
+                new Thread(
+                        () -> {
+                            try {
+                                for (int i = 0; i < 200; i++) {
+                                    stage.reload(files[i % files.length]);
+                                    Thread.sleep(20);
+                                }
+                                stage.reload(files[0]);
+                            } catch (IOException | InterruptedException e) {
+                                throw new AssertionError(e);
+                            }
+                        });
         reloads.start();
         int calls = 0;
         try (Socket client = stage.connect()) {
             while (reloads.isAlive()) {
                 String host = calls++ % 2 == 0 ? "sim" : "marks";
-                Message.send(client, request("POST", "/" + calls, host + ".example.org", "Content-Length: 0\r\n"));
+                Message.send(
+                        client,
+                        request(
+                                "POST",
+                                "/" + calls,
+                                host + ".example.org",
+                                "Content-Length: 0\r\n"));
                 Message answer = Message.read(client);
                 assertNotNull("a connection was ended under a call", answer);
                 assertEquals("call " + calls + ": " + answer.start(), host, answer.body());
@@ -456,7 +542,10 @@
         assertTrue("calls made: " + calls, calls > 100);
         List<Message> asked = new ArrayList<>(sim.requests);
         asked.addAll(marks.requests);
-        assertEquals("every call once", calls + 2, asked.stream().map(Message::start).distinct().count());
+        assertEquals(
+                "every call once",
+                calls + 2,
+                asked.stream().map(Message::start).distinct().count());
         assertEquals("every call once", calls + 2, asked.size());
         int after = stage.descriptors();
         for (int i = 0; i < 100 && after > before + 4; i++) {
--- a/configuration/src/main/java/trailthread/configuration/Key.java
+++ b/configuration/src/main/java/trailthread/configuration/Key.java
@@ -1,6 +1,9 @@
 package trailthread.configuration;
 
-/** Every key of the operator's file. docs/configuration.md has a row for each, and a test holds it to that. */
+/**
+ * Every key of the operator's file. docs/configuration.md has a row for each, and a test holds it
+ * to that.
+ */
 public enum Key {
     NODE_NAME(Part.NODE, "name", "text", "node"),
     NODE_LISTEN(Part.NODE, "listen", "address:port", "required"),
@@ -30,7 +33,8 @@
     POOL_COLD_FOR(Part.POOL, "cold_for", "duration", "30s"),
     LIMITS_CALLS_GUARANTEED(Part.LIMITS, "calls_guaranteed", "whole number", "a sixteenth"),
     LIMITS_CALLS_MOST(Part.LIMITS, "calls_most", "whole number", "all"),
-    LIMITS_CONNECTIONS_GUARANTEED(Part.LIMITS, "connections_guaranteed", "whole number", "a sixteenth"),
+    LIMITS_CONNECTIONS_GUARANTEED(
+            Part.LIMITS, "connections_guaranteed", "whole number", "a sixteenth"),
     LIMITS_CONNECTIONS_MOST(Part.LIMITS, "connections_most", "whole number", "all"),
     LIMITS_BODY_MEMORY_GUARANTEED(Part.LIMITS, "body_memory_guaranteed", "size", "a sixteenth"),
     LIMITS_BODY_MEMORY_MOST(Part.LIMITS, "body_memory_most", "size", "all"),
@@ -56,8 +60,13 @@
 
     /** Where keys stand. */
     public enum Part {
-        NODE("node"), OPERATOR("operator"), POOL("pools.NAME"), LIMITS("pools.NAME.limits"),
-        CLASS("pools.NAME.classes"), TENANT("pools.NAME.tenants"), ROUTE("routes");
+        NODE("node"),
+        OPERATOR("operator"),
+        POOL("pools.NAME"),
+        LIMITS("pools.NAME.limits"),
+        CLASS("pools.NAME.classes"),
+        TENANT("pools.NAME.tenants"),
+        ROUTE("routes");
 
         private final String path;
 
--- a/configuration/src/main/java/trailthread/configuration/Nearest.java
+++ b/configuration/src/main/java/trailthread/configuration/Nearest.java
@@ -2,18 +2,24 @@
 
 import java.util.Collection;
 
-/** Finds what was probably meant (Levenshtein, "Binary codes capable of correcting deletions...", 1966). */
+/**
+ * Finds what was probably meant (Levenshtein, "Binary codes capable of correcting deletions...",
+ * 1966).
+ */
 public final class Nearest {
-    private Nearest() {
-    }
+    private Nearest() {}
 
-    /** The known word that is nearest, or null if none is near: within two letters, or a third of them. */
+    /**
+     * The known word that is nearest, or null if none is near: within two letters, or a third of
+     * them.
+     */
     public static String of(String word, Collection<String> known) {
         String nearest = null;
         int least = Integer.MAX_VALUE;
         for (String candidate : known) {
             int distance = distance(word, candidate);
-            if (distance < least && distance <= Math.max(2, Math.max(word.length(), candidate.length()) / 3)) {
+            if (distance < least
+                    && distance <= Math.max(2, Math.max(word.length(), candidate.length()) / 3)) {
                 least = distance;
                 nearest = candidate;
             }
--- a/configuration/src/main/java/trailthread/configuration/Units.java
+++ b/configuration/src/main/java/trailthread/configuration/Units.java
@@ -22,8 +22,7 @@
         SIZES.put("B", 1L);
     }
 
-    private Units() {
-    }
+    private Units() {}
 
     /**
      * In ns.
@@ -47,12 +46,15 @@
         for (Map.Entry<String, Long> unit : units.entrySet()) {
             if (text.endsWith(unit.getKey())) {
                 String number = text.substring(0, text.length() - unit.getKey().length());
-                // Letters that BigDecimal would take, too: a sign, an exponent, digits of other scripts.
+                // Letters that BigDecimal would take, too: a sign, an exponent, digits of other
+                // scripts.
                 if (number.length() > 18 || !number.matches("[0-9]+(\\.[0-9]+)?")) {
                     break;
                 }
                 try {
-                    return new BigDecimal(number).multiply(BigDecimal.valueOf(unit.getValue())).longValueExact();
+                    return new BigDecimal(number)
+                            .multiply(BigDecimal.valueOf(unit.getValue()))
+                            .longValueExact();
                 } catch (ArithmeticException e) {
                     break; // past what a long holds, or a part of the least unit
                 }
@@ -63,13 +65,15 @@
 
     /** A duration as one would write it. */
     static String duration(long ns) {
-        return ns % 1_000_000_000 == 0 ? ns / 1_000_000_000 + "s"
+        return ns % 1_000_000_000 == 0
+                ? ns / 1_000_000_000 + "s"
                 : ns % 1_000_000 == 0 ? ns / 1_000_000 + "ms" : ns / 1_000 + "us";
     }
 
     /** A size as one would write it. */
     static String size(long bytes) {
-        return bytes > 0 && bytes % (1 << 20) == 0 ? (bytes >> 20) + "MiB"
+        return bytes > 0 && bytes % (1 << 20) == 0
+                ? (bytes >> 20) + "MiB"
                 : bytes > 0 && bytes % (1 << 10) == 0 ? (bytes >> 10) + "KiB" : bytes + "B";
     }
 }
--- a/configuration/src/test/java/trailthread/configuration/OperatorFileTest.java
+++ b/configuration/src/test/java/trailthread/configuration/OperatorFileTest.java
@@ -19,7 +19,8 @@
 
 /** What operators write, and what they are told. */
 public class OperatorFileTest {
-    private static final String LEAST = """
+    private static final String LEAST =
+            """
             [node]
             listen = "127.0.0.1:0"
             [pools.sim]
@@ -31,7 +32,8 @@
 
     private static List<String> faults(String text) {
         OperatorFile.Result result = OperatorFileReader.read("f", text);
-        assertEquals("a file is read, or has faults", result.read() == null, !result.faults().isEmpty());
+        assertEquals(
+                "a file is read, or has faults", result.read() == null, !result.faults().isEmpty());
         return result.faults().stream().map(Fault::toString).toList();
     }
 
@@ -46,62 +48,117 @@
         OperatorFile file = OperatorFileReader.read("f", LEAST).read();
         PoolConfig pool = file.services().pools().get(0);
         assertEquals(new Source.Fixed(List.of("127.0.0.1:1")), pool.source());
-        assertEquals("whatever a plain client sends has a class", List.of(Repeats.values()),
+        assertEquals(
+                "whatever a plain client sends has a class",
+                List.of(Repeats.values()),
                 pool.classes().stream().map(PoolConfig.ClassConfig::repeats).toList());
         assertEquals(391, file.services().connections());
         assertEquals(new Part(24, 391), pool.limits().connections());
         assertEquals("/**", file.services().routes().get(0).path().toString());
         assertNull(file.operatorListen());
-        assertEquals("equal files are equal", file.services(), OperatorFileReader.read("f", LEAST).read().services());
+        assertEquals(
+                "equal files are equal",
+                file.services(),
+                OperatorFileReader.read("f", LEAST).read().services());
     }
 
     @Test
     public void eachFaultIsToldWhereItStands() {
         Object[][] table = {
-            {"[node]\nlisten = \"a:1\"\nname = ", "f:3:8: expected TOML, found Unexpected end of input, "
-                + "expected ', \", ''', \"\"\", a number, a boolean, a date/time, an array, or a table"},
-            {with("listen = \"127.0.0.1:0\"", "nmae = \"x\""),
-                "f:3:1: node.nmae: expected a key that is known, such as name"},
-            {with("listen = \"127.0.0.1:0\"", "descriptors = 20"),
-                "f:3:1: node.descriptors: expected whole number from 96 to 1048576, found 20"},
-            {with("listen = \"127.0.0.1:0\"", "body_memory = \"16MB\""),
-                "f:3:1: node.body_memory: expected a size with its unit, such as 64KiB, found \"16MB\""},
-            {with("listen = \"127.0.0.1:0\"", "seed = \"xyz\""),
-                "f:3:1: node.seed: expected 1 to 16 hex digits, found \"xyz\""},
-            {LEAST.replace("\"127.0.0.1:0\"", "80"), "f:2:1: node.listen: expected address:port, found 80"},
-            {LEAST.replace("listen = \"127.0.0.1:0\"\n", ""),
-                "f:1:1: node: expected address:port, found nothing".replace("node:", "node.listen:")},
-            {with("workers = [\"127.0.0.1:1\"]", "deadline = 5"),
-                "f:5:1: pools.sim.deadline: expected a duration with its unit, such as 250ms, found 5"},
-            {with("workers = [\"127.0.0.1:1\"]", "aim = \"5 s\""),
-                "f:5:1: pools.sim.aim: expected a duration with its unit, such as 250ms, found \"5 s\""},
-            {with("workers = [\"127.0.0.1:1\"]", "profile = \"plane\""),
-                "f:5:1: pools.sim.profile: expected plain (plain or platform), found \"plane\""},
-            {with("workers = [\"127.0.0.1:1\"]", "roster = \"127.0.0.1:2\""),
-                "f:3:1: pools.sim: expected one of workers, file and roster, found 2 of them"},
-            {LEAST.replace("\"127.0.0.1:1\"", "\"127.0.0.1\""),
-                "f:4:12: pools.sim.workers[0]: expected list of address:port, found \"127.0.0.1\""},
-            {LEAST.replace("pool = \"sim\"", "pool = \"sin\""),
-                "f:7:1: routes[0].pool: expected the name of a pool, such as sim, found \"sin\""},
-            {with("pool = \"sim\"", "path = \"/a/../b\""),
+            {
+                "[node]\nlisten = \"a:1\"\nname = ",
+                "f:3:8: expected TOML, found Unexpected end of input, "
+                        + "expected ', \", ''', \"\"\", a number, a boolean, a date/time, an array, or a table"
+            },
+            {
+                with("listen = \"127.0.0.1:0\"", "nmae = \"x\""),
+                "f:3:1: node.nmae: expected a key that is known, such as name"
+            },
+            {
+                with("listen = \"127.0.0.1:0\"", "descriptors = 20"),
+                "f:3:1: node.descriptors: expected whole number from 96 to 1048576, found 20"
+            },
+            {
+                with("listen = \"127.0.0.1:0\"", "body_memory = \"16MB\""),
+                "f:3:1: node.body_memory: expected a size with its unit, such as 64KiB, found \"16MB\""
+            },
+            {
+                with("listen = \"127.0.0.1:0\"", "seed = \"xyz\""),
+                "f:3:1: node.seed: expected 1 to 16 hex digits, found \"xyz\""
+            },
+            {
+                LEAST.replace("\"127.0.0.1:0\"", "80"),
+                "f:2:1: node.listen: expected address:port, found 80"
+            },
+            {
+                LEAST.replace("listen = \"127.0.0.1:0\"\n", ""),
+                "f:1:1: node: expected address:port, found nothing".replace("node:", "node.listen:")
+            },
+            {
+                with("workers = [\"127.0.0.1:1\"]", "deadline = 5"),
+                "f:5:1: pools.sim.deadline: expected a duration with its unit, such as 250ms, found 5"
+            },
+            {
+                with("workers = [\"127.0.0.1:1\"]", "aim = \"5 s\""),
+                "f:5:1: pools.sim.aim: expected a duration with its unit, such as 250ms, found \"5 s\""
+            },
+            {
+                with("workers = [\"127.0.0.1:1\"]", "profile = \"plane\""),
+                "f:5:1: pools.sim.profile: expected plain (plain or platform), found \"plane\""
+            },
+            {
+                with("workers = [\"127.0.0.1:1\"]", "roster = \"127.0.0.1:2\""),
+                "f:3:1: pools.sim: expected one of workers, file and roster, found 2 of them"
+            },
+            {
+                LEAST.replace("\"127.0.0.1:1\"", "\"127.0.0.1\""),
+                "f:4:12: pools.sim.workers[0]: expected list of address:port, found \"127.0.0.1\""
+            },
+            {
+                LEAST.replace("pool = \"sim\"", "pool = \"sin\""),
+                "f:7:1: routes[0].pool: expected the name of a pool, such as sim, found \"sin\""
+            },
+            {
+                with("pool = \"sim\"", "path = \"/a/../b\""),
                 "f:8:1: routes[0].path: expected a path as a request has it: a dot segment: some readers take it "
-                    + "out, found \"/a/../b\""},
-            {with("pool = \"sim\"", "host = \"a:80\""), "f:8:1: routes[0].host: expected a host, *.domain or *, "
-                + "without port or trailing dot, found \"a:80\""},
-            {with("pool = \"sim\"", "assigns = \"reads\""), "f:8:1: routes[0].assigns: expected a class of pool sim: "
-                + "safe, idempotent, keyed, unsafe, found \"reads\""},
-            {with("pool = \"sim\"", "[[routes]]\nname = \"two\"\npool = \"sim\""), "f:8:1: routes[1]: expected no two "
-                + "routes that tie, found routes all and two both "
-                    + "take GET any.example/, and neither is more specific"},
-            {with("pool = \"sim\"", "[[routes]]\nname = \"all\"\npath = \"/x\"\npool = \"sim\""),
-                "f:9:1: routes[1].name: expected a name that no other route has, found \"all\""},
-            {with("workers = [\"127.0.0.1:1\"]", "[pools.sim.limits]\ncalls_guaranteed = 10000"),
-                "f:6:1: pools.sim.limits.calls_guaranteed: expected whole number from 0 to 391, found 10000"},
-            {with("workers = [\"127.0.0.1:1\"]", "[[pools.sim.classes]]\nname = \"x\"\nrepeats = \"often\""),
-                "f:7:1: pools.sim.classes[0].repeats: expected safe, idempotent, keyed or unsafe, found \"often\""},
-            {with("workers = [\"127.0.0.1:1\"]", "[[pools.sim.tenants]]\nname = \"x\""),
-                "f:5:1: pools.sim.tenants[0].per_second: expected number, found nothing"},
-            {LEAST + "[extra]\n", "f:8:1: extra: expected one of node, operator, pools, routes"}};
+                        + "out, found \"/a/../b\""
+            },
+            {
+                with("pool = \"sim\"", "host = \"a:80\""),
+                "f:8:1: routes[0].host: expected a host, *.domain or *, "
+                        + "without port or trailing dot, found \"a:80\""
+            },
+            {
+                with("pool = \"sim\"", "assigns = \"reads\""),
+                "f:8:1: routes[0].assigns: expected a class of pool sim: "
+                        + "safe, idempotent, keyed, unsafe, found \"reads\""
+            },
+            {
+                with("pool = \"sim\"", "[[routes]]\nname = \"two\"\npool = \"sim\""),
+                "f:8:1: routes[1]: expected no two "
+                        + "routes that tie, found routes all and two both "
+                        + "take GET any.example/, and neither is more specific"
+            },
+            {
+                with("pool = \"sim\"", "[[routes]]\nname = \"all\"\npath = \"/x\"\npool = \"sim\""),
+                "f:9:1: routes[1].name: expected a name that no other route has, found \"all\""
+            },
+            {
+                with("workers = [\"127.0.0.1:1\"]", "[pools.sim.limits]\ncalls_guaranteed = 10000"),
+                "f:6:1: pools.sim.limits.calls_guaranteed: expected whole number from 0 to 391, found 10000"
+            },
+            {
+                with(
+                        "workers = [\"127.0.0.1:1\"]",
+                        "[[pools.sim.classes]]\nname = \"x\"\nrepeats = \"often\""),
+                "f:7:1: pools.sim.classes[0].repeats: expected safe, idempotent, keyed or unsafe, found \"often\""
+            },
+            {
+                with("workers = [\"127.0.0.1:1\"]", "[[pools.sim.tenants]]\nname = \"x\""),
+                "f:5:1: pools.sim.tenants[0].per_second: expected number, found nothing"
+            },
+            {LEAST + "[extra]\n", "f:8:1: extra: expected one of node, operator, pools, routes"}
+        };
         List<String> expected = new ArrayList<>();
         List<String> told = new ArrayList<>();
         for (Object[] row : table) {
@@ -113,7 +170,9 @@
 
     @Test
     public void allFaultsAreToldInTheOrderOfTheFile() {
-        List<String> told = faults("""
+        List<String> told =
+                faults(
+                        """
                 [node]
                 nmae = "x"
                 [pools.a]
@@ -124,15 +183,24 @@
                 [[routes]]
                 pool = "c"
                 """);
-        assertEquals(List.of("f:1:1: node.listen", "f:2:1: node.nmae", "f:4:1: pools.a.file",
-                "f:6:12: pools.b.workers[0]", "f:7:1: pools.b.attempts", "f:8:1: routes[0].name",
-                "f:9:1: routes[0].pool"), told.stream().map(line -> line.substring(0, line.indexOf(": expected")))
-                .toList());
+        assertEquals(
+                List.of(
+                        "f:1:1: node.listen",
+                        "f:2:1: node.nmae",
+                        "f:4:1: pools.a.file",
+                        "f:6:12: pools.b.workers[0]",
+                        "f:7:1: pools.b.attempts",
+                        "f:8:1: routes[0].name",
+                        "f:9:1: routes[0].pool"),
+                told.stream().map(line -> line.substring(0, line.indexOf(": expected"))).toList());
     }
 
     @Test
     public void guaranteesOfAllPoolsMustFit() {
-        String text = LEAST.replace("[[routes]]", """
+        String text =
+                LEAST.replace(
+                        "[[routes]]",
+                        """
                 [pools.sim.limits]
                 connections_guaranteed = 300
                 [pools.marks]
@@ -140,13 +208,17 @@
                 [pools.marks.limits]
                 connections_guaranteed = 300
                 [[routes]]""");
-        assertEquals(List.of("f:9:1: pools.marks.limits: expected guaranteed connections of all pools of no more than "
-                + "391, found 600 with this one"), faults(text));
+        assertEquals(
+                List.of(
+                        "f:9:1: pools.marks.limits: expected guaranteed connections of all pools of no more than "
+                                + "391, found 600 with this one"),
+                faults(text));
     }
 
     @Test
     public void aFileThatCannotBeReadIsAFault() {
-        assertEquals("no/such:1:1: expected a file that can be read, found NoSuchFileException",
+        assertEquals(
+                "no/such:1:1: expected a file that can be read, found NoSuchFileException",
                 OperatorFileReader.read(Path.of("no/such")).faults().get(0).toString());
     }
 
@@ -158,8 +230,22 @@
         assertEquals(5_000L, Units.nanoseconds("5us"));
         assertEquals(65_536, Units.bytes("64KiB"));
         assertEquals(1_572_864, Units.bytes("1.5MiB"));
-        for (String bad : new String[] {"", "5", "ms", "-1s", "+1s", "1e3s", "1 s", "1S", "0.0000000001s", "1.s", ".5s",
-            "99999999999999999h", "\u0661s"}) {
+        for (String bad :
+                new String[] {
+                    "",
+                    "5",
+                    "ms",
+                    "-1s",
+                    "+1s",
+                    "1e3s",
+                    "1 s",
+                    "1S",
+                    "0.0000000001s",
+                    "1.s",
+                    ".5s",
+                    "99999999999999999h",
+                    "\u0661s"
+                }) {
             assertThrows(bad, IllegalArgumentException.class, () -> Units.nanoseconds(bad));
         }
         assertThrows(IllegalArgumentException.class, () -> Units.bytes("64KB"));
@@ -183,8 +269,11 @@
             if (line.startsWith("## ")) {
                 part = null;
                 for (Key.Part each : Key.Part.values()) {
-                    part = line.contains("`[" + each.path() + "]`") || line.contains("`[[" + each.path() + "]]`") ? each
-                            : part;
+                    part =
+                            line.contains("`[" + each.path() + "]`")
+                                            || line.contains("`[[" + each.path() + "]]`")
+                                    ? each
+                                    : part;
                 }
             }
             if (part != null && line.startsWith("| `")) {
@@ -193,14 +282,25 @@
                 assertTrue(line, cells.length == 4 && cells[3].length() > 10);
             }
         }
-        List<String> keys = Arrays.stream(Key.values())
-                .map(k -> k.part() + " `" + k.word() + "` " + k.type() + " " + k.otherwise()).toList();
+        List<String> keys =
+                Arrays.stream(Key.values())
+                        .map(
+                                k ->
+                                        k.part()
+                                                + " `"
+                                                + k.word()
+                                                + "` "
+                                                + k.type()
+                                                + " "
+                                                + k.otherwise())
+                        .toList();
         assertEquals(keys, seen);
     }
 
     @Test
     public void theExampleIsOfUse() {
-        OperatorFile.Result example = OperatorFileReader.read(Path.of("..", "deploy", "operator.example.toml"));
+        OperatorFile.Result example =
+                OperatorFileReader.read(Path.of("..", "deploy", "operator.example.toml"));
         assertEquals(List.of(), example.faults());
         assertNotNull(example.read().operatorListen());
         assertEquals(2, example.read().services().pools().size());
--- a/daemon/src/main/java/org/xnio/nio/GivenTcpServer.java
+++ b/daemon/src/main/java/org/xnio/nio/GivenTcpServer.java
@@ -9,12 +9,11 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * XNIO's server on a listening socket that the process was given: XNIO itself only makes its own. In XNIO's package, as
- * the classes that this joins are not public; the build holds their version.
+ * XNIO's server on a listening socket that the process was given: XNIO itself only makes its own.
+ * In XNIO's package, as the classes that this joins are not public; the build holds their version.
  */
 public final class GivenTcpServer {
-    private GivenTcpServer() {
-    }
+    private GivenTcpServer() {}
 
     /**
      * The server, which accepts nothing as yet.
@@ -22,12 +21,16 @@
      * @param given bound and listening; to be closed with the server alone
      * @throws IOException if it can't be made non-blocking or registered
      */
-    public static AcceptingChannel<StreamConnection> on(ServerSocketChannel given, XnioWorker worker,
-            ChannelListener<? super AcceptingChannel<StreamConnection>> accept, OptionMap options)
+    public static AcceptingChannel<StreamConnection> on(
+            ServerSocketChannel given,
+            XnioWorker worker,
+            ChannelListener<? super AcceptingChannel<StreamConnection>> accept,
+            OptionMap options)
             throws IOException {
         given.configureBlocking(false);
         QueuedNioTcpServer2 server =
-                new QueuedNioTcpServer2(new NioTcpServer((NioXnioWorker) worker, given, options, true));
+                new QueuedNioTcpServer2(
+                        new NioTcpServer((NioXnioWorker) worker, given, options, true));
         server.setAcceptListener(accept);
         return server;
     }
--- a/daemon/src/main/java/trailthread/daemon/Drain.java
+++ b/daemon/src/main/java/trailthread/daemon/Drain.java
@@ -7,22 +7,37 @@
 import trailthread.engine.meter.NodeControl;
 
 /**
- * Leads a node's clients away while it goes on, and takes them back. The node says at once that it is not ready, and
- * goes on accepting: who asks whether it is ready must hear that it is not. On the loop's thread.
+ * Leads a node's clients away while it goes on, and takes them back. The node says at once that it
+ * is not ready, and goes on accepting: who asks whether it is ready must hear that it is not. On
+ * the loop's thread.
  */
 public final class Drain implements NodeControl {
     private static final Logger LOG = LoggerFactory.getLogger(Drain.class);
-    /** Until then, the front may not have heard of it, and clients that were sent away would come back here. */
+
+    /**
+     * Until then, the front may not have heard of it, and clients that were sent away would come
+     * back here.
+     */
     private static final long ANSWERS_END_AFTER_NS = 400_000_000L;
-    /** What has brought no call by then is closed: an answer's end can't cross a call, and a close can. */
+
+    /**
+     * What has brought no call by then is closed: an answer's end can't cross a call, and a close
+     * can.
+     */
     private static final long IDLE_ENDS_AFTER_NS = 1_500_000_000L;
+
     private static final long IDLE_ENDS_EVERY_NS = 100_000_000L;
 
     private final Loop loop;
     private final Acceptor acceptor;
     private boolean drains;
-    /** Each drain has its own number, so that what an earlier one has put off does nothing to a later one. */
+
+    /**
+     * Each drain has its own number, so that what an earlier one has put off does nothing to a
+     * later one.
+     */
     private int number;
+
     private boolean ends;
 
     /** Makes one for the node's clients. */
@@ -38,11 +53,13 @@
             int mine = ++number;
             LOG.info("drains: clients are led away");
             acceptor.setDrained(true);
-            loop.after(ANSWERS_END_AFTER_NS, () -> {
-                if (goesOn(mine)) {
-                    acceptor.endWithAnswers(true);
-                }
-            });
+            loop.after(
+                    ANSWERS_END_AFTER_NS,
+                    () -> {
+                        if (goesOn(mine)) {
+                            acceptor.endWithAnswers(true);
+                        }
+                    });
             loop.after(IDLE_ENDS_AFTER_NS, () -> closeIdle(mine));
         }
         return !ends;
--- a/daemon/src/main/java/trailthread/daemon/FileKeys.java
+++ b/daemon/src/main/java/trailthread/daemon/FileKeys.java
@@ -8,11 +8,12 @@
 import java.util.TreeSet;
 
 /**
- * The keys that a configuration file has, by their paths; pure. Items of a list, {@code list.0.key}, count as one: what
- * all of them have is what each must have.
+ * The keys that a configuration file has, by their paths; pure. Items of a list, {@code
+ * list.0.key}, count as one: what all of them have is what each must have.
  */
 final class FileKeys {
     private final Set<String> plain = new TreeSet<>();
+
     /** The keys of each item, by the item's path. */
     private final Map<String, Set<String>> items = new HashMap<>();
 
@@ -21,7 +22,8 @@
         for (int i = 1; i < parts.length - 1; i++) {
             if (!parts[i].isEmpty() && parts[i].chars().allMatch(c -> c >= '0' && c <= '9')) {
                 int at = String.join(".", Arrays.copyOf(parts, i + 1)).length();
-                items.computeIfAbsent(path.substring(0, at), item -> new TreeSet<>()).add(path.substring(at + 1));
+                items.computeIfAbsent(path.substring(0, at), item -> new TreeSet<>())
+                        .add(path.substring(at + 1));
                 return;
             }
         }
@@ -35,12 +37,17 @@
     /** What each item of a list has. */
     private Map<String, Set<String>> common() {
         Map<String, Set<String>> common = new HashMap<>();
-        items.forEach((item, keys) ->
-                common.computeIfAbsent(list(item), l -> new TreeSet<>(keys)).retainAll(keys));
+        items.forEach(
+                (item, keys) ->
+                        common.computeIfAbsent(list(item), l -> new TreeSet<>(keys))
+                                .retainAll(keys));
         return common;
     }
 
-    /** A key that is here and is not there, or null; lists may hold other items there, and fewer or more. */
+    /**
+     * A key that is here and is not there, or null; lists may hold other items there, and fewer or
+     * more.
+     */
     String lostIn(FileKeys there) {
         for (String key : plain) {
             if (!there.plain.contains(key)) {
--- a/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
+++ b/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
@@ -7,27 +7,35 @@
 import trailthread.daemon.acceptor.Acceptor;
 import trailthread.engine.loop.Loop;
 
-/** How a node ends when it is asked to: it serves on for a while, then finishes every call taken. */
+/**
+ * How a node ends when it is asked to: it serves on for a while, then finishes every call taken.
+ */
 public final class GracefulShutdown {
     /** What holds the calls, where a process that takes too long is killed. */
     public interface AtWork {
         /**
-         * Calls taken from now on have their answers by the first time, all by the second; by {@link Loop#now}, in
-         * nanoseconds.
+         * Calls taken from now on have their answers by the first time, all by the second; by
+         * {@link Loop#now}, in nanoseconds.
          */
         void answerBy(long newOnes, long all);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(GracefulShutdown.class);
-    /** A client that reads its last answer slowly, or a long one, is waited for so long, if nobody kills the node. */
+
+    /**
+     * A client that reads its last answer slowly, or a long one, is waited for so long, if nobody
+     * kills the node.
+     */
     private static final long LAST_ANSWER_NS = 1_700_000_000L;
 
     private final Loop loop;
     private final Acceptor acceptor;
     private final Drain drain;
     private final AtWork atWork;
+
     /** The longest deadline by the settings in force. */
     private volatile long inForceNs;
+
     /** The same of all settings since the start: calls keep theirs when other settings hold. */
     private volatile long longestNs;
 
@@ -39,7 +47,10 @@
         this.atWork = atWork;
     }
 
-    /** Calls have deadlines up to this, in nanoseconds, from now on. To be called by one thread at a time. */
+    /**
+     * Calls have deadlines up to this, in nanoseconds, from now on. To be called by one thread at a
+     * time.
+     */
     public void waitsFor(long deadlineNs) {
         inForceNs = deadlineNs;
         longestNs = Math.max(longestNs, deadlineNs);
@@ -58,9 +69,12 @@
         drain.end();
         acceptor.setReady(false);
         long latenessNs = loop.turns().latenessNs(System.nanoTime());
-        // Which deadlines the platform counts by after SIGHUP is not said: new calls come under the newest.
+        // Which deadlines the platform counts by after SIGHUP is not said: new calls come under the
+        // newest.
         ShutdownPlan plan = ShutdownPlan.of(inForceNs, latenessNs);
-        atWork.answerBy(askedAt + plan.answeredNs(), askedAt + ShutdownPlan.of(longestNs, latenessNs).answeredNs());
+        atWork.answerBy(
+                askedAt + plan.answeredNs(),
+                askedAt + ShutdownPlan.of(longestNs, latenessNs).answeredNs());
         long pastNs = loop.now() - askedAt;
         // Where another process accepts for this one, clients that are sent away meet it at once.
         long lastAnswersNs = acceptor.leavesToOthers() ? 0 : plan.lastAnswersNs();
--- a/daemon/src/main/java/trailthread/daemon/Main.java
+++ b/daemon/src/main/java/trailthread/daemon/Main.java
@@ -8,12 +8,14 @@
 import java.util.concurrent.CompletableFuture;
 import trailthread.adapter.Adapter;
 
-/** Starts the program: {@code serve}, a real node; {@code adapter}, the module on the simulator's wire. */
+/**
+ * Starts the program: {@code serve}, a real node; {@code adapter}, the module on the simulator's
+ * wire.
+ */
 public final class Main {
     private static final int BAD_USE = 2;
 
-    private Main() {
-    }
+    private Main() {}
 
     /**
      * Runs what the word says.
@@ -23,7 +25,8 @@
     public static void main(String[] args) throws IOException {
         String word = args.length == 1 ? args[0] : "";
         switch (word) {
-            case "adapter" -> System.exit(Adapter.serve(System.in, new FileOutputStream(FileDescriptor.out)));
+            case "adapter" ->
+                    System.exit(Adapter.serve(System.in, new FileOutputStream(FileDescriptor.out)));
             case "serve" -> serve();
             default -> {
                 System.err.println("usage: java -jar trailthread.jar serve|adapter");
--- a/daemon/src/main/java/trailthread/daemon/ModuleDrill.java
+++ b/daemon/src/main/java/trailthread/daemon/ModuleDrill.java
@@ -15,22 +15,23 @@
 import trailthread.BalancerApi.State;
 
 /**
- * Plays a crowd of requests to a module of its own, in time of its own, so that the decisions of a start are
- * not the first ones ever taken: a cold decision among ten workers takes longer than all the rest of a call,
- * and the crowd that a restart brings takes hundreds. No socket and no clock; what it decides is dropped.
+ * Plays a crowd of requests to a module of its own, in time of its own, so that the decisions of a
+ * start are not the first ones ever taken: a cold decision among ten workers takes longer than all
+ * the rest of a call, and the crowd that a restart brings takes hundreds. No socket and no clock;
+ * what it decides is dropped.
  */
 class ModuleDrill implements Actions {
     private static final int WORKERS = 10;
     private static final long STEP_NS = 1_000_000;
+
     /** So many requests a step, more than the workers can take: some are held, and turned away. */
     private static final int REQUESTS_A_STEP = 2;
+
     private static final long ANSWER_NS = 25 * STEP_NS;
 
-    private record Attempt(long id, int number, long endsAt) {
-    }
+    private record Attempt(long id, int number, long endsAt) {}
 
-    private record Timer(long at, long token) {
-    }
+    private record Timer(long at, long token) {}
 
     private final Settings settings;
     private final Balancer module;
@@ -58,7 +59,13 @@
         }
         while (!out.isEmpty() && out.peek().endsAt <= now) {
             Attempt done = out.poll();
-            module.outcome(now, done.id, done.number, Outcome.OK, ANSWER_NS, true,
+            module.outcome(
+                    now,
+                    done.id,
+                    done.number,
+                    Outcome.OK,
+                    ANSWER_NS,
+                    true,
                     new Load(1, 0, Double.NaN, Double.NaN, Double.NaN, Double.NaN));
         }
         for (int i = 0; i < REQUESTS_A_STEP; i++) {
@@ -78,38 +85,29 @@
     }
 
     @Override
-    public void refuse(long request, long retryAfterNs) {
-    }
+    public void refuse(long request, long retryAfterNs) {}
 
     @Override
-    public void fail(long request) {
-    }
+    public void fail(long request) {}
 
     @Override
-    public void cancel(long request, int attempt) {
-    }
+    public void cancel(long request, int attempt) {}
 
     @Override
-    public void probe(String backend) {
-    }
+    public void probe(String backend) {}
 
     @Override
-    public void closeIdle(String backend) {
-    }
+    public void closeIdle(String backend) {}
 
     @Override
-    public void tell(int peer, byte[] data) {
-    }
+    public void tell(int peer, byte[] data) {}
 
     @Override
-    public void watch(boolean on) {
-    }
+    public void watch(boolean on) {}
 
     @Override
-    public void fetch() {
-    }
+    public void fetch() {}
 
     @Override
-    public void log(String text) {
-    }
+    public void log(String text) {}
 }
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -19,14 +19,14 @@
 import trailthread.daemon.acceptor.PlatformFront;
 import trailthread.daemon.operator.OperatorEndpoint;
 import trailthread.engine.call.Calls;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.Meter;
-import trailthread.engine.meter.NodeView;
 import trailthread.engine.discovery.Discovery;
 import trailthread.engine.discovery.DiscoveryEntry;
 import trailthread.engine.discovery.DiscoveryListener;
 import trailthread.engine.discovery.DiscoveryUpdate;
+import trailthread.engine.loop.Account;
+import trailthread.engine.loop.Loop;
+import trailthread.engine.meter.Meter;
+import trailthread.engine.meter.NodeView;
 import trailthread.engine.service.Service;
 import trailthread.engine.worker.ConnectionRoom;
 import trailthread.engine.worker.Workers;
@@ -34,23 +34,33 @@
 /** One node: its parts, how they are joined, its start and its end. */
 final class Node implements DiscoveryListener, NodeView {
     private static final Logger LOG = LoggerFactory.getLogger(Node.class);
+
     /** Descriptors that the virtual machine, the listening socket and discovery take. */
     private static final int OWN_DESCRIPTORS = 48;
+
     /**
-     * Share of the others for connections to clients. Their calls need up to a third of all; the rest of this
-     * is room for connections that carry none as yet, or no more.
+     * Share of the others for connections to clients. Their calls need up to a third of all; the
+     * rest of this is room for connections that carry none as yet, or no more.
      */
     private static final double CLIENTS_SHARE = 0.6;
+
     /** Of all descriptors, clients with calls hold no more than this share. */
     private static final double CALLERS_SHARE = 1.0 / 3;
-    /** At its start a node asks so many workers for their load: by chance, one alone may be idle. */
+
+    /**
+     * At its start a node asks so many workers for their load: by chance, one alone may be idle.
+     */
     private static final int ASKED_AT_START = 4;
+
     private static final long ASKED_WITHIN_NS = 300_000_000L;
+
     /**
-     * A start waits so long for its list before it is ready without one. The first calls of a fleet are spread over as
-     * long; a front that has no other node is to hear refusals then, and not nothing.
+     * A start waits so long for its list before it is ready without one. The first calls of a fleet
+     * are spread over as long; a front that has no other node is to hear refusals then, and not
+     * nothing.
      */
     private static final long LIST_WITHIN_NS = 4_500_000_000L;
+
     private volatile NodeConfig config;
     private final Loop loop;
     private final Workers workers;
@@ -59,31 +69,47 @@
     private final PlatformFront front;
     private final Discovery discovery;
     private final ListLease lease;
+
     /** What waits for the list to be usable, or null. */
     private Runnable whenListed;
+
     private final Acceptor acceptor;
     private final Drain drain;
     private final GracefulShutdown shutdown;
+
     /** Null where operators are told nothing: no class of it is loaded then. */
     private final OperatorEndpoint operator;
+
     /** Null where the node has no levels of service: no class of it is loaded then. */
     private final Service service;
+
     private final Meter meter;
 
     Node(NodeConfig config) throws IOException {
         this.config = config;
         loop = new Loop(config.name());
-        operator = config.management() == null ? null
-                : new OperatorEndpoint(loop, config.name(), config.settings().classes, this);
+        operator =
+                config.management() == null
+                        ? null
+                        : new OperatorEndpoint(
+                                loop, config.name(), config.settings().classes, this);
         Meter operators = operator == null ? Meter.OFF : operator.meter();
-        service = config.levels() == null ? null
-                : new Service(loop, config.levels(), config.settings(), operators);
+        service =
+                config.levels() == null
+                        ? null
+                        : new Service(loop, config.levels(), config.settings(), operators);
         meter = service == null ? operators : service;
         int forOthers = config.sockets() - ownDescriptors();
         int forClients = (int) (CLIENTS_SHARE * forOthers);
-        workers = new Workers(loop, config.settings().connectTimeoutNs, config.idleCloseNs(),
-                config.drainGraceNs(), ConnectionRoom.of(forOthers - forClients), config.settings().finestNs(),
-                Account.NONE);
+        workers =
+                new Workers(
+                        loop,
+                        config.settings().connectTimeoutNs,
+                        config.idleCloseNs(),
+                        config.drainGraceNs(),
+                        ConnectionRoom.of(forOthers - forClients),
+                        config.settings().finestNs(),
+                        Account.NONE);
         calls = new Calls(loop, workers, config.settings(), config.seed(), meter);
         discovery = new Discovery(loop, config.discovery(), this);
         calls.setDiscovery(discovery);
@@ -91,8 +117,13 @@
         lease = new ListLease(config.drainGraceNs(), !config.settings().listOnRequest);
         warmUp = new WarmUp(loop, config, calls);
         front = new PlatformFront(config.settings().classes, warmUp);
-        acceptor = new Acceptor(loop, forClients, Math.min(forClients, (int) (CALLERS_SHARE * config.sockets())),
-                front, meter);
+        acceptor =
+                new Acceptor(
+                        loop,
+                        forClients,
+                        Math.min(forClients, (int) (CALLERS_SHARE * config.sockets())),
+                        front,
+                        meter);
         drain = new Drain(loop, acceptor);
         shutdown = new GracefulShutdown(loop, acceptor, drain, calls::answerBy);
         shutdown.waitsFor(longestNs(config));
@@ -101,26 +132,38 @@
     /**
      * Opens the clients' address and serves from then on.
      *
-     * @param given the clients' socket, already listening and shared with other processes; null: it is opened here
+     * @param given the clients' socket, already listening and shared with other processes; null: it
+     *     is opened here
      */
     void start(ServerSocketChannel given) throws IOException {
         if (operator != null) {
             operator.listen(config.management(), drain);
         }
-        // On a shared socket the node's calls to itself could reach another process, and workers through it.
-        InetSocketAddress self = acceptor.listen(given == null ? config.listen()
-                : new InetSocketAddress(config.listen().getAddress(), 0));
-        loop.execute(() -> {
-            leased();
-            discovery.known(config.known());
-            list(ListKind.CACHED, config.known(), loop.now());
-            discovery.setPushed(!config.settings().listOnRequest);
-            long startedAt = loop.now();
-            warmUp.start(self, askAround(), given != null, () -> awaitList(startedAt, () -> serve(self, given)));
-        });
+        // On a shared socket the node's calls to itself could reach another process, and workers
+        // through it.
+        InetSocketAddress self =
+                acceptor.listen(
+                        given == null
+                                ? config.listen()
+                                : new InetSocketAddress(config.listen().getAddress(), 0));
+        loop.execute(
+                () -> {
+                    leased();
+                    discovery.known(config.known());
+                    list(ListKind.CACHED, config.known(), loop.now());
+                    discovery.setPushed(!config.settings().listOnRequest);
+                    long startedAt = loop.now();
+                    warmUp.start(
+                            self,
+                            askAround(),
+                            given != null,
+                            () -> awaitList(startedAt, () -> serve(self, given)));
+                });
     }
 
-    /** A process that is not ready gets no requests; one that has no list could only refuse them. */
+    /**
+     * A process that is not ready gets no requests; one that has no list could only refuse them.
+     */
     private void awaitList(long startedAt, Runnable then) {
         if (lease.isHeld(loop.now())) {
             then.run();
@@ -128,12 +171,16 @@
         }
         LOG.info("waits for the list before it is ready");
         whenListed = then;
-        loop.after(startedAt + LIST_WITHIN_NS - loop.now(), () -> {
-            if (whenListed != null) {
-                LOG.warn("no list in {} ms: ready without one", (loop.now() - startedAt) / 1_000_000);
-                listed();
-            }
-        });
+        loop.after(
+                startedAt + LIST_WITHIN_NS - loop.now(),
+                () -> {
+                    if (whenListed != null) {
+                        LOG.warn(
+                                "no list in {} ms: ready without one",
+                                (loop.now() - startedAt) / 1_000_000);
+                        listed();
+                    }
+                });
     }
 
     private void listed() {
@@ -169,34 +216,41 @@
 
     /** Asks some workers for their load, if it may; whether it does. */
     private boolean askAround() {
-        List<String> some = config.known().instances().stream()
-                .filter(worker -> worker.lifecycle() == State.READY).limit(ASKED_AT_START)
-                .map(DiscoveryEntry::instanceId).toList();
+        List<String> some =
+                config.known().instances().stream()
+                        .filter(worker -> worker.lifecycle() == State.READY)
+                        .limit(ASKED_AT_START)
+                        .map(DiscoveryEntry::instanceId)
+                        .toList();
         boolean may = config.settings().mayProbe && config.settings().reports != Reports.NONE;
         if (may) {
-            some.forEach(worker ->
-                    workers.probe(worker, ASKED_WITHIN_NS, ending -> warmUp.told(ending.load())));
+            some.forEach(
+                    worker ->
+                            workers.probe(
+                                    worker, ASKED_WITHIN_NS, ending -> warmUp.told(ending.load())));
         }
         return may && !some.isEmpty();
     }
 
     /**
-     * Takes over settings and where discovery is now, if the file is of use as a whole; list, connections and calls
-     * stay. What the file says of all else waits for the next start. It is read beside the loop, one reading after
-     * another.
+     * Takes over settings and where discovery is now, if the file is of use as a whole; list,
+     * connections and calls stay. What the file says of all else waits for the next start. It is
+     * read beside the loop, one reading after another.
      */
     void reload(Map<String, String> environment) {
-        loop.worker().execute(() -> {
-            try {
-                NodeConfig now = config.reload(environment);
-                config = now;
-                shutdown.waitsFor(longestNs(now));
-                loop.execute(() -> takeOver(now));
-            } catch (ConfigException e) {
-                LOG.error("configuration not taken over: {}", e.getMessage());
-                loop.execute(() -> meter.reloaded(false));
-            }
-        });
+        loop.worker()
+                .execute(
+                        () -> {
+                            try {
+                                NodeConfig now = config.reload(environment);
+                                config = now;
+                                shutdown.waitsFor(longestNs(now));
+                                loop.execute(() -> takeOver(now));
+                            } catch (ConfigException e) {
+                                LOG.error("configuration not taken over: {}", e.getMessage());
+                                loop.execute(() -> meter.reloaded(false));
+                            }
+                        });
     }
 
     private void takeOver(NodeConfig now) {
@@ -213,17 +267,24 @@
             operator.serves(now.settings().classes);
         }
         meter.reloaded(true);
-        LOG.info("configuration taken over: {} classes, {} attempts at most", now.settings().classes.size(),
+        LOG.info(
+                "configuration taken over: {} classes, {} attempts at most",
+                now.settings().classes.size(),
                 now.settings().maxAttempts);
     }
 
-    /** Serves on for a while, then finishes every call taken; returns when all have had their time. */
+    /**
+     * Serves on for a while, then finishes every call taken; returns when all have had their time.
+     */
     void stop() throws InterruptedException {
         shutdown.await(config.name());
     }
 
     private static long longestNs(NodeConfig of) {
-        return of.settings().classes.stream().mapToLong(RequestClass::deadlineNs).max().orElseThrow();
+        return of.settings().classes.stream()
+                .mapToLong(RequestClass::deadlineNs)
+                .max()
+                .orElseThrow();
     }
 
     @Override
@@ -265,7 +326,9 @@
         return OWN_DESCRIPTORS + (operator == null ? 0 : OperatorEndpoint.MOST_DESCRIPTORS);
     }
 
-    /** The share of the descriptors in use, as far as the node knows: its connections, and its own. */
+    /**
+     * The share of the descriptors in use, as far as the node knows: its connections, and its own.
+     */
     private double descriptors() {
         int held = ownDescriptors();
         for (int connections : acceptor.connections().values()) {
--- a/daemon/src/main/java/trailthread/daemon/NodeConfig.java
+++ b/daemon/src/main/java/trailthread/daemon/NodeConfig.java
@@ -22,22 +22,35 @@
 /**
  * What a node is told at its start.
  *
- * @param told         discovery as the file names it; {@code discovery} is the one to use
- * @param sockets      how many file descriptors the node may hold
- * @param known        the list of workers as this node had it last, perhaps old
- * @param idleCloseNs  how long a worker leaves an idle connection open
+ * @param told discovery as the file names it; {@code discovery} is the one to use
+ * @param sockets how many file descriptors the node may hold
+ * @param known the list of workers as this node had it last, perhaps old
+ * @param idleCloseNs how long a worker leaves an idle connection open
  * @param drainGraceNs how long after the news of a drain something new may still be sent
- * @param management   where operators ask and steer the node, or null: nowhere
- * @param levels       levels of service, or null: none
- * @param keys         those that the file has
+ * @param management where operators ask and steer the node, or null: nowhere
+ * @param levels levels of service, or null: none
+ * @param keys those that the file has
  */
-record NodeConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, String told, long seed,
-                  int sockets, DiscoveryUpdate known, Settings settings, long idleCloseNs, long drainGraceNs,
-                  InetSocketAddress management, LevelsConfig levels, FileKeys keys) {
+record NodeConfig(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        String told,
+        long seed,
+        int sockets,
+        DiscoveryUpdate known,
+        Settings settings,
+        long idleCloseNs,
+        long drainGraceNs,
+        InetSocketAddress management,
+        LevelsConfig levels,
+        FileKeys keys) {
     private static final String FILE = "LB_CONFIG";
     private static final int DEFAULT_SOCKETS = 1024;
+
     /** The virtual machine alone holds some thirty. */
     private static final int LEAST_SOCKETS = 96;
+
     private static final long DEFAULT_IDLE_CLOSE_NS = 5_000_000_000L;
     private static final long DEFAULT_DRAIN_GRACE_NS = 1_000_000_000L;
 
@@ -52,9 +65,10 @@
     }
 
     /**
-     * Reads the file again, for the settings and for where discovery is now. Once the file names another one, that
-     * goes before LB_DISCOVERY: nobody can change the variables of a program that runs. A file that lacks what the one
-     * before had is one that was cut short or written by half, and of no use.
+     * Reads the file again, for the settings and for where discovery is now. Once the file names
+     * another one, that goes before LB_DISCOVERY: nobody can change the variables of a program that
+     * runs. A file that lacks what the one before had is one that was cut short or written by half,
+     * and of no use.
      *
      * @throws ConfigException if the file is of no use; what was read before stands
      */
@@ -65,9 +79,20 @@
             throw new ConfigException(lost, "a value, as in the file before");
         }
         boolean moves = !now.told.isEmpty() && !now.told.equals(told);
-        return new NodeConfig(name, listen, moves ? address("discovery", now.told, 1) : discovery,
-                moves ? now.told : told, seed, sockets, known, now.settings, now.idleCloseNs, now.drainGraceNs,
-                management, levels, now.keys);
+        return new NodeConfig(
+                name,
+                listen,
+                moves ? address("discovery", now.told, 1) : discovery,
+                moves ? now.told : told,
+                seed,
+                sockets,
+                known,
+                now.settings,
+                now.idleCloseNs,
+                now.drainGraceNs,
+                management,
+                levels,
+                now.keys);
     }
 
     static NodeConfig parse(Reader json, Map<String, String> environment) throws ConfigException {
@@ -96,15 +121,20 @@
                     case "limits" -> sockets = sockets(in);
                     case "known" -> known = DiscoveryParser.read(in);
                     case "management" -> management = in.nextString();
-                    case "operator" -> throw new ConfigException("operator.listen", "management in its place");
+                    case "operator" ->
+                            throw new ConfigException("operator.listen", "management in its place");
                     case "levels" -> {
                         levels = new HashMap<>();
                         flatten("", in, levels::put);
                     }
-                    case "settings" -> flatten("", in, (path, value) -> {
-                        settings.add(path, value);
-                        keys.add("settings." + path);
-                    });
+                    case "settings" ->
+                            flatten(
+                                    "",
+                                    in,
+                                    (path, value) -> {
+                                        settings.add(path, value);
+                                        keys.add("settings." + path);
+                                    });
                     default -> in.skipValue();
                 }
             }
@@ -120,14 +150,20 @@
         try {
             Settings usable = settings.parse();
             usable.check();
-            return new NodeConfig(environment.getOrDefault("LB_NAME", name),
+            return new NodeConfig(
+                    environment.getOrDefault("LB_NAME", name),
                     address("listen", environment.getOrDefault("LB_LISTEN", listen), 0),
                     address("discovery", environment.getOrDefault("LB_DISCOVERY", discovery), 1),
-                    discovery, seed(seed), sockets, known, usable,
+                    discovery,
+                    seed(seed),
+                    sockets,
+                    known,
+                    usable,
                     settings.whole("limits.idle_close_ns", DEFAULT_IDLE_CLOSE_NS),
                     settings.whole("safety.drain_grace_ns", DEFAULT_DRAIN_GRACE_NS),
                     management == null ? null : address("management", management, 0),
-                    levels == null ? null : LevelsConfig.parse(levels, usable.classes), keys);
+                    levels == null ? null : LevelsConfig.parse(levels, usable.classes),
+                    keys);
         } catch (IllegalArgumentException e) {
             throw new ConfigException(e);
         }
@@ -155,8 +191,9 @@
     }
 
     /**
-     * Hands a value to the parser in the paths of the simulator's wire: plain lists joined by commas, of a
-     * list of objects the length under {@code .count} and the items under their numbers.
+     * Hands a value to the parser in the paths of the simulator's wire: plain lists joined by
+     * commas, of a list of objects the length under {@code .count} and the items under their
+     * numbers.
      */
     private static void flatten(String path, JsonReader in, BiConsumer<String, String> out)
             throws IOException {
@@ -198,7 +235,8 @@
         }
     }
 
-    private static InetSocketAddress address(String key, String text, int leastPort) throws ConfigException {
+    private static InetSocketAddress address(String key, String text, int leastPort)
+            throws ConfigException {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
--- a/daemon/src/main/java/trailthread/daemon/WarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/WarmUp.java
@@ -18,11 +18,11 @@
 import trailthread.engine.call.Calls;
 import trailthread.engine.call.ClientCall;
 import trailthread.engine.call.Reply;
+import trailthread.engine.discovery.DiscoveryEntry;
+import trailthread.engine.discovery.DiscoveryUpdate;
 import trailthread.engine.loop.Account;
 import trailthread.engine.loop.Loop;
 import trailthread.engine.meter.Meter;
-import trailthread.engine.discovery.DiscoveryEntry;
-import trailthread.engine.discovery.DiscoveryUpdate;
 import trailthread.engine.worker.ConnectionRoom;
 import trailthread.engine.worker.Ending;
 import trailthread.engine.worker.Made;
@@ -30,30 +30,47 @@
 import trailthread.engine.worker.Workers;
 
 /**
- * Takes calls of the node's own through the whole path before clients come, so that their first calls do not
- * wait for classes to load and code to be compiled. The node is client and worker of these calls, over its
- * own address; a module of their own decides on them, and no real worker hears of them: one that was given up
- * may lie unread until long after the last, so each call that is read is looked at, for as long as the node runs.
+ * Takes calls of the node's own through the whole path before clients come, so that their first
+ * calls do not wait for classes to load and code to be compiled. The node is client and worker of
+ * these calls, over its own address; a module of their own decides on them, and no real worker
+ * hears of them: one that was given up may lie unread until long after the last, so each call that
+ * is read is looked at, for as long as the node runs.
  */
 final class WarmUp implements CallTaker {
     private static final Logger LOG = LoggerFactory.getLogger(WarmUp.class);
     private static final String SELF = "self";
-    /** By then what a call takes has been compiled; the next ones take a tenth of the first ones' time. */
+
+    /**
+     * By then what a call takes has been compiled; the next ones take a tenth of the first ones'
+     * time.
+     */
     private static final int MOST_CALLS = 1000;
+
     /** The first ones load what all need, and take a hundred times as long as those that follow. */
     private static final int LEAST_CALLS = 3;
-    /** So long it takes on half a core until code is compiled; nobody waits for a node of an idle fleet. */
+
+    /**
+     * So long it takes on half a core until code is compiled; nobody waits for a node of an idle
+     * fleet.
+     */
     private static final long LONGEST_NS = 2_500_000_000L;
+
     /** A start takes no longer where nothing is known of the fleet... */
     private static final long UNKNOWING_NS = 1_500_000_000L;
+
     /**
-     * ...and where it is at work: the rest of the nodes serve this one's clients meanwhile, but where nodes
-     * are restarted in turn, the next one has gone by then.
+     * ...and where it is at work: the rest of the nodes serve this one's clients meanwhile, but
+     * where nodes are restarted in turn, the next one has gone by then.
      */
     private static final long HURRIED_NS = 100_000_000L;
+
     private static final long DRILL_NS = 50_000_000L;
-    /** Clients that come in a crowd open connections, and many are refused: that must be no slower. */
+
+    /**
+     * Clients that come in a crowd open connections, and many are refused: that must be no slower.
+     */
     private static final int CALLS_A_CONNECTION = 2;
+
     private static final int CALLS_A_REFUSAL = 3;
     private static final int DRILL_STEPS = 300;
     private static final long CALL_WITHIN_NS = 500_000_000L;
@@ -61,12 +78,16 @@
 
     private final Loop loop;
     private final NodeConfig config;
+
     /** What takes the calls that are a client's. */
     private final CallTaker real;
+
     private final Workers workers;
     private final Calls calls;
+
     /** Ids of the node's own calls begin so; no client's does. */
     private final String prefix;
+
     private final Set<String> attempted = new HashSet<>();
     private Runnable done;
     private long startedAt;
@@ -81,16 +102,24 @@
         this.config = config;
         this.real = real;
         prefix = "warm-up-" + Long.toHexString(config.seed()) + "-";
-        workers = new Workers(loop, config.settings().connectTimeoutNs, config.idleCloseNs(),
-                config.drainGraceNs(), ConnectionRoom.of(16), config.settings().finestNs(), Account.NONE);
+        workers =
+                new Workers(
+                        loop,
+                        config.settings().connectTimeoutNs,
+                        config.idleCloseNs(),
+                        config.drainGraceNs(),
+                        ConnectionRoom.of(16),
+                        config.settings().finestNs(),
+                        Account.NONE);
         calls = new Calls(loop, workers, config.settings(), config.seed(), Meter.OFF);
     }
 
     /**
      * Makes calls to the node's own address for a while.
      *
-     * @param asked   whether workers are asked for their load meanwhile, see {@link #told}
-     * @param patient whether another process of this node serves its clients meanwhile: nothing is in a hurry then
+     * @param asked whether workers are asked for their load meanwhile, see {@link #told}
+     * @param patient whether another process of this node serves its clients meanwhile: nothing is
+     *     in a hurry then
      */
     void start(InetSocketAddress self, boolean asked, boolean patient, Runnable whenDone) {
         done = whenDone;
@@ -98,14 +127,31 @@
         startedAt = loop.now();
         endsAt = startedAt + (asked || patient ? LONGEST_NS : UNKNOWING_NS);
         String hostPort = self.getAddress().getHostAddress() + ":" + self.getPort();
-        workers.update(new DiscoveryUpdate(0, true, List.of(new DiscoveryEntry(SELF, hostPort,
-                config.settings().zone, 0, State.READY, 1, 0))), loop.now());
-        calls.list(ListKind.FULL, List.of(new Entry(SELF, 1, State.READY, config.settings().zone, 0, 0)));
+        workers.update(
+                new DiscoveryUpdate(
+                        0,
+                        true,
+                        List.of(
+                                new DiscoveryEntry(
+                                        SELF,
+                                        hostPort,
+                                        config.settings().zone,
+                                        0,
+                                        State.READY,
+                                        1,
+                                        0))),
+                loop.now());
+        calls.list(
+                ListKind.FULL,
+                List.of(new Entry(SELF, 1, State.READY, config.settings().zone, 0, 0)));
         drill();
         next(null);
     }
 
-    /** A worker has told its load, or none (null): one that holds requests says that the fleet is at work. */
+    /**
+     * A worker has told its load, or none (null): one that holds requests says that the fleet is at
+     * work.
+     */
     void told(Load load) {
         if (patient) {
             return;
@@ -128,11 +174,18 @@
     }
 
     private void next(Ending last) {
-        // On a busy machine the first call alone may take its whole time: the next ones find what it has loaded.
-        boolean works = last == null || last.outcome() == Outcome.OK || last.outcome() == Outcome.ERROR
-                || last.outcome() == Outcome.TIMEOUT;
+        // On a busy machine the first call alone may take its whole time: the next ones find what
+        // it has loaded.
+        boolean works =
+                last == null
+                        || last.outcome() == Outcome.OK
+                        || last.outcome() == Outcome.ERROR
+                        || last.outcome() == Outcome.TIMEOUT;
         if (count == MOST_CALLS || count >= LEAST_CALLS && loop.now() > endsAt || !works) {
-            LOG.info("warmed up with {} calls{}{}", count, hurried ? ", as workers are busy" : "",
+            LOG.info(
+                    "warmed up with {} calls{}{}",
+                    count,
+                    hurried ? ", as workers are busy" : "",
                     works ? "" : ", the last one not served");
             workers.update(new DiscoveryUpdate(0, true, List.of()), loop.now());
             over = true;
@@ -146,9 +199,18 @@
         RequestClass c = classes.get(count++ % classes.size());
         boolean safe = c.semantics() == Semantics.SAFE;
         String id = prefix + count;
-        workers.attempt(SELF, new WorkerRequest(id, c.name(), safe ? "GET" : "POST", "/" + c.name(),
-                c.semantics() == Semantics.KEYED ? id : null, safe ? new byte[0] : BODY, null),
-                CALL_WITHIN_NS, this::next);
+        workers.attempt(
+                SELF,
+                new WorkerRequest(
+                        id,
+                        c.name(),
+                        safe ? "GET" : "POST",
+                        "/" + c.name(),
+                        c.semantics() == Semantics.KEYED ? id : null,
+                        safe ? new byte[0] : BODY,
+                        null),
+                CALL_WITHIN_NS,
+                this::next);
     }
 
     @Override
@@ -164,16 +226,16 @@
         }
         if (over) {
             reply.failed();
-            return () -> { };
+            return () -> {};
         }
         if (count % CALLS_A_REFUSAL == 0) {
             reply.refused(CALL_WITHIN_NS);
-            return () -> { };
+            return () -> {};
         }
         if (attempted.add(call.id())) {
             return calls.take(call, deadline, reply);
         }
         reply.served(Made.of(BODY));
-        return () -> { };
+        return () -> {};
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/acceptor/Acceptor.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/Acceptor.java
@@ -32,28 +32,35 @@
     private static final Logger LOG = LoggerFactory.getLogger(Acceptor.class);
     private static final int MOST_HEADER_BYTES = 16 * 1024;
     private static final int BACKLOG = 1024;
+
     /** Of the heap, most of whose old generation they may fill. */
     private static final double BODIES_SHARE = 0.3;
+
     /** A loop that has run late by so much may have left connections waiting to be accepted. */
     private static final long LATE_NS = 10_000_000L;
+
     private static final long ACCEPTED_WITHIN_NS = 100_000_000L;
     private static final long HANDED_OVER_WITHIN_NS = 20_000_000L;
 
     private final Loop loop;
     private final ClientConnections connections;
-    private final BodyRoom bodies = new BodyRoom((long) (BODIES_SHARE * Runtime.getRuntime().maxMemory()));
+    private final BodyRoom bodies =
+            new BodyRoom((long) (BODIES_SHARE * Runtime.getRuntime().maxMemory()));
     private final int mostConnections;
     private final Meter meter;
     private Front front;
     private AcceptingChannel<StreamConnection> server;
+
     /** Other processes hold the listening socket, too. */
     private boolean shared;
+
     private boolean ready;
     private boolean drained;
 
     /**
      * @param mostConnections past these, further ones wait to be accepted
-     * @param clientsMayHold  how many clients with calls may hold; idle ones make room by shares of it
+     * @param clientsMayHold how many clients with calls may hold; idle ones make room by shares of
+     *     it
      */
     public Acceptor(Loop loop, int mostConnections, int clientsMayHold, Front front, Meter meter) {
         this.meter = meter;
@@ -71,8 +78,9 @@
     }
 
     /**
-     * Accepts from a listening socket that other processes hold, too, in place of the address opened before. It is
-     * never closed here: with the one that the process was given, Java would close its log.
+     * Accepts from a listening socket that other processes hold, too, in place of the address
+     * opened before. It is never closed here: with the one that the process was given, Java would
+     * close its log.
      */
     public void share(ServerSocketChannel given) throws IOException {
         IoUtils.safeClose(server);
@@ -81,7 +89,10 @@
         server.resumeAccepts();
     }
 
-    /** If others accept from the same socket, leaves all further connections to them; whether it does. */
+    /**
+     * If others accept from the same socket, leaves all further connections to them; whether it
+     * does.
+     */
     public boolean leavesToOthers() {
         if (shared) {
             server.suspendAccepts();
@@ -100,15 +111,21 @@
     }
 
     private ChannelListener<AcceptingChannel<StreamConnection>> accept() {
-        HttpOpenListener http = new HttpOpenListener(loop.buffers(), OptionMap.builder()
-                .set(UndertowOptions.MAX_HEADER_SIZE, MOST_HEADER_BYTES)
-                .set(UndertowOptions.MAX_ENTITY_SIZE, -1L) // BodyReader holds the bound
-                .set(UndertowOptions.ALWAYS_SET_DATE, false)
-                .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
-                .set(UndertowOptions.DECODE_URL, false)
-                .getMap());
+        HttpOpenListener http =
+                new HttpOpenListener(
+                        loop.buffers(),
+                        OptionMap.builder()
+                                .set(UndertowOptions.MAX_HEADER_SIZE, MOST_HEADER_BYTES)
+                                .set(
+                                        UndertowOptions.MAX_ENTITY_SIZE,
+                                        -1L) // BodyReader holds the bound
+                                .set(UndertowOptions.ALWAYS_SET_DATE, false)
+                                .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
+                                .set(UndertowOptions.DECODE_URL, false)
+                                .getMap());
         http.setRootHandler(this::handle);
-        return ChannelListeners.openListenerAdapter(connection -> loop.run(() -> opened(connection, http)));
+        return ChannelListeners.openListenerAdapter(
+                connection -> loop.run(() -> opened(connection, http)));
     }
 
     private void opened(StreamConnection connection, HttpOpenListener http) {
@@ -132,7 +149,9 @@
         this.drained = drained;
     }
 
-    /** Ends connections that carry no call, without loss; what has just connected has time to speak. */
+    /**
+     * Ends connections that carry no call, without loss; what has just connected has time to speak.
+     */
     public void endUnused() {
         connections.endUnused();
     }
@@ -147,7 +166,9 @@
         this.ready = ready;
     }
 
-    /** Whether each connection ends with its next answer from now on, so that clients go elsewhere. */
+    /**
+     * Whether each connection ends with its next answer from now on, so that clients go elsewhere.
+     */
     public void endWithAnswers(boolean end) {
         connections.endWithAnswers(end);
     }
@@ -158,16 +179,21 @@
      * @param whenDone runs when none is left
      */
     public void close(Runnable whenDone) {
-        // Guards the calls of those that have connected and were not accepted yet, as the thread that accepts
+        // Guards the calls of those that have connected and were not accepted yet, as the thread
+        // that accepts
         // runs late as well: with the listening socket, their connections would be reset.
         boolean late = loop.turns().latenessNs(System.nanoTime()) > LATE_NS;
-        loop.after(late ? ACCEPTED_WITHIN_NS : 0, () -> {
-            if (!leavesToOthers()) {
-                IoUtils.safeClose(server);
-            }
-            // What the thread that accepts has handed over last is not opened here yet.
-            loop.after(HANDED_OVER_WITHIN_NS, () -> loop.afterSockets(() -> connections.endAll(whenDone)));
-        });
+        loop.after(
+                late ? ACCEPTED_WITHIN_NS : 0,
+                () -> {
+                    if (!leavesToOthers()) {
+                        IoUtils.safeClose(server);
+                    }
+                    // What the thread that accepts has handed over last is not opened here yet.
+                    loop.after(
+                            HANDED_OVER_WITHIN_NS,
+                            () -> loop.afterSockets(() -> connections.endAll(whenDone)));
+                });
     }
 
     private void handle(HttpServerExchange exchange) {
@@ -179,28 +205,51 @@
         }
         Front readBy = front;
         Incoming incoming = front.read(exchange);
-        if (exchange.getRequestContentLength() > BodyReader.MOST_BYTES) { // nothing says that it is to be sent
+        if (exchange.getRequestContentLength()
+                > BodyReader.MOST_BYTES) { // nothing says that it is to be sent
             Connectors.terminateRequest(exchange); // too much to read past
             reject(exchange, Rejection.TOO_LARGE);
             return;
         }
         long kept = incoming.call() == null ? -1 : keptFor(exchange, incoming.taker());
-        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-            new BodyReader(loop, exchange, owedBy, kept >= 0, bodies, body -> {
-                if (readBy == front) {
-                    whole(exchange, incoming, body, kept);
-                } else { // what takes it now is not what took it when its head came
-                    giveUp(incoming, kept);
-                    Incoming again = front.read(exchange);
-                    whole(exchange, again, body,
-                            again.call() == null ? 0 : kept < 0 ? kept : keptFor(exchange, again.taker()));
-                }
-            }, body -> passOn(exchange, incoming, body, kept), () -> giveUp(incoming, kept)).read();
-        });
+        exchange.dispatch(
+                SameThreadExecutor.INSTANCE,
+                () -> {
+                    new BodyReader(
+                                    loop,
+                                    exchange,
+                                    owedBy,
+                                    kept >= 0,
+                                    bodies,
+                                    body -> {
+                                        if (readBy == front) {
+                                            whole(exchange, incoming, body, kept);
+                                        } else { // what takes it now is not what took it when its
+                                            // head came
+                                            giveUp(incoming, kept);
+                                            Incoming again = front.read(exchange);
+                                            whole(
+                                                    exchange,
+                                                    again,
+                                                    body,
+                                                    again.call() == null
+                                                            ? 0
+                                                            : kept < 0
+                                                                    ? kept
+                                                                    : keptFor(
+                                                                            exchange,
+                                                                            again.taker()));
+                                        }
+                                    },
+                                    body -> passOn(exchange, incoming, body, kept),
+                                    () -> giveUp(incoming, kept))
+                            .read();
+                });
     }
 
     /** A call is taken whose body finds no room: it goes on as it comes. */
-    private void passOn(HttpServerExchange exchange, Incoming incoming, BodyReader body, long kept) {
+    private void passOn(
+            HttpServerExchange exchange, Incoming incoming, BodyReader body, long kept) {
         if (incoming.taker().isOpen(incoming.call().id())) {
             body.stop();
             giveUp(incoming, kept);
@@ -209,23 +258,40 @@
             return;
         }
         HttpReply reply = reply(exchange, incoming, 0, body::stop);
-        Runnable gone = incoming.taker().take(incoming.call().withSource(body),
-                loop.now() + body.longestNs() + incoming.call().timeLeftNs(), reply, kept);
+        Runnable gone =
+                incoming.taker()
+                        .take(
+                                incoming.call().withSource(body),
+                                loop.now() + body.longestNs() + incoming.call().timeLeftNs(),
+                                reply,
+                                kept);
         body.passOn(() -> reply.watchClient(gone), gone);
     }
 
-    private HttpReply reply(HttpServerExchange exchange, Incoming incoming, long room, Runnable unread) {
+    private HttpReply reply(
+            HttpServerExchange exchange, Incoming incoming, long room, Runnable unread) {
         ClientConnection client = ClientConnection.of(exchange);
         client.setOwner(incoming.taker().owner());
-        return new HttpReply(loop, exchange, incoming.plain(), () -> connections.endsWithAnswer(client),
-                bodies, () -> bodies.give(room), unread);
+        return new HttpReply(
+                loop,
+                exchange,
+                incoming.plain(),
+                () -> connections.endsWithAnswer(client),
+                bodies,
+                () -> bodies.give(room),
+                unread);
     }
 
     private void whole(HttpServerExchange exchange, Incoming incoming, byte[] body, long kept) {
-        Rejection why = incoming.call() == null ? incoming.why()
-                : body == null ? Rejection.TOO_LARGE
-                // the worker would take it for a copy
-                : incoming.taker().isOpen(incoming.call().id()) ? Rejection.CONFLICT : null;
+        Rejection why =
+                incoming.call() == null
+                        ? incoming.why()
+                        : body == null
+                                ? Rejection.TOO_LARGE
+                                // the worker would take it for a copy
+                                : incoming.taker().isOpen(incoming.call().id())
+                                        ? Rejection.CONFLICT
+                                        : null;
         if (why == null) {
             take(exchange, incoming, incoming.call().withBody(body), kept);
         } else {
@@ -239,13 +305,15 @@
 
     /** Whether the connection ends with this answer. */
     private boolean isLast(HttpServerExchange exchange) {
-        return connections.endsWithAnswer(ClientConnection.of(exchange)) && !SentAhead.isBehind(exchange, bodies);
+        return connections.endsWithAnswer(ClientConnection.of(exchange))
+                && !SentAhead.isBehind(exchange, bodies);
     }
 
     /** How many bytes are kept for a body that is still to come; -1: there is no room for it. */
     private static long keptFor(HttpServerExchange exchange, Front.Taker taker) {
         long length = exchange.getRequestContentLength();
-        boolean bare = length < 0 && !exchange.getRequestHeaders().contains(Headers.TRANSFER_ENCODING);
+        boolean bare =
+                length < 0 && !exchange.getRequestHeaders().contains(Headers.TRANSFER_ENCODING);
         long bytes = bare ? 0 : length < 0 ? BodyRoom.SHORT_BYTES : length;
         return taker.takeBody(bytes) ? bytes : -1;
     }
@@ -260,31 +328,36 @@
     private long track(HttpServerExchange exchange) {
         ClientConnection client = ClientConnection.of(exchange);
         long owedBy = connections.began(client);
-        exchange.addExchangeCompleteListener((done, next) -> {
-            connections.ended(client, exchange.isPersistent());
-            next.proceed();
-        });
+        exchange.addExchangeCompleteListener(
+                (done, next) -> {
+                    connections.ended(client, exchange.isPersistent());
+                    next.proceed();
+                });
         return owedBy;
     }
 
     private void take(HttpServerExchange exchange, Incoming incoming, ClientCall call, long kept) {
-        HttpReply reply = reply(exchange, incoming, BodyReader.roomFor(call.body().length), () -> { });
-        // The client waits from its last byte on, however long it took to send the rest, and this loop to read it.
-        reply.watchClient(incoming.taker().take(call, loop.cameNotBefore() + call.timeLeftNs(), reply, kept));
+        HttpReply reply =
+                reply(exchange, incoming, BodyReader.roomFor(call.body().length), () -> {});
+        // The client waits from its last byte on, however long it took to send the rest, and this
+        // loop to read it.
+        reply.watchClient(
+                incoming.taker().take(call, loop.cameNotBefore() + call.timeLeftNs(), reply, kept));
     }
 
     /**
-     * Answers what is no call; but for one that only has no route, the connection ends, as what follows on it can't
-     * be trusted.
+     * Answers what is no call; but for one that only has no route, the connection ends, as what
+     * follows on it can't be trusted.
      */
     private void reject(HttpServerExchange exchange, Rejection why) {
         meter.rejected(why);
-        int status = switch (why) {
-            case BAD_REQUEST -> StatusCodes.BAD_REQUEST;
-            case TOO_LARGE -> StatusCodes.REQUEST_ENTITY_TOO_LARGE;
-            case CONFLICT -> StatusCodes.CONFLICT;
-            case NO_ROUTE -> StatusCodes.NOT_FOUND;
-        };
+        int status =
+                switch (why) {
+                    case BAD_REQUEST -> StatusCodes.BAD_REQUEST;
+                    case TOO_LARGE -> StatusCodes.REQUEST_ENTITY_TOO_LARGE;
+                    case CONFLICT -> StatusCodes.CONFLICT;
+                    case NO_ROUTE -> StatusCodes.NOT_FOUND;
+                };
         exchange.setStatusCode(status);
         if (why != Rejection.NO_ROUTE || isLast(exchange)) {
             exchange.setPersistent(false);
--- a/daemon/src/main/java/trailthread/daemon/acceptor/BodyReader.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/BodyReader.java
@@ -16,19 +16,28 @@
 import trailthread.engine.loop.Loop;
 
 /**
- * Reads a request's body to its end, so that whatever is answered then reaches the client. Guards against
- * Undertow's own drain of what is left unread: of a chunked body it closes the connection unanswered.
+ * Reads a request's body to its end, so that whatever is answered then reaches the client. Guards
+ * against Undertow's own drain of what is left unread: of a chunked body it closes the connection
+ * unanswered.
  *
- * <p>A body that finds no room is not held: it is the source of itself from then on, and flows as its sink takes it.
+ * <p>A body that finds no room is not held: it is the source of itself from then on, and flows as
+ * its sink takes it.
  */
 final class BodyReader implements ByteSource {
     static final long MOST_BYTES = 32 * 1024 * 1024;
+
     /** Of a body that is not kept, so much is read past before the connection ends unanswered. */
     private static final long MOST_SKIPPED = 1024 * 1024;
+
     private static final byte[] NONE = new byte[0];
+
     /** Of a body that does not tell its length. */
     private static final int FIRST_BYTES = 1024;
-    /** A body that comes slower than this, in bytes a second, is given up; clients send 64 kB a second or more. */
+
+    /**
+     * A body that comes slower than this, in bytes a second, is given up; clients send 64 kB a
+     * second or more.
+     */
     private static final long LEAST_PACE = 48_000;
 
     private static final long PAUSE_LOOKED_AT_NS = 1_000_000_000L;
@@ -41,35 +50,51 @@
     private final Consumer<byte[]> whole;
     private final Runnable broken;
     private byte[] body = NONE;
+
     /** Room taken for it. */
     private long taken;
+
     private long owedBy;
     private XnioExecutor.Key late;
     private long size;
+
     /** The same before what came last. */
     private int before;
+
     private boolean tooLarge;
     private boolean over;
+
     /** Takes over what finds no room. */
     private final Consumer<BodyReader> passesOn;
+
     /** What has come before the body began to flow, then null. */
     private ByteBuffer held;
+
     private ByteSink sink;
+
     /** Since when nobody reads; 0: it is read. */
     private long pausedAt;
-    private Runnable ended = () -> { };
+
+    private Runnable ended = () -> {};
     private Runnable gone;
 
     /**
      * @param owedBy what has not come whole then must have come fast enough
-     * @param keep   whether the body is kept; else it is read past, and passes for empty
-     * @param room   what a long body takes; it is given back here if the body breaks
-     * @param whole  gets the body, or null if it is too large
+     * @param keep whether the body is kept; else it is read past, and passes for empty
+     * @param room what a long body takes; it is given back here if the body breaks
+     * @param whole gets the body, or null if it is too large
      * @param passes gets this instead where the body finds no room; {@link #passOn} follows
      * @param broken runs instead if it never comes whole
      */
-    BodyReader(Loop loop, HttpServerExchange exchange, long owedBy, boolean keep, BodyRoom room,
-               Consumer<byte[]> whole, Consumer<BodyReader> passes, Runnable broken) {
+    BodyReader(
+            Loop loop,
+            HttpServerExchange exchange,
+            long owedBy,
+            boolean keep,
+            BodyRoom room,
+            Consumer<byte[]> whole,
+            Consumer<BodyReader> passes,
+            Runnable broken) {
         this.loop = loop;
         this.exchange = exchange;
         this.owedBy = owedBy;
@@ -85,8 +110,8 @@
     /**
      * The body has been taken over.
      *
-     * @param whenEnded   runs when its last byte has been given
-     * @param clientGone  runs instead if it never comes whole
+     * @param whenEnded runs when its last byte has been given
+     * @param clientGone runs instead if it never comes whole
      */
     void passOn(Runnable whenEnded, Runnable clientGone) {
         ended = whenEnded;
@@ -110,17 +135,19 @@
             readOn();
             return;
         }
-        HttpContinue.sendContinueResponse(exchange, new IoCallback() {
-            @Override
-            public void onComplete(HttpServerExchange told, Sender sender) {
-                readOn();
-            }
+        HttpContinue.sendContinueResponse(
+                exchange,
+                new IoCallback() {
+                    @Override
+                    public void onComplete(HttpServerExchange told, Sender sender) {
+                        readOn();
+                    }
 
-            @Override
-            public void onException(HttpServerExchange told, Sender sender, IOException e) {
-                giveUp();
-            }
-        });
+                    @Override
+                    public void onException(HttpServerExchange told, Sender sender, IOException e) {
+                        giveUp();
+                    }
+                });
     }
 
     private void readOn() {
@@ -180,11 +207,12 @@
     /** What is left may lie in Undertow's buffers, where no socket tells of it. */
     private void goOnNextTurn() {
         channel.suspendReads();
-        loop.afterSockets(() -> {
-            if (!over && pausedAt == 0) {
-                readOn();
-            }
-        });
+        loop.afterSockets(
+                () -> {
+                    if (!over && pausedAt == 0) {
+                        readOn();
+                    }
+                });
     }
 
     private void take(ByteBuffer bytes) {
@@ -207,10 +235,18 @@
         }
     }
 
-    /** To the length told, or twofold; while a body moves, both its old place and its new one take room. */
+    /**
+     * To the length told, or twofold; while a body moves, both its old place and its new one take
+     * room.
+     */
     private void grow() {
         long told = exchange.getRequestContentLength();
-        long next = told >= 0 ? told : Math.min(MOST_BYTES, Math.max(size, Math.max(2L * body.length, FIRST_BYTES)));
+        long next =
+                told >= 0
+                        ? told
+                        : Math.min(
+                                MOST_BYTES,
+                                Math.max(size, Math.max(2L * body.length, FIRST_BYTES)));
         long more = roomFor(next);
         if (!room.take(more)) {
             held = ByteBuffer.allocate((int) size).put(body, 0, before);
--- a/daemon/src/main/java/trailthread/daemon/acceptor/BodyRoom.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/BodyRoom.java
@@ -1,8 +1,8 @@
 package trailthread.daemon.acceptor;
 
 /**
- * The memory that long bodies of calls may take together, from their first byte to the call's end. Short ones are
- * bounded by the connections there may be.
+ * The memory that long bodies of calls may take together, from their first byte to the call's end.
+ * Short ones are bounded by the connections there may be.
  */
 final class BodyRoom {
     /** What is longer than this takes room. */
--- a/daemon/src/main/java/trailthread/daemon/acceptor/CallDecoder.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/CallDecoder.java
@@ -21,6 +21,7 @@
     static final HttpString IDEMPOTENCY_KEY = new HttpString("Idempotency-Key");
 
     private static final int MOST_LETTERS = 1024;
+
     /** What claims more would spoil what the module knows of work in general. */
     private static final long MOST_WORK_NS = 3_600_000_000_000L;
 
@@ -33,7 +34,8 @@
     }
 
     /** The call; its body is as yet to come. */
-    ClientCall decode(String method, String path, String query, HeaderMap headers) throws BadCallException {
+    ClientCall decode(String method, String path, String query, HeaderMap headers)
+            throws BadCallException {
         String name = required(headers, SERVICE_CLASS);
         RequestClass requestClass = classes.get(name);
         if (requestClass == null || !firstPart(path).equals(name)) {
@@ -55,19 +57,30 @@
             throw new BadCallException("no call takes so much work");
         }
         long timeLeftNs = nanoseconds(required(headers, TIME_LEFT), TIME_LEFT);
-        return new ClientCall(required(headers, CORRELATION_ID), name, optional(headers, ACCOUNT),
-                Math.min(timeLeftNs, requestClass.deadlineNs()), "1".equals(headers.getFirst(REPEAT)),
-                workNs, fact(facts, "entity", 16), method, target, key, null, null);
+        return new ClientCall(
+                required(headers, CORRELATION_ID),
+                name,
+                optional(headers, ACCOUNT),
+                Math.min(timeLeftNs, requestClass.deadlineNs()),
+                "1".equals(headers.getFirst(REPEAT)),
+                workNs,
+                fact(facts, "entity", 16),
+                method,
+                target,
+                key,
+                null,
+                null);
     }
 
     /** A figure of the form name=value,name=value; 0 if it is absent or none. */
     private static long fact(String facts, String name, int radix) throws BadCallException {
-        for (int from = 0; facts != null && from < facts.length();) {
+        for (int from = 0; facts != null && from < facts.length(); ) {
             int comma = facts.indexOf(',', from);
             int to = comma < 0 ? facts.length() : comma;
             if (facts.startsWith(name + "=", from)) {
                 try {
-                    return Long.parseUnsignedLong(facts.substring(from + name.length() + 1, to), radix);
+                    return Long.parseUnsignedLong(
+                            facts.substring(from + name.length() + 1, to), radix);
                 } catch (NumberFormatException e) {
                     throw new BadCallException(FACTS + ": " + name + " is no number");
                 }
@@ -90,7 +103,10 @@
         return value;
     }
 
-    /** Guards workers, too: what they can't read would end their connection, and count as their failure. */
+    /**
+     * Guards workers, too: what they can't read would end their connection, and count as their
+     * failure.
+     */
     private static String optional(HeaderMap headers, HttpString name) throws BadCallException {
         String value = headers.getFirst(name);
         boolean once = headers.count(name) <= 1;
--- a/daemon/src/main/java/trailthread/daemon/acceptor/ClientConnection.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/ClientConnection.java
@@ -12,14 +12,20 @@
 import org.xnio.conduits.StreamSourceConduit;
 import trailthread.engine.loop.Loop;
 
-/** A connection from a client, and what is known of what came on it: it sees every byte that is read. */
+/**
+ * A connection from a client, and what is known of what came on it: it sees every byte that is
+ * read.
+ */
 final class ClientConnection extends AbstractStreamSourceConduit<StreamSourceConduit> {
     private final StreamConnection connection;
     private final Loop loop;
+
     /** When it was opened or has idled from. */
     private long since;
+
     /** Whose call it carried last, where it matters; else null. */
     private Object owner;
+
     /** When the first byte of a call came that is not there whole as yet; 0: none has come. */
     private long speaksSince;
 
@@ -34,8 +40,8 @@
 
     /** The connection that an exchange came on. */
     static ClientConnection of(HttpServerExchange exchange) {
-        return (ClientConnection) ((AbstractServerConnection) exchange.getConnection())
-                .getOriginalSourceConduit();
+        return (ClientConnection)
+                ((AbstractServerConnection) exchange.getConnection()).getOriginalSourceConduit();
     }
 
     long since() {
--- a/daemon/src/main/java/trailthread/daemon/acceptor/ClientConnections.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/ClientConnections.java
@@ -10,61 +10,85 @@
 import trailthread.engine.loop.Loop;
 
 /**
- * The connections from clients, bounded, and how each ends. Guards against clients that take connections and make no
- * use of them: silent ones, heads that never end, those kept for good after one call. Each of them holds a
- * descriptor that a client with a call needs.
+ * The connections from clients, bounded, and how each ends. Guards against clients that take
+ * connections and make no use of them: silent ones, heads that never end, those kept for good after
+ * one call. Each of them holds a descriptor that a client with a call needs.
  *
- * <p>No call is lost to an end, whoever asks for it: see {@link #end(ClientConnection, long)}, the one place where a
- * connection ends between calls. An answer that says that it is the last one can't cross a call at all, so where there
- * are many, and where the node leaves, answers end them. docs/restarts.md tells what a client sees at each moment.
+ * <p>No call is lost to an end, whoever asks for it: see {@link #end(ClientConnection, long)}, the
+ * one place where a connection ends between calls. An answer that says that it is the last one
+ * can't cross a call at all, so where there are many, and where the node leaves, answers end them.
+ * docs/restarts.md tells what a client sees at each moment.
  */
 final class ClientConnections {
-    /** A connection brings the head of its first call whole within this, and any head once it has begun. */
+    /**
+     * A connection brings the head of its first call whole within this, and any head once it has
+     * begun.
+     */
     private static final long HEAD_WITHIN_NS = 2_600_000_000L;
+
     /** A kept connection without a call is closed after so long, though there is room. */
     private static final long IDLE_NS = 15_000_000_000L;
+
     /** And the rest of its message so soon after its head, but for what a body's pace earns it. */
     private static final long REST_WITHIN_NS = 1_000_000_000L;
-    /** From when on an idle connection may make room for another: clients count on it for this long. */
+
+    /**
+     * From when on an idle connection may make room for another: clients count on it for this long.
+     */
     private static final long KEPT_AT_LEAST_NS = 2_000_000_000L;
+
     /** A client with a call sends it as soon as it is connected; a silent one then makes room. */
     private static final long SPEAKS_WITHIN_NS = 250_000_000L;
+
     /**
-     * Past this share of what clients may hold, idle connections are enough: answers end theirs. Only idle
-     * ones count, and only if some have idled for a while, as a crowd of calls is served with less work over
-     * the connections that it has.
+     * Past this share of what clients may hold, idle connections are enough: answers end theirs.
+     * Only idle ones count, and only if some have idled for a while, as a crowd of calls is served
+     * with less work over the connections that it has.
      */
     private static final double IDLE_SHARE = 0.3;
+
     /** However few there are. */
     private static final double ALL = 0;
+
     /** Past this share, those that have been kept for long enough are closed. */
     private static final double KEPT_SHARE = 0.5;
+
     /**
-     * Past this share, those that idle or are silent for this long are closed, too. Guards against a crowd
-     * that opens a connection for each call: past what they may hold, clients find no further one.
+     * Past this share, those that idle or are silent for this long are closed, too. Guards against
+     * a crowd that opens a connection for each call: past what they may hold, clients find no
+     * further one.
      */
     private static final double CROWDED_SHARE = 0.65;
+
     private static final long CROWDED_NS = 100_000_000L;
     private static final long LOOKED_AT_EVERY_NS = 50_000_000L;
 
     private final Loop loop;
     private final int mayHold;
+
     /** Those that have yet to bring their first head, the oldest first. */
     private final Set<ClientConnection> silent = new LinkedHashSet<>();
+
     /** Those that idle between calls, the longest idle first. */
     private final Set<ClientConnection> idle = new LinkedHashSet<>();
+
     /** Those with a call. */
     private final Set<ClientConnection> busy = new LinkedHashSet<>();
+
     /** Those whose last answer has been written: their clients are to read it, and to close. */
     private final Set<ClientConnection> leaving = new LinkedHashSet<>();
+
     /** How many idle after calls of each owner, where connections have owners. */
     private final Map<Object, Integer> idleOf = new IdentityHashMap<>();
+
     private boolean ending;
+
     /** What runs once none is open, where all are to end; else null. */
     private Runnable whenNone;
 
     /**
-     * @param mayHold how many connections clients with calls may hold; past it they find no further one
+     * @param mayHold how many connections clients with calls may hold; past it they find no further
+     *     one
      */
     ClientConnections(Loop loop, int mayHold) {
         this.loop = loop;
@@ -123,11 +147,13 @@
     }
 
     /**
-     * Whether one that idles after a call of this owner makes room for others. Guards each service's clients against
-     * the crowd of another's: only those that keep their equal part or more are in the way.
+     * Whether one that idles after a call of this owner makes room for others. Guards each
+     * service's clients against the crowd of another's: only those that keep their equal part or
+     * more are in the way.
      */
     private boolean makesRoom(Object owner) {
-        return owner == null || idleOf.size() < 2
+        return owner == null
+                || idleOf.size() < 2
                 || (long) idleOf.getOrDefault(owner, 0) * idleOf.size() >= idle.size();
     }
 
@@ -141,8 +167,10 @@
 
     /** Whether the answer to what this one carries is to end it, so that others find room. */
     boolean endsWithAnswer(ClientConnection client) {
-        return ending || idle.size() > IDLE_SHARE * mayHold
-                && idle.iterator().next().since() < loop.now() - CROWDED_NS && makesRoom(client.owner());
+        return ending
+                || idle.size() > IDLE_SHARE * mayHold
+                        && idle.iterator().next().since() < loop.now() - CROWDED_NS
+                        && makesRoom(client.owner());
     }
 
     /** Answers end their connections from now on. */
@@ -158,10 +186,11 @@
     }
 
     /**
-     * Ends all: those that carry no call by and by, the others with their answers, see {@link #endWithAnswers}.
+     * Ends all: those that carry no call by and by, the others with their answers, see {@link
+     * #endWithAnswers}.
      *
-     * @param whenNone runs when none is left. Guards the calls that lie unread on one while another ends: with the
-     *                 process, they would be reset
+     * @param whenNone runs when none is left. Guards the calls that lie unread on one while another
+     *     ends: with the process, they would be reset
      */
     void endAll(Runnable whenNone) {
         this.whenNone = whenNone;
@@ -201,7 +230,15 @@
     }
 
     Map<String, Integer> byState() {
-        return Map.of("silent", silent.size(), "idle", idle.size(), "busy", busy.size(), "leaving", leaving.size());
+        return Map.of(
+                "silent",
+                silent.size(),
+                "idle",
+                idle.size(),
+                "busy",
+                busy.size(),
+                "leaving",
+                leaving.size());
     }
 
     private int size() {
@@ -213,8 +250,11 @@
      *
      * @param restWithinNs see {@link #end}
      */
-    private void endWhile(double share, Set<ClientConnection> clients, long since, long restWithinNs) {
-        if (clients.isEmpty() || size() <= share * mayHold || clients.iterator().next().since() > since) {
+    private void endWhile(
+            double share, Set<ClientConnection> clients, long since, long restWithinNs) {
+        if (clients.isEmpty()
+                || size() <= share * mayHold
+                || clients.iterator().next().since() > since) {
             return; // the usual case, and nothing to copy
         }
         for (ClientConnection client : List.copyOf(clients)) {
@@ -228,10 +268,11 @@
     }
 
     /**
-     * Ends one that carries no call. What has come on it is read first: a loop that runs late finds its timers due
-     * before it has looked at its sockets. A call that has come whole is taken, and the connection stays; one that has
-     * come in part has time for the rest. What comes after this look has not been read, and its client, who sees the
-     * connection end before any answer, sends it once more.
+     * Ends one that carries no call. What has come on it is read first: a loop that runs late finds
+     * its timers due before it has looked at its sockets. A call that has come whole is taken, and
+     * the connection stays; one that has come in part has time for the rest. What comes after this
+     * look has not been read, and its client, who sees the connection end before any answer, sends
+     * it once more.
      *
      * @param restWithinNs how long after its first byte the rest of a head may come
      */
