--- a/daemon/src/main/java/trailthread/daemon/acceptor/Front.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/Front.java
@@ -17,9 +17,9 @@
     /**
      * A request whose head was read.
      *
-     * @param call    but for its body, or null: it is none, and is answered as {@code why} says
-     * @param taker   who takes it
-     * @param plain   whether the worker's status and headers are passed on
+     * @param call but for its body, or null: it is none, and is answered as {@code why} says
+     * @param taker who takes it
+     * @param plain whether the worker's status and headers are passed on
      */
     record Incoming(ClientCall call, Taker taker, boolean plain, Rejection why) {
         /** A request that is no call. */
@@ -33,24 +33,30 @@
         /** Whether a call with this id is at work; another one may not be taken beside it. */
         boolean isOpen(String id);
 
-        /** Whose crowd its clients are, where there are several that could be in each other's way; else null. */
+        /**
+         * Whose crowd its clients are, where there are several that could be in each other's way;
+         * else null.
+         */
         default Object owner() {
             return null;
         }
 
-        /** Whether a body of so many bytes may be kept. If so, {@link #giveBody} or {@link #take} follows, once. */
+        /**
+         * Whether a body of so many bytes may be kept. If so, {@link #giveBody} or {@link #take}
+         * follows, once.
+         */
         default boolean takeBody(long bytes) {
             return true;
         }
 
         /** A body that was to be kept is not: its call did not come whole. */
-        default void giveBody(long bytes) {
-        }
+        default void giveBody(long bytes) {}
 
         /**
          * The call has come whole.
          *
-         * @param kept how many bytes were taken for its body; -1: there was no room, and the body was not kept
+         * @param kept how many bytes were taken for its body; -1: there was no room, and the body
+         *     was not kept
          * @return what to run if the client goes away before it is answered
          */
         Runnable take(ClientCall call, long deadline, Reply reply, long kept);
--- a/daemon/src/main/java/trailthread/daemon/acceptor/HttpReply.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/HttpReply.java
@@ -11,16 +11,17 @@
 import java.util.function.BooleanSupplier;
 import org.xnio.IoUtils;
 import trailthread.engine.call.Reply;
+import trailthread.engine.http.ByteSink;
 import trailthread.engine.http.EndToEnd;
 import trailthread.engine.loop.Loop;
 import trailthread.engine.loop.Seconds;
-import trailthread.engine.http.ByteSink;
 import trailthread.engine.worker.Made;
 
 /** Answers one call over HTTP, and notices when its client goes away. */
 final class HttpReply implements Reply {
     /** A worker's word to the node alone. */
     private static final Set<String> LEFT_OUT = Set.of("x-backend-load", "x-unprocessed");
+
     private static final int REFUSED = 503;
     private static final int FAILED = 502;
 
@@ -35,20 +36,28 @@
     private final Runnable released;
     private final Runnable unread;
     private boolean answered;
+
     /** Runs if the client goes away; null: it is not watched. */
     private Runnable gone;
+
     /** The answer, if it is passed on as it comes; else null. */
     private LongAnswer longAnswer;
 
     /**
-     * @param plain   whether a worker's status and headers are passed on
-     * @param closing  whether the connection is to end with the answer
-     * @param room     what is sent ahead takes of it, past a buffer
+     * @param plain whether a worker's status and headers are passed on
+     * @param closing whether the connection is to end with the answer
+     * @param room what is sent ahead takes of it, past a buffer
      * @param released runs once nothing of the call is kept
-     * @param unread   runs before an answer that goes out while the body has not come whole
+     * @param unread runs before an answer that goes out while the body has not come whole
      */
-    HttpReply(Loop loop, HttpServerExchange exchange, boolean plain, BooleanSupplier closing, BodyRoom room,
-              Runnable released, Runnable unread) {
+    HttpReply(
+            Loop loop,
+            HttpServerExchange exchange,
+            boolean plain,
+            BooleanSupplier closing,
+            BodyRoom room,
+            Runnable released,
+            Runnable unread) {
         this.loop = loop;
         this.exchange = exchange;
         this.plain = plain;
@@ -77,7 +86,8 @@
 
     private void passHeaders(Made made) {
         if (made.headers() != null && plain) {
-            // Where they can't be told apart from another answer's beginning, they are left out: never seen here.
+            // Where they can't be told apart from another answer's beginning, they are left out:
+            // never seen here.
             EndToEnd.pass(made.headers(), LEFT_OUT, exchange.getResponseHeaders()::add);
             exchange.getResponseHeaders().add(Headers.VIA, "1.1 trailthread");
             String length = made.headers().getFirst(Headers.CONTENT_LENGTH);
@@ -116,7 +126,9 @@
             exchange.setPersistent(false);
         }
         exchange.setStatusCode(status);
-        if (exchange.isPersistent() && closing.getAsBoolean() && !SentAhead.isBehind(exchange, room)) {
+        if (exchange.isPersistent()
+                && closing.getAsBoolean()
+                && !SentAhead.isBehind(exchange, room)) {
             exchange.setPersistent(false);
         }
     }
@@ -129,17 +141,19 @@
             exchange.getResponseSender().send(ByteBuffer.wrap(body));
         }
         if (!exchange.isResponseComplete()) {
-            loop.afterReading(READ_WITHIN_NS, () -> {
-                if (!exchange.isResponseComplete()) {
-                    IoUtils.safeClose(exchange.getConnection());
-                }
-            });
+            loop.afterReading(
+                    READ_WITHIN_NS,
+                    () -> {
+                        if (!exchange.isResponseComplete()) {
+                            IoUtils.safeClose(exchange.getConnection());
+                        }
+                    });
         }
     }
 
     /**
-     * Undertow reads nothing while a call is at work; a client that closes would go unnoticed. What it may
-     * send ahead instead is handed back for the next calls.
+     * Undertow reads nothing while a call is at work; a client that closes would go unnoticed. What
+     * it may send ahead instead is handed back for the next calls.
      */
     void watchClient(Runnable whenGone) {
         if (answered) {
@@ -147,7 +161,10 @@
         }
         gone = whenGone;
         AbstractServerConnection connection = (AbstractServerConnection) exchange.getConnection();
-        connection.getChannel().getSourceChannel().setReadListener(channel -> readAhead(connection));
+        connection
+                .getChannel()
+                .getSourceChannel()
+                .setReadListener(channel -> readAhead(connection));
         connection.getOriginalSourceConduit().resumeReads();
     }
 
@@ -158,7 +175,10 @@
         }
     }
 
-    /** Reads on while a call is at work; what finds no room stays in the socket, and hides that its client has left. */
+    /**
+     * Reads on while a call is at work; what finds no room stays in the socket, and hides that its
+     * client has left.
+     */
     private void readAhead(AbstractServerConnection connection) {
         boolean open;
         try {
--- a/daemon/src/main/java/trailthread/daemon/acceptor/LongAnswer.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/LongAnswer.java
@@ -6,12 +6,12 @@
 import org.xnio.IoUtils;
 import org.xnio.XnioExecutor;
 import org.xnio.channels.StreamSinkChannel;
-import trailthread.engine.loop.Loop;
 import trailthread.engine.http.ByteSink;
+import trailthread.engine.loop.Loop;
 
 /**
- * A long answer on its way to a client, piece by piece. What the client has not taken of one piece is kept until it
- * does, and no other is wanted meanwhile.
+ * A long answer on its way to a client, piece by piece. What the client has not taken of one piece
+ * is kept until it does, and no other is wanted meanwhile.
  */
 final class LongAnswer implements ByteSink {
     /** A client that takes nothing for so long loses the rest, and its connection. */
@@ -22,13 +22,17 @@
     private final StreamSinkChannel channel;
     private final Runnable more;
     private final Runnable gone;
+
     /** What the client has yet to take, or null. */
     private ByteBuffer left;
+
     private boolean ends;
     private boolean over;
     private XnioExecutor.Key look;
+
     /** Bytes that the client has taken, and how many these were when that was looked at last. */
     private long taken;
+
     private long takenBefore = -1;
 
     LongAnswer(Loop loop, HttpServerExchange exchange, Runnable more, Runnable gone) {
@@ -56,7 +60,11 @@
                 }
             }
             if (left != null) { // what was read in one go may bring several pieces
-                left = ByteBuffer.allocate(left.remaining() + piece.remaining()).put(left).put(piece).flip();
+                left =
+                        ByteBuffer.allocate(left.remaining() + piece.remaining())
+                                .put(left)
+                                .put(piece)
+                                .flip();
                 return false;
             }
         } catch (IOException e) {
--- a/daemon/src/main/java/trailthread/daemon/acceptor/PlainDecoder.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/PlainDecoder.java
@@ -15,12 +15,14 @@
 import trailthread.engine.worker.Passing;
 
 /**
- * Reads a call out of any HTTP client's request; pure. What the client does not say is made: the class by the method
- * (RFC 9110, 9.2), the id anew, the deadline by the class.
+ * Reads a call out of any HTTP client's request; pure. What the client does not say is made: the
+ * class by the method (RFC 9110, 9.2), the id anew, the deadline by the class.
  */
 final class PlainDecoder {
     /** What the node tells workers itself. */
-    private static final Set<String> OWN = Set.of("x-correlation-id", "x-time-left", "x-service-class");
+    private static final Set<String> OWN =
+            Set.of("x-correlation-id", "x-time-left", "x-service-class");
+
     private static final int MOST_LETTERS = 1024;
 
     private final PoolConfig pool;
@@ -41,12 +43,14 @@
      *
      * @param assigned the class that the route gives it, or null
      */
-    ClientCall decode(String method, Target target, HeaderMap headers, String assigned) throws BadCallException {
+    ClientCall decode(String method, Target target, HeaderMap headers, String assigned)
+            throws BadCallException {
         String key = once(headers, "Idempotency-Key");
         Repeats repeats = repeats(method, key);
         ClassConfig called = assigned == null ? called(headers, repeats) : named(assigned);
         if (called.repeats() == Repeats.KEYED && key == null) {
-            throw new BadCallException("class " + called.rules().name() + " needs an Idempotency-Key");
+            throw new BadCallException(
+                    "class " + called.rules().name() + " needs an Idempotency-Key");
         }
         String id = once(headers, "X-Correlation-Id");
         String timeLeft = once(headers, "X-Time-Left");
@@ -55,17 +59,30 @@
             throw new BadCallException("X-Time-Left must be seconds");
         }
         List<String> passed = new ArrayList<>(2 * headers.size());
-        boolean whole = EndToEnd.pass(headers, OWN, (name, value) -> {
-            passed.add(name.toString());
-            passed.add(value);
-        });
+        boolean whole =
+                EndToEnd.pass(
+                        headers,
+                        OWN,
+                        (name, value) -> {
+                            passed.add(name.toString());
+                            passed.add(value);
+                        });
         if (!whole) {
             throw new BadCallException("a header that can't be passed on");
         }
         String host = headers.getFirst("Host");
-        return new ClientCall(id == null || id.isEmpty() ? ids.get() : id, called.rules().name(),
-                once(headers, "X-Account"), Math.min(leftNs, called.rules().deadlineNs()),
-                "1".equals(headers.getFirst("X-Repeat")), 0, 0, method, target.origin(), key, null,
+        return new ClientCall(
+                id == null || id.isEmpty() ? ids.get() : id,
+                called.rules().name(),
+                once(headers, "X-Account"),
+                Math.min(leftNs, called.rules().deadlineNs()),
+                "1".equals(headers.getFirst("X-Repeat")),
+                0,
+                0,
+                method,
+                target.origin(),
+                key,
+                null,
                 new Passing(host == null ? "" : host, passed));
     }
 
@@ -85,9 +102,11 @@
             return pool.defaultClass(repeats);
         }
         ClassConfig named = named(name);
-        // Guards work that must not be done twice: a client may ask for less than its method allows, never for more.
+        // Guards work that must not be done twice: a client may ask for less than its method
+        // allows, never for more.
         if (named.repeats().compareTo(repeats) < 0) {
-            throw new BadCallException("class " + name + " may be repeated, and the method may not");
+            throw new BadCallException(
+                    "class " + name + " may be repeated, and the method may not");
         }
         return named;
     }
--- a/daemon/src/main/java/trailthread/daemon/acceptor/PlatformFront.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/PlatformFront.java
@@ -21,7 +21,10 @@
         taker = Taker.of(calls);
     }
 
-    /** Takes calls of these classes from now on; those whose head has been read are taken as they are. */
+    /**
+     * Takes calls of these classes from now on; those whose head has been read are taken as they
+     * are.
+     */
     public void retune(List<RequestClass> classes) {
         decoder = new CallDecoder(classes);
     }
@@ -34,8 +37,15 @@
     @Override
     public Incoming read(HttpServerExchange exchange) {
         try {
-            return new Incoming(decoder.decode(exchange.getRequestMethod().toString(), exchange.getRequestURI(),
-                    exchange.getQueryString(), exchange.getRequestHeaders()), taker, false, null);
+            return new Incoming(
+                    decoder.decode(
+                            exchange.getRequestMethod().toString(),
+                            exchange.getRequestURI(),
+                            exchange.getQueryString(),
+                            exchange.getRequestHeaders()),
+                    taker,
+                    false,
+                    null);
         } catch (BadCallException e) {
             LOG.debug("no call: {}", e.getMessage());
             return Incoming.none(Rejection.BAD_REQUEST);
--- a/daemon/src/main/java/trailthread/daemon/acceptor/SentAhead.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/SentAhead.java
@@ -9,8 +9,8 @@
 import trailthread.engine.loop.Loop;
 
 /**
- * What a client has sent ahead of an answer, past what a buffer of the pool holds: the next calls on its connection are
- * read from it. Out of the room that long bodies share.
+ * What a client has sent ahead of an answer, past what a buffer of the pool holds: the next calls
+ * on its connection are read from it. Out of the room that long bodies share.
  */
 final class SentAhead implements PooledByteBuffer {
     /** Of one connection no more is held: the rest waits in its socket. */
@@ -25,9 +25,10 @@
     }
 
     /**
-     * Whether the client has sent more than this request, and waits for what comes of that, too. Guards calls that have
-     * come whole behind it: ended with its answer, the connection would lose them. A loop that runs late has not read
-     * them, so the socket is read first, unless it still holds the request's own body.
+     * Whether the client has sent more than this request, and waits for what comes of that, too.
+     * Guards calls that have come whole behind it: ended with its answer, the connection would lose
+     * them. A loop that runs late has not read them, so the socket is read first, unless it still
+     * holds the request's own body.
      */
     static boolean isBehind(HttpServerExchange exchange, BodyRoom room) {
         if (!(exchange.getConnection() instanceof AbstractServerConnection connection)) {
@@ -76,7 +77,8 @@
     private static int freeAhead(AbstractServerConnection connection, BodyRoom room) {
         PooledByteBuffer kept = connection.getExtraBytes();
         if (kept == null) {
-            return Integer.MAX_VALUE; // a buffer of the pool, which holds as much as is read in one go
+            return Integer
+                    .MAX_VALUE; // a buffer of the pool, which holds as much as is read in one go
         }
         int free = kept.getBuffer().capacity() - kept.getBuffer().remaining();
         SentAhead larger = free > 0 ? null : twice(kept, room);
@@ -104,7 +106,8 @@
         if (capacity > MOST_BYTES || !room.take(capacity)) {
             return null;
         }
-        SentAhead larger = new SentAhead(room, ByteBuffer.allocate(capacity).put(kept.getBuffer()).flip());
+        SentAhead larger =
+                new SentAhead(room, ByteBuffer.allocate(capacity).put(kept.getBuffer()).flip());
         kept.close();
         return larger;
     }
--- a/daemon/src/main/java/trailthread/daemon/acceptor/ServiceFront.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/ServiceFront.java
@@ -21,7 +21,10 @@
 import trailthread.engine.routes.RouteTable;
 import trailthread.engine.routes.Target;
 
-/** Several services behind one address: a request's route says which pool takes it. Never changed once it is made. */
+/**
+ * Several services behind one address: a request's route says which pool takes it. Never changed
+ * once it is made.
+ */
 public final class ServiceFront implements Front {
     private static final Logger LOG = LoggerFactory.getLogger(ServiceFront.class);
 
@@ -35,8 +38,11 @@
             this.pool = pool;
             boolean isPlain = pool.config().profile() == Profile.PLAIN;
             plain = isPlain ? new PlainDecoder(pool.config(), ids) : null;
-            platform = isPlain ? null
-                    : new CallDecoder(pool.config().classes().stream().map(c -> c.rules()).toList());
+            platform =
+                    isPlain
+                            ? null
+                            : new CallDecoder(
+                                    pool.config().classes().stream().map(c -> c.rules()).toList());
         }
 
         @Override
@@ -72,7 +78,7 @@
      * Makes one.
      *
      * @param pools all that the routes name
-     * @param ids   makes ids for calls that bring none
+     * @param ids makes ids for calls that bring none
      */
     public ServiceFront(RouteTable routes, Map<String, Pool> pools, Supplier<String> ids) {
         this.routes = routes;
@@ -91,19 +97,33 @@
         String method = exchange.getRequestMethod().toString();
         String query = exchange.getQueryString();
         try {
-            Target target = Target.parse(method,
-                    query.isEmpty() ? exchange.getRequestURI() : exchange.getRequestURI() + "?" + query,
-                    headers.contains(Headers.HOST) ? headers.get(Headers.HOST) : List.of(),
-                    exchange.getProtocol().equals(Protocols.HTTP_1_1));
-            Route route = routes.match(new Asked(target.host(), target.segments(), method,
-                    name -> headers.count(name) == 1 ? headers.getFirst(name) : null,
-                    headers.getFirst(CallDecoder.SERVICE_CLASS)));
+            Target target =
+                    Target.parse(
+                            method,
+                            query.isEmpty()
+                                    ? exchange.getRequestURI()
+                                    : exchange.getRequestURI() + "?" + query,
+                            headers.contains(Headers.HOST) ? headers.get(Headers.HOST) : List.of(),
+                            exchange.getProtocol().equals(Protocols.HTTP_1_1));
+            Route route =
+                    routes.match(
+                            new Asked(
+                                    target.host(),
+                                    target.segments(),
+                                    method,
+                                    name ->
+                                            headers.count(name) == 1
+                                                    ? headers.getFirst(name)
+                                                    : null,
+                                    headers.getFirst(CallDecoder.SERVICE_CLASS)));
             if (route == null) {
                 return Incoming.none(Rejection.NO_ROUTE);
             }
             Service service = services.get(route.pool());
-            ClientCall call = service.plain != null ? service.plain.decode(method, target, headers, route.assigns())
-                    : service.platform.decode(method, path(target), query, headers);
+            ClientCall call =
+                    service.plain != null
+                            ? service.plain.decode(method, target, headers, route.assigns())
+                            : service.platform.decode(method, path(target), query, headers);
             return new Incoming(call, service, service.plain != null, null);
         } catch (BadTargetException | BadCallException e) {
             LOG.debug("no call: {}", e.getMessage());
--- a/daemon/src/main/java/trailthread/daemon/operator/Bodies.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/Bodies.java
@@ -15,8 +15,9 @@
 import trailthread.engine.loop.Loop;
 
 /**
- * What the endpoint answers. The loop only takes the snapshot; it is rendered beside the loop, and then goes
- * to all who ask within a while, so that the loop's time does not depend on how often they do.
+ * What the endpoint answers. The loop only takes the snapshot; it is rendered beside the loop, and
+ * then goes to all who ask within a while, so that the loop's time does not depend on how often
+ * they do.
  */
 final class Bodies {
     private static final Logger LOG = LoggerFactory.getLogger(Bodies.class);
@@ -76,22 +77,25 @@
         if (slot.waiting.size() == 1) {
             long now = loop.now();
             Snapshot snapshot = snapshots.get();
-            loop.worker().execute(() -> {
-                byte[] body = null;
-                try {
-                    body = render(form, snapshot);
-                } finally {
-                    byte[] made = body;
-                    loop.execute(() -> made(slot, made, now));
-                }
-            });
+            loop.worker()
+                    .execute(
+                            () -> {
+                                byte[] body = null;
+                                try {
+                                    body = render(form, snapshot);
+                                } finally {
+                                    byte[] made = body;
+                                    loop.execute(() -> made(slot, made, now));
+                                }
+                            });
         }
     }
 
     private byte[] render(Form form, Snapshot snapshot) {
         try {
             ProcessFigures process = ProcessFigures.read();
-            return form.writer == null ? StatusJson.render(snapshot, process, name, version)
+            return form.writer == null
+                    ? StatusJson.render(snapshot, process, name, version)
                     : Exposition.render(snapshot, process, name, version, form.writer);
         } catch (IOException | RuntimeException e) {
             LOG.error("the figures for operators can't be told", e);
--- a/daemon/src/main/java/trailthread/daemon/operator/Durations.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/Durations.java
@@ -4,9 +4,26 @@
 
 /** How long something took, counted by classes of length. */
 final class Durations {
-    /** Upper bounds in seconds: from what the loop does between two polls to what no client waits for. */
+    /**
+     * Upper bounds in seconds: from what the loop does between two polls to what no client waits
+     * for.
+     */
     private static final double[] UP_TO = {
-        0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, Double.POSITIVE_INFINITY};
+        0.001,
+        0.0025,
+        0.005,
+        0.01,
+        0.025,
+        0.05,
+        0.1,
+        0.25,
+        0.5,
+        1,
+        2.5,
+        5,
+        10,
+        Double.POSITIVE_INFINITY
+    };
 
     private final long[] counts;
     private double sumS;
--- a/daemon/src/main/java/trailthread/daemon/operator/FleetFigures.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/FleetFigures.java
@@ -11,13 +11,21 @@
  * All workers, told in a bounded space.
  *
  * @param worst the worst of them, the worst first
- * @param rest  how many more there are; what follows is their sum
+ * @param rest how many more there are; what follows is their sum
  */
-record FleetFigures(int ready, int draining, List<WorkerFigures> worst, int rest, long restInFlight,
-                    long restAttempts, long restFailures, double restQueue) {
+record FleetFigures(
+        int ready,
+        int draining,
+        List<WorkerFigures> worst,
+        int rest,
+        long restInFlight,
+        long restAttempts,
+        long restFailures,
+        double restQueue) {
 
     static FleetFigures of(Collection<WorkerFigures> workers, int most) {
-        PriorityQueue<WorkerFigures> worst = new PriorityQueue<>(most + 1, WorkerFigures.BEST_FIRST);
+        PriorityQueue<WorkerFigures> worst =
+                new PriorityQueue<>(most + 1, WorkerFigures.BEST_FIRST);
         int ready = 0;
         int rest = 0;
         long inFlight = 0;
@@ -44,7 +52,7 @@
             shown.add(worst.poll().copy());
         }
         Collections.reverse(shown);
-        return new FleetFigures(ready, workers.size() - ready, shown, rest, inFlight, attempts, failures,
-                queue);
+        return new FleetFigures(
+                ready, workers.size() - ready, shown, rest, inFlight, attempts, failures, queue);
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/operator/NodeMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/NodeMetrics.java
@@ -149,17 +149,22 @@
     }
 
     /**
-     * The figures that the operators ask for by names of their own, one a line; docs/operations.md explains them.
-     * By hand, as Prometheus' writers would add an ending to each counter's name, and so that none is older than the
-     * answer.
+     * The figures that the operators ask for by names of their own, one a line; docs/operations.md
+     * explains them. By hand, as Prometheus' writers would add an ending to each counter's name,
+     * and so that none is older than the answer.
      */
     String figures(NodeView view) {
         StringBuilder out = new StringBuilder(64 * (classes.size() + 1) * Answer.values().length);
         long current = 0;
         for (Answer answer : Answer.values()) {
             for (Map.Entry<String, ClassFigures> e : classes.entrySet()) {
-                out.append("app_").append(wordFor(answer)).append("{group=\"").append(escaped(e.getKey()))
-                        .append("\"} ").append(e.getValue().answers[answer.ordinal()]).append('\n');
+                out.append("app_")
+                        .append(wordFor(answer))
+                        .append("{group=\"")
+                        .append(escaped(e.getKey()))
+                        .append("\"} ")
+                        .append(e.getValue().answers[answer.ordinal()])
+                        .append('\n');
             }
         }
         for (ClassFigures figures : classes.values()) {
@@ -199,9 +204,21 @@
         changes.putAll(levelChanges);
         Map<String, ClassFigures> copies = new LinkedHashMap<>();
         classes.forEach((name, figures) -> copies.put(name, figures.copy()));
-        return new Snapshot(view.isReady(), level, levelSince, changes, new LinkedHashMap<>(view.readings()),
-                copies, rejections.clone(), attempts.clone(), attemptsAtWork, probes.clone(), lateness.copy(),
-                new LinkedHashMap<>(view.clientConnections()), new LinkedHashMap<>(view.workerConnections()),
-                view.descriptorLimit(), FleetFigures.of(workers.values(), MOST_WORKERS_SHOWN));
+        return new Snapshot(
+                view.isReady(),
+                level,
+                levelSince,
+                changes,
+                new LinkedHashMap<>(view.readings()),
+                copies,
+                rejections.clone(),
+                attempts.clone(),
+                attemptsAtWork,
+                probes.clone(),
+                lateness.copy(),
+                new LinkedHashMap<>(view.clientConnections()),
+                new LinkedHashMap<>(view.workerConnections()),
+                view.descriptorLimit(),
+                FleetFigures.of(workers.values(), MOST_WORKERS_SHOWN));
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/operator/OperatorConnections.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/OperatorConnections.java
@@ -11,8 +11,10 @@
     /** One connection. */
     private static final class Client {
         private boolean busy;
+
         /** When its last answer ended, or it was opened. */
         private long idleSince;
+
         /** Its next answer goes out no sooner. */
         private long nextAt;
     }
--- a/daemon/src/main/java/trailthread/daemon/operator/OperatorEndpoint.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/OperatorEndpoint.java
@@ -31,17 +31,23 @@
 import trailthread.engine.meter.NodeView;
 
 /**
- * The operators' door to the node, over HTTP: under {@code /-/} what they do to it and the figures that they ask for
- * by names of their own; {@code /metrics} for Prometheus, {@code /status} in JSON, {@code /ready}. It runs on the
- * node's loop beside the calls, and takes little of it whatever its clients do.
- * A node whose operators want nothing makes none, and then loads no class of this package.
+ * The operators' door to the node, over HTTP: under {@code /-/} what they do to it and the figures
+ * that they ask for by names of their own; {@code /metrics} for Prometheus, {@code /status} in
+ * JSON, {@code /ready}. It runs on the node's loop beside the calls, and takes little of it
+ * whatever its clients do. A node whose operators want nothing makes none, and then loads no class
+ * of this package.
  */
 public final class OperatorEndpoint {
     private static final Logger LOG = LoggerFactory.getLogger(OperatorEndpoint.class);
     private static final int MOST_HEADER_BYTES = 8 * 1024;
     private static final int MOST_HEADERS = 64;
-    /** Descriptors that it holds at the most: its address, its connections, and one that is turned away. */
+
+    /**
+     * Descriptors that it holds at the most: its address, its connections, and one that is turned
+     * away.
+     */
     public static final int MOST_DESCRIPTORS = 2 + Limits.MOST_CONNECTIONS;
+
     private static final int MOST_BODY_BYTES = 4 * 1024;
     private static final int BACKLOG = 64;
     private static final String OWN_PATHS = "/-/";
@@ -63,14 +69,20 @@
         this(loop, name, classes, view, Limits.USUAL);
     }
 
-    OperatorEndpoint(Loop loop, String name, List<RequestClass> classes, NodeView view, Limits limits) {
+    OperatorEndpoint(
+            Loop loop, String name, List<RequestClass> classes, NodeView view, Limits limits) {
         this.loop = loop;
         this.limits = limits;
         this.view = view;
         metrics = new NodeMetrics(classes.stream().map(RequestClass::name).toList());
         String version = OperatorEndpoint.class.getPackage().getImplementationVersion();
-        bodies = new Bodies(loop, name, version == null ? "unknown" : version, limits.freshNs(),
-                () -> metrics.snapshot(view));
+        bodies =
+                new Bodies(
+                        loop,
+                        name,
+                        version == null ? "unknown" : version,
+                        limits.freshNs(),
+                        () -> metrics.snapshot(view));
         connections = new OperatorConnections(limits);
     }
 
@@ -90,28 +102,41 @@
      * @param steers what operators may do to the node
      * @throws BindException if the address can't be had; the message names the key
      */
-    public InetSocketAddress listen(InetSocketAddress address, NodeControl steers) throws IOException {
+    public InetSocketAddress listen(InetSocketAddress address, NodeControl steers)
+            throws IOException {
         control = steers;
-        HttpOpenListener http = new HttpOpenListener(loop.buffers(), OptionMap.builder()
-                .set(UndertowOptions.MAX_HEADER_SIZE, MOST_HEADER_BYTES)
-                .set(UndertowOptions.MAX_HEADERS, MOST_HEADERS)
-                .set(UndertowOptions.REQUEST_PARSE_TIMEOUT, limits.headMs())
-                .set(UndertowOptions.NO_REQUEST_TIMEOUT, limits.idleMs())
-                .set(UndertowOptions.ALWAYS_SET_DATE, false)
-                .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
-                .set(UndertowOptions.DECODE_URL, false)
-                .getMap());
+        HttpOpenListener http =
+                new HttpOpenListener(
+                        loop.buffers(),
+                        OptionMap.builder()
+                                .set(UndertowOptions.MAX_HEADER_SIZE, MOST_HEADER_BYTES)
+                                .set(UndertowOptions.MAX_HEADERS, MOST_HEADERS)
+                                .set(UndertowOptions.REQUEST_PARSE_TIMEOUT, limits.headMs())
+                                .set(UndertowOptions.NO_REQUEST_TIMEOUT, limits.idleMs())
+                                .set(UndertowOptions.ALWAYS_SET_DATE, false)
+                                .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
+                                .set(UndertowOptions.DECODE_URL, false)
+                                .getMap());
         http.setRootHandler(this::handle);
         ChannelListener<AcceptingChannel<StreamConnection>> accept =
                 ChannelListeners.openListenerAdapter(connection -> opened(connection, http));
         try {
-            server = loop.worker().createStreamConnectionServer(address, accept, OptionMap.builder()
-                    .set(Options.TCP_NODELAY, true)
-                    .set(Options.REUSE_ADDRESSES, true)
-                    .set(Options.BACKLOG, BACKLOG)
-                    .set(Options.CONNECTION_HIGH_WATER, limits.connections() + 1)
-                    .set(Options.CONNECTION_LOW_WATER, limits.connections() + 1)
-                    .getMap());
+            server =
+                    loop.worker()
+                            .createStreamConnectionServer(
+                                    address,
+                                    accept,
+                                    OptionMap.builder()
+                                            .set(Options.TCP_NODELAY, true)
+                                            .set(Options.REUSE_ADDRESSES, true)
+                                            .set(Options.BACKLOG, BACKLOG)
+                                            .set(
+                                                    Options.CONNECTION_HIGH_WATER,
+                                                    limits.connections() + 1)
+                                            .set(
+                                                    Options.CONNECTION_LOW_WATER,
+                                                    limits.connections() + 1)
+                                            .getMap());
         } catch (IOException | UnresolvedAddressException e) {
             throw new BindException("management: " + address + ": " + e.getMessage());
         }
@@ -124,21 +149,24 @@
 
     /** Ends it, with all its connections. */
     public void close() {
-        loop.execute(() -> {
-            closed = true;
-            IoUtils.safeClose(server);
-            connections.closeAll();
-        });
+        loop.execute(
+                () -> {
+                    closed = true;
+                    IoUtils.safeClose(server);
+                    connections.closeAll();
+                });
     }
 
     private void watchLateness() {
         long dueAt = loop.now() + LATENESS_EVERY_NS;
-        loop.after(LATENESS_EVERY_NS, () -> {
-            metrics.late(loop.now() - dueAt);
-            if (!closed) {
-                watchLateness();
-            }
-        });
+        loop.after(
+                LATENESS_EVERY_NS,
+                () -> {
+                    metrics.late(loop.now() - dueAt);
+                    if (!closed) {
+                        watchLateness();
+                    }
+                });
     }
 
     private void opened(StreamConnection connection, HttpOpenListener http) {
@@ -154,53 +182,69 @@
         if (!resting) {
             resting = true;
             server.suspendAccepts();
-            loop.after(limits.acceptEveryNs(), () -> {
-                resting = false;
-                if (!closed) {
-                    server.resumeAccepts();
-                }
-            });
+            loop.after(
+                    limits.acceptEveryNs(),
+                    () -> {
+                        resting = false;
+                        if (!closed) {
+                            server.resumeAccepts();
+                        }
+                    });
         }
     }
 
     private void handle(HttpServerExchange exchange) {
-        StreamConnection connection = ((AbstractServerConnection) exchange.getConnection()).getChannel();
+        StreamConnection connection =
+                ((AbstractServerConnection) exchange.getConnection()).getChannel();
         long now = loop.now();
         long answerAt = connections.began(connection, now);
-        exchange.addExchangeCompleteListener((done, next) -> {
-            connections.ended(connection, loop.now());
-            next.proceed();
-        });
+        exchange.addExchangeCompleteListener(
+                (done, next) -> {
+                    connections.ended(connection, loop.now());
+                    next.proceed();
+                });
         if (exchange.getRequestPath().startsWith(OWN_PATHS)) {
             exchange.setPersistent(false); // one call to a connection
             exchange.getRequestReceiver().setMaxBufferSize(MOST_BODY_BYTES);
-            exchange.getRequestReceiver().receiveFullBytes((whole, body) -> own(whole),
-                    (spoilt, e) -> end(spoilt, StatusCodes.BAD_REQUEST));
+            exchange.getRequestReceiver()
+                    .receiveFullBytes(
+                            (whole, body) -> own(whole),
+                            (spoilt, e) -> end(spoilt, StatusCodes.BAD_REQUEST));
             return;
         }
-        if (!exchange.isRequestComplete()) { // no request here has a body: what follows can't be trusted
+        if (!exchange
+                .isRequestComplete()) { // no request here has a body: what follows can't be trusted
             Connectors.terminateRequest(exchange);
             exchange.setPersistent(false);
             exchange.setStatusCode(StatusCodes.REQUEST_ENTITY_TOO_LARGE);
             exchange.endExchange();
             return;
         }
-        exchange.dispatch(SameThreadExecutor.INSTANCE,
+        exchange.dispatch(
+                SameThreadExecutor.INSTANCE,
                 () -> loop.after(answerAt - now, () -> answer(exchange)));
     }
 
-    /** What the operators ask for under names of their own: here whole, so that half a call does nothing. */
+    /**
+     * What the operators ask for under names of their own: here whole, so that half a call does
+     * nothing.
+     */
     private void own(HttpServerExchange exchange) {
-        String what = exchange.getRequestMethod() + " " + exchange.getRequestPath().substring(OWN_PATHS.length());
+        String what =
+                exchange.getRequestMethod()
+                        + " "
+                        + exchange.getRequestPath().substring(OWN_PATHS.length());
         switch (what) {
             case "GET ready" -> end(exchange, yesOrNo(view.isReady()));
             case "POST drain" -> end(exchange, yesOrNo(control.drain()));
             case "POST resume" -> end(exchange, yesOrNo(control.resume()));
             case "GET metrics" -> {
-                exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain; version=0.0.4; charset=utf-8");
+                exchange.getResponseHeaders()
+                        .put(Headers.CONTENT_TYPE, "text/plain; version=0.0.4; charset=utf-8");
                 exchange.getResponseSender().send(metrics.figures(view));
             }
-            case "GET status" -> bodies.ask(Bodies.Form.JSON, body -> tell(exchange, Bodies.Form.JSON, body));
+            case "GET status" ->
+                    bodies.ask(Bodies.Form.JSON, body -> tell(exchange, Bodies.Form.JSON, body));
             default -> end(exchange, StatusCodes.NOT_FOUND);
         }
     }
@@ -220,8 +264,11 @@
         } else if (path.equals("/ready")) {
             end(exchange, view.isReady() ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE);
         } else {
-            Bodies.Form form = path.equals("/status") ? Bodies.Form.JSON
-                    : Bodies.Form.accepted(exchange.getRequestHeaders().getFirst(Headers.ACCEPT));
+            Bodies.Form form =
+                    path.equals("/status")
+                            ? Bodies.Form.JSON
+                            : Bodies.Form.accepted(
+                                    exchange.getRequestHeaders().getFirst(Headers.ACCEPT));
             bodies.ask(form, body -> tell(exchange, form, body));
         }
     }
@@ -239,11 +286,13 @@
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, form.contentType());
         exchange.getResponseSender().send(ByteBuffer.wrap(body));
         if (!exchange.isResponseComplete()) {
-            loop.after(limits.readWithinNs(), () -> {
-                if (!exchange.isResponseComplete()) {
-                    IoUtils.safeClose(exchange.getConnection());
-                }
-            });
+            loop.after(
+                    limits.readWithinNs(),
+                    () -> {
+                        if (!exchange.isResponseComplete()) {
+                            IoUtils.safeClose(exchange.getConnection());
+                        }
+                    });
         }
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/operator/Snapshot.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/Snapshot.java
@@ -5,15 +5,26 @@
 /**
  * All figures of one moment. Nothing changes it, so that it may be rendered beside the loop.
  *
- * @param level        or null if the node has told of none
- * @param levelSince   Unix time in nanoseconds
+ * @param level or null if the node has told of none
+ * @param levelSince Unix time in nanoseconds
  * @param levelChanges how often each level was entered from another one, in the order of levels
- * @param rejections   by the ordinal of {@link trailthread.engine.meter.Rejection}
- * @param attempts     those ended, by the ordinal of {@link trailthread.BalancerApi.Outcome}; so are probes
+ * @param rejections by the ordinal of {@link trailthread.engine.meter.Rejection}
+ * @param attempts those ended, by the ordinal of {@link trailthread.BalancerApi.Outcome}; so are
+ *     probes
  */
-record Snapshot(boolean ready, String level, long levelSince, Map<String, Long> levelChanges,
-                Map<String, Double> readings, Map<String, ClassFigures> classes, long[] rejections,
-                long[] attempts, long attemptsAtWork, long[] probes, Durations lateness,
-                Map<String, Integer> clientConnections, Map<String, Integer> workerConnections,
-                int descriptorLimit, FleetFigures fleet) {
-}
+record Snapshot(
+        boolean ready,
+        String level,
+        long levelSince,
+        Map<String, Long> levelChanges,
+        Map<String, Double> readings,
+        Map<String, ClassFigures> classes,
+        long[] rejections,
+        long[] attempts,
+        long attemptsAtWork,
+        long[] probes,
+        Durations lateness,
+        Map<String, Integer> clientConnections,
+        Map<String, Integer> workerConnections,
+        int descriptorLimit,
+        FleetFigures fleet) {}
--- a/daemon/src/main/java/trailthread/daemon/operator/StatusJson.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/StatusJson.java
@@ -21,7 +21,8 @@
         this.out = out;
     }
 
-    static byte[] render(Snapshot s, ProcessFigures process, String name, String version) throws IOException {
+    static byte[] render(Snapshot s, ProcessFigures process, String name, String version)
+            throws IOException {
         StringWriter text = new StringWriter();
         try (JsonWriter writer = new JsonWriter(text)) {
             writer.setIndent(" ");
@@ -31,14 +32,18 @@
         return text.append('\n').toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private void write(Snapshot s, ProcessFigures process, String name, String version) throws IOException {
+    private void write(Snapshot s, ProcessFigures process, String name, String version)
+            throws IOException {
         out.beginObject();
         out.name("name").value(name);
         out.name("version").value(version);
         out.name("ready").value(s.ready());
         out.name("level").value(s.level());
-        out.name("since").value(s.level() == null ? null
-                : Instant.ofEpochSecond(0, s.levelSince()).toString());
+        out.name("since")
+                .value(
+                        s.level() == null
+                                ? null
+                                : Instant.ofEpochSecond(0, s.levelSince()).toString());
         object("level_changes", s.levelChanges());
         object("readings", s.readings());
         calls(s);
--- a/daemon/src/main/java/trailthread/daemon/operator/WorkerFigures.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/WorkerFigures.java
@@ -8,10 +8,11 @@
 /** What this node has seen of one worker. */
 final class WorkerFigures {
     /** The best first: those that fail less, then those with less to do, then the faster. */
-    static final Comparator<WorkerFigures> BEST_FIRST = Comparator
-            .comparingDouble((WorkerFigures w) -> w.failureRatio)
-            .thenComparingDouble(w -> w.inFlight + orZero(w.queue))
-            .thenComparingDouble(w -> orZero(w.latencyS));
+    static final Comparator<WorkerFigures> BEST_FIRST =
+            Comparator.comparingDouble((WorkerFigures w) -> w.failureRatio)
+                    .thenComparingDouble(w -> w.inFlight + orZero(w.queue))
+                    .thenComparingDouble(w -> orZero(w.latencyS));
+
     /** Weight of one attempt in the smoothed figures: some ten attempts of memory. */
     private static final double WEIGHT = 0.1;
 
@@ -20,10 +21,13 @@
     long inFlight;
     long attempts;
     long failures;
+
     /** Smoothed share of attempts that failed. */
     double failureRatio;
+
     /** Smoothed time of those served; NaN: there were none. */
     double latencyS = Double.NaN;
+
     /** The queue that the worker told of last; NaN: it told of none. */
     double queue = Double.NaN;
 
@@ -48,7 +52,9 @@
     }
 
     void ended(Outcome outcome, long latencyNs, Load load) {
-        inFlight = Math.max(0, inFlight - 1); // one begun before the worker left the list and came back
+        inFlight =
+                Math.max(
+                        0, inFlight - 1); // one begun before the worker left the list and came back
         told(load);
         if (outcome == Outcome.MOOT || outcome == Outcome.CANCELLED) {
             return; // says nothing of the worker
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -30,20 +30,26 @@
 import trailthread.engine.routes.RouteTable;
 import trailthread.engine.worker.Workers;
 
-/** A node with several services, by an operator's file: its pools, the routes to them, their reload. */
+/**
+ * A node with several services, by an operator's file: its pools, the routes to them, their reload.
+ */
 public final class ServiceNode implements NodeView {
     private static final Logger LOG = LoggerFactory.getLogger(ServiceNode.class);
     private static final int OWN_DESCRIPTORS = 48;
     private static final double CLIENTS_SHARE = 0.6;
+
     /**
-     * Clients are not bound to a part of the descriptors here, so idle connections make room later than on the
-     * platform: with 0.75, from two thirds of the places on after 2 s, from seven eighths on after 0.1 s.
+     * Clients are not bound to a part of the descriptors here, so idle connections make room later
+     * than on the platform: with 0.75, from two thirds of the places on after 2 s, from seven
+     * eighths on after 0.1 s.
      */
     private static final double FULL_SHARE = 0.75;
 
     private final Path path;
+
     /** As it was read last and is in force. */
     private volatile OperatorFile file;
+
     private final Loop loop;
     private final OperatorEndpoint operator;
     private final Meter meter;
@@ -56,24 +62,47 @@
     private final String idPrefix;
     private long lastId;
 
-    /** Makes a node of a file that was read from this path, and is read from there again at each reload. */
+    /**
+     * Makes a node of a file that was read from this path, and is read from there again at each
+     * reload.
+     */
     public ServiceNode(Path path, OperatorFile file) throws IOException {
         this.path = path;
         this.file = file;
         loop = new Loop(file.name());
-        random = new SplittableRandom(file.seed() == null ? new SecureRandom().nextLong() : file.seed());
+        random =
+                new SplittableRandom(
+                        file.seed() == null ? new SecureRandom().nextLong() : file.seed());
         idPrefix = Long.toHexString(new SecureRandom().nextLong()) + "-";
-        operator = file.operatorListen() == null ? null
-                : new OperatorEndpoint(loop, file.name(), classes(file.services()), this);
+        operator =
+                file.operatorListen() == null
+                        ? null
+                        : new OperatorEndpoint(loop, file.name(), classes(file.services()), this);
         meter = operator == null ? Meter.OFF : operator.meter();
         ServicesConfig services = file.services();
         shares = new Shares(loop, services.calls(), services.connections(), services.bodyBytes());
-        int forClients = (int) (CLIENTS_SHARE * (file.descriptors() - OWN_DESCRIPTORS
-                - (operator == null ? 0 : OperatorEndpoint.MOST_DESCRIPTORS)));
-        acceptor = new Acceptor(loop, forClients, (int) (forClients / FULL_SHARE),
-                new ServiceFront(new RouteTable(List.of()), Map.of(), this::newId), meter);
+        int forClients =
+                (int)
+                        (CLIENTS_SHARE
+                                * (file.descriptors()
+                                        - OWN_DESCRIPTORS
+                                        - (operator == null
+                                                ? 0
+                                                : OperatorEndpoint.MOST_DESCRIPTORS)));
+        acceptor =
+                new Acceptor(
+                        loop,
+                        forClients,
+                        (int) (forClients / FULL_SHARE),
+                        new ServiceFront(new RouteTable(List.of()), Map.of(), this::newId),
+                        meter);
         drain = new Drain(loop, acceptor);
-        shutdown = new GracefulShutdown(loop, acceptor, drain, (newOnes, all) -> { }); // its operator says when to kill
+        shutdown =
+                new GracefulShutdown(
+                        loop,
+                        acceptor,
+                        drain,
+                        (newOnes, all) -> {}); // its operator says when to kill
     }
 
     private static List<RequestClass> classes(ServicesConfig services) {
@@ -81,8 +110,17 @@
         for (PoolConfig pool : services.pools()) {
             for (PoolConfig.ClassConfig c : pool.classes()) {
                 RequestClass r = c.rules();
-                named.add(new RequestClass(pool.name() + "/" + r.name(), r.aimNs(), r.aimStretch(), r.deadlineNs(),
-                        r.semantics(), r.group(), r.windowNs(), r.worth(), r.lateWorth()));
+                named.add(
+                        new RequestClass(
+                                pool.name() + "/" + r.name(),
+                                r.aimNs(),
+                                r.aimStretch(),
+                                r.deadlineNs(),
+                                r.semantics(),
+                                r.group(),
+                                r.windowNs(),
+                                r.worth(),
+                                r.lateWorth()));
             }
         }
         return named;
@@ -95,10 +133,11 @@
         }
         loop.execute(() -> apply(file)); // before the first call can come
         InetSocketAddress listens = acceptor.listen(address(file.listen()));
-        loop.execute(() -> {
-            acceptor.setReady(true);
-            LOG.info("{} serves on {}", file.name(), listens);
-        });
+        loop.execute(
+                () -> {
+                    acceptor.setReady(true);
+                    LOG.info("{} serves on {}", file.name(), listens);
+                });
     }
 
     private static InetSocketAddress address(String hostPort) {
@@ -107,39 +146,51 @@
 
     /** Reads the file again, beside the loop, and puts it in force as a whole, or not at all. */
     public void reload() {
-        loop.worker().execute(() -> {
-            OperatorFile.Result result = OperatorFileReader.read(path);
-            for (Fault fault : result.faults()) {
-                LOG.error("{}", fault);
-            }
-            if (result.read() == null) {
-                LOG.error("{} is not taken over: {} faults", path, result.faults().size());
-                loop.execute(() -> meter.reloaded(false));
-                return;
-            }
-            loop.execute(() -> takeOver(result.read()));
-        });
+        loop.worker()
+                .execute(
+                        () -> {
+                            OperatorFile.Result result = OperatorFileReader.read(path);
+                            for (Fault fault : result.faults()) {
+                                LOG.error("{}", fault);
+                            }
+                            if (result.read() == null) {
+                                LOG.error(
+                                        "{} is not taken over: {} faults",
+                                        path,
+                                        result.faults().size());
+                                loop.execute(() -> meter.reloaded(false));
+                                return;
+                            }
+                            loop.execute(() -> takeOver(result.read()));
+                        });
     }
 
     private void takeOver(OperatorFile next) {
         ServicesConfig now = file.services();
         ServicesConfig then = next.services();
-        boolean same = now.calls() == then.calls() && now.connections() == then.connections()
-                && now.bodyBytes() == then.bodyBytes();
+        boolean same =
+                now.calls() == then.calls()
+                        && now.connections() == then.connections()
+                        && now.bodyBytes() == then.bodyBytes();
         if (!same) {
             LOG.error("{} is not taken over: descriptors and body_memory take a restart", path);
             meter.reloaded(false);
             return;
         }
-        if (!next.listen().equals(file.listen()) || !next.name().equals(file.name())
-                || !String.valueOf(next.operatorListen()).equals(String.valueOf(file.operatorListen()))) {
+        if (!next.listen().equals(file.listen())
+                || !next.name().equals(file.name())
+                || !String.valueOf(next.operatorListen())
+                        .equals(String.valueOf(file.operatorListen()))) {
             LOG.warn("{}: name and listen wait for the next start", path);
         }
         apply(next);
         meter.reloaded(true);
     }
 
-    /** Between two calls: pools that did not change stay as they are, the rest begins or ends, routes go over. */
+    /**
+     * Between two calls: pools that did not change stay as they are, the rest begins or ends,
+     * routes go over.
+     */
     private void apply(OperatorFile next) {
         Map<String, Pool> old = new LinkedHashMap<>(pools);
         pools.clear();
@@ -167,13 +218,20 @@
         }
         file = next;
         acceptor.setFront(front());
-        LOG.info("{} pools kept, {} begun, {} ending; {} routes", kept, begun.size(), old.size(),
+        LOG.info(
+                "{} pools kept, {} begun, {} ending; {} routes",
+                kept,
+                begun.size(),
+                old.size(),
                 next.services().routes().size());
     }
 
     private static long longestNs(ServicesConfig services) {
-        return services.pools().stream().flatMap(pool -> pool.classes().stream())
-                .mapToLong(c -> c.rules().deadlineNs()).max().orElse(0);
+        return services.pools().stream()
+                .flatMap(pool -> pool.classes().stream())
+                .mapToLong(c -> c.rules().deadlineNs())
+                .max()
+                .orElse(0);
     }
 
     private ServiceFront front() {
@@ -184,12 +242,15 @@
         return idPrefix + Long.toHexString(++lastId);
     }
 
-    /** Serves on for a while, then finishes every call taken; returns when all have had their time. */
+    /**
+     * Serves on for a while, then finishes every call taken; returns when all have had their time.
+     */
     public void stop() throws InterruptedException {
         shutdown.await(file.name());
     }
 
-    // ---- what it says of itself --------------------------------------------------------------------
+    // ---- what it says of itself
+    // --------------------------------------------------------------------
 
     @Override
     public boolean isReady() {
@@ -219,7 +280,11 @@
         Map<String, Integer> sums = new LinkedHashMap<>();
         sums.put("idle", 0);
         sums.put("busy", 0);
-        pools.values().forEach(pool -> pool.connections().forEach((state, n) -> sums.merge(state, n, Integer::sum)));
+        pools.values()
+                .forEach(
+                        pool ->
+                                pool.connections()
+                                        .forEach((state, n) -> sums.merge(state, n, Integer::sum)));
         return sums;
     }
 
--- a/daemon/src/test/java/trailthread/daemon/ArchitectureTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ArchitectureTest.java
@@ -16,72 +16,120 @@
 
 /** The directions of dependencies between the folders, and what may do no I/O. */
 public class ArchitectureTest {
-    private static final JavaClasses PRODUCT = new ClassFileImporter()
-            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
-            .importPackages("trailthread")
-            .that(DescribedPredicate.not(resideInAPackage("trailthread.testkit")));
+    private static final JavaClasses PRODUCT =
+            new ClassFileImporter()
+                    .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+                    .importPackages("trailthread")
+                    .that(DescribedPredicate.not(resideInAPackage("trailthread.testkit")));
 
     /** Guards against tests that pass because they look at nothing. */
     @Test
     public void allFoldersAreLookedAt() {
-        for (String name : new String[] {"trailthread.Balancer", "trailthread.levels.Levels",
-            "trailthread.adapter.Adapter", "trailthread.engine.call.Call", "trailthread.engine.routes.Route",
-            "trailthread.daemon.services.ServiceNode", "trailthread.daemon.Main"}) {
+        for (String name :
+                new String[] {
+                    "trailthread.Balancer",
+                    "trailthread.levels.Levels",
+                    "trailthread.adapter.Adapter",
+                    "trailthread.engine.call.Call",
+                    "trailthread.engine.routes.Route",
+                    "trailthread.daemon.services.ServiceNode",
+                    "trailthread.daemon.Main"
+                }) {
             PRODUCT.get(name);
         }
     }
 
     @Test
     public void foldersDependOneWay() {
-        layeredArchitecture().consideringOnlyDependenciesInLayers()
-                .layer("decisions").definedBy("trailthread", "trailthread.levels..", "trailthread.settings..")
-                .layer("adapter").definedBy("trailthread.adapter..")
-                .layer("engine").definedBy("trailthread.engine..")
-                .layer("configuration").definedBy("trailthread.configuration..")
-                .layer("daemon").definedBy("trailthread.daemon..")
-                .whereLayer("daemon").mayNotBeAccessedByAnyLayer()
-                .whereLayer("adapter").mayOnlyBeAccessedByLayers("daemon")
-                .whereLayer("engine").mayOnlyBeAccessedByLayers("configuration", "daemon")
-                .whereLayer("configuration").mayOnlyBeAccessedByLayers("daemon")
+        layeredArchitecture()
+                .consideringOnlyDependenciesInLayers()
+                .layer("decisions")
+                .definedBy("trailthread", "trailthread.levels..", "trailthread.settings..")
+                .layer("adapter")
+                .definedBy("trailthread.adapter..")
+                .layer("engine")
+                .definedBy("trailthread.engine..")
+                .layer("configuration")
+                .definedBy("trailthread.configuration..")
+                .layer("daemon")
+                .definedBy("trailthread.daemon..")
+                .whereLayer("daemon")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("adapter")
+                .mayOnlyBeAccessedByLayers("daemon")
+                .whereLayer("engine")
+                .mayOnlyBeAccessedByLayers("configuration", "daemon")
+                .whereLayer("configuration")
+                .mayOnlyBeAccessedByLayers("daemon")
                 .check(PRODUCT);
     }
 
     @Test
     public void decisionsDependOnNothingAndDoNoInputOrOutput() {
-        classes().that().resideInAnyPackage("trailthread", "trailthread.levels..", "trailthread.settings..")
-                .should().onlyDependOnClassesThat(resideInAnyPackage("trailthread", "trailthread.levels..",
-                        "trailthread.settings..", "java.lang..", "java.util")
-                        .or(resideInAPackage("java.util.function")).or(resideInAPackage("java.util.stream")))
+        classes()
+                .that()
+                .resideInAnyPackage("trailthread", "trailthread.levels..", "trailthread.settings..")
+                .should()
+                .onlyDependOnClassesThat(
+                        resideInAnyPackage(
+                                        "trailthread",
+                                        "trailthread.levels..",
+                                        "trailthread.settings..",
+                                        "java.lang..",
+                                        "java.util")
+                                .or(resideInAPackage("java.util.function"))
+                                .or(resideInAPackage("java.util.stream")))
                 .check(PRODUCT);
     }
 
     /** The platform's start must not meet what only operators' files need. */
     @Test
     public void onlyServicesKnowTheOperatorsFile() {
-        noClasses().that().resideInAPackage("trailthread.daemon..")
-                .and().resideOutsideOfPackage("trailthread.daemon.services..")
-                .should().dependOnClassesThat().resideInAnyPackage("trailthread.configuration..", "org.tomlj..")
+        noClasses()
+                .that()
+                .resideInAPackage("trailthread.daemon..")
+                .and()
+                .resideOutsideOfPackage("trailthread.daemon.services..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("trailthread.configuration..", "org.tomlj..")
                 .check(PRODUCT);
     }
 
     @Test
     public void routesAndQuotasDoNoInputOrOutput() {
-        classes().that().resideInAnyPackage("trailthread.engine.routes..", "trailthread.engine.quota..")
-                .should().onlyDependOnClassesThat(resideInAnyPackage("trailthread.engine.routes..",
-                        "trailthread.engine.quota..", "java.lang..", "java.util", "java.util.function",
-                        "java.util.stream")).check(PRODUCT);
+        classes()
+                .that()
+                .resideInAnyPackage("trailthread.engine.routes..", "trailthread.engine.quota..")
+                .should()
+                .onlyDependOnClassesThat(
+                        resideInAnyPackage(
+                                "trailthread.engine.routes..",
+                                "trailthread.engine.quota..",
+                                "java.lang..",
+                                "java.util",
+                                "java.util.function",
+                                "java.util.stream"))
+                .check(PRODUCT);
     }
 
     @Test
     public void theEngineDoesNotKnowHowCallsComeIn() {
-        noClasses().that().resideInAPackage("trailthread.engine..")
-                .should().dependOnClassesThat(resideInAPackage("io.undertow.server..")
-                        .and(new DescribedPredicate<>("not the pool of buffers") {
-                    @Override
-                    public boolean test(JavaClass c) {
-                        return !c.getSimpleName().equals("DefaultByteBufferPool");
-                    }
-                })).check(PRODUCT);
+        noClasses()
+                .that()
+                .resideInAPackage("trailthread.engine..")
+                .should()
+                .dependOnClassesThat(
+                        resideInAPackage("io.undertow.server..")
+                                .and(
+                                        new DescribedPredicate<>("not the pool of buffers") {
+                                            @Override
+                                            public boolean test(JavaClass c) {
+                                                return !c.getSimpleName()
+                                                        .equals("DefaultByteBufferPool");
+                                            }
+                                        }))
+                .check(PRODUCT);
     }
 
     @Test
--- a/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
@@ -38,7 +38,9 @@
             Message answer = Message.read(client);
             assertEquals(200, answer.status());
             assertEquals(body, answer.body());
-            Thread.sleep(20); // right after an answer its connection is not used, as a second one may come
+            Thread.sleep(
+                    20); // right after an answer its connection is not used, as a second one may
+            // come
         }
 
         Message asked = worker.asked();
@@ -115,10 +117,13 @@
         worker.wasNotAsked();
     }
 
-    /** A worker tells copies by the id: a stranger's call would pass for a second copy of the first one. */
+    /**
+     * A worker tells copies by the id: a stranger's call would pass for a second copy of the first
+     * one.
+     */
     @Test
     public void anIdThatIsAtWorkIsNotTakenAgain() throws Exception {
-        Peer worker = stage.add(new Peer(request -> { }));
+        Peer worker = stage.add(new Peer(request -> {}));
         stage.start(Stage.SETTINGS, worker);
         Socket first = stage.connect();
         String call = Stage.request("use", "", "");
@@ -144,7 +149,9 @@
         }
     }
 
-    /** Such connections were never counted: hundreds of them kept every client with a call waiting. */
+    /**
+     * Such connections were never counted: hundreds of them kept every client with a call waiting.
+     */
     @Test
     public void silentAndHalfSentCallsEndAndShutNobodyOut() throws Exception {
         stage.sockets = 96;
@@ -163,10 +170,16 @@
 
     @Test
     public void whatAClientSendsAheadIsTheNextCall() throws Exception {
-        Peer worker = stage.add(new Peer(request -> {
-            Message.send(request.connection(), ""); // the second call is sent before this one is answered
-            request.answer("200 OK", "", request.start());
-        }));
+        Peer worker =
+                stage.add(
+                        new Peer(
+                                request -> {
+                                    Message.send(
+                                            request.connection(),
+                                            ""); // the second call is sent before this one is
+                                    // answered
+                                    request.answer("200 OK", "", request.start());
+                                }));
         stage.start(Stage.SETTINGS, worker);
         Socket client = stage.connect();
         Message.send(client, Stage.request("use", "?1", "") + Stage.request("use", "?2", ""));
--- a/daemon/src/test/java/trailthread/daemon/CrowdTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CrowdTest.java
@@ -20,7 +20,10 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** Guards against clients left without an answer where ten times as many connect as there is room for. */
+/**
+ * Guards against clients left without an answer where ten times as many connect as there is room
+ * for.
+ */
 public class CrowdTest {
     private static final int CLIENTS = 2000;
     private static final int LEAST_AT_ONCE = 500;
@@ -64,14 +67,20 @@
             try {
                 if (key.isConnectable()) {
                     channel.finishConnect();
-                    byte[] call = Stage.request("state", "", "").getBytes(StandardCharsets.ISO_8859_1);
+                    byte[] call =
+                            Stage.request("state", "", "").getBytes(StandardCharsets.ISO_8859_1);
                     assertEquals("sent at once", call.length, channel.write(ByteBuffer.wrap(call)));
                     key.interestOps(SelectionKey.OP_READ);
                     return;
                 }
                 ByteBuffer buffer = ByteBuffer.allocate(4096);
                 if (channel.read(buffer) >= 0) {
-                    heard += new String(buffer.array(), 0, buffer.position(), StandardCharsets.ISO_8859_1);
+                    heard +=
+                            new String(
+                                    buffer.array(),
+                                    0,
+                                    buffer.position(),
+                                    StandardCharsets.ISO_8859_1);
                     if (isWhole()) {
                         channel.close();
                         answered++;
@@ -89,18 +98,27 @@
         private boolean isWhole() {
             int head = heard.indexOf("\r\n\r\n");
             Matcher length = LENGTH.matcher(heard);
-            if (head < 0 || !length.find() || heard.length() < head + 4 + Integer.parseInt(length.group(1))) {
+            if (head < 0
+                    || !length.find()
+                    || heard.length() < head + 4 + Integer.parseInt(length.group(1))) {
                 return false;
             }
-            boolean refused = heard.startsWith("HTTP/1.1 503 ") && heard.contains("\r\nRetry-After: ");
-            assertTrue(heard, refused || heard.startsWith("HTTP/1.1 200 ") && heard.endsWith("\r\n\r\nmade"));
+            boolean refused =
+                    heard.startsWith("HTTP/1.1 503 ") && heard.contains("\r\nRetry-After: ");
+            assertTrue(
+                    heard,
+                    refused || heard.startsWith("HTTP/1.1 200 ") && heard.endsWith("\r\n\r\nmade"));
             return true;
         }
     }
 
-    /** Idle clients take what they may hold, and more wait: what the node itself needs is not among it. */
+    /**
+     * Idle clients take what they may hold, and more wait: what the node itself needs is not among
+     * it.
+     */
     @Test
-    public void whereIdleClientsFillTheDescriptorsDiscoveryIsHeardAndCallsAreServed() throws Exception {
+    public void whereIdleClientsFillTheDescriptorsDiscoveryIsHeardAndCallsAreServed()
+            throws Exception {
         stage.sockets = 128;
         stage.discovery.setScript(request -> request.answer("503 Busy", "", ""));
         stage.start(Stage.SETTINGS, stage.add(Peer.serving("before")));
@@ -111,10 +129,11 @@
         assertEquals("before", stage.call("state").body());
         assertTrue(stage.descriptors() + " held", stage.descriptors() <= stage.sockets);
         Peer after = stage.add(Peer.serving("after"));
-        stage.discovery.setScript(request -> {
-            Stage.watch(request);
-            Stage.line(request, Stage.list(2, true, "active", after));
-        });
+        stage.discovery.setScript(
+                request -> {
+                    Stage.watch(request);
+                    Stage.line(request, Stage.list(2, true, "active", after));
+                });
         stage.logged("discovery is back, at generation 2");
         for (int i = 0; i < stage.sockets; i++) {
             stage.connect();
@@ -126,25 +145,28 @@
     @Test
     public void everyClientOfACrowdHasAWholeAnswer() throws Exception {
         stage.sockets = 382; // 200 connections to clients
-        stage.start(Stage.SETTINGS, stage.add(Peer.serving("made")), stage.add(Peer.serving("made")));
+        stage.start(
+                Stage.SETTINGS, stage.add(Peer.serving("made")), stage.add(Peer.serving("made")));
         UnixOperatingSystemMXBean system =
                 (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         long free = system.getMaxFileDescriptorCount() - system.getOpenFileDescriptorCount();
         int atOnce = (int) Math.max(LEAST_AT_ONCE, Math.min(CLIENTS, free - OTHER_DESCRIPTORS));
         long limit = System.nanoTime() + LIMIT_NS;
-        for (int begun = 0; begun < CLIENTS;) {
+        for (int begun = 0; begun < CLIENTS; ) {
             for (int i = 0; i < atOnce && begun < CLIENTS; i++, begun++) {
                 new Client().connect();
             }
             while (answered < begun) {
                 assertTrue(answered + " answered of " + begun, System.nanoTime() < limit);
-                selector.select(key -> {
-                    try {
-                        ((Client) key.attachment()).ready(key);
-                    } catch (IOException e) {
-                        throw new AssertionError(e);
-                    }
-                }, 1000);
+                selector.select(
+                        key -> {
+                            try {
+                                ((Client) key.attachment()).ready(key);
+                            } catch (IOException e) {
+                                throw new AssertionError(e);
+                            }
+                        },
+                        1000);
             }
         }
         assertEquals("made", stage.call("state").body());
--- a/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
@@ -52,7 +52,8 @@
         }
         assertEquals("nothing new to what drains", asked, first.requests.size());
         watch.connection().close();
-        assertEquals("GET /v1/endpoints?stream=1&index=8 HTTP/1.1", stage.discovery.asked().start());
+        assertEquals(
+                "GET /v1/endpoints?stream=1&index=8 HTTP/1.1", stage.discovery.asked().start());
     }
 
     @Test
@@ -72,7 +73,9 @@
     public void anIndentedListIsRead() throws Exception {
         stage.start(Stage.SETTINGS, first);
         String list = as("w1", Stage.list(2, true, "active", second));
-        Stage.line(stage.discovery.asked(), list.replace("{", "{\n  ").replace(",", ",\n  ").replace("}", "\n}"));
+        Stage.line(
+                stage.discovery.asked(),
+                list.replace("{", "{\n  ").replace(",", ",\n  ").replace("}", "\n}"));
         while (!stage.call("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
@@ -83,21 +86,24 @@
     public void whatIsMalformedEndsTheWatchAndTheListStands() throws Exception {
         stage.start(Stage.SETTINGS, first);
         Message watch = stage.discovery.asked();
-        Stage.line(watch, Stage.list(9, true, "active", second).replace("\"hostPort\"", "\"other\""));
-        assertEquals("GET /v1/endpoints?stream=1&index=1 HTTP/1.1", stage.discovery.asked().start());
+        Stage.line(
+                watch, Stage.list(9, true, "active", second).replace("\"hostPort\"", "\"other\""));
+        assertEquals(
+                "GET /v1/endpoints?stream=1&index=1 HTTP/1.1", stage.discovery.asked().start());
         assertEquals("first", stage.call("use").body());
     }
 
     @Test
     public void discoveryThatFailsIsAskedAgain() throws Exception {
-        stage.discovery.setScript(request -> {
-            if (stage.discovery.requests.size() == 1) {
-                request.answer("503 Busy", "", "");
-            } else {
-                Stage.watch(request);
-                Stage.line(request, Stage.list(2, true, "active", second));
-            }
-        });
+        stage.discovery.setScript(
+                request -> {
+                    if (stage.discovery.requests.size() == 1) {
+                        request.answer("503 Busy", "", "");
+                    } else {
+                        Stage.watch(request);
+                        Stage.line(request, Stage.list(2, true, "active", second));
+                    }
+                });
         stage.start(Stage.SETTINGS);
         stage.logged("answers 503");
         assertEquals("second", stage.call("use").body());
@@ -106,31 +112,43 @@
     /** The node never opened a watch, and went on with the list of its start. */
     @Test
     public void whereListsArePushedAWatchIsKeptOpenUnasked() throws Exception {
-        stage.start(Stage.SETTINGS.replace("\"discovery\":\"on_request\"", "\"discovery\":\"pushed\""), first);
+        stage.start(
+                Stage.SETTINGS.replace("\"discovery\":\"on_request\"", "\"discovery\":\"pushed\""),
+                first);
         Message watch = stage.discovery.asked();
         Stage.line(watch, as("w1", Stage.list(2, true, "active", second)));
         while (!stage.call("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
-        stage.discovery.setScript(request -> {
-            Stage.watch(request);
-            Stage.line(request, Stage.list(3, true, "active", first));
-        });
+        stage.discovery.setScript(
+                request -> {
+                    Stage.watch(request);
+                    Stage.line(request, Stage.list(3, true, "active", first));
+                });
         watch.connection().close();
         while (!stage.call("use").body().equals("first")) {
             assertTrue(second.requests.size() < 100);
         }
     }
 
-    /** The pause after a failure at the old address may be longer than the new one's news may wait. */
+    /**
+     * The pause after a failure at the old address may be longer than the new one's news may wait.
+     */
     @Test
     public void aMoveDuringThePauseAfterAFailureIsAskedAtOnce() throws Exception {
-        Peer moved = stage.add(new Peer(request -> {
-            Stage.watch(request);
-            Stage.line(request, as("w1", Stage.list(2, true, "active", second)));
-        }));
+        Peer moved =
+                stage.add(
+                        new Peer(
+                                request -> {
+                                    Stage.watch(request);
+                                    Stage.line(
+                                            request,
+                                            as("w1", Stage.list(2, true, "active", second)));
+                                }));
         stage.discovery.setScript(request -> request.answer("503 Busy", "", ""));
-        String anHour = Stage.SETTINGS.replace("\"ask_every_ns\":1000000000", "\"ask_every_ns\":3600000000000000");
+        String anHour =
+                Stage.SETTINGS.replace(
+                        "\"ask_every_ns\":1000000000", "\"ask_every_ns\":3600000000000000");
         stage.start(anHour, first);
         stage.logged("answers 503");
         stage.reload(stage.config(moved, anHour, first));
@@ -150,13 +168,18 @@
         assertEquals("first", stage.call("use").body());
     }
 
-    /** Of a list of thousands, which takes longer than an answer may be waited for, no part is a sign of life. */
+    /**
+     * Of a list of thousands, which takes longer than an answer may be waited for, no part is a
+     * sign of life.
+     */
     @Test
     public void aListIsHeardOutAsLongAsItComesOn() throws Exception {
-        stage.discovery.setScript(request -> {
-            Stage.watch(request);
-            comesInPieces(request, as("w1", Stage.list(2, true, "active", second)) + "\n", 10);
-        });
+        stage.discovery.setScript(
+                request -> {
+                    Stage.watch(request);
+                    comesInPieces(
+                            request, as("w1", Stage.list(2, true, "active", second)) + "\n", 10);
+                });
         stage.start(Stage.SETTINGS, first);
         while (!stage.call("use").body().equals("second")) {
             assertEquals("one call", 1, stage.discovery.requests.size());
@@ -168,10 +191,11 @@
     /** One that trickles without an end would keep the node from asking again. */
     @Test
     public void aListWithoutEndIsGivenUp() throws Exception {
-        stage.discovery.setScript(request -> {
-            Stage.watch(request);
-            comesInPieces(request, "{\"generation\":2," + " ".repeat(1_000), 500);
-        });
+        stage.discovery.setScript(
+                request -> {
+                    Stage.watch(request);
+                    comesInPieces(request, "{\"generation\":2," + " ".repeat(1_000), 500);
+                });
         stage.start(Stage.SETTINGS, first);
         stage.logged("is silent");
     }
@@ -180,7 +204,9 @@
         int length = (text.length() + pieces - 1) / pieces;
         for (int at = 0; at < text.length(); at += length) {
             String piece = text.substring(at, Math.min(text.length(), at + length));
-            Message.send(watch.connection(), Integer.toHexString(piece.length()) + "\r\n" + piece + "\r\n");
+            Message.send(
+                    watch.connection(),
+                    Integer.toHexString(piece.length()) + "\r\n" + piece + "\r\n");
             pause(PIECE_MS);
         }
     }
@@ -193,7 +219,10 @@
         }
     }
 
-    /** SIGHUP ended the program; and the old discovery's end must not pass for a failure of the new one. */
+    /**
+     * SIGHUP ended the program; and the old discovery's end must not pass for a failure of the new
+     * one.
+     */
     @Test
     public void onSighupTheWatchMovesAndAllElseStays() throws Exception {
         stage.start(Stage.SETTINGS, first);
@@ -220,6 +249,7 @@
         stage.discovery.wasNotAsked();
         stage.terminate();
         assertEquals(0, stage.exitStatus());
-        assertTrue(stage.log.toString(), stage.log.stream().noneMatch(line -> line.contains("WARN")));
+        assertTrue(
+                stage.log.toString(), stage.log.stream().noneMatch(line -> line.contains("WARN")));
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/DrainTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTest.java
@@ -11,7 +11,9 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** A node that its operators drain leads its clients away, loses no call, and takes clients again. */
+/**
+ * A node that its operators drain leads its clients away, loses no call, and takes clients again.
+ */
 public class DrainTest extends WithDoor {
     private Message ready() throws IOException {
         Socket front = stage.connect();
--- a/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
@@ -26,7 +26,11 @@
 public class DrainTransitionsTest {
     /** Past when a drain ends connections with their answers, before it closes what idles. */
     private static final long ANSWERS_HAVE_ENDED_MS = 600;
-    /** Events; what each says, '-' for the end, which says nothing; is it ready; do answers end connections. */
+
+    /**
+     * Events; what each says, '-' for the end, which says nothing; is it ready; do answers end
+     * connections.
+     */
     private static final Object[][] TABLE = {
         {"", "", true, false},
         {"drain", "+", false, true},
@@ -35,13 +39,16 @@
         {"drain resume", "++", true, false},
         {"drain resume resume", "+++", true, false},
         {"drain resume drain", "+++", false, true},
-        {"end drain", "-0", true, false}, // what is ready, and when answers end, is the shutdown's from then on
+        {
+            "end drain", "-0", true, false
+        }, // what is ready, and when answers end, is the shutdown's from then on
         {"end resume", "-0", true, false},
         {"drain end", "+-", false, false},
         {"drain end resume", "+-0", false, false},
         {"drain end drain", "+-0", false, false},
         {"drain resume end resume", "++-0", true, false},
     };
+
     private final Loop loop;
 
     public DrainTransitionsTest() throws IOException {
@@ -71,17 +78,23 @@
     public void eachEventInEachState() throws Exception {
         for (Object[] row : TABLE) {
             String events = (String) row[0];
-            Acceptor acceptor = new Acceptor(loop, 8, 8, new PlatformFront(List.of(), new NoCalls()), Meter.OFF);
-            InetSocketAddress at = acceptor.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            Acceptor acceptor =
+                    new Acceptor(
+                            loop, 8, 8, new PlatformFront(List.of(), new NoCalls()), Meter.OFF);
+            InetSocketAddress at =
+                    acceptor.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             Drain drain = new Drain(loop, acceptor);
-            String said = onLoop(() -> {
-                acceptor.setReady(true);
-                StringBuilder all = new StringBuilder();
-                for (String event : events.isEmpty() ? new String[0] : events.split(" ")) {
-                    all.append(says(drain, event));
-                }
-                return all.toString();
-            });
+            String said =
+                    onLoop(
+                            () -> {
+                                acceptor.setReady(true);
+                                StringBuilder all = new StringBuilder();
+                                for (String event :
+                                        events.isEmpty() ? new String[0] : events.split(" ")) {
+                                    all.append(says(drain, event));
+                                }
+                                return all.toString();
+                            });
             assertEquals(events, row[1], said);
             assertEquals(events + ": ready", row[2], onLoop(acceptor::isReady));
             Thread.sleep(ANSWERS_HAVE_ENDED_MS);
@@ -90,7 +103,10 @@
                 Message.send(client, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 Message answer = Message.read(client);
                 assertEquals(events, (boolean) row[2] ? 200 : 503, answer.status());
-                assertEquals(events + ": answers end", row[3], "close".equals(answer.header("Connection")));
+                assertEquals(
+                        events + ": answers end",
+                        row[3],
+                        "close".equals(answer.header("Connection")));
             }
         }
     }
--- a/daemon/src/test/java/trailthread/daemon/FiguresOverSocketsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/FiguresOverSocketsTest.java
@@ -16,19 +16,22 @@
     public void eachCallIsCountedOnceHoweverItEnds() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
         Peer worker = stage.add(Peer.serving("made"));
-        worker.setScript(request -> {
-            switch (request.start().replaceAll(".*how=(\\w+) .*", "$1")) {
-                case "reset" -> request.connection().close();
-                case "error" -> request.answer("500 Error", "", "");
-                case "held" -> Peer.await(over);
-                case "long" -> {
-                    Message.send(request.connection(), "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n");
-                    Message.send(request.connection(), "x".repeat(100_000));
-                    request.connection().close();
-                }
-                default -> request.answer("200 OK", "", "made");
-            }
-        });
+        worker.setScript(
+                request -> {
+                    switch (request.start().replaceAll(".*how=(\\w+) .*", "$1")) {
+                        case "reset" -> request.connection().close();
+                        case "error" -> request.answer("500 Error", "", "");
+                        case "held" -> Peer.await(over);
+                        case "long" -> {
+                            Message.send(
+                                    request.connection(),
+                                    "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n");
+                            Message.send(request.connection(), "x".repeat(100_000));
+                            request.connection().close();
+                        }
+                        default -> request.answer("200 OK", "", "made");
+                    }
+                });
         stage.start(Stage.SETTINGS, worker);
         stage.awaitFigure("app_answered{group=\"use\"} 0");
         int sends = 0;
--- a/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
+++ b/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
@@ -21,15 +21,18 @@
 import trailthread.testkit.Stage;
 
 /**
- * Each request that a node has taken has one whole answer before a kill at the earliest moment that the platform
- * allows, though workers hang, and clients send on every connection that stays open.
+ * Each request that a node has taken has one whole answer before a kill at the earliest moment that
+ * the platform allows, though workers hang, and clients send on every connection that stays open.
  */
 public class GracefulShutdownTest {
     /** One of them sends every so often, from SIGTERM until after the last connection has ended. */
     private static final int CLIENTS = 28;
+
     private static final int EVERY_MS = 30;
+
     /** Some come after the node has begun to send clients away, and some before it does. */
     private static final int LATE_MS = 450;
+
     private static final String[] CLASSES = {"use", "state", "action"};
     private static final Pattern ID = Pattern.compile("X-Correlation-Id: (\\w+)");
     private final Stage stage;
@@ -49,18 +52,22 @@
     }
 
     private static String settings(int deadlineMs) {
-        return Stage.SETTINGS.replace("\"aim_ns\":10000000000", "\"aim_ns\":" + deadlineMs * 800_000L)
-                .replace("\"deadline_ns\":20000000000", "\"deadline_ns\":" + deadlineMs * 1_000_000L)
+        return Stage.SETTINGS
+                .replace("\"aim_ns\":10000000000", "\"aim_ns\":" + deadlineMs * 800_000L)
+                .replace(
+                        "\"deadline_ns\":20000000000", "\"deadline_ns\":" + deadlineMs * 1_000_000L)
                 .replace("\"window_ns\":20000000000", "\"window_ns\":" + deadlineMs * 1_000_000L);
     }
 
     private Peer worker() throws IOException {
-        return stage.add(new Peer(request -> {
-            ran.add(request.header("X-Correlation-Id"));
-            if (!hangs) {
-                request.answer("200 OK", "", "made");
-            }
-        }));
+        return stage.add(
+                new Peer(
+                        request -> {
+                            ran.add(request.header("X-Correlation-Id"));
+                            if (!hangs) {
+                                request.answer("200 OK", "", "made");
+                            }
+                        }));
     }
 
     private static String call(int number, int deadlineMs) {
@@ -68,12 +75,15 @@
                 .replace("Left: 20.000", "Left: " + deadlineMs / 1000.0);
     }
 
-    /** Sends on a connection that idles, until it is told that the answer was the last one there. */
+    /**
+     * Sends on a connection that idles, until it is told that the answer was the last one there.
+     */
     private void sends(Socket connection, int number, int deadlineMs) {
         String id = "";
         try {
             Thread.sleep((long) number * EVERY_MS);
-            for (Message answer = null; answer == null || !"close".equals(answer.header("Connection"));) {
+            for (Message answer = null;
+                    answer == null || !"close".equals(answer.header("Connection")); ) {
                 String call = call(number, deadlineMs);
                 Matcher matcher = ID.matcher(call);
                 assertTrue(matcher.find());
@@ -87,7 +97,8 @@
             }
             assertEquals("no further answer", -1, connection.getInputStream().read());
         } catch (IOException e) {
-            // One that crosses the end of an idle connection was not read, and its client sends it elsewhere.
+            // One that crosses the end of an idle connection was not read, and its client sends it
+            // elsewhere.
             if (killed || ran.contains(id)) {
                 faults.add("client " + number + " was not answered before the kill: " + e);
             }
@@ -98,6 +109,7 @@
 
     /** What the machine holds up by more tells nothing of the node: it is played again. */
     private static final int HELD_UP_MS = 30;
+
     private static final int MOST_PLAYS = 10;
 
     /** Tells how long a thread that only wants to sleep is kept off the cores. */
@@ -124,7 +136,7 @@
     }
 
     private void plays(Play play) throws Exception {
-        for (int i = 1;; i++) {
+        for (int i = 1; ; i++) {
             Metronome metronome = new Metronome();
             metronome.start();
             play.run();
@@ -173,10 +185,11 @@
     }
 
     private void withDeadlinesOf(int ms, int pausedMs) throws Exception {
-        plays(() -> {
-            stage.start(settings(ms), worker(), worker());
-            ends(ms, pausedMs);
-        });
+        plays(
+                () -> {
+                    stage.start(settings(ms), worker(), worker());
+                    ends(ms, pausedMs);
+                });
     }
 
     @Test
@@ -207,12 +220,13 @@
     /** Which deadlines the platform counts by is not said: it may be the newest. */
     @Test
     public void afterSighupHasShortenedDeadlines() throws Exception {
-        plays(() -> {
-            Peer worker = worker();
-            stage.start(settings(4_000), worker);
-            stage.reload(stage.config(settings(300), worker));
-            stage.logged("configuration taken over");
-            ends(300, 0);
-        });
+        plays(
+                () -> {
+                    Peer worker = worker();
+                    stage.start(settings(4_000), worker);
+                    stage.reload(stage.config(settings(300), worker));
+                    stage.logged("configuration taken over");
+                    ends(300, 0);
+                });
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/LevelsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/LevelsTest.java
@@ -13,14 +13,19 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** The levels of service in the real program: polls are shed, what may not run twice is served on. */
+/**
+ * The levels of service in the real program: polls are shed, what may not run twice is served on.
+ */
 public class LevelsTest {
     private static final Pattern TOLD_ON = Pattern.compile("operators are told on .*:(\\d+)");
     private static final Pattern LATENESS =
             Pattern.compile("\\{reading=\"lateness_seconds\"} ([0-9.E-]+)");
+
     /** A slow machine changes no verdict. */
-    private static final String SLOW = """
+    private static final String SLOW =
+            """
             "lateness":{"hold_s":3600},"memory":{"hold_s":3600},"cpu_withheld":{"hold_s":3600}""";
+
     private final Stage stage;
 
     public LevelsTest() throws Exception {
@@ -45,11 +50,13 @@
     /** A single call that an erring worker fails is enough, by bounds that are low for the test. */
     @Test
     public void aPollIsRefusedWhereCallsFailAndUsesAreServed() throws Exception {
-        stage.more = """
+        stage.more =
+                """
                 "management":"127.0.0.1:0",
                 "levels":{"on":true,"keep":0.000001,"lean":{SLOW},"essential":{SLOW},
                  "reduced":{"least_shed":1,"least_stay_s":300,
-                  "starved":{"enter":0.01,"leave":0.0001,"hold_s":0},SLOW}},""".replace("SLOW", SLOW);
+                  "starved":{"enter":0.01,"leave":0.0001,"hold_s":0},SLOW}},"""
+                        .replace("SLOW", SLOW);
         Peer worker = stage.add(new Peer(request -> request.answer("500 Error", "", "")));
         stage.start(Stage.SETTINGS, worker);
         int node = stage.port;
@@ -57,7 +64,8 @@
         stage.port = node;
         assertEquals(502, stage.call("use").status());
         String change = stage.logged("level normal -> reduced");
-        for (String part : new String[] {"from=", "to=", "reading=", "value=", "bound=", "starved"}) {
+        for (String part :
+                new String[] {"from=", "to=", "reading=", "value=", "bound=", "starved"}) {
             assertTrue(change, change.contains(part));
         }
         worker.setScript(request -> request.answer("200 OK", "", "made"));
@@ -71,12 +79,15 @@
             worker.asked();
         }
         String metrics = metrics();
-        for (String line : new String[] {"trailthread_level{trailthread_level=\"reduced\"} 1",
-            "trailthread_level_changes_total{level=\"reduced\"} 1.0",
-            "trailthread_answers_total{answer=\"refused\",class=\"state\"} 3.0",
-            "trailthread_answers_total{answer=\"served\",class=\"use\"} 3.0",
-            "trailthread_answers_total{answer=\"failed\",class=\"use\"} 1.0",
-            "trailthread_reading{reading=\"starved_ratio\"}"}) {
+        for (String line :
+                new String[] {
+                    "trailthread_level{trailthread_level=\"reduced\"} 1",
+                    "trailthread_level_changes_total{level=\"reduced\"} 1.0",
+                    "trailthread_answers_total{answer=\"refused\",class=\"state\"} 3.0",
+                    "trailthread_answers_total{answer=\"served\",class=\"use\"} 3.0",
+                    "trailthread_answers_total{answer=\"failed\",class=\"use\"} 1.0",
+                    "trailthread_reading{reading=\"starved_ratio\"}"
+                }) {
             assertTrue(line + " in " + metrics, metrics.contains(line));
         }
         Matcher lateness = LATENESS.matcher(metrics);
--- a/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
@@ -25,7 +25,10 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** Long answers and bodies: more at once than memory holds, in all forms, by peers that take their time. */
+/**
+ * Long answers and bodies: more at once than memory holds, in all forms, by peers that take their
+ * time.
+ */
 public class LongMessagesTest extends WithDoor {
     private static final int LONG = 4_000_000;
     private static final String OK = "HTTP/1.1 200 OK\r\n";
@@ -51,7 +54,8 @@
         String head = head(in);
         assertTrue(head, head.startsWith(OK));
         if (head.contains("Content-Length: ")) {
-            int length = Integer.parseInt(head.replaceAll("(?s).*Content-Length: (\\d+)\r\n.*", "$1"));
+            int length =
+                    Integer.parseInt(head.replaceAll("(?s).*Content-Length: (\\d+)\r\n.*", "$1"));
             byte[] body = in.readNBytes(length);
             assertEquals("cut short", length, body.length);
             return body;
@@ -89,21 +93,26 @@
     @Test
     public void longAnswersPassInEveryForm() throws Exception {
         byte[] made = bytes(LONG);
-        List<Peer.Script> forms = List.of(
-                request -> {
-                    Message.send(request.connection(), OK + "Content-Length: " + LONG + "\r\n\r\n");
-                    request.connection().getOutputStream().write(made);
-                },
-                request -> {
-                    Message.send(request.connection(), OK + "Transfer-Encoding: chunked\r\n\r\n");
-                    chunks(request.connection().getOutputStream(), made, 1000);
-                    Message.send(request.connection(), "0\r\n\r\n");
-                },
-                request -> {
-                    Message.send(request.connection(), OK + "\r\n");
-                    request.connection().getOutputStream().write(made);
-                    request.connection().shutdownOutput();
-                });
+        List<Peer.Script> forms =
+                List.of(
+                        request -> {
+                            Message.send(
+                                    request.connection(),
+                                    OK + "Content-Length: " + LONG + "\r\n\r\n");
+                            request.connection().getOutputStream().write(made);
+                        },
+                        request -> {
+                            Message.send(
+                                    request.connection(),
+                                    OK + "Transfer-Encoding: chunked\r\n\r\n");
+                            chunks(request.connection().getOutputStream(), made, 1000);
+                            Message.send(request.connection(), "0\r\n\r\n");
+                        },
+                        request -> {
+                            Message.send(request.connection(), OK + "\r\n");
+                            request.connection().getOutputStream().write(made);
+                            request.connection().shutdownOutput();
+                        });
         Peer worker = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, worker);
         for (Peer.Script form : forms) {
@@ -122,14 +131,19 @@
     @Test
     public void moreAtOnceThanMemoryHoldsForClientsThatReadLate() throws Exception {
         byte[] made = bytes(8 * LONG);
-        Peer worker = stage.add(new Peer(request -> {
-            if (request.start().startsWith("GET")) {
-                request.answer("200 OK", "", "short");
-            } else {
-                Message.send(request.connection(), OK + "Content-Length: " + made.length + "\r\n\r\n");
-                request.connection().getOutputStream().write(made);
-            }
-        }));
+        Peer worker =
+                stage.add(
+                        new Peer(
+                                request -> {
+                                    if (request.start().startsWith("GET")) {
+                                        request.answer("200 OK", "", "short");
+                                    } else {
+                                        Message.send(
+                                                request.connection(),
+                                                OK + "Content-Length: " + made.length + "\r\n\r\n");
+                                        request.connection().getOutputStream().write(made);
+                                    }
+                                }));
         stage.start(Stage.SETTINGS, worker);
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 6; i++) { // 192 MB, where the program has 64
@@ -150,17 +164,24 @@
         byte[] made = bytes(LONG);
         Peer worker = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, worker);
-        for (String framing : List.of("Content-Length: " + 2 * LONG + "\r\n", "Transfer-Encoding: chunked\r\n", "")) {
-            worker.setScript(request -> {
-                Message.send(request.connection(), OK + framing + "\r\n");
-                if (framing.startsWith("T")) {
-                    chunks(request.connection().getOutputStream(), made, LONG);
-                } else {
-                    request.connection().getOutputStream().write(made);
-                }
-                request.connection().setSoLinger(framing.isEmpty(), 0); // no length: a reset tells alone
-                request.connection().close();
-            });
+        for (String framing :
+                List.of(
+                        "Content-Length: " + 2 * LONG + "\r\n",
+                        "Transfer-Encoding: chunked\r\n",
+                        "")) {
+            worker.setScript(
+                    request -> {
+                        Message.send(request.connection(), OK + framing + "\r\n");
+                        if (framing.startsWith("T")) {
+                            chunks(request.connection().getOutputStream(), made, LONG);
+                        } else {
+                            request.connection().getOutputStream().write(made);
+                        }
+                        request.connection()
+                                .setSoLinger(
+                                        framing.isEmpty(), 0); // no length: a reset tells alone
+                        request.connection().close();
+                    });
             Socket client = stage.connect();
             Message.send(client, Stage.request("use", "", ""));
             worker.asked();
@@ -177,12 +198,19 @@
     public void longBodiesAreSentAgainAndBodiesInChunksGetALength() throws Exception {
         String body = new String(bytes(LONG), StandardCharsets.ISO_8859_1);
         AtomicInteger asked = new AtomicInteger();
-        Peer worker = stage.add(new Peer(request -> {
-            boolean first = asked.incrementAndGet() == 1;
-            request.answer(first ? "503 Busy" : "200 OK", first ? "X-Unprocessed: 1\r\n" : "", first ? "" : "made");
-        }));
+        Peer worker =
+                stage.add(
+                        new Peer(
+                                request -> {
+                                    boolean first = asked.incrementAndGet() == 1;
+                                    request.answer(
+                                            first ? "503 Busy" : "200 OK",
+                                            first ? "X-Unprocessed: 1\r\n" : "",
+                                            first ? "" : "made");
+                                }));
         stage.start(Stage.SETTINGS, worker);
-        String head = Stage.request("use", "", "").replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "");
+        String head =
+                Stage.request("use", "", "").replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "");
         Socket told = stage.connect();
         Message.send(told, head + "Expect: 100-continue\r\nContent-Length: " + LONG + "\r\n\r\n");
         assertEquals("HTTP/1.1 100 Continue", Message.read(told).start());
@@ -191,8 +219,12 @@
         assertEquals("sent again whole", body, worker.asked().body());
         assertEquals("made", Message.read(told).body());
         Socket chunked = stage.connect();
-        Message.send(chunked, Stage.request("use", "", "").replaceFirst("(?s)Content-Length: 4\r\n\r\npour",
-                "Transfer-Encoding: chunked\r\n\r\n"));
+        Message.send(
+                chunked,
+                Stage.request("use", "", "")
+                        .replaceFirst(
+                                "(?s)Content-Length: 4\r\n\r\npour",
+                                "Transfer-Encoding: chunked\r\n\r\n"));
         chunks(chunked.getOutputStream(), body.getBytes(StandardCharsets.ISO_8859_1), 70_000);
         Message.send(chunked, "0\r\n\r\n");
         assertEquals("made", Message.read(chunked).body());
@@ -201,22 +233,30 @@
 
     /** A call whose body is yet to come, with what tells its length. */
     private static String head(String framing) {
-        return Stage.request("use", "", "").replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "") + framing
+        return Stage.request("use", "", "").replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "")
+                + framing
                 + "\r\n\r\n";
     }
 
-    /** Only what is held can be sent again: so the last body has found room, though others had taken it. */
+    /**
+     * Only what is held can be sent again: so the last body has found room, though others had taken
+     * it.
+     */
     @Test
     public void theRoomOfClientsThatLeaveIsGivenBack() throws Exception {
         Semaphore answers = new Semaphore(0);
         Semaphore answered = new Semaphore(0);
-        Peer worker = stage.add(new Peer(request -> {
-            answers.acquireUninterruptibly();
-            request.answer("200 OK", "", "made");
-            answered.release();
-        }));
+        Peer worker =
+                stage.add(
+                        new Peer(
+                                request -> {
+                                    answers.acquireUninterruptibly();
+                                    request.answer("200 OK", "", "made");
+                                    answered.release();
+                                }));
         stage.start(Stage.SETTINGS, worker);
-        String body = new String(bytes(3 * LONG), StandardCharsets.ISO_8859_1); // there is room for one
+        String body =
+                new String(bytes(3 * LONG), StandardCharsets.ISO_8859_1); // there is room for one
         for (int i = 0; i < 5; i++) {
             Socket leaves = stage.connect();
             Message.send(leaves, head("Content-Length: " + body.length()) + body);
@@ -226,15 +266,21 @@
             answers.release();
             answered.acquireUninterruptibly();
             answers.release();
-            assertEquals("made", stage.call("state").body()); // by then, the node has read the answer before
+            assertEquals(
+                    "made",
+                    stage.call("state").body()); // by then, the node has read the answer before
             worker.asked();
             answered.acquireUninterruptibly();
         }
         AtomicInteger asked = new AtomicInteger();
-        worker.setScript(request -> {
-            boolean first = asked.incrementAndGet() == 1;
-            request.answer(first ? "503 Busy" : "200 OK", first ? "X-Unprocessed: 1\r\n" : "", first ? "" : "made");
-        });
+        worker.setScript(
+                request -> {
+                    boolean first = asked.incrementAndGet() == 1;
+                    request.answer(
+                            first ? "503 Busy" : "200 OK",
+                            first ? "X-Unprocessed: 1\r\n" : "",
+                            first ? "" : "made");
+                });
         Socket client = stage.connect();
         Message.send(client, head("Content-Length: " + body.length()) + body);
         assertEquals("made", Message.read(client).body());
@@ -245,9 +291,11 @@
     public void bodiesPastTheRoomGoOnAsTheyCome() throws Exception {
         Peer worker = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, worker);
-        byte[] most = bytes(30 * 1024 * 1024); // under what a body may have, over what there is room for
+        byte[] most =
+                bytes(30 * 1024 * 1024); // under what a body may have, over what there is room for
         String body = new String(most, StandardCharsets.ISO_8859_1);
-        for (String framing : List.of("Content-Length: " + most.length, "Transfer-Encoding: chunked")) {
+        for (String framing :
+                List.of("Content-Length: " + most.length, "Transfer-Encoding: chunked")) {
             Socket client = stage.connect();
             Message.send(client, head(framing));
             if (framing.startsWith("T")) {
@@ -271,19 +319,25 @@
         stage.start(Stage.SETTINGS);
         CountDownLatch turnedAway = new CountDownLatch(1);
         try (ServerSocket early = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            Thread thread = new Thread(() -> {
-                try (Socket connection = early.accept()) {
-                    head(connection.getInputStream());
-                    Message.send(connection, "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
-                    turnedAway.countDown();
-                    connection.getInputStream().readAllBytes();
-                } catch (IOException e) {
-                    turnedAway.countDown();
-                }
-            });
+            Thread thread =
+                    new Thread(
+                            () -> {
+                                try (Socket connection = early.accept()) {
+                                    head(connection.getInputStream());
+                                    Message.send(
+                                            connection,
+                                            "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
+                                    turnedAway.countDown();
+                                    connection.getInputStream().readAllBytes();
+                                } catch (IOException e) {
+                                    turnedAway.countDown();
+                                }
+                            });
             thread.start();
-            Stage.line(stage.discovery.asked(), Stage.list(2, true, "active", elsewhere)
-                    .replace(elsewhere.hostPort(), "127.0.0.1:" + early.getLocalPort()));
+            Stage.line(
+                    stage.discovery.asked(),
+                    Stage.list(2, true, "active", elsewhere)
+                            .replace(elsewhere.hostPort(), "127.0.0.1:" + early.getLocalPort()));
             stage.awaitFigure("app_cluster_size 1");
             Socket client = stage.connect();
             Message.send(client, head("Content-Length: " + 30 * 1024 * 1024));
@@ -305,7 +359,9 @@
         Message.send(client, head("Content-Length: " + 30 * 1024 * 1024));
         Message.send(client, "x".repeat(2_000_000));
         client.close();
-        assertTrue("the worker's connection ends", worker.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS) != null);
+        assertTrue(
+                "the worker's connection ends",
+                worker.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS) != null);
         worker.wasNotAsked();
         stage.awaitFigure("app_current 0");
         assertEquals("made", stage.call("use").body());
@@ -316,10 +372,16 @@
         Peer worker = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, worker);
         Socket noCall = stage.connect();
-        Message.send(noCall, head("Content-Length: " + LONG).replace("X-Time-Left: 20.000", "X-Time-Left: soon"));
+        Message.send(
+                noCall,
+                head("Content-Length: " + LONG)
+                        .replace("X-Time-Left: 20.000", "X-Time-Left: soon"));
         try {
             noCall.getOutputStream().write(bytes(2_000_000));
-            assertEquals("what is no call is read past for a while only", -1, noCall.getInputStream().read());
+            assertEquals(
+                    "what is no call is read past for a while only",
+                    -1,
+                    noCall.getInputStream().read());
         } catch (IOException e) {
             assertTrue("as good as an end", !(e instanceof SocketTimeoutException));
         }
--- a/daemon/src/test/java/trailthread/daemon/ModuleDrillTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ModuleDrillTest.java
@@ -17,22 +17,32 @@
         Settings settings = new Settings();
         settings.retryAfter = true;
         settings.maxRetryAfterNs = 1_000_000_000L;
-        settings.classes.add(new RequestClass("use", 100_000_000L, 0, 500_000_000L, Semantics.UNSAFE,
-                Group.ALL, 0, 1, 0));
+        settings.classes.add(
+                new RequestClass(
+                        "use",
+                        100_000_000L,
+                        0,
+                        500_000_000L,
+                        Semantics.UNSAFE,
+                        Group.ALL,
+                        0,
+                        1,
+                        0));
         int[] sent = {0};
         List<Long> refused = new ArrayList<>();
-        ModuleDrill drill = new ModuleDrill(settings, 1) {
-            @Override
-            public void send(long request, long timeoutNs, long writtenBy, String backend) {
-                sent[0]++;
-                super.send(request, timeoutNs, writtenBy, backend);
-            }
+        ModuleDrill drill =
+                new ModuleDrill(settings, 1) {
+                    @Override
+                    public void send(long request, long timeoutNs, long writtenBy, String backend) {
+                        sent[0]++;
+                        super.send(request, timeoutNs, writtenBy, backend);
+                    }
 
-            @Override
-            public void refuse(long request, long retryAfterNs) {
-                refused.add(request);
-            }
-        };
+                    @Override
+                    public void refuse(long request, long retryAfterNs) {
+                        refused.add(request);
+                    }
+                };
         for (int i = 0; i < 300; i++) {
             drill.step();
         }
--- a/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
@@ -37,20 +37,29 @@
     }
 
     private long start() throws Exception {
-        return holder.start("LB_MANAGEMENT=127.0.0.1:0 LB_CONFIG=" + config, List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-cp", System.getProperty("java.class.path"), "-Xmx64m", "trailthread.daemon.Main", "serve"));
+        return holder.start(
+                "LB_MANAGEMENT=127.0.0.1:0 LB_CONFIG=" + config,
+                List.of(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "-Xmx64m",
+                        "trailthread.daemon.Main",
+                        "serve"));
     }
 
     @Test
     public void theOldOneEndsItsCallsAndTheNewOneTakesAllFurtherOnes() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        Peer worker = stage.add(new Peer(request -> {
-            if (request.start().startsWith("POST /use")) {
-                Peer.await(answer);
-            }
-            request.answer("200 OK", "", "made");
-        }));
+        Peer worker =
+                stage.add(
+                        new Peer(
+                                request -> {
+                                    if (request.start().startsWith("POST /use")) {
+                                        Peer.await(answer);
+                                    }
+                                    request.answer("200 OK", "", "made");
+                                }));
         Files.writeString(config, stage.config(Stage.SETTINGS, worker));
         long old = start();
         holder.logged(SERVES, 1);
@@ -61,13 +70,15 @@
         assertEquals("made", Message.read(idle).body());
         start();
         holder.logged(SERVES, 2);
-        CompletableFuture<Void> ended = CompletableFuture.runAsync(() -> {
-            try {
-                Holder.terminate(old);
-            } catch (Exception e) {
-                throw new AssertionError(e);
-            }
-        });
+        CompletableFuture<Void> ended =
+                CompletableFuture.runAsync(
+                        () -> {
+                            try {
+                                Holder.terminate(old);
+                            } catch (Exception e) {
+                                throw new AssertionError(e);
+                            }
+                        });
         for (int i = 0; i < CALLS; i++) {
             assertEquals("made", stage.call("state").body());
         }
@@ -120,7 +131,8 @@
             long next = start();
             holder.logged(SERVES, i);
             assertEquals(200, Stage.manage(door(i), "GET", "/-/ready").status());
-            assertEquals(drained ? 503 : 200, Stage.manage(door(i - 1), "GET", "/-/ready").status());
+            assertEquals(
+                    drained ? 503 : 200, Stage.manage(door(i - 1), "GET", "/-/ready").status());
             Holder.terminate(old);
             assertEquals("made", stage.call("use").body());
             old = next;
@@ -131,16 +143,23 @@
     public void whatIsNoListeningSocketIsNamed() throws Exception {
         for (String told : List.of("0", "3", "x")) {
             Files.writeString(config, stage.config(Stage.SETTINGS));
-            ProcessBuilder builder = new ProcessBuilder(
-                    Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                    "-cp", System.getProperty("java.class.path"), "trailthread.daemon.Main", "serve")
-                    .redirectErrorStream(true);
+            ProcessBuilder builder =
+                    new ProcessBuilder(
+                                    Path.of(System.getProperty("java.home"), "bin", "java")
+                                            .toString(),
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    "trailthread.daemon.Main",
+                                    "serve")
+                            .redirectErrorStream(true);
             builder.environment().put("LB_CONFIG", config.toString());
             builder.environment().put("LB_SOCKET_FD", told);
             Process refused = builder.start();
             String said = new String(refused.getInputStream().readAllBytes());
             assertEquals(2, refused.waitFor());
-            assertTrue(said, said.startsWith("trailthread: LB_SOCKET_FD: ") && said.lines().count() == 1);
+            assertTrue(
+                    said,
+                    said.startsWith("trailthread: LB_SOCKET_FD: ") && said.lines().count() == 1);
         }
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/NewsDueTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewsDueTest.java
@@ -13,15 +13,18 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.After;
 import org.junit.Test;
-import trailthread.engine.loop.Loop;
 import trailthread.engine.discovery.Discovery;
 import trailthread.engine.discovery.DiscoveryListener;
 import trailthread.engine.discovery.DiscoveryUpdate;
+import trailthread.engine.loop.Loop;
 import trailthread.testkit.Message;
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** From when on a list counts as known that came, or was due, before it was read: a drain's grace counts from then. */
+/**
+ * From when on a list counts as known that came, or was due, before it was read: a drain's grace
+ * counts from then.
+ */
 public class NewsDueTest {
     private static final long MS = 1_000_000L;
     private static final long NEWS_DUE_MS = 6_000;
@@ -33,25 +36,31 @@
     private final BlockingQueue<Long> failures = new LinkedBlockingQueue<>();
 
     public NewsDueTest() throws Exception {
-        peer = new Peer(request -> {
-            Stage.watch(request);
-            Stage.line(request, Stage.list(1, true, "active"));
-        });
+        peer =
+                new Peer(
+                        request -> {
+                            Stage.watch(request);
+                            Stage.line(request, Stage.list(1, true, "active"));
+                        });
         loop = new Loop("news");
         String[] hostPort = peer.hostPort().split(":");
-        discovery = new Discovery(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                Integer.parseInt(hostPort[1])), new DiscoveryListener() {
-                    @Override
-                    public void told(DiscoveryUpdate update, long since) {
-                        knownSince.add(since);
-                        updates.add(update);
-                    }
+        discovery =
+                new Discovery(
+                        loop,
+                        new InetSocketAddress(
+                                InetAddress.getLoopbackAddress(), Integer.parseInt(hostPort[1])),
+                        new DiscoveryListener() {
+                            @Override
+                            public void told(DiscoveryUpdate update, long since) {
+                                knownSince.add(since);
+                                updates.add(update);
+                            }
 
-                    @Override
-                    public void failed() {
-                        failures.add(loop.now());
-                    }
-                });
+                            @Override
+                            public void failed() {
+                                failures.add(loop.now());
+                            }
+                        });
         loop.execute(() -> discovery.watch(true));
     }
 
@@ -79,10 +88,11 @@
     private long liesUnread(Message watch, String line) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch goOn = new CountDownLatch(1);
-        loop.execute(() -> {
-            held.countDown();
-            Peer.await(goOn);
-        });
+        loop.execute(
+                () -> {
+                    held.countDown();
+                    Peer.await(goOn);
+                });
         Peer.await(held);
         Stage.line(watch, line);
         final long cameBy = loop.now();
@@ -97,7 +107,10 @@
         newsIsDueAfterSilenceSince(loop.now());
     }
 
-    /** What has changed since a late loop's last sign of life came, and before it was read, is not in it. */
+    /**
+     * What has changed since a late loop's last sign of life came, and before it was read, is not
+     * in it.
+     */
     @Test
     public void newsIsDueSinceTheLastSignOfLifeCameNotSinceItWasRead() throws Exception {
         Message watch = peer.asked();
@@ -105,15 +118,19 @@
         newsIsDueAfterSilenceSince(liesUnread(watch, ""));
     }
 
-    /** Where nothing had changed the module went on asking, and took the watch's end for a call in vain. */
+    /**
+     * Where nothing had changed the module went on asking, and took the watch's end for a call in
+     * vain.
+     */
     @Test
     public void aWatchThatLivesTellsThatNothingHasChanged() throws Exception {
         Message watch = peer.asked();
         known();
-        peer.setScript(request -> {
-            Stage.watch(request);
-            Stage.line(request, "");
-        });
+        peer.setScript(
+                request -> {
+                    Stage.watch(request);
+                    Stage.line(request, "");
+                });
         watch.connection().close();
         assertNotNull("its end is noticed", failures.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
         loop.execute(() -> discovery.watch(true));
@@ -127,6 +144,8 @@
         long passedMs = (loop.now() - silentSince) / MS;
         Thread.sleep(Math.max(0, NEWS_DUE_MS + 1_000 - passedMs));
         loop.execute(() -> discovery.watch(true));
-        assertTrue("due six seconds after the last sign of life", known() <= silentSince + NEWS_DUE_MS * MS);
+        assertTrue(
+                "due six seconds after the last sign of life",
+                known() <= silentSince + NEWS_DUE_MS * MS);
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/NodeConfigTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NodeConfigTest.java
@@ -18,13 +18,17 @@
 
 /** What a node is told, right and wrong. */
 public class NodeConfigTest {
-    private static final String GOOD = "{\"name\":\"n3\",\"listen\":\"10.0.0.4:8080\","
-            + "\"discovery\":\"10.2.0.1:85\",\"seed\":\"8c1f30d27a5be964\","
-            + "\"limits\":{\"cores\":1.0,\"sockets\":300},\"new\":[{}],"
-            + "\"known\":{\"generation\":4,\"reset\":true,\"instances\":[]},"
-            + "\"settings\":{" + Stage.SETTINGS + "}}";
+    private static final String GOOD =
+            "{\"name\":\"n3\",\"listen\":\"10.0.0.4:8080\","
+                    + "\"discovery\":\"10.2.0.1:85\",\"seed\":\"8c1f30d27a5be964\","
+                    + "\"limits\":{\"cores\":1.0,\"sockets\":300},\"new\":[{}],"
+                    + "\"known\":{\"generation\":4,\"reset\":true,\"instances\":[]},"
+                    + "\"settings\":{"
+                    + Stage.SETTINGS
+                    + "}}";
 
-    private static NodeConfig parse(String json, Map<String, String> environment) throws ConfigException {
+    private static NodeConfig parse(String json, Map<String, String> environment)
+            throws ConfigException {
         return NodeConfig.parse(new StringReader(json), environment);
     }
 
@@ -49,7 +53,9 @@
         String told = GOOD.replaceFirst("\\{", "{\"management\":\"127.0.0.1:9200\",");
         assertEquals(new InetSocketAddress("127.0.0.1", 9200), parse(told, Map.of()).management());
         for (String file : new String[] {told, GOOD}) {
-            assertEquals(9300, parse(file, Map.of("LB_MANAGEMENT", "127.0.0.1:9300")).management().getPort());
+            assertEquals(
+                    9300,
+                    parse(file, Map.of("LB_MANAGEMENT", "127.0.0.1:9300")).management().getPort());
         }
     }
 
@@ -65,8 +71,13 @@
     public void levelsAreOffUnlessTheyAreOn() throws ConfigException {
         assertNull(parse(GOOD, Map.of()).levels());
         assertNull(parse(levels("\"on\":false"), Map.of()).levels());
-        LevelsConfig told = parse(levels("\"on\":true,\"shed_first\":[\"use\"],"
-                + "\"lean\":{\"failing\":{\"enter\":0.2,\"leave\":0.1}}"), Map.of()).levels();
+        LevelsConfig told =
+                parse(
+                                levels(
+                                        "\"on\":true,\"shed_first\":[\"use\"],"
+                                                + "\"lean\":{\"failing\":{\"enter\":0.2,\"leave\":0.1}}"),
+                                Map.of())
+                        .levels();
         assertEquals("use", told.order().names().get(0));
         assertEquals(Reading.FAILING, told.plan().levels.get(1).conditions().get(0).reading());
     }
@@ -74,12 +85,17 @@
     @Test
     public void whatIsWrongIsNamed() {
         String[][] cases = {
-            {"", "LB_CONFIG"}, {"[]", "LB_CONFIG"}, {GOOD.replace("\"n3\"", "[]"), "name"},
+            {"", "LB_CONFIG"},
+            {"[]", "LB_CONFIG"},
+            {GOOD.replace("\"n3\"", "[]"), "name"},
             {GOOD.replace("10.0.0.4:8080", "10.0.0.4"), "listen"},
             {GOOD.replace(":8080", ":80800"), "listen"},
-            {GOOD.replace(":85", ":0"), "discovery"}, {GOOD.replace("discovery", "other"), "discovery"},
-            {GOOD.replace("8c1f", "8g1f"), "seed"}, {GOOD.replace("8c1f", "8c1f8"), "seed"},
-            {GOOD.replace("300", "30"), "limits"}, {GOOD.replace("300", "\"few\""), "limits"},
+            {GOOD.replace(":85", ":0"), "discovery"},
+            {GOOD.replace("discovery", "other"), "discovery"},
+            {GOOD.replace("8c1f", "8g1f"), "seed"},
+            {GOOD.replace("8c1f", "8c1f8"), "seed"},
+            {GOOD.replace("300", "30"), "limits"},
+            {GOOD.replace("300", "\"few\""), "limits"},
             {GOOD.replace("generation", "other"), "known"},
             {GOOD.substring(0, GOOD.indexOf("instances")), "known"},
             {GOOD.replace("\"settings\"", "\"other\""), "classes"},
@@ -87,22 +103,37 @@
             {GOOD.replace("\"aim_ns\":1", "\"aim_ns\":x"), "settings"},
             {GOOD.replace("\"most_tries\":6", "\"most_tries\":\"six\""), "limits.most_tries"},
             {GOOD.replace("\"most_tries\":6", "\"most_tries\":0"), "maxAttempts"},
-            {management("\"9100\""), "management"}, {management("\"\""), "management"},
-            {management("\"127.0.0.1:-1\""), "management"}, {management("[9100]"), "management"},
-            {GOOD.replaceFirst("\\{", "{\"operator\":{\"listen\":\"127.0.0.1:9100\"},"), "management"},
+            {management("\"9100\""), "management"},
+            {management("\"\""), "management"},
+            {management("\"127.0.0.1:-1\""), "management"},
+            {management("[9100]"), "management"},
+            {
+                GOOD.replaceFirst("\\{", "{\"operator\":{\"listen\":\"127.0.0.1:9100\"},"),
+                "management"
+            },
             {GOOD.replace("idle_close_ns\":6", "idle_close_ns\":0.6"), "limits.idle_close_ns"},
-            {levels("\"on\":1"), "levels.on"}, {levels(""), "levels.on"},
+            {levels("\"on\":1"), "levels.on"},
+            {levels(""), "levels.on"},
             {levels("\"on\":true,\"keep\":0"), "levels.keep"},
             {levels("\"on\":false,\"rise_s\":0"), "levels.rise_s"},
             {levels("\"on\":true,\"shed_first\":[\"none\"]"), "levels.shed_first"},
             {levels("\"on\":true,\"lean\":{\"slack\":1}"), "levels.lean.slack"},
-            {levels("\"on\":true,\"reduced\":{\"failing\":{\"enter\":1.5}}"), "levels.reduced.failing.enter"},
+            {
+                levels("\"on\":true,\"reduced\":{\"failing\":{\"enter\":1.5}}"),
+                "levels.reduced.failing.enter"
+            },
             {levels("\"on\":true,\"reduced\":{\"leave_s\":\"x\"}"), "levels.reduced.leave_s"},
-            {levels("\"on\":true,\"essential\":{\"least_stay_s\":1e9}"), "levels.essential.least_stay_s"},
+            {
+                levels("\"on\":true,\"essential\":{\"least_stay_s\":1e9}"),
+                "levels.essential.least_stay_s"
+            },
         };
         for (String[] c : cases) {
-            ConfigException e = assertThrows(c[1], ConfigException.class, () -> parse(c[0], Map.of()));
-            assertTrue(e.getMessage(), e.getMessage().contains(c[1]) && e.getMessage().lines().count() == 1);
+            ConfigException e =
+                    assertThrows(c[1], ConfigException.class, () -> parse(c[0], Map.of()));
+            assertTrue(
+                    e.getMessage(),
+                    e.getMessage().contains(c[1]) && e.getMessage().lines().count() == 1);
         }
     }
 
@@ -111,7 +142,8 @@
     public void aReloadFollowsTheFileOnceItChanges() throws Exception {
         Path file = Files.createTempFile("trailthread", ".json");
         try {
-            Map<String, String> told = Map.of("LB_CONFIG", file.toString(), "LB_DISCOVERY", "10.9.0.1:85");
+            Map<String, String> told =
+                    Map.of("LB_CONFIG", file.toString(), "LB_DISCOVERY", "10.9.0.1:85");
             NodeConfig config = parse(GOOD, told);
             String[][] cases = {
                 {GOOD, "10.9.0.1"},
--- a/daemon/src/test/java/trailthread/daemon/OperatorOffTest.java
+++ b/daemon/src/test/java/trailthread/daemon/OperatorOffTest.java
@@ -21,13 +21,17 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** A node whose operators want nothing, and without levels, pays nothing: no class, thread or descriptor. */
+/**
+ * A node whose operators want nothing, and without levels, pays nothing: no class, thread or
+ * descriptor.
+ */
 public class OperatorOffTest {
     /** Joins the parts as the node does; an argument is the address to tell operators on. */
     public static void main(String[] args) throws IOException {
         InetSocketAddress listen = args.length == 0 ? null : new InetSocketAddress(args[0], 0);
         Loop loop = new Loop("n0");
-        Files.list(Path.of("/proc/self/fd")).close(); // so that no class of this loads between the counts
+        Files.list(Path.of("/proc/self/fd"))
+                .close(); // so that no class of this loads between the counts
         String before = held();
         OperatorEndpoint operator =
                 listen == null ? null : new OperatorEndpoint(loop, "n0", List.of(), new Nothing());
@@ -41,8 +45,10 @@
     }
 
     private static String held() {
-        return Thread.getAllStackTraces().size() + " threads and "
-                + Path.of("/proc/self/fd").toFile().list().length + " descriptors";
+        return Thread.getAllStackTraces().size()
+                + " threads and "
+                + Path.of("/proc/self/fd").toFile().list().length
+                + " descriptors";
     }
 
     /** A node that has nothing to say. */
@@ -83,12 +89,19 @@
         }
     }
 
-    /** Runs a program until it has written this; all that it wrote, the classes it loaded among it. */
+    /**
+     * Runs a program until it has written this; all that it wrote, the classes it loaded among it.
+     */
     private static String run(String until, Map<String, String> environment, String... words)
             throws Exception {
-        List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-cp", System.getProperty("java.class.path"), "-Xmx64m", "-Xlog:class+load"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "-Xmx64m",
+                                "-Xlog:class+load"));
         command.addAll(List.of(words));
         Path log = Files.createTempFile("trailthread", ".log");
         ProcessBuilder builder =
@@ -118,8 +131,13 @@
         String main = OperatorOffTest.class.getName();
         String off = run("held ", Map.of(), main);
         assertFalse("a class is loaded", loads(off));
-        String[] held = off.lines().filter(line -> line.startsWith("held ")).findFirst().orElseThrow()
-                .substring("held ".length()).split(" then ");
+        String[] held =
+                off.lines()
+                        .filter(line -> line.startsWith("held "))
+                        .findFirst()
+                        .orElseThrow()
+                        .substring("held ".length())
+                        .split(" then ");
         assertEquals(held[0], held[1]);
         assertTrue("what this test looks for", loads(run("held ", Map.of(), main, "127.0.0.1")));
     }
@@ -131,11 +149,17 @@
         try {
             Files.writeString(config, stage.config(Stage.SETTINGS));
             String log =
-                    run("serves on", Map.of("LB_CONFIG", config.toString()), Main.class.getName(), "serve");
+                    run(
+                            "serves on",
+                            Map.of("LB_CONFIG", config.toString()),
+                            Main.class.getName(),
+                            "serve");
             assertTrue("what this test looks for", log.contains("trailthread.engine.loop.Loop "));
             assertFalse("a class is loaded", loads(log));
-            assertFalse("a class of the levels is loaded",
-                    log.contains("trailthread.levels.") || log.contains("trailthread.engine.service."));
+            assertFalse(
+                    "a class of the levels is loaded",
+                    log.contains("trailthread.levels.")
+                            || log.contains("trailthread.engine.service."));
         } finally {
             Files.delete(config);
             stage.end();
--- a/daemon/src/test/java/trailthread/daemon/PauseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/PauseTest.java
@@ -21,10 +21,13 @@
     private static final int OUT = 6;
     private static final int KEPT = 8;
     private static final int NEW = 20;
+
     /** The longer the aims and deadlines, the longer the module leaves a silent worker alone. */
-    private static final String QUICK = Stage.SETTINGS
-            .replace("\"aim_ns\":10000000000", "\"aim_ns\":500000000")
-            .replace("\"deadline_ns\":20000000000", "\"deadline_ns\":2000000000");
+    private static final String QUICK =
+            Stage.SETTINGS
+                    .replace("\"aim_ns\":10000000000", "\"aim_ns\":500000000")
+                    .replace("\"deadline_ns\":20000000000", "\"deadline_ns\":2000000000");
+
     private final Stage stage;
 
     public PauseTest() throws Exception {
@@ -73,15 +76,16 @@
         CountDownLatch goOn = new CountDownLatch(1);
         CountDownLatch out = new CountDownLatch(OUT);
         for (Peer worker : workers) {
-            worker.setScript(request -> {
-                out.countDown();
-                try {
-                    goOn.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
-                } catch (InterruptedException e) {
-                    throw new AssertionError(e);
-                }
-                request.answer("200 OK", "", "made");
-            });
+            worker.setScript(
+                    request -> {
+                        out.countDown();
+                        try {
+                            goOn.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+                        } catch (InterruptedException e) {
+                            throw new AssertionError(e);
+                        }
+                        request.answer("200 OK", "", "made");
+                    });
         }
         for (int i = 0; i < OUT; i++) {
             clients.add(send(stage.connect(), i));
@@ -108,8 +112,12 @@
     @Test
     public void silentWorkersKeepNothingBackAndAreUsedAgainOnceTheySpeak() throws Exception {
         Peer.Script serves = request -> request.answer("200 OK", "", "made");
-        Peer[] workers = {stage.add(new Peer(serves)), stage.add(new Peer(serves)),
-            stage.add(new Peer(serves)), stage.add(new Peer(serves))};
+        Peer[] workers = {
+            stage.add(new Peer(serves)),
+            stage.add(new Peer(serves)),
+            stage.add(new Peer(serves)),
+            stage.add(new Peer(serves))
+        };
         stage.start(QUICK, workers);
         for (int i = 0; i < 200; i++) {
             assertEquals(200, stage.call("state").status());
@@ -119,7 +127,7 @@
         }
         Peer[] silent = {workers[0], workers[1]};
         for (Peer worker : silent) {
-            worker.setScript(request -> { });
+            worker.setScript(request -> {});
         }
         List<Socket> users = new ArrayList<>();
         while (silent[0].requests.isEmpty() && silent[1].requests.isEmpty()) {
--- a/daemon/src/test/java/trailthread/daemon/RetuneTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RetuneTest.java
@@ -12,8 +12,10 @@
 
 /** Settings that a file brings at SIGHUP: taken as a whole or not at all. */
 public class RetuneTest extends WithDoor {
-    private static final String OTHERS = Stage.SETTINGS.replace("\"name\":\"use\"", "\"name\":\"study\"")
-            .replace("\"most_tries\":6", "\"most_tries\":1");
+    private static final String OTHERS =
+            Stage.SETTINGS
+                    .replace("\"name\":\"use\"", "\"name\":\"study\"")
+                    .replace("\"most_tries\":6", "\"most_tries\":1");
 
     @Test
     public void classesComeAndGoAndCallsUnderWayKeepTheirs() throws Exception {
@@ -46,8 +48,10 @@
         Peer worker = stage.add(new Peer(request -> request.answer("500 Error", "", "")));
         Peer other = stage.add(new Peer(request -> request.answer("500 Error", "", "")));
         stage.start(Stage.SETTINGS, worker, other);
-        assertTrue("more than one attempt", stage.call("state").status() >= 500
-                && worker.requests.size() + other.requests.size() > 1);
+        assertTrue(
+                "more than one attempt",
+                stage.call("state").status() >= 500
+                        && worker.requests.size() + other.requests.size() > 1);
         stage.reload(stage.config(OTHERS, worker, other));
         stage.awaitFigure("app_conf_loaded 1");
         int before = worker.requests.size() + other.requests.size();
@@ -62,7 +66,10 @@
         for (int i = 0; i < 20; i++) {
             stage.reload(stage.config(i % 2 == 0 ? OTHERS : Stage.SETTINGS, worker));
         }
-        stage.reload(stage.config(OTHERS.replace("\"study\"", "\"newest\""), worker)); // no other file has that class
+        stage.reload(
+                stage.config(
+                        OTHERS.replace("\"study\"", "\"newest\""),
+                        worker)); // no other file has that class
         boolean newest = false;
         for (int i = 0; !newest && i < 10 * Peer.LONGEST_WAIT_S; i++) {
             newest = stage.call("newest").status() == 200;
@@ -70,7 +77,9 @@
         }
         assertTrue("the newest is taken", newest);
         stage.reload("{");
-        stage.logged("configuration not taken over"); // signals before it may still be under way, and read this one
+        stage.logged(
+                "configuration not taken over"); // signals before it may still be under way, and
+        // read this one
         assertEquals(200, stage.call("newest").status());
         assertEquals(400, stage.call("use").status());
     }
@@ -81,7 +90,11 @@
         stage.start(Stage.SETTINGS, worker);
         String good = stage.config(OTHERS, worker);
         String[] broken = {
-            "", "{", good.substring(0, good.length() - 1), good.substring(0, good.length() / 2), good + "}",
+            "",
+            "{",
+            good.substring(0, good.length() - 1),
+            good.substring(0, good.length() / 2),
+            good + "}",
             good.replace("\"seed\":\"8c1f30d27a5be964\",", ""),
             good.replace("\"settings\":", "\"sittings\":"),
             good.replace("\"categories\":", "\"cats\":"),
--- a/daemon/src/test/java/trailthread/daemon/RollingRestartTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RollingRestartTest.java
@@ -23,7 +23,10 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** Guards against calls that are lost or run twice while a pair of nodes is restarted in turn under load. */
+/**
+ * Guards against calls that are lost or run twice while a pair of nodes is restarted in turn under
+ * load.
+ */
 public class RollingRestartTest {
     private static final int CLIENTS = 12;
     private static final int MOST_TRIES = 400;
@@ -31,13 +34,19 @@
     private static final int SLOW_MS = 400;
     private static final Pattern ID = Pattern.compile("X-Correlation-Id: (\\w+)");
     private final Stage[] nodes = new Stage[2];
+
     /** How often each id ran at the workers. */
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
+
     private final Map<Integer, Integer> answers = new ConcurrentHashMap<>();
     private final Set<String> answered = ConcurrentHashMap.newKeySet();
     private final Queue<String> faults = new ConcurrentLinkedQueue<>();
     private volatile boolean over;
-    /** The nodes end on a machine that stops them again and again; workers and clients take their time. */
+
+    /**
+     * The nodes end on a machine that stops them again and again; workers and clients take their
+     * time.
+     */
     private boolean slowed;
 
     @After
@@ -48,7 +57,10 @@
         }
     }
 
-    /** A client that makes one call after another, on a connection that it keeps for as long as it may. */
+    /**
+     * A client that makes one call after another, on a connection that it keeps for as long as it
+     * may.
+     */
     private final class Client extends Thread {
         private int at;
         private final int number;
@@ -62,11 +74,15 @@
         @Override
         public void run() {
             try {
-                sleep(slowed ? number * SLOW_MS / CLIENTS * 2L : 0); // so that some are at work whenever the node ends
+                sleep(
+                        slowed
+                                ? number * SLOW_MS / CLIENTS * 2L
+                                : 0); // so that some are at work whenever the node ends
                 for (int i = 0; !over; i++) {
                     String requestClass = i % 2 == 0 ? "use" : "state";
                     int tries = 1;
-                    while (!isAnswered(Stage.request(requestClass, "", "")) && tries++ < MOST_TRIES) {
+                    while (!isAnswered(Stage.request(requestClass, "", ""))
+                            && tries++ < MOST_TRIES) {
                         at = 1 - at;
                         sleep(5);
                     }
@@ -99,7 +115,8 @@
                 Message.send(kept, call);
                 answer = Message.read(kept);
             } catch (IOException e) {
-                if (!slowed) { // where a node closes late, a call may cross that, and is reset unread
+                if (!slowed) { // where a node closes late, a call may cross that, and is reset
+                    // unread
                     faults.add(id.group(1) + " ran " + runs.get(id.group(1)) + " times, then " + e);
                 }
                 kept.close();
@@ -131,7 +148,10 @@
         restarts();
     }
 
-    /** On a machine that runs the ending node for a third of the time, as one with too many guests does. */
+    /**
+     * On a machine that runs the ending node for a third of the time, as one with too many guests
+     * does.
+     */
     @Test
     public void noneIsOnASlowedMachineEither() throws Exception {
         slowed = true;
@@ -140,18 +160,20 @@
 
     /** Stops the node's process and lets it go on, again and again, until it has ended. */
     private static Thread slows(Stage node) {
-        Thread thread = new Thread(() -> {
-            try {
-                while (node.isRunning()) {
-                    node.signal("STOP");
-                    Thread.sleep(STOPPED_MS);
-                    node.signal("CONT");
-                    Thread.sleep(STOPPED_MS / 2);
-                }
-            } catch (IOException | InterruptedException | AssertionError e) {
-                // it has ended meanwhile
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                while (node.isRunning()) {
+                                    node.signal("STOP");
+                                    Thread.sleep(STOPPED_MS);
+                                    node.signal("CONT");
+                                    Thread.sleep(STOPPED_MS / 2);
+                                }
+                            } catch (IOException | InterruptedException | AssertionError e) {
+                                // it has ended meanwhile
+                            }
+                        });
         thread.start();
         return thread;
     }
@@ -160,11 +182,17 @@
         Peer[] workers = new Peer[2];
         for (int i = 0; i < 2; i++) {
             nodes[i] = new Stage();
-            workers[i] = nodes[i].add(new Peer(request -> {
-                runs.merge(request.header("X-Correlation-Id"), 1, Integer::sum);
-                LockSupport.parkNanos(slowed ? SLOW_MS * 1_000_000L : 0);
-                request.answer("200 OK", "", "made");
-            }));
+            workers[i] =
+                    nodes[i].add(
+                            new Peer(
+                                    request -> {
+                                        runs.merge(
+                                                request.header("X-Correlation-Id"),
+                                                1,
+                                                Integer::sum);
+                                        LockSupport.parkNanos(slowed ? SLOW_MS * 1_000_000L : 0);
+                                        request.answer("200 OK", "", "made");
+                                    }));
         }
         for (Stage node : nodes) {
             node.start(Stage.SETTINGS, workers);
@@ -188,8 +216,11 @@
             client.join();
         }
         assertEquals(List.of(), List.copyOf(faults));
-        assertTrue("answered: " + answers, answers.get(200) > 50 && answers.keySet().stream()
-                .allMatch(status -> status == 200 || status == 503));
+        assertTrue(
+                "answered: " + answers,
+                answers.get(200) > 50
+                        && answers.keySet().stream()
+                                .allMatch(status -> status == 200 || status == 503));
         runs.forEach((id, times) -> assertEquals(id, 1, (int) times));
         assertTrue("all that ran was answered", answered.containsAll(runs.keySet()));
     }
--- a/daemon/src/test/java/trailthread/daemon/ShutdownPlanTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ShutdownPlanTest.java
@@ -5,13 +5,16 @@
 
 import org.junit.Test;
 
-/** When a node that ends does what, against the earliest moment at which the platform may kill it. */
+/**
+ * When a node that ends does what, against the earliest moment at which the platform may kill it.
+ */
 public class ShutdownPlanTest {
     private static final long MS = 1_000_000L;
 
     @Test
     public void eachStepHasItsTimeForShortAndLongDeadlines() {
-        long[][] cases = { // longest deadline, lateness; last answers, closes, answered: milliseconds
+        long[][] cases = { // longest deadline, lateness; last answers, closes, answered:
+            // milliseconds
             {150, 0, 475, 625, 700},
             {300, 0, 550, 700, 850},
             {1_200, 0, 550, 700, 1_750},
@@ -37,7 +40,9 @@
             for (long late = 0; late < 1_000; late = 2 * late + 10) {
                 ShutdownPlan plan = ShutdownPlan.of(ms * MS, late * MS);
                 assertTrue("new connections come for 0.4 s", plan.closesNs() >= 400 * MS);
-                assertTrue(plan.lastAnswersNs() < plan.closesNs() && plan.closesNs() <= plan.answeredNs());
+                assertTrue(
+                        plan.lastAnswersNs() < plan.closesNs()
+                                && plan.closesNs() <= plan.answeredNs());
                 assertTrue(plan.answeredNs() <= (700 + Math.min(ms, 3_000) - 150) * MS);
             }
         }
--- a/daemon/src/test/java/trailthread/daemon/SpoiltAnswerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/SpoiltAnswerTest.java
@@ -89,7 +89,8 @@
     public void oddButGoodAnswersAreServed() throws Exception {
         String[] good = {
             "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" + MADE,
-            MADE.replace("\r\n\r\n", "\r\nX-Backend-Load: {\"inflight\":-1,\"queue\":-9e99}\r\n\r\n"),
+            MADE.replace(
+                    "\r\n\r\n", "\r\nX-Backend-Load: {\"inflight\":-1,\"queue\":-9e99}\r\n\r\n"),
             MADE.replace("\r\n\r\n", "\r\nX-Backend-Load: {{{{\u0001\u00ff\r\n\r\n"),
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x\r\nma\r\n2\r\nde\r\n0\r\nA: b\r\n\r\n",
         };
--- a/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
@@ -38,22 +38,29 @@
     }
 
     /**
-     * On a machine that was put off its cores, a warm-up call was given up and lay unread until the node had begun to
-     * serve; it then went to a worker, which knows no such call.
+     * On a machine that was put off its cores, a warm-up call was given up and lay unread until the
+     * node had begun to serve; it then went to a worker, which knows no such call.
      */
     @Test
     public void aWarmUpCallThatIsReadTooLateReachesNoWorker() throws Exception {
         Peer worker = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, worker);
         Socket late = stage.connect();
-        Message.send(late, Stage.request("use", "", "").replaceFirst("X-Correlation-Id: .*",
-                "X-Correlation-Id: warm-up-8c1f30d27a5be964-1"));
+        Message.send(
+                late,
+                Stage.request("use", "", "")
+                        .replaceFirst(
+                                "X-Correlation-Id: .*",
+                                "X-Correlation-Id: warm-up-8c1f30d27a5be964-1"));
         assertEquals(502, Message.read(late).status());
         worker.wasNotAsked();
         assertEquals("made", stage.call("use").body());
     }
 
-    /** A node that comes back to a fleet at work is waited for; one of an idle fleet may take its time. */
+    /**
+     * A node that comes back to a fleet at work is waited for; one of an idle fleet may take its
+     * time.
+     */
     @Test
     public void aStartIsShorterWhereWorkersAreBusy() throws Exception {
         String probes = Stage.SETTINGS.replace("\"limits\":{", "\"limits\":{\"probes\":true,");
@@ -68,7 +75,10 @@
         }
     }
 
-    /** SIGHUP ended a process that had not come to its handler; what it asks for is done once the node is there. */
+    /**
+     * SIGHUP ended a process that had not come to its handler; what it asks for is done once the
+     * node is there.
+     */
     @Test
     public void aSighupDuringTheStartIsRemembered() throws Exception {
         try (OutputStream told = stage.startAtPipe()) {
@@ -82,7 +92,10 @@
         stage.logged("configuration taken over");
     }
 
-    /** The end waited for the deadlines in force alone, and cut off calls that had been taken under longer ones. */
+    /**
+     * The end waited for the deadlines in force alone, and cut off calls that had been taken under
+     * longer ones.
+     */
     @Test
     public void callsTakenUnderLongerDeadlinesAreWaitedFor() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
@@ -91,8 +104,11 @@
         Socket client = stage.connect();
         Message.send(client, Stage.request("use", "", ""));
         worker.asked();
-        stage.reload(stage.config(Stage.SETTINGS.replace("\"deadline_ns\":20000000000", "\"deadline_ns\":100000000"),
-                worker));
+        stage.reload(
+                stage.config(
+                        Stage.SETTINGS.replace(
+                                "\"deadline_ns\":20000000000", "\"deadline_ns\":100000000"),
+                        worker));
         stage.logged("configuration taken over");
         stage.terminate();
         stage.logged("stops");
@@ -135,7 +151,10 @@
             {good.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""), "listen"},
             {good.replace("\"seed\":\"8c", "\"seed\":\"xx"), "seed"},
             {good.replace("\"fragile\"", "\"brittle\""), "categories.2.semantics"},
-            {good.replace("\"listen\"", "\"levels\":{\"on\":true,\"keep\":2},\"listen\""), "levels.keep"},
+            {
+                good.replace("\"listen\"", "\"levels\":{\"on\":true,\"keep\":2},\"listen\""),
+                "levels.keep"
+            },
             {"{\"name\":", "name"},
         };
         for (String[] c : cases) {
--- a/daemon/src/test/java/trailthread/daemon/UnreadNewsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UnreadNewsTest.java
@@ -25,36 +25,48 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** A drain counts as told when discovery has written it, though it lies unread: the loop is late, or the list long. */
+/**
+ * A drain counts as told when discovery has written it, though it lies unread: the loop is late, or
+ * the list long.
+ */
 public class UnreadNewsTest {
     private static final long MS = 1_000_000L;
     private static final long WITHIN_NS = 30_000 * MS;
+
     /** Its grace is over once the loop has been held for so long. */
     private static final long GRACE_NS = 200 * MS;
+
     private static final long HELD_MS = 400;
     private final Loop loop = new Loop("unread");
     private final Peer server = Peer.serving("made");
-    private final Peer peer = new Peer(request -> {
-        Stage.watch(request);
-        Stage.line(request, Stage.list(1, true, "active", server));
-    });
+    private final Peer peer =
+            new Peer(
+                    request -> {
+                        Stage.watch(request);
+                        Stage.line(request, Stage.list(1, true, "active", server));
+                    });
     private final BlockingQueue<DiscoveryUpdate> told = new LinkedBlockingQueue<>();
     private final BlockingQueue<Ending> endings = new LinkedBlockingQueue<>();
     private final AtomicInteger failures = new AtomicInteger();
-    private final Workers workers = new Workers(loop, WITHIN_NS, WITHIN_NS, GRACE_NS, ConnectionRoom.of(16), MS,
-            Account.NONE);
-    private final Discovery discovery = new Discovery(loop, address(peer), new DiscoveryListener() {
-        @Override
-        public void told(DiscoveryUpdate update, long knownSince) {
-            workers.update(update, knownSince);
-            told.add(update);
-        }
+    private final Workers workers =
+            new Workers(
+                    loop, WITHIN_NS, WITHIN_NS, GRACE_NS, ConnectionRoom.of(16), MS, Account.NONE);
+    private final Discovery discovery =
+            new Discovery(
+                    loop,
+                    address(peer),
+                    new DiscoveryListener() {
+                        @Override
+                        public void told(DiscoveryUpdate update, long knownSince) {
+                            workers.update(update, knownSince);
+                            told.add(update);
+                        }
 
-        @Override
-        public void failed() {
-            failures.incrementAndGet();
-        }
-    });
+                        @Override
+                        public void failed() {
+                            failures.incrementAndGet();
+                        }
+                    });
 
     public UnreadNewsTest() throws Exception {
         workers.setNews(discovery::readNews);
@@ -74,7 +86,10 @@
     }
 
     private void attempt() {
-        workers.attempt("w0", new WorkerRequest("1", "use", "POST", "/use", null, new byte[4], null), WITHIN_NS,
+        workers.attempt(
+                "w0",
+                new WorkerRequest("1", "use", "POST", "/use", null, new byte[4], null),
+                WITHIN_NS,
                 endings::add);
     }
 
@@ -91,11 +106,13 @@
         assertEquals("served before the drain, by a connection that is kept", Outcome.OK, ended());
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch goOn = new CountDownLatch(1);
-        loop.execute(() -> {
-            attempt(); // it is begun when this task has ended, and before the sockets are looked at
-            held.countDown();
-            Peer.await(goOn);
-        });
+        loop.execute(
+                () -> {
+                    attempt(); // it is begun when this task has ended, and before the sockets are
+                    // looked at
+                    held.countDown();
+                    Peer.await(goOn);
+                });
         Peer.await(held);
         Stage.line(watch, Stage.list(2, false, "leaving", server));
         Thread.sleep(HELD_MS);
--- a/daemon/src/test/java/trailthread/daemon/WorkerSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/WorkerSideTest.java
@@ -34,13 +34,14 @@
     /** Starts with two workers: whichever is asked first does this, and from then on they serve. */
     private Peer[] startWhereTheFirst(Peer.Script act) throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        Peer.Script script = request -> {
-            if (asked.getAndIncrement() == 0) {
-                act.act(request);
-            } else {
-                request.answer("200 OK", "", "made");
-            }
-        };
+        Peer.Script script =
+                request -> {
+                    if (asked.getAndIncrement() == 0) {
+                        act.act(request);
+                    } else {
+                        request.answer("200 OK", "", "made");
+                    }
+                };
         Peer[] workers = {stage.add(new Peer(script)), stage.add(new Peer(script))};
         stage.start(Stage.SETTINGS, workers);
         return workers;
@@ -52,15 +53,16 @@
 
     @Test
     public void anUnsafeCallThatNeverRanGoesElsewhere() throws Exception {
-        Peer[] workers = startWhereTheFirst(
-                request -> request.answer("503 Full", "X-Unprocessed: 1\r\n", ""));
+        Peer[] workers =
+                startWhereTheFirst(
+                        request -> request.answer("503 Full", "X-Unprocessed: 1\r\n", ""));
         assertEquals("made", stage.call("use").body());
         assertEquals(2, asked(workers));
     }
 
     @Test
     public void aCallWhoseConnectionIsRefusedGoesElsewhere() throws Exception {
-        Peer gone = new Peer(request -> { });
+        Peer gone = new Peer(request -> {});
         Peer worker = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, gone, worker);
         gone.close();
@@ -76,20 +78,29 @@
         assertEquals(2, asked(workers));
     }
 
-    /** A worker's own 503 must not pass for the module's refusal, nor nonsense for a served call. */
+    /**
+     * A worker's own 503 must not pass for the module's refusal, nor nonsense for a served call.
+     */
     @Test
     public void anUnsafeCallThatMayHaveRunFailsAndIsNotRepeated() throws Exception {
         List<Peer.Script> ways = new ArrayList<>();
         for (String status : List.of("500 Error", "503 Busy", "429 Many", "404 Unknown")) {
-            ways.add(request -> request.answer(status, "X-Other: 1\r\n", "x".repeat(64 * 1024 + 1)));
+            ways.add(
+                    request -> request.answer(status, "X-Other: 1\r\n", "x".repeat(64 * 1024 + 1)));
         }
-        for (String answer : List.of("", "nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nm",
-                "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
-                "HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n", "HTTP/1.1 2")) {
-            ways.add(request -> {
-                Message.send(request.connection(), answer);
-                request.connection().close();
-            });
+        for (String answer :
+                List.of(
+                        "",
+                        "nonsense\r\n\r\n",
+                        "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nm",
+                        "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
+                        "HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n",
+                        "HTTP/1.1 2")) {
+            ways.add(
+                    request -> {
+                        Message.send(request.connection(), answer);
+                        request.connection().close();
+                    });
         }
         AtomicInteger turn = new AtomicInteger();
         Peer worker = stage.add(new Peer(request -> ways.get(turn.getAndIncrement()).act(request)));
@@ -100,32 +111,43 @@
         }
     }
 
-    /** Undertow's own close sends nothing while a request is out: the first copy stayed beside the second. */
+    /**
+     * Undertow's own close sends nothing while a request is out: the first copy stayed beside the
+     * second.
+     */
     @Test
     public void aTimedOutAttemptIsClosedBeforeTheNextIsSent() throws Exception {
         Peer[] workers = startWhereTheFirst(request -> request.answer("200 OK", "", "made"));
-        assertEquals("made", stage.call("state").body()); // the module knows a latency, and has patience
-        Peer.Script silent = request -> { };
+        assertEquals(
+                "made", stage.call("state").body()); // the module knows a latency, and has patience
+        Peer.Script silent = request -> {};
         List<Integer> closedBefore = new ArrayList<>();
         for (Peer worker : workers) {
-            worker.setScript(request -> {
-                for (Peer other : workers) {
-                    other.setScript(second -> {
-                        closedBefore.add(closed(workers));
-                        second.answer("200 OK", "", "made");
+            worker.setScript(
+                    request -> {
+                        for (Peer other : workers) {
+                            other.setScript(
+                                    second -> {
+                                        closedBefore.add(closed(workers));
+                                        second.answer("200 OK", "", "made");
+                                    });
+                        }
+                        silent.act(request);
                     });
-                }
-                silent.act(request);
-            });
         }
         assertEquals("made", stage.call("state").body());
         assertEquals(List.of(1), closedBefore);
     }
 
-    /** How many connections have ended; a peer notes an end on a thread of its own, so it gets some time. */
+    /**
+     * How many connections have ended; a peer notes an end on a thread of its own, so it gets some
+     * time.
+     */
     private static int closed(Peer... workers) throws IOException {
         try {
-            for (int i = 0; i < 500 && workers[0].closed.size() + workers[1].closed.size() == 0; i++) {
+            for (int i = 0;
+                    i < 500 && workers[0].closed.size() + workers[1].closed.size() == 0;
+                    i++) {
                 Thread.sleep(10);
             }
         } catch (InterruptedException e) {
@@ -151,10 +173,15 @@
     public void moreWorkersThanConnectionsAreAllReached() throws Exception {
         Peer[] workers = new Peer[20];
         for (int i = 0; i < workers.length; i++) {
-            workers[i] = stage.add(new Peer(request -> {
-                LockSupport.parkNanos(5_000_000); // far more than noise, which would leave some out
-                request.answer("200 OK", "", "made");
-            }));
+            workers[i] =
+                    stage.add(
+                            new Peer(
+                                    request -> {
+                                        LockSupport.parkNanos(
+                                                5_000_000); // far more than noise, which would
+                                        // leave some out
+                                        request.answer("200 OK", "", "made");
+                                    }));
         }
         stage.sockets = 96; // 16 connections to workers
         stage.start(Stage.SETTINGS, workers);
@@ -177,15 +204,19 @@
             while (fill.size() < 2) {
                 fill.add(new Socket(InetAddress.getLoopbackAddress(), hanging.getLocalPort()));
             }
-            String list = Stage.list(1, true, "active", serving)
-                    .replace(serving.hostPort(), "127.0.0.1:" + hanging.getLocalPort());
+            String list =
+                    Stage.list(1, true, "active", serving)
+                            .replace(serving.hostPort(), "127.0.0.1:" + hanging.getLocalPort());
             stage.start(Stage.SETTINGS);
             Message watch = stage.discovery.asked();
             Stage.line(watch, list);
             Socket client = stage.connect();
             Message.send(client, Stage.request("use", "", ""));
-            Thread.sleep(200); // the connect hangs by now; if not, the test passes without proving much
-            Stage.line(watch, list.replace("active", "leaving").replace("generation\":1", "generation\":2"));
+            Thread.sleep(
+                    200); // the connect hangs by now; if not, the test passes without proving much
+            Stage.line(
+                    watch,
+                    list.replace("active", "leaving").replace("generation\":1", "generation\":2"));
             stage.call("other");
             for (int i = 0; i < fill.size(); i++) {
                 hanging.accept().close();
--- a/daemon/src/test/java/trailthread/daemon/acceptor/CallDecoderTest.java
+++ b/daemon/src/test/java/trailthread/daemon/acceptor/CallDecoderTest.java
@@ -14,8 +14,12 @@
 
 /** Clients' calls, right and wrong. */
 public class CallDecoderTest {
-    private final CallDecoder decoder = new CallDecoder(List.of(of("state", Semantics.SAFE),
-            of("action", Semantics.KEYED), of("use", Semantics.UNSAFE)));
+    private final CallDecoder decoder =
+            new CallDecoder(
+                    List.of(
+                            of("state", Semantics.SAFE),
+                            of("action", Semantics.KEYED),
+                            of("use", Semantics.UNSAFE)));
 
     private static RequestClass of(String name, Semantics semantics) {
         return new RequestClass(name, 1, 0, 2_000_000_000L, semantics, Group.ALL, 1, 1, 0);
@@ -28,31 +32,62 @@
         HeaderMap headers = new HeaderMap();
         for (int i = 1; i < lines.length; i++) {
             int colon = lines[i].indexOf(':');
-            headers.add(new HttpString(lines[i].substring(0, colon)), lines[i].substring(colon + 1));
+            headers.add(
+                    new HttpString(lines[i].substring(0, colon)), lines[i].substring(colon + 1));
         }
         return decoder.decode(start[0], start[1], start.length > 2 ? start[2] : "", headers);
     }
 
     @Test
     public void whatACallHoldsIsRead() throws Exception {
-        ClientCall call = decode("POST /action/7 a=%20b\nX-Correlation-Id:9b1f\nX-Service-Class:action\n"
-                + "X-Account:acme\nX-Time-Left:0.480\nX-Repeat:1\nIdempotency-Key:5c0f\n"
-                + "X-Facts:other=x,expected_ns=12000000,entity=ff00ff00ff00ff00");
-        assertEquals(new ClientCall("9b1f", "action", "acme", 480_000_000L, true, 12_000_000L,
-                0xff00ff00ff00ff00L, "POST", "/action/7?a=%20b", "5c0f", null, null), call);
+        ClientCall call =
+                decode(
+                        "POST /action/7 a=%20b\nX-Correlation-Id:9b1f\nX-Service-Class:action\n"
+                                + "X-Account:acme\nX-Time-Left:0.480\nX-Repeat:1\nIdempotency-Key:5c0f\n"
+                                + "X-Facts:other=x,expected_ns=12000000,entity=ff00ff00ff00ff00");
+        assertEquals(
+                new ClientCall(
+                        "9b1f",
+                        "action",
+                        "acme",
+                        480_000_000L,
+                        true,
+                        12_000_000L,
+                        0xff00ff00ff00ff00L,
+                        "POST",
+                        "/action/7?a=%20b",
+                        "5c0f",
+                        null,
+                        null),
+                call);
     }
 
     @Test
     public void whatMayBeMissingMay() throws Exception {
-        ClientCall call = decode("GET /state\nX-Correlation-Id:1\nX-Service-Class:state\nX-Time-Left:1");
-        assertEquals(new ClientCall("1", "state", null, 1_000_000_000L, false, 0, 0, "GET", "/state", null,
-                null, null), call);
+        ClientCall call =
+                decode("GET /state\nX-Correlation-Id:1\nX-Service-Class:state\nX-Time-Left:1");
+        assertEquals(
+                new ClientCall(
+                        "1",
+                        "state",
+                        null,
+                        1_000_000_000L,
+                        false,
+                        0,
+                        0,
+                        "GET",
+                        "/state",
+                        null,
+                        null,
+                        null),
+                call);
     }
 
     /** Nobody waits past the class's deadline, whatever he says; a timer would. */
     @Test
     public void aLongWaitEndsWithTheClassesDeadline() throws Exception {
-        ClientCall call = decode("GET /state\nX-Correlation-Id:1\nX-Service-Class:state\nX-Time-Left:3000");
+        ClientCall call =
+                decode("GET /state\nX-Correlation-Id:1\nX-Service-Class:state\nX-Time-Left:3000");
         assertEquals(2_000_000_000L, call.timeLeftNs());
     }
 
@@ -60,18 +95,34 @@
     public void whatIsNoCallIsNot() {
         String good = "POST /use\nX-Correlation-Id:1\nX-Service-Class:use\nX-Time-Left:1";
         String[] bad = {
-            good.replace("POST", "GET"), good.replace("POST", "PUT"), good.replace("/use", "/used"),
-            good.replace("/use", "/"), good.replace("/use", "*"), good.replace("/use", "/state"),
-            good.replace("Class:use", "Class:other"), good.replace("X-Service-Class:use\n", ""),
-            good.replace("Id:1", "Id:"), good.replace("Left:1", "Left:-1"), good + "\nX-Time-Left:2",
-            good + "\nIdempotency-Key:1", good.replace("use", "action"), good.replace("use", "state"),
-            good + "\nX-Facts:expected_ns=soon", good + "\nX-Facts:entity=xyz",
-            good + "\nX-Facts:expected_ns=18446744073709551615", good.replace("Id:1", "Id:a b"),
-            good.replace("Id:1", "Id:\u00e9"), good.replace("Id:1", "Id:\u0001"),
-            good + "\nX-Correlation-Id:2", good.replace("Id:1", "Id:" + "1".repeat(2000)),
-            good.replace("Left:1", "Left:NaN"), good.replace("Left:1", "Left:1e9"),
-            good.replace("Left:1", "Left:9999999999"), good.replace("/use", "/use/\u0001"),
-            good.replace("/use", "/use a\u007f"), good + "\nX-Account:a\nX-Account:b",
+            good.replace("POST", "GET"),
+            good.replace("POST", "PUT"),
+            good.replace("/use", "/used"),
+            good.replace("/use", "/"),
+            good.replace("/use", "*"),
+            good.replace("/use", "/state"),
+            good.replace("Class:use", "Class:other"),
+            good.replace("X-Service-Class:use\n", ""),
+            good.replace("Id:1", "Id:"),
+            good.replace("Left:1", "Left:-1"),
+            good + "\nX-Time-Left:2",
+            good + "\nIdempotency-Key:1",
+            good.replace("use", "action"),
+            good.replace("use", "state"),
+            good + "\nX-Facts:expected_ns=soon",
+            good + "\nX-Facts:entity=xyz",
+            good + "\nX-Facts:expected_ns=18446744073709551615",
+            good.replace("Id:1", "Id:a b"),
+            good.replace("Id:1", "Id:\u00e9"),
+            good.replace("Id:1", "Id:\u0001"),
+            good + "\nX-Correlation-Id:2",
+            good.replace("Id:1", "Id:" + "1".repeat(2000)),
+            good.replace("Left:1", "Left:NaN"),
+            good.replace("Left:1", "Left:1e9"),
+            good.replace("Left:1", "Left:9999999999"),
+            good.replace("/use", "/use/\u0001"),
+            good.replace("/use", "/use a\u007f"),
+            good + "\nX-Account:a\nX-Account:b",
         };
         for (String call : bad) {
             assertThrows(call, BadCallException.class, () -> decode(call));
--- a/daemon/src/test/java/trailthread/daemon/acceptor/EndByMomentTest.java
+++ b/daemon/src/test/java/trailthread/daemon/acceptor/EndByMomentTest.java
@@ -29,10 +29,14 @@
 import trailthread.engine.meter.Meter;
 import trailthread.engine.worker.Made;
 
-/** What a client sees by what its connection carries when its end comes: for a graceful shutdown, and for a drain. */
+/**
+ * What a client sees by what its connection carries when its end comes: for a graceful shutdown,
+ * and for a drain.
+ */
 public class EndByMomentTest {
     /** More than the system holds for a connection whose client does not read. */
     private static final int LONG = 16 * 1024 * 1024;
+
     private static final String LAST = "Connection: close\r\n";
 
     private final Loop loop;
@@ -56,20 +60,38 @@
     }
 
     private void listen() throws IOException {
-        RequestClass use = new RequestClass("use", 10_000_000_000L, 0, 20_000_000_000L, Semantics.UNSAFE, Group.ALL,
-                0, 1, 0);
-        acceptor = new Acceptor(loop, 32, 32, new PlatformFront(List.of(use), new CallTaker() {
-            @Override
-            public Runnable take(ClientCall call, long deadline, Reply reply) {
-                replies.add(reply);
-                return () -> { };
-            }
-
-            @Override
-            public boolean isOpen(String id) {
-                return false;
-            }
-        }), Meter.OFF);
+        RequestClass use =
+                new RequestClass(
+                        "use",
+                        10_000_000_000L,
+                        0,
+                        20_000_000_000L,
+                        Semantics.UNSAFE,
+                        Group.ALL,
+                        0,
+                        1,
+                        0);
+        acceptor =
+                new Acceptor(
+                        loop,
+                        32,
+                        32,
+                        new PlatformFront(
+                                List.of(use),
+                                new CallTaker() {
+                                    @Override
+                                    public Runnable take(
+                                            ClientCall call, long deadline, Reply reply) {
+                                        replies.add(reply);
+                                        return () -> {};
+                                    }
+
+                                    @Override
+                                    public boolean isOpen(String id) {
+                                        return false;
+                                    }
+                                }),
+                        Meter.OFF);
         address = acceptor.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
@@ -86,7 +108,8 @@
     }
 
     private String call() {
-        return "POST /use HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: e" + ++lastId
+        return "POST /use HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: e"
+                + ++lastId
                 + "\r\nX-Service-Class: use\r\nX-Time-Left: 20\r\nContent-Length: 4\r\n\r\npour";
     }
 
@@ -105,19 +128,21 @@
 
     @Test
     public void aGracefulShutdown() throws Exception {
-        ends(() -> {
-            acceptor.endWithAnswers(true);
-            acceptor.close(none::countDown);
-        });
+        ends(
+                () -> {
+                    acceptor.endWithAnswers(true);
+                    acceptor.close(none::countDown);
+                });
         assertTrue("the end comes", none.await(30, TimeUnit.SECONDS));
     }
 
     @Test
     public void aDrain() throws Exception {
-        ends(() -> {
-            acceptor.endWithAnswers(true);
-            nowAndThen();
-        });
+        ends(
+                () -> {
+                    acceptor.endWithAnswers(true);
+                    nowAndThen();
+                });
     }
 
     private void nowAndThen() {
@@ -138,24 +163,26 @@
         Reply streams = taken();
         BlockingQueue<ByteSink> sinks = new LinkedBlockingQueue<>();
         CountDownLatch more = new CountDownLatch(1);
-        loop.execute(() -> {
-            ByteSink sink = streams.begin(made(), LONG, more::countDown, () -> { });
-            sink.piece(ByteBuffer.wrap(new byte[LONG / 2]));
-            sinks.add(sink);
-        });
+        loop.execute(
+                () -> {
+                    ByteSink sink = streams.begin(made(), LONG, more::countDown, () -> {});
+                    sink.piece(ByteBuffer.wrap(new byte[LONG / 2]));
+                    sinks.add(sink);
+                });
         final ByteSink sink = sinks.poll(30, TimeUnit.SECONDS);
         Socket halfBody = connect(call().replace("pour", "po"));
         Socket silent = connect("");
         CountDownLatch begun = new CountDownLatch(1);
-        loop.execute(() -> {
-            try {
-                send(whole, call()); // it lies there when the end begins
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-            way.run();
-            begun.countDown();
-        });
+        loop.execute(
+                () -> {
+                    try {
+                        send(whole, call()); // it lies there when the end begins
+                    } catch (IOException e) {
+                        throw new AssertionError(e);
+                    }
+                    way.run();
+                    begun.countDown();
+                });
         begun.await(30, TimeUnit.SECONDS);
         send(halfBody, "ur");
         for (int i = 0; i < 2; i++) { // that one, and the one with half a body
@@ -170,25 +197,30 @@
         assertLastAnswer("at a worker", rest(atWorker));
         assertTrue("with its answer written, not read", rest(unread).endsWith("made"));
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        Thread reads = new Thread(() -> {
-            try {
-                halfAnswered.getInputStream().transferTo(all);
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        });
+        Thread reads =
+                new Thread(
+                        () -> {
+                            try {
+                                halfAnswered.getInputStream().transferTo(all);
+                            } catch (IOException e) {
+                                throw new AssertionError(e);
+                            }
+                        });
         reads.start();
         assertTrue(more.await(30, TimeUnit.SECONDS));
-        loop.execute(() -> {
-            sink.piece(ByteBuffer.wrap(new byte[LONG - LONG / 2]));
-            sink.end();
-        });
+        loop.execute(
+                () -> {
+                    sink.piece(ByteBuffer.wrap(new byte[LONG - LONG / 2]));
+                    sink.end();
+                });
         reads.join(30_000);
         assertTrue("with half an answer", all.size() > LONG);
     }
 
     private static void assertLastAnswer(String moment, String all) {
-        assertTrue(moment + ": " + all, all.startsWith("HTTP/1.1 200") && all.contains(LAST) && all.endsWith("made"));
+        assertTrue(
+                moment + ": " + all,
+                all.startsWith("HTTP/1.1 200") && all.contains(LAST) && all.endsWith("made"));
     }
 
     /** A connection that idles after a call. */
