--- a/daemon/src/test/java/trailthread/daemon/acceptor/LateLoopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/acceptor/LateLoopTest.java
@@ -33,13 +33,22 @@
 import trailthread.engine.worker.Made;
 
 /**
- * No call that has come whole is lost because the loop runs late: its timers are due before it has looked at
- * its sockets. The tests hold the loop up, as a busy core does.
+ * No call that has come whole is lost because the loop runs late: its timers are due before it has
+ * looked at its sockets. The tests hold the loop up, as a busy core does.
  */
 public class LateLoopTest {
     private static final int MOST = 28;
-    private static final RequestClass USE = new RequestClass("use", 10_000_000_000L, 0, 20_000_000_000L,
-            Semantics.UNSAFE, Group.ALL, 0, 1, 0);
+    private static final RequestClass USE =
+            new RequestClass(
+                    "use",
+                    10_000_000_000L,
+                    0,
+                    20_000_000_000L,
+                    Semantics.UNSAFE,
+                    Group.ALL,
+                    0,
+                    1,
+                    0);
     private static final Made MADE = Made.of("made".getBytes(StandardCharsets.US_ASCII));
     private static final long IDLE_LONG_ENOUGH_MS = 2_300;
     private final Loop loop;
@@ -47,9 +56,12 @@
     private Acceptor acceptor;
     private InetSocketAddress address;
     private final AtomicInteger lastId = new AtomicInteger();
+
     /** Lengths of the bodies of the calls taken, in their order. */
     private final List<Integer> taken = new CopyOnWriteArrayList<>();
+
     private final List<Long> deadlines = new CopyOnWriteArrayList<>();
+
     /** Takes the next call's reply, which is not made then; null: all are made at once. */
     private volatile CompletableFuture<Reply> heldBack;
 
@@ -59,22 +71,31 @@
 
     @Before
     public void listen() throws Exception {
-        acceptor = new Acceptor(loop, MOST, MOST, new PlatformFront(List.of(USE), new CallTaker() {
-            @Override
-            public Runnable take(ClientCall call, long deadline, Reply reply) {
-                taken.add(call.body().length);
-                deadlines.add(deadline);
-                if (heldBack == null || !heldBack.complete(reply)) {
-                    reply.served(MADE);
-                }
-                return () -> { };
-            }
+        acceptor =
+                new Acceptor(
+                        loop,
+                        MOST,
+                        MOST,
+                        new PlatformFront(
+                                List.of(USE),
+                                new CallTaker() {
+                                    @Override
+                                    public Runnable take(
+                                            ClientCall call, long deadline, Reply reply) {
+                                        taken.add(call.body().length);
+                                        deadlines.add(deadline);
+                                        if (heldBack == null || !heldBack.complete(reply)) {
+                                            reply.served(MADE);
+                                        }
+                                        return () -> {};
+                                    }
 
-            @Override
-            public boolean isOpen(String id) {
-                return false;
-            }
-        }), Meter.OFF);
+                                    @Override
+                                    public boolean isOpen(String id) {
+                                        return false;
+                                    }
+                                }),
+                        Meter.OFF);
         address = acceptor.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
@@ -98,9 +119,15 @@
     }
 
     private void send(Socket client, String body) throws IOException {
-        client.getOutputStream().write(("POST /use HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: "
-                + lastId.incrementAndGet() + "\r\nX-Service-Class: use\r\nX-Time-Left: 20\r\nContent-Length: "
-                + body.length() + "\r\n\r\n" + body).getBytes(StandardCharsets.US_ASCII));
+        client.getOutputStream()
+                .write(
+                        ("POST /use HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: "
+                                        + lastId.incrementAndGet()
+                                        + "\r\nX-Service-Class: use\r\nX-Time-Left: 20\r\nContent-Length: "
+                                        + body.length()
+                                        + "\r\n\r\n"
+                                        + body)
+                                .getBytes(StandardCharsets.US_ASCII));
     }
 
     /** The head of an answer with its body of four letters; fails if the connection ends before. */
@@ -119,14 +146,15 @@
     private void whileHeldUp(long atLeastMs, Work work) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch goOn = new CountDownLatch(1);
-        loop.execute(() -> {
-            held.countDown();
-            try {
-                goOn.await(60, TimeUnit.SECONDS);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        loop.execute(
+                () -> {
+                    held.countDown();
+                    try {
+                        goOn.await(60, TimeUnit.SECONDS);
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                });
         held.await();
         long until = System.nanoTime() + atLeastMs * 1_000_000;
         work.run();
@@ -146,15 +174,20 @@
         Socket client = connect();
         send(client);
         Reply reply = heldBack.get(30, TimeUnit.SECONDS);
-        whileHeldUp(0, () -> {
-            loop.execute(() -> reply.served(MADE)); // before the sockets are looked at
-            send(client);
-        });
+        whileHeldUp(
+                0,
+                () -> {
+                    loop.execute(() -> reply.served(MADE)); // before the sockets are looked at
+                    send(client);
+                });
         assertFalse("there is another", answer(client).contains("Connection: close\r\n"));
         assertTrue("that was the last", answer(client).contains("Connection: close\r\n"));
     }
 
-    /** Its time began when the node came to read it: the client had long given up when its answer came. */
+    /**
+     * Its time began when the node came to read it: the client had long given up when its answer
+     * came.
+     */
     @Test
     public void aCallsTimeBeginsWhenItMayHaveComeNotWhenItIsRead() throws Exception {
         Socket client = connect();
@@ -162,31 +195,42 @@
         answer(client);
         deadlines.clear();
         long[] sentBy = new long[1];
-        whileHeldUp(400, () -> {
-            send(client);
-            sentBy[0] = loop.now();
-        });
+        whileHeldUp(
+                400,
+                () -> {
+                    send(client);
+                    sentBy[0] = loop.now();
+                });
         answer(client);
         assertTrue("no later than its client's", deadlines.get(0) <= sentBy[0] + 20_000_000_000L);
     }
 
-    /** After a long turn all quiet time passed for lateness: the call had lost it, and was refused at once. */
+    /**
+     * After a long turn all quiet time passed for lateness: the call had lost it, and was refused
+     * at once.
+     */
     @Test
     public void aCallLosesNoTimeToTheQuietBeforeIt() throws Exception {
         Socket client = connect();
         send(client);
         answer(client);
         deadlines.clear();
-        whileHeldUp(400, () -> { });
+        whileHeldUp(400, () -> {});
         Thread.sleep(500);
-        long quiet = loop.now(); // the loop has looked at its sockets since the hold, and found nothing
+        long quiet =
+                loop.now(); // the loop has looked at its sockets since the hold, and found nothing
         Thread.sleep(500);
         send(client);
         answer(client);
-        assertTrue("not before " + quiet + ": " + deadlines, deadlines.get(0) >= quiet + 20_000_000_000L);
+        assertTrue(
+                "not before " + quiet + ": " + deadlines,
+                deadlines.get(0) >= quiet + 20_000_000_000L);
     }
 
-    /** The long one was read until it ran dry, however long that was, and before some of the others by chance. */
+    /**
+     * The long one was read until it ran dry, however long that was, and before some of the others
+     * by chance.
+     */
     @Test
     public void shortCallsDoNotWaitForALongBody() throws Exception {
         int length = 1024 * 1024;
@@ -198,20 +242,24 @@
             all.add(client);
         }
         taken.clear();
-        Thread upload = new Thread(() -> {
-            try {
-                send(all.get(0), "x".repeat(length));
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
-            }
-        });
-        whileHeldUp(300, () -> {
-            upload.start();
-            Thread.sleep(200);
-            for (Socket client : all.subList(1, all.size())) {
-                send(client, "pour");
-            }
-        });
+        Thread upload =
+                new Thread(
+                        () -> {
+                            try {
+                                send(all.get(0), "x".repeat(length));
+                            } catch (IOException e) {
+                                throw new UncheckedIOException(e);
+                            }
+                        });
+        whileHeldUp(
+                300,
+                () -> {
+                    upload.start();
+                    Thread.sleep(200);
+                    for (Socket client : all.subList(1, all.size())) {
+                        send(client, "pour");
+                    }
+                });
         for (Socket client : all) {
             answer(client);
         }
@@ -228,14 +276,16 @@
             answer(client);
             kept.add(client);
         }
-        whileHeldUp(IDLE_LONG_ENOUGH_MS, () -> {
-            for (Socket client : kept) {
-                send(client);
-            }
-            for (int i = 0; i < MOST - MOST / 4; i++) {
-                connect();
-            }
-        });
+        whileHeldUp(
+                IDLE_LONG_ENOUGH_MS,
+                () -> {
+                    for (Socket client : kept) {
+                        send(client);
+                    }
+                    for (int i = 0; i < MOST - MOST / 4; i++) {
+                        connect();
+                    }
+                });
         for (Socket client : kept) {
             assertNotNull(answer(client));
         }
@@ -254,9 +304,11 @@
     @Test
     public void aBodyThatWasInTimeIsRead() throws Exception {
         Socket client = connect();
-        client.getOutputStream().write(("POST /use HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: b"
-                + "\r\nX-Service-Class: use\r\nX-Time-Left: 20\r\nContent-Length: 4\r\n\r\npo")
-                .getBytes(StandardCharsets.US_ASCII));
+        client.getOutputStream()
+                .write(
+                        ("POST /use HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: b"
+                                        + "\r\nX-Service-Class: use\r\nX-Time-Left: 20\r\nContent-Length: 4\r\n\r\npo")
+                                .getBytes(StandardCharsets.US_ASCII));
         Thread.sleep(200); // the head is read
         whileHeldUp(IDLE_LONG_ENOUGH_MS + 250, () -> client.getOutputStream().write(new byte[2]));
         assertNotNull(answer(client));
@@ -269,23 +321,28 @@
         answer(idle);
         CountDownLatch done = new CountDownLatch(1);
         List<Socket> callers = new ArrayList<>(List.of(idle));
-        whileHeldUp(300, () -> {
-            loop.execute(() -> acceptor.endWithAnswers(true));
-            loop.execute(() -> acceptor.close(done::countDown));
-            send(idle);
-            for (int i = 0; i < 5; i++) {
-                Socket client = connect();
-                send(client);
-                callers.add(client);
-            }
-        });
+        whileHeldUp(
+                300,
+                () -> {
+                    loop.execute(() -> acceptor.endWithAnswers(true));
+                    loop.execute(() -> acceptor.close(done::countDown));
+                    send(idle);
+                    for (int i = 0; i < 5; i++) {
+                        Socket client = connect();
+                        send(client);
+                        callers.add(client);
+                    }
+                });
         for (Socket client : callers) {
             assertTrue(answer(client).contains("Connection: close\r\n"));
         }
         assertTrue("the end comes", done.await(30, TimeUnit.SECONDS));
     }
 
-    /** It came with the end of the first of them: what lay unread on the others was reset with the process. */
+    /**
+     * It came with the end of the first of them: what lay unread on the others was reset with the
+     * process.
+     */
     @Test
     public void theEndComesOnceNoConnectionIsLeft() throws Exception {
         for (int i = 0; i < 3; i++) {
@@ -294,8 +351,14 @@
             answer(idle);
         }
         CompletableFuture<Integer> left = new CompletableFuture<>();
-        loop.execute(() -> acceptor.close(() -> left.complete(
-                acceptor.connections().values().stream().mapToInt(Integer::intValue).sum())));
+        loop.execute(
+                () ->
+                        acceptor.close(
+                                () ->
+                                        left.complete(
+                                                acceptor.connections().values().stream()
+                                                        .mapToInt(Integer::intValue)
+                                                        .sum())));
         assertEquals(0, (int) left.get(30, TimeUnit.SECONDS));
     }
 
@@ -307,22 +370,27 @@
         answer(kept);
         List<Socket> callers = List.of(kept, connect());
         for (Socket client : callers) {
-            client.getOutputStream().write("POST /use HTTP/1.1\r\nHost: a\r\n".getBytes(StandardCharsets.US_ASCII));
+            client.getOutputStream()
+                    .write("POST /use HTTP/1.1\r\nHost: a\r\n".getBytes(StandardCharsets.US_ASCII));
         }
         CountDownLatch closing = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> acceptor.endWithAnswers(true));
-        loop.execute(() -> {
-            acceptor.endUnused();
-            acceptor.close(done::countDown);
-            closing.countDown();
-        });
+        loop.execute(
+                () -> {
+                    acceptor.endUnused();
+                    acceptor.close(done::countDown);
+                    closing.countDown();
+                });
         closing.await();
         for (Socket client : callers) {
-            client.getOutputStream().write(("X-Correlation-Id: h" + client.getLocalPort()
-                    + "\r\nX-Service-Class: use\r\nX-Time-Left: 20\r\n"
-                    + "Content-Length: 4\r\n\r\npour")
-                    .getBytes(StandardCharsets.US_ASCII));
+            client.getOutputStream()
+                    .write(
+                            ("X-Correlation-Id: h"
+                                            + client.getLocalPort()
+                                            + "\r\nX-Service-Class: use\r\nX-Time-Left: 20\r\n"
+                                            + "Content-Length: 4\r\n\r\npour")
+                                    .getBytes(StandardCharsets.US_ASCII));
             assertTrue(answer(client).contains("Connection: close\r\n"));
         }
         assertTrue("the end comes", done.await(30, TimeUnit.SECONDS));
--- a/daemon/src/test/java/trailthread/daemon/acceptor/LeavingClientTest.java
+++ b/daemon/src/test/java/trailthread/daemon/acceptor/LeavingClientTest.java
@@ -23,12 +23,12 @@
 import trailthread.BalancerApi.Settings;
 import trailthread.BalancerApi.State;
 import trailthread.engine.call.Calls;
+import trailthread.engine.discovery.DiscoveryEntry;
+import trailthread.engine.discovery.DiscoveryUpdate;
 import trailthread.engine.loop.Account;
 import trailthread.engine.loop.Loop;
 import trailthread.engine.meter.Meter;
 import trailthread.engine.meter.Rejection;
-import trailthread.engine.discovery.DiscoveryEntry;
-import trailthread.engine.discovery.DiscoveryUpdate;
 import trailthread.engine.worker.ConnectionRoom;
 import trailthread.engine.worker.Workers;
 import trailthread.testkit.Message;
@@ -53,15 +53,32 @@
 
     @Before
     public void listen() throws Exception {
-        settings.classes.add(new RequestClass("use", LONG_NS, 0, LONG_NS, Semantics.UNSAFE, Group.ALL, 0, 1, 0));
+        settings.classes.add(
+                new RequestClass("use", LONG_NS, 0, LONG_NS, Semantics.UNSAFE, Group.ALL, 0, 1, 0));
         workers = new Workers(loop, LONG_NS, LONG_NS, 0, ConnectionRoom.of(8), 0, Account.NONE);
         calls = new Calls(loop, workers, settings, 1, Meter.OFF);
-        acceptor = new Acceptor(loop, 28, 28, new PlatformFront(settings.classes, calls), Meter.OFF);
+        acceptor =
+                new Acceptor(loop, 28, 28, new PlatformFront(settings.classes, calls), Meter.OFF);
         address = acceptor.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        loop.execute(() -> workers.update(new DiscoveryUpdate(1, true, List.of(new DiscoveryEntry("w",
-                worker.hostPort(), "a", 0, State.READY, 1, 0))), loop.now()));
+        loop.execute(
+                () ->
+                        workers.update(
+                                new DiscoveryUpdate(
+                                        1,
+                                        true,
+                                        List.of(
+                                                new DiscoveryEntry(
+                                                        "w",
+                                                        worker.hostPort(),
+                                                        "a",
+                                                        0,
+                                                        State.READY,
+                                                        1,
+                                                        0))),
+                                loop.now()));
         loop.execute(this::list);
-        onlyOneWhoStaysIsServed(); // a connection to the worker is open from now on: the next call is written at once
+        onlyOneWhoStaysIsServed(); // a connection to the worker is open from now on: the next call
+        // is written at once
         loop.execute(this::listNone);
     }
 
@@ -90,13 +107,14 @@
     /** Waits until so many calls are taken. */
     private void awaitTaken(String... ids) throws Exception {
         for (String id : ids) {
-            for (boolean taken = false; !taken;) {
+            for (boolean taken = false; !taken; ) {
                 CountDownLatch looked = new CountDownLatch(1);
                 boolean[] open = new boolean[1];
-                loop.execute(() -> {
-                    open[0] = calls.isOpen(id);
-                    looked.countDown();
-                });
+                loop.execute(
+                        () -> {
+                            open[0] = calls.isOpen(id);
+                            looked.countDown();
+                        });
                 Peer.await(looked);
                 taken = open[0];
             }
@@ -154,13 +172,15 @@
     /** Past the first byte sent ahead nothing was read, and the end not seen. */
     @Test
     public void whoLeavesBehindFurtherBytesIsNotServed() throws Exception {
-        for (String bytes : new String[] {"x", Stage.request("use", "?next", ""), "x".repeat(100_000)}) {
+        for (String bytes :
+                new String[] {"x", Stage.request("use", "?next", ""), "x".repeat(100_000)}) {
             Socket client = connect();
             String request = Stage.request("use", "", "");
             Message.send(client, request);
             awaitTaken(id(request));
             Message.send(client, bytes);
-            loop.execute(() -> loop.afterSockets(() -> { })); // the bytes are read apart from the end
+            loop.execute(
+                    () -> loop.afterSockets(() -> {})); // the bytes are read apart from the end
             awaitTaken(id(request));
             client.close();
             loop.execute(() -> loop.afterSockets(this::list));
@@ -173,11 +193,12 @@
     @Test
     public void whoLeavesBetweenAttemptsIsNotServedAgain() throws Exception {
         CountDownLatch turnedAway = new CountDownLatch(1);
-        worker.setScript(request -> {
-            Peer.await(turnedAway);
-            worker.setScript(next -> next.answer("200 OK", "", "made"));
-            request.answer("503 Busy", "X-Unprocessed: 1\r\n", "");
-        });
+        worker.setScript(
+                request -> {
+                    Peer.await(turnedAway);
+                    worker.setScript(next -> next.answer("200 OK", "", "made"));
+                    request.answer("503 Busy", "X-Unprocessed: 1\r\n", "");
+                });
         Socket client = connect();
         String request = Stage.request("use", "", "");
         loop.execute(this::list);
@@ -199,11 +220,12 @@
         String request = Stage.request("use", "", "");
         Message.send(client, request);
         awaitTaken(id(request));
-        loop.execute(() -> {
-            workers.closeIdle(1);
-            list(); // it is decided on, and connects
-            loop.execute(() -> Peer.await(goOn)); // the connect comes up meanwhile
-        });
+        loop.execute(
+                () -> {
+                    workers.closeIdle(1);
+                    list(); // it is decided on, and connects
+                    loop.execute(() -> Peer.await(goOn)); // the connect comes up meanwhile
+                });
         client.close();
         goOn.countDown();
         onlyOneWhoStaysIsServed();
@@ -239,12 +261,18 @@
         }
     }
 
-    /** Past 16 KiB it was read and dropped, whole calls among it, and the connection ended with the first answer. */
+    /**
+     * Past 16 KiB it was read and dropped, whole calls among it, and the connection ended with the
+     * first answer.
+     */
     @Test
     public void callsSentAheadAreAllAnsweredInTheirOrder() throws Exception {
         for (int count : new int[] {300, 3_000}) { // some 50 KB, and more than is held at a time
             try (Socket client = connect()) {
-                List<String> calls = Stream.generate(() -> Stage.request("use", "?ahead", "")).limit(count).toList();
+                List<String> calls =
+                        Stream.generate(() -> Stage.request("use", "?ahead", ""))
+                                .limit(count)
+                                .toList();
                 Message.send(client, calls.get(0));
                 awaitTaken(id(calls.get(0)));
                 Thread sends = new Thread(() -> sendAll(client, calls.subList(1, count)));
@@ -268,13 +296,18 @@
         }
     }
 
-    /** An answer that says that it is the last one took whole calls with it that had come behind its own. */
+    /**
+     * An answer that says that it is the last one took whole calls with it that had come behind its
+     * own.
+     */
     @Test
     public void theLastAnswerIsTheLastCallsWhereSomeAreSentAhead() throws Exception {
         loop.execute(() -> acceptor.endWithAnswers(true));
         try (Socket client = connect()) {
             String first = Stage.request("use", "?1", "");
-            Message.send(client, first + Stage.request("use", "?2", "") + Stage.request("use", "?3", ""));
+            Message.send(
+                    client,
+                    first + Stage.request("use", "?2", "") + Stage.request("use", "?3", ""));
             awaitTaken(id(first));
             loop.execute(this::list);
             for (String last : new String[] {null, null, "close"}) {
@@ -286,22 +319,27 @@
         }
     }
 
-    /** What is no call is answered at once, and its answer ended the connection, whole calls behind it or not. */
+    /**
+     * What is no call is answered at once, and its answer ended the connection, whole calls behind
+     * it or not.
+     */
     @Test
     public void theLastAnswerIsTheLastCallsBehindWhatIsNoCall() throws Exception {
         Front calls = new PlatformFront(settings.classes, this.calls);
-        acceptor.setFront(new Front() {
-            @Override
-            public String readyPath() {
-                return calls.readyPath();
-            }
+        acceptor.setFront(
+                new Front() {
+                    @Override
+                    public String readyPath() {
+                        return calls.readyPath();
+                    }
 
-            @Override
-            public Incoming read(HttpServerExchange exchange) {
-                return exchange.getRequestURI().equals("/nowhere") ? Incoming.none(Rejection.NO_ROUTE)
-                        : calls.read(exchange);
-            }
-        });
+                    @Override
+                    public Incoming read(HttpServerExchange exchange) {
+                        return exchange.getRequestURI().equals("/nowhere")
+                                ? Incoming.none(Rejection.NO_ROUTE)
+                                : calls.read(exchange);
+                    }
+                });
         loop.execute(() -> acceptor.endWithAnswers(true));
         loop.execute(this::list);
         for (String path : new String[] {"/ready", "/nowhere"}) {
--- a/daemon/src/test/java/trailthread/daemon/operator/FiguresTest.java
+++ b/daemon/src/test/java/trailthread/daemon/operator/FiguresTest.java
@@ -30,11 +30,24 @@
 public class FiguresTest {
     private static final String NAME = "[a-zA-Z_:][a-zA-Z0-9_:]*";
     private static final String LABEL = "[a-zA-Z_][a-zA-Z0-9_]*=\"([^\"\\\\\n]|\\\\[\\\\\"n])*\"";
+
     /** A line of the text format 0.0.4, as its page at prometheus.io describes it. */
-    private static final Pattern LINE = Pattern.compile("# HELP " + NAME + " ([^\\\\]|\\\\[\\\\n])*"
-            + "|# TYPE " + NAME + " (counter|gauge|histogram|summary|untyped)"
-            + "|" + NAME + "(\\{" + LABEL + "(," + LABEL + ")*,?\\})? "
-            + "(NaN|[+-]Inf|[+-]?[0-9.]+(E-?[0-9]+)?)");
+    private static final Pattern LINE =
+            Pattern.compile(
+                    "# HELP "
+                            + NAME
+                            + " ([^\\\\]|\\\\[\\\\n])*"
+                            + "|# TYPE "
+                            + NAME
+                            + " (counter|gauge|histogram|summary|untyped)"
+                            + "|"
+                            + NAME
+                            + "(\\{"
+                            + LABEL
+                            + "(,"
+                            + LABEL
+                            + ")*,?\\})? "
+                            + "(NaN|[+-]Inf|[+-]?[0-9.]+(E-?[0-9]+)?)");
 
     private final NodeMetrics metrics = new NodeMetrics(List.of("read", "write"));
 
@@ -46,13 +59,19 @@
     }
 
     private String text() throws IOException {
-        byte[] text = Exposition.render(metrics.snapshot(new View()), ProcessFigures.read(), "n\"3", "0.1",
-                PrometheusTextFormatWriter.create());
+        byte[] text =
+                Exposition.render(
+                        metrics.snapshot(new View()),
+                        ProcessFigures.read(),
+                        "n\"3",
+                        "0.1",
+                        PrometheusTextFormatWriter.create());
         return new String(text, StandardCharsets.UTF_8);
     }
 
     private JsonObject json() throws IOException {
-        byte[] json = StatusJson.render(metrics.snapshot(new View()), ProcessFigures.read(), "n3", "0.1");
+        byte[] json =
+                StatusJson.render(metrics.snapshot(new View()), ProcessFigures.read(), "n3", "0.1");
         return JsonParser.parseString(new String(json, StandardCharsets.UTF_8)).getAsJsonObject();
     }
 
@@ -88,36 +107,50 @@
         metrics.levelEntered(3_500_000_000L, "saving");
         String text = text();
         assertTextFormat(text);
-        for (String line : List.of("trailthread_node_info{name=\"n\\\"3\",version=\"0.1\"} 1",
-                "trailthread_calls_total{class=\"read\"} 3.0", "trailthread_calls_total{class=\"write\"} 0.0",
-                "trailthread_answers_total{answer=\"served\",class=\"read\"} 1.0",
-                "trailthread_calls_gone_total{class=\"read\"} 1.0", "trailthread_calls_at_work 1.0",
-                "trailthread_call_duration_seconds_bucket{class=\"read\",le=\"0.01\"} 0",
-                "trailthread_call_duration_seconds_bucket{class=\"read\",le=\"0.025\"} 1",
-                "trailthread_call_duration_seconds_bucket{class=\"read\",le=\"+Inf\"} 1",
-                "trailthread_call_duration_seconds_sum{class=\"read\"} 0.02",
-                "trailthread_rejected_total{reason=\"conflict\"} 1.0",
-                "trailthread_attempts_total{outcome=\"ok\"} 1.0", "trailthread_attempts_at_work 1.0",
-                "trailthread_probes_total{outcome=\"timeout\"} 1.0",
-                "trailthread_level{trailthread_level=\"saving\"} 1",
-                "trailthread_level{trailthread_level=\"least\"} 0",
-                "trailthread_level_changes_total{level=\"saving\"} 1.0",
-                "trailthread_level_changes_total{level=\"full\"} 0.0",
-                "trailthread_level_start_time_seconds 2.5",
-                "trailthread_reading{reading=\"lateness_seconds\"} 0.25",
-                "trailthread_client_connections{state=\"busy\"} 2.0", "trailthread_descriptors_limit 1024.0",
-                "trailthread_workers{state=\"draining\"} 1.0",
-                "trailthread_worker_queue{worker=\"w\\\\\\\"\\n0\"} 7.0",
-                "trailthread_worker_in_flight{worker=\"w1\"} 1.0")) {
+        for (String line :
+                List.of(
+                        "trailthread_node_info{name=\"n\\\"3\",version=\"0.1\"} 1",
+                        "trailthread_calls_total{class=\"read\"} 3.0",
+                        "trailthread_calls_total{class=\"write\"} 0.0",
+                        "trailthread_answers_total{answer=\"served\",class=\"read\"} 1.0",
+                        "trailthread_calls_gone_total{class=\"read\"} 1.0",
+                        "trailthread_calls_at_work 1.0",
+                        "trailthread_call_duration_seconds_bucket{class=\"read\",le=\"0.01\"} 0",
+                        "trailthread_call_duration_seconds_bucket{class=\"read\",le=\"0.025\"} 1",
+                        "trailthread_call_duration_seconds_bucket{class=\"read\",le=\"+Inf\"} 1",
+                        "trailthread_call_duration_seconds_sum{class=\"read\"} 0.02",
+                        "trailthread_rejected_total{reason=\"conflict\"} 1.0",
+                        "trailthread_attempts_total{outcome=\"ok\"} 1.0",
+                        "trailthread_attempts_at_work 1.0",
+                        "trailthread_probes_total{outcome=\"timeout\"} 1.0",
+                        "trailthread_level{trailthread_level=\"saving\"} 1",
+                        "trailthread_level{trailthread_level=\"least\"} 0",
+                        "trailthread_level_changes_total{level=\"saving\"} 1.0",
+                        "trailthread_level_changes_total{level=\"full\"} 0.0",
+                        "trailthread_level_start_time_seconds 2.5",
+                        "trailthread_reading{reading=\"lateness_seconds\"} 0.25",
+                        "trailthread_client_connections{state=\"busy\"} 2.0",
+                        "trailthread_descriptors_limit 1024.0",
+                        "trailthread_workers{state=\"draining\"} 1.0",
+                        "trailthread_worker_queue{worker=\"w\\\\\\\"\\n0\"} 7.0",
+                        "trailthread_worker_in_flight{worker=\"w1\"} 1.0")) {
             assertTrue(line + " in\n" + text, text.contains("\n" + line + "\n"));
         }
         JsonObject json = json();
         assertEquals("saving", json.get("level").getAsString());
         assertEquals("1970-01-01T00:00:02.500Z", json.get("since").getAsString());
         assertEquals(Set.of("lateness_seconds"), json.getAsJsonObject("readings").keySet());
-        assertEquals(1, json.getAsJsonObject("calls").getAsJsonObject("read").get("at_work").getAsInt());
-        assertEquals(0.02, json.getAsJsonObject("workers").getAsJsonArray("worst").get(0).getAsJsonObject()
-                .get("latency_seconds").getAsDouble(), 1e-9);
+        assertEquals(
+                1, json.getAsJsonObject("calls").getAsJsonObject("read").get("at_work").getAsInt());
+        assertEquals(
+                0.02,
+                json.getAsJsonObject("workers")
+                        .getAsJsonArray("worst")
+                        .get(0)
+                        .getAsJsonObject()
+                        .get("latency_seconds")
+                        .getAsDouble(),
+                1e-9);
     }
 
     @Test
@@ -125,7 +158,10 @@
         String text = text();
         assertTextFormat(text);
         assertFalse(text, text.contains("# TYPE trailthread_level gauge"));
-        assertTrue(text, text.contains("trailthread_answers_total{answer=\"failed\",class=\"write\"} 0.0\n"));
+        assertTrue(
+                text,
+                text.contains(
+                        "trailthread_answers_total{answer=\"failed\",class=\"write\"} 0.0\n"));
         assertFalse(json().has("level"));
     }
 
@@ -145,7 +181,8 @@
         attempt("unlisted", Outcome.RESET, 0);
         FleetFigures fleet = metrics.snapshot(new View()).fleet();
         assertEquals(10_000, fleet.ready());
-        assertEquals(List.of("w4321", "w77", "w9"),
+        assertEquals(
+                List.of("w4321", "w77", "w9"),
                 fleet.worst().subList(0, 3).stream().map(w -> w.id).toList());
         assertEquals(NodeMetrics.MOST_WORKERS_SHOWN, fleet.worst().size());
         assertEquals(8_976, fleet.rest());
@@ -169,7 +206,8 @@
         attempt("w0", Outcome.OK, 1);
         Set<String> told = matches("(?m)^# TYPE (\\S+ \\S+)$", text());
         Set<String> explained =
-                matches("(?m)^\\| `(\\w+)` \\| (\\w+) \\|",
+                matches(
+                        "(?m)^\\| `(\\w+)` \\| (\\w+) \\|",
                         Files.readString(Path.of("../docs/operations.md")));
         assertEquals(told, explained);
         assertTrue(told.toString(), told.size() > 30);
@@ -177,7 +215,7 @@
 
     private static Set<String> matches(String pattern, String text) {
         Set<String> found = new TreeSet<>();
-        for (Matcher m = Pattern.compile(pattern).matcher(text); m.find();) {
+        for (Matcher m = Pattern.compile(pattern).matcher(text); m.find(); ) {
             found.add(m.groupCount() == 1 ? m.group(1) : m.group(1) + " " + m.group(2));
         }
         return found;
--- a/daemon/src/test/java/trailthread/daemon/operator/OperatorEndpointTest.java
+++ b/daemon/src/test/java/trailthread/daemon/operator/OperatorEndpointTest.java
@@ -44,29 +44,31 @@
 
     private final View view = new View();
     private final List<String> done = new CopyOnWriteArrayList<>();
-    private final NodeControl control = new NodeControl() {
-        @Override
-        public boolean drain() {
-            return done.add("drain");
-        }
+    private final NodeControl control =
+            new NodeControl() {
+                @Override
+                public boolean drain() {
+                    return done.add("drain");
+                }
 
-        @Override
-        public boolean resume() {
-            done.add("resume");
-            return false;
-        }
-    };
+                @Override
+                public boolean resume() {
+                    done.add("resume");
+                    return false;
+                }
+            };
     private final List<Closeable> open = new ArrayList<>();
     private final Loop loop = new Loop("test");
     private OperatorEndpoint endpoint;
     private InetSocketAddress address;
 
-    public OperatorEndpointTest() throws IOException {
-    }
+    public OperatorEndpointTest() throws IOException {}
 
     private void listen(Limits limits) throws IOException {
         endpoint = new OperatorEndpoint(loop, "n0", List.of(READ), view, limits);
-        address = endpoint.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), control);
+        address =
+                endpoint.listen(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), control);
     }
 
     private static Limits most(int connections) {
@@ -98,7 +100,8 @@
         client.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static void ask(Socket client, String method, String path, String headers) throws IOException {
+    private static void ask(Socket client, String method, String path, String headers)
+            throws IOException {
         send(client, method + " " + path + " HTTP/1.1\r\nHost: a\r\n" + headers + "\r\n");
     }
 
@@ -143,17 +146,24 @@
             assertTrue(answer, answer.contains("Content-Type: text/plain; version=0.0.4"));
             String body = answer.substring(answer.indexOf("\r\n\r\n") + 4);
             FiguresTest.assertTextFormat(body);
-            assertTrue(body, body.contains("\ntrailthread_calls_total{class=\"read\"} " + calls + ".0\n"));
+            assertTrue(
+                    body,
+                    body.contains("\ntrailthread_calls_total{class=\"read\"} " + calls + ".0\n"));
             loop.execute(() -> meter.taken("read")); // before the next request is read
         }
         loop.execute(() -> meter.levelEntered(loop.now(), "full"));
-        ask(client, "GET", "/metrics", "Accept: application/openmetrics-text;version=1.0.0,*/*;q=0.5\r\n");
+        ask(
+                client,
+                "GET",
+                "/metrics",
+                "Accept: application/openmetrics-text;version=1.0.0,*/*;q=0.5\r\n");
         String open = answer(client);
         assertTrue(open, open.contains("Content-Type: application/openmetrics-text"));
         assertTrue(open, open.endsWith("# EOF\n"));
         assertTrue(open, open.contains("# TYPE trailthread_level stateset\n"));
         String status = get(client, "/status");
-        assertTrue(status, status.contains("application/json") && status.contains("\"name\": \"n0\""));
+        assertTrue(
+                status, status.contains("application/json") && status.contains("\"name\": \"n0\""));
     }
 
     @Test
@@ -172,7 +182,8 @@
             assertStatus(405, answer);
             assertTrue(answer, answer.contains("Allow: GET"));
         }
-        for (String body : List.of("Content-Length: 5000000\r\n", "Transfer-Encoding: chunked\r\n")) {
+        for (String body :
+                List.of("Content-Length: 5000000\r\n", "Transfer-Encoding: chunked\r\n")) {
             Socket sender = connect();
             ask(sender, "GET", "/metrics", body);
             assertStatus(413, answer(sender));
@@ -197,20 +208,22 @@
     public void figuresAreAsOldAsTheAnswer() throws Exception {
         listen(most(8));
         Meter meter = endpoint.meter();
-        loop.execute(() -> {
-            meter.listed(ListKind.FULL, List.of(new Entry("w", 1, State.READY, "a", 0, 0)));
-            for (int i = 0; i < 4; i++) {
-                meter.taken("read");
-            }
-            meter.attemptSent();
-            meter.answered("read", Answer.SERVED, 1, 1);
-            meter.answered("read", Answer.REFUSED, 1, 1);
-            meter.answered("read", Answer.FAILED, 1, 1);
-            meter.reloaded(true);
-        });
+        loop.execute(
+                () -> {
+                    meter.listed(ListKind.FULL, List.of(new Entry("w", 1, State.READY, "a", 0, 0)));
+                    for (int i = 0; i < 4; i++) {
+                        meter.taken("read");
+                    }
+                    meter.attemptSent();
+                    meter.answered("read", Answer.SERVED, 1, 1);
+                    meter.answered("read", Answer.REFUSED, 1, 1);
+                    meter.answered("read", Answer.FAILED, 1, 1);
+                    meter.reloaded(true);
+                });
         String first = own("GET", "/-/metrics", "\r\n");
         assertStatus(200, first);
-        assertEquals("""
+        assertEquals(
+                """
                 app_answered{group="read"} 1
                 app_deferred{group="read"} 1
                 app_errored{group="read"} 1
@@ -220,7 +233,8 @@
                 app_cluster_unhealthy 7
                 app_conf_loaded 1
                 app_conf_invalid 0
-                """, first.substring(first.indexOf("\r\n\r\n") + 4));
+                """,
+                first.substring(first.indexOf("\r\n\r\n") + 4));
         loop.execute(() -> meter.reloaded(false));
         assertTrue(own("GET", "/-/metrics", "\r\n").contains("\napp_conf_invalid 1\n"));
     }
@@ -259,13 +273,15 @@
         get(connect(), "/status");
         view.snapshots.drainPermits();
         CountDownLatch rendering = new CountDownLatch(1);
-        loop.worker().execute(() -> {
-            try {
-                rendering.await(LONGEST_WAIT_S, TimeUnit.SECONDS);
-            } catch (InterruptedException e) {
-                throw new AssertionError(e);
-            }
-        });
+        loop.worker()
+                .execute(
+                        () -> {
+                            try {
+                                rendering.await(LONGEST_WAIT_S, TimeUnit.SECONDS);
+                            } catch (InterruptedException e) {
+                                throw new AssertionError(e);
+                            }
+                        });
         Socket first = connect();
         Socket second = connect();
         ask(first, "GET", "/metrics", "");
@@ -312,7 +328,7 @@
         }
         assertTrue("it was to jam before " + made, made < requests);
         boolean others = false;
-        for (long start = System.nanoTime(); !others && System.nanoTime() - start < LONG_NS;) {
+        for (long start = System.nanoTime(); !others && System.nanoTime() - start < LONG_NS; ) {
             try (Socket other = connect()) {
                 ask(other, "GET", "/ready", "");
                 others = other.getInputStream().read() == 'H';
@@ -338,8 +354,12 @@
     @Test
     public void anAddressThatCantBeHadIsNamed() throws Exception {
         listen(most(8));
-        BindException e = assertThrows(BindException.class,
-                () -> new OperatorEndpoint(loop, "n1", List.of(READ), view).listen(address, control));
+        BindException e =
+                assertThrows(
+                        BindException.class,
+                        () ->
+                                new OperatorEndpoint(loop, "n1", List.of(READ), view)
+                                        .listen(address, control));
         assertTrue(e.getMessage(), e.getMessage().startsWith("management: "));
     }
 }
--- a/decisions/src/main/java/trailthread/Balancer.java
+++ b/decisions/src/main/java/trailthread/Balancer.java
@@ -14,134 +14,251 @@
 import trailthread.BalancerApi.*;
 
 /**
- * Every decision of one node. Settings, types, events and actions are declared in BalancerApi.java. A state
- * machine: time comes with the events, randomness from the seed. Not thread-safe. In the order of a request's
- * life: events in; lottery; gate; answers; list; what is known.
+ * Every decision of one node. Settings, types, events and actions are declared in BalancerApi.java.
+ * A state machine: time comes with the events, randomness from the seed. Not thread-safe. In the
+ * order of a request's life: events in; lottery; gate; answers; list; what is known.
  */
 public final class Balancer implements Events {
     /** Memory of the idle latency, in longest deadlines: minutes, as no jam must move it. */
     private static final double FLOOR_MEMORY = 300;
-    /** What a fresh report of service time weighs, in own answers: it rests on those to all nodes. */
+
+    /**
+     * What a fresh report of service time weighs, in own answers: it rests on those to all nodes.
+     */
     private static final double REPORT_ANSWERS = 5;
-    /** Least share of time for which a backend that turned this node away is tried: still often in an aim. */
+
+    /**
+     * Least share of time for which a backend that turned this node away is tried: still often in
+     * an aim.
+     */
     private static final double LEAST_LIMIT = 1.0 / 16;
-    /** What open connections may cost of the goal: with many nodes each keeps to a part of the backends. */
+
+    /**
+     * What open connections may cost of the goal: with many nodes each keeps to a part of the
+     * backends.
+     */
     private static final double CONNECTION_COST = 0.006;
-    /** Least backends to draw from, in fully warm ones: fewer could not stand in for one that fails. */
+
+    /**
+     * Least backends to draw from, in fully warm ones: fewer could not stand in for one that fails.
+     */
     private static final double LEAST_PART = 3;
+
     /** The golden ratio's fraction: its multiples spread evenly, however many there are. */
     private static final double GOLDEN = 0.6180339887498949;
-    /** Uniform jitter of every timer, as a share of its length: enough to break step between nodes. */
+
+    /**
+     * Uniform jitter of every timer, as a share of its length: enough to break step between nodes.
+     */
     private static final double JITTER = 0.2;
-    /** Weight of a fresh report against the smoothed ones before it: two or three reports of memory. */
+
+    /**
+     * Weight of a fresh report against the smoothed ones before it: two or three reports of memory.
+     */
     private static final double REPORT_WEIGHT = 0.5;
+
     /** Share of a cold backend's spare budget that is used: half, as its capacity is a guess. */
     private static final double COLD_MARGIN = 0.5;
+
     /** A backend is open while its predicted time is within this multiple of its idle latency... */
     private static final double OPEN_WITHIN_FLOOR = 1.8;
-    /** ...and within this share of the mean aim; but a far one, idle, is past that: it has this multiple. */
+
+    /**
+     * ...and within this share of the mean aim; but a far one, idle, is past that: it has this
+     * multiple.
+     */
     private static final double OPEN_WITHIN_AIM = 0.4, OPEN_FAR = 1.3;
-    /** A backend holds tickets while its predicted time is within this multiple of the best that matters. */
+
+    /**
+     * A backend holds tickets while its predicted time is within this multiple of the best that
+     * matters.
+     */
     private static final double NEAR_BEST = 2;
-    /** A gap between answers of this many usual gaps means that the backend has slowed or stopped. */
+
+    /**
+     * A gap between answers of this many usual gaps means that the backend has slowed or stopped.
+     */
     private static final double SILENT_GAPS = 3;
+
     /** What all nodes together start with at a backend: a few, so that its idle latency shows. */
     private static final double START_TOGETHER = 4;
-    /** What all nodes' limits at a backend grow by together in a latency; a whole one would outweigh cuts. */
+
+    /**
+     * What all nodes' limits at a backend grow by together in a latency; a whole one would outweigh
+     * cuts.
+     */
     private static final double GROWTH = 0.7;
-    /** The same on borrowed evidence, for the whole headroom: an unlucky start must end in seconds. */
+
+    /**
+     * The same on borrowed evidence, for the whole headroom: an unlucky start must end in seconds.
+     */
     private static final double BORROWED_GROWTH = 5.6;
+
     /** Requests after which the counts of keys are halved: enough to tell a popular one's share. */
     private static final double KEYS_REMEMBERED = 1000;
+
     /** A home takes no more than this multiple of its fair part of what this node has out. */
     private static final double FAIR_PART = 1.5;
-    /** What one point of cross-zone price adds to a remote backend's predicted time, as a factor. */
+
+    /**
+     * What one point of cross-zone price adds to a remote backend's predicted time, as a factor.
+     */
     private static final double CROSS_ZONE_FACTOR = 20;
-    /** A backend that turned one away keeps this share of what this node had out there as its limit. */
+
+    /**
+     * A backend that turned one away keeps this share of what this node had out there as its limit.
+     */
     private static final double FULL_CUT = 0.7;
-    /** A backend this many times slower than idle is jammed: past what the bound on its crowd leaves open. */
+
+    /**
+     * A backend this many times slower than idle is jammed: past what the bound on its crowd leaves
+     * open.
+     */
     private static final double JAMMED = 2.5;
-    /** Its first rest, in longest deadlines: what it holds has then ended, and some idle time is left. */
+
+    /**
+     * Its first rest, in longest deadlines: what it holds has then ended, and some idle time is
+     * left.
+     */
     private static final double REST_DEADLINES = 1.5;
+
     /** Outlier ejection: failures in a row that eject a backend; by chance, three are rare. */
     private static final int EJECT_AFTER = 3;
+
     /** Longest outlier ejection, in doublings of the tightest aim. */
     private static final int EJECT_DOUBLINGS = 5;
-    /** At most this share of the list may be ejected; past it the node itself is the likelier culprit. */
+
+    /**
+     * At most this share of the list may be ejected; past it the node itself is the likelier
+     * culprit.
+     */
     private static final double EJECT_MOST = 0.5;
-    /** Repeats of what may have run, as a share of requests: a failing fleet must not see its load double. */
+
+    /**
+     * Repeats of what may have run, as a share of requests: a failing fleet must not see its load
+     * double.
+     */
     private static final double RETRY_SHARE = 0.2;
-    /** A safe attempt is called off after this many of its backend's latencies: a few in a hundred are. */
+
+    /**
+     * A safe attempt is called off after this many of its backend's latencies: a few in a hundred
+     * are.
+     */
     private static final double PATIENCE = 5;
+
     /** Where reports come only to probes, each backend is probed once in this many mean aims. */
     private static final double POLL_AIMS = 4;
+
     /** Most repeats saved up, in requests. */
     private static final double RETRY_SAVED = 20;
+
     /** Memory of what was asked and served, in longest deadlines: long against one request. */
     private static final double GOAL_MEMORY = 20;
+
     /** Held requests are looked at again this often, as a share of the tightest aim. */
     private static final double RELEASE_SHARE = 1.0 / 20;
+
     /** A list call that brings nothing is repeated after this share of the asking period. */
     private static final double ASK_AGAIN = 1.0 / 4;
-    /** So many calls a period all nodes begin with; in vain, half as many each time, to one in two. */
+
+    /**
+     * So many calls a period all nodes begin with; in vain, half as many each time, to one in two.
+     */
     private static final double FIRST_CALLS = 400, LAST_ASK_AGAIN = 2;
+
     /** What did not wait is repeated so soon; with jitter in 6 s, when news is due. */
     private static final double LEAST_SOON_NS = 1e9, ASK_SOON_NS = 5e9;
+
     /** While the list may not be used, requests wait for this share of their time. */
     private static final double WAITS_FOR_LIST = 1.0 / 4;
-    /** First calls, of a start or after a broken watch, are spread over this: some of the 6 s are over. */
+
+    /**
+     * First calls, of a start or after a broken watch, are spread over this: some of the 6 s are
+     * over.
+     */
     private static final double ASK_FIRST_NS = 4.4e9;
 
     /** Kinds of timer, in the low bits of a token; the rest is the request's id. */
     private static final int TIMER_DEADLINE = 0, TIMER_ASK = 1, TIMER_RELEASE = 2, TIMER_POLL = 3;
+
     private static final int TIMER_BITS = 2;
 
     /** What staff are told of in the log. */
-    private enum Note { EJECTED, RESTS, TURNED_AWAY, LIST_FAILED, MOST_FAIL }
+    private enum Note {
+        EJECTED,
+        RESTS,
+        TURNED_AWAY,
+        LIST_FAILED,
+        MOST_FAIL
+    }
 
     private Settings settings;
     private final Actions actions;
     private final SplittableRandom random;
+
     /** What the host allows for now; null: everything. */
     private Admission admission;
-    private final Map<String, Party> classes = new LinkedHashMap<>(), tenants = new LinkedHashMap<>(),
+
+    private final Map<String, Party> classes = new LinkedHashMap<>(),
+            tenants = new LinkedHashMap<>(),
             everyClass = new HashMap<>(); // also those that other settings had
     private final Map<Long, Request> requests = new HashMap<>();
+
     /** Held requests, a line for each class and tenant, within its quota or over it. */
     private final List<Line> lines = new ArrayList<>();
+
     private int held;
     private final Map<String, Backend> known = new HashMap<>();
     private final List<Backend> listed = new ArrayList<>();
+
     /** Those of the list that this node draws from: all, or its part of them. */
     private final List<Backend> mine = new ArrayList<>();
+
     /** Those with attempts out: of thousands, few. */
     private final Set<Backend> awaited = new LinkedHashSet<>();
+
     /** How many nodes draw from a backend, as far as this one can tell. */
     private double sharers = 1;
-    /** All answers together; what this node has out, and may have by the sum of rooms, rounded by chance. */
+
+    /**
+     * All answers together; what this node has out, and may have by the sum of rooms, rounded by
+     * chance.
+     */
     private final Pace pool = new Pace();
+
     /** What answers take beyond the service time that backends report. */
     private double waits;
+
     private double roomInAll = 1, outRounding;
     private long closedUntil, partAgainAt, coldAt, askSerial, askedAt = Long.MAX_VALUE;
+
     /** Nothing is sent by the list then or later. */
     private long listUsableUntil = Long.MAX_VALUE;
+
     /** What cold backends may be sent, in requests. */
     private double coldTokens;
+
     private double[] tickets = new double[16], predicted = new double[16];
+
     /** How often each key came of late, and all together. */
     private final Map<Long, Double> keySeen = new LinkedHashMap<>();
+
     private double keysSeen;
     private final Rate served, askedWorth;
     private long tightestAim, longestDeadline;
     private double retryTokens = RETRY_SAVED;
+
     /** Means of this node's requests; the aim by worth. */
     private double meanWork, meanLatency, meanAim, finest;
+
     private boolean releaseTimerSet, watching, polling;
     private int pollNext, failedCalls, out;
     private final long[] notedAt = new long[Note.values().length];
 
-    /** A {@link Events#list} should follow; throws IllegalArgumentException that names a bad setting. */
+    /**
+     * A {@link Events#list} should follow; throws IllegalArgumentException that names a bad
+     * setting.
+     */
     public Balancer(Settings settings, long seed, long now, Actions actions) {
         this.actions = actions;
         this.random = new SplittableRandom(seed);
@@ -152,7 +269,10 @@
         served = new Rate(settings.fallNs, now);
     }
 
-    /** Other settings hold from now on, if none is bad; what is known stays, requests keep their class. */
+    /**
+     * Other settings hold from now on, if none is bad; what is known stays, requests keep their
+     * class.
+     */
     public void retune(long now, Settings to) {
         to.check();
         settings = to;
@@ -166,24 +286,47 @@
         }
         long memory = (long) (GOAL_MEMORY * longestDeadline);
         for (RequestClass c : to.classes) {
-            classes.put(c.name(), everyClass.merge(c.name(), new Party(c, null, memory, to.fallNs, now),
-                    (had, fresh) -> had.rules.equals(c) ? had : fresh));
+            classes.put(
+                    c.name(),
+                    everyClass.merge(
+                            c.name(),
+                            new Party(c, null, memory, to.fallNs, now),
+                            (had, fresh) -> had.rules.equals(c) ? had : fresh));
         }
         for (Tenant t : to.tenants) {
-            tenants.merge(t.name(), new Party(null, t, memory, to.fallNs, now),
+            tenants.merge(
+                    t.name(),
+                    new Party(null, t, memory, to.fallNs, now),
                     (had, fresh) -> had.tenant.equals(t) ? had : fresh);
         }
     }
 
-    // ---- events ------------------------------------------------------------------------------------
+    // ---- events
+    // ------------------------------------------------------------------------------------
 
     @Override
-    public void request(long now, long id, String requestClass, long workNs, long deadline, String tenant,
-                        boolean repeat, long key) {
+    public void request(
+            long now,
+            long id,
+            String requestClass,
+            long workNs,
+            long deadline,
+            String tenant,
+            boolean repeat,
+            long key) {
         Party c = everyClass.get(requestClass);
         Settings.require(c != null, "classes: none is named " + requestClass);
         long as = settings.warmKeys && key != 0 ? spread(key) : key;
-        Request r = new Request(id, c, tenants.get(tenant), as, workNs, now, deadline, settings.maxAttempts);
+        Request r =
+                new Request(
+                        id,
+                        c,
+                        tenants.get(tenant),
+                        as,
+                        workNs,
+                        now,
+                        deadline,
+                        settings.maxAttempts);
         requests.put(id, r);
         retryTokens = Math.min(RETRY_SAVED, retryTokens + RETRY_SHARE);
         if (workNs > 0) {
@@ -223,14 +366,22 @@
         Request r = requests.get(id);
         if (r != null && !r.streaming && attempt >= 0 && attempt < r.sent) {
             r.streaming = true;
-            leaves(r, attempt); // it passes on what is made: that holds up nobody who comes after it
+            leaves(
+                    r,
+                    attempt); // it passes on what is made: that holds up nobody who comes after it
             learnLatency(r.backends[attempt], r, attempt, now - r.sentAt[attempt], now);
         }
     }
 
     @Override
-    public void outcome(long now, long id, int attempt, Outcome outcome, long latency, boolean closed,
-                        Load load) {
+    public void outcome(
+            long now,
+            long id,
+            int attempt,
+            Outcome outcome,
+            long latency,
+            boolean closed,
+            Load load) {
         Request r = requests.get(id);
         if (r == null || attempt < 0 || attempt >= r.sent || r.fate[attempt] != null) {
             return;
@@ -322,9 +473,10 @@
     }
 
     /**
-     * Danger: attempts whose answers are lost would fill limits, and make their backends look frozen, until
-     * their clients quit. What is out for long counts no more if a later one has overtaken it; else, with no
-     * other open, it leaves room for a safe trial, and where that gets no answer either, twice as long after.
+     * Danger: attempts whose answers are lost would fill limits, and make their backends look
+     * frozen, until their clients quit. What is out for long counts no more if a later one has
+     * overtaken it; else, with no other open, it leaves room for a safe trial, and where that gets
+     * no answer either, twice as long after.
      */
     private void letLostGo(Backend b, long now) {
         for (Sent s = b.sent.peek(); s != null; s = b.sent.peek()) {
@@ -334,8 +486,12 @@
                 // a giant may be overtaken, too, and has more time
                 int doublings = overtaken ? 0 : Math.min(b.unanswered, EJECT_DOUBLINGS);
                 double known = Math.max(b.latency, meanLatency);
-                double usual = Math.max(known, finest); // workers of a millisecond are not silent after three
-                if (known == 0 || now - at < (overtaken ? PATIENCE : JAMMED) * usual * (1 << doublings)) {
+                double usual =
+                        Math.max(
+                                known,
+                                finest); // workers of a millisecond are not silent after three
+                if (known == 0
+                        || now - at < (overtaken ? PATIENCE : JAMMED) * usual * (1 << doublings)) {
                     return;
                 }
                 b.unanswered += leaves(s.r, s.attempt) && !overtaken ? 1 : 0;
@@ -354,26 +510,32 @@
                 b.unanswered = 0;
                 b.failures = 0;
                 b.trust += Pace.LATENCY_WEIGHT * (1 - b.trust);
-                if (!r.streaming && latency >= 0) { // a stream's length says nothing; its beginning did
+                if (!r.streaming
+                        && latency >= 0) { // a stream's length says nothing; its beginning did
                     learnLatency(b, r, attempt, latency, now);
                 }
             }
             case FULL -> {
-                // Danger: a full backend answers at once and so wins the next draw; refusing costs it work.
+                // Danger: a full backend answers at once and so wins the next draw; refusing costs
+                // it work.
                 b.limit = Math.max(leastLimit(), FULL_CUT * Math.min(b.limit, b.outstanding + 1));
             }
             case ERROR, TIMEOUT, RESET, CONNECT_FAILED -> {
                 b.trust -= Pace.LATENCY_WEIGHT * b.trust;
                 b.failures++;
-                // Dangers: in a jam nothing else comes back; but the first in a row may be one lost answer.
-                if (outcome == Outcome.TIMEOUT && b.failures > 1 && r.sentAt[attempt] > b.newestAnswered) {
+                // Dangers: in a jam nothing else comes back; but the first in a row may be one lost
+                // answer.
+                if (outcome == Outcome.TIMEOUT
+                        && b.failures > 1
+                        && r.sentAt[attempt] > b.newestAnswered) {
                     took(b, r.outAtSend[attempt], latency, now);
                 }
                 if (b.failures >= EJECT_AFTER) {
                     int doublings = Math.min(b.failures - EJECT_AFTER, EJECT_DOUBLINGS);
                     b.ejectedUntil = now + jittered((double) tightestAim * (1 << doublings));
                     if (due(Note.EJECTED, now)) {
-                        actions.log("ejected " + b.name + " after failures in a row: " + b.failures);
+                        actions.log(
+                                "ejected " + b.name + " after failures in a row: " + b.failures);
                     }
                 }
             }
@@ -390,7 +552,8 @@
             waits += (waits == 0 ? 1 : Pace.LATENCY_WEIGHT) * (latency / size - b.reported - waits);
         }
         took(b, r.outAtSend[attempt], latency / size, now);
-        meanLatency += (meanLatency == 0 ? 1 : Pace.LATENCY_WEIGHT / 4) * (latency / size - meanLatency);
+        meanLatency +=
+                (meanLatency == 0 ? 1 : Pace.LATENCY_WEIGHT / 4) * (latency / size - meanLatency);
         r.c.latency += (r.c.latency == 0 ? 1 : Pace.LATENCY_WEIGHT / 4) * (latency - r.c.latency);
     }
 
@@ -402,23 +565,25 @@
     }
 
     /**
-     * Danger: with many nodes, one request from each is already too much for a backend. Rooms under one are
-     * pooled: they bound what this node has out in all; where that is under one too, it rests in between.
-     * None at all is no reason: no backend is ready, and the next one that is may be sent to at once.
+     * Danger: with many nodes, one request from each is already too much for a backend. Rooms under
+     * one are pooled: they bound what this node has out in all; where that is under one too, it
+     * rests in between. None at all is no reason: no backend is ready, and the next one that is may
+     * be sent to at once.
      */
     private void rest(Backend b, long now) {
         b.rounding = random.nextDouble();
         outRounding = random.nextDouble();
         addRooms(now);
         if (roomInAll > 0 && roomInAll < 1 && out == 0) {
-            double latency = pool.latency > 0 ? Math.min(pool.latency, meanAim) : meanAim * OPEN_WITHIN_AIM;
+            double latency =
+                    pool.latency > 0 ? Math.min(pool.latency, meanAim) : meanAim * OPEN_WITHIN_AIM;
             closedUntil = now + jittered(latency * (1 / Math.max(roomInAll, LEAST_LIMIT) - 1));
         }
     }
 
     /**
-     * What this node may have out in all. Danger: were the room of backends that take nothing lent to the
-     * rest, all nodes would pour it on the few that look free.
+     * What this node may have out in all. Danger: were the room of backends that take nothing lent
+     * to the rest, all nodes would pour it on the few that look free.
      */
     private void addRooms(long now) {
         roomInAll = 0;
@@ -432,11 +597,11 @@
     }
 
     /**
-     * Moves this node's limits so that latency stays within bounds. Danger: a bound computed from latency
-     * alone lets the crowd grow with the root of the number of nodes; cut and raised step by step, each node
-     * ends where the latency is right, however many share a backend. Where a backend's own answers are few,
-     * all answers move its limit, less the noise of their mean: a crowd tips backends long before each node
-     * hears from each.
+     * Moves this node's limits so that latency stays within bounds. Danger: a bound computed from
+     * latency alone lets the crowd grow with the root of the number of nodes; cut and raised step
+     * by step, each node ends where the latency is right, however many share a backend. Where a
+     * backend's own answers are few, all answers move its limit, less the noise of their mean: a
+     * crowd tips backends long before each node hears from each.
      */
     private void steer(Backend b, long now) {
         boolean used = out + 2 > roomInAll; // it was in use, rounded down
@@ -447,7 +612,8 @@
             double borrowed = Pace.BORROWED / (Pace.BORROWED + other.recent(now, meanAim));
             borrowed = other == b ? 0 : borrowed * borrowed;
             if (excess > 0) {
-                other.limit = Math.max(leastLimit(), other.limit * (1 - Math.min(1, excess) * borrowed));
+                other.limit =
+                        Math.max(leastLimit(), other.limit * (1 - Math.min(1, excess) * borrowed));
             } else if (used) {
                 double spread = sharers * Math.max(1 / START_TOGETHER, roomInAll);
                 other.limit += BORROWED_GROWTH * -excess * borrowed / spread;
@@ -456,25 +622,31 @@
         double excess = latency(b, now) / mostLatency(b) - 1;
         if (excess > 0) {
             double held = Math.min(b.limit, Math.max(b.outstanding, b.depth) + 1);
-            b.limit = Math.max(leastLimit(), held * (1 - Pace.LATENCY_WEIGHT * Math.min(1, excess)));
+            b.limit =
+                    Math.max(leastLimit(), held * (1 - Pace.LATENCY_WEIGHT * Math.min(1, excess)));
         } else if (b.outstanding + 2 > b.limit || used) {
             b.limit += GROWTH / (sharers * Math.max(1 / START_TOGETHER, b.limit));
         }
     }
 
     /**
-     * Danger: a backend that was crowded stays slow until it has been nearly idle for a while. It rests, then
-     * gets single trials, each slow one doubling the rest; never more than half of the list at once.
+     * Danger: a backend that was crowded stays slow until it has been nearly idle for a while. It
+     * rests, then gets single trials, each slow one doubling the rest; never more than half of the
+     * list at once.
      */
     private void restIfJammed(Backend b, long now) {
         if (b.floor == 0 || latency(b, now) <= JAMMED * Math.max(b.floor, finest)) {
             b.rests = 0;
         } else if (now >= b.ejectedUntil && (b.rests > 0 || !tooManyEjected(1))) {
-            b.ejectedUntil = now + jittered(REST_DEADLINES * longestDeadline * (1 << Math.min(b.rests, 2)));
+            b.ejectedUntil =
+                    now + jittered(REST_DEADLINES * longestDeadline * (1 << Math.min(b.rests, 2)));
             b.rests++;
             if (due(Note.RESTS, now)) {
-                actions.log("resting " + b.name + ": jammed, idle latencies per answer "
-                        + Math.round(latency(b, now) / b.floor));
+                actions.log(
+                        "resting "
+                                + b.name
+                                + ": jammed, idle latencies per answer "
+                                + Math.round(latency(b, now) / b.floor));
             }
             b.limit = Math.min(b.limit, START_TOGETHER / sharers);
         }
@@ -491,9 +663,9 @@
     }
 
     /**
-     * Its latency, by its own answers as far as they are many and fresh, by the service time that it reports
-     * (it rests on answers to all nodes) and by all backends. Danger: by few own answers a crowd is seen too
-     * late.
+     * Its latency, by its own answers as far as they are many and fresh, by the service time that
+     * it reports (it rests on answers to all nodes) and by all backends. Danger: by few own answers
+     * a crowd is seen too late.
      */
     private double latency(Backend b, long now) {
         if (pool.latency == 0) {
@@ -514,12 +686,16 @@
         return Math.exp(sum / count);
     }
 
-    /** How many this node may have out at a backend at a time; below one, for what share of the time. */
+    /**
+     * How many this node may have out at a backend at a time; below one, for what share of the
+     * time.
+     */
     private double room(Backend b, double pace) {
         return Math.min(b.limit, mostLatency(b) / pace);
     }
 
-    // ---- lottery -----------------------------------------------------------------------------------
+    // ---- lottery
+    // -----------------------------------------------------------------------------------
 
     /** Draws a backend for the request among those that the gate permits, and sends it there. */
     private boolean place(Request r, long now) {
@@ -528,7 +704,10 @@
         }
         boolean trustAll = tooManyEjected(0);
         if (trustAll && due(Note.MOST_FAIL, now)) {
-            actions.log("ejecting none: most of " + mine.size() + " backends fail; is this node cut off?");
+            actions.log(
+                    "ejecting none: most of "
+                            + mine.size()
+                            + " backends fail; is this node cut off?");
         }
         if (!permits(r, now)) {
             return false;
@@ -557,7 +736,8 @@
         for (int i = 0; i < mine.size(); i++) {
             tickets[i] = 0;
             if (home < 0 ? predicted[i] <= most : i == home) {
-                double share = home < 0 ? Math.min(1, room(mine.get(i), pace(mine.get(i), now))) : 1;
+                double share =
+                        home < 0 ? Math.min(1, room(mine.get(i), pace(mine.get(i), now))) : 1;
                 tickets[i] = share * tickets(mine.get(i), predicted[i], now);
                 total += tickets[i];
             }
@@ -573,19 +753,20 @@
     }
 
     /**
-     * The lottery: tickets inversely proportional to one more than the queue and the own sends, told in time.
-     * Cold: in step with what it can do by now. Trust: an erring backend is fast and short of queue. Room
-     * under one: what this node may send it is less than one at a time.
+     * The lottery: tickets inversely proportional to one more than the queue and the own sends,
+     * told in time. Cold: in step with what it can do by now. Trust: an erring backend is fast and
+     * short of queue. Room under one: what this node may send it is less than one at a time.
      */
     private double tickets(Backend b, double predicted, long now) {
         return b.coldness(settings, now) * b.trust * b.trust / predicted;
     }
 
     /**
-     * Warm keys: the draw is kept to the first backend in an order that is the key's own at every node
-     * (rendezvous hashing by listed size); one that is not open, or holds over its fair part of this node's
-     * requests, is passed over for the next. Dangers: spilled at random, a key meets every backend cold and
-     * drives other keys out; without the fair part, popular keys make hot spots.
+     * Warm keys: the draw is kept to the first backend in an order that is the key's own at every
+     * node (rendezvous hashing by listed size); one that is not open, or holds over its fair part
+     * of this node's requests, is passed over for the next. Dangers: spilled at random, a key meets
+     * every backend cold and drives other keys out; without the fair part, popular keys make hot
+     * spots.
      */
     private int findHome(long key) {
         boolean sized = settings.weights == Weights.NOMINAL || settings.weights == Weights.ROUGH;
@@ -601,7 +782,8 @@
         double first = -1;
         for (int i = 0; i < mine.size(); i++) {
             Backend b = mine.get(i);
-            if (predicted[i] < Double.MAX_VALUE && b.outstanding < FAIR_PART * out * b.size(sized) / sizes) {
+            if (predicted[i] < Double.MAX_VALUE
+                    && b.outstanding < FAIR_PART * out * b.size(sized) / sizes) {
                 double unit = ((mix(key ^ b.hash) >>> 11) + 0.5) * 0x1p-53;
                 double score = b.size(sized) / -Math.log(unit);
                 home = score > first ? i : home;
@@ -612,8 +794,8 @@
     }
 
     /**
-     * A popular key counts as several keys, each with its own home. Danger: where hundreds of nodes send to a
-     * key's home, no node's own part of it tells that all together are too many.
+     * A popular key counts as several keys, each with its own home. Danger: where hundreds of nodes
+     * send to a key's home, no node's own part of it tells that all together are too many.
      */
     private long spread(long key) {
         double seen = keySeen.merge(key, 1.0, Double::sum);
@@ -634,16 +816,22 @@
         return z ^ z >>> 31;
     }
 
-    /** Time that one more request would take there: its place in the line, times the backend's pace. */
+    /**
+     * Time that one more request would take there: its place in the line, times the backend's pace.
+     */
     private double predicted(Backend b, double pace) {
-        double far = b.zone.equals(settings.zone) ? 1 : 1 + CROSS_ZONE_FACTOR * settings.priceCrossZone;
+        double far =
+                b.zone.equals(settings.zone) ? 1 : 1 + CROSS_ZONE_FACTOR * settings.priceCrossZone;
         if (settings.weights == Weights.LIVE && b.idleWeight > 0) {
             far /= b.idleWeight;
         }
         return (1 + b.load()) * pace * far;
     }
 
-    /** Time per place in line, from the answers; longer when answers are overdue (it froze, or lost them). */
+    /**
+     * Time per place in line, from the answers; longer when answers are overdue (it froze, or lost
+     * them).
+     */
     private double pace(Backend b, long now) {
         if (b.latency == 0) {
             return Math.max(1, meanLatency);
@@ -654,7 +842,8 @@
         }
         double idle = b.floor > 0 ? b.floor : pool.floor;
         if (latency > idle && idle > 0 && now - b.lastSign > longestDeadline / 2) {
-            // Danger: what once looked slow is drawn no more, and so looks slow for ever: forget it in time.
+            // Danger: what once looked slow is drawn no more, and so looks slow for ever: forget it
+            // in time.
             double kept = Math.exp(-(double) (now - b.lastSign) / longestDeadline);
             latency = idle + (latency - idle) * kept;
         }
@@ -662,13 +851,15 @@
     }
 
     /**
-     * Whether the backend takes more for now. Danger: past a point a crowded server only slows, and stays
-     * slow; and what has been sent can no longer be refused. What finds none open is held here.
+     * Whether the backend takes more for now. Danger: past a point a crowded server only slows, and
+     * stays slow; and what has been sent can no longer be refused. What finds none open is held
+     * here.
      */
     private boolean open(Backend b, double room, long now) {
-        return now >= closedUntil && (out == 0 || out + outRounding < roomInAll)
+        return now >= closedUntil
+                && (out == 0 || out + outRounding < roomInAll)
                 && (b.outstanding == 0
-                || (b.tellsQueue ? b.smoothed : 0) + b.outstanding + b.rounding < room);
+                        || (b.tellsQueue ? b.smoothed : 0) + b.outstanding + b.rounding < room);
     }
 
     /** Not ejected as an outlier; after that, half-open: one safe trial at a time. */
@@ -676,10 +867,14 @@
         if (b.failures < EJECT_AFTER && b.rests == 0) {
             return b.unanswered == 0 || r.c.rules.semantics() == Semantics.SAFE;
         }
-        return now >= b.ejectedUntil && b.outstanding == 0 && r.c.rules.semantics() == Semantics.SAFE;
+        return now >= b.ejectedUntil
+                && b.outstanding == 0
+                && r.c.rules.semantics() == Semantics.SAFE;
     }
 
-    /** Danger: a node that is itself cut off sees every backend fail; it must not eject them all. */
+    /**
+     * Danger: a node that is itself cut off sees every backend fail; it must not eject them all.
+     */
     private boolean tooManyEjected(int more) {
         int ejected = more, ready = 0;
         for (int i = 0; i < mine.size(); i++) {
@@ -690,7 +885,8 @@
         return ejected > EJECT_MOST * ready;
     }
 
-    // ---- gate --------------------------------------------------------------------------------------
+    // ---- gate
+    // --------------------------------------------------------------------------------------
 
     private void send(Request r, Backend b, long now) {
         long writtenBy = Math.min(r.deadline, r.repeatedBy());
@@ -710,38 +906,48 @@
     }
 
     /**
-     * An attempt's time-out; 0: until the client quits. Danger: a black hole accepts and never answers, and
-     * holds a request to its end. Only what is safe to repeat, may be repeated by the budget, and still has
-     * time for another attempt is called off early; anything else would be given up for nothing.
+     * An attempt's time-out; 0: until the client quits. Danger: a black hole accepts and never
+     * answers, and holds a request to its end. Only what is safe to repeat, may be repeated by the
+     * budget, and still has time for another attempt is called off early; anything else would be
+     * given up for nothing.
      */
     private long patience(Request r, Backend b, long now) {
-        if (r.c.rules.semantics() != Semantics.SAFE || r.sent >= r.most(settings) || retryTokens < 1) {
+        if (r.c.rules.semantics() != Semantics.SAFE
+                || r.sent >= r.most(settings)
+                || retryTokens < 1) {
             return 0;
         }
         double size = r.workNs > 0 && meanWork > 0 ? Math.max(1, r.workNs / meanWork) : 1;
         double patience = PATIENCE * Math.max(b.latency, Math.max(meanLatency, finest)) * size;
-        return meanLatency > 0 && now + patience + 2 * meanLatency < r.deadline ? (long) patience : 0;
+        return meanLatency > 0 && now + patience + 2 * meanLatency < r.deadline
+                ? (long) patience
+                : 0;
     }
 
     /** Whether an attempt may go to any backend at all now. */
     private boolean permits(Request r, long now) {
-        return !r.ended && !r.streaming && r.sent < r.most(settings) && now < r.deadline
+        return !r.ended
+                && !r.streaming
+                && r.sent < r.most(settings)
+                && now < r.deadline
                 && (r.open == 0 || settings.secondCopies)
                 && now + settings.connectTimeoutNs < r.repeatedBy();
     }
 
     /** Whether an attempt that is permitted may go to this backend. */
     private boolean suits(Request r, Backend b, long now) {
-        return b.state == State.READY && r.droppedBy(b)
+        return b.state == State.READY
+                && r.droppedBy(b)
                 && (coldTokens >= 1 || b.coldness(settings, now) >= 1);
     }
 
     /**
-     * Fills the bucket that cold backends share with this node's sure part of what they bear. Dangers: one at
-     * a time from each of hundreds of nodes pushes one over; were there a bucket for each, most would be full
-     * while the lottery is elsewhere. Capacity is taken from what backends serve to this node; over all nodes
-     * that adds up to no more than the true one, however traffic is split. A new one brings a part by chance,
-     * as it is announced to all nodes at once.
+     * Fills the bucket that cold backends share with this node's sure part of what they bear.
+     * Dangers: one at a time from each of hundreds of nodes pushes one over; were there a bucket
+     * for each, most would be full while the lottery is elsewhere. Capacity is taken from what
+     * backends serve to this node; over all nodes that adds up to no more than the true one,
+     * however traffic is split. A new one brings a part by chance, as it is announced to all nodes
+     * at once.
      */
     private void fillColdBudget(long now) {
         double all = 0, cold = 0, count = 0;
@@ -752,27 +958,35 @@
             count += share < 1 ? 1 : 0;
         }
         double capacity = served.inSpan(now) / settings.fallNs / Math.max(1, all);
-        double rate = Math.max(COLD_MARGIN * settings.fallMultiple * cold * capacity,
-                count / (sharers * meanAim));
+        double rate =
+                Math.max(
+                        COLD_MARGIN * settings.fallMultiple * cold * capacity,
+                        count / (sharers * meanAim));
         coldTokens = Math.min(count, coldTokens + rate * (now - coldAt));
         coldAt = now;
     }
 
-    // ---- answers -----------------------------------------------------------------------------------
+    // ---- answers
+    // -----------------------------------------------------------------------------------
 
-    /** The final answer for a request that cannot be served: a refusal where permitted, else a failure. */
+    /**
+     * The final answer for a request that cannot be served: a refusal where permitted, else a
+     * failure.
+     */
     private void giveUp(Request r) {
         r.ended = true;
         if (mayRefuse(r)) {
             long stayAway = jittered(settings.maxRetryAfterNs / (1 + JITTER));
-            actions.refuse(r.id, settings.retryAfter ? stayAway : 0); // repeats at once would feed the jam
+            actions.refuse(
+                    r.id, settings.retryAfter ? stayAway : 0); // repeats at once would feed the jam
         } else {
             actions.fail(r.id);
         }
     }
 
     private static boolean mayRefuse(Request r) {
-        return r.c.rules.semantics() == Semantics.SAFE || r.firstThatMayHaveRun() < 0
+        return r.c.rules.semantics() == Semantics.SAFE
+                || r.firstThatMayHaveRun() < 0
                 || r.c.rules.semantics() == Semantics.KEYED && r.c.rules.group() == Group.ALL;
     }
 
@@ -790,8 +1004,8 @@
     }
 
     /**
-     * Answers a request that is not to be sent any more. Danger: held on until its deadline, it would cost
-     * its client the time in which to come back.
+     * Answers a request that is not to be sent any more. Danger: held on until its deadline, it
+     * would cost its client the time in which to come back.
      */
     private boolean turnedAway(Request r, long now) {
         if (now < lastSend(r, now)) {
@@ -805,7 +1019,10 @@
         return true;
     }
 
-    /** Until when one that is held is to be sent: past its aim it may earn nothing. One sent has its time. */
+    /**
+     * Until when one that is held is to be sent: past its aim it may earn nothing. One sent has its
+     * time.
+     */
     private long lastSend(Request r, long now) {
         RequestClass c = r.c.rules;
         if (r.open > 0) {
@@ -813,7 +1030,10 @@
         }
         long last = (c.lateWorth() > 0 ? r.deadline : r.aimAt) - (long) (meanLatency / 2);
         if (now >= listUsableUntil) {
-            last = Math.min(last, r.arrivedAt + (long) (WAITS_FOR_LIST * (r.deadline - r.arrivedAt)));
+            last =
+                    Math.min(
+                            last,
+                            r.arrivedAt + (long) (WAITS_FOR_LIST * (r.deadline - r.arrivedAt)));
         }
         return Math.min(last, r.repeatedBy() - settings.connectTimeoutNs);
     }
@@ -821,7 +1041,10 @@
     private Line lineOf(Request r) {
         for (int i = 0; i < lines.size(); i++) {
             Line l = lines.get(i);
-            if (l.c == r.c && l.tenant == r.tenant && l.over == r.overQuota && l.again == r.sent > 0) {
+            if (l.c == r.c
+                    && l.tenant == r.tenant
+                    && l.over == r.overQuota
+                    && l.again == r.sent > 0) {
                 return l;
             }
         }
@@ -833,13 +1056,16 @@
     private void setReleaseTimer() {
         if (!releaseTimerSet) {
             releaseTimerSet = true;
-            actions.timer(jittered(Math.max(settings.tickNs, RELEASE_SHARE * tightestAim)), TIMER_RELEASE);
+            actions.timer(
+                    jittered(Math.max(settings.tickNs, RELEASE_SHARE * tightestAim)),
+                    TIMER_RELEASE);
         }
     }
 
     /**
-     * Sends held requests while any backend is open to them: from the line whose newest request adds most to
-     * the goal for its work. Newest first, as under overload the oldest are the likeliest to come too late.
+     * Sends held requests while any backend is open to them: from the line whose newest request
+     * adds most to the goal for its work. Newest first, as under overload the oldest are the
+     * likeliest to come too late.
      */
     private void release(long now) {
         if (held == 0) {
@@ -849,8 +1075,10 @@
         double whole = (settings.goalWhole + settings.goalWorstWindow) / askedWorth.inSpan(now);
         Party worstClass = worst(classes, now);
         Party worstTenant = worst(tenants, now);
-        double ofClass = worstClass == null ? 0 : settings.goalWorstClass / worstClass.asked.inSpan(now);
-        double ofTenant = worstTenant == null ? 0 : settings.goalWorstTenant / worstTenant.asked.inSpan(now);
+        double ofClass =
+                worstClass == null ? 0 : settings.goalWorstClass / worstClass.asked.inSpan(now);
+        double ofTenant =
+                worstTenant == null ? 0 : settings.goalWorstTenant / worstTenant.asked.inSpan(now);
         while (true) {
             Line best = null;
             double most = -1;
@@ -920,13 +1148,16 @@
         double chance = left * left * left / (1 + left * left * left);
         double late = r.c.rules.lateWorth();
         boolean hinted = r.workNs > 0 && meanWork > 0;
-        double work = hinted ? r.workNs / meanWork : Math.max(1, r.c.latency) / Math.max(1, meanLatency);
+        double work =
+                hinted ? r.workNs / meanWork : Math.max(1, r.c.latency) / Math.max(1, meanLatency);
         return r.worth * (late + (1 - late) * chance) / work;
     }
 
     private static Party worst(Map<String, Party> parties, long now) {
-        return parties.values().stream().filter(p -> p.asked.inSpan(now) > 0).min(Comparator.comparingDouble(
-                p -> p.served.inSpan(now) / p.asked.inSpan(now))).orElse(null);
+        return parties.values().stream()
+                .filter(p -> p.asked.inSpan(now) > 0)
+                .min(Comparator.comparingDouble(p -> p.served.inSpan(now) / p.asked.inSpan(now)))
+                .orElse(null);
     }
 
     private void forget(Request r) {
@@ -946,17 +1177,21 @@
         return (long) (delay * (1 + JITTER * (2 * random.nextDouble() - 1)));
     }
 
-    // ---- list --------------------------------------------------------------------------------------
+    // ---- list
+    // --------------------------------------------------------------------------------------
 
     @Override
     public void list(long now, ListKind kind, List<Entry> entries) {
-        // Danger: a fleet that calls in step keeps the list from most of its nodes: waits in vain cost, too.
+        // Danger: a fleet that calls in step keeps the list from most of its nodes: waits in vain
+        // cost, too.
         double period = settings.askEveryNs, spread = settings.nodes / FIRST_CALLS * period;
         double waited = askedAt == Long.MAX_VALUE ? 0 : now - askedAt;
         askedAt = Long.MAX_VALUE;
         if (kind == ListKind.FAILED) {
-            double slower = Math.min(LAST_ASK_AGAIN * period, spread * (1 << Math.min(failedCalls, 16)));
-            // At a fixed pace from call to call, the first in vain too: whenever discovery comes back, all
+            double slower =
+                    Math.min(LAST_ASK_AGAIN * period, spread * (1 << Math.min(failedCalls, 16)));
+            // At a fixed pace from call to call, the first in vain too: whenever discovery comes
+            // back, all
             // nodes' calls come evenly over it.
             double most = watching ? ASK_FIRST_NS : ASK_SOON_NS;
             double soon = Math.min(Math.max(4 * spread, LEAST_SOON_NS), most);
@@ -1000,10 +1235,10 @@
     }
 
     /**
-     * Chooses the backends that this node draws from. Danger: hundreds of nodes connected to every backend
-     * fill their tables, and answers from any one are too rare to learn from. Each zone's backends form a
-     * ring by hash; from its own place on, a node takes as many as hold its part of fully warm ones that are
-     * fit.
+     * Chooses the backends that this node draws from. Danger: hundreds of nodes connected to every
+     * backend fill their tables, and answers from any one are too rare to learn from. Each zone's
+     * backends form a ring by hash; from its own place on, a node takes as many as hold its part of
+     * fully warm ones that are fit.
      */
     private void choosePart(long now) {
         double price = settings.priceConnection;
@@ -1033,7 +1268,9 @@
         partAgainAt = now + jittered(longestDeadline);
         sharers = Math.max(1, (double) settings.nodes * mine.size() / Math.max(1, listed.size()));
         for (Backend b : mine) {
-            double few = START_TOGETHER / sharers; // up to twice that where this node could not have one out
+            double few =
+                    START_TOGETHER
+                            / sharers; // up to twice that where this node could not have one out
             b.limit = b.limit > 0 ? b.limit : Math.max(few, Math.min(2 * few, 1.0 / mine.size()));
         }
     }
@@ -1052,7 +1289,8 @@
                 listed.add(fresh);
             }
             b = fresh;
-            coldTokens += e.readyAtNs() > Math.max(0, now - settings.coldNs) ? random.nextDouble() : 0;
+            coldTokens +=
+                    e.readyAtNs() > Math.max(0, now - settings.coldNs) ? random.nextDouble() : 0;
         }
         b.apply(e);
         return restarted;
@@ -1083,11 +1321,20 @@
     /** How many of the list are not drawn for now: they drain, are ejected or rest. */
     public int avoided(long now) {
         boolean trustAll = tooManyEjected(0);
-        return (int) listed.stream().filter(b -> b.state != State.READY || !trustAll && now < b.ejectedUntil
-                && (b.failures >= EJECT_AFTER || b.rests > 0)).count();
+        return (int)
+                listed.stream()
+                        .filter(
+                                b ->
+                                        b.state != State.READY
+                                                || !trustAll
+                                                        && now < b.ejectedUntil
+                                                        && (b.failures >= EJECT_AFTER
+                                                                || b.rests > 0))
+                        .count();
     }
 
-    // ---- what is known -----------------------------------------------------------------------------
+    // ---- what is known
+    // -----------------------------------------------------------------------------
 
     /** One client request and its attempts. */
     private static final class Request {
@@ -1102,7 +1349,14 @@
         int sent, open;
         boolean overQuota, streaming, ended;
 
-        Request(long id, Party c, Party tenant, long key, long workNs, long now, long deadline,
+        Request(
+                long id,
+                Party c,
+                Party tenant,
+                long key,
+                long workNs,
+                long now,
+                long deadline,
                 int maxAttempts) {
             this.id = id;
             this.key = key;
@@ -1120,7 +1374,9 @@
             lost = new boolean[maxAttempts];
         }
 
-        /** Attempts that it may have, by the settings that hold now and those that it came under. */
+        /**
+         * Attempts that it may have, by the settings that hold now and those that it came under.
+         */
         int most(Settings s) {
             return Math.min(s.maxAttempts, fate.length);
         }
@@ -1138,11 +1394,15 @@
         /** Until when one more attempt may be written, by what those before it may have done. */
         long repeatedBy() {
             int first = firstThatMayHaveRun();
-            return first < 0 || c.rules.semantics() == Semantics.SAFE ? Long.MAX_VALUE
-                    : sentAt[first] + (c.rules.semantics() == Semantics.KEYED ? c.rules.windowNs() : 0);
+            return first < 0 || c.rules.semantics() == Semantics.SAFE
+                    ? Long.MAX_VALUE
+                    : sentAt[first]
+                            + (c.rules.semantics() == Semantics.KEYED ? c.rules.windowNs() : 0);
         }
 
-        /** Whether the backend drops a repeat of what may have run; any will do where none needs to. */
+        /**
+         * Whether the backend drops a repeat of what may have run; any will do where none needs to.
+         */
         boolean droppedBy(Backend b) {
             int first = firstThatMayHaveRun();
             Backend a = first < 0 || c.rules.semantics() != Semantics.KEYED ? b : backends[first];
@@ -1158,7 +1418,7 @@
         }
     }
 
-    private record Sent(Request r, int attempt) { }
+    private record Sent(Request r, int attempt) {}
 
     /** A class or a tenant: what it asked for and what it was served, in worth. */
     private static final class Party {
@@ -1184,8 +1444,12 @@
         }
     }
 
-    /** Held requests of one kind, the oldest first; {@code again}: not every backend may be open to them. */
-    private record Line(Party c, Party tenant, boolean over, boolean again, ArrayDeque<Request> requests) { }
+    /**
+     * Held requests of one kind, the oldest first; {@code again}: not every backend may be open to
+     * them.
+     */
+    private record Line(
+            Party c, Party tenant, boolean over, boolean again, ArrayDeque<Request> requests) {}
 
     /** One backend as this node sees it. */
     private static final class Backend extends Pace {
@@ -1193,29 +1457,45 @@
         final long hash;
         String zone;
         int cell;
+
         /** The most it was ever listed with: its size, where weights fall with load. */
         double idleWeight;
+
         State state;
         long readyAt;
+
         /** Reported queue, or requests in hand where no queue is: smoothed, and as told last. */
         double smoothed, lastTold = -1;
+
         boolean tellsQueue;
+
         /** Its own service time by its last report, and when that came. */
         double reported;
+
         long reportedAt;
         int sentSince, outstanding;
+
         /** Attempts from the oldest that counts as out on; when the newest answered was sent. */
         final ArrayDeque<Sent> sent = new ArrayDeque<>();
+
         long newestAnswered;
+
         /** Attempts that seem lost, with no answer to a later one. */
         int unanswered;
+
         /** When it last answered anything, or got work while idle. */
         long lastSign;
+
         double trust = 1;
-        /** Drawn anew at each outcome: rooms are rounded by chance, so that the nodes' parts add up. */
+
+        /**
+         * Drawn anew at each outcome: rooms are rounded by chance, so that the nodes' parts add up.
+         */
         double rounding;
+
         /** Rests on end because it is jammed. */
         int rests, failures;
+
         long ejectedUntil;
         double limit;
 
@@ -1261,7 +1541,9 @@
         /** What it told, and this node's correction: own sends since then that are still out. */
         double load() {
             double load = smoothed + sentSince;
-            return tellsQueue ? load : Math.max(outstanding, load); // requests in hand hold all own ones
+            return tellsQueue
+                    ? load
+                    : Math.max(outstanding, load); // requests in hand hold all own ones
         }
 
         /** The share of its capacity that it is sure to have after its start: 1 when warm. */
--- a/decisions/src/main/java/trailthread/ListLease.java
+++ b/decisions/src/main/java/trailthread/ListLease.java
@@ -3,18 +3,23 @@
 /**
  * A lease on the list of backends: until when a node may send by the list that it holds.
  *
- * <p>A change counts as told {@link #NEWS_DUE_NS} after discovery had it, also to a node that did not hear of
- * it, unless discovery could not be reached. So each sign of life of a watch renews the lease for that time
- * and the grace of drains, and so does proof that discovery can't be reached. A process that has just started
- * holds none: how old the list is that it was given is not known.
+ * <p>A change counts as told {@link #NEWS_DUE_NS} after discovery had it, also to a node that did
+ * not hear of it, unless discovery could not be reached. So each sign of life of a watch renews the
+ * lease for that time and the grace of drains, and so does proof that discovery can't be reached. A
+ * process that has just started holds none: how old the list is that it was given is not known.
  *
  * <p>Pure: times are handed in, in nanoseconds of one clock that never goes back.
  */
 public final class ListLease {
     /** What changes counts as told so long after it was made, whether or not it came. */
     public static final long NEWS_DUE_NS = 6_000_000_000L;
-    /** A node may be held up for so long between reading its clock and writing; a grace has to cover it. */
+
+    /**
+     * A node may be held up for so long between reading its clock and writing; a grace has to cover
+     * it.
+     */
     public static final long HELD_UP_NS = 150_000_000L;
+
     /** A call that fails sooner did not wait in a queue: discovery is down, or cut off. */
     public static final long QUEUED_NS = 1_200_000_000L;
 
@@ -24,20 +29,24 @@
     private long graceNs;
     private boolean pushed;
     private boolean renewed;
+
     /** A call has waited and failed since the start. */
     private boolean waitedInVain;
+
     /** When it was renewed last. */
     private long renewedAt;
+
     /** Since it was renewed last, another discovery has become the source. */
     private boolean moved;
+
     private long movedAt;
 
     /**
      * Makes a lease that is not held.
      *
      * @param drainGraceNs how long after the news of a drain something may still be sent
-     * @param pushed       whether an agent beside the node keeps the list: it has few callers, and while it
-     *                     says nothing, there is nothing that it could have told
+     * @param pushed whether an agent beside the node keeps the list: it has few callers, and while
+     *     it says nothing, there is nothing that it could have told
      */
     public ListLease(long drainGraceNs, boolean pushed) {
         retune(drainGraceNs, pushed);
@@ -68,10 +77,10 @@
     }
 
     /**
-     * A call to discovery was refused, or broke before there was an answer. What changes while discovery
-     * can't be reached is told after its return. But a call that has waited may have met a crowd: where
-     * most of a fleet has just started, one in vain proves nothing; the calls of a fleet at work are
-     * spread, and meet none.
+     * A call to discovery was refused, or broke before there was an answer. What changes while
+     * discovery can't be reached is told after its return. But a call that has waited may have met
+     * a crowd: where most of a fleet has just started, one in vain proves nothing; the calls of a
+     * fleet at work are spread, and meet none.
      *
      * @param waitedSince since when it may have waited at discovery
      */
--- a/decisions/src/main/java/trailthread/Pace.java
+++ b/decisions/src/main/java/trailthread/Pace.java
@@ -4,20 +4,30 @@
 class Pace {
     /** Weight of one answer in a backend's latency: about ten answers of memory. */
     static final double LATENCY_WEIGHT = 0.1;
-    /** The same for the idle latency: the least of a noisy mean lies low, of fifty answers hardly. */
+
+    /**
+     * The same for the idle latency: the least of a noisy mean lies low, of fifty answers hardly.
+     */
     private static final double SLOW_WEIGHT = 0.02;
+
     /** Memory of a backend's latency where answers are rare, in mean aims. */
     static final double LATENCY_MEMORY_AIMS = 5;
+
     /** What is borrowed from all backends for the estimate of one, in answers of its own. */
     static final double BORROWED = 2;
 
-    /** Smoothed latency of its answers, and the own sends that were out there when each was sent. */
+    /**
+     * Smoothed latency of its answers, and the own sends that were out there when each was sent.
+     */
     double latency, logLatency, depth;
+
     /** The least smoothed latency seen, drifting up slowly: what it takes when idle. */
     double floor;
+
     double slowLog, recent;
     int answers;
     long tookAt;
+
     /** Of the logarithm of single answers. */
     double variance;
 
--- a/decisions/src/main/java/trailthread/levels/Allowance.java
+++ b/decisions/src/main/java/trailthread/levels/Allowance.java
@@ -1,14 +1,14 @@
 package trailthread.levels;
 
 /**
- * What a node does at present: which calls it takes before the decision module sees them, and what else it
- * does. Immutable.
+ * What a node does at present: which calls it takes before the decision module sees them, and what
+ * else it does. Immutable.
  *
- * <p>With a depth d, the class in place k of the order (from 0) is shed by the share min(1, max(0, d - k))
- * (1 - keep): one class after the other, each by degrees. Of the classes in the level's reach, calls over
- * their tenant's quota are all shed but {@code keep} as soon as the level is entered: they have had their
- * part. In the classes past the reach, and so in the last, they are left to the decision module, which serves
- * them after those within.
+ * <p>With a depth d, the class in place k of the order (from 0) is shed by the share min(1, max(0,
+ * d - k)) (1 - keep): one class after the other, each by degrees. Of the classes in the level's
+ * reach, calls over their tenant's quota are all shed but {@code keep} as soon as the level is
+ * entered: they have had their part. In the classes past the reach, and so in the last, they are
+ * left to the decision module, which serves them after those within.
  */
 public final class Allowance {
     private final ShedOrder order;
@@ -34,8 +34,8 @@
     }
 
     /**
-     * What share of such calls is taken, 0 to 1. A class that no setting names is taken: the decision module
-     * says what is wrong with it.
+     * What share of such calls is taken, 0 to 1. A class that no setting names is taken: the
+     * decision module says what is wrong with it.
      */
     public double share(String requestClass, boolean overQuota) {
         int place = order.place(requestClass);
--- a/decisions/src/main/java/trailthread/levels/Lately.java
+++ b/decisions/src/main/java/trailthread/levels/Lately.java
@@ -1,8 +1,8 @@
 package trailthread.levels;
 
 /**
- * A share of late: of what was counted, how much had some trait; what is older weighs less, by exponential
- * decay. Some that had not are assumed, as a share of three calls proves nothing.
+ * A share of late: of what was counted, how much had some trait; what is older weighs less, by
+ * exponential decay. Some that had not are assumed, as a share of three calls proves nothing.
  */
 public final class Lately {
     private static final double ASSUMED = 50;
--- a/decisions/src/main/java/trailthread/levels/Level.java
+++ b/decisions/src/main/java/trailthread/levels/Level.java
@@ -7,19 +7,27 @@
 /**
  * A level of service: when it is entered and left, and what it does.
  *
- * @param conditions   any of them enters; all must be under their leave bounds to leave
- * @param leaveNs      for how long they must
- * @param leastStayNs  it is left no sooner than this after the last change, and later where it flaps
- * @param reach        which classes it may shed
- * @param leastShed    share of its reach that it sheds at once and while any of its conditions holds, 0 to 1;
- *                     more as trouble goes on
- * @param probeFactor  probing periods are multiplied by this
+ * @param conditions any of them enters; all must be under their leave bounds to leave
+ * @param leaveNs for how long they must
+ * @param leastStayNs it is left no sooner than this after the last change, and later where it flaps
+ * @param reach which classes it may shed
+ * @param leastShed share of its reach that it sheds at once and while any of its conditions holds,
+ *     0 to 1; more as trouble goes on
+ * @param probeFactor probing periods are multiplied by this
  */
-public record Level(String name, List<Condition> conditions, long leaveNs, long leastStayNs, Reach reach,
-                    double leastShed, double probeFactor) {
+public record Level(
+        String name,
+        List<Condition> conditions,
+        long leaveNs,
+        long leastStayNs,
+        Reach reach,
+        double leastShed,
+        double probeFactor) {
     private static final double MOST_PROBE_FACTOR = 100;
 
-    /** How far along the order of shedding a level goes; the last class of the order is in no reach. */
+    /**
+     * How far along the order of shedding a level goes; the last class of the order is in no reach.
+     */
     public enum Reach {
         /** Nothing is shed. */
         NONE,
@@ -46,7 +54,8 @@
         Plan.requireNs(leaveNs, 0, at + ".leaveNs");
         Plan.requireNs(leastStayNs, 1, at + ".leastStayNs");
         Plan.require(leastShed >= 0 && leastShed <= 1, at + ".leastShed: not in [0, 1]");
-        Plan.require(probeFactor >= 1 && probeFactor <= MOST_PROBE_FACTOR,
+        Plan.require(
+                probeFactor >= 1 && probeFactor <= MOST_PROBE_FACTOR,
                 at + ".probeFactor: not in [1, " + (int) MOST_PROBE_FACTOR + "]");
     }
 }
--- a/decisions/src/main/java/trailthread/levels/Levels.java
+++ b/decisions/src/main/java/trailthread/levels/Levels.java
@@ -5,28 +5,32 @@
 import java.util.Optional;
 
 /**
- * The level of service that a node is at: a state machine, fed with readings. Not thread-safe; no I/O.
+ * The level of service that a node is at: a state machine, fed with readings. Not thread-safe; no
+ * I/O.
  *
- * <p>Down: to the deepest level of which any condition has held for its time, past several at once. Up: one
- * level at a time, when all conditions of the level have been under their leave bounds for its time, no more
- * has been shed in that time than the level above may shed, and its least stay since the last change is over.
+ * <p>Down: to the deepest level of which any condition has held for its time, past several at once.
+ * Up: one level at a time, when all conditions of the level have been under their leave bounds for
+ * its time, no more has been shed in that time than the level above may shed, and its least stay
+ * since the last change is over.
  *
- * <p>Thinning: while a reading that shedding relieves is at or over the level's enter bound, what is not yet
- * shed of the level's reach falls by the factor 1/e in {@link Plan#riseNs}; while all are under their leave
- * bounds, the depth falls by one class in {@link Plan#fallNs}; in between it stands. So the depth settles at
- * what the workers bear, and the level need not be left and entered in search of it. What is taken grows by
- * addition and is cut by multiplication: nodes that share workers then end at like depths, where otherwise
- * one sheds all and another nothing (Chiu and Jain, 1989).
+ * <p>Thinning: while a reading that shedding relieves is at or over the level's enter bound, what
+ * is not yet shed of the level's reach falls by the factor 1/e in {@link Plan#riseNs}; while all
+ * are under their leave bounds, the depth falls by one class in {@link Plan#fallNs}; in between it
+ * stands. So the depth settles at what the workers bear, and the level need not be left and entered
+ * in search of it. What is taken grows by addition and is cut by multiplication: nodes that share
+ * workers then end at like depths, where otherwise one sheds all and another nothing (Chiu and
+ * Jain, 1989).
  *
- * <p>Flapping, after RFC 2439 (penalty, half-life, ceiling): each level has a penalty p. Entered for the
- * first time, p = 1; entered again after a time t for which neither it nor a deeper level was in force,
- * p = min(mostStay / leastStay, max(1, 2 p 2^(-t / halfLife))). It then stays leastStay p at least: up to
- * twice as long as the time before if it was left just now, as long if a half-life ago, and in the end as at
- * first.
+ * <p>Flapping, after RFC 2439 (penalty, half-life, ceiling): each level has a penalty p. Entered
+ * for the first time, p = 1; entered again after a time t for which neither it nor a deeper level
+ * was in force, p = min(mostStay / leastStay, max(1, 2 p 2^(-t / halfLife))). It then stays
+ * leastStay p at least: up to twice as long as the time before if it was left just now, as long if
+ * a half-life ago, and in the end as at first.
  *
- * <p>Time between two readings counts only if it is no longer than {@link Plan#gapNs}, and does not run
- * backwards. A value that is unknown (see {@link Reading#of}) neither enters nor leaves: that time does not
- * count. After {@link Plan#trustNs} without a known value, as before the first, a reading takes no part.
+ * <p>Time between two readings counts only if it is no longer than {@link Plan#gapNs}, and does not
+ * run backwards. A value that is unknown (see {@link Reading#of}) neither enters nor leaves: that
+ * time does not count. After {@link Plan#trustNs} without a known value, as before the first, a
+ * reading takes no part.
  */
 public final class Levels {
     private final Plan plan;
@@ -34,19 +38,24 @@
     private final List<Stage> stages = new ArrayList<>();
     private boolean begun;
     private long lastAt;
+
     /** Time that counted, since the beginning. */
     private long lived;
+
     private long changedAt;
     private int current;
     private double depth;
+
     /** For how long no more is shed than the level above may. */
     private long settled;
+
     private Allowance allowance;
 
     /**
      * Makes one at full service.
      *
-     * @throws IllegalArgumentException naming the field of the plan that makes no sense, and its range
+     * @throws IllegalArgumentException naming the field of the plan that makes no sense, and its
+     *     range
      */
     public Levels(Plan plan, ShedOrder order) {
         plan.check();
@@ -110,7 +119,9 @@
             return false;
         }
         Stage s = stages.get(current);
-        return s.clear && s.clearFor >= s.level.leaveNs() && lived - changedAt >= s.stay
+        return s.clear
+                && s.clearFor >= s.level.leaveNs()
+                && lived - changedAt >= s.stay
                 && settled >= s.level.leaveNs();
     }
 
@@ -119,8 +130,16 @@
             stages.get(i).enter(lived);
         }
         Stage s = stages.get(to);
-        List<Change.Cause> causes = s.watches.stream().filter(Watch::isDue)
-                .map(w -> new Change.Cause(w.condition.reading(), w.value, w.condition.enter())).toList();
+        List<Change.Cause> causes =
+                s.watches.stream()
+                        .filter(Watch::isDue)
+                        .map(
+                                w ->
+                                        new Change.Cause(
+                                                w.condition.reading(),
+                                                w.value,
+                                                w.condition.enter()))
+                        .toList();
         depth = Math.min(s.reach, Math.max(depth, s.leastDepth()));
         return move(to, causes, now);
     }
@@ -128,9 +147,15 @@
     private Change up(long now) {
         Stage s = stages.get(current);
         s.leftAt = lived;
-        List<Change.Cause> causes = s.holders.stream()
-                .map(w -> new Change.Cause(w.condition.reading(), w.measured ? w.value : Double.NaN,
-                        w.condition.leave())).toList();
+        List<Change.Cause> causes =
+                s.holders.stream()
+                        .map(
+                                w ->
+                                        new Change.Cause(
+                                                w.condition.reading(),
+                                                w.measured ? w.value : Double.NaN,
+                                                w.condition.leave()))
+                        .toList();
         depth = Math.min(depth, stages.get(current - 1).reach);
         return move(current - 1, causes, now);
     }
@@ -165,7 +190,11 @@
     }
 
     /** Where a reading was last known to be by the bounds of a condition. */
-    private enum Side { UNDER, BETWEEN, OVER }
+    private enum Side {
+        UNDER,
+        BETWEEN,
+        OVER
+    }
 
     /** One condition, and how long it has held. */
     private final class Watch {
@@ -173,8 +202,12 @@
         double value;
         Side side = Side.UNDER;
         boolean known;
-        /** Known of late: a reading that never was, or no longer is, must not hold a level for ever. */
+
+        /**
+         * Known of late: a reading that never was, or no longer is, must not hold a level for ever.
+         */
         boolean measured;
+
         long knownAt;
         long overFor;
 
@@ -194,7 +227,10 @@
             }
             Side was = side;
             value = now;
-            side = now >= condition.enter() ? Side.OVER : now < condition.leave() ? Side.UNDER : Side.BETWEEN;
+            side =
+                    now >= condition.enter()
+                            ? Side.OVER
+                            : now < condition.leave() ? Side.UNDER : Side.BETWEEN;
             measured = true;
             knownAt = lived;
             if (side == Side.UNDER) {
@@ -214,13 +250,17 @@
         final Level level;
         final int reach;
         final List<Watch> watches;
+
         /** Conditions that were not under their leave bounds when last any was. */
         List<Watch> holders = List.of();
+
         boolean clear = true;
         long clearFor;
         long stay;
+
         /** The penalty; 0: never entered. */
         double penalty;
+
         long leftAt;
 
         Stage(Level level, int reach) {
--- a/decisions/src/main/java/trailthread/levels/Reading.java
+++ b/decisions/src/main/java/trailthread/levels/Reading.java
@@ -34,25 +34,31 @@
         return share;
     }
 
-    /** Whether shedding calls brings it down; it does not mend workers that fail, or late reports. */
+    /**
+     * Whether shedding calls brings it down; it does not mend workers that fail, or late reports.
+     */
     public boolean isRelieved() {
         return relieved;
     }
 
     /**
-     * Its value in these readings, or NaN if that is absurd: not a number, infinite, negative, a share above
-     * 1. Where no reports are expected (age NaN or -1) their age is 0.
+     * Its value in these readings, or NaN if that is absurd: not a number, infinite, negative, a
+     * share above 1. Where no reports are expected (age NaN or -1) their age is 0.
      */
     public double of(Readings r) {
-        double value = switch (this) {
-            case FAILING -> r.failing();
-            case REPORT_AGE -> Double.isNaN(r.reportAgeNs()) || r.reportAgeNs() == -1 ? 0 : r.reportAgeNs();
-            case LATENESS -> r.latenessNs();
-            case DESCRIPTORS -> r.descriptors();
-            case MEMORY -> r.memory();
-            case STARVED -> r.starved();
-            case CPU_WITHHELD -> r.cpuWithheld();
-        };
+        double value =
+                switch (this) {
+                    case FAILING -> r.failing();
+                    case REPORT_AGE ->
+                            Double.isNaN(r.reportAgeNs()) || r.reportAgeNs() == -1
+                                    ? 0
+                                    : r.reportAgeNs();
+                    case LATENESS -> r.latenessNs();
+                    case DESCRIPTORS -> r.descriptors();
+                    case MEMORY -> r.memory();
+                    case STARVED -> r.starved();
+                    case CPU_WITHHELD -> r.cpuWithheld();
+                };
         boolean sane = value >= 0 && value <= (share ? 1 : Double.MAX_VALUE);
         return sane ? value : Double.NaN;
     }
@@ -67,7 +73,8 @@
         if (Double.isNaN(value)) {
             return "unknown";
         }
-        return share ? String.format(Locale.ROOT, "%.3f", value)
+        return share
+                ? String.format(Locale.ROOT, "%.3f", value)
                 : String.format(Locale.ROOT, "%.3f s", value / NS);
     }
 }
--- a/decisions/src/main/java/trailthread/levels/ShedOrder.java
+++ b/decisions/src/main/java/trailthread/levels/ShedOrder.java
@@ -11,9 +11,9 @@
 import trailthread.levels.Level.Reach;
 
 /**
- * Which classes are shed first. The default: what is safe to repeat before what repeats are dropped of,
- * before what must not run twice; in these, the least worth first; in that, as the settings list them. The
- * last of the order is never shed.
+ * Which classes are shed first. The default: what is safe to repeat before what repeats are dropped
+ * of, before what must not run twice; in these, the least worth first; in that, as the settings
+ * list them. The last of the order is never shed.
  */
 public final class ShedOrder {
     private final List<String> names = new ArrayList<>();
@@ -28,14 +28,18 @@
      */
     public ShedOrder(List<RequestClass> classes, List<String> first) {
         Plan.require(!classes.isEmpty(), "classes: at least one is needed");
-        Plan.require(new HashSet<>(first).size() == first.size(), "shed order: a name is twice there");
+        Plan.require(
+                new HashSet<>(first).size() == first.size(), "shed order: a name is twice there");
         for (String name : first) {
-            Plan.require(classes.stream().anyMatch(c -> c.name().equals(name)),
+            Plan.require(
+                    classes.stream().anyMatch(c -> c.name().equals(name)),
                     "shed order: no class is named " + name);
         }
         List<RequestClass> order = new ArrayList<>(classes);
-        order.sort(Comparator.comparingInt((RequestClass c) -> place(first, c.name()))
-                .thenComparing(RequestClass::semantics).thenComparingDouble(RequestClass::worth));
+        order.sort(
+                Comparator.comparingInt((RequestClass c) -> place(first, c.name()))
+                        .thenComparing(RequestClass::semantics)
+                        .thenComparingDouble(RequestClass::worth));
         int lastSafe = -1;
         for (RequestClass c : order) {
             places.put(c.name(), names.size());
--- a/decisions/src/main/java/trailthread/settings/SettingsParser.java
+++ b/decisions/src/main/java/trailthread/settings/SettingsParser.java
@@ -11,8 +11,8 @@
 import trailthread.BalancerApi.Weights;
 
 /**
- * Turns path=value pairs into {@link Settings}, for the simulator's wire and for a node's configuration;
- * unknown paths are skipped.
+ * Turns path=value pairs into {@link Settings}, for the simulator's wire and for a node's
+ * configuration; unknown paths are skipped.
  */
 public final class SettingsParser {
     /** Below this, a double holds every whole number. */
@@ -52,8 +52,11 @@
         }
         for (int i = 0; i < whole("tenants.count", 0); i++) {
             String at = "tenants." + i + ".";
-            s.tenants.add(new Tenant(required(at + "name"), decimal(at + "quota_per_s", Double.MAX_VALUE),
-                    decimal(at + "fraction", 1)));
+            s.tenants.add(
+                    new Tenant(
+                            required(at + "name"),
+                            decimal(at + "quota_per_s", Double.MAX_VALUE),
+                            decimal(at + "fraction", 1)));
         }
         s.overShareWorth = decimal("over_share_worth", s.overShareWorth);
         s.worthByWork = "work".equals(values.get("worth_by"));
@@ -85,10 +88,16 @@
     }
 
     private RequestClass requestClass(String at) {
-        return new RequestClass(required(at + "name"), whole(at + "aim_ns", 0),
+        return new RequestClass(
+                required(at + "name"),
+                whole(at + "aim_ns", 0),
                 decimal(at + "aim_stretch", 0),
-                whole(at + "deadline_ns", 0), semantics(at + "semantics"), group(at + "group"),
-                whole(at + "window_ns", 0), decimal(at + "gain", 1), decimal(at + "late_value", 0));
+                whole(at + "deadline_ns", 0),
+                semantics(at + "semantics"),
+                group(at + "group"),
+                whole(at + "window_ns", 0),
+                decimal(at + "gain", 1),
+                decimal(at + "late_value", 0));
     }
 
     private Semantics semantics(String path) {
--- a/decisions/src/main/java/trailthread/settings/WireException.java
+++ b/decisions/src/main/java/trailthread/settings/WireException.java
@@ -1,6 +1,8 @@
 package trailthread.settings;
 
-/** The wire carried what it must not; the message names the line, the field and what was expected. */
+/**
+ * The wire carried what it must not; the message names the line, the field and what was expected.
+ */
 public final class WireException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/decisions/src/test/java/trailthread/AdmissionTest.java
+++ b/decisions/src/test/java/trailthread/AdmissionTest.java
@@ -21,10 +21,11 @@
         Script s = new Script(settings, 3);
         s.backends("a", "b");
         List<Double> drawn = new ArrayList<>();
-        s.balancer.admit((requestClass, overQuota, random) -> {
-            drawn.add(random);
-            return !requestClass.equals("safe");
-        });
+        s.balancer.admit(
+                (requestClass, overQuota, random) -> {
+                    drawn.add(random);
+                    return !requestClass.equals("safe");
+                });
         long shed = s.request("safe");
         long taken = s.request("unsafe");
         assertEquals(List.of(shed), s.refused);
--- a/decisions/src/test/java/trailthread/ColdBudgetTest.java
+++ b/decisions/src/test/java/trailthread/ColdBudgetTest.java
@@ -12,13 +12,19 @@
 import trailthread.BalancerApi.Settings;
 import trailthread.BalancerApi.State;
 
-/** What cold backends are sent: no more than they bear, and that much as long as the lottery draws them. */
+/**
+ * What cold backends are sent: no more than they bear, and that much as long as the lottery draws
+ * them.
+ */
 public class ColdBudgetTest {
     private static final int REQUESTS = 2_000;
     private static final int WARM = 20;
     private static final int COLD = 10;
 
-    /** Of the requests to a fleet of which a third has just started, at half its pace, the share to these. */
+    /**
+     * Of the requests to a fleet of which a third has just started, at half its pace, the share to
+     * these.
+     */
     private static double shareOfTheCold(long seed) {
         Settings settings = Script.settings();
         settings.nodes = 90;
@@ -36,8 +42,11 @@
         serve(s, 200); // what it serves is what its budget rests on
         int before = s.sends.size();
         serve(s, REQUESTS);
-        return s.sends.stream().skip(before).filter(send -> send.backend().startsWith("cold"))
-                .count() / (double) REQUESTS;
+        return s.sends.stream()
+                        .skip(before)
+                        .filter(send -> send.backend().startsWith("cold"))
+                        .count()
+                / (double) REQUESTS;
     }
 
     private static void serve(Script s, int requests) {
--- a/decisions/src/test/java/trailthread/ColdFleetTest.java
+++ b/decisions/src/test/java/trailthread/ColdFleetTest.java
@@ -18,14 +18,16 @@
 import trailthread.BalancerApi.State;
 
 /**
- * Half of the workers start anew under a burst, and nodes do not talk: what all of them send to one of these,
- * in virtual time, against what the settings let it bear.
+ * Half of the workers start anew under a burst, and nodes do not talk: what all of them send to one
+ * of these, in virtual time, against what the settings let it bear.
  */
 public class ColdFleetTest {
     private static final int WORKERS = 24;
     private static final int STARTED = 12;
+
     /** What a warm worker does in a second, one after another. */
     private static final double WARM_PER_S = 50;
+
     private static final long STARTS_AT_MS = 15_000;
     private static final long ENDS_AT_MS = 27_000;
     private static final long FALL_MS = 3_000;
@@ -33,11 +35,14 @@
     private static final double COLD_SHARE = 0.2;
     private static final long COLD_MS = 10_000;
 
-    private record Answer(long at, long id) {
-    }
+    private record Answer(long at, long id) {}
 
-    /** When one node of so many sends to each of those that start, in milliseconds from the beginning. */
-    private static void play(int nodes, int me, long seed, Map<String, TreeMap<Long, Integer>> sent) {
+    /**
+     * When one node of so many sends to each of those that start, in milliseconds from the
+     * beginning.
+     */
+    private static void play(
+            int nodes, int me, long seed, Map<String, TreeMap<Long, Integer>> sent) {
         Settings settings = Script.settings();
         settings.nodes = nodes;
         settings.me = me;
@@ -70,7 +75,8 @@
                 Script.Send send = s.sends.get(seen);
                 answers.add(new Answer(at + 15 + random.nextInt(15), send.id()));
                 if (send.backend().startsWith("started")) {
-                    sent.computeIfAbsent(send.backend(), none -> new TreeMap<>()).merge(at, 1, Integer::sum);
+                    sent.computeIfAbsent(send.backend(), none -> new TreeMap<>())
+                            .merge(at, 1, Integer::sum);
                 }
             }
         }
@@ -79,8 +85,10 @@
     private static void list(Script s, long readyAt) {
         List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < WORKERS; i++) {
-            entries.add(readyAt == 0 || i >= STARTED ? Script.ready("warm-" + i)
-                    : new Entry("started-" + i, 1, State.READY, "here", readyAt, 0));
+            entries.add(
+                    readyAt == 0 || i >= STARTED
+                            ? Script.ready("warm-" + i)
+                            : new Entry("started-" + i, 1, State.READY, "here", readyAt, 0));
         }
         s.balancer.list(s.now, ListKind.FULL, entries);
     }
@@ -97,12 +105,21 @@
                 assertTrue("they are used", sent.size() == STARTED);
                 for (Map.Entry<String, TreeMap<Long, Integer>> e : sent.entrySet()) {
                     for (long at : e.getValue().keySet()) {
-                        int count = e.getValue().subMap(at - FALL_MS, false, at, true).values().stream()
-                                .mapToInt(Integer::intValue).sum();
+                        int count =
+                                e.getValue().subMap(at - FALL_MS, false, at, true).values().stream()
+                                        .mapToInt(Integer::intValue)
+                                        .sum();
                         double age = Math.min(1, (double) (at - STARTS_AT_MS) / COLD_MS);
                         double warm = COLD_SHARE + (1 - COLD_SHARE) * age;
                         double bears = MULTIPLE * warm * WARM_PER_S * FALL_MS / 1_000;
-                        assertTrue(nodes + " nodes sent it " + count + " by " + at + " ms, it bears " + bears,
+                        assertTrue(
+                                nodes
+                                        + " nodes sent it "
+                                        + count
+                                        + " by "
+                                        + at
+                                        + " ms, it bears "
+                                        + bears,
                                 count <= bears + 2 * Math.sqrt(bears) + 2);
                     }
                 }
--- a/decisions/src/test/java/trailthread/FleetTest.java
+++ b/decisions/src/test/java/trailthread/FleetTest.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
 import trailthread.BalancerApi.Entry;
 import trailthread.BalancerApi.ListKind;
 import trailthread.BalancerApi.Load;
 import trailthread.BalancerApi.Outcome;
 import trailthread.BalancerApi.Settings;
 import trailthread.BalancerApi.State;
-import org.junit.jupiter.api.Test;
 
 /** Many nodes, each seeing little: what they do one by one must add up. */
 class FleetTest {
@@ -98,7 +98,9 @@
         s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
         Set<String> struck = used(s, 80);
         Set<String> others = new HashSet<>();
-        for (int i = 0; i < 400; i++) { // those of its first part fail all; it must find ones that do not
+        for (int i = 0;
+                i < 400;
+                i++) { // those of its first part fail all; it must find ones that do not
             long id = s.request("unsafe");
             s.pass(100 * MS);
             for (Script.Send send : List.copyOf(s.sendsOf(id))) {
@@ -156,8 +158,12 @@
         Settings settings = Script.settings();
         settings.weights = BalancerApi.Weights.LIVE;
         Script s = new Script(settings, 5);
-        s.balancer.list(s.now, ListKind.FULL, List.of(new Entry("big", 2, State.READY, "here", 0, 0),
-                new Entry("small", 1, State.READY, "here", 0, 0)));
+        s.balancer.list(
+                s.now,
+                ListKind.FULL,
+                List.of(
+                        new Entry("big", 2, State.READY, "here", 0, 0),
+                        new Entry("small", 1, State.READY, "here", 0, 0)));
         s.delta(new Entry("big", 0.2, State.READY, "here", 0, 0)); // all nodes hear this at once
         run(s, 300, 20 * MS);
         long big = s.sends.stream().filter(x -> x.backend().equals("big")).count();
@@ -192,7 +198,10 @@
                 String b = s.sendsOf(id).get(0).backend();
                 sends.merge(b, 1, Integer::sum);
                 double ms = b.equals(slow) ? 90 : 20;
-                s.end(id, Outcome.OK, new Load(Double.NaN, 0, Double.NaN, ms, Double.NaN, Double.NaN));
+                s.end(
+                        id,
+                        Outcome.OK,
+                        new Load(Double.NaN, 0, Double.NaN, ms, Double.NaN, Double.NaN));
             }
         }
         int mean = sends.values().stream().mapToInt(Integer::intValue).sum() / 4;
@@ -243,8 +252,10 @@
         int atOnce = 0;
         for (int me = 0; me < NODES; me++) {
             Script s = new Script(settings(me, 0), me);
-            s.balancer.list(s.now, ListKind.FULL, List.of(
-                    new Entry("new", 1, State.READY, "here", s.now, 0)));
+            s.balancer.list(
+                    s.now,
+                    ListKind.FULL,
+                    List.of(new Entry("new", 1, State.READY, "here", s.now, 0)));
             s.request("safe");
             atOnce += s.sends.size();
         }
--- a/decisions/src/test/java/trailthread/GuardsTest.java
+++ b/decisions/src/test/java/trailthread/GuardsTest.java
@@ -1,18 +1,18 @@
 package trailthread;
 
-import static trailthread.Script.MS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trailthread.Script.MS;
 
 import java.util.ArrayList;
 import java.util.List;
+import org.junit.jupiter.api.Test;
 import trailthread.BalancerApi.Entry;
 import trailthread.BalancerApi.Outcome;
 import trailthread.BalancerApi.Settings;
 import trailthread.BalancerApi.State;
 import trailthread.BalancerApi.Tenant;
-import org.junit.jupiter.api.Test;
 
 /** One test for each guard that no other test would miss. */
 final class GuardsTest {
--- a/decisions/src/test/java/trailthread/HeldTest.java
+++ b/decisions/src/test/java/trailthread/HeldTest.java
@@ -12,7 +12,10 @@
 import trailthread.BalancerApi.Semantics;
 import trailthread.BalancerApi.Settings;
 
-/** A request that nobody means to send any more is answered at once; it was once held to its deadline. */
+/**
+ * A request that nobody means to send any more is answered at once; it was once held to its
+ * deadline.
+ */
 public class HeldTest {
     private final Script s;
 
@@ -21,10 +24,20 @@
         settings.retryAfter = true;
         settings.maxRetryAfterNs = 500 * MS;
         settings.connectTimeoutNs = 100 * MS;
-        settings.classes.add(new RequestClass("unsafe", 200 * MS, 0, 1000 * MS, Semantics.UNSAFE, Group.ALL,
-                0, 1, 0));
-        settings.classes.add(new RequestClass("keyed", 800 * MS, 0, 1000 * MS, Semantics.KEYED, Group.CELL,
-                300 * MS, 1, 0));
+        settings.classes.add(
+                new RequestClass(
+                        "unsafe", 200 * MS, 0, 1000 * MS, Semantics.UNSAFE, Group.ALL, 0, 1, 0));
+        settings.classes.add(
+                new RequestClass(
+                        "keyed",
+                        800 * MS,
+                        0,
+                        1000 * MS,
+                        Semantics.KEYED,
+                        Group.CELL,
+                        300 * MS,
+                        1,
+                        0));
         s = new Script(settings, 7);
     }
 
--- a/decisions/src/test/java/trailthread/ListCallsTest.java
+++ b/decisions/src/test/java/trailthread/ListCallsTest.java
@@ -12,15 +12,18 @@
 import trailthread.BalancerApi.Settings;
 
 /**
- * Calls for the list that fail at all nodes at once, in virtual time: discovery handles one after another,
- * and one that has waited for too long in vain.
+ * Calls for the list that fail at all nodes at once, in virtual time: discovery handles one after
+ * another, and one that has waited for too long in vain.
  */
 public class ListCallsTest {
     private static final int PERIOD_S = 10;
     private static final long NEWS_DUE_MS = 6_000;
+
     /** What has waited so long fails. */
     private static final long WAITS_MS = 2_000;
+
     private static final int TICK_MS = 10;
+
     /** From a process's start to its first event. */
     private static final int STARTS_MS = 1_400;
 
@@ -52,7 +55,10 @@
         return s;
     }
 
-    /** In each second of a minute: a fleet's calls once its watches have broken, which all wait in vain. */
+    /**
+     * In each second of a minute: a fleet's calls once its watches have broken, which all wait in
+     * vain.
+     */
     private static int[] callsThatWaitInVain(int count, long waitsMs) {
         int[] calls = new int[60];
         for (Script s : fleet(count)) {
@@ -73,7 +79,10 @@
         return calls;
     }
 
-    /** All came back within a second, and again every 2.5 s: the calls of one wave died behind the last. */
+    /**
+     * All came back within a second, and again every 2.5 s: the calls of one wave died behind the
+     * last.
+     */
     @Test
     public void theyComeBackSpreadAndEverSlower() {
         int count = 96;
@@ -83,31 +92,42 @@
             assertTrue(all, Arrays.stream(calls).max().orElseThrow() <= count / 3);
             int inFirstPeriod = Arrays.stream(calls, 0, PERIOD_S).sum();
             assertTrue("most call within a period: " + all, inFirstPeriod > count / 2);
-            assertTrue("one in two periods: " + all,
+            assertTrue(
+                    "one in two periods: " + all,
                     Arrays.stream(calls, 20, 60).sum() < count * 40 / PERIOD_S);
         }
     }
 
     /**
-     * By when each node has the list, in milliseconds from the moment at which discovery can be reached.
+     * By when each node has the list, in milliseconds from the moment at which discovery can be
+     * reached.
      *
-     * @param downMs   it is down for so long from now on, and calls fail at once
-     * @param handleMs it takes so long for a call, also for one that has waited in vain if that is said
+     * @param downMs it is down for so long from now on, and calls fail at once
+     * @param handleMs it takes so long for a call, also for one that has waited in vain if that is
+     *     said
      */
-    private static int[] knownAfter(List<Script> nodes, int downMs, double handleMs, boolean alsoInVain) {
+    private static int[] knownAfter(
+            List<Script> nodes, int downMs, double handleMs, boolean alsoInVain) {
         return knownAfter(nodes, downMs, handleMs, WAITS_MS, alsoInVain, 0, 0, 0);
     }
 
     /**
      * The same where some of the nodes are killed and start again.
      *
-     * @param waitsMs  a call that waits for longer fails
-     * @param hangsMs  so long before discovery can be reached, calls wait in vain as well
-     * @param killed   how many, the first ones
+     * @param waitsMs a call that waits for longer fails
+     * @param hangsMs so long before discovery can be reached, calls wait in vain as well
+     * @param killed how many, the first ones
      * @param killedMs when, from the moment at which discovery can be reached
      */
-    private static int[] knownAfter(List<Script> nodes, int downMs, double handleMs, long waitsMs,
-                                    boolean alsoInVain, int hangsMs, int killed, int killedMs) {
+    private static int[] knownAfter(
+            List<Script> nodes,
+            int downMs,
+            double handleMs,
+            long waitsMs,
+            boolean alsoInVain,
+            int hangsMs,
+            int killed,
+            int killedMs) {
         int count = nodes.size();
         int[] known = new int[count];
         int[] endsAt = new int[count];
@@ -144,8 +164,10 @@
                     double waits = Math.max(0, free - at);
                     fails[i] = at < downMs || waits > waitsMs;
                     boolean down = at < downMs;
-                    double waitedFor = !down ? Math.min(waitsMs, waits + handleMs)
-                            : at >= downMs - hangsMs ? waitsMs : 0;
+                    double waitedFor =
+                            !down
+                                    ? Math.min(waitsMs, waits + handleMs)
+                                    : at >= downMs - hangsMs ? waitsMs : 0;
                     endsAt[i] = at + TICK_MS + (int) waitedFor;
                     free = down || fails[i] && !alsoInVain ? free : Math.max(free, at) + handleMs;
                 }
@@ -155,14 +177,23 @@
     }
 
     /**
-     * With 120 nodes, four in ten had the list then, as they paused for up to 36 s after some failures; and
-     * where discovery takes 6 s for all, no more of them: most called right after its return.
+     * With 120 nodes, four in ten had the list then, as they paused for up to 36 s after some
+     * failures; and where discovery takes 6 s for all, no more of them: most called right after its
+     * return.
      */
     @Test
     public void newsIsKnownWhenItIsDue() {
-        int[][] cases = { // nodes, discovery is down for, and handles all their calls in: milliseconds
-            {3, 0, 800}, {3, 8_000, 800}, {3, 30_000, 800}, {40, 0, 4_000}, {40, 8_000, 4_000},
-            {120, 0, 5_000}, {120, 8_000, 5_000}, {120, 30_000, 5_000}, {120, 8_000, 5_800},
+        int[][] cases = { // nodes, discovery is down for, and handles all their calls in:
+            // milliseconds
+            {3, 0, 800},
+            {3, 8_000, 800},
+            {3, 30_000, 800},
+            {40, 0, 4_000},
+            {40, 8_000, 4_000},
+            {120, 0, 5_000},
+            {120, 8_000, 5_000},
+            {120, 30_000, 5_000},
+            {120, 8_000, 5_800},
         };
         for (int[] c : cases) {
             for (boolean alsoInVain : new boolean[] {false, true}) {
@@ -176,8 +207,8 @@
     }
 
     /**
-     * Most of a fleet is killed and starts again at once. All called in the same moment: discovery served
-     * some, and went on with the rest, in vain, when these had waited for too long.
+     * Most of a fleet is killed and starts again at once. All called in the same moment: discovery
+     * served some, and went on with the rest, in vain, when these had waited for too long.
      */
     @Test
     public void nodesThatStartTogetherKnowTheListInTime() {
@@ -191,8 +222,8 @@
     }
 
     /**
-     * Discovery comes back, and soon after that most nodes are killed. The calls of those that started met
-     * those that had waited in vain: a third of the fleet had no list when it was due.
+     * Discovery comes back, and soon after that most nodes are killed. The calls of those that
+     * started met those that had waited in vain: a third of the fleet had no list when it was due.
      */
     @Test
     public void whereMostAreKilledOnceDiscoveryIsBackAllKnowInTime() {
@@ -214,7 +245,9 @@
         }
     }
 
-    /** With an asking period of an hour, a hundred nodes had a quarter of one for their first calls. */
+    /**
+     * With an asking period of an hour, a hundred nodes had a quarter of one for their first calls.
+     */
     @Test
     public void aStartAsksBeforeNewsIsDueHoweverLongThePeriodIs() {
         Settings settings = Script.settings();
--- a/decisions/src/test/java/trailthread/LostAnswerTest.java
+++ b/decisions/src/test/java/trailthread/LostAnswerTest.java
@@ -30,7 +30,10 @@
         s.end(id, Outcome.TIMEOUT);
     }
 
-    /** A network that loses answers struck all backends alike, one after the other: soon none was open. */
+    /**
+     * A network that loses answers struck all backends alike, one after the other: soon none was
+     * open.
+     */
     @Test
     public void oneLostAnswerDoesNotPassForAJam() {
         s.backends("a", "b", "c", "d");
@@ -114,6 +117,7 @@
                 s.end(out.remove().id(), Outcome.OK);
             }
         }
-        assertTrue("refused of 600: " + (s.refused.size() - refused), s.refused.size() - refused < 30);
+        assertTrue(
+                "refused of 600: " + (s.refused.size() - refused), s.refused.size() - refused < 30);
     }
 }
--- a/decisions/src/test/java/trailthread/LotteryTest.java
+++ b/decisions/src/test/java/trailthread/LotteryTest.java
@@ -6,19 +6,22 @@
 
 import java.util.List;
 import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
 import trailthread.BalancerApi.Entry;
 import trailthread.BalancerApi.ListKind;
 import trailthread.BalancerApi.Outcome;
 import trailthread.BalancerApi.Settings;
 import trailthread.BalancerApi.State;
-import org.junit.jupiter.api.Test;
 
 /** Where requests go on the ordinary path, and the named departures from it. */
 class LotteryTest {
     private static final long MS = Script.MS;
 
-    /** Serves one request after another, each in {@code latencies} by backend, and counts the sends. */
-    private static TreeMap<String, Integer> serve(Script s, int requests, long aLatency, long bLatency) {
+    /**
+     * Serves one request after another, each in {@code latencies} by backend, and counts the sends.
+     */
+    private static TreeMap<String, Integer> serve(
+            Script s, int requests, long aLatency, long bLatency) {
         TreeMap<String, Integer> counts = new TreeMap<>();
         for (int i = 0; i < requests; i++) {
             long id = s.request("safe");
@@ -67,7 +70,10 @@
         for (int i = 0; i < 400; i++) {
             long first = s.request("safe");
             long second = s.request("safe");
-            other += s.sendsOf(first).get(0).backend().equals(s.sendsOf(second).get(0).backend()) ? 0 : 1;
+            other +=
+                    s.sendsOf(first).get(0).backend().equals(s.sendsOf(second).get(0).backend())
+                            ? 0
+                            : 1;
             s.pass(20 * MS);
             s.end(first, Outcome.OK, Script.queue(0));
             s.end(second, Outcome.OK, Script.queue(0));
@@ -84,7 +90,9 @@
         assertTrue(counts.get("b") < 60, "to the slow one: " + counts);
     }
 
-    /** What was away while all grew quicker, by less than matters to anybody, was never drawn again. */
+    /**
+     * What was away while all grew quicker, by less than matters to anybody, was never drawn again.
+     */
     @Test
     void differencesThatMatterToNobodyLeaveNobodyOut() {
         Script s = new Script(Script.settings(), 5);
@@ -184,7 +192,8 @@
         long from = s.now;
         serve(s, 100, 150 * MS, 20 * MS);
         int during = (int) s.sends.stream().filter(x -> x.backend().equals("a")).count() - before;
-        assertTrue(during <= 3, "sends to a jammed one in " + (s.now - from) / MS + " ms: " + during);
+        assertTrue(
+                during <= 3, "sends to a jammed one in " + (s.now - from) / MS + " ms: " + during);
         s.pass(20_000 * MS);
         TreeMap<String, Integer> after = serve(s, 400, 20 * MS, 20 * MS);
         assertTrue(after.getOrDefault("a", 0) > 50, "after it recovered: " + after);
@@ -200,14 +209,16 @@
             }
             s.pass(20 * MS);
             for (Script.Send x : List.copyOf(s.sends)) {
-                s.balancer.outcome(s.now, x.id(), x.attempt(), Outcome.OK, 20 * MS, true, Script.queue(0));
+                s.balancer.outcome(
+                        s.now, x.id(), x.attempt(), Outcome.OK, 20 * MS, true, Script.queue(0));
             }
         }
         int sent = s.sends.size();
         for (int k = 0; k < 30; k++) {
             s.request("safe");
         }
-        assertTrue(s.sends.size() - sent >= 8, "room after quick answers: " + (s.sends.size() - sent));
+        assertTrue(
+                s.sends.size() - sent >= 8, "room after quick answers: " + (s.sends.size() - sent));
     }
 
     @Test
@@ -290,8 +301,17 @@
     @Test
     void theMoreValuableGoesFirst() {
         Settings settings = Script.settings();
-        settings.classes.add(new BalancerApi.RequestClass("dear", 200 * MS, 0, 1000 * MS,
-                BalancerApi.Semantics.SAFE, BalancerApi.Group.ALL, 0, 10, 0.2));
+        settings.classes.add(
+                new BalancerApi.RequestClass(
+                        "dear",
+                        200 * MS,
+                        0,
+                        1000 * MS,
+                        BalancerApi.Semantics.SAFE,
+                        BalancerApi.Group.ALL,
+                        0,
+                        10,
+                        0.2));
         Script s = new Script(settings, 5);
         s.backends();
         long cheap = s.request("safe");
@@ -337,8 +357,10 @@
         settings.zone = "here";
         settings.priceCrossZone = 0.06;
         Script s = new Script(settings, 5);
-        s.balancer.list(s.now, ListKind.FULL, List.of(Script.ready("a"),
-                new Entry("b", 1, State.READY, "there", 0, 1)));
+        s.balancer.list(
+                s.now,
+                ListKind.FULL,
+                List.of(Script.ready("a"), new Entry("b", 1, State.READY, "there", 0, 1)));
         TreeMap<String, Integer> counts = serve(s, 200, 20 * MS, 20 * MS);
         assertTrue(counts.getOrDefault("b", 0) < 40, counts.toString());
     }
@@ -355,7 +377,10 @@
         assertTrue(counts.values().stream().anyMatch(n -> n > 160), "a key in: " + counts);
     }
 
-    /** Every node alone cannot see what all send to a popular key's home; its share of the traffic tells. */
+    /**
+     * Every node alone cannot see what all send to a popular key's home; its share of the traffic
+     * tells.
+     */
     @Test
     void aPopularKeyHasSeveralHomes() {
         Settings settings = Script.settings();
@@ -411,7 +436,8 @@
         TreeMap<Long, String> after = homes(s, 200_000);
         before.values().removeIf("c"::equals);
         after.keySet().retainAll(before.keySet());
-        long kept = before.keySet().stream().filter(k -> before.get(k).equals(after.get(k))).count();
+        long kept =
+                before.keySet().stream().filter(k -> before.get(k).equals(after.get(k))).count();
         assertTrue(before.size() > 20 && before.size() < 40, "keys are spread: " + before);
         assertTrue(kept > 0.9 * before.size(), before + " and after " + after);
     }
--- a/decisions/src/test/java/trailthread/NotesTest.java
+++ b/decisions/src/test/java/trailthread/NotesTest.java
@@ -1,13 +1,13 @@
 package trailthread;
 
-import static trailthread.Script.MS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trailthread.Script.MS;
 
 import java.util.List;
+import org.junit.jupiter.api.Test;
 import trailthread.BalancerApi.ListKind;
 import trailthread.BalancerApi.Outcome;
-import org.junit.jupiter.api.Test;
 
 /** The lines for staff: those that on-call.md names, and few of them. */
 final class NotesTest {
@@ -52,7 +52,8 @@
         }
         long seconds = (s.now - from) / (1000 * MS);
         assertTrue(lines(s, "ejecting none: most of 2 backends fail") >= 1, s.log.toString());
-        assertTrue(s.log.size() <= 2 * (seconds + 1), "lines in " + seconds + " s: " + s.log.size());
+        assertTrue(
+                s.log.size() <= 2 * (seconds + 1), "lines in " + seconds + " s: " + s.log.size());
     }
 
     @Test
--- a/decisions/src/test/java/trailthread/RandomRulesTest.java
+++ b/decisions/src/test/java/trailthread/RandomRulesTest.java
@@ -10,6 +10,8 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 import trailthread.BalancerApi.Entry;
 import trailthread.BalancerApi.Group;
 import trailthread.BalancerApi.ListKind;
@@ -18,14 +20,22 @@
 import trailthread.BalancerApi.Semantics;
 import trailthread.BalancerApi.Settings;
 import trailthread.BalancerApi.State;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random legal events; the rules are checked from outside after each step. Nothing is simulated. */
+/**
+ * Random legal events; the rules are checked from outside after each step. Nothing is simulated.
+ */
 class RandomRulesTest {
     private static final long MS = Script.MS;
-    private static final Outcome[] ENDS = {Outcome.OK, Outcome.OK, Outcome.OK, Outcome.ERROR, Outcome.FULL,
-        Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET};
+    private static final Outcome[] ENDS = {
+        Outcome.OK,
+        Outcome.OK,
+        Outcome.OK,
+        Outcome.ERROR,
+        Outcome.FULL,
+        Outcome.TIMEOUT,
+        Outcome.CONNECT_FAILED,
+        Outcome.RESET
+    };
 
     private static final class Asked {
         long deadline;
@@ -69,7 +79,8 @@
     }
 
     private static RequestClass keyed(String name, Group group, long window) {
-        return new RequestClass(name, 200 * MS, 0, 1000 * MS, Semantics.KEYED, group, window, 2, 0.2);
+        return new RequestClass(
+                name, 200 * MS, 0, 1000 * MS, Semantics.KEYED, group, window, 2, 0.2);
     }
 
     private static Entry entry(int i, State state, long readyAt) {
@@ -97,10 +108,15 @@
         } else if (what < 89) {
             s.balancer.list(s.now, ListKind.FAILED, List.of());
         } else if (what < 91) {
-            asked.keySet().stream().filter(id -> !asked.get(id).ended).sorted().findFirst().ifPresent(id -> {
-                asked.get(id).ended = true;
-                s.balancer.gone(s.now, id);
-            });
+            asked.keySet().stream()
+                    .filter(id -> !asked.get(id).ended)
+                    .sorted()
+                    .findFirst()
+                    .ifPresent(
+                            id -> {
+                                asked.get(id).ended = true;
+                                s.balancer.gone(s.now, id);
+                            });
         } else {
             s.pass((1 + random.nextInt(20)) * MS);
         }
@@ -115,7 +131,8 @@
                     a.fates.set(k, o);
                     boolean closes = a.ended || o == Outcome.OK;
                     a.ended |= o == Outcome.OK;
-                    s.balancer.outcome(s.now, id, k, o, s.now - a.sends.get(k).at(), closes, Script.queue(0));
+                    s.balancer.outcome(
+                            s.now, id, k, o, s.now - a.sends.get(k).at(), closes, Script.queue(0));
                     return;
                 }
             }
@@ -130,7 +147,8 @@
             assertFalse(a.ended, "a send after the end of " + send.id());
             assertTrue(a.sends.size() < settings.maxAttempts, "too many attempts of " + send.id());
             checkEffect(a, send);
-            assertTrue(list.get(send.backend()).state() == State.READY, "a send to a drained " + send);
+            assertTrue(
+                    list.get(send.backend()).state() == State.READY, "a send to a drained " + send);
             a.sends.add(send);
             a.fates.add(null);
         }
@@ -139,8 +157,11 @@
                 Asked a = asked.get(id);
                 answer(a, id);
                 boolean mayHaveRun = a.fates.stream().anyMatch(o -> o == null || o.mayHaveRun());
-                boolean harmless = a.rules.semantics() == Semantics.SAFE || !mayHaveRun
-                        || a.rules.semantics() == Semantics.KEYED && a.rules.group() == Group.ALL;
+                boolean harmless =
+                        a.rules.semantics() == Semantics.SAFE
+                                || !mayHaveRun
+                                || a.rules.semantics() == Semantics.KEYED
+                                        && a.rules.group() == Group.ALL;
                 assertTrue(harmless, "a refusal of what may have run: " + id);
             }
         }
@@ -150,8 +171,11 @@
             }
         }
         assertTrue(answered.size() == s.refused.size() + s.failed.size(), "two final answers");
-        asked.forEach((id, a) -> assertTrue(a.ended || s.now <= a.deadline + settings.answerSlackNs,
-                "unanswered past its time: " + id));
+        asked.forEach(
+                (id, a) ->
+                        assertTrue(
+                                a.ended || s.now <= a.deadline + settings.answerSlackNs,
+                                "unanswered past its time: " + id));
     }
 
     private void answer(Asked a, long id) {
@@ -173,8 +197,11 @@
                 Entry was = list.get(a.sends.get(k).backend());
                 Entry is = list.get(send.backend());
                 assertTrue(send.at() < a.sends.get(k).at() + a.rules.windowNs(), "past the window");
-                assertTrue(a.rules.group() != Group.ZONE || was.zone().equals(is.zone()), "another zone");
-                assertTrue(a.rules.group() != Group.CELL || was.cell() == is.cell(), "another cell");
+                assertTrue(
+                        a.rules.group() != Group.ZONE || was.zone().equals(is.zone()),
+                        "another zone");
+                assertTrue(
+                        a.rules.group() != Group.CELL || was.cell() == is.cell(), "another cell");
             }
         }
     }
--- a/decisions/src/test/java/trailthread/RepeatsTest.java
+++ b/decisions/src/test/java/trailthread/RepeatsTest.java
@@ -11,17 +11,22 @@
 import trailthread.BalancerApi.Semantics;
 import trailthread.BalancerApi.Settings;
 
-/** What follows an attempt's end, by outcome and class: another one, and until when; a refusal; a failure. */
+/**
+ * What follows an attempt's end, by outcome and class: another one, and until when; a refusal; a
+ * failure.
+ */
 public class RepeatsTest {
     private static final long MS = Script.MS;
-    private static final List<String> CLASSES = List.of("safe", "keyed", "keyed-everywhere", "unsafe");
-    private static final List<Outcome> NEVER_RAN = List.of(Outcome.FULL, Outcome.CONNECT_FAILED,
-            Outcome.MOOT);
-    private static final List<Outcome> MAY_HAVE_RUN = List.of(Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET,
-            Outcome.CANCELLED);
+    private static final List<String> CLASSES =
+            List.of("safe", "keyed", "keyed-everywhere", "unsafe");
+    private static final List<Outcome> NEVER_RAN =
+            List.of(Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT);
+    private static final List<Outcome> MAY_HAVE_RUN =
+            List.of(Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED);
 
     private static RequestClass keyed(String name, Group group, long windowNs) {
-        return new RequestClass(name, 200 * MS, 0, 1000 * MS, Semantics.KEYED, group, windowNs, 1, 0.2);
+        return new RequestClass(
+                name, 200 * MS, 0, 1000 * MS, Semantics.KEYED, group, windowNs, 1, 0.2);
     }
 
     private static Script script(int attempts) {
@@ -46,8 +51,12 @@
     @Test
     public void whatMayHaveRunIsSentAgainOrRefusedByItsClass() {
         for (Outcome outcome : MAY_HAVE_RUN) {
-            String[][] cases = {{"safe", "again", "refused"}, {"keyed", "again", "failed"},
-                {"keyed-everywhere", "again", "refused"}, {"unsafe", "failed", "failed"}};
+            String[][] cases = {
+                {"safe", "again", "refused"},
+                {"keyed", "again", "failed"},
+                {"keyed-everywhere", "again", "refused"},
+                {"unsafe", "failed", "failed"}
+            };
             for (String[] c : cases) {
                 assertEquals(c[0] + " " + outcome, c[1], after(c[0], outcome, 3));
                 assertEquals(c[0] + " " + outcome, c[2], after(c[0], outcome, 1));
--- a/decisions/src/test/java/trailthread/RulesTest.java
+++ b/decisions/src/test/java/trailthread/RulesTest.java
@@ -6,12 +6,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import org.junit.jupiter.api.Test;
 import trailthread.BalancerApi.Entry;
 import trailthread.BalancerApi.ListKind;
 import trailthread.BalancerApi.Outcome;
 import trailthread.BalancerApi.Settings;
 import trailthread.BalancerApi.State;
-import org.junit.jupiter.api.Test;
 
 /** The four rules, each by the guard that keeps it. */
 class RulesTest {
@@ -77,20 +77,33 @@
     void aKeyedRequestThatMayHaveRunStaysInItsGroup() {
         for (int seed = 0; seed < 30; seed++) {
             Script t = new Script(Script.settings(), seed);
-            t.balancer.list(t.now, ListKind.FULL, List.of(inCell("a1", 1), inCell("a2", 1), inCell("b1", 2),
-                    inCell("b2", 2)));
+            t.balancer.list(
+                    t.now,
+                    ListKind.FULL,
+                    List.of(inCell("a1", 1), inCell("a2", 1), inCell("b1", 2), inCell("b2", 2)));
             long id = t.request("keyed");
             t.end(id, Outcome.ERROR);
             assertEquals(2, t.sendsOf(id).size());
-            assertEquals(t.sendsOf(id).get(0).backend().charAt(0), t.sendsOf(id).get(1).backend().charAt(0));
+            assertEquals(
+                    t.sendsOf(id).get(0).backend().charAt(0),
+                    t.sendsOf(id).get(1).backend().charAt(0));
         }
     }
 
     @Test
     void aKeyedRequestIsNotRepeatedPastItsWindow() {
         Settings settings = Script.settings();
-        settings.classes.add(new BalancerApi.RequestClass("brief", 200 * MS, 0, 1000 * MS,
-                BalancerApi.Semantics.KEYED, BalancerApi.Group.ALL, 300 * MS, 1, 0.2));
+        settings.classes.add(
+                new BalancerApi.RequestClass(
+                        "brief",
+                        200 * MS,
+                        0,
+                        1000 * MS,
+                        BalancerApi.Semantics.KEYED,
+                        BalancerApi.Group.ALL,
+                        300 * MS,
+                        1,
+                        0.2));
         Script t = new Script(settings, 1);
         t.backends("a", "b");
         long early = t.request("brief");
@@ -215,8 +228,8 @@
     @Test
     void settingsThatMakeNoSenseAreNamed() {
         Settings none = new Settings();
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class,
-                () -> new Balancer(none, 1, 0, s));
+        IllegalArgumentException e =
+                assertThrows(IllegalArgumentException.class, () -> new Balancer(none, 1, 0, s));
         assertTrue(e.getMessage().contains("classes"));
         assertThrows(IllegalArgumentException.class, () -> s.request("unheard-of"));
     }
--- a/decisions/src/test/java/trailthread/Script.java
+++ b/decisions/src/test/java/trailthread/Script.java
@@ -18,12 +18,10 @@
     static final long MS = 1_000_000L;
 
     /** One send, in the order of its request's. */
-    record Send(long id, String backend, long at, int attempt, long writtenBy) {
-    }
+    record Send(long id, String backend, long at, int attempt, long writtenBy) {}
 
     /** One timer that is still to come due. */
-    record Timer(long at, long token) {
-    }
+    record Timer(long at, long token) {}
 
     final List<Send> sends = new ArrayList<>();
     final List<Long> refused = new ArrayList<>();
@@ -33,8 +31,10 @@
     final List<String> log = new ArrayList<>();
     final StringBuilder transcript = new StringBuilder();
     int watches;
+
     /** What the last refused client was told. */
     long stayAway;
+
     long now = 1_000_000_000_000L;
     long nextId = 1;
     final Balancer balancer;
@@ -45,11 +45,23 @@
 
     static Settings settings() {
         Settings s = new Settings();
-        s.classes.add(new RequestClass("safe", 200 * MS, 0, 1000 * MS, Semantics.SAFE, Group.ALL, 0, 1, 0.2));
-        s.classes.add(new RequestClass("keyed", 200 * MS, 0, 1000 * MS, Semantics.KEYED, Group.CELL,
-                2000 * MS, 1, 0.2));
-        s.classes.add(new RequestClass("unsafe", 200 * MS, 0, 1000 * MS, Semantics.UNSAFE, Group.ALL, 0, 1,
-                0.2));
+        s.classes.add(
+                new RequestClass(
+                        "safe", 200 * MS, 0, 1000 * MS, Semantics.SAFE, Group.ALL, 0, 1, 0.2));
+        s.classes.add(
+                new RequestClass(
+                        "keyed",
+                        200 * MS,
+                        0,
+                        1000 * MS,
+                        Semantics.KEYED,
+                        Group.CELL,
+                        2000 * MS,
+                        1,
+                        0.2));
+        s.classes.add(
+                new RequestClass(
+                        "unsafe", 200 * MS, 0, 1000 * MS, Semantics.UNSAFE, Group.ALL, 0, 1, 0.2));
         return s;
     }
 
@@ -87,7 +99,8 @@
     /** Ends the last attempt of a request. */
     void end(long id, Outcome outcome, Load load) {
         Send last = sendsOf(id).get(sendsOf(id).size() - 1);
-        balancer.outcome(now, id, last.attempt(), outcome, now - last.at(), outcome == Outcome.OK, load);
+        balancer.outcome(
+                now, id, last.attempt(), outcome, now - last.at(), outcome == Outcome.OK, load);
     }
 
     static Load queue(double queue) {
@@ -117,7 +130,13 @@
     @Override
     public void send(long id, long timeoutNs, long writtenBy, String backend) {
         sends.add(new Send(id, backend, now, sendsOf(id).size(), writtenBy));
-        transcript.append("send ").append(id).append(' ').append(timeoutNs).append(' ').append(backend)
+        transcript
+                .append("send ")
+                .append(id)
+                .append(' ')
+                .append(timeoutNs)
+                .append(' ')
+                .append(backend)
                 .append('\n');
     }
 
--- a/decisions/src/test/java/trailthread/SourceTest.java
+++ b/decisions/src/test/java/trailthread/SourceTest.java
@@ -18,7 +18,8 @@
     @Test
     void noLineIsTooLong() throws IOException {
         try (Stream<Path> files = Files.walk(Path.of("src"))) {
-            List<Path> sources = files.filter(f -> f.toString().endsWith(".java")).sorted().toList();
+            List<Path> sources =
+                    files.filter(f -> f.toString().endsWith(".java")).sorted().toList();
             assertTrue(sources.size() > 5);
             for (Path source : sources) {
                 List<String> lines = Files.readAllLines(source);
@@ -34,6 +35,7 @@
         List<String> lines = Files.readAllLines(Path.of("src/main/java/trailthread/Balancer.java"));
         long filled = lines.stream().filter(l -> !l.isBlank()).count();
         assertTrue(filled <= MOST_LINES, "non-blank lines: " + filled);
-        assertEquals(1, lines.stream().limit(40).filter(l -> l.contains("BalancerApi.java")).count());
+        assertEquals(
+                1, lines.stream().limit(40).filter(l -> l.contains("BalancerApi.java")).count());
     }
 }
--- a/decisions/src/test/java/trailthread/levels/AllowanceTest.java
+++ b/decisions/src/test/java/trailthread/levels/AllowanceTest.java
@@ -13,9 +13,13 @@
 
 /** Which calls are taken, in which order they are shed, and whose are over. */
 public class AllowanceTest {
-    private static final List<RequestClass> CLASSES = List.of(Feed.kind("u", Semantics.UNSAFE, 1),
-            Feed.kind("k", Semantics.KEYED, 9), Feed.kind("s2", Semantics.SAFE, 2),
-            Feed.kind("s1", Semantics.SAFE, 1), Feed.kind("s0", Semantics.SAFE, 1));
+    private static final List<RequestClass> CLASSES =
+            List.of(
+                    Feed.kind("u", Semantics.UNSAFE, 1),
+                    Feed.kind("k", Semantics.KEYED, 9),
+                    Feed.kind("s2", Semantics.SAFE, 2),
+                    Feed.kind("s1", Semantics.SAFE, 1),
+                    Feed.kind("s0", Semantics.SAFE, 1));
 
     @Test
     public void theOrderIsBySemanticsThenWorthUnlessNamesAreGiven() {
@@ -33,12 +37,14 @@
         assertTrue(safe.isGuarded("s2"));
         assertEquals(0, new ShedOrder(CLASSES.subList(0, 1), List.of()).count(Reach.ALL_BUT_LAST));
         assertThrows(IllegalArgumentException.class, () -> new ShedOrder(CLASSES, List.of("x")));
-        assertThrows(IllegalArgumentException.class, () -> new ShedOrder(CLASSES, List.of("k", "k")));
+        assertThrows(
+                IllegalArgumentException.class, () -> new ShedOrder(CLASSES, List.of("k", "k")));
     }
 
     @Test
     public void oneClassAfterTheOtherAndThoseOverTheirQuotaFirst() {
-        Allowance a = new Allowance(new ShedOrder(CLASSES, List.of()), Plan.defaults().get(2), 1.5, 0.1);
+        Allowance a =
+                new Allowance(new ShedOrder(CLASSES, List.of()), Plan.defaults().get(2), 1.5, 0.1);
         double[] within = {0.1, 0.55, 1, 1, 1};
         double[] over = {0.1, 0.1, 0.1, 1, 1};
         String[] names = {"s1", "s0", "s2", "k", "u"};
--- a/decisions/src/test/java/trailthread/levels/AnyReadingsTest.java
+++ b/decisions/src/test/java/trailthread/levels/AnyReadingsTest.java
@@ -15,19 +15,24 @@
 /** What holds for any sequence of readings, absurd ones and gaps among them. */
 class AnyReadingsTest {
     /** Some values for some time. */
-    record Spell(Reading reading, double value, double seconds, long jumpNs) {
-    }
+    record Spell(Reading reading, double value, double seconds, long jumpNs) {}
 
     @Provide
     Arbitrary<List<Spell>> spells() {
-        Arbitrary<Double> values = Arbitraries.frequencyOf(Tuple.of(3, Arbitraries.just(0.0)),
-                Tuple.of(3, Arbitraries.doubles().between(0, 1)),
-                Tuple.of(3, Arbitraries.doubles().between(0, 6e9)),
-                Tuple.of(1, Arbitraries.of(Double.NaN, -1.0, 7.0, Double.POSITIVE_INFINITY)));
+        Arbitrary<Double> values =
+                Arbitraries.frequencyOf(
+                        Tuple.of(3, Arbitraries.just(0.0)),
+                        Tuple.of(3, Arbitraries.doubles().between(0, 1)),
+                        Tuple.of(3, Arbitraries.doubles().between(0, 6e9)),
+                        Tuple.of(
+                                1,
+                                Arbitraries.of(Double.NaN, -1.0, 7.0, Double.POSITIVE_INFINITY)));
         Arbitrary<Long> jumps = Arbitraries.of(1L, Feed.STEP, 20_000_000_000L, -5_000_000_000L);
         Arbitrary<Double> seconds = Arbitraries.doubles().between(0, 45);
-        return Combinators.combine(Arbitraries.of(Reading.class), values, seconds, jumps).as(Spell::new)
-                .list().ofMaxSize(40);
+        return Combinators.combine(Arbitraries.of(Reading.class), values, seconds, jumps)
+                .as(Spell::new)
+                .list()
+                .ofMaxSize(40);
     }
 
     @Property(tries = 300, seed = "42")
@@ -52,7 +57,9 @@
                     assertEquals(c.down(), to > from);
                     assertTrue("up by one: " + c, to >= from - 1);
                     long stayed = lived - changedAt;
-                    assertTrue("left too soon: " + c, c.down() || stayed >= order.get(from).leastStayNs());
+                    assertTrue(
+                            "left too soon: " + c,
+                            c.down() || stayed >= order.get(from).leastStayNs());
                     changedAt = lived;
                 }
                 double polls = f.share("bench-state");
--- a/decisions/src/test/java/trailthread/levels/Feed.java
+++ b/decisions/src/test/java/trailthread/levels/Feed.java
@@ -11,8 +11,11 @@
 /** Levels under readings four times a second. */
 final class Feed {
     static final long STEP = 250_000_000;
-    static final List<RequestClass> CLASSES = List.of(kind("attempt-use", Semantics.UNSAFE, 2),
-            kind("bench-action", Semantics.KEYED, 10), kind("bench-state", Semantics.SAFE, 1));
+    static final List<RequestClass> CLASSES =
+            List.of(
+                    kind("attempt-use", Semantics.UNSAFE, 2),
+                    kind("bench-action", Semantics.KEYED, 10),
+                    kind("bench-state", Semantics.SAFE, 1));
 
     final Levels levels;
     final List<Change> changes = new ArrayList<>();
@@ -46,8 +49,16 @@
     /** One reading after this long. */
     Feed jump(long ns) {
         now += ns;
-        levels.read(new Readings(now, of(Reading.FAILING), of(Reading.REPORT_AGE), of(Reading.LATENESS),
-                of(Reading.DESCRIPTORS), of(Reading.MEMORY), of(Reading.STARVED), of(Reading.CPU_WITHHELD)))
+        levels.read(
+                        new Readings(
+                                now,
+                                of(Reading.FAILING),
+                                of(Reading.REPORT_AGE),
+                                of(Reading.LATENESS),
+                                of(Reading.DESCRIPTORS),
+                                of(Reading.MEMORY),
+                                of(Reading.STARVED),
+                                of(Reading.CPU_WITHHELD)))
                 .ifPresent(changes::add);
         return this;
     }
--- a/decisions/src/test/java/trailthread/levels/Fleet.java
+++ b/decisions/src/test/java/trailthread/levels/Fleet.java
@@ -22,9 +22,9 @@
 import trailthread.BalancerApi.State;
 
 /**
- * Six nodes, each with the real decision module, ten workers and their clients, in virtual time. A worker
- * serves two calls at a time in 40 ms on the mean, more slowly the longer its queue, and turns away past 16.
- * Of the calls, 70 in a hundred are polls, 10 actions and 20 attempts.
+ * Six nodes, each with the real decision module, ten workers and their clients, in virtual time. A
+ * worker serves two calls at a time in 40 ms on the mean, more slowly the longer its queue, and
+ * turns away past 16. Of the calls, 70 in a hundred are polls, 10 actions and 20 attempts.
  */
 final class Fleet {
     static final long MS = 1_000_000;
@@ -43,8 +43,8 @@
     }
 
     /**
-     * Load offered, of the capacity of all workers; share of workers that fail at once; age of reports; how
-     * many calls of others worker 0 holds all the time; what workers say.
+     * Load offered, of the capacity of all workers; share of workers that fail at once; age of
+     * reports; how many calls of others worker 0 holds all the time; what workers say.
      */
     record Day(LongToDoubleFunction load, double failing, long reportAgeNs, int others, Told told) {
         Day(LongToDoubleFunction load, double failing, long reportAgeNs) {
@@ -74,12 +74,17 @@
         }
     }
 
-    /** Calls by class, and those answered within their aim; what became of levels, over all nodes. */
+    /**
+     * Calls by class, and those answered within their aim; what became of levels, over all nodes.
+     */
     final int[] asked = new int[MIX.length];
+
     final int[] served = new int[MIX.length];
     final List<Change> changes = new ArrayList<>();
+
     /** What each worker was sent. */
     final int[] sent = new int[WORKERS];
+
     private final Settings settings = settings();
     private final Day day;
     private final boolean withLevels;
@@ -124,12 +129,31 @@
         s.nodes = NODES;
         s.reports = Reports.ANSWERS;
         s.connectTimeoutNs = 100 * MS;
-        s.classes.add(new RequestClass("bench-state", 300 * MS, 0, 1200 * MS, Semantics.SAFE, Group.ALL, 0, 1,
-                0));
-        s.classes.add(new RequestClass("bench-action", 200 * MS, 0, 500 * MS, Semantics.KEYED, Group.CELL,
-                300 * MS, 10, 0));
-        s.classes.add(new RequestClass("attempt-use", 250 * MS, 0, 1200 * MS, Semantics.UNSAFE, Group.ALL, 0,
-                2, 0));
+        s.classes.add(
+                new RequestClass(
+                        "bench-state", 300 * MS, 0, 1200 * MS, Semantics.SAFE, Group.ALL, 0, 1, 0));
+        s.classes.add(
+                new RequestClass(
+                        "bench-action",
+                        200 * MS,
+                        0,
+                        500 * MS,
+                        Semantics.KEYED,
+                        Group.CELL,
+                        300 * MS,
+                        10,
+                        0));
+        s.classes.add(
+                new RequestClass(
+                        "attempt-use",
+                        250 * MS,
+                        0,
+                        1200 * MS,
+                        Semantics.UNSAFE,
+                        Group.ALL,
+                        0,
+                        2,
+                        0));
         return s;
     }
 
@@ -143,11 +167,13 @@
 
     private void arrive() {
         double perSecond = day.load().applyAsDouble(now) * WORKERS * SLOTS * 1000 / SERVICE_MS;
-        after((long) (exponential() / perSecond * S), () -> {
-            double u = random.nextDouble();
-            nodes.get(random.nextInt(NODES)).take(u < MIX[0] ? 0 : u < MIX[1] ? 1 : 2);
-            arrive();
-        });
+        after(
+                (long) (exponential() / perSecond * S),
+                () -> {
+                    double u = random.nextDouble();
+                    nodes.get(random.nextInt(NODES)).take(u < MIX[0] ? 0 : u < MIX[1] ? 1 : 2);
+                    arrive();
+                });
     }
 
     /** A worker; its reports tell of a past time. */
@@ -170,8 +196,17 @@
             while (past.size() > 1 && past.peekFirst()[0] <= now - day.reportAgeNs()) {
                 told = past.removeFirst();
             }
-            return day.told().load(number, now,
-                    new Load(told[1], told[2], Double.NaN, Double.NaN, Double.NaN, Double.NaN));
+            return day.told()
+                    .load(
+                            number,
+                            now,
+                            new Load(
+                                    told[1],
+                                    told[2],
+                                    Double.NaN,
+                                    Double.NaN,
+                                    Double.NaN,
+                                    Double.NaN));
         }
 
         void serveForEver() {
@@ -188,11 +223,13 @@
                 Runnable done = queue.remove();
                 busy++;
                 double ms = SERVICE_MS * (1 + queue.size() / 20.0) * (0.3 + 0.7 * exponential());
-                after((long) (ms * MS), () -> {
-                    busy--;
-                    done.run();
-                    next();
-                });
+                after(
+                        (long) (ms * MS),
+                        () -> {
+                            busy--;
+                            done.run();
+                            next();
+                        });
             }
             past.add(new long[] {now, busy + queue.size(), queue.size()});
         }
@@ -205,14 +242,19 @@
         private final Levels levels = new Levels(new Plan(), order);
         private final List<Call> calls = new ArrayList<>();
         private final Lately starved = new Lately(10 * S, 0);
+
         /** Of each worker, the share of errors among its last outcomes. */
         private final double[] errors = new double[WORKERS];
 
         Node(int me) {
             settings.me = me;
             balancer = new Balancer(settings, random.nextLong(), 0, this);
-            balancer.list(0, ListKind.FULL, workers.stream()
-                    .map(w -> new Entry("" + w.number, 1, State.READY, "", 0, 0)).toList());
+            balancer.list(
+                    0,
+                    ListKind.FULL,
+                    workers.stream()
+                            .map(w -> new Entry("" + w.number, 1, State.READY, "", 0, 0))
+                            .toList());
             if (withLevels) {
                 read();
             }
@@ -220,7 +262,16 @@
 
         private void read() {
             double failing = Arrays.stream(errors).filter(e -> e > 0.3).count() / (double) WORKERS;
-            levels.read(new Readings(now, failing, day.reportAgeNs(), 0, 0, 0, starved.share(now), 0))
+            levels.read(
+                            new Readings(
+                                    now,
+                                    failing,
+                                    day.reportAgeNs(),
+                                    0,
+                                    0,
+                                    0,
+                                    starved.share(now),
+                                    0))
                     .ifPresent(changes::add);
             after(250 * MS, this::read);
         }
@@ -234,10 +285,12 @@
             Call call = new Call(kind, now);
             long id = calls.size();
             calls.add(call);
-            after(c.deadlineNs(), () -> {
-                end(id, false);
-                balancer.gone(now, id);
-            });
+            after(
+                    c.deadlineNs(),
+                    () -> {
+                        end(id, false);
+                        balancer.gone(now, id);
+                    });
             balancer.request(now, id, c.name(), 0, now + c.deadlineNs(), null, false, 0);
         }
 
@@ -262,20 +315,40 @@
             int attempt = call.attempts++;
             long at = now;
             boolean[] over = new boolean[1];
-            long left = call.at + settings.classes.get(call.kind).deadlineNs() + settings.answerSlackNs - now;
-            after(timeoutNs > 0 ? timeoutNs : left, () -> outcome(id, attempt, Outcome.TIMEOUT, at, over, w));
-            after(WIRE, () -> {
-                if (w.fails()) {
-                    after(2 * MS, () -> outcome(id, attempt, Outcome.ERROR, at, over, w));
-                } else if (w.queue.size() >= LONGEST_QUEUE) {
-                    after(WIRE, () -> outcome(id, attempt, Outcome.FULL, at, over, w));
-                } else {
-                    w.serve(() -> after(WIRE, () -> outcome(id, attempt, Outcome.OK, at, over, w)));
-                }
-            });
+            long left =
+                    call.at
+                            + settings.classes.get(call.kind).deadlineNs()
+                            + settings.answerSlackNs
+                            - now;
+            after(
+                    timeoutNs > 0 ? timeoutNs : left,
+                    () -> outcome(id, attempt, Outcome.TIMEOUT, at, over, w));
+            after(
+                    WIRE,
+                    () -> {
+                        if (w.fails()) {
+                            after(2 * MS, () -> outcome(id, attempt, Outcome.ERROR, at, over, w));
+                        } else if (w.queue.size() >= LONGEST_QUEUE) {
+                            after(WIRE, () -> outcome(id, attempt, Outcome.FULL, at, over, w));
+                        } else {
+                            w.serve(
+                                    () ->
+                                            after(
+                                                    WIRE,
+                                                    () ->
+                                                            outcome(
+                                                                    id,
+                                                                    attempt,
+                                                                    Outcome.OK,
+                                                                    at,
+                                                                    over,
+                                                                    w)));
+                        }
+                    });
         }
 
-        private void outcome(long id, int attempt, Outcome outcome, long sentAt, boolean[] over, Worker w) {
+        private void outcome(
+                long id, int attempt, Outcome outcome, long sentAt, boolean[] over, Worker w) {
             if (over[0]) {
                 return;
             }
@@ -306,31 +379,24 @@
         }
 
         @Override
-        public void cancel(long id, int attempt) {
-        }
+        public void cancel(long id, int attempt) {}
 
         @Override
-        public void probe(String backend) {
-        }
+        public void probe(String backend) {}
 
         @Override
-        public void closeIdle(String backend) {
-        }
+        public void closeIdle(String backend) {}
 
         @Override
-        public void tell(int peer, byte[] data) {
-        }
+        public void tell(int peer, byte[] data) {}
 
         @Override
-        public void watch(boolean on) {
-        }
+        public void watch(boolean on) {}
 
         @Override
-        public void fetch() {
-        }
+        public void fetch() {}
 
         @Override
-        public void log(String text) {
-        }
+        public void log(String text) {}
     }
 }
--- a/decisions/src/test/java/trailthread/levels/FleetTest.java
+++ b/decisions/src/test/java/trailthread/levels/FleetTest.java
@@ -6,8 +6,8 @@
 import trailthread.levels.Fleet.Day;
 
 /**
- * Levels before the real decision module, ten virtual minutes, with and without. The shares are of calls
- * answered within their aim; the measured ones stand in docs/design/levels.md.
+ * Levels before the real decision module, ten virtual minutes, with and without. The shares are of
+ * calls answered within their aim; the measured ones stand in docs/design/levels.md.
  */
 public class FleetTest {
     private static final int ATTEMPTS = 2;
@@ -19,9 +19,15 @@
     private static void compare(String name, Day day, double mostWithout) {
         Fleet without = new Fleet(day, false).play(600 * Fleet.S);
         Fleet with = new Fleet(day, true).play(600 * Fleet.S);
-        String what = String.format("%s, without and with: attempts %.4f %.4f, polls %.4f %.4f, changes %d",
-                name, without.servedShare(ATTEMPTS), with.servedShare(ATTEMPTS), without.servedShare(0),
-                with.servedShare(0), with.changes.size());
+        String what =
+                String.format(
+                        "%s, without and with: attempts %.4f %.4f, polls %.4f %.4f, changes %d",
+                        name,
+                        without.servedShare(ATTEMPTS),
+                        with.servedShare(ATTEMPTS),
+                        without.servedShare(0),
+                        with.servedShare(0),
+                        with.changes.size());
         assertTrue(what, without.servedShare(ATTEMPTS) < mostWithout);
         assertTrue(what, with.servedShare(ATTEMPTS) > 0.99);
         assertTrue(what, with.changes.size() >= 1 && with.changes.size() <= 2 * Fleet.NODES);
--- a/decisions/src/test/java/trailthread/levels/LevelsTest.java
+++ b/decisions/src/test/java/trailthread/levels/LevelsTest.java
@@ -40,11 +40,13 @@
     @Test
     public void downSeveralAtOnceAndUpOneAtATime() {
         Feed f = new Feed().set(FAILING, 0.6).run(3).set(FAILING, 0).run(300);
-        assertEquals(List.of("level normal -> reduced: failing 0.600 >= 0.150, stays 20 s or longer",
-                "level reduced -> essential: failing 0.600 >= 0.500, stays 30 s or longer",
-                "level essential -> reduced: failing 0.000 < 0.350, stays 20 s or longer",
-                "level reduced -> lean: failing 0.000 < 0.110, stays 10 s or longer",
-                "level lean -> normal: none of its conditions holds, stays 0 s or longer"),
+        assertEquals(
+                List.of(
+                        "level normal -> reduced: failing 0.600 >= 0.150, stays 20 s or longer",
+                        "level reduced -> essential: failing 0.600 >= 0.500, stays 30 s or longer",
+                        "level essential -> reduced: failing 0.000 < 0.350, stays 20 s or longer",
+                        "level reduced -> lean: failing 0.000 < 0.110, stays 10 s or longer",
+                        "level lean -> normal: none of its conditions holds, stays 0 s or longer"),
                 f.changes.stream().map(Change::toString).toList());
     }
 
@@ -70,7 +72,14 @@
 
     @Test
     public void faultsThatOverlapKeepTheLevelUntilBothAreOver() {
-        Feed f = new Feed().set(FAILING, 0.3).run(40).set(REPORT_AGE, 5e9).run(40).set(FAILING, 0).run(200);
+        Feed f =
+                new Feed()
+                        .set(FAILING, 0.3)
+                        .run(40)
+                        .set(REPORT_AGE, 5e9)
+                        .run(40)
+                        .set(FAILING, 0)
+                        .run(200);
         assertEquals("reduced", f.level());
         assertEquals("reduced", f.set(REPORT_AGE, 0).run(9).level());
         assertEquals("lean", f.run(2).level());
@@ -86,7 +95,10 @@
             f.set(LATENESS, LATE).run(2).set(LATENESS, 0).run(0.25);
         }
         assertTrue(f.changes.isEmpty());
-        f.set(LATENESS, LATE).run(2).set(LATENESS, 100e6).run(1); // in between the time stands still
+        f.set(LATENESS, LATE)
+                .run(2)
+                .set(LATENESS, 100e6)
+                .run(1); // in between the time stands still
         assertEquals("reduced", f.set(LATENESS, LATE).run(0.5).level());
     }
 
@@ -106,15 +118,25 @@
     @Test
     public void absurdValuesEnterNothingAndLeaveNothing() {
         for (Reading r : Reading.values()) {
-            for (double absurd : new double[] {Double.NaN, -0.5, -2e9, 1.5, Double.POSITIVE_INFINITY,
-                Double.NEGATIVE_INFINITY}) {
+            for (double absurd :
+                    new double[] {
+                        Double.NaN,
+                        -0.5,
+                        -2e9,
+                        1.5,
+                        Double.POSITIVE_INFINITY,
+                        Double.NEGATIVE_INFINITY
+                    }) {
                 if (r == REPORT_AGE && Double.isNaN(absurd) || !r.isShare() && absurd == 1.5) {
                     continue; // no reports expected; 1.5 ns
                 }
                 String what = r + " " + absurd;
                 assertTrue(what, new Feed().set(r, absurd).run(600).changes.isEmpty());
-                Condition c = LEVELS.get(2).conditions().stream().filter(x -> x.reading() == r).findFirst()
-                        .orElseThrow();
+                Condition c =
+                        LEVELS.get(2).conditions().stream()
+                                .filter(x -> x.reading() == r)
+                                .findFirst()
+                                .orElseThrow();
                 Feed f = new Feed().set(r, c.enter()).run(3);
                 assertEquals(what, "reduced", f.level());
                 double share = f.share("bench-state");
@@ -156,13 +178,25 @@
         assertEquals("shedding does not mend workers", 1, f.share("bench-state"), 0);
         double some = f.set(STARVED, 0.06).run(2).share("bench-state");
         assertTrue("by degrees: " + some, some < 0.7 && some > 0.2);
-        assertEquals("in between it stands", some, f.set(STARVED, 0.03).run(60).share("bench-state"), 1e-9);
-        assertEquals("all but what is kept", 0.05, f.set(STARVED, 0.06).run(60).share("bench-state"), 1e-3);
+        assertEquals(
+                "in between it stands",
+                some,
+                f.set(STARVED, 0.03).run(60).share("bench-state"),
+                1e-9);
+        assertEquals(
+                "all but what is kept",
+                0.05,
+                f.set(STARVED, 0.06).run(60).share("bench-state"),
+                1e-3);
         assertEquals(1, f.share("bench-action"), 0);
         Allowance before = f.levels.allowance();
         double more = f.set(STARVED, 0).run(6).share("bench-state");
         assertEquals("a tenth comes back in a tenth of the time", 0.05 + 0.1 * 0.95, more, 0.01);
-        assertEquals("what was handed out does not change", 0.05, before.share("bench-state", false), 1e-3);
+        assertEquals(
+                "what was handed out does not change",
+                0.05,
+                before.share("bench-state", false),
+                1e-3);
         assertEquals("reduced", f.set(FAILING, 0).run(40).level());
         assertEquals("normal", f.run(60).level());
         assertEquals(1, f.share("bench-state"), 0);
--- a/decisions/src/test/java/trailthread/levels/PlanTest.java
+++ b/decisions/src/test/java/trailthread/levels/PlanTest.java
@@ -16,7 +16,8 @@
 
 /** What is wrong with a plan is named; the defaults are what the operators' page says. */
 public class PlanTest {
-    private static Level level(String name, double enter, double leave, long holdNs, double leastShed) {
+    private static Level level(
+            String name, double enter, double leave, long holdNs, double leastShed) {
         List<Condition> failing = List.of(new Condition(Reading.FAILING, enter, leave, holdNs));
         return new Level(name, failing, 1, 1, Reach.SAFE, leastShed, 1);
     }
@@ -26,24 +27,36 @@
         Map<String, Consumer<Plan>> table = new LinkedHashMap<>();
         table.put("gapNs: not in [1, 3600000000000] ns", p -> p.gapNs = 0);
         table.put("mostStayNs: not in [1, 3600000000000] ns", p -> p.mostStayNs = Long.MAX_VALUE);
-        table.put("levels.essential.leastStayNs: above mostStayNs", p -> p.mostStayNs = 25_000_000_000L);
+        table.put(
+                "levels.essential.leastStayNs: above mostStayNs",
+                p -> p.mostStayNs = 25_000_000_000L);
         table.put("keep: not in (0, 1]", p -> p.keep = 0);
         table.put("levels: at least one is needed", p -> p.levels.clear());
         table.put("levels: a name is blank or twice there", p -> p.levels.set(1, p.levels.get(2)));
-        table.put("levels.lean: conditions are for all levels but the first, at least one for each",
+        table.put(
+                "levels.lean: conditions are for all levels but the first, at least one for each",
                 p -> p.levels.remove(0));
-        table.put("levels.x.failing.enter: not in (0, 1]", p -> p.levels.add(level("x", 1.1, 0.1, 0, 0)));
-        table.put("levels.x.failing.leave: not in (0, enter)", p -> p.levels.add(level("x", 0.1, 0.1, 0, 0)));
-        table.put("levels.x.failing.holdNs: not in [0, 3600000000000] ns",
+        table.put(
+                "levels.x.failing.enter: not in (0, 1]",
+                p -> p.levels.add(level("x", 1.1, 0.1, 0, 0)));
+        table.put(
+                "levels.x.failing.leave: not in (0, enter)",
+                p -> p.levels.add(level("x", 0.1, 0.1, 0, 0)));
+        table.put(
+                "levels.x.failing.holdNs: not in [0, 3600000000000] ns",
                 p -> p.levels.add(level("x", 0.2, 0.1, -1, 0)));
-        table.put("levels.x.leastShed: not in [0, 1]",
+        table.put(
+                "levels.x.leastShed: not in [0, 1]",
                 p -> p.levels.add(level("x", 0.2, 0.1, 0, Double.NaN)));
         new Plan().check();
-        table.forEach((message, spoil) -> {
-            Plan p = new Plan();
-            spoil.accept(p);
-            assertEquals(message, assertThrows(IllegalArgumentException.class, p::check).getMessage());
-        });
+        table.forEach(
+                (message, spoil) -> {
+                    Plan p = new Plan();
+                    spoil.accept(p);
+                    assertEquals(
+                            message,
+                            assertThrows(IllegalArgumentException.class, p::check).getMessage());
+                });
     }
 
     @Test
@@ -52,12 +65,24 @@
         for (Level l : Plan.defaults()) {
             for (Condition c : l.conditions()) {
                 double unit = c.reading().isShare() ? 1 : 1e9;
-                expected.add("| " + l.name() + " | " + c.reading().word() + " | " + c.enter() / unit + " | "
-                        + c.leave() / unit + " | " + c.holdNs() / 1e9 + " |");
+                expected.add(
+                        "| "
+                                + l.name()
+                                + " | "
+                                + c.reading().word()
+                                + " | "
+                                + c.enter() / unit
+                                + " | "
+                                + c.leave() / unit
+                                + " | "
+                                + c.holdNs() / 1e9
+                                + " |");
             }
         }
-        List<String> rows = Files.readAllLines(Path.of("../docs/levels.md")).stream()
-                .filter(line -> line.matches("\\| (lean|reduced|essential) \\|.*[0-9] \\|")).toList();
+        List<String> rows =
+                Files.readAllLines(Path.of("../docs/levels.md")).stream()
+                        .filter(line -> line.matches("\\| (lean|reduced|essential) \\|.*[0-9] \\|"))
+                        .toList();
         assertEquals(String.join("\n", expected), String.join("\n", rows));
     }
 }
--- a/decisions/src/test/java/trailthread/levels/ReportsTest.java
+++ b/decisions/src/test/java/trailthread/levels/ReportsTest.java
@@ -16,7 +16,8 @@
         Fleet fleet = new Fleet(new Day(now -> 0.7, 0, 0, others, told), false).play(120 * Fleet.S);
         for (int kind = 0; kind < 3; kind++) {
             double share = fleet.servedShare(kind);
-            assertTrue("class " + kind + ": " + share, share > 0.97); // 0.991 to 0.999 in five minutes
+            assertTrue(
+                    "class " + kind + ": " + share, share > 0.97); // 0.991 to 0.999 in five minutes
         }
         return fleet;
     }
@@ -26,7 +27,10 @@
         play(0, (worker, now, truth) -> now < 30 * Fleet.S ? truth : null);
     }
 
-    /** Its queue is full of others' calls all the time: 0.004 of all sends went there; its part is 0.1. */
+    /**
+     * Its queue is full of others' calls all the time: 0.004 of all sends went there; its part is
+     * 0.1.
+     */
     @Test
     public void aFullWorkerThatTellsOfNoLoadIsNotBelieved() {
         Load none = new Load(0, 0, UNKNOWN, UNKNOWN, UNKNOWN, UNKNOWN);
