--- a/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
+++ b/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
@@ -23,7 +23,10 @@
 import trailthread.engine.loop.Account;
 import trailthread.engine.loop.Loop;
 
-/** What is on its way on one connection holds up no other, and what was not written is not said to be. */
+/**
+ * What is on its way on one connection holds up no other, and what was not written is not said to
+ * be.
+ */
 public class HttpConnectionTest {
     private static final int LONG = 1024 * 1024;
     private static final int SHORT_ONES = 9;
@@ -50,12 +53,10 @@
             }
 
             @Override
-            public void head(int status, HeaderMap headers) {
-            }
+            public void head(int status, HeaderMap headers) {}
 
             @Override
-            public void body(ByteBuffer piece) {
-            }
+            public void body(ByteBuffer piece) {}
 
             @Override
             public void whole() {
@@ -71,8 +72,15 @@
 
     private HttpConnection connect() throws Exception {
         BlockingQueue<HttpConnection> opened = new LinkedBlockingQueue<>();
-        loop.execute(() -> HttpConnection.open(loop, new InetSocketAddress(server.getInetAddress(),
-                server.getLocalPort()), Account.NONE, () -> { }, opened::add));
+        loop.execute(
+                () ->
+                        HttpConnection.open(
+                                loop,
+                                new InetSocketAddress(
+                                        server.getInetAddress(), server.getLocalPort()),
+                                Account.NONE,
+                                () -> {},
+                                opened::add));
         return opened.poll(30, TimeUnit.SECONDS);
     }
 
@@ -84,7 +92,10 @@
         return heard.poll(30, TimeUnit.SECONDS);
     }
 
-    /** The long one was read until it ran dry, however long that was, and before some of the others by chance. */
+    /**
+     * The long one was read until it ran dry, however long that was, and before some of the others
+     * by chance.
+     */
     @Test
     public void shortAnswersDoNotWaitForALongOne() throws Exception {
         List<Socket> workers = new ArrayList<>();
@@ -92,8 +103,14 @@
             String name = i == 0 ? "long" : "short";
             HttpConnection connection = connect();
             workers.add(server.accept());
-            if (i == 0) { // so that the system gives the connection room for the whole of a long answer
-                loop.execute(() -> connection.send(ascii("GET / HTTP/1.1\r\n\r\n"), 16 * LONG, hears("first")));
+            if (i == 0) { // so that the system gives the connection room for the whole of a long
+                // answer
+                loop.execute(
+                        () ->
+                                connection.send(
+                                        ascii("GET / HTTP/1.1\r\n\r\n"),
+                                        16 * LONG,
+                                        hears("first")));
                 answer(workers.get(0), 16 * LONG);
                 assertEquals("first sent", next());
                 assertEquals("first whole", next());
@@ -102,20 +119,23 @@
             assertEquals(name + " sent", next());
         }
         CountDownLatch goOn = new CountDownLatch(1);
-        loop.execute(() -> {
-            try {
-                goOn.await(30, TimeUnit.SECONDS);
-            } catch (InterruptedException e) {
-                throw new AssertionError(e);
-            }
-        });
-        Thread filling = new Thread(() -> {
-            try {
-                answer(workers.get(0), LONG);
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        });
+        loop.execute(
+                () -> {
+                    try {
+                        goOn.await(30, TimeUnit.SECONDS);
+                    } catch (InterruptedException e) {
+                        throw new AssertionError(e);
+                    }
+                });
+        Thread filling =
+                new Thread(
+                        () -> {
+                            try {
+                                answer(workers.get(0), LONG);
+                            } catch (IOException e) {
+                                throw new AssertionError(e);
+                            }
+                        });
         filling.start();
         Thread.sleep(200); // by now it lies there, or waits for its reader
         for (Socket worker : workers.subList(1, workers.size())) {
@@ -132,44 +152,62 @@
     }
 
     private static void answer(Socket worker, int length) throws IOException {
-        worker.getOutputStream().write(ascii("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n"
-                + "x".repeat(length)).array());
+        worker.getOutputStream()
+                .write(
+                        ascii(
+                                        "HTTP/1.1 200 OK\r\nContent-Length: "
+                                                + length
+                                                + "\r\n\r\n"
+                                                + "x".repeat(length))
+                                .array());
     }
 
-    /** Until its end was told, an attempt whose every byte had been written passed for one that never ran. */
+    /**
+     * Until its end was told, an attempt whose every byte had been written passed for one that
+     * never ran.
+     */
     @Test
     public void aBodyOfAToldLengthIsSentWithItsLastByte() throws Exception {
         HttpConnection connection = connect();
         Socket worker = server.accept();
-        loop.execute(() -> connection.send(ascii("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\n"), new ByteSource() {
-            private boolean begun;
+        loop.execute(
+                () ->
+                        connection.send(
+                                ascii("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\n"),
+                                new ByteSource() {
+                                    private boolean begun;
 
-            @Override
-            public long length() {
-                return 4;
-            }
+                                    @Override
+                                    public long length() {
+                                        return 4;
+                                    }
 
-            @Override
-            public boolean hasBegun() {
-                return begun;
-            }
+                                    @Override
+                                    public boolean hasBegun() {
+                                        return begun;
+                                    }
 
-            @Override
-            public void flowTo(ByteSink to) {
-                begun = true;
-                to.piece(ascii("pour")); // the end is told in a later turn, or not at all
-            }
+                                    @Override
+                                    public void flowTo(ByteSink to) {
+                                        begun = true;
+                                        to.piece(ascii("pour")); // the end is told in a later
+                                        // turn, or not at all
+                                    }
 
-            @Override
-            public void more() {
-            }
+                                    @Override
+                                    public void more() {}
 
-            @Override
-            public void stop() {
-            }
-        }, LONG, hears("request")));
+                                    @Override
+                                    public void stop() {}
+                                },
+                                LONG,
+                                hears("request")));
         String head = "POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\npour";
-        assertEquals(head, new String(worker.getInputStream().readNBytes(head.length()), StandardCharsets.US_ASCII));
+        assertEquals(
+                head,
+                new String(
+                        worker.getInputStream().readNBytes(head.length()),
+                        StandardCharsets.US_ASCII));
         worker.close();
         assertEquals("request broken", next());
         BlockingQueue<Boolean> sent = new LinkedBlockingQueue<>();
@@ -183,42 +221,46 @@
         HttpConnection connection = connect();
         Socket worker = server.accept();
         BlockingQueue<Boolean> sent = new LinkedBlockingQueue<>();
-        loop.execute(() -> connection.send(ascii("POST / HTTP/1.1\r\n\r\n"), new ByteSource() {
-            private boolean begun;
+        loop.execute(
+                () ->
+                        connection.send(
+                                ascii("POST / HTTP/1.1\r\n\r\n"),
+                                new ByteSource() {
+                                    private boolean begun;
 
-            @Override
-            public long length() {
-                return -1;
-            }
+                                    @Override
+                                    public long length() {
+                                        return -1;
+                                    }
 
-            @Override
-            public void flowTo(ByteSink sink) {
-                begun = true;
-                try {
-                    worker.setSoLinger(true, 0);
-                    worker.close(); // a reset, which the next write meets
-                } catch (IOException e) {
-                    throw new AssertionError(e);
-                }
-                sink.piece(ascii("one"));
-                sink.piece(ascii("two"));
-                sink.end();
-                sent.add(connection.isSent());
-            }
+                                    @Override
+                                    public void flowTo(ByteSink sink) {
+                                        begun = true;
+                                        try {
+                                            worker.setSoLinger(true, 0);
+                                            worker.close(); // a reset, which the next write meets
+                                        } catch (IOException e) {
+                                            throw new AssertionError(e);
+                                        }
+                                        sink.piece(ascii("one"));
+                                        sink.piece(ascii("two"));
+                                        sink.end();
+                                        sent.add(connection.isSent());
+                                    }
 
-            @Override
-            public boolean hasBegun() {
-                return begun;
-            }
+                                    @Override
+                                    public boolean hasBegun() {
+                                        return begun;
+                                    }
 
-            @Override
-            public void more() {
-            }
+                                    @Override
+                                    public void more() {}
 
-            @Override
-            public void stop() {
-            }
-        }, LONG, hears("call")));
+                                    @Override
+                                    public void stop() {}
+                                },
+                                LONG,
+                                hears("call")));
         assertFalse(sent.poll(30, TimeUnit.SECONDS));
         assertEquals("call broken", next());
     }
--- a/engine/src/test/java/trailthread/engine/loop/MeterCost.java
+++ b/engine/src/test/java/trailthread/engine/loop/MeterCost.java
@@ -1,15 +1,15 @@
 package trailthread.engine.loop;
 
 /**
- * What the loop's knowledge of its own lateness costs: a turn with one socket and four tasks, as for one call
- * alone, with and without the meter. Run by hand: {@code java -cp ... trailthread.engine.loop.MeterCost}.
+ * What the loop's knowledge of its own lateness costs: a turn with one socket and four tasks, as
+ * for one call alone, with and without the meter. Run by hand: {@code java -cp ...
+ * trailthread.engine.loop.MeterCost}.
  */
 public final class MeterCost {
     private static final int TURNS = 5_000_000;
     private static final int TASKS = 4;
 
-    private MeterCost() {
-    }
+    private MeterCost() {}
 
     /** Prints nanoseconds for each turn, a few times, as the first ones warm up. */
     public static void main(String[] args) {
@@ -25,8 +25,11 @@
                     turns.ran(System.nanoTime());
                 }
             }
-            System.out.println((System.nanoTime() - began) / TURNS + " ns a turn, lateness "
-                    + turns.latenessNs(System.nanoTime()) + " ns");
+            System.out.println(
+                    (System.nanoTime() - began) / TURNS
+                            + " ns a turn, lateness "
+                            + turns.latenessNs(System.nanoTime())
+                            + " ns");
         }
     }
 }
--- a/engine/src/test/java/trailthread/engine/loop/TurnsTest.java
+++ b/engine/src/test/java/trailthread/engine/loop/TurnsTest.java
@@ -58,7 +58,10 @@
         assertEquals(10 * MS, turns.notBefore());
     }
 
-    /** Then no later gap is long enough to pass for a sleep: only a look ends it, which the loop has to bring about. */
+    /**
+     * Then no later gap is long enough to pass for a sleep: only a look ends it, which the loop has
+     * to bring about.
+     */
     @Test
     public void afterALongTurnItIsUnseenUntilALookIsKnownOf() {
         turn(10 * MS, 11 * MS);
--- a/engine/src/test/java/trailthread/engine/loop/WheelTest.java
+++ b/engine/src/test/java/trailthread/engine/loop/WheelTest.java
@@ -13,8 +13,7 @@
 public class WheelTest {
     private static final long MS = 1_000_000L;
 
-    private record Set(Wheel.Timer timer, int number) {
-    }
+    private record Set(Wheel.Timer timer, int number) {}
 
     @Test
     public void eachRunsOnceInItsTickAndNeverEarly() {
@@ -26,14 +25,23 @@
             for (int step = 0; step < 300; step++) {
                 for (int i = random.nextInt(4); i > 0; i--) {
                     long delay = random.nextLong(random.nextInt(5) == 0 ? 9_000 * MS : 40 * MS);
-                    pending.add(new Set(wheel.set(now + delay, () -> { }), step));
+                    pending.add(new Set(wheel.set(now + delay, () -> {}), step));
                 }
                 if (!pending.isEmpty() && random.nextInt(3) == 0) {
                     assertTrue(pending.remove(random.nextInt(pending.size())).timer.remove());
                 }
-                assertTrue("it wakes in time for all", pending.stream()
-                        .allMatch(s -> wheel.nextAt() <= Wheel.tickOf(s.timer.dueAt) << Wheel.TICK_BITS));
-                now += random.nextInt(50) == 0 ? random.nextLong(10_000 * MS) : random.nextLong(3 * MS);
+                assertTrue(
+                        "it wakes in time for all",
+                        pending.stream()
+                                .allMatch(
+                                        s ->
+                                                wheel.nextAt()
+                                                        <= Wheel.tickOf(s.timer.dueAt)
+                                                                << Wheel.TICK_BITS));
+                now +=
+                        random.nextInt(50) == 0
+                                ? random.nextLong(10_000 * MS)
+                                : random.nextLong(3 * MS);
                 long tick = now >> Wheel.TICK_BITS;
                 List<Wheel.Timer> due = wheel.due(now);
                 long last = 0;
@@ -43,7 +51,8 @@
                     last = Wheel.tickOf(timer.dueAt);
                     assertTrue(pending.removeIf(s -> s.timer == timer));
                 }
-                assertTrue("none is left",
+                assertTrue(
+                        "none is left",
                         pending.stream().allMatch(s -> Wheel.tickOf(s.timer.dueAt) > tick));
             }
         }
@@ -52,8 +61,8 @@
     @Test
     public void oneThatIsDueCanStillBeTakenBack() {
         Wheel wheel = new Wheel(0);
-        wheel.set(MS, () -> { });
-        Wheel.Timer second = wheel.set(MS, () -> { });
+        wheel.set(MS, () -> {});
+        Wheel.Timer second = wheel.set(MS, () -> {});
         List<Wheel.Timer> due = wheel.due(2 * MS);
         assertEquals(2, due.size());
         assertTrue(due.get(0).take() != null);
@@ -65,7 +74,7 @@
     @Test
     public void oneThatIsOverdueWhenItIsSetRunsNext() {
         Wheel wheel = new Wheel(500 * MS);
-        wheel.set(100 * MS, () -> { });
+        wheel.set(100 * MS, () -> {});
         assertTrue(wheel.nextAt() <= 501 * MS);
         assertEquals(1, wheel.due(501 * MS).size());
     }
--- a/engine/src/test/java/trailthread/engine/quota/AnyQuotaTest.java
+++ b/engine/src/test/java/trailthread/engine/quota/AnyQuotaTest.java
@@ -15,8 +15,10 @@
     private static final long MS = 1_000_000;
 
     @Property(tries = 500)
-    void noMoreIsGivenOutThanThereIsAndNoGuaranteeStarves(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int n,
-                                                          @ForAll @IntRange(min = 1, max = 200) int total) {
+    void noMoreIsGivenOutThanThereIsAndNoGuaranteeStarves(
+            @ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 6) int n,
+            @ForAll @IntRange(min = 1, max = 200) int total) {
         Random random = new Random(seed);
         Quota quota = new Quota(total, 100 * MS);
         List<Quota.Party> parties = new ArrayList<>();
@@ -51,9 +53,10 @@
 
     /** Who comes late has its part as soon as the others have given back what they owe. */
     @Property(tries = 300)
-    void whatIsOwedIsEnoughForWhoWants(@ForAll @IntRange(min = 2, max = 5) int n,
-                                       @ForAll @IntRange(min = 10, max = 100) int total,
-                                       @ForAll @IntRange(min = 0, max = 3) int guaranteed) {
+    void whatIsOwedIsEnoughForWhoWants(
+            @ForAll @IntRange(min = 2, max = 5) int n,
+            @ForAll @IntRange(min = 10, max = 100) int total,
+            @ForAll @IntRange(min = 0, max = 3) int guaranteed) {
         Quota quota = new Quota(total, 100 * MS);
         List<Quota.Party> parties = new ArrayList<>();
         for (int i = 0; i < n; i++) {
@@ -69,7 +72,9 @@
         for (long now = MS; late.borrowed() < part; now += MS) {
             if (!late.take(1, now)) {
                 long owed = greedy.owes(now);
-                assertTrue(owed > 0, "wanted, and nobody owes any: has " + late.borrowed() + " of " + part);
+                assertTrue(
+                        owed > 0,
+                        "wanted, and nobody owes any: has " + late.borrowed() + " of " + part);
                 greedy.give(owed);
                 assertTrue(!greedy.take(greedy.holds() + 1, now), "what is owed is not lent again");
                 assertTrue(late.take(1, now), "given back, and not lent");
--- a/engine/src/test/java/trailthread/engine/routes/RouteTableTest.java
+++ b/engine/src/test/java/trailthread/engine/routes/RouteTableTest.java
@@ -18,17 +18,31 @@
         return route(name, host, path, Set.of(), Map.of(), null);
     }
 
-    private static Route route(String name, String host, String path, Set<String> methods,
-                               Map<String, String> headers, String requestClass) {
-        return new Route(name, HostPattern.parse(host), PathPattern.parse(path), methods, headers, requestClass,
-                "pool", null);
+    private static Route route(
+            String name,
+            String host,
+            String path,
+            Set<String> methods,
+            Map<String, String> headers,
+            String requestClass) {
+        return new Route(
+                name,
+                HostPattern.parse(host),
+                PathPattern.parse(path),
+                methods,
+                headers,
+                requestClass,
+                "pool",
+                null);
     }
 
-    private static Asked get(String host, String path, Map<String, String> headers) throws BadTargetException {
+    private static Asked get(String host, String path, Map<String, String> headers)
+            throws BadTargetException {
         return new Asked(host, Target.segments(path), "GET", headers::get, headers.get("class"));
     }
 
-    private static String taker(List<Route> routes, String host, String path, Map<String, String> headers)
+    private static String taker(
+            List<Route> routes, String host, String path, Map<String, String> headers)
             throws BadTargetException {
         List<Route> turned = new ArrayList<>(routes);
         Collections.reverse(turned);
@@ -40,27 +54,47 @@
 
     @Test
     public void hostsBeforePaths() throws Exception {
-        List<Route> routes = List.of(route("exact", "a.b.example", "/x/**"), route("near", "*.b.example", "/x/y"),
-                route("far", "*.example", "/**"), route("any", "*", "/x/y/z"));
+        List<Route> routes =
+                List.of(
+                        route("exact", "a.b.example", "/x/**"),
+                        route("near", "*.b.example", "/x/y"),
+                        route("far", "*.example", "/**"),
+                        route("any", "*", "/x/y/z"));
         assertEquals("exact", taker(routes, "a.b.example", "/x/y", Map.of()));
-        assertEquals("falls back where no path suits", "far", taker(routes, "a.b.example", "/z", Map.of()));
+        assertEquals(
+                "falls back where no path suits",
+                "far",
+                taker(routes, "a.b.example", "/z", Map.of()));
         assertEquals("near", taker(routes, "c.b.example", "/x/y", Map.of()));
         assertEquals("near", taker(routes, "d.c.b.example", "/x/y", Map.of()));
-        assertEquals("a wildcard stands for a label at least", "far", taker(routes, "b.example", "/x/y", Map.of()));
+        assertEquals(
+                "a wildcard stands for a label at least",
+                "far",
+                taker(routes, "b.example", "/x/y", Map.of()));
         assertEquals("any", taker(routes, "example", "/x/y/z", Map.of()));
         assertNull(taker(routes, "example", "/x", Map.of()));
-        assertNull("not within a label", taker(List.of(route("w", "*.b.example", "/**")), "ab.example", "/", Map.of()));
+        assertNull(
+                "not within a label",
+                taker(List.of(route("w", "*.b.example", "/**")), "ab.example", "/", Map.of()));
     }
 
     @Test
     public void pathsSegmentBySegment() throws Exception {
-        List<Route> routes = List.of(route("literal", "*", "/a/b"), route("template", "*", "/a/{id}"),
-                route("prefix", "*", "/a/**"), route("deep", "*", "/{x}/b/c"), route("root", "*", "/"),
-                route("all", "*", "/**"));
+        List<Route> routes =
+                List.of(
+                        route("literal", "*", "/a/b"),
+                        route("template", "*", "/a/{id}"),
+                        route("prefix", "*", "/a/**"),
+                        route("deep", "*", "/{x}/b/c"),
+                        route("root", "*", "/"),
+                        route("all", "*", "/**"));
         assertEquals("literal", taker(routes, "h", "/a/b", Map.of()));
         assertEquals("template", taker(routes, "h", "/a/c", Map.of()));
         assertEquals("prefix", taker(routes, "h", "/a", Map.of()));
-        assertEquals("an empty segment is not any segment", "prefix", taker(routes, "h", "/a/", Map.of()));
+        assertEquals(
+                "an empty segment is not any segment",
+                "prefix",
+                taker(routes, "h", "/a/", Map.of()));
         assertEquals("prefix", taker(routes, "h", "/a/b/c", Map.of()));
         assertEquals("deep", taker(routes, "h", "/z/b/c", Map.of()));
         assertEquals("root", taker(routes, "h", "/", Map.of()));
@@ -70,32 +104,70 @@
 
     @Test
     public void conditionsLast() throws Exception {
-        List<Route> routes = List.of(route("plain", "*", "/a"), route("get", "*", "/a", Set.of("GET"), Map.of(), null),
-                route("beta", "*", "/a", Set.of(), Map.of("x-beta", "*"), null),
-                route("both", "*", "/a", Set.of("GET"), Map.of("x-beta", "1", "x-two", "2"), null),
-                route("classed", "*", "/a", Set.of("GET"), Map.of("x-beta", "1", "x-two", "2"), "read"),
-                route("post", "*", "/a", Set.of("POST"), Map.of(), null));
+        List<Route> routes =
+                List.of(
+                        route("plain", "*", "/a"),
+                        route("get", "*", "/a", Set.of("GET"), Map.of(), null),
+                        route("beta", "*", "/a", Set.of(), Map.of("x-beta", "*"), null),
+                        route(
+                                "both",
+                                "*",
+                                "/a",
+                                Set.of("GET"),
+                                Map.of("x-beta", "1", "x-two", "2"),
+                                null),
+                        route(
+                                "classed",
+                                "*",
+                                "/a",
+                                Set.of("GET"),
+                                Map.of("x-beta", "1", "x-two", "2"),
+                                "read"),
+                        route("post", "*", "/a", Set.of("POST"), Map.of(), null));
         assertEquals("get", taker(routes, "h", "/a", Map.of()));
-        assertEquals("a method goes before a header", "get", taker(routes, "h", "/a", Map.of("x-beta", "1")));
+        assertEquals(
+                "a method goes before a header",
+                "get",
+                taker(routes, "h", "/a", Map.of("x-beta", "1")));
         assertEquals("both", taker(routes, "h", "/a", Map.of("x-beta", "1", "x-two", "2")));
-        assertEquals("classed", taker(routes, "h", "/a", Map.of("x-beta", "1", "x-two", "2", "class", "read")));
+        assertEquals(
+                "classed",
+                taker(routes, "h", "/a", Map.of("x-beta", "1", "x-two", "2", "class", "read")));
         assertEquals(List.of(), new RouteTable(routes).conflicts());
     }
 
     @Test
     public void tiesAreTold() {
         Route a = route("a", "*.example", "/x/{id}", Set.of("GET", "PUT"), Map.of("h", "*"), null);
-        Route b = route("b", "*.example", "/x/{other}", Set.of("PUT", "POST"), Map.of("h", "1"), null);
+        Route b =
+                route(
+                        "b",
+                        "*.example",
+                        "/x/{other}",
+                        Set.of("PUT", "POST"),
+                        Map.of("h", "1"),
+                        null);
         List<Conflict> conflicts = new RouteTable(List.of(a, b)).conflicts();
         assertEquals(1, conflicts.size());
-        assertEquals("routes a and b both take PUT a.example/x/x, h: 1, and neither is more specific",
+        assertEquals(
+                "routes a and b both take PUT a.example/x/x, h: 1, and neither is more specific",
                 conflicts.get(0).toString());
-        assertTrue("other methods", none(a, route("c", "*.example", "/x/{z}", Set.of("POST"), Map.of("h", "*"), null)));
-        assertTrue("other values", none(route("d", "*", "/", Set.of(), Map.of("h", "1"), null),
-                route("e", "*", "/", Set.of(), Map.of("h", "2"), null)));
-        assertTrue("other classes", none(route("f", "*", "/", Set.of(), Map.of(), "x"),
-                route("g", "*", "/", Set.of(), Map.of(), "y")));
-        assertTrue("one more header", none(a, route("h", "*.example", "/x/{id}", Set.of("GET"), Map.of(), null)));
+        assertTrue(
+                "other methods",
+                none(a, route("c", "*.example", "/x/{z}", Set.of("POST"), Map.of("h", "*"), null)));
+        assertTrue(
+                "other values",
+                none(
+                        route("d", "*", "/", Set.of(), Map.of("h", "1"), null),
+                        route("e", "*", "/", Set.of(), Map.of("h", "2"), null)));
+        assertTrue(
+                "other classes",
+                none(
+                        route("f", "*", "/", Set.of(), Map.of(), "x"),
+                        route("g", "*", "/", Set.of(), Map.of(), "y")));
+        assertTrue(
+                "one more header",
+                none(a, route("h", "*.example", "/x/{id}", Set.of("GET"), Map.of(), null)));
     }
 
     private static boolean none(Route... routes) {
@@ -104,16 +176,28 @@
 
     @Test
     public void itSaysWhyTheOthersDoNotHaveIt() throws Exception {
-        List<Route> routes = List.of(route("a", "a.example", "/x"), route("b", "*", "/x/**"),
-                route("c", "*", "/x", Set.of("POST"), Map.of(), null), route("d", "*", "/y"));
-        assertEquals(List.of("a: host is not a.example", "c: method is none of POST", "d: path is not /y",
-                "b: takes it, for pool pool"), new RouteTable(routes).explain(get("h", "/x", Map.of())));
+        List<Route> routes =
+                List.of(
+                        route("a", "a.example", "/x"),
+                        route("b", "*", "/x/**"),
+                        route("c", "*", "/x", Set.of("POST"), Map.of(), null),
+                        route("d", "*", "/y"));
+        assertEquals(
+                List.of(
+                        "a: host is not a.example",
+                        "c: method is none of POST",
+                        "d: path is not /y",
+                        "b: takes it, for pool pool"),
+                new RouteTable(routes).explain(get("h", "/x", Map.of())));
     }
 
     @Test
     public void patternsThatAreNone() {
-        for (String path : new String[] {"", "a", "/a//b", "/a/../b", "/a*", "/*", "/**/a", "/{", "/{}", "/a{b}",
-            "/{a}b", "/a;b", "/a b"}) {
+        for (String path :
+                new String[] {
+                    "", "a", "/a//b", "/a/../b", "/a*", "/*", "/**/a", "/{", "/{}", "/a{b}",
+                    "/{a}b", "/a;b", "/a b"
+                }) {
             assertThrows(path, IllegalArgumentException.class, () -> PathPattern.parse(path));
         }
         for (String host : new String[] {"", "*.", "a.", "*a", "a.*", "a:80", "a/b", "*.[::1]"}) {
--- a/engine/src/test/java/trailthread/engine/routes/TargetTest.java
+++ b/engine/src/test/java/trailthread/engine/routes/TargetTest.java
@@ -14,23 +14,52 @@
     }
 
     private static void refused(String why, String target, String... hosts) {
-        BadTargetException e = assertThrows(target + " " + Arrays.toString(hosts), BadTargetException.class,
-                () -> read(target, hosts));
+        BadTargetException e =
+                assertThrows(
+                        target + " " + Arrays.toString(hosts),
+                        BadTargetException.class,
+                        () -> read(target, hosts));
         assertEquals(target, why, e.getMessage());
     }
 
     @Test
     public void hosts() throws Exception {
         String[][] table = {
-            {"a.example", "a.example"}, {"A.Example", "a.example"}, {"a.example.", "a.example"},
-            {"a.example:8080", "a.example"}, {"a.example.:80", "a.example"}, {"a.example:", "a.example"},
-            {"127.0.0.1:1", "127.0.0.1"}, {"[::1]", "[::1]"}, {"[::1]:80", "[::1]"}, {"a_b.example", "a_b.example"},
-            {"xn--bcher-kva.example", "xn--bcher-kva.example"}, {"", ""}};
+            {"a.example", "a.example"},
+            {"A.Example", "a.example"},
+            {"a.example.", "a.example"},
+            {"a.example:8080", "a.example"},
+            {"a.example.:80", "a.example"},
+            {"a.example:", "a.example"},
+            {"127.0.0.1:1", "127.0.0.1"},
+            {"[::1]", "[::1]"},
+            {"[::1]:80", "[::1]"},
+            {"a_b.example", "a_b.example"},
+            {"xn--bcher-kva.example", "xn--bcher-kva.example"},
+            {"", ""}
+        };
         for (String[] row : table) {
             assertEquals(row[0], row[1], read("/", row[0]).host());
         }
-        String[] bad = {"a..b", ".a", "-a", "a-", "a b", "a/b", "u@a", "a%41", "a:b", "a:99999999", "[::1", "::1]",
-            "b\u00fccher.example", "a,b", "*", "*.a", "a\tb"};
+        String[] bad = {
+            "a..b",
+            ".a",
+            "-a",
+            "a-",
+            "a b",
+            "a/b",
+            "u@a",
+            "a%41",
+            "a:b",
+            "a:99999999",
+            "[::1",
+            "::1]",
+            "b\u00fccher.example",
+            "a,b",
+            "*",
+            "*.a",
+            "a\tb"
+        };
         for (String host : bad) {
             assertThrows(host, BadTargetException.class, () -> read("/", host));
         }
@@ -45,9 +74,14 @@
 
     @Test
     public void anAbsoluteTargetNamesTheSameHost() throws Exception {
-        assertEquals(new Target("b.example", "/x?y", List.of("x")), read("http://B.example:80/x?y", "b.example"));
-        assertEquals(new Target("b.example", "/?y", List.of("")), read("HTTP://b.example?y", "B.example."));
-        assertEquals(new Target("b.example", "/", List.of("")), read("https://b.example", "b.example"));
+        assertEquals(
+                new Target("b.example", "/x?y", List.of("x")),
+                read("http://B.example:80/x?y", "b.example"));
+        assertEquals(
+                new Target("b.example", "/?y", List.of("")),
+                read("HTTP://b.example?y", "B.example."));
+        assertEquals(
+                new Target("b.example", "/", List.of("")), read("https://b.example", "b.example"));
         assertEquals("b", Target.parse("GET", "http://b/", List.of(), false).host());
         refused("a target and a Host that differ", "http://b.example/", "a.example");
         refused("a target and a Host that differ", "http://b.example/", "");
@@ -56,21 +90,33 @@
         refused("a target in neither origin nor absolute form", "*", "a");
         refused("a target in neither origin nor absolute form", "x", "a");
         refused("a host that is none", "http://u@b.example/", "a");
-        BadTargetException e = assertThrows(BadTargetException.class,
-                () -> Target.parse("CONNECT", "a:1", List.of("a"), true));
+        BadTargetException e =
+                assertThrows(
+                        BadTargetException.class,
+                        () -> Target.parse("CONNECT", "a:1", List.of("a"), true));
         assertEquals("no tunnels here", e.getMessage());
     }
 
     @Test
     public void pathsForComparing() throws Exception {
         Object[][] table = {
-            {"/", List.of("")}, {"/a", List.of("a")}, {"/a/", List.of("a", "")}, {"/a/b", List.of("a", "b")},
-            {"/%61", List.of("a")}, {"/%7e%2D", List.of("~-")}, {"/a%20b", List.of("a%20b")},
-            {"/a%c3%bc", List.of("a%C3%BC")}, {"/%3b", List.of("%3B")}, {"/a:b@c", List.of("a:b@c")},
-            {"/...", List.of("...")}, {"/a?/../;//", List.of("a")}};
+            {"/", List.of("")},
+            {"/a", List.of("a")},
+            {"/a/", List.of("a", "")},
+            {"/a/b", List.of("a", "b")},
+            {"/%61", List.of("a")},
+            {"/%7e%2D", List.of("~-")},
+            {"/a%20b", List.of("a%20b")},
+            {"/a%c3%bc", List.of("a%C3%BC")},
+            {"/%3b", List.of("%3B")},
+            {"/a:b@c", List.of("a:b@c")},
+            {"/...", List.of("...")},
+            {"/a?/../;//", List.of("a")}
+        };
         for (Object[] row : table) {
             assertEquals(row[0].toString(), row[1], read((String) row[0], "a").segments());
-            assertEquals("passed on letter for letter", row[0], read((String) row[0], "a").origin());
+            assertEquals(
+                    "passed on letter for letter", row[0], read((String) row[0], "a").origin());
         }
     }
 
--- a/engine/src/test/java/trailthread/engine/service/LevelsConfigTest.java
+++ b/engine/src/test/java/trailthread/engine/service/LevelsConfigTest.java
@@ -27,13 +27,17 @@
     public void thePageForOperatorsNamesEveryKeyAndNoOther() throws Exception {
         Set<String> known = new TreeSet<>();
         for (String key : LevelsConfig.known()) {
-            known.add(key.replaceFirst("^(lean|reduced|essential)\\.", "LEVEL.")
-                    .replaceFirst("\\.[a-z_]+\\.", ".READING."));
+            known.add(
+                    key.replaceFirst("^(lean|reduced|essential)\\.", "LEVEL.")
+                            .replaceFirst("\\.[a-z_]+\\.", ".READING."));
         }
         assertTrue(known.toString(), known.contains("LEVEL.READING.hold_s"));
-        Set<String> named = Pattern.compile("(?m)^\\| `levels\\.([A-Za-z_.]+)` \\|")
-                .matcher(Files.readString(Path.of("../docs/levels.md"))).results()
-                .map((MatchResult row) -> row.group(1)).collect(Collectors.toCollection(TreeSet::new));
+        Set<String> named =
+                Pattern.compile("(?m)^\\| `levels\\.([A-Za-z_.]+)` \\|")
+                        .matcher(Files.readString(Path.of("../docs/levels.md")))
+                        .results()
+                        .map((MatchResult row) -> row.group(1))
+                        .collect(Collectors.toCollection(TreeSet::new));
         assertEquals(known, named);
     }
 
--- a/engine/src/test/java/trailthread/engine/service/ReadingsTest.java
+++ b/engine/src/test/java/trailthread/engine/service/ReadingsTest.java
@@ -34,24 +34,36 @@
     @Test
     public void aWorkerFailsIfMoreThanAThirdOfItsLastAttemptsFailedQuickly() {
         Object[][] cases = {
-            {"", 0.0}, {"e", 0.0}, {"ee", 0.5}, {"ec", 0.5}, {"er", 0.5}, {"ooooee", 0.0}, {"oooee", 0.5},
-            {"tttt", 0.0}, {"ffff", 0.0}, {"mmmm", 0.0}, {"ssss", 0.0}, {"uu", 0.5},
-            {"eeeeeeeeeooooooooo", 0.0}, {"ooooooooooooooooeeee", 0.5},
+            {"", 0.0},
+            {"e", 0.0},
+            {"ee", 0.5},
+            {"ec", 0.5},
+            {"er", 0.5},
+            {"ooooee", 0.0},
+            {"oooee", 0.5},
+            {"tttt", 0.0},
+            {"ffff", 0.0},
+            {"mmmm", 0.0},
+            {"ssss", 0.0},
+            {"uu", 0.5},
+            {"eeeeeeeeeooooooooo", 0.0},
+            {"ooooooooooooooooeeee", 0.5},
         };
         for (Object[] c : cases) {
             Failing failing = new Failing(100 * MS);
             failing.listed(ListKind.FULL, entries(State.READY, "w0", "w1"));
             failing.listed(ListKind.DELTA, entries(State.DRAINING, "w2"));
             for (char how : ((String) c[0]).toCharArray()) {
-                Outcome outcome = switch (how) {
-                    case 'o' -> Outcome.OK;
-                    case 'c' -> Outcome.CONNECT_FAILED;
-                    case 'r' -> Outcome.RESET;
-                    case 't' -> Outcome.TIMEOUT;
-                    case 'f' -> Outcome.FULL;
-                    case 'm' -> Outcome.MOOT;
-                    default -> Outcome.ERROR;
-                };
+                Outcome outcome =
+                        switch (how) {
+                            case 'o' -> Outcome.OK;
+                            case 'c' -> Outcome.CONNECT_FAILED;
+                            case 'r' -> Outcome.RESET;
+                            case 't' -> Outcome.TIMEOUT;
+                            case 'f' -> Outcome.FULL;
+                            case 'm' -> Outcome.MOOT;
+                            default -> Outcome.ERROR;
+                        };
                 long latency = how == 's' ? 101 * MS : how == 'u' ? -1 : MS;
                 failing.ended("w0", outcome, latency, 0);
                 failing.ended("w2", outcome, latency, 0);
@@ -86,9 +98,20 @@
 
     @Test
     public void guardedCallsThatLackAWorkerAreStarvedUnlessTheyWereShed() {
-        List<RequestClass> classes = List.of(
-                new RequestClass("poll", 100 * MS, 0, 1000 * MS, Semantics.SAFE, Group.ALL, 0, 1, 0),
-                new RequestClass("use", 100 * MS, 0, 1000 * MS, Semantics.UNSAFE, Group.ALL, 0, 1, 0));
+        List<RequestClass> classes =
+                List.of(
+                        new RequestClass(
+                                "poll", 100 * MS, 0, 1000 * MS, Semantics.SAFE, Group.ALL, 0, 1, 0),
+                        new RequestClass(
+                                "use",
+                                100 * MS,
+                                0,
+                                1000 * MS,
+                                Semantics.UNSAFE,
+                                Group.ALL,
+                                0,
+                                1,
+                                0));
         Starved starved = new Starved(classes, new ShedOrder(classes, List.of()), 0);
         starved.answered("poll", Answer.FAILED, 0, 0);
         starved.answered("other", Answer.FAILED, 0, 0);
@@ -97,7 +120,9 @@
         starved.answered("use", Answer.REFUSED, -1, 0);
         assertEquals(0, starved.share(0), NONE);
         double before = 0;
-        Object[][] cases = {{Answer.REFUSED, -1L}, {Answer.FAILED, 0L}, {Answer.SERVED, 10 * MS + 1}};
+        Object[][] cases = {
+            {Answer.REFUSED, -1L}, {Answer.FAILED, 0L}, {Answer.SERVED, 10 * MS + 1}
+        };
         for (Object[] c : cases) {
             starved.answered("use", (Answer) c[0], (long) c[1], 0);
             assertTrue(c[0] + " counts", starved.share(0) > before);
@@ -119,8 +144,14 @@
         Path file = Files.createTempFile("schedstat", "");
         try {
             String[][] cases = {
-                {"9 1000 3\n", "NaN"}, {"9 1025 3\n", "0.25"}, {"9 9025 3\n", "1.0"}, {"nothing\n", "NaN"},
-                {"9 10 3\n", "NaN"}, {"9 5 3\n", "0.0"}, {"9 x 3\n", "NaN"}, {"", "NaN"},
+                {"9 1000 3\n", "NaN"},
+                {"9 1025 3\n", "0.25"},
+                {"9 9025 3\n", "1.0"},
+                {"nothing\n", "NaN"},
+                {"9 10 3\n", "NaN"},
+                {"9 5 3\n", "0.0"},
+                {"9 x 3\n", "NaN"},
+                {"", "NaN"},
             };
             CpuWithheld cpu = CpuWithheld.open(file);
             long now = 0;
--- a/engine/src/test/java/trailthread/engine/worker/AnswerTimeTest.java
+++ b/engine/src/test/java/trailthread/engine/worker/AnswerTimeTest.java
@@ -21,7 +21,10 @@
         assertEquals(20, told(18, 22));
     }
 
-    /** The middle of such bounds was told: 7 ms of workers that take 20, which then passed for jammed. */
+    /**
+     * The middle of such bounds was told: 7 ms of workers that take 20, which then passed for
+     * jammed.
+     */
     @Test
     public void aNodeThatIsLateFromTheStartTellsNothing() {
         for (int i = 0; i < 100; i++) {
--- a/engine/src/test/java/trailthread/engine/worker/LateLoopTest.java
+++ b/engine/src/test/java/trailthread/engine/worker/LateLoopTest.java
@@ -23,11 +23,11 @@
 import trailthread.BalancerApi.Load;
 import trailthread.BalancerApi.Outcome;
 import trailthread.BalancerApi.State;
+import trailthread.engine.discovery.DiscoveryEntry;
+import trailthread.engine.discovery.DiscoveryUpdate;
 import trailthread.engine.http.ByteSink;
 import trailthread.engine.loop.Account;
 import trailthread.engine.loop.Loop;
-import trailthread.engine.discovery.DiscoveryEntry;
-import trailthread.engine.discovery.DiscoveryUpdate;
 
 /** What a worker has done in time is not held against it because the loop runs late. */
 public class LateLoopTest {
@@ -49,10 +49,31 @@
     }
 
     private Workers workers(long connectTimeoutNs) {
-        Workers workers = new Workers(loop, connectTimeoutNs, LONG_NS, 0, ConnectionRoom.of(16), 500 * MS,
-                Account.NONE);
-        loop.execute(() -> workers.update(new DiscoveryUpdate(1, true, List.of(new DiscoveryEntry("w",
-                "127.0.0.1:" + server.getLocalPort(), "a", 0, State.READY, 1, 0))), loop.now()));
+        Workers workers =
+                new Workers(
+                        loop,
+                        connectTimeoutNs,
+                        LONG_NS,
+                        0,
+                        ConnectionRoom.of(16),
+                        500 * MS,
+                        Account.NONE);
+        loop.execute(
+                () ->
+                        workers.update(
+                                new DiscoveryUpdate(
+                                        1,
+                                        true,
+                                        List.of(
+                                                new DiscoveryEntry(
+                                                        "w",
+                                                        "127.0.0.1:" + server.getLocalPort(),
+                                                        "a",
+                                                        0,
+                                                        State.READY,
+                                                        1,
+                                                        0))),
+                                loop.now()));
         return workers;
     }
 
@@ -61,8 +82,12 @@
     }
 
     private void attempt(Workers workers, long timeoutNs, long writtenBy, String id, int length) {
-        workers.attempt("w", new WorkerRequest(id, "use", "POST", "/use", null, new byte[length], null), timeoutNs,
-                writtenBy, endings::add);
+        workers.attempt(
+                "w",
+                new WorkerRequest(id, "use", "POST", "/use", null, new byte[length], null),
+                timeoutNs,
+                writtenBy,
+                endings::add);
     }
 
     private Ending ending() throws InterruptedException {
@@ -86,8 +111,11 @@
     }
 
     private static void answer(Socket connection) throws IOException {
-        connection.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
-                .getBytes(StandardCharsets.US_ASCII));
+        connection
+                .getOutputStream()
+                .write(
+                        "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
+                                .getBytes(StandardCharsets.US_ASCII));
     }
 
     private static void sleep(long ms) {
@@ -105,39 +133,77 @@
         loop.execute(() -> attempt(workers, 400 * MS));
         try (Socket connection = server.accept()) {
             readRequest(connection);
-            loop.execute(() -> {
-                try {
-                    connection.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
-                            .getBytes(StandardCharsets.US_ASCII));
-                } catch (IOException e) {
-                    throw new UncheckedIOException(e);
-                }
-                sleep(600); // the time-out is due before the sockets are looked at
-            });
+            loop.execute(
+                    () -> {
+                        try {
+                            connection
+                                    .getOutputStream()
+                                    .write(
+                                            "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
+                                                    .getBytes(StandardCharsets.US_ASCII));
+                        } catch (IOException e) {
+                            throw new UncheckedIOException(e);
+                        }
+                        sleep(600); // the time-out is due before the sockets are looked at
+                    });
             assertEquals(Outcome.OK, ending().outcome());
         }
     }
 
-    /** Its time began anew when an attempt came too late for it, and its worker closes it by its own. */
+    /**
+     * Its time began anew when an attempt came too late for it, and its worker closes it by its
+     * own.
+     */
     @Test
     public void aConnectionThatWasNotUsedAfterAllIdlesOn() throws Exception {
-        Workers workers = new Workers(loop, LONG_NS, 1_000 * MS, 0, ConnectionRoom.of(16), 500 * MS, Account.NONE);
-        loop.execute(() -> workers.update(new DiscoveryUpdate(1, true, List.of(new DiscoveryEntry("w",
-                "127.0.0.1:" + server.getLocalPort(), "a", 0, State.READY, 1, 0))), loop.now()));
+        Workers workers =
+                new Workers(
+                        loop,
+                        LONG_NS,
+                        1_000 * MS,
+                        0,
+                        ConnectionRoom.of(16),
+                        500 * MS,
+                        Account.NONE);
+        loop.execute(
+                () ->
+                        workers.update(
+                                new DiscoveryUpdate(
+                                        1,
+                                        true,
+                                        List.of(
+                                                new DiscoveryEntry(
+                                                        "w",
+                                                        "127.0.0.1:" + server.getLocalPort(),
+                                                        "a",
+                                                        0,
+                                                        State.READY,
+                                                        1,
+                                                        0))),
+                                loop.now()));
         loop.execute(() -> attempt(workers, LONG_NS));
         server.setSoTimeout(10_000);
         try (Socket first = server.accept()) {
             readRequest(first);
             answer(first);
             assertEquals(Outcome.OK, ending().outcome());
-            loop.execute(() -> {
-                sleep(500);
-                attempt(workers, LONG_NS, 1, "late", 4);
-                loop.execute(() -> loop.execute(() -> { // after the late one's turn
-                    sleep(500);
-                    attempt(workers, LONG_NS, Long.MAX_VALUE, "2", 4);
-                }));
-            });
+            loop.execute(
+                    () -> {
+                        sleep(500);
+                        attempt(workers, LONG_NS, 1, "late", 4);
+                        loop.execute(
+                                () ->
+                                        loop.execute(
+                                                () -> { // after the late one's turn
+                                                    sleep(500);
+                                                    attempt(
+                                                            workers,
+                                                            LONG_NS,
+                                                            Long.MAX_VALUE,
+                                                            "2",
+                                                            4);
+                                                }));
+                    });
             assertEquals(Outcome.MOOT, ending().outcome());
             try (Socket second = server.accept()) {
                 assertTrue(readRequest(second).contains("X-Correlation-Id: 2\r\n"));
@@ -145,37 +211,68 @@
         }
     }
 
-    /** It was used on, as the sweep that drops it is a timer, and its worker may just have closed it. */
+    /**
+     * It was used on, as the sweep that drops it is a timer, and its worker may just have closed
+     * it.
+     */
     @Test
     public void aConnectionThatHasIdledPastItsTimeIsNotUsed() throws Exception {
-        Workers workers = new Workers(loop, LONG_NS, 1_000 * MS, 0, ConnectionRoom.of(16), 500 * MS, Account.NONE);
-        loop.execute(() -> workers.update(new DiscoveryUpdate(1, true, List.of(new DiscoveryEntry("w",
-                "127.0.0.1:" + server.getLocalPort(), "a", 0, State.READY, 1, 0))), loop.now()));
+        Workers workers =
+                new Workers(
+                        loop,
+                        LONG_NS,
+                        1_000 * MS,
+                        0,
+                        ConnectionRoom.of(16),
+                        500 * MS,
+                        Account.NONE);
+        loop.execute(
+                () ->
+                        workers.update(
+                                new DiscoveryUpdate(
+                                        1,
+                                        true,
+                                        List.of(
+                                                new DiscoveryEntry(
+                                                        "w",
+                                                        "127.0.0.1:" + server.getLocalPort(),
+                                                        "a",
+                                                        0,
+                                                        State.READY,
+                                                        1,
+                                                        0))),
+                                loop.now()));
         loop.execute(() -> attempt(workers, LONG_NS));
         server.setSoTimeout(10_000);
         try (Socket first = server.accept()) {
             readRequest(first);
             answer(first);
             assertEquals(Outcome.OK, ending().outcome());
-            loop.execute(() -> {
-                sleep(1_000);
-                attempt(workers, LONG_NS, Long.MAX_VALUE, "2", 4);
-            });
+            loop.execute(
+                    () -> {
+                        sleep(1_000);
+                        attempt(workers, LONG_NS, Long.MAX_VALUE, "2", 4);
+                    });
             try (Socket second = server.accept()) {
                 assertTrue(readRequest(second).contains("X-Correlation-Id: 2\r\n"));
             }
         }
     }
 
-    /** A second answer may come on the one that was used last; the others have had theirs, if there was any. */
+    /**
+     * A second answer may come on the one that was used last; the others have had theirs, if there
+     * was any.
+     */
     @Test
     public void aConnectionThatHasSettledIsPreferred() throws Exception {
         Workers workers = workers(LONG_NS);
-        loop.execute(() -> {
-            attempt(workers, LONG_NS);
-            attempt(workers, LONG_NS, Long.MAX_VALUE, "2", 4);
-        });
-        try (Socket one = server.accept(); Socket other = server.accept()) {
+        loop.execute(
+                () -> {
+                    attempt(workers, LONG_NS);
+                    attempt(workers, LONG_NS, Long.MAX_VALUE, "2", 4);
+                });
+        try (Socket one = server.accept();
+                Socket other = server.accept()) {
             for (Socket connection : new Socket[] {one, other}) {
                 readRequest(connection);
                 answer(connection);
@@ -188,8 +285,10 @@
                 loop.execute(() -> attempt(workers, LONG_NS));
                 Socket used = null;
                 while (used == null) {
-                    used = one.getInputStream().available() > 0 ? one
-                            : other.getInputStream().available() > 0 ? other : null;
+                    used =
+                            one.getInputStream().available() > 0
+                                    ? one
+                                    : other.getInputStream().available() > 0 ? other : null;
                 }
                 readRequest(used);
                 answer(used);
@@ -202,59 +301,77 @@
         }
     }
 
-    /** The look before a time-out found the beginning of a long answer, and the time-out then ended it. */
+    /**
+     * The look before a time-out found the beginning of a long answer, and the time-out then ended
+     * it.
+     */
     @Test
     public void aLongAnswerThatHasBegunIsNoTimeOut() throws Exception {
         int length = 100_000;
         Workers workers = workers(LONG_NS);
         AtomicInteger passed = new AtomicInteger();
-        loop.execute(() -> workers.attempt("w", new WorkerRequest("1", "use", "POST", "/use", null, new byte[4], null),
-                400 * MS, new AttemptListener() {
-                    @Override
-                    public ByteSink begins(Made head, long told, Load load, Runnable more) {
-                        return new ByteSink() {
-                            @Override
-                            public boolean piece(ByteBuffer piece) {
-                                passed.addAndGet(piece.remaining());
-                                return true;
-                            }
+        loop.execute(
+                () ->
+                        workers.attempt(
+                                "w",
+                                new WorkerRequest(
+                                        "1", "use", "POST", "/use", null, new byte[4], null),
+                                400 * MS,
+                                new AttemptListener() {
+                                    @Override
+                                    public ByteSink begins(
+                                            Made head, long told, Load load, Runnable more) {
+                                        return new ByteSink() {
+                                            @Override
+                                            public boolean piece(ByteBuffer piece) {
+                                                passed.addAndGet(piece.remaining());
+                                                return true;
+                                            }
 
-                            @Override
-                            public void end() {
-                                passed.addAndGet(1);
-                            }
+                                            @Override
+                                            public void end() {
+                                                passed.addAndGet(1);
+                                            }
 
-                            @Override
-                            public void broken() {
-                                passed.set(-1);
-                            }
-                        };
-                    }
+                                            @Override
+                                            public void broken() {
+                                                passed.set(-1);
+                                            }
+                                        };
+                                    }
 
-                    @Override
-                    public void ended(Ending ending) {
-                        endings.add(ending);
-                    }
-                }));
+                                    @Override
+                                    public void ended(Ending ending) {
+                                        endings.add(ending);
+                                    }
+                                }));
         try (Socket connection = server.accept()) {
             readRequest(connection);
-            byte[] head = ("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\nx")
-                    .getBytes(StandardCharsets.US_ASCII);
-            loop.execute(() -> {
-                try {
-                    connection.getOutputStream().write(head);
-                } catch (IOException e) {
-                    throw new UncheckedIOException(e);
-                }
-                sleep(600);
-            });
-            loop.execute(() -> loop.after(200 * MS, () -> {
-                try {
-                    connection.getOutputStream().write(new byte[length - 1]);
-                } catch (IOException e) {
-                    throw new UncheckedIOException(e);
-                }
-            }));
+            byte[] head =
+                    ("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\nx")
+                            .getBytes(StandardCharsets.US_ASCII);
+            loop.execute(
+                    () -> {
+                        try {
+                            connection.getOutputStream().write(head);
+                        } catch (IOException e) {
+                            throw new UncheckedIOException(e);
+                        }
+                        sleep(600);
+                    });
+            loop.execute(
+                    () ->
+                            loop.after(
+                                    200 * MS,
+                                    () -> {
+                                        try {
+                                            connection
+                                                    .getOutputStream()
+                                                    .write(new byte[length - 1]);
+                                        } catch (IOException e) {
+                                            throw new UncheckedIOException(e);
+                                        }
+                                    }));
             assertEquals(Outcome.OK, ending().outcome());
             assertEquals(length + 1, passed.get());
         }
@@ -263,10 +380,11 @@
     @Test
     public void aConnectionThatHasComeUpIsNoFailure() throws Exception {
         Workers workers = workers(100 * MS);
-        loop.execute(() -> {
-            attempt(workers, LONG_NS);
-            loop.execute(() -> sleep(300));
-        });
+        loop.execute(
+                () -> {
+                    attempt(workers, LONG_NS);
+                    loop.execute(() -> sleep(300));
+                });
         try (Socket connection = server.accept()) {
             readRequest(connection);
         }
@@ -277,10 +395,11 @@
     @Test
     public void whatMayNoLongerBeWrittenOnceItsConnectionIsUpIsNot() throws Exception {
         Workers workers = workers(LONG_NS);
-        loop.execute(() -> {
-            attempt(workers, LONG_NS, loop.now() + 100 * MS, "late", 4);
-            loop.execute(() -> sleep(300));
-        });
+        loop.execute(
+                () -> {
+                    attempt(workers, LONG_NS, loop.now() + 100 * MS, "late", 4);
+                    loop.execute(() -> sleep(300));
+                });
         assertEquals(Outcome.MOOT, ending().outcome());
         loop.execute(() -> attempt(workers, LONG_NS, Long.MAX_VALUE, "next", 4));
         try (Socket connection = server.accept()) {
@@ -298,11 +417,16 @@
             answer(connection);
             assertEquals(Outcome.OK, ending().outcome());
             for (boolean ofItsTime : new boolean[] {false, true}) {
-                loop.execute(() -> {
-                    attempt(workers, ofItsTime ? 100 * MS : LONG_NS,
-                            ofItsTime ? Long.MAX_VALUE : loop.now() + 100 * MS, "late", 4);
-                    sleep(300); // it starts once this is over
-                });
+                loop.execute(
+                        () -> {
+                            attempt(
+                                    workers,
+                                    ofItsTime ? 100 * MS : LONG_NS,
+                                    ofItsTime ? Long.MAX_VALUE : loop.now() + 100 * MS,
+                                    "late",
+                                    4);
+                            sleep(300); // it starts once this is over
+                        });
                 assertEquals(Outcome.MOOT, ending().outcome());
             }
             loop.execute(() -> attempt(workers, LONG_NS, Long.MAX_VALUE, "next", 4));
@@ -332,15 +456,19 @@
             for (int i = 0; i < 2; i++) {
                 readRequest(connection);
                 boolean late = i > 0;
-                loop.execute(() -> {
-                    try {
-                        connection.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
-                                .getBytes(StandardCharsets.US_ASCII));
-                    } catch (IOException e) {
-                        throw new UncheckedIOException(e);
-                    }
-                    sleep(late ? 1000 : 0);
-                });
+                loop.execute(
+                        () -> {
+                            try {
+                                connection
+                                        .getOutputStream()
+                                        .write(
+                                                "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
+                                                        .getBytes(StandardCharsets.US_ASCII));
+                            } catch (IOException e) {
+                                throw new UncheckedIOException(e);
+                            }
+                            sleep(late ? 1000 : 0);
+                        });
                 Ending ending = ending();
                 assertEquals(Outcome.OK, ending.outcome());
                 assertTrue("took " + ending.latencyNs(), ending.latencyNs() < 900 * MS);
--- a/engine/src/test/java/trailthread/engine/worker/LatencyTest.java
+++ b/engine/src/test/java/trailthread/engine/worker/LatencyTest.java
@@ -16,10 +16,10 @@
 import org.junit.Test;
 import trailthread.BalancerApi.Outcome;
 import trailthread.BalancerApi.State;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
 import trailthread.engine.discovery.DiscoveryEntry;
 import trailthread.engine.discovery.DiscoveryUpdate;
+import trailthread.engine.loop.Account;
+import trailthread.engine.loop.Loop;
 
 /** What is told of how long a worker took. */
 public class LatencyTest {
@@ -29,18 +29,35 @@
     @Test
     public void theOpeningOfAConnectionIsNoSignOfLoad() throws Exception {
         Loop loop = new Loop("test");
-        Workers workers = new Workers(loop, LONG_NS, LONG_NS, 0, ConnectionRoom.of(16), 0,
-                Account.NONE);
+        Workers workers =
+                new Workers(loop, LONG_NS, LONG_NS, 0, ConnectionRoom.of(16), 0, Account.NONE);
         BlockingQueue<Ending> endings = new LinkedBlockingQueue<>();
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket first = new Socket(server.getInetAddress(), server.getLocalPort());
                 Socket second = new Socket(server.getInetAddress(), server.getLocalPort())) {
-            loop.execute(() -> {
-                workers.update(new DiscoveryUpdate(1, true, List.of(new DiscoveryEntry("w",
-                        "127.0.0.1:" + server.getLocalPort(), "a", 0, State.READY, 1, 0))), loop.now());
-                workers.attempt("w", new WorkerRequest("1", "use", "POST", "/use", null, new byte[4], null),
-                        LONG_NS, endings::add);
-            });
+            loop.execute(
+                    () -> {
+                        workers.update(
+                                new DiscoveryUpdate(
+                                        1,
+                                        true,
+                                        List.of(
+                                                new DiscoveryEntry(
+                                                        "w",
+                                                        "127.0.0.1:" + server.getLocalPort(),
+                                                        "a",
+                                                        0,
+                                                        State.READY,
+                                                        1,
+                                                        0))),
+                                loop.now());
+                        workers.attempt(
+                                "w",
+                                new WorkerRequest(
+                                        "1", "use", "POST", "/use", null, new byte[4], null),
+                                LONG_NS,
+                                endings::add);
+                    });
             assertTrue(first.isConnected() && second.isConnected());
             Thread.sleep(200); // the backlog is full: the connect gets no reply
             long hungUntil = loop.now();
--- a/engine/src/test/java/trailthread/engine/worker/LoadReportTest.java
+++ b/engine/src/test/java/trailthread/engine/worker/LoadReportTest.java
@@ -16,8 +16,14 @@
             {"{\"inflight\":7,\"queue\":2}", new Load(7, 2, NO, NO, NO, NO)},
             {" { \"queue\" : 2.5e0 } ", new Load(NO, 2.5, NO, NO, NO, NO)},
             {"{}", new Load(NO, NO, NO, NO, NO, NO)},
-            {"{\"util\":0.61,\"latency_ms\":9,\"qps\":1,\"eps\":0}", new Load(NO, NO, 0.61, 9, 1, 0)},
-            {"{\"new\":{\"queue\":[9]},\"queue\":1,\"inflight\":null}", new Load(NO, 1, NO, NO, NO, NO)},
+            {
+                "{\"util\":0.61,\"latency_ms\":9,\"qps\":1,\"eps\":0}",
+                new Load(NO, NO, 0.61, 9, 1, 0)
+            },
+            {
+                "{\"new\":{\"queue\":[9]},\"queue\":1,\"inflight\":null}",
+                new Load(NO, 1, NO, NO, NO, NO)
+            },
             {"{\"queue\":\"2\"}", new Load(NO, NO, NO, NO, NO, NO)},
         };
         for (Object[] c : cases) {
@@ -27,9 +33,24 @@
 
     @Test
     public void whatIsMalformedIsNone() {
-        for (String bad : new String[] {null, "", "7", "[]", "{", "{\"queue\":}", "{\"queue\":2", "{queue:2}",
-            "{\"queue\":2}x", "{\"queue\":NaN}", "null", "{\"queue\":2,}",
-            "{\"queue\":-1,\"inflight\":1}", "{\"queue\":1e99}", "{\"queue\":1e999}"}) {
+        for (String bad :
+                new String[] {
+                    null,
+                    "",
+                    "7",
+                    "[]",
+                    "{",
+                    "{\"queue\":}",
+                    "{\"queue\":2",
+                    "{queue:2}",
+                    "{\"queue\":2}x",
+                    "{\"queue\":NaN}",
+                    "null",
+                    "{\"queue\":2,}",
+                    "{\"queue\":-1,\"inflight\":1}",
+                    "{\"queue\":1e99}",
+                    "{\"queue\":1e999}"
+                }) {
             assertNull(bad, LoadReport.parse(bad));
         }
     }
--- a/engine/src/test/java/trailthread/engine/worker/OutcomeByMomentTest.java
+++ b/engine/src/test/java/trailthread/engine/worker/OutcomeByMomentTest.java
@@ -16,16 +16,20 @@
 import org.junit.Test;
 import trailthread.BalancerApi.Outcome;
 import trailthread.BalancerApi.State;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
 import trailthread.engine.discovery.DiscoveryEntry;
 import trailthread.engine.discovery.DiscoveryUpdate;
+import trailthread.engine.loop.Account;
+import trailthread.engine.loop.Loop;
 
-/** How an attempt ends, by the moment at which it does; whether it may have run follows from that alone. */
+/**
+ * How an attempt ends, by the moment at which it does; whether it may have run follows from that
+ * alone.
+ */
 public class OutcomeByMomentTest {
     private static final long MS = 1_000_000L;
     private static final long LONG_NS = 60_000 * MS;
     private static final int SHORT = 4;
+
     /** More than the system holds for a connection whose worker does not read. */
     private static final int LONG = 32 * 1024 * 1024;
 
@@ -68,7 +72,8 @@
         };
     }
 
-    private void plays(String moment, int length, long timeoutNs, Act act, Outcome expected) throws Exception {
+    private void plays(String moment, int length, long timeoutNs, Act act, Outcome expected)
+            throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             attempt(server.getLocalPort(), length, timeoutNs, LONG_NS);
             try (Socket connection = server.accept()) {
@@ -79,13 +84,31 @@
     }
 
     private Workers attempt(int port, int length, long timeoutNs, long connectNs) {
-        Workers workers = new Workers(loop, connectNs, LONG_NS, 0, ConnectionRoom.of(4), 0, Account.NONE);
-        loop.execute(() -> {
-            workers.update(new DiscoveryUpdate(1, true, List.of(new DiscoveryEntry("w", "127.0.0.1:" + port, "a", 0,
-                    State.READY, 1, 0))), loop.now());
-            workers.attempt("w", new WorkerRequest("1", "use", "POST", "/use", null, new byte[length], null),
-                    timeoutNs, endings::add);
-        });
+        Workers workers =
+                new Workers(loop, connectNs, LONG_NS, 0, ConnectionRoom.of(4), 0, Account.NONE);
+        loop.execute(
+                () -> {
+                    workers.update(
+                            new DiscoveryUpdate(
+                                    1,
+                                    true,
+                                    List.of(
+                                            new DiscoveryEntry(
+                                                    "w",
+                                                    "127.0.0.1:" + port,
+                                                    "a",
+                                                    0,
+                                                    State.READY,
+                                                    1,
+                                                    0))),
+                            loop.now());
+                    workers.attempt(
+                            "w",
+                            new WorkerRequest(
+                                    "1", "use", "POST", "/use", null, new byte[length], null),
+                            timeoutNs,
+                            endings::add);
+                });
         return workers;
     }
 
@@ -116,40 +139,79 @@
     public void beforeTheLastByteIsWritten() throws Exception {
         String unprocessed = "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
         String error = "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n";
-        plays("the connection ends", LONG, LONG_NS, reads(1, Socket::close), Outcome.CONNECT_FAILED);
-        plays("its time is over", LONG, 300 * MS, reads(1, c -> { }), Outcome.CONNECT_FAILED);
-        plays("it is turned away", LONG, LONG_NS, reads(1, answers(unprocessed, false)), Outcome.FULL);
-        plays("it is answered with an error", LONG, LONG_NS, reads(1, answers(error, false)), Outcome.ERROR);
-        plays("an answer is cut", LONG, LONG_NS, reads(1, answers(error.substring(0, 20), true)),
+        plays(
+                "the connection ends",
+                LONG,
+                LONG_NS,
+                reads(1, Socket::close),
+                Outcome.CONNECT_FAILED);
+        plays("its time is over", LONG, 300 * MS, reads(1, c -> {}), Outcome.CONNECT_FAILED);
+        plays(
+                "it is turned away",
+                LONG,
+                LONG_NS,
+                reads(1, answers(unprocessed, false)),
+                Outcome.FULL);
+        plays(
+                "it is answered with an error",
+                LONG,
+                LONG_NS,
+                reads(1, answers(error, false)),
+                Outcome.ERROR);
+        plays(
+                "an answer is cut",
+                LONG,
+                LONG_NS,
+                reads(1, answers(error.substring(0, 20), true)),
                 Outcome.CONNECT_FAILED);
     }
 
     @Test
     public void afterTheLastByteIsWritten() throws Exception {
         String served = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade";
-        String[] turnedAway = {"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n",
-            "HTTP/1.1 504 Over\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"};
-        String[] failed = {"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n",
+        String[] turnedAway = {
+            "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n",
+            "HTTP/1.1 504 Over\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+        };
+        String[] failed = {
+            "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n",
             "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
             "HTTP/1.1 503 Busy\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n",
             "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n",
-            "HTTP/1.1 100 Continue\r\nX-Unprocessed: 1\r\n\r\nHTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"};
-        plays("nothing comes", SHORT, 300 * MS, reads(SHORT, c -> { }), Outcome.TIMEOUT);
+            "HTTP/1.1 100 Continue\r\nX-Unprocessed: 1\r\n\r\nHTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+        };
+        plays("nothing comes", SHORT, 300 * MS, reads(SHORT, c -> {}), Outcome.TIMEOUT);
         plays("the connection ends", SHORT, LONG_NS, reads(SHORT, Socket::close), Outcome.RESET);
         plays("it is served", SHORT, LONG_NS, reads(SHORT, answers(served, false)), Outcome.OK);
         for (String answer : turnedAway) {
             plays(answer, SHORT, LONG_NS, reads(SHORT, answers(answer, false)), Outcome.FULL);
-            plays("cut: " + answer, SHORT, LONG_NS,
-                    reads(SHORT, answers(answer.substring(0, answer.length() - 2), true)), Outcome.RESET);
-            plays("half: " + answer, SHORT, 300 * MS,
-                    reads(SHORT, answers(answer.substring(0, answer.length() - 2), false)), Outcome.TIMEOUT);
-            plays("unreadable: " + answer, SHORT, LONG_NS,
-                    reads(SHORT, answers(answer.replace("Length: 0", "Length: -1"), false)), Outcome.RESET);
+            plays(
+                    "cut: " + answer,
+                    SHORT,
+                    LONG_NS,
+                    reads(SHORT, answers(answer.substring(0, answer.length() - 2), true)),
+                    Outcome.RESET);
+            plays(
+                    "half: " + answer,
+                    SHORT,
+                    300 * MS,
+                    reads(SHORT, answers(answer.substring(0, answer.length() - 2), false)),
+                    Outcome.TIMEOUT);
+            plays(
+                    "unreadable: " + answer,
+                    SHORT,
+                    LONG_NS,
+                    reads(SHORT, answers(answer.replace("Length: 0", "Length: -1"), false)),
+                    Outcome.RESET);
         }
         for (String answer : failed) {
             plays(answer, SHORT, LONG_NS, reads(SHORT, answers(answer, false)), Outcome.ERROR);
         }
-        plays("an answer has begun", SHORT, 300 * MS,
-                reads(SHORT, answers(served.substring(0, served.length() - 1), false)), Outcome.TIMEOUT);
+        plays(
+                "an answer has begun",
+                SHORT,
+                300 * MS,
+                reads(SHORT, answers(served.substring(0, served.length() - 1), false)),
+                Outcome.TIMEOUT);
     }
 }
--- a/engine/src/test/java/trailthread/engine/worker/WorkerAnswerTest.java
+++ b/engine/src/test/java/trailthread/engine/worker/WorkerAnswerTest.java
@@ -12,11 +12,18 @@
     @Test
     public void whatAnAnswerMeans() {
         Object[][] cases = {
-            {200, null, Outcome.OK}, {200, "1", Outcome.OK},
-            {500, null, Outcome.ERROR}, {500, "1", Outcome.ERROR},
-            {503, "1", Outcome.FULL}, {504, "1", Outcome.FULL},
-            {503, null, Outcome.ERROR}, {504, "0", Outcome.ERROR}, {429, "1", Outcome.ERROR},
-            {204, null, Outcome.ERROR}, {302, null, Outcome.ERROR}, {400, null, Outcome.ERROR},
+            {200, null, Outcome.OK},
+            {200, "1", Outcome.OK},
+            {500, null, Outcome.ERROR},
+            {500, "1", Outcome.ERROR},
+            {503, "1", Outcome.FULL},
+            {504, "1", Outcome.FULL},
+            {503, null, Outcome.ERROR},
+            {504, "0", Outcome.ERROR},
+            {429, "1", Outcome.ERROR},
+            {204, null, Outcome.ERROR},
+            {302, null, Outcome.ERROR},
+            {400, null, Outcome.ERROR},
         };
         for (Object[] c : cases) {
             HeaderMap headers = new HeaderMap();
@@ -33,11 +40,23 @@
     /** What a plain worker may answer, and what says that it is at fault. */
     @Test
     public void plainAnswers() {
-        Object[][] cases = {{200, Outcome.OK}, {201, Outcome.OK}, {204, Outcome.OK}, {304, Outcome.OK},
-            {404, Outcome.OK}, {428, Outcome.OK}, {429, Outcome.ERROR}, {500, Outcome.ERROR},
-            {503, Outcome.ERROR}, {599, Outcome.ERROR}};
+        Object[][] cases = {
+            {200, Outcome.OK},
+            {201, Outcome.OK},
+            {204, Outcome.OK},
+            {304, Outcome.OK},
+            {404, Outcome.OK},
+            {428, Outcome.OK},
+            {429, Outcome.ERROR},
+            {500, Outcome.ERROR},
+            {503, Outcome.ERROR},
+            {599, Outcome.ERROR}
+        };
         for (Object[] c : cases) {
-            assertEquals(c[0].toString(), c[1], WorkerAnswer.decode((Integer) c[0], new HeaderMap()).outcome(true));
+            assertEquals(
+                    c[0].toString(),
+                    c[1],
+                    WorkerAnswer.decode((Integer) c[0], new HeaderMap()).outcome(true));
         }
     }
 }
--- a/lab/src/main/java/trailthread/lab/agenda/Agenda.java
+++ b/lab/src/main/java/trailthread/lab/agenda/Agenda.java
@@ -3,9 +3,10 @@
 import java.util.PriorityQueue;
 
 /**
- * What is to happen in virtual time, in order: by time, and at one time in the order in which it was set. Nothing
- * depends on hashing or on the machine, so one seed gives one history (discrete-event simulation with a future event
- * list: Law, "Simulation Modeling and Analysis", 1.3).
+ * What is to happen in virtual time, in order: by time, and at one time in the order in which it
+ * was set. Nothing depends on hashing or on the machine, so one seed gives one history
+ * (discrete-event simulation with a future event list: Law, "Simulation Modeling and Analysis",
+ * 1.3).
  */
 public final class Agenda {
     /** Something that is to happen; {@link #cancel} takes it back. */
@@ -56,7 +57,9 @@
         return entries.size();
     }
 
-    /** Sets a task to a time; one that has passed stands for now, after all else that is set to now. */
+    /**
+     * Sets a task to a time; one that has passed stands for now, after all else that is set to now.
+     */
     public Entry at(long time, Runnable task) {
         Entry entry = new Entry(Math.max(now, time), serial++, task);
         entries.add(entry);
--- a/lab/src/main/java/trailthread/lab/clients/Ask.java
+++ b/lab/src/main/java/trailthread/lab/clients/Ask.java
@@ -3,20 +3,26 @@
 import trailthread.BalancerApi.Semantics;
 import trailthread.lab.scenario.Scenario.ClassLaw;
 
-/** What a client wants, over all its tries. All that is drawn is drawn at its beginning, whatever becomes of it. */
+/**
+ * What a client wants, over all its tries. All that is drawn is drawn at its beginning, whatever
+ * becomes of it.
+ */
 public final class Ask {
     /** What a try came to, as its client sees it. */
     public enum Seen {
-        SERVED, REFUSED, FAILED,
+        SERVED,
+        REFUSED,
+        FAILED,
         /** No node was there, or it closed the connection unheard: nothing has run. */
         UNREACHABLE,
         /** No answer; it may have run. */
         NOTHING
     }
 
-    /** What is drawn for each try: how long it lasts, how long the wait after it, and which node. */
-    record Draws(double[] patience, double[] backoff, double[] front) {
-    }
+    /**
+     * What is drawn for each try: how long it lasts, how long the wait after it, and which node.
+     */
+    record Draws(double[] patience, double[] backoff, double[] front) {}
 
     private final Clients clients;
     private final ClassLaw law;
@@ -30,7 +36,14 @@
     private boolean done;
     private boolean mayHaveRun;
 
-    Ask(Clients clients, ClassLaw law, String tenant, double work, long key, int zone, Draws draws) {
+    Ask(
+            Clients clients,
+            ClassLaw law,
+            String tenant,
+            double work,
+            long key,
+            int zone,
+            Draws draws) {
         this.clients = clients;
         this.law = law;
         this.tenant = tenant;
@@ -69,8 +82,14 @@
             return;
         }
         int number = tries++;
-        clients.front().take(this, zone, draws.front[number],
-                Math.min(deadline, now + (long) (draws.patience[number] * law.rules().deadlineNs())));
+        clients.front()
+                .take(
+                        this,
+                        zone,
+                        draws.front[number],
+                        Math.min(
+                                deadline,
+                                now + (long) (draws.patience[number] * law.rules().deadlineNs())));
     }
 
     /** A try has ended so; what the answer advises, in ns, 0: nothing. */
@@ -91,7 +110,14 @@
         if (!done) {
             done = true;
             clients.ended();
-            clients.figures().ended(law, seen == Seen.SERVED, seen == Seen.REFUSED, begunAt, clients.now(), tries);
+            clients.figures()
+                    .ended(
+                            law,
+                            seen == Seen.SERVED,
+                            seen == Seen.REFUSED,
+                            begunAt,
+                            clients.now(),
+                            tries);
         }
     }
 }
--- a/lab/src/main/java/trailthread/lab/clients/Clients.java
+++ b/lab/src/main/java/trailthread/lab/clients/Clients.java
@@ -11,8 +11,8 @@
 import trailthread.lab.scenario.Scenario.Surge;
 
 /**
- * The clients of a day: an open loop of Poisson arrivals. Times come from an agenda, virtual or real; a request counts
- * from when it was due, also where this machine brought it late.
+ * The clients of a day: an open loop of Poisson arrivals. Times come from an agenda, virtual or
+ * real; a request counts from when it was due, also where this machine brought it late.
  */
 public final class Clients {
     private static final int MOST_DOUBLINGS = 10;
@@ -32,7 +32,8 @@
     private int open;
 
     /** Those of a day that begins now. */
-    public Clients(Agenda agenda, Streams streams, Scenario scenario, Figures figures, Front front) {
+    public Clients(
+            Agenda agenda, Streams streams, Scenario scenario, Figures figures, Front front) {
         this.agenda = agenda;
         this.scenario = scenario;
         this.figures = figures;
@@ -102,7 +103,9 @@
         return most;
     }
 
-    /** Begins to ask, until this time; a rate that changes by thinning (Lewis and Shedler, 1979). */
+    /**
+     * Begins to ask, until this time; a rate that changes by thinning (Lewis and Shedler, 1979).
+     */
     public void begin(long end) {
         arrive(mostRate(), end);
     }
@@ -113,23 +116,30 @@
             at += (long) Streams.exponential(arrivals, 1e9 / most);
         } while (at < end && arrivals.nextDouble() * most >= rate(at));
         if (at < end) {
-            agenda.at(at, () -> {
-                open++;
-                ask().attempt();
-                arrive(most, end);
-            });
+            agenda.at(
+                    at,
+                    () -> {
+                        open++;
+                        ask().attempt();
+                        arrive(most, end);
+                    });
         }
     }
 
     private Ask ask() {
         var law = scenario.clients();
         ClassLaw of = scenario.classes().get(drawn(classShares, asks.nextDouble()));
-        String tenant = tenantShares.length == 0 ? null
-                : scenario.tenants().get(drawn(tenantShares, asks.nextDouble())).name();
+        String tenant =
+                tenantShares.length == 0
+                        ? null
+                        : scenario.tenants().get(drawn(tenantShares, asks.nextDouble())).name();
         double draw = asks.nextDouble();
-        double work = of.draw() == Draw.FIXED ? of.lowNs()
-                : of.draw() == Draw.UNIFORM ? of.lowNs() + draw * (of.highNs() - of.lowNs())
-                : -of.lowNs() * StrictMath.log(1 - draw);
+        double work =
+                of.draw() == Draw.FIXED
+                        ? of.lowNs()
+                        : of.draw() == Draw.UNIFORM
+                                ? of.lowNs() + draw * (of.highNs() - of.lowNs())
+                                : -of.lowNs() * StrictMath.log(1 - draw);
         if (tails.nextDouble() < tailShare) {
             work *= tailTimes;
         }
--- a/lab/src/main/java/trailthread/lab/clients/Front.java
+++ b/lab/src/main/java/trailthread/lab/clients/Front.java
@@ -5,8 +5,8 @@
     /**
      * Takes a try, and tells {@link Ask#saw} once how it ended.
      *
-     * @param zone  the client's, by number
-     * @param draw  uniform in [0, 1), for the choice of a node
+     * @param zone the client's, by number
+     * @param draw uniform in [0, 1), for the choice of a node
      * @param until when the client gives this try up, in ns
      */
     void take(Ask ask, int zone, double draw, long until);
--- a/lab/src/main/java/trailthread/lab/command/CompareCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/CompareCommand.java
@@ -23,25 +23,32 @@
 import trailthread.lab.scenario.ScenarioReader;
 
 /** Compares policies over the same seeds. */
-@Command(name = "compare",
-        description = "Plays scenarios with each policy over the same seeds, and says who is better.",
+@Command(
+        name = "compare",
+        description =
+                "Plays scenarios with each policy over the same seeds, and says who is better.",
         mixinStandardHelpOptions = true)
 final class CompareCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SCENARIO", arity = "1..*", description = "Scenario files.")
     private List<Path> files;
 
-    @Option(names = "--policy", paramLabel = "NAME", split = ",", description = "Which; all if not given. The first is "
-            + "compared with each other one.")
+    @Option(
+            names = "--policy",
+            paramLabel = "NAME",
+            split = ",",
+            description =
+                    "Which; all if not given. The first is " + "compared with each other one.")
     private List<String> policies = Policies.all().stream().map(Policy::name).toList();
 
-    @Mixin
-    private RunOptions options;
+    @Mixin private RunOptions options;
 
-    @Option(names = "--out", paramLabel = "FILE", description = "Adds each result as a line of JSON.")
+    @Option(
+            names = "--out",
+            paramLabel = "FILE",
+            description = "Adds each result as a line of JSON.")
     private Path out;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
@@ -54,12 +61,16 @@
                     orders.add(new Runs.Order(scenario, Policies.named(policy), seed));
                 }
             }
-            List<Result> results = Runs.make(orders, options.threads, result -> { });
+            List<Result> results = Runs.make(orders, options.threads, result -> {});
             print.println(new Comparison(results, policies.get(0)).table());
             print.flush();
             if (out != null) {
                 for (Result result : results) {
-                    Files.writeString(out, result.json() + "\n", StandardCharsets.UTF_8, StandardOpenOption.CREATE,
+                    Files.writeString(
+                            out,
+                            result.json() + "\n",
+                            StandardCharsets.UTF_8,
+                            StandardOpenOption.CREATE,
                             StandardOpenOption.APPEND);
                 }
             }
--- a/lab/src/main/java/trailthread/lab/command/EmulateCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/EmulateCommand.java
@@ -13,17 +13,23 @@
 import trailthread.lab.scenario.ScenarioReader;
 
 /** Stand-in workers and roster on loopback. */
-@Command(name = "emulate", description = "Starts a scenario's workers and roster on loopback, and plays its faults.",
+@Command(
+        name = "emulate",
+        description = "Starts a scenario's workers and roster on loopback, and plays its faults.",
         mixinStandardHelpOptions = true)
 final class EmulateCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "SCENARIO", description = "A scenario file; its length is how long it goes on.")
+    @Parameters(
+            paramLabel = "SCENARIO",
+            description = "A scenario file; its length is how long it goes on.")
     private Path file;
 
-    @Option(names = "--seed", paramLabel = "N", description = "Of all that is drawn; 1 if not given.")
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            description = "Of all that is drawn; 1 if not given.")
     private long seed = 1;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
@@ -33,7 +39,7 @@
             print.println("roster " + day.rosterAt(0));
             print.println("workers " + String.join(" ", day.workersAt(0)));
             print.flush();
-            day.play(true, d -> { });
+            day.play(true, d -> {});
         }
         return Lab.DONE;
     }
--- a/lab/src/main/java/trailthread/lab/command/Lab.java
+++ b/lab/src/main/java/trailthread/lab/command/Lab.java
@@ -7,24 +7,34 @@
 import picocli.CommandLine.Spec;
 
 /** The lab's command line. */
-@Command(name = "trailthread lab", description = "Fleets in virtual time and on loopback, load, experiments, reports.",
-        mixinStandardHelpOptions = true, subcommands = {SimulateCommand.class, CompareCommand.class,
-            RunCommand.class, EmulateCommand.class, LoadCommand.class, PoliciesCommand.class})
+@Command(
+        name = "trailthread lab",
+        description = "Fleets in virtual time and on loopback, load, experiments, reports.",
+        mixinStandardHelpOptions = true,
+        subcommands = {
+            SimulateCommand.class,
+            CompareCommand.class,
+            RunCommand.class,
+            EmulateCommand.class,
+            LoadCommand.class,
+            PoliciesCommand.class
+        })
 public final class Lab implements Callable<Integer> {
     /** Done. */
     static final int DONE = 0;
+
     /** A rule was broken, or the decisions ran wild. */
     static final int BROKEN = 1;
+
     /** Bad use, or a scenario with faults. */
     static final int BAD_USE = 2;
+
     /** The run came late on this machine, and is no result. */
     static final int LATE = 3;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    private Lab() {
-    }
+    private Lab() {}
 
     /** Runs it. */
     public static void main(String[] args) {
@@ -33,17 +43,27 @@
 
     /** As {@link #main} runs it. */
     static CommandLine commandLine() {
-        return new CommandLine(new Lab()).setExecutionExceptionHandler((e, line, parsed) -> {
-            line.getErr().println("trailthread lab: " + (e.getMessage() == null ? e : e.getMessage()));
-            if (e instanceof trailthread.lab.world.ModuleFault) {
-                return BROKEN;
-            }
-            if (!(e instanceof java.io.IOException || e instanceof IllegalArgumentException
-                    || e instanceof trailthread.lab.scenario.ScenarioReader.BadScenario)) {
-                e.printStackTrace(line.getErr());
-            }
-            return BAD_USE;
-        });
+        return new CommandLine(new Lab())
+                .setExecutionExceptionHandler(
+                        (e, line, parsed) -> {
+                            line.getErr()
+                                    .println(
+                                            "trailthread lab: "
+                                                    + (e.getMessage() == null
+                                                            ? e
+                                                            : e.getMessage()));
+                            if (e instanceof trailthread.lab.world.ModuleFault) {
+                                return BROKEN;
+                            }
+                            if (!(e instanceof java.io.IOException
+                                    || e instanceof IllegalArgumentException
+                                    || e
+                                            instanceof
+                                            trailthread.lab.scenario.ScenarioReader.BadScenario)) {
+                                e.printStackTrace(line.getErr());
+                            }
+                            return BAD_USE;
+                        });
     }
 
     @Override
--- a/lab/src/main/java/trailthread/lab/command/LoadCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/LoadCommand.java
@@ -16,25 +16,37 @@
 import trailthread.lab.scenario.ScenarioReader;
 
 /** Load on nodes that run already. */
-@Command(name = "load",
-        description = "Sends a scenario's clients to nodes on loopback: an open loop, from intended times.",
+@Command(
+        name = "load",
+        description =
+                "Sends a scenario's clients to nodes on loopback: an open loop, from intended times.",
         mixinStandardHelpOptions = true)
 final class LoadCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SCENARIO", description = "A scenario file: its clients and classes.")
     private Path file;
 
-    @Option(names = "--to", paramLabel = "PORT", split = ",", required = true,
-            description = "Ports of the nodes on 127.0.0.1, the first one's in the first zone, and so on.")
+    @Option(
+            names = "--to",
+            paramLabel = "PORT",
+            split = ",",
+            required = true,
+            description =
+                    "Ports of the nodes on 127.0.0.1, the first one's in the first zone, and so on.")
     private List<Integer> ports;
 
-    @Option(names = "--connections", paramLabel = "N", description = "Opened to each node ahead of need.")
+    @Option(
+            names = "--connections",
+            paramLabel = "N",
+            description = "Opened to each node ahead of need.")
     private int connections;
 
-    @Option(names = "--seed", paramLabel = "N", description = "Of all that is drawn; 1 if not given.")
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            description = "Of all that is drawn; 1 if not given.")
     private long seed = 1;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
@@ -47,13 +59,25 @@
             }
             long begun = System.nanoTime();
             day.play(false, d -> RealRun.progress(d, print));
-            Result result = Result.of(scenario, "load", seed, day.figures(), day.referee(), 0,
-                    System.nanoTime() - begun);
+            Result result =
+                    Result.of(
+                            scenario,
+                            "load",
+                            seed,
+                            day.figures(),
+                            day.referee(),
+                            0,
+                            System.nanoTime() - begun);
             print.println(Result.head());
             print.println(result.row());
             print.println("most connections at once " + day.mostConnections());
-            day.referee().violations().stream().limit(3).map(Violation::told).forEach(print::println);
-            return !RealRun.counts(day, print) ? Lab.LATE : result.broken().isEmpty() ? Lab.DONE : Lab.BROKEN;
+            day.referee().violations().stream()
+                    .limit(3)
+                    .map(Violation::told)
+                    .forEach(print::println);
+            return !RealRun.counts(day, print)
+                    ? Lab.LATE
+                    : result.broken().isEmpty() ? Lab.DONE : Lab.BROKEN;
         }
     }
 }
--- a/lab/src/main/java/trailthread/lab/command/PoliciesCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/PoliciesCommand.java
@@ -7,14 +7,18 @@
 import trailthread.lab.peers.Policies;
 
 /** Lists the policies. */
-@Command(name = "policies", description = "Lists the policies that runs can have.", mixinStandardHelpOptions = true)
+@Command(
+        name = "policies",
+        description = "Lists the policies that runs can have.",
+        mixinStandardHelpOptions = true)
 final class PoliciesCommand implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() {
-        Policies.all().forEach(p -> spec.commandLine().getOut().printf("%-18s %s%n", p.name(), p.about()));
+        Policies.all()
+                .forEach(
+                        p -> spec.commandLine().getOut().printf("%-18s %s%n", p.name(), p.about()));
         return Lab.DONE;
     }
 }
--- a/lab/src/main/java/trailthread/lab/command/RealRun.java
+++ b/lab/src/main/java/trailthread/lab/command/RealRun.java
@@ -8,10 +8,12 @@
 
 /** What the commands that run in real time print. */
 final class RealRun {
-    private RealRun() {
-    }
+    private RealRun() {}
 
-    /** A line of progress: the second before the last, whose requests have mostly come to their ends. */
+    /**
+     * A line of progress: the second before the last, whose requests have mostly come to their
+     * ends.
+     */
     static void progress(RealDay day, PrintWriter print) {
         List<Figures.Second> seconds = day.figures().seconds();
         int at = seconds.size() - 2;
@@ -19,8 +21,17 @@
             return;
         }
         long[] c = seconds.get(at).counts();
-        print.printf(Locale.ROOT, "%4d s: asked %5d, in time %5d, late %4d, refused %4d, failed %4d, attempts %5d; "
-                + "this program late by %.1f ms at most%n", at, c[0], c[1], c[2], c[3], c[4], c[5],
+        print.printf(
+                Locale.ROOT,
+                "%4d s: asked %5d, in time %5d, late %4d, refused %4d, failed %4d, attempts %5d; "
+                        + "this program late by %.1f ms at most%n",
+                at,
+                c[0],
+                c[1],
+                c[2],
+                c[3],
+                c[4],
+                c[5],
                 day.loop().lateUs().getMaxValue() / 1e3);
         print.flush();
     }
@@ -29,10 +40,14 @@
     static boolean counts(RealDay day, PrintWriter print) {
         double p99 = day.loop().lateUs().getValueAtPercentile(99) / 1e3;
         if (day.loop().wasLate()) {
-            print.printf(Locale.ROOT, "no result: this program did 1%% of its work %.1f ms late and more%n", p99);
+            print.printf(
+                    Locale.ROOT,
+                    "no result: this program did 1%% of its work %.1f ms late and more%n",
+                    p99);
             return false;
         }
-        print.printf(Locale.ROOT, "this program was on time: 99%% of its work within %.2f ms%n", p99);
+        print.printf(
+                Locale.ROOT, "this program was on time: 99%% of its work within %.2f ms%n", p99);
         return true;
     }
 }
--- a/lab/src/main/java/trailthread/lab/command/RunCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/RunCommand.java
@@ -18,30 +18,45 @@
 import trailthread.lab.scenario.ScenarioReader;
 
 /** A day with real nodes. */
-@Command(name = "run", description = "Plays a scenario in real time with real nodes between stand-ins, and judges it.",
+@Command(
+        name = "run",
+        description =
+                "Plays a scenario in real time with real nodes between stand-ins, and judges it.",
         mixinStandardHelpOptions = true)
 final class RunCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SCENARIO", description = "A scenario file.")
     private Path file;
 
-    @Option(names = "--seed", paramLabel = "N", description = "Of all that is drawn; 1 if not given.")
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            description = "Of all that is drawn; 1 if not given.")
     private long seed = 1;
 
-    @Option(names = "--root", paramLabel = "DIR", description = "A built checkout, whose deploy file names the nodes' "
-            + "command; this one if not given.")
+    @Option(
+            names = "--root",
+            paramLabel = "DIR",
+            description =
+                    "A built checkout, whose deploy file names the nodes' "
+                            + "command; this one if not given.")
     private Path root = Path.of(System.getProperty("trailthread.root", "."));
 
-    @Option(names = "--logs", paramLabel = "DIR", description = "Where the nodes' configurations and logs go.")
+    @Option(
+            names = "--logs",
+            paramLabel = "DIR",
+            description = "Where the nodes' configurations and logs go.")
     private Path logs;
 
-    @Option(names = "--out", paramLabel = "FILE", description = "Adds the result as a line of JSON.")
+    @Option(
+            names = "--out",
+            paramLabel = "FILE",
+            description = "Adds the result as a line of JSON.")
     private Path out;
 
     @Option(names = "--quiet", description = "No line each second.")
     private boolean quiet;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
@@ -50,23 +65,45 @@
         Path directory = logs != null ? logs : Files.createTempDirectory("trailthread-lab");
         try (RealDay day = new RealDay(scenario, seed, scenario.nodes())) {
             day.startNodes(RealDay.Program.ofCheckout(root.toAbsolutePath()), directory);
-            print.println(scenario.name() + ": " + scenario.nodes() + " nodes are ready, before "
-                    + scenario.fleet().workers() + " workers; logs in " + directory);
+            print.println(
+                    scenario.name()
+                            + ": "
+                            + scenario.nodes()
+                            + " nodes are ready, before "
+                            + scenario.fleet().workers()
+                            + " workers; logs in "
+                            + directory);
             print.flush();
             long begun = System.nanoTime();
-            day.play(true, d -> {
-                if (!quiet) {
-                    RealRun.progress(d, print);
-                }
-            });
-            Result result = Result.of(scenario, "node", seed, day.figures(), day.referee(), 0,
-                    System.nanoTime() - begun);
+            day.play(
+                    true,
+                    d -> {
+                        if (!quiet) {
+                            RealRun.progress(d, print);
+                        }
+                    });
+            Result result =
+                    Result.of(
+                            scenario,
+                            "node",
+                            seed,
+                            day.figures(),
+                            day.referee(),
+                            0,
+                            System.nanoTime() - begun);
             print.println(Result.head());
             print.println(result.row());
-            day.referee().violations().stream().limit(3).map(Violation::told).forEach(print::println);
+            day.referee().violations().stream()
+                    .limit(3)
+                    .map(Violation::told)
+                    .forEach(print::println);
             boolean counts = RealRun.counts(day, print);
             if (counts && out != null) {
-                Files.writeString(out, result.json() + "\n", StandardCharsets.UTF_8, StandardOpenOption.CREATE,
+                Files.writeString(
+                        out,
+                        result.json() + "\n",
+                        StandardCharsets.UTF_8,
+                        StandardOpenOption.CREATE,
                         StandardOpenOption.APPEND);
             }
             return !counts ? Lab.LATE : result.broken().isEmpty() ? Lab.DONE : Lab.BROKEN;
--- a/lab/src/main/java/trailthread/lab/command/RunOptions.java
+++ b/lab/src/main/java/trailthread/lab/command/RunOptions.java
@@ -8,10 +8,15 @@
     @Option(names = "--seed", paramLabel = "N", description = "The first seed; 1 if not given.")
     long seed = 1;
 
-    @Option(names = "--seeds", paramLabel = "N", description = "How many seeds, one after the other.")
+    @Option(
+            names = "--seeds",
+            paramLabel = "N",
+            description = "How many seeds, one after the other.")
     int seeds = 1;
 
-    @Option(names = "--threads", paramLabel = "N",
+    @Option(
+            names = "--threads",
+            paramLabel = "N",
             description = "How many runs at once; half of the processors if not given.")
     int threads = Math.max(1, Runtime.getRuntime().availableProcessors() / 2);
 
--- a/lab/src/main/java/trailthread/lab/command/SimulateCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/SimulateCommand.java
@@ -24,23 +24,30 @@
 import trailthread.lab.world.World;
 
 /** Plays scenarios in virtual time. */
-@Command(name = "simulate", description = "Plays scenarios in virtual time, and judges them.",
+@Command(
+        name = "simulate",
+        description = "Plays scenarios in virtual time, and judges them.",
         mixinStandardHelpOptions = true)
 final class SimulateCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SCENARIO", arity = "1..*", description = "Scenario files.")
     private List<Path> files;
 
-    @Option(names = "--policy", paramLabel = "NAME", split = ",", description = "Whose decisions; see: lab policies.")
+    @Option(
+            names = "--policy",
+            paramLabel = "NAME",
+            split = ",",
+            description = "Whose decisions; see: lab policies.")
     private List<String> policies = List.of(Policies.TRAILTHREAD.name());
 
-    @Mixin
-    private RunOptions options;
+    @Mixin private RunOptions options;
 
-    @Option(names = "--out", paramLabel = "FILE", description = "Adds each result as a line of JSON.")
+    @Option(
+            names = "--out",
+            paramLabel = "FILE",
+            description = "Adds each result as a line of JSON.")
     private Path out;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
@@ -55,13 +62,17 @@
             }
         }
         print.println(Result.head());
-        List<Result> results = Runs.make(orders, options.threads, result -> { });
+        List<Result> results = Runs.make(orders, options.threads, result -> {});
         int status = Lab.DONE;
         for (int i = 0; i < results.size(); i++) {
             Result result = results.get(i);
             print.println(result.row());
             if (out != null) {
-                Files.writeString(out, result.json() + "\n", StandardCharsets.UTF_8, StandardOpenOption.CREATE,
+                Files.writeString(
+                        out,
+                        result.json() + "\n",
+                        StandardCharsets.UTF_8,
+                        StandardOpenOption.CREATE,
                         StandardOpenOption.APPEND);
             }
             if (!result.broken().isEmpty()) {
@@ -72,13 +83,19 @@
         double events = results.stream().mapToLong(Result::events).sum();
         double ms = results.stream().mapToDouble(Result::wallMs).sum();
         double decisions = results.stream().mapToDouble(Result::decisionMs).sum();
-        print.printf(Locale.ROOT,
-                "%.0f events, %.2f million a second on each thread; %.0f%% of the time in the decisions%n", events,
-                events / ms / 1e3, 100 * decisions / ms);
+        print.printf(
+                Locale.ROOT,
+                "%.0f events, %.2f million a second on each thread; %.0f%% of the time in the decisions%n",
+                events,
+                events / ms / 1e3,
+                100 * decisions / ms);
         return status;
     }
 
-    /** The same run once more, which is the same to the last event, for the histories of what was broken. */
+    /**
+     * The same run once more, which is the same to the last event, for the histories of what was
+     * broken.
+     */
     private static void tell(Runs.Order order, PrintWriter print) {
         World.Day day = World.play(order.scenario(), order.policy(), order.seed());
         day.referee().violations().stream().limit(3).map(Violation::told).forEach(print::println);
--- a/lab/src/main/java/trailthread/lab/experiment/Bootstrap.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Bootstrap.java
@@ -5,8 +5,9 @@
 import trailthread.lab.random.Streams;
 
 /**
- * The mean of paired differences, with an interval by resampling them (percentile bootstrap: Efron and Tibshirani, "An
- * Introduction to the Bootstrap", 1993, chapter 13). The same differences give the same interval.
+ * The mean of paired differences, with an interval by resampling them (percentile bootstrap: Efron
+ * and Tibshirani, "An Introduction to the Bootstrap", 1993, chapter 13). The same differences give
+ * the same interval.
  */
 public record Bootstrap(double mean, double low, double high, int pairs) {
     private static final int SAMPLES = 10_000;
@@ -14,7 +15,9 @@
 
     /** What the interval says of the first against the second. */
     public enum Verdict {
-        BETTER("better"), WORSE("worse"), NOT_TOLD_APART("not told apart");
+        BETTER("better"),
+        WORSE("worse"),
+        NOT_TOLD_APART("not told apart");
 
         private final String words;
 
@@ -52,7 +55,10 @@
         return new Bootstrap(mean, means[tail], means[SAMPLES - 1 - tail], differences.length);
     }
 
-    /** Where the interval holds 0, or there are too few pairs for one (under five), the two are not told apart. */
+    /**
+     * Where the interval holds 0, or there are too few pairs for one (under five), the two are not
+     * told apart.
+     */
     public Verdict verdict() {
         if (pairs < 5 || low <= 0 && high >= 0) {
             return Verdict.NOT_TOLD_APART;
--- a/lab/src/main/java/trailthread/lab/experiment/Comparison.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Comparison.java
@@ -36,7 +36,8 @@
             if (ours.get(i).seed() != theirs.get(i).seed()) {
                 throw new IllegalArgumentException(first + " and " + other + " have other seeds");
             }
-            differences[i] = figure.applyAsDouble(ours.get(i)) - figure.applyAsDouble(theirs.get(i));
+            differences[i] =
+                    figure.applyAsDouble(ours.get(i)) - figure.applyAsDouble(theirs.get(i));
         }
         return Bootstrap.of(differences);
     }
@@ -48,27 +49,52 @@
     /** The table, for people. */
     public String table() {
         List<String> policies = new ArrayList<>();
-        results.forEach(r -> {
-            if (!policies.contains(r.policy())) {
-                policies.add(r.policy());
-            }
-        });
-        StringBuilder text = new StringBuilder(String.format(Locale.ROOT, "%-17s %8s %9s %9s %9s %8s %7s   %s%n",
-                results.get(0).scenario(), "goodput", "p50 ms", "p99 ms", "attempts", "probes/s", "broken",
-                first + " is"));
+        results.forEach(
+                r -> {
+                    if (!policies.contains(r.policy())) {
+                        policies.add(r.policy());
+                    }
+                });
+        StringBuilder text =
+                new StringBuilder(
+                        String.format(
+                                Locale.ROOT,
+                                "%-17s %8s %9s %9s %9s %8s %7s   %s%n",
+                                results.get(0).scenario(),
+                                "goodput",
+                                "p50 ms",
+                                "p99 ms",
+                                "attempts",
+                                "probes/s",
+                                "broken",
+                                first + " is"));
         for (String policy : policies) {
             List<Result> its = of(policy);
             String verdict = "";
             if (!policy.equals(first)) {
                 Bootstrap b = against(policy, Result::goodput);
-                verdict = String.format(Locale.ROOT, "%s by %+.4f [%+.4f, %+.4f]", b.verdict().words(), b.mean(),
-                        b.low(), b.high());
+                verdict =
+                        String.format(
+                                Locale.ROOT,
+                                "%s by %+.4f [%+.4f, %+.4f]",
+                                b.verdict().words(),
+                                b.mean(),
+                                b.low(),
+                                b.high());
             }
             long broken = its.stream().filter(r -> !r.broken().isEmpty()).count();
-            text.append(String.format(Locale.ROOT, "%-17s %8.4f %9.2f %9.2f %9.3f %8.1f %7s   %s%n", policy,
-                    mean(its, Result::goodput), mean(its, Result::p50Ms), mean(its, Result::p99Ms),
-                    mean(its, Result::attempts), mean(its, Result::probes),
-                    broken == 0 ? "none" : broken + " of " + its.size(), verdict));
+            text.append(
+                    String.format(
+                            Locale.ROOT,
+                            "%-17s %8.4f %9.2f %9.2f %9.3f %8.1f %7s   %s%n",
+                            policy,
+                            mean(its, Result::goodput),
+                            mean(its, Result::p50Ms),
+                            mean(its, Result::p99Ms),
+                            mean(its, Result::attempts),
+                            mean(its, Result::probes),
+                            broken == 0 ? "none" : broken + " of " + its.size(),
+                            verdict));
         }
         return text.toString();
     }
--- a/lab/src/main/java/trailthread/lab/experiment/Runs.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Runs.java
@@ -15,11 +15,9 @@
 /** Runs in virtual time, many at once; what they come to does not depend on how many. */
 public final class Runs {
     /** One run that is to be made. */
-    public record Order(Scenario scenario, Policy policy, long seed) {
-    }
+    public record Order(Scenario scenario, Policy policy, long seed) {}
 
-    private Runs() {
-    }
+    private Runs() {}
 
     /**
      * Makes these runs on so many threads; their results in the order of the orders.
@@ -33,12 +31,21 @@
         try {
             List<Future<Result>> futures = new ArrayList<>();
             for (Order order : orders) {
-                futures.add(pool.submit(() -> {
-                    Result result = Result.of(order.scenario(), order.policy().name(), order.seed(),
-                            World.play(order.scenario(), order.policy(), order.seed()));
-                    finished.accept(result);
-                    return result;
-                }));
+                futures.add(
+                        pool.submit(
+                                () -> {
+                                    Result result =
+                                            Result.of(
+                                                    order.scenario(),
+                                                    order.policy().name(),
+                                                    order.seed(),
+                                                    World.play(
+                                                            order.scenario(),
+                                                            order.policy(),
+                                                            order.seed()));
+                                    finished.accept(result);
+                                    return result;
+                                }));
             }
             List<Result> results = new ArrayList<>();
             for (Future<Result> future : futures) {
--- a/lab/src/main/java/trailthread/lab/figures/Figures.java
+++ b/lab/src/main/java/trailthread/lab/figures/Figures.java
@@ -8,8 +8,8 @@
 import trailthread.lab.scenario.Scenario.ClassLaw;
 
 /**
- * What came of a run, counted as it goes. What clients first asked for before the end of the warm-up does not count in
- * the totals; it stands in the series by seconds.
+ * What came of a run, counted as it goes. What clients first asked for before the end of the
+ * warm-up does not count in the totals; it stands in the series by seconds.
  */
 public final class Figures {
     private static final long MOST_US = 600_000_000L;
@@ -23,7 +23,9 @@
         private long refused;
         private final Histogram latencyUs = new Histogram(MOST_US, DIGITS);
 
-        /** Asked for; answered within the aim; after it; refused in the end; the rest has failed. */
+        /**
+         * Asked for; answered within the aim; after it; refused in the end; the rest has failed.
+         */
         public long[] counts() {
             return new long[] {asked, good, late, refused, asked - good - late - refused};
         }
@@ -44,7 +46,10 @@
         private long attempts;
         private int[] held = new int[0];
 
-        /** First tries in it, and what became of these: within the aim, after it, refused, failed; and attempts. */
+        /**
+         * First tries in it, and what became of these: within the aim, after it, refused, failed;
+         * and attempts.
+         */
         public long[] counts() {
             return new long[] {asked, good, late, refused, failed, attempts};
         }
@@ -97,7 +102,8 @@
     }
 
     /** A client's request has come to its end, over all its tries. */
-    public void ended(ClassLaw law, boolean served, boolean refused, long begunAt, long endedAt, int tried) {
+    public void ended(
+            ClassLaw law, boolean served, boolean refused, long begunAt, long endedAt, int tried) {
         long took = endedAt - begunAt;
         boolean good = served && took <= law.rules().aimNs();
         Second second = second(begunAt);
@@ -117,7 +123,10 @@
         of.late += served && !good ? 1 : 0;
         of.refused += refused ? 1 : 0;
         askedWorth += law.rules().worth();
-        goodWorth += good ? law.rules().worth() : served ? law.rules().worth() * law.rules().lateWorth() : 0;
+        goodWorth +=
+                good
+                        ? law.rules().worth()
+                        : served ? law.rules().worth() * law.rules().lateWorth() : 0;
         if (served) {
             of.latencyUs.recordValue(Math.min(MOST_US, Math.max(0, took / 1000)));
         }
@@ -191,7 +200,10 @@
         return sent;
     }
 
-    /** Requests of clients, and their tries; attempts, probes, connections opened, refusals, lines of log. */
+    /**
+     * Requests of clients, and their tries; attempts, probes, connections opened, refusals, lines
+     * of log.
+     */
     public long[] totals() {
         return new long[] {asks, tries, attempts, probes, opened, refusals, notes};
     }
--- a/lab/src/main/java/trailthread/lab/peers/Oracle.java
+++ b/lab/src/main/java/trailthread/lab/peers/Oracle.java
@@ -6,8 +6,9 @@
 import trailthread.BalancerApi.Settings;
 
 /**
- * The worker at which one more request would be done soonest, by the true state of all, with what is on its way; none,
- * where that would be past the aim. It holds nothing back and foresees no fault, so a policy may still pass it.
+ * The worker at which one more request would be done soonest, by the true state of all, with what
+ * is on its way; none, where that would be past the aim. It holds nothing back and foresees no
+ * fault, so a policy may still pass it.
  */
 final class Oracle extends PlainPolicy {
     private final Truth truth;
--- a/lab/src/main/java/trailthread/lab/peers/PlainPolicy.java
+++ b/lab/src/main/java/trailthread/lab/peers/PlainPolicy.java
@@ -19,8 +19,9 @@
 import trailthread.BalancerApi.State;
 
 /**
- * What all textbook policies have in common: the list, and the rules on repeats, which are the same for all. Which
- * worker a request goes to is each one's own. None of them holds requests back or limits what is out.
+ * What all textbook policies have in common: the list, and the rules on repeats, which are the same
+ * for all. Which worker a request goes to is each one's own. None of them holds requests back or
+ * limits what is out.
  */
 abstract class PlainPolicy implements Events {
     private static final long WATCH_AGAIN_NS = 1_000_000_000L;
@@ -32,10 +33,16 @@
         String zone;
         int cell;
         State state;
+
         /** Own attempts that are out. */
         int outstanding;
-        /** Queue as reports told it, smoothed, or requests in hand where they tell no queue; own sends since then. */
+
+        /**
+         * Queue as reports told it, smoothed, or requests in hand where they tell no queue; own
+         * sends since then.
+         */
         double told;
+
         double lastTold = -1;
         int sentSince;
 
@@ -112,8 +119,15 @@
     }
 
     @Override
-    public void request(long now, long id, String requestClass, long workNs, long deadline, String tenant,
-                        boolean repeat, long key) {
+    public void request(
+            long now,
+            long id,
+            String requestClass,
+            long workNs,
+            long deadline,
+            String tenant,
+            boolean repeat,
+            long key) {
         Request request = new Request(classes.get(requestClass), deadline);
         requests.put(id, request);
         send(now, id, request);
@@ -121,7 +135,10 @@
 
     private void send(long now, long id, Request request) {
         List<Backend> among = among(request, now);
-        boolean may = !among.isEmpty() && request.sent.size() < settings.maxAttempts && now < request.deadline;
+        boolean may =
+                !among.isEmpty()
+                        && request.sent.size() < settings.maxAttempts
+                        && now < request.deadline;
         Backend backend = may ? choose(among, request.rules, now) : null;
         if (backend == null) {
             requests.remove(id);
@@ -139,7 +156,10 @@
         actions.send(id, 0, Long.MAX_VALUE, backend.name);
     }
 
-    /** Where it may go: the rules on repeats, and then another worker than before where there is one. */
+    /**
+     * Where it may go: the rules on repeats, and then another worker than before where there is
+     * one.
+     */
     private List<Backend> among(Request request, long now) {
         if (request.sent.isEmpty()) {
             return ready;
@@ -157,14 +177,26 @@
     private boolean mayRepeat(Request request, Backend backend, long now) {
         RequestClass rules = request.rules;
         Backend first = request.sent.get(request.firstRan);
-        return rules.semantics() == Semantics.SAFE || rules.semantics() == Semantics.KEYED
-                && now + settings.connectTimeoutNs < request.sentAt.get(request.firstRan) + rules.windowNs()
-                && (rules.group() == Group.ALL || rules.group() == Group.ZONE && first.zone.equals(backend.zone)
-                || rules.group() == Group.CELL && (first == backend || first.cell >= 0 && first.cell == backend.cell));
+        return rules.semantics() == Semantics.SAFE
+                || rules.semantics() == Semantics.KEYED
+                        && now + settings.connectTimeoutNs
+                                < request.sentAt.get(request.firstRan) + rules.windowNs()
+                        && (rules.group() == Group.ALL
+                                || rules.group() == Group.ZONE && first.zone.equals(backend.zone)
+                                || rules.group() == Group.CELL
+                                        && (first == backend
+                                                || first.cell >= 0 && first.cell == backend.cell));
     }
 
     @Override
-    public void outcome(long now, long id, int attempt, Outcome outcome, long latency, boolean closed, Load load) {
+    public void outcome(
+            long now,
+            long id,
+            int attempt,
+            Outcome outcome,
+            long latency,
+            boolean closed,
+            Load load) {
         Request request = requests.get(id);
         if (request == null) {
             return;
@@ -211,12 +243,10 @@
     }
 
     @Override
-    public void firstByte(long now, long id, int attempt) {
-    }
+    public void firstByte(long now, long id, int attempt) {}
 
     @Override
-    public void probed(long now, String backend, Outcome outcome, long latency, Load load) {
-    }
+    public void probed(long now, String backend, Outcome outcome, long latency, Load load) {}
 
     /** The first of the least, from a random place on, so that ties fall evenly. */
     Backend least(List<Backend> among, java.util.function.ToDoubleFunction<Backend> cost) {
--- a/lab/src/main/java/trailthread/lab/peers/Prequal.java
+++ b/lab/src/main/java/trailthread/lab/peers/Prequal.java
@@ -9,15 +9,18 @@
 import trailthread.BalancerApi.Settings;
 
 /**
- * Prequal (Wydrowski, Kleinberg, Rumble, Archer: "Load is not what you should balance", NSDI 2024): each request sends
- * three probes and is sent by what a pool of earlier answers says. Workers with more requests in flight than a quantile
- * of those seen are hot; among the cold the one of least latency is taken, and if all are hot the one with the fewest
- * requests in flight. Figures are the paper's (section 4 and its table of parameters).
+ * Prequal (Wydrowski, Kleinberg, Rumble, Archer: "Load is not what you should balance", NSDI 2024):
+ * each request sends three probes and is sent by what a pool of earlier answers says. Workers with
+ * more requests in flight than a quantile of those seen are hot; among the cold the one of least
+ * latency is taken, and if all are hot the one with the fewest requests in flight. Figures are the
+ * paper's (section 4 and its table of parameters).
  */
 final class Prequal extends PlainPolicy {
     private static final int PROBES = 3;
+
     /** And no more than half of the workers: the paper has far more of these. */
     private static final int POOL = 16;
+
     private static final long PROBE_LIVES_NS = 1_000_000_000L;
     private static final double HOT_QUANTILE = 0.8408964152537145; // 2^-0.25
     private static final double REMOVED = 1;
@@ -42,6 +45,7 @@
 
     /** The oldest first. */
     private final List<Probe> pool = new ArrayList<>();
+
     private boolean worstNext;
 
     Prequal(Settings settings, long seed, Actions actions) {
@@ -52,8 +56,18 @@
     public void probed(long now, String backend, Outcome outcome, long latency, Load load) {
         Backend of = known(backend);
         if (outcome == Outcome.OK && load != null && of != null) {
-            double reuse = Math.max(1, (1 + DELTA) / ((1 - (double) most() / ready().size()) * PROBES - REMOVED));
-            pool.add(new Probe(of, now, load.inflight(), load.latencyMs() >= 0 ? load.latencyMs() : 0, reuse));
+            double reuse =
+                    Math.max(
+                            1,
+                            (1 + DELTA)
+                                    / ((1 - (double) most() / ready().size()) * PROBES - REMOVED));
+            pool.add(
+                    new Probe(
+                            of,
+                            now,
+                            load.inflight(),
+                            load.latencyMs() >= 0 ? load.latencyMs() : 0,
+                            reuse));
             if (pool.size() > most()) {
                 pool.remove(0);
             }
@@ -77,7 +91,8 @@
             return among.get(random.nextInt(among.size()));
         }
         double[] inflight = fit.stream().mapToDouble(p -> p.inflight).sorted().toArray();
-        double hot = inflight[Math.min(inflight.length - 1, (int) (HOT_QUANTILE * inflight.length))];
+        double hot =
+                inflight[Math.min(inflight.length - 1, (int) (HOT_QUANTILE * inflight.length))];
         Probe best = null;
         for (Probe p : fit) {
             best = best == null || better(p, best, hot) ? p : best;
@@ -97,7 +112,10 @@
         return aHot != bHot ? bHot : aHot ? a.inflight < b.inflight : a.latencyMs < b.latencyMs;
     }
 
-    /** One a request, by turns the oldest and the worst, so that the pool does not fill with what was not chosen. */
+    /**
+     * One a request, by turns the oldest and the worst, so that the pool does not fill with what
+     * was not chosen.
+     */
     private void removeOne(double hot) {
         if (pool.size() <= LEAST_POOL) {
             return;
--- a/lab/src/main/java/trailthread/lab/peers/SnsLottery.java
+++ b/lab/src/main/java/trailthread/lab/peers/SnsLottery.java
@@ -6,9 +6,9 @@
 import trailthread.BalancerApi.Settings;
 
 /**
- * The paper's lottery, with nothing else of this project's: tickets inverse to the reported queue, smoothed, with the
- * correction by own sends since the report, or without (Chawathe and Brewer, "System Support for Scalable and Fault
- * Tolerant Internet Services", 1998, 3.2).
+ * The paper's lottery, with nothing else of this project's: tickets inverse to the reported queue,
+ * smoothed, with the correction by own sends since the report, or without (Chawathe and Brewer,
+ * "System Support for Scalable and Fault Tolerant Internet Services", 1998, 3.2).
  */
 final class SnsLottery extends PlainPolicy {
     private final boolean corrected;
--- a/lab/src/main/java/trailthread/lab/peers/TwoChoices.java
+++ b/lab/src/main/java/trailthread/lab/peers/TwoChoices.java
@@ -6,8 +6,8 @@
 import trailthread.BalancerApi.Settings;
 
 /**
- * The one of two drawn evenly that has fewer of this node's own requests out (Mitzenmacher, "The Power of Two Choices
- * in Randomized Load Balancing", IEEE TPDS 12(10), 2001).
+ * The one of two drawn evenly that has fewer of this node's own requests out (Mitzenmacher, "The
+ * Power of Two Choices in Randomized Load Balancing", IEEE TPDS 12(10), 2001).
  */
 final class TwoChoices extends PlainPolicy {
     TwoChoices(Settings settings, long seed, Actions actions) {
--- a/lab/src/main/java/trailthread/lab/process/Ills.java
+++ b/lab/src/main/java/trailthread/lab/process/Ills.java
@@ -4,14 +4,19 @@
 public final class Ills {
     /** Failed at once. */
     public double failing;
+
     /** Done, and the answer is lost. */
     public double losing;
+
     /** Done, and the connection is reset. */
     public double resetting;
+
     /** Done, and what comes can't be read. */
     public double spoiling;
+
     /** How long answers take to come, byte by byte, in ns. */
     public long drips;
+
     /** Nothing comes or goes, and nothing is said. */
     public boolean cut;
 
--- a/lab/src/main/java/trailthread/lab/process/WorkerProcess.java
+++ b/lab/src/main/java/trailthread/lab/process/WorkerProcess.java
@@ -14,22 +14,24 @@
 import trailthread.lab.worker.WorkerModel;
 
 /**
- * A worker's process: its model, its reports, and what is wrong with it. Driven by an agenda, whose time may be virtual
- * or real.
+ * A worker's process: its model, its reports, and what is wrong with it. Driven by an agenda, whose
+ * time may be virtual or real.
  */
 public final class WorkerProcess {
     /** How long a worker that fails at once takes for it. */
     private static final long FAST_ERROR_NS = 1_000_000L;
+
     /** The weight of one request in the time that requests take here, as probes tell it. */
     private static final double TIME_WEIGHT = 0.2;
+
     /** Times are kept by what was held when a request came, up to so many. */
     private static final int MOST_DEPTHS = 256;
 
-    private record Report(long at, double inflight, double queue) {
-    }
+    private record Report(long at, double inflight, double queue) {}
 
     /** What is wrong with it. */
     public final Ills ills = new Ills();
+
     private final Agenda agenda;
     private final FleetLaw fleet;
     private final WorkerLaw law;
@@ -37,8 +39,10 @@
     private final UniformRandomProvider reportRandom;
     private final UniformRandomProvider illRandom;
     private final ArrayDeque<Report> reports = new ArrayDeque<>();
+
     /** What is here, in the order in which it came. */
     private final Map<Incoming, WorkerModel.Job> here = new LinkedHashMap<>();
+
     private WorkerModel model;
     private Agenda.Entry wake;
     private long wakesAt = Long.MAX_VALUE;
@@ -53,11 +57,17 @@
      * One that runs.
      *
      * @param name of its streams of random numbers
-     * @param law  its own
+     * @param law its own
      * @param cold whether it has just started
      * @param fell is run when it is pushed over while cold; the process is down then
      */
-    public WorkerProcess(Agenda agenda, Streams streams, FleetLaw fleet, String name, WorkerLaw law, boolean cold,
+    public WorkerProcess(
+            Agenda agenda,
+            Streams streams,
+            FleetLaw fleet,
+            String name,
+            WorkerLaw law,
+            boolean cold,
             Runnable fell) {
         this.agenda = agenda;
         this.fleet = fleet;
@@ -77,10 +87,13 @@
         double noise = 1 + fleet.noise() * (2 * reportRandom.nextDouble() - 1);
         long now = agenda.now();
         reports.add(new Report(now, model.inflight() * noise, model.queue() * noise));
-        while (reports.size() > 1 && reports.peek().at < now - reportsLateNs - fleet.everyHighNs() * 2) {
+        while (reports.size() > 1
+                && reports.peek().at < now - reportsLateNs - fleet.everyHighNs() * 2) {
             reports.poll();
         }
-        agenda.in((long) Streams.uniform(reportRandom, fleet.everyLowNs(), fleet.everyHighNs()), this::refresh);
+        agenda.in(
+                (long) Streams.uniform(reportRandom, fleet.everyLowNs(), fleet.everyHighNs()),
+                this::refresh);
     }
 
     /** Reports arrive so much later than usual, in ns. */
@@ -96,22 +109,34 @@
                 newest = report;
             }
         }
-        return newest == null ? null
-                : new Load(newest.inflight, newest.queue, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+        return newest == null
+                ? null
+                : new Load(
+                        newest.inflight,
+                        newest.queue,
+                        Double.NaN,
+                        Double.NaN,
+                        Double.NaN,
+                        Double.NaN);
     }
 
     /**
-     * What a probe's answer says: the present, and the time that requests of late took here that came when about as
-     * much was held as now (as in Prequal: Wydrowski et al., NSDI 2024, 4).
+     * What a probe's answer says: the present, and the time that requests of late took here that
+     * came when about as much was held as now (as in Prequal: Wydrowski et al., NSDI 2024, 4).
      */
     public Load probed() {
         int held = Math.min(MOST_DEPTHS - 1, model.inflight());
         double took = Double.NaN;
         for (int off = 0; off < MOST_DEPTHS && Double.isNaN(took); off++) {
-            took = held >= off && tookNs[held - off] > 0 ? tookNs[held - off]
-                    : held + off < MOST_DEPTHS && tookNs[held + off] > 0 ? tookNs[held + off] : took;
+            took =
+                    held >= off && tookNs[held - off] > 0
+                            ? tookNs[held - off]
+                            : held + off < MOST_DEPTHS && tookNs[held + off] > 0
+                                    ? tookNs[held + off]
+                                    : took;
         }
-        return new Load(model.inflight(), model.queue(), Double.NaN, took / 1e6, Double.NaN, Double.NaN);
+        return new Load(
+                model.inflight(), model.queue(), Double.NaN, took / 1e6, Double.NaN, Double.NaN);
     }
 
     /** Its work, by the law. */
@@ -216,11 +241,15 @@
             return; // it was given up, and the work went on
         }
         double before = tookNs[served.depth];
-        tookNs[served.depth] += (before == 0 ? 1 : TIME_WEIGHT) * (agenda.now() - served.at - before);
+        tookNs[served.depth] +=
+                (before == 0 ? 1 : TIME_WEIGHT) * (agenda.now() - served.at - before);
         if (draws(ills.losing)) {
             return;
         }
-        Answer answer = draws(ills.resetting) ? Answer.RESET : draws(ills.spoiling) ? Answer.GARBAGE : Answer.OK;
+        Answer answer =
+                draws(ills.resetting)
+                        ? Answer.RESET
+                        : draws(ills.spoiling) ? Answer.GARBAGE : Answer.OK;
         served.incoming.answers(answer, ills.drips);
     }
 
@@ -266,7 +295,7 @@
         startedAt = agenda.now();
         model = new WorkerModel(law, agenda.now(), true);
         if (slower != 1) {
-            model.slow(agenda.now(), slower, job -> { });
+            model.slow(agenda.now(), slower, job -> {});
         }
     }
 
--- a/lab/src/main/java/trailthread/lab/random/Streams.java
+++ b/lab/src/main/java/trailthread/lab/random/Streams.java
@@ -5,8 +5,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Streams of random numbers, each by its name: what one part of a run draws moves no other part, so that two policies
- * meet the same clients, work and faults (common random numbers: Law, "Simulation Modeling and Analysis", 11.2).
+ * Streams of random numbers, each by its name: what one part of a run draws moves no other part, so
+ * that two policies meet the same clients, work and faults (common random numbers: Law, "Simulation
+ * Modeling and Analysis", 11.2).
  */
 public final class Streams {
     private final long seed;
@@ -37,7 +38,10 @@
         return z ^ z >>> 31;
     }
 
-    /** Exponential with this mean: StrictMath, as other logarithms may differ in the last bit between machines. */
+    /**
+     * Exponential with this mean: StrictMath, as other logarithms may differ in the last bit
+     * between machines.
+     */
     public static double exponential(UniformRandomProvider random, double mean) {
         return -mean * StrictMath.log(1 - random.nextDouble());
     }
--- a/lab/src/main/java/trailthread/lab/real/EmulatedRoster.java
+++ b/lab/src/main/java/trailthread/lab/real/EmulatedRoster.java
@@ -14,7 +14,10 @@
 import trailthread.lab.agenda.Agenda;
 import trailthread.lab.random.Streams;
 
-/** Discovery on sockets, in the platform's protocol: a list, and watches on its changes; late, in order, or down. */
+/**
+ * Discovery on sockets, in the platform's protocol: a list, and watches on its changes; late, in
+ * order, or down.
+ */
 final class EmulatedRoster {
     private static final Pattern INDEX = Pattern.compile("[?&]index=([0-9]{1,18})\\b");
     private static final long IDLE_NS = 2_000_000_000L;
@@ -74,12 +77,21 @@
             long at = day.now() + (long) Streams.uniform(random, law.lowNs(), law.highNs());
             watch.toldAt = Math.max(at, watch.toldAt);
             String line = object(of, false, entry(worker, watch.node, state));
-            day.agenda().at(watch.toldAt, () -> {
-                if (watches.contains(watch)) {
-                    watch.line(line);
-                    day.judged(r -> r.told(day.now(), "n" + watch.node, worker.name, state == State.READY));
-                }
-            });
+            day.agenda()
+                    .at(
+                            watch.toldAt,
+                            () -> {
+                                if (watches.contains(watch)) {
+                                    watch.line(line);
+                                    day.judged(
+                                            r ->
+                                                    r.told(
+                                                            day.now(),
+                                                            "n" + watch.node,
+                                                            worker.name,
+                                                            state == State.READY));
+                                }
+                            });
         }
     }
 
@@ -92,18 +104,40 @@
 
     /** A node starts, and knows the whole list. */
     void known(int node) {
-        listed.forEach(w -> day.judged(r -> r.told(day.now(), "n" + node, w.name, w.state == State.READY)));
+        listed.forEach(
+                w ->
+                        day.judged(
+                                r ->
+                                        r.told(
+                                                day.now(),
+                                                "n" + node,
+                                                w.name,
+                                                w.state == State.READY)));
     }
 
     private static String object(long generation, boolean reset, String entries) {
-        return "{\"generation\":" + generation + ",\"reset\":" + reset + ",\"instances\":[" + entries + "]}";
+        return "{\"generation\":"
+                + generation
+                + ",\"reset\":"
+                + reset
+                + ",\"instances\":["
+                + entries
+                + "]}";
     }
 
     private String entry(EmulatedWorker worker, int node, State state) {
-        String lifecycle = state == State.READY ? "active" : state == State.DRAINING ? "leaving" : "left";
-        return String.format(Locale.ROOT, "{\"instanceId\":\"%s\",\"hostPort\":\"%s\",\"zone\":\"%s\",\"cell\":%d,"
-                + "\"lifecycle\":\"%s\",\"weight\":1.0,\"startedAtMs\":%d}", worker.name, worker.hostPort(node),
-                worker.zone, worker.cell, lifecycle, day.unixMs(worker.process().startedAt()));
+        String lifecycle =
+                state == State.READY ? "active" : state == State.DRAINING ? "leaving" : "left";
+        return String.format(
+                Locale.ROOT,
+                "{\"instanceId\":\"%s\",\"hostPort\":\"%s\",\"zone\":\"%s\",\"cell\":%d,"
+                        + "\"lifecycle\":\"%s\",\"weight\":1.0,\"startedAtMs\":%d}",
+                worker.name,
+                worker.hostPort(node),
+                worker.zone,
+                worker.cell,
+                lifecycle,
+                day.unixMs(worker.process().startedAt()));
     }
 
     /** It answers nothing, and watches end; or it is back. */
@@ -141,19 +175,29 @@
                 long has = index.find() ? Long.parseLong(index.group(1)) : -1;
                 wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 watches.add(this);
-                day.agenda().at(toldAt, () -> {
-                    if (watches.contains(this) && has != generation) {
-                        line(whole(node));
-                        known(node);
-                    }
-                });
+                day.agenda()
+                        .at(
+                                toldAt,
+                                () -> {
+                                    if (watches.contains(this) && has != generation) {
+                                        line(whole(node));
+                                        known(node);
+                                    }
+                                });
                 idles();
             } else {
-                day.agenda().at(toldAt, () -> {
-                    String list = whole(node);
-                    wire.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
-                    known(node);
-                });
+                day.agenda()
+                        .at(
+                                toldAt,
+                                () -> {
+                                    String list = whole(node);
+                                    wire.send(
+                                            "HTTP/1.1 200 OK\r\nContent-Length: "
+                                                    + list.length()
+                                                    + "\r\n\r\n"
+                                                    + list);
+                                    known(node);
+                                });
             }
         }
 
@@ -167,11 +211,15 @@
             if (idle != null) {
                 idle.cancel();
             }
-            idle = day.agenda().in(IDLE_NS, () -> {
-                if (watches.contains(this)) {
-                    line("");
-                }
-            });
+            idle =
+                    day.agenda()
+                            .in(
+                                    IDLE_NS,
+                                    () -> {
+                                        if (watches.contains(this)) {
+                                            line("");
+                                        }
+                                    });
         }
 
         @Override
--- a/lab/src/main/java/trailthread/lab/real/EmulatedWorker.java
+++ b/lab/src/main/java/trailthread/lab/real/EmulatedWorker.java
@@ -19,12 +19,14 @@
 import trailthread.lab.worker.WorkerLaw;
 
 /**
- * A worker on sockets: the model of virtual time, driven by the real clock, behind the workers' side of the platform's
- * protocol. Each node has an address of its own for it, so that the referee knows who sends.
+ * A worker on sockets: the model of virtual time, driven by the real clock, behind the workers'
+ * side of the platform's protocol. Each node has an address of its own for it, so that the referee
+ * knows who sends.
  */
 final class EmulatedWorker implements Stricken.Worker {
     private static final Pattern WORK = Pattern.compile("[?&]work=([0-9]{1,15})\\b");
-    private static final String GARBAGE = "HTTP/9 \u0001\u0002 wor\u00ffk\r\n\u0000\u0003: ;;\r\n\r\n\u00fe";
+    private static final String GARBAGE =
+            "HTTP/9 \u0001\u0002 wor\u00ffk\r\n\u0000\u0003: ;;\r\n\r\n\u00fe";
     private static final int DRIPS = 10;
 
     final String name;
@@ -37,15 +39,24 @@
     State state = State.READY;
     private boolean wasCut;
 
-    EmulatedWorker(RealDay day, String name, String zone, int cell, WorkerLaw law, boolean cold) throws IOException {
+    EmulatedWorker(RealDay day, String name, String zone, int cell, WorkerLaw law, boolean cold)
+            throws IOException {
         this.day = day;
         this.name = name;
         this.zone = zone;
         this.cell = cell;
-        process = new WorkerProcess(day.agenda(), day.streams(), day.scenario().fleet(), name, law, cold, () -> {
-            day.judged(r -> r.fell(day.now(), name));
-            goesDown();
-        });
+        process =
+                new WorkerProcess(
+                        day.agenda(),
+                        day.streams(),
+                        day.scenario().fleet(),
+                        name,
+                        law,
+                        cold,
+                        () -> {
+                            day.judged(r -> r.fell(day.now(), name));
+                            goesDown();
+                        });
         for (int i = 0; i < Math.max(1, day.nodeCount()); i++) {
             String node = "n" + i;
             listeners.add(new Listening(day.loop(), 0, channel -> accept(node, channel)));
@@ -74,8 +85,9 @@
     }
 
     /**
-     * Cuts it off or joins it again, as its ills say. Connections of before are reset once it is back: what was written
-     * to them meanwhile lies in this machine's buffers, and was lost on the way to another one.
+     * Cuts it off or joins it again, as its ills say. Connections of before are reset once it is
+     * back: what was written to them meanwhile lies in this machine's buffers, and was lost on the
+     * way to another one.
      */
     void arrangeCut() {
         if (process.ills.cut == wasCut) {
@@ -94,7 +106,8 @@
 
     /** Looks whether the connection of an attempt has ended by now. */
     void look(String call) {
-        List.copyOf(lines).stream().filter(line -> line.served != null && line.served.call.equals(call))
+        List.copyOf(lines).stream()
+                .filter(line -> line.served != null && line.served.call.equals(call))
                 .forEach(line -> line.wire.read());
     }
 
@@ -154,12 +167,20 @@
     }
 
     private static String load(Load load) {
-        return String.format(Locale.ROOT, "{\"inflight\":%.2f,\"queue\":%.2f}", load.inflight(), load.queue());
+        return String.format(
+                Locale.ROOT, "{\"inflight\":%.2f,\"queue\":%.2f}", load.inflight(), load.queue());
     }
 
     private String answer(String status, Load load, String extra, String body) {
-        return "HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n" + extra
-                + (load == null ? "" : "X-Backend-Load: " + load(load) + "\r\n") + "\r\n" + body;
+        return "HTTP/1.1 "
+                + status
+                + "\r\nContent-Length: "
+                + body.length()
+                + "\r\n"
+                + extra
+                + (load == null ? "" : "X-Backend-Load: " + load(load) + "\r\n")
+                + "\r\n"
+                + body;
     }
 
     /** A connection from a node. */
@@ -192,7 +213,14 @@
             }
             int attempt = day.nextAttempt(id, EmulatedWorker.this);
             served = new Served(this, id, attempt, Math.max(1, Double.parseDouble(work.group(1))));
-            day.judged(r -> r.sent(wire.beganAt(), id, attempt, node, new Referee.Place(name, zone, cell)));
+            day.judged(
+                    r ->
+                            r.sent(
+                                    wire.beganAt(),
+                                    id,
+                                    attempt,
+                                    node,
+                                    new Referee.Place(name, zone, cell)));
             day.figures().sends(day.workers().indexOf(EmulatedWorker.this));
             process.arrived(served);
         }
@@ -259,11 +287,25 @@
             }
             Load load = process.report();
             switch (answer) {
-                case OK -> line.answered(this, Outcome.OK,
-                        answer("200 OK", load, "", call + " " + name + " " + (long) work + "\n"), drips);
-                case ERROR -> line.answered(this, Outcome.ERROR, answer("500 Failed", load, "", ""), drips);
-                case FULL -> line.answered(this, Outcome.FULL,
-                        answer("503 Full", load, "X-Unprocessed: 1\r\n", ""), drips);
+                case OK ->
+                        line.answered(
+                                this,
+                                Outcome.OK,
+                                answer(
+                                        "200 OK",
+                                        load,
+                                        "",
+                                        call + " " + name + " " + (long) work + "\n"),
+                                drips);
+                case ERROR ->
+                        line.answered(
+                                this, Outcome.ERROR, answer("500 Failed", load, "", ""), drips);
+                case FULL ->
+                        line.answered(
+                                this,
+                                Outcome.FULL,
+                                answer("503 Full", load, "X-Unprocessed: 1\r\n", ""),
+                                drips);
                 case GARBAGE -> line.answered(this, Outcome.RESET, GARBAGE, 0);
                 case RESET -> {
                     line.wire.reset();
--- a/lab/src/main/java/trailthread/lab/real/HttpFront.java
+++ b/lab/src/main/java/trailthread/lab/real/HttpFront.java
@@ -18,8 +18,8 @@
 import trailthread.lab.referee.Referee;
 
 /**
- * Clients on sockets, in the platform's protocol: connections are kept, carry one request at a time, and further ones
- * are opened when all are busy. The nodes of a zone share its clients.
+ * Clients on sockets, in the platform's protocol: connections are kept, carry one request at a
+ * time, and further ones are opened when all are busy. The nodes of a zone share its clients.
  */
 final class HttpFront implements Front {
     /** A node that clients send to. */
@@ -27,10 +27,13 @@
         final String name;
         final String zone;
         final InetSocketAddress address;
+
         /** Whether new connections go there. */
         boolean admitted = true;
+
         /** Its process was killed or stopped from outside: what it had is owed nothing. */
         boolean excused;
+
         private final ArrayDeque<Client> idle = new ArrayDeque<>();
         private final Set<Client> all = new HashSet<>();
 
@@ -47,7 +50,10 @@
         }
     }
 
-    /** What the clients' answers may be late by, so that the last bytes of one in time are still read. */
+    /**
+     * What the clients' answers may be late by, so that the last bytes of one in time are still
+     * read.
+     */
     private static final long GRACE_NS = 50_000_000L;
 
     private final RealLoop loop;
@@ -62,8 +68,8 @@
 
     /**
      * @param slackNs how far past its deadline an answer still counts
-     * @param zones   of clients, by number
-     * @param ids     new at each call
+     * @param zones of clients, by number
+     * @param ids new at each call
      */
     HttpFront(RealLoop loop, Referee referee, long slackNs, List<String> zones, LongSupplier ids) {
         this.loop = loop;
@@ -101,8 +107,10 @@
     }
 
     private Target chosen(String zone, double draw) {
-        List<Target> near = targets.stream().filter(t -> t.admitted && t.zone.equals(zone)).toList();
-        List<Target> some = near.isEmpty() ? targets.stream().filter(t -> t.admitted).toList() : near;
+        List<Target> near =
+                targets.stream().filter(t -> t.admitted && t.zone.equals(zone)).toList();
+        List<Target> some =
+                near.isEmpty() ? targets.stream().filter(t -> t.admitted).toList() : near;
         return some.isEmpty() ? null : some.get((int) (draw * some.size()));
     }
 
@@ -134,9 +142,15 @@
         String request(long now) {
             var rules = ask.law().rules();
             boolean safe = rules.semantics() == Semantics.SAFE;
-            return (safe ? "GET /" : "POST /") + rules.name() + "?work=" + (long) ask.work()
-                    + " HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: " + id + "\r\nX-Service-Class: "
-                    + rules.name() + "\r\nX-Time-Left: "
+            return (safe ? "GET /" : "POST /")
+                    + rules.name()
+                    + "?work="
+                    + (long) ask.work()
+                    + " HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: "
+                    + id
+                    + "\r\nX-Service-Class: "
+                    + rules.name()
+                    + "\r\nX-Time-Left: "
                     + String.format(Locale.ROOT, "%.4f", Math.max(0, until - now) / 1e9)
                     + (ask.tenant() == null ? "" : "\r\nX-Account: " + ask.tenant())
                     + (rules.semantics() == Semantics.KEYED ? "\r\nIdempotency-Key: " + id : "")
@@ -151,8 +165,10 @@
         private Try call;
         private boolean reused;
         private boolean taken;
+
         /** It came while the node was stopped, which learns too late when. */
         private boolean excused;
+
         private Agenda.Entry overdue;
 
         Client(Target target) {
@@ -189,13 +205,24 @@
             }
         }
 
-        /** The node's machine has the connection, so with the request's last byte the node has the call. */
+        /**
+         * The node's machine has the connection, so with the request's last byte the node has the
+         * call.
+         */
         private void take() {
             taken = true;
             excused = target.excused;
             var rules = call.ask.law().rules();
-            referee.taken(agenda.now(), call.id, target.name, new CallTerms(rules.name(), rules.semantics(),
-                    rules.group(), rules.windowNs(), call.until + GRACE_NS));
+            referee.taken(
+                    agenda.now(),
+                    call.id,
+                    target.name,
+                    new CallTerms(
+                            rules.name(),
+                            rules.semantics(),
+                            rules.group(),
+                            rules.windowNs(),
+                            call.until + GRACE_NS));
         }
 
         @Override
@@ -220,7 +247,9 @@
             if (status == 200 && !message.text().startsWith(of.id + " ")) {
                 referee.foreign(agenda.now(), of.id, message.text());
             }
-            referee.answered(agenda.now(), of.id,
+            referee.answered(
+                    agenda.now(),
+                    of.id,
                     status == 200 ? "served" : refused ? "refused" : "failed " + status);
             if (message.lasts()) {
                 reused = true;
@@ -229,7 +258,8 @@
                 wire.close();
                 forget();
             }
-            of.ask.saw(status == 200 ? Ask.Seen.SERVED : refused ? Ask.Seen.REFUSED : Ask.Seen.FAILED,
+            of.ask.saw(
+                    status == 200 ? Ask.Seen.SERVED : refused ? Ask.Seen.REFUSED : Ask.Seen.FAILED,
                     advice(message.header("retry-after")));
         }
 
--- a/lab/src/main/java/trailthread/lab/real/HttpMessage.java
+++ b/lab/src/main/java/trailthread/lab/real/HttpMessage.java
@@ -6,9 +6,9 @@
 /**
  * One HTTP/1.1 message, a request or an answer.
  *
- * @param start   its first line
+ * @param start its first line
  * @param headers by their names in small letters; of several of one name the last
- * @param body    whole
+ * @param body whole
  */
 record HttpMessage(String start, Map<String, String> headers, byte[] body) {
     /** The method of a request. */
@@ -24,7 +24,9 @@
 
     /** The status of an answer; 0: it is none. */
     int status() {
-        return start.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?") ? Integer.parseInt(start.substring(9, 12)) : 0;
+        return start.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?")
+                ? Integer.parseInt(start.substring(9, 12))
+                : 0;
     }
 
     String header(String name) {
--- a/lab/src/main/java/trailthread/lab/real/MessageDecoder.java
+++ b/lab/src/main/java/trailthread/lab/real/MessageDecoder.java
@@ -9,14 +9,23 @@
 import java.util.Map;
 
 /**
- * Reads HTTP/1.1 messages however they come in pieces; pure. A reader of the lab's own, so that what the node's readers
- * and writers have in common by mistake shows (RFC 9112, 6 and 7.1; trailers are dropped).
+ * Reads HTTP/1.1 messages however they come in pieces; pure. A reader of the lab's own, so that
+ * what the node's readers and writers have in common by mistake shows (RFC 9112, 6 and 7.1;
+ * trailers are dropped).
  */
 final class MessageDecoder {
     private static final int MOST_LINE = 16 * 1024;
     private static final int MOST_BODY = 1 << 20;
 
-    private enum State { START, HEADERS, BODY, SIZE, CHUNK, CHUNK_END, TRAILERS }
+    private enum State {
+        START,
+        HEADERS,
+        BODY,
+        SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILERS
+    }
 
     private State state = State.START;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
@@ -93,7 +102,9 @@
                 if (colon < 1) {
                     throw new ProtocolException("no header: " + text);
                 }
-                headers.put(text.substring(0, colon).toLowerCase(Locale.ROOT), text.substring(colon + 1).strip());
+                headers.put(
+                        text.substring(0, colon).toLowerCase(Locale.ROOT),
+                        text.substring(colon + 1).strip());
             }
             case SIZE -> {
                 left = number(text.split(";")[0].strip(), 16);
--- a/lab/src/main/java/trailthread/lab/real/NodeProcess.java
+++ b/lab/src/main/java/trailthread/lab/real/NodeProcess.java
@@ -15,14 +15,15 @@
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.troubles.Stricken;
 
-/** A real node: a child process by the platform's own command, its configuration, and signals to it. */
+/**
+ * A real node: a child process by the platform's own command, its configuration, and signals to it.
+ */
 final class NodeProcess implements Stricken.Node {
     private static final long LOOK_NS = 50_000_000L;
     private static final long SOON_NS = 200_000_000L;
 
     /** What the system tells of a node: resident memory, descriptors, processor time. */
-    record Sample(double rssMb, int descriptors, double cpuSeconds) {
-    }
+    record Sample(double rssMb, int descriptors, double cpuSeconds) {}
 
     private final RealDay day;
     private final int number;
@@ -35,7 +36,13 @@
     private Process process;
     private boolean serving;
 
-    NodeProcess(RealDay day, int number, String zone, Path directory, RealDay.Program program, HttpFront.Target target)
+    NodeProcess(
+            RealDay day,
+            int number,
+            String zone,
+            Path directory,
+            RealDay.Program program,
+            HttpFront.Target target)
             throws IOException {
         this.day = day;
         this.number = number;
@@ -54,14 +61,37 @@
         List<Object> categories = new ArrayList<>();
         for (var law : s.classes()) {
             var c = law.rules();
-            categories.add(Map.of("name", c.name(), "aim_ns", c.aimNs(), "deadline_ns", c.deadlineNs(), "semantics",
-                    semantics(c.semantics()),
-                    "group", c.group().name().toLowerCase(Locale.ROOT), "window_ns", c.windowNs(), "gain", c.worth(),
-                    "late_value", c.lateWorth()));
+            categories.add(
+                    Map.of(
+                            "name",
+                            c.name(),
+                            "aim_ns",
+                            c.aimNs(),
+                            "deadline_ns",
+                            c.deadlineNs(),
+                            "semantics",
+                            semantics(c.semantics()),
+                            "group",
+                            c.group().name().toLowerCase(Locale.ROOT),
+                            "window_ns",
+                            c.windowNs(),
+                            "gain",
+                            c.worth(),
+                            "late_value",
+                            c.lateWorth()));
         }
         List<Object> tenants = new ArrayList<>();
-        s.tenants().forEach(t -> tenants.add(Map.of("name", t.name(), "quota_per_s", t.quotaPerSecond(), "fraction",
-                t.share())));
+        s.tenants()
+                .forEach(
+                        t ->
+                                tenants.add(
+                                        Map.of(
+                                                "name",
+                                                t.name(),
+                                                "quota_per_s",
+                                                t.quotaPerSecond(),
+                                                "fraction",
+                                                t.share())));
         var rules = s.rules();
         var cold = s.fleet().law().cold();
         Map<String, Object> settings = new LinkedHashMap<>();
@@ -72,15 +102,44 @@
         settings.put("zone", zone);
         settings.put("zones", s.zones());
         settings.put("discovery", "on_request");
-        settings.put("report", s.fleet().reports()
-                ? Map.of("how", "piggyback", "fields", List.of("inflight", "queue")) : Map.of("how", "silent"));
+        settings.put(
+                "report",
+                s.fleet().reports()
+                        ? Map.of("how", "piggyback", "fields", List.of("inflight", "queue"))
+                        : Map.of("how", "silent"));
         settings.put("deductions", Map.of("cross_zone", rules.crossZonePrice()));
-        settings.put("limits", Map.of("most_tries", rules.maxAttempts(), "retry_after", rules.maxRetryAfterNs() > 0,
-                "max_retry_after_ns", rules.maxRetryAfterNs(), "dial_timeout_ns", s.network().dialNs(),
-                "idle_close_ns", s.network().idleCloseNs(), "may_cancel", true, "probes", rules.probes()));
-        settings.put("safety", Map.of("drain_grace_ns", rules.drainGraceNs(), "answer_slack_ns", rules.answerSlackNs(),
-                "cold_ns", cold.warmNs(), "start_capacity", cold.share(), "fall_multiple",
-                Math.min(1e6, cold.multiple()), "fall_ns", cold.windowNs()));
+        settings.put(
+                "limits",
+                Map.of(
+                        "most_tries",
+                        rules.maxAttempts(),
+                        "retry_after",
+                        rules.maxRetryAfterNs() > 0,
+                        "max_retry_after_ns",
+                        rules.maxRetryAfterNs(),
+                        "dial_timeout_ns",
+                        s.network().dialNs(),
+                        "idle_close_ns",
+                        s.network().idleCloseNs(),
+                        "may_cancel",
+                        true,
+                        "probes",
+                        rules.probes()));
+        settings.put(
+                "safety",
+                Map.of(
+                        "drain_grace_ns",
+                        rules.drainGraceNs(),
+                        "answer_slack_ns",
+                        rules.answerSlackNs(),
+                        "cold_ns",
+                        cold.warmNs(),
+                        "start_capacity",
+                        cold.share(),
+                        "fall_multiple",
+                        Math.min(1e6, cold.multiple()),
+                        "fall_ns",
+                        cold.windowNs()));
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("name", "n" + number);
         all.put("listen", "127.0.0.1:" + target.address.getPort());
@@ -91,7 +150,10 @@
         Gson gson = new Gson();
         // The list as a node that starts now would have had it: the roster's own words.
         String text = gson.toJson(all);
-        return text.substring(0, text.length() - 1) + ",\"known\":" + day.roster().whole(number) + "}";
+        return text.substring(0, text.length() - 1)
+                + ",\"known\":"
+                + day.roster().whole(number)
+                + "}";
     }
 
     private static String semantics(Semantics semantics) {
@@ -111,12 +173,16 @@
         try {
             Files.writeString(config, json(), StandardCharsets.UTF_8);
             day.roster().known(number);
-            ProcessBuilder builder = new ProcessBuilder(command).directory(root).redirectErrorStream(true)
-                    .redirectOutput(ProcessBuilder.Redirect.appendTo(log));
+            ProcessBuilder builder =
+                    new ProcessBuilder(command)
+                            .directory(root)
+                            .redirectErrorStream(true)
+                            .redirectOutput(ProcessBuilder.Redirect.appendTo(log));
             builder.environment().put("LB_CONFIG", config.toString());
             process = builder.start();
         } catch (IOException e) {
-            throw new IllegalStateException("node " + number + " can't be started: " + e.getMessage(), e);
+            throw new IllegalStateException(
+                    "node " + number + " can't be started: " + e.getMessage(), e);
         }
         look();
     }
@@ -126,35 +192,40 @@
         Process of = process;
         try {
             Wire[] wire = new Wire[1];
-            wire[0] = Wire.open(day.loop(), target.address, new Wire.Listener() {
-                @Override
-                public void opened() {
-                    wire[0].send("GET /ready HTTP/1.1\r\nHost: api.internal\r\n\r\n");
-                }
-
-                @Override
-                public void message(HttpMessage message) {
-                    wire[0].close();
-                    if (of == process && message.status() == 200) {
-                        serving = true;
-                        target.admitted = true;
-                        target.excused = false;
-                    } else {
-                        again();
-                    }
-                }
-
-                @Override
-                public void closed(String how) {
-                    again();
-                }
-
-                private void again() {
-                    if (of == process && of.isAlive()) {
-                        day.agenda().in(LOOK_NS, NodeProcess.this::look);
-                    }
-                }
-            });
+            wire[0] =
+                    Wire.open(
+                            day.loop(),
+                            target.address,
+                            new Wire.Listener() {
+                                @Override
+                                public void opened() {
+                                    wire[0].send(
+                                            "GET /ready HTTP/1.1\r\nHost: api.internal\r\n\r\n");
+                                }
+
+                                @Override
+                                public void message(HttpMessage message) {
+                                    wire[0].close();
+                                    if (of == process && message.status() == 200) {
+                                        serving = true;
+                                        target.admitted = true;
+                                        target.excused = false;
+                                    } else {
+                                        again();
+                                    }
+                                }
+
+                                @Override
+                                public void closed(String how) {
+                                    again();
+                                }
+
+                                private void again() {
+                                    if (of == process && of.isAlive()) {
+                                        day.agenda().in(LOOK_NS, NodeProcess.this::look);
+                                    }
+                                }
+                            });
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -197,10 +268,13 @@
     public void pause(long forNs) {
         target.excused = true;
         signal("STOP");
-        day.agenda().in(forNs, () -> {
-            signal("CONT");
-            day.agenda().in(SOON_NS, () -> target.excused = false);
-        });
+        day.agenda()
+                .in(
+                        forNs,
+                        () -> {
+                            signal("CONT");
+                            day.agenda().in(SOON_NS, () -> target.excused = false);
+                        });
     }
 
     private void signal(String name) {
@@ -222,12 +296,18 @@
         try {
             Path proc = Path.of("/proc", Long.toString(process.pid()));
             String status = Files.readString(proc.resolve("status"));
-            double rss = status.lines().filter(l -> l.startsWith("VmRSS:"))
-                    .mapToDouble(l -> Double.parseDouble(l.replaceAll("[^0-9]", "")) / 1024).findFirst().orElse(0);
+            double rss =
+                    status.lines()
+                            .filter(l -> l.startsWith("VmRSS:"))
+                            .mapToDouble(l -> Double.parseDouble(l.replaceAll("[^0-9]", "")) / 1024)
+                            .findFirst()
+                            .orElse(0);
             String[] held = proc.resolve("fd").toFile().list();
             String stat = Files.readString(proc.resolve("stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            double cpu = (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / 100.0; // proc_pid_stat(5)
+            double cpu =
+                    (Long.parseLong(fields[11]) + Long.parseLong(fields[12]))
+                            / 100.0; // proc_pid_stat(5)
             return new Sample(rss, held == null ? 0 : held.length, cpu);
         } catch (IOException e) {
             return new Sample(0, 0, 0); // it has ended
--- a/lab/src/main/java/trailthread/lab/real/RealDay.java
+++ b/lab/src/main/java/trailthread/lab/real/RealDay.java
@@ -24,8 +24,9 @@
 import trailthread.lab.worker.WorkerLaw;
 
 /**
- * A day on sockets: the scenario's workers and roster as stand-ins on loopback, and, where asked for, its clients and
- * real nodes. All but the nodes runs on one thread. Only loopback is spoken to.
+ * A day on sockets: the scenario's workers and roster as stand-ins on loopback, and, where asked
+ * for, its clients and real nodes. All but the nodes runs on one thread. Only loopback is spoken
+ * to.
  */
 public final class RealDay implements Stricken, Closeable {
     private static final long SECOND = 1_000_000_000L;
@@ -50,7 +51,8 @@
          * @throws IOException if there is none, or it names no such command
          */
         public static Program ofCheckout(Path root) throws IOException {
-            String run = Toml.parse(root.resolve("deploy").resolve("balancer.toml")).getString("run");
+            String run =
+                    Toml.parse(root.resolve("deploy").resolve("balancer.toml")).getString("run");
             if (run == null) {
                 throw new IOException("no run command in deploy/balancer.toml of " + root);
             }
@@ -61,8 +63,7 @@
     }
 
     /** What each node held at the end of a second. */
-    public record NodeSecond(double[] rssMb, int[] descriptors, double[] cpuSeconds) {
-    }
+    public record NodeSecond(double[] rssMb, int[] descriptors, double[] cpuSeconds) {}
 
     private final Scenario scenario;
     private final RealLoop loop = new RealLoop();
@@ -74,14 +75,15 @@
     private final UniformRandomProvider speeds;
     private final int nodeCount;
     private final long unixOffsetNs = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
-    private final Map<String, Attempts> attempts = new LinkedHashMap<>(1024, 0.75f, true) {
-        private static final long serialVersionUID = 1;
-
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Attempts> eldest) {
-            return size() > CALLS_REMEMBERED;
-        }
-    };
+    private final Map<String, Attempts> attempts =
+            new LinkedHashMap<>(1024, 0.75f, true) {
+                private static final long serialVersionUID = 1;
+
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Attempts> eldest) {
+                    return size() > CALLS_REMEMBERED;
+                }
+            };
     private Referee referee;
     private Figures figures;
     private HttpFront front;
@@ -143,8 +145,10 @@
 
     /** Starts real nodes with this command; what they say goes to files in the directory. */
     public void startNodes(Program program, Path directory) throws IOException {
-        referee = new Referee(scenario.rules().answerSlackNs() + 50_000_000L, scenario.rules().drainGraceNs()
-                + 50_000_000L);
+        referee =
+                new Referee(
+                        scenario.rules().answerSlackNs() + 50_000_000L,
+                        scenario.rules().drainGraceNs() + 50_000_000L);
         Files.createDirectories(directory);
         front();
         for (int i = 0; i < nodeCount; i++) {
@@ -152,7 +156,8 @@
             try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
                 port = free.getLocalPort();
             }
-            HttpFront.Target target = front.add(scenario.zones().get(i % scenario.zones().size()), port);
+            HttpFront.Target target =
+                    front.add(scenario.zones().get(i % scenario.zones().size()), port);
             target.admitted = false;
             NodeProcess node = new NodeProcess(this, i, target.zone, directory, program, target);
             nodes.add(node);
@@ -168,10 +173,19 @@
     }
 
     private void front() {
-        front = new HttpFront(loop, referee, scenario.rules().answerSlackNs(), scenario.zones(), () -> ++lastId);
+        front =
+                new HttpFront(
+                        loop,
+                        referee,
+                        scenario.rules().answerSlackNs(),
+                        scenario.zones(),
+                        () -> ++lastId);
     }
 
-    /** Sends to these nodes, which others have started; without workers of its own nothing but answers is judged. */
+    /**
+     * Sends to these nodes, which others have started; without workers of its own nothing but
+     * answers is judged.
+     */
     public void sendTo(List<Integer> ports) {
         referee = new Referee(scenario.rules().answerSlackNs() + 50_000_000L, Long.MAX_VALUE / 4);
         front();
@@ -190,7 +204,7 @@
      * Plays the day, from now on.
      *
      * @param withTroubles whether its faults happen
-     * @param everySecond  hears of its progress
+     * @param everySecond hears of its progress
      */
     public void play(boolean withTroubles, Consumer<RealDay> everySecond) throws IOException {
         long begin = now();
@@ -205,7 +219,8 @@
         }
         sample(begin, begin + scenario.lengthNs(), everySecond);
         cuts(begin + scenario.lengthNs());
-        long longest = scenario.classes().stream().mapToLong(c -> c.rules().deadlineNs()).max().orElse(0);
+        long longest =
+                scenario.classes().stream().mapToLong(c -> c.rules().deadlineNs()).max().orElse(0);
         long end = begin + scenario.lengthNs();
         loop.runUntil(end);
         while (System.nanoTime() < end + 2 * longest && clients != null && clients.open() > 0) {
@@ -217,21 +232,33 @@
     }
 
     private void sample(long begin, long end, Consumer<RealDay> everySecond) {
-        agenda().in(SECOND, () -> {
-            figures.holds(now() - 1, workers.stream().mapToInt(w -> w.process().holds()).toArray());
-            List<NodeProcess.Sample> samples = nodes.stream().map(NodeProcess::sample).toList();
-            nodeSeconds.add(new NodeSecond(samples.stream().mapToDouble(NodeProcess.Sample::rssMb).toArray(),
-                    samples.stream().mapToInt(NodeProcess.Sample::descriptors).toArray(),
-                    samples.stream().mapToDouble(NodeProcess.Sample::cpuSeconds).toArray()));
-            everySecond.accept(this);
-            if (now() + SECOND <= end) {
-                sample(begin, end, everySecond);
-            }
-        });
+        agenda().in(
+                        SECOND,
+                        () -> {
+                            figures.holds(
+                                    now() - 1,
+                                    workers.stream().mapToInt(w -> w.process().holds()).toArray());
+                            List<NodeProcess.Sample> samples =
+                                    nodes.stream().map(NodeProcess::sample).toList();
+                            nodeSeconds.add(
+                                    new NodeSecond(
+                                            samples.stream()
+                                                    .mapToDouble(NodeProcess.Sample::rssMb)
+                                                    .toArray(),
+                                            samples.stream()
+                                                    .mapToInt(NodeProcess.Sample::descriptors)
+                                                    .toArray(),
+                                            samples.stream()
+                                                    .mapToDouble(NodeProcess.Sample::cpuSeconds)
+                                                    .toArray()));
+                            everySecond.accept(this);
+                            if (now() + SECOND <= end) {
+                                sample(begin, end, everySecond);
+                            }
+                        });
     }
 
     /** Machines that are cut off fall silent within a moment. */
-
     private void cuts(long end) {
         workers.forEach(EmulatedWorker::arrangeCut);
         if (now() < end) {
@@ -239,7 +266,8 @@
         }
     }
 
-    // ---- what the parts need -----------------------------------------------------------------------
+    // ---- what the parts need
+    // -----------------------------------------------------------------------
 
     void judged(Consumer<Referee> told) {
         if (referee != null) {
@@ -275,7 +303,10 @@
         return nodeCount;
     }
 
-    /** The number of an attempt that has come; an earlier one's connection that has ended by now is looked at first. */
+    /**
+     * The number of an attempt that has come; an earlier one's connection that has ended by now is
+     * looked at first.
+     */
     int nextAttempt(String call, EmulatedWorker worker) {
         Attempts of = attempts.computeIfAbsent(call, c -> new Attempts());
         if (of.last != null) {
@@ -288,10 +319,17 @@
     /** A worker under a new name. */
     void addWorker(String zone, int place, boolean cold) {
         var fleet = scenario.fleet();
-        WorkerLaw own = fleet.law().at(Streams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
+        WorkerLaw own =
+                fleet.law().at(Streams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
         try {
-            EmulatedWorker worker = new EmulatedWorker(this, "w" + workers.size(), zone,
-                    fleet.cells() > 0 ? place % fleet.cells() : -1, own, cold);
+            EmulatedWorker worker =
+                    new EmulatedWorker(
+                            this,
+                            "w" + workers.size(),
+                            zone,
+                            fleet.cells() > 0 ? place % fleet.cells() : -1,
+                            own,
+                            cold);
             workers.add(worker);
             roster.add(worker);
         } catch (IOException e) {
@@ -316,7 +354,8 @@
 
     @Override
     public void cutZone(String zone) {
-        for (EmulatedWorker worker : workers) { // nodes of the zone still reach it: they are on this machine
+        for (EmulatedWorker worker :
+                workers) { // nodes of the zone still reach it: they are on this machine
             worker.process().ills.cut = zone != null && worker.zone.equals(zone);
         }
     }
--- a/lab/src/main/java/trailthread/lab/real/RealLoop.java
+++ b/lab/src/main/java/trailthread/lab/real/RealLoop.java
@@ -10,19 +10,23 @@
 import trailthread.lab.agenda.Agenda;
 
 /**
- * One thread that drives an agenda by the real clock, and sockets. All of a day on sockets but the nodes runs on it, so
- * that the referee is told of things in one order. It knows how late it did what was due.
+ * One thread that drives an agenda by the real clock, and sockets. All of a day on sockets but the
+ * nodes runs on it, so that the referee is told of things in one order. It knows how late it did
+ * what was due.
  *
- * <p>Hand-made on NIO's selector: the stand-ins must reset, drip, spoil and fall silent byte by byte, which no server's
- * library lets them do.
+ * <p>Hand-made on NIO's selector: the stand-ins must reset, drip, spoil and fall silent byte by
+ * byte, which no server's library lets them do.
  */
 public final class RealLoop implements Closeable {
     /** What is due sooner is waited for awake: a selector knows milliseconds. */
     private static final long AWAKE_NS = 1_500_000L;
+
     private static final long NAP_NS = 50_000L;
     private static final long LONGEST_WAIT_MS = 20;
+
     /** A loop that did so much of what was due so late was too slow for its results to count. */
     private static final long LATE_US = 20_000;
+
     private static final double LATE_SHARE = 0.01;
 
     /** Whom a key belongs to. */
@@ -52,7 +56,8 @@
 
     /** Whether it ran too late, as a whole, for what was measured to count. */
     public boolean wasLate() {
-        return lateUs.getTotalCount() > 0 && lateUs.getValueAtPercentile(100 * (1 - LATE_SHARE)) > LATE_US;
+        return lateUs.getTotalCount() > 0
+                && lateUs.getValueAtPercentile(100 * (1 - LATE_SHARE)) > LATE_US;
     }
 
     SelectionKey register(SelectableChannel channel, int interest, Ready ready) throws IOException {
@@ -71,7 +76,8 @@
         catchUp();
         long wait = Math.min(end, agenda.nextAt()) - System.nanoTime();
         if (wait > AWAKE_NS) {
-            selector.select(Math.min(LONGEST_WAIT_MS, Math.max(1, (wait - AWAKE_NS / 2) / 1_000_000)));
+            selector.select(
+                    Math.min(LONGEST_WAIT_MS, Math.max(1, (wait - AWAKE_NS / 2) / 1_000_000)));
         } else if (selector.selectNow() == 0 && wait > 0) {
             LockSupport.parkNanos(Math.min(NAP_NS, wait));
         }
--- a/lab/src/main/java/trailthread/lab/real/Wire.java
+++ b/lab/src/main/java/trailthread/lab/real/Wire.java
@@ -14,13 +14,14 @@
     /** Hears what comes. */
     interface Listener {
         /** It has come up. */
-        default void opened() {
-        }
+        default void opened() {}
 
         /** A message is whole. */
         void message(HttpMessage message);
 
-        /** It has ended, by the other side or by what can't be read; not after {@link Wire#close}. */
+        /**
+         * It has ended, by the other side or by what can't be read; not after {@link Wire#close}.
+         */
         void closed(String how);
     }
 
@@ -34,23 +35,30 @@
     private final SelectionKey key;
     private boolean connected;
     private boolean open = true;
+
     /** It is neither read nor written: its machine is cut off. */
     private boolean mute;
+
     /** When the first byte of the message came that is being read. */
     private long beganAt;
+
     private final RealLoop loop;
 
-    private Wire(RealLoop loop, SocketChannel channel, boolean connected, Listener listener) throws IOException {
+    private Wire(RealLoop loop, SocketChannel channel, boolean connected, Listener listener)
+            throws IOException {
         this.loop = loop;
         this.channel = channel;
         this.listener = listener;
         this.connected = connected;
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        key = loop.register(channel, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
+        key =
+                loop.register(
+                        channel, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
     }
 
     /** One that was accepted. */
-    static Wire accepted(RealLoop loop, SocketChannel channel, Listener listener) throws IOException {
+    static Wire accepted(RealLoop loop, SocketChannel channel, Listener listener)
+            throws IOException {
         return new Wire(loop, channel, true, listener);
     }
 
@@ -180,8 +188,13 @@
 
     private void arrange() {
         if (open && key.isValid()) {
-            key.interestOps(mute ? 0 : !connected ? SelectionKey.OP_CONNECT
-                    : SelectionKey.OP_READ | (out.isEmpty() ? 0 : SelectionKey.OP_WRITE));
+            key.interestOps(
+                    mute
+                            ? 0
+                            : !connected
+                                    ? SelectionKey.OP_CONNECT
+                                    : SelectionKey.OP_READ
+                                            | (out.isEmpty() ? 0 : SelectionKey.OP_WRITE));
         }
     }
 
--- a/lab/src/main/java/trailthread/lab/referee/Moment.java
+++ b/lab/src/main/java/trailthread/lab/referee/Moment.java
@@ -3,20 +3,33 @@
 /**
  * One thing in the life of a call.
  *
- * @param at      in ns
- * @param what    what happened
+ * @param at in ns
+ * @param what what happened
  * @param attempt its number, or -1
- * @param worker  its name, or null
- * @param detail  what else there is to say, or null
+ * @param worker its name, or null
+ * @param detail what else there is to say, or null
  */
 public record Moment(long at, What what, int attempt, String worker, Object detail) {
     /** What can happen to a call. */
-    public enum What { TAKEN, SENT, BEGUN, ENDED, ANSWERED, CLIENT_GONE, OVERDUE }
+    public enum What {
+        TAKEN,
+        SENT,
+        BEGUN,
+        ENDED,
+        ANSWERED,
+        CLIENT_GONE,
+        OVERDUE
+    }
 
     @Override
     public String toString() {
-        StringBuilder text = new StringBuilder(String.format(java.util.Locale.ROOT, "%.6f s %s", at / 1e9,
-                what.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ')));
+        StringBuilder text =
+                new StringBuilder(
+                        String.format(
+                                java.util.Locale.ROOT,
+                                "%.6f s %s",
+                                at / 1e9,
+                                what.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ')));
         if (attempt >= 0) {
             text.append(" attempt ").append(attempt);
         }
