--- a/lab/src/main/java/trailthread/lab/referee/Referee.java
+++ b/lab/src/main/java/trailthread/lab/referee/Referee.java
@@ -11,28 +11,34 @@
 import trailthread.BalancerApi.Semantics;
 
 /**
- * Watches a run, virtual or real, from outside, and judges it by the rules. It is told what happened, in order, and
- * asks nothing of those it judges: an attempt counts as one that may have run from its last byte on, whatever its node
- * makes of its end.
+ * Watches a run, virtual or real, from outside, and judges it by the rules. It is told what
+ * happened, in order, and asks nothing of those it judges: an attempt counts as one that may have
+ * run from its last byte on, whatever its node makes of its end.
  */
 public final class Referee {
     /** Violations that are kept with their histories; more are counted. */
     private static final int MOST_KEPT = 20;
+
     private static final int MOST_DEPARTED = 10_000;
 
     /** A place where an attempt runs, as far as repeats go. */
-    public record Place(String worker, String zone, int cell) {
-    }
+    public record Place(String worker, String zone, int cell) {}
 
     private static final class Watched {
         final CallTerms terms;
         final List<Moment> history = new ArrayList<>(6);
-        /** The place and time of the first attempt that reached a worker and was not turned away by it. */
+
+        /**
+         * The place and time of the first attempt that reached a worker and was not turned away by
+         * it.
+         */
         Place firstRan;
+
         long firstRanSent;
         int out;
         boolean answered;
         boolean released;
+
         /** The attempts, by number, that are out. */
         final Map<Integer, Sent> sent = new HashMap<>(2);
 
@@ -41,23 +47,28 @@
         }
     }
 
-    private record Sent(Place place, long at) {
-    }
+    private record Sent(Place place, long at) {}
 
     private final long answerSlackNs;
     private final long drainGraceNs;
     private final Map<String, Watched> calls = new HashMap<>();
-    /** Calls whose clients have left: their nodes may still send them, and may repeat them no more than others. */
+
+    /**
+     * Calls whose clients have left: their nodes may still send them, and may repeat them no more
+     * than others.
+     */
     private final Map<String, Watched> departed = new LinkedHashMap<>();
+
     /** When each node was told that a worker wants nothing new. */
     private final Map<String, Long> drainTold = new HashMap<>();
+
     private final Map<Rule, Integer> broken = new EnumMap<>(Rule.class);
     private final List<Violation> kept = new ArrayList<>();
     private long judged;
 
     /**
      * @param answerSlackNs how far past its deadline an answer still counts
-     * @param drainGraceNs  how long after the news of a drain something new may still be sent
+     * @param drainGraceNs how long after the news of a drain something new may still be sent
      */
     public Referee(long answerSlackNs, long drainGraceNs) {
         this.answerSlackNs = answerSlackNs;
@@ -102,8 +113,16 @@
     public void sent(long at, String call, int attempt, String node, Place place) {
         Watched watched = watched(call);
         if (watched == null) {
-            violated(Rule.REPEATS, at, call, "an attempt of " + node + " at " + place.worker()
-                    + " for a call that is over or was never taken", List.of());
+            violated(
+                    Rule.REPEATS,
+                    at,
+                    call,
+                    "an attempt of "
+                            + node
+                            + " at "
+                            + place.worker()
+                            + " for a call that is over or was never taken",
+                    List.of());
             return;
         }
         watched.history.add(new Moment(at, Moment.What.SENT, attempt, place.worker(), null));
@@ -114,13 +133,24 @@
         watched.sent.put(attempt, new Sent(place, at));
         Long told = drainTold.get(node + " " + place.worker());
         if (told != null && at > told + drainGraceNs) {
-            violated(Rule.DRAINS, at, call, String.format(Locale.ROOT,
-                    "%s was told at %.6f s that %s wants nothing new", node, told / 1e9, place.worker()),
+            violated(
+                    Rule.DRAINS,
+                    at,
+                    call,
+                    String.format(
+                            Locale.ROOT,
+                            "%s was told at %.6f s that %s wants nothing new",
+                            node,
+                            told / 1e9,
+                            place.worker()),
                     watched.history);
         }
     }
 
-    /** An attempt's last byte has come to its worker, which has not turned it away: from now on it may run. */
+    /**
+     * An attempt's last byte has come to its worker, which has not turned it away: from now on it
+     * may run.
+     */
     public void begun(long at, String call, int attempt) {
         Watched watched = watched(call);
         if (watched == null || !watched.sent.containsKey(attempt)) {
@@ -132,7 +162,11 @@
             watched.firstRan = sent.place;
             watched.firstRanSent = sent.at;
         } else if (!mayRepeat(watched, sent.place, at)) {
-            violated(Rule.REPEATS, at, call, "it may have run at " + watched.firstRan.worker() + " before",
+            violated(
+                    Rule.REPEATS,
+                    at,
+                    call,
+                    "it may have run at " + watched.firstRan.worker() + " before",
                     watched.history);
         }
     }
@@ -148,8 +182,9 @@
         return switch (terms.group()) {
             case ALL -> true;
             case ZONE -> place.zone().equals(watched.firstRan.zone());
-            case CELL -> place.cell() >= 0 && place.cell() == watched.firstRan.cell()
-                    || place.worker().equals(watched.firstRan.worker());
+            case CELL ->
+                    place.cell() >= 0 && place.cell() == watched.firstRan.cell()
+                            || place.worker().equals(watched.firstRan.worker());
         };
     }
 
@@ -177,8 +212,15 @@
         if (watched.answered) {
             violated(Rule.ONE_ANSWER, at, call, "a second answer", watched.history);
         } else if (at > watched.terms.deadline() + answerSlackNs) {
-            violated(Rule.IN_TIME, at, call, String.format(Locale.ROOT, "%.3f ms after its deadline",
-                    (at - watched.terms.deadline()) / 1e6), watched.history);
+            violated(
+                    Rule.IN_TIME,
+                    at,
+                    call,
+                    String.format(
+                            Locale.ROOT,
+                            "%.3f ms after its deadline",
+                            (at - watched.terms.deadline()) / 1e6),
+                    watched.history);
         }
         watched.answered = true;
         release(call, watched);
@@ -187,7 +229,12 @@
     /** The answer that a call was given is none that a worker made for it. */
     public void foreign(long at, String call, String what) {
         Watched watched = calls.get(call);
-        violated(Rule.OWN_ANSWER, at, call, "served with: " + what, watched == null ? List.of() : watched.history);
+        violated(
+                Rule.OWN_ANSWER,
+                at,
+                call,
+                "served with: " + what,
+                watched == null ? List.of() : watched.history);
     }
 
     /** A call's connection was ended by its node without a whole answer. */
@@ -229,7 +276,9 @@
     }
 
     private void release(String call, Watched watched) {
-        if ((watched.answered || watched.released) && watched.out <= 0 && calls.remove(call) != null) {
+        if ((watched.answered || watched.released)
+                && watched.out <= 0
+                && calls.remove(call) != null) {
             judged++;
             if (!watched.answered) {
                 departed.put(call, watched);
@@ -256,7 +305,12 @@
 
     /** A cold worker has fallen over. */
     public void fell(long at, String worker) {
-        violated(Rule.COLD_STARTS, at, worker, "it was sent more than a cold worker bears", List.of());
+        violated(
+                Rule.COLD_STARTS,
+                at,
+                worker,
+                "it was sent more than a cold worker bears",
+                List.of());
     }
 
     /** The run is over: calls that are still owed an answer were lost. */
--- a/lab/src/main/java/trailthread/lab/referee/Rule.java
+++ b/lab/src/main/java/trailthread/lab/referee/Rule.java
@@ -12,7 +12,10 @@
     REPEATS("nothing is repeated past its class"),
     /** At most one attempt of a call is out at a time. */
     ONE_ATTEMPT("one attempt out at a time"),
-    /** Nothing new goes to a worker later than the grace after the node was told that it drains or is gone. */
+    /**
+     * Nothing new goes to a worker later than the grace after the node was told that it drains or
+     * is gone.
+     */
     DRAINS("nothing new to a worker that drains"),
     /** No cold worker is sent so much that it falls over. */
     COLD_STARTS("no cold worker is pushed over");
--- a/lab/src/main/java/trailthread/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/trailthread/lab/scenario/ScenarioReader.java
@@ -46,8 +46,7 @@
 
     private final List<Fault> faults = new ArrayList<>();
 
-    private ScenarioReader() {
-    }
+    private ScenarioReader() {}
 
     /**
      * Reads a file.
@@ -67,10 +66,21 @@
     public static Scenario parse(String name, String text) throws BadScenario {
         ScenarioReader reader = new ScenarioReader();
         TomlParseResult toml = Toml.parse(text);
-        toml.errors().forEach(e -> reader.faults.add(new Fault(name, e.position().line(), e.position().column(), "",
-                "TOML", e.getMessage())));
-        Scenario scenario = reader.faults.isEmpty() ? reader.scenario(new Part(name, reader.faults, toml, null, ""))
-                : null;
+        toml.errors()
+                .forEach(
+                        e ->
+                                reader.faults.add(
+                                        new Fault(
+                                                name,
+                                                e.position().line(),
+                                                e.position().column(),
+                                                "",
+                                                "TOML",
+                                                e.getMessage())));
+        Scenario scenario =
+                reader.faults.isEmpty()
+                        ? reader.scenario(new Part(name, reader.faults, toml, null, ""))
+                        : null;
         if (!reader.faults.isEmpty()) {
             throw new BadScenario(reader.faults);
         }
@@ -91,8 +101,11 @@
         }
         List<Tenant> tenants = new ArrayList<>();
         for (Part part : top.parts("tenants")) {
-            tenants.add(new Tenant(part.text("name", null), part.number("per_second", 1e9, 0, 1e9),
-                    part.number("share", null, 0, 1)));
+            tenants.add(
+                    new Tenant(
+                            part.text("name", null),
+                            part.number("per_second", 1e9, 0, 1e9),
+                            part.number("share", null, 0, 1)));
             part.end();
         }
         ClientLaw clients = clients(top.part("clients"));
@@ -105,18 +118,41 @@
         List<Scenario.Fault> troubles = new ArrayList<>();
         top.parts("faults").forEach(part -> troubles.add(trouble(part, zones)));
         top.end();
-        return faults.isEmpty() ? new Scenario(name, about, length, warmUp, nodes, zones, classes, tenants, clients,
-                network, fleet, new ListLaw(delay[0], delay[1]), rules, troubles) : null;
+        return faults.isEmpty()
+                ? new Scenario(
+                        name,
+                        about,
+                        length,
+                        warmUp,
+                        nodes,
+                        zones,
+                        classes,
+                        tenants,
+                        clients,
+                        network,
+                        fleet,
+                        new ListLaw(delay[0], delay[1]),
+                        rules,
+                        troubles)
+                : null;
     }
 
     private static ClassLaw requestClass(Part part) {
         long[] work = part.times("work", null);
         Draw draw = part.word("draw", work[0] == work[1] ? Draw.FIXED : Draw.UNIFORM, Draw.class);
-        RequestClass rules = new RequestClass(part.text("name", null), part.time("aim", null), 0,
-                part.time("deadline", null), part.word("repeats", Semantics.SAFE, Semantics.class),
-                part.word("group", Group.ALL, Group.class), part.time("window", "0s"),
-                part.number("worth", 1.0, 0, 1e6), part.number("late_worth", 0.0, 0, 1));
-        ClassLaw law = new ClassLaw(rules, part.number("share", 1.0, 0, 1e6), draw, work[0], work[1]);
+        RequestClass rules =
+                new RequestClass(
+                        part.text("name", null),
+                        part.time("aim", null),
+                        0,
+                        part.time("deadline", null),
+                        part.word("repeats", Semantics.SAFE, Semantics.class),
+                        part.word("group", Group.ALL, Group.class),
+                        part.time("window", "0s"),
+                        part.number("worth", 1.0, 0, 1e6),
+                        part.number("late_worth", 0.0, 0, 1));
+        ClassLaw law =
+                new ClassLaw(rules, part.number("share", 1.0, 0, 1e6), draw, work[0], work[1]);
         part.end();
         return law;
     }
@@ -124,56 +160,107 @@
     private static ClientLaw clients(Part part) {
         List<Surge> surges = new ArrayList<>();
         for (Part surge : part.parts("surges")) {
-            surges.add(new Surge(surge.time("at", null), surge.time("for", null),
-                    surge.number("times", null, 0, 1000)));
+            surges.add(
+                    new Surge(
+                            surge.time("at", null),
+                            surge.time("for", null),
+                            surge.number("times", null, 0, 1000)));
             surge.end();
         }
         double[] patience = part.numbers("patience", 1, 0.01, 1);
-        ClientLaw law = new ClientLaw(part.number("per_second", null, 0.001, 1e7), surges,
-                part.time("swing_period", "0s"), part.number("swing", 0.0, 0, 1), part.whole("retries", 0, 0, 20),
-                part.time("backoff", "100ms"), part.flag("heeds", true), patience[0], patience[1],
-                part.whole("keys", 0, 0, 1_000_000_000));
+        ClientLaw law =
+                new ClientLaw(
+                        part.number("per_second", null, 0.001, 1e7),
+                        surges,
+                        part.time("swing_period", "0s"),
+                        part.number("swing", 0.0, 0, 1),
+                        part.whole("retries", 0, 0, 20),
+                        part.time("backoff", "100ms"),
+                        part.flag("heeds", true),
+                        patience[0],
+                        patience[1],
+                        part.whole("keys", 0, 0, 1_000_000_000));
         part.end();
         return law;
     }
 
     private static NetworkLaw network(Part part) {
-        NetworkLaw law = new NetworkLaw(part.time("near", "200us"), part.time("far", "4ms"),
-                part.number("jitter", 0.2, 0, 10), part.time("open_work", "0s"), part.time("dial", "100ms"),
-                part.time("idle_close", "5s"), part.whole("connections", 1000, 1, 1_000_000));
+        NetworkLaw law =
+                new NetworkLaw(
+                        part.time("near", "200us"),
+                        part.time("far", "4ms"),
+                        part.number("jitter", 0.2, 0, 10),
+                        part.time("open_work", "0s"),
+                        part.time("dial", "100ms"),
+                        part.time("idle_close", "5s"),
+                        part.whole("connections", 1000, 1, 1_000_000));
         part.end();
         return law;
     }
 
     private static FleetLaw fleet(Part part) {
         Part jam = part.part("jam");
-        WorkerLaw.Jam jamLaw = new WorkerLaw.Jam(jam.number("waiting_per_core", Double.POSITIVE_INFINITY, 0,
-                Double.POSITIVE_INFINITY), jam.time("after", LONGEST), jam.number("slower", 1.0, 1, 1000),
-                jam.number("idle", 0.5, 0, 1000), jam.time("calm", "1s"));
+        WorkerLaw.Jam jamLaw =
+                new WorkerLaw.Jam(
+                        jam.number(
+                                "waiting_per_core",
+                                Double.POSITIVE_INFINITY,
+                                0,
+                                Double.POSITIVE_INFINITY),
+                        jam.time("after", LONGEST),
+                        jam.number("slower", 1.0, 1, 1000),
+                        jam.number("idle", 0.5, 0, 1000),
+                        jam.time("calm", "1s"));
         jam.end();
         Part cold = part.part("cold");
-        WorkerLaw.Cold coldLaw = new WorkerLaw.Cold(cold.number("share", 1.0, 0.001, 1), cold.time("warm", "0s"),
-                cold.number("multiple", Double.POSITIVE_INFINITY, 1, Double.POSITIVE_INFINITY),
-                cold.time("window", "1s"));
+        WorkerLaw.Cold coldLaw =
+                new WorkerLaw.Cold(
+                        cold.number("share", 1.0, 0.001, 1),
+                        cold.time("warm", "0s"),
+                        cold.number(
+                                "multiple", Double.POSITIVE_INFINITY, 1, Double.POSITIVE_INFINITY),
+                        cold.time("window", "1s"));
         cold.end();
         int cores = part.whole("cores", 1, 1, 10_000);
         int slots = part.whole("slots", 1_000_000, 1, 1_000_000);
-        WorkerLaw law = new WorkerLaw(1, cores, slots, part.whole("room", 1_000_000, 0, 1_000_000),
-                part.number("crowding", 0.0, 0, 10), jamLaw, coldLaw, part.flag("cancel_stops", false));
+        WorkerLaw law =
+                new WorkerLaw(
+                        1,
+                        cores,
+                        slots,
+                        part.whole("room", 1_000_000, 0, 1_000_000),
+                        part.number("crowding", 0.0, 0, 10),
+                        jamLaw,
+                        coldLaw,
+                        part.flag("cancel_stops", false));
         double[] speed = part.numbers("speed", 1, 0.001, 1000);
         long[] every = part.times("report_every", "500ms");
-        FleetLaw fleet = new FleetLaw(part.whole("workers", null, 1, 100_000), law, speed[0], speed[1],
-                part.whole("cells", 0, 0, 100_000), part.flag("reports", true), every[0], every[1],
-                part.number("noise", 0.0, 0, 1), part.time("probe_work", "100us"),
-                part.flag("deep_probes", false));
+        FleetLaw fleet =
+                new FleetLaw(
+                        part.whole("workers", null, 1, 100_000),
+                        law,
+                        speed[0],
+                        speed[1],
+                        part.whole("cells", 0, 0, 100_000),
+                        part.flag("reports", true),
+                        every[0],
+                        every[1],
+                        part.number("noise", 0.0, 0, 1),
+                        part.time("probe_work", "100us"),
+                        part.flag("deep_probes", false));
         part.end();
         return fleet;
     }
 
     private static RuleLaw rules(Part part) {
-        RuleLaw law = new RuleLaw(part.whole("attempts", 3, 1, 100), part.time("answer_slack", "20ms"),
-                part.time("drain_grace", "1s"), part.time("retry_after", "0s"), part.flag("probes", true),
-                part.number("cross_zone_price", 0.0, 0, 1));
+        RuleLaw law =
+                new RuleLaw(
+                        part.whole("attempts", 3, 1, 100),
+                        part.time("answer_slack", "20ms"),
+                        part.time("drain_grace", "1s"),
+                        part.time("retry_after", "0s"),
+                        part.flag("probes", true),
+                        part.number("cross_zone_price", 0.0, 0, 1));
         part.end();
         return law;
     }
@@ -187,9 +274,15 @@
         if (trouble == Trouble.ZONE_CUT && zone.isEmpty()) {
             part.fault("zone", "the zone that is cut off");
         }
-        Scenario.Fault fault = new Scenario.Fault(trouble, part.time("at", null), part.time("for", "1s"),
-                part.number("part", 1.0, 0, 1), part.number("size", 1.0, 0, 1e6), part.number("extra", 0.0, 0, 1),
-                zone.isEmpty() ? null : zone);
+        Scenario.Fault fault =
+                new Scenario.Fault(
+                        trouble,
+                        part.time("at", null),
+                        part.time("for", "1s"),
+                        part.number("part", 1.0, 0, 1),
+                        part.number("size", 1.0, 0, 1e6),
+                        part.number("extra", 0.0, 0, 1),
+                        zone.isEmpty() ? null : zone);
         part.end();
         return fault;
     }
--- a/lab/src/main/java/trailthread/lab/troubles/Stricken.java
+++ b/lab/src/main/java/trailthread/lab/troubles/Stricken.java
@@ -37,7 +37,9 @@
         /** Starts it again. */
         void start();
 
-        /** Whether it takes clients' requests: it has started, and neither ended nor been told to. */
+        /**
+         * Whether it takes clients' requests: it has started, and neither ended nor been told to.
+         */
         boolean isServing();
 
         /** Ends it in order, and starts it again when it has ended. */
--- a/lab/src/main/java/trailthread/lab/troubles/Troubles.java
+++ b/lab/src/main/java/trailthread/lab/troubles/Troubles.java
@@ -14,9 +14,12 @@
 public final class Troubles {
     /** How long a worker that drains goes on before it ends, and how long its next start takes. */
     private static final long DRAINS_NS = 2_000_000_000L;
+
     private static final long STARTS_NS = 1_000_000_000L;
+
     /** And after a loss of power. */
     private static final long POWER_BACK_NS = 2_000_000_000L;
+
     /** How often it is looked whether all nodes serve. */
     private static final long LOOK_NS = 20_000_000L;
 
@@ -41,7 +44,10 @@
     private static <T> List<T> struck(List<T> all, double part, UniformRandomProvider random) {
         List<T> left = new ArrayList<>(all);
         List<T> struck = new ArrayList<>();
-        int count = Math.min(left.size(), (int) Math.max(part > 0 ? 1 : 0, Math.round(part * left.size())));
+        int count =
+                Math.min(
+                        left.size(),
+                        (int) Math.max(part > 0 ? 1 : 0, Math.round(part * left.size())));
         while (struck.size() < count) {
             struck.add(left.remove(random.nextInt(left.size())));
         }
@@ -60,16 +66,33 @@
 
     private void begin(Fault fault, UniformRandomProvider random) {
         switch (fault.trouble()) {
-            case FAST_ERRORS -> ills(fault, random, i -> i.failing = fault.size(), i -> i.failing = 0);
-            case LOST_ANSWERS -> ills(fault, random, i -> i.losing = fault.size(), i -> i.losing = 0);
-            case RESETS -> ills(fault, random, i -> i.resetting = fault.size(), i -> i.resetting = 0);
-            case GARBAGE -> ills(fault, random, i -> i.spoiling = fault.size(), i -> i.spoiling = 0);
-            case DRIPS -> ills(fault, random, i -> i.drips = (long) (fault.size() * 1e9), i -> i.drips = 0);
+            case FAST_ERRORS ->
+                    ills(fault, random, i -> i.failing = fault.size(), i -> i.failing = 0);
+            case LOST_ANSWERS ->
+                    ills(fault, random, i -> i.losing = fault.size(), i -> i.losing = 0);
+            case RESETS ->
+                    ills(fault, random, i -> i.resetting = fault.size(), i -> i.resetting = 0);
+            case GARBAGE ->
+                    ills(fault, random, i -> i.spoiling = fault.size(), i -> i.spoiling = 0);
+            case DRIPS ->
+                    ills(
+                            fault,
+                            random,
+                            i -> i.drips = (long) (fault.size() * 1e9),
+                            i -> i.drips = 0);
             case CUT -> ills(fault, random, i -> i.cut = true, i -> i.cut = false);
-            case SLOW -> forAWhile(fault, workers(fault, random), w -> w.process().slow(fault.size()),
-                    w -> w.process().slow(1));
-            case LATE_REPORTS -> forAWhile(fault, List.copyOf(day.workers()),
-                    w -> w.process().reportsLate((long) (fault.size() * 1e9)), w -> w.process().reportsLate(0));
+            case SLOW ->
+                    forAWhile(
+                            fault,
+                            workers(fault, random),
+                            w -> w.process().slow(fault.size()),
+                            w -> w.process().slow(1));
+            case LATE_REPORTS ->
+                    forAWhile(
+                            fault,
+                            List.copyOf(day.workers()),
+                            w -> w.process().reportsLate((long) (fault.size() * 1e9)),
+                            w -> w.process().reportsLate(0));
             case HEAVY_TAIL -> {
                 day.tail(fault.extra(), fault.size());
                 agenda.in(fault.forNs(), () -> day.tail(0, 1));
@@ -82,45 +105,64 @@
                 List<Stricken.Worker> all = workers(fault, random);
                 for (int i = 0; i < all.size(); i++) {
                     Stricken.Worker worker = all.get(i);
-                    agenda.in(fault.forNs() * i / all.size(),
+                    agenda.in(
+                            fault.forNs() * i / all.size(),
                             () -> leaves(worker, fault.trouble() == Trouble.REPLACE));
                 }
             }
-            case COLD_FLEET -> workers(fault, random).forEach(worker -> {
-                worker.goesDown();
-                agenda.in(POWER_BACK_NS, worker::comesBack);
-            });
+            case COLD_FLEET ->
+                    workers(fault, random)
+                            .forEach(
+                                    worker -> {
+                                        worker.goesDown();
+                                        agenda.in(POWER_BACK_NS, worker::comesBack);
+                                    });
             case ROSTER_DOWN -> {
                 day.rosterDown(true);
                 agenda.in(fault.forNs(), () -> day.rosterDown(false));
             }
-            case NODE_KILL -> struck(day.nodes(), fault.part(), random).forEach(node -> {
-                node.kill();
-                agenda.in(fault.forNs(), node::start);
-            });
+            case NODE_KILL ->
+                    struck(day.nodes(), fault.part(), random)
+                            .forEach(
+                                    node -> {
+                                        node.kill();
+                                        agenda.in(fault.forNs(), node::start);
+                                    });
             case NODE_RESTART -> {
                 List<Stricken.Node> all = struck(List.copyOf(day.nodes()), fault.part(), random);
                 roll(all, fault.forNs() / Math.max(1, all.size()));
             }
-            case NODE_RELOAD -> struck(day.nodes(), fault.part(), random).forEach(Stricken.Node::reload);
-            case NODE_PAUSE -> struck(day.nodes(), fault.part(), random).forEach(node -> node.pause(fault.forNs()));
+            case NODE_RELOAD ->
+                    struck(day.nodes(), fault.part(), random).forEach(Stricken.Node::reload);
+            case NODE_PAUSE ->
+                    struck(day.nodes(), fault.part(), random)
+                            .forEach(node -> node.pause(fault.forNs()));
             default -> throw new IllegalStateException(fault.trouble().name());
         }
     }
 
-    private void ills(Fault fault, UniformRandomProvider random, Consumer<Ills> on, Consumer<Ills> off) {
-        forAWhile(fault, workers(fault, random), w -> on.accept(w.process().ills), w -> off.accept(w.process().ills));
+    private void ills(
+            Fault fault, UniformRandomProvider random, Consumer<Ills> on, Consumer<Ills> off) {
+        forAWhile(
+                fault,
+                workers(fault, random),
+                w -> on.accept(w.process().ills),
+                w -> off.accept(w.process().ills));
     }
 
-    private void forAWhile(Fault fault, List<Stricken.Worker> struck, Consumer<Stricken.Worker> on,
+    private void forAWhile(
+            Fault fault,
+            List<Stricken.Worker> struck,
+            Consumer<Stricken.Worker> on,
             Consumer<Stricken.Worker> off) {
         struck.forEach(on);
         agenda.in(fault.forNs(), () -> struck.forEach(off));
     }
 
     /**
-     * Restarts the first of these, and the others after it at this distance or later: nothing is restarted while a node
-     * is out of service, however long this machine takes to start one. A day must not depend on that.
+     * Restarts the first of these, and the others after it at this distance or later: nothing is
+     * restarted while a node is out of service, however long this machine takes to start one. A day
+     * must not depend on that.
      */
     private void roll(List<Stricken.Node> left, long eachNs) {
         if (left.isEmpty()) {
@@ -136,9 +178,11 @@
 
     private void leaves(Stricken.Worker worker, boolean forGood) {
         worker.drains();
-        agenda.in(DRAINS_NS, () -> {
-            worker.goesDown();
-            agenda.in(STARTS_NS, forGood ? worker::isReplaced : worker::comesBack);
-        });
+        agenda.in(
+                DRAINS_NS,
+                () -> {
+                    worker.goesDown();
+                    agenda.in(STARTS_NS, forGood ? worker::isReplaced : worker::comesBack);
+                });
     }
 }
--- a/lab/src/main/java/trailthread/lab/worker/WorkerLaw.java
+++ b/lab/src/main/java/trailthread/lab/worker/WorkerLaw.java
@@ -3,32 +3,43 @@
 /**
  * What a worker is able to do. Times in ns; work in ns on a standard core.
  *
- * @param speed       of a core, against a standard one; above 0
- * @param cores       shared equally by all requests in work (processor sharing: Kleinrock, "Queueing Systems" II, 4.4)
- * @param slots       most requests in work at once, 1 or more
- * @param room        most that wait, first come first served; what comes past it is turned away
- * @param crowding    what each request held past the cores takes off its efficiency, as a share: with h held, it works
- *                    at 1 / (1 + crowding (h - cores)) (the contention of the Universal Scalability Law: Gunther,
- *                    "Guerrilla Capacity Planning", 2007)
- * @param jam         when it slows and stays slow, or {@link Jam#NEVER}
- * @param cold        how it starts, or {@link Cold#NEVER}
- * @param cancelStops a call that its node gives up stops at once also while it is in work; else only while it waits
+ * @param speed of a core, against a standard one; above 0
+ * @param cores shared equally by all requests in work (processor sharing: Kleinrock, "Queueing
+ *     Systems" II, 4.4)
+ * @param slots most requests in work at once, 1 or more
+ * @param room most that wait, first come first served; what comes past it is turned away
+ * @param crowding what each request held past the cores takes off its efficiency, as a share: with
+ *     h held, it works at 1 / (1 + crowding (h - cores)) (the contention of the Universal
+ *     Scalability Law: Gunther, "Guerrilla Capacity Planning", 2007)
+ * @param jam when it slows and stays slow, or {@link Jam#NEVER}
+ * @param cold how it starts, or {@link Cold#NEVER}
+ * @param cancelStops a call that its node gives up stops at once also while it is in work; else
+ *     only while it waits
  */
-public record WorkerLaw(double speed, int cores, int slots, int room, double crowding, Jam jam, Cold cold,
-                        boolean cancelStops) {
+public record WorkerLaw(
+        double speed,
+        int cores,
+        int slots,
+        int room,
+        double crowding,
+        Jam jam,
+        Cold cold,
+        boolean cancelStops) {
     /**
-     * A state that keeps itself up (metastable failures: Bronson et al., HotOS 2021): past so many waiting requests for
-     * each core, for so long, it works {@code slower} times slower, until it holds no more than {@code idle} requests a
-     * core for a time.
+     * A state that keeps itself up (metastable failures: Bronson et al., HotOS 2021): past so many
+     * waiting requests for each core, for so long, it works {@code slower} times slower, until it
+     * holds no more than {@code idle} requests a core for a time.
      */
-    public record Jam(double waitingPerCore, long afterNs, double slower, double idle, long calmNs) {
+    public record Jam(
+            double waitingPerCore, long afterNs, double slower, double idle, long calmNs) {
         /** It never jams. */
         public static final Jam NEVER = new Jam(Double.POSITIVE_INFINITY, Long.MAX_VALUE, 1, 0, 0);
     }
 
     /**
-     * After a start it does {@code share} of its work, rising evenly to all of it after {@code warmNs}. If it is sent
-     * more work within {@code windowNs} than {@code multiple} times what it can do in it now, it falls over.
+     * After a start it does {@code share} of its work, rising evenly to all of it after {@code
+     * warmNs}. If it is sent more work within {@code windowNs} than {@code multiple} times what it
+     * can do in it now, it falls over.
      */
     public record Cold(double share, long warmNs, double multiple, long windowNs) {
         /** It starts warm. */
@@ -38,10 +49,12 @@
     /** Throws IllegalArgumentException at figures that make no sense. */
     public WorkerLaw {
         if (!(speed > 0) || cores < 1 || slots < 1 || room < 0 || !(crowding >= 0)) {
-            throw new IllegalArgumentException("a worker needs speed, cores and slots, and no negative figures");
+            throw new IllegalArgumentException(
+                    "a worker needs speed, cores and slots, and no negative figures");
         }
         if (!(cold.share() > 0 && cold.share() <= 1) || cold.warmNs() < 0 || cold.windowNs() <= 0) {
-            throw new IllegalArgumentException("a cold start needs a share in (0, 1] and times that are not negative");
+            throw new IllegalArgumentException(
+                    "a cold start needs a share in (0, 1] and times that are not negative");
         }
     }
 
--- a/lab/src/main/java/trailthread/lab/worker/WorkerModel.java
+++ b/lab/src/main/java/trailthread/lab/worker/WorkerModel.java
@@ -5,12 +5,13 @@
 import java.util.function.Consumer;
 
 /**
- * A worker's work, by {@link WorkerLaw}: requests share its cores, wait for slots, are turned away. Time is handed in
- * and may be virtual or real; nothing here draws a random number.
+ * A worker's work, by {@link WorkerLaw}: requests share its cores, wait for slots, are turned away.
+ * Time is handed in and may be virtual or real; nothing here draws a random number.
  *
- * <p>All requests in work go on at one rate, so the work that one of them has had since the worker's start,
- * {@code served}, is the same for all; each is done when that reaches what it was when the request began plus the
- * request's own work. Every step costs the logarithm of what is in work.
+ * <p>All requests in work go on at one rate, so the work that one of them has had since the
+ * worker's start, {@code served}, is the same for all; each is done when that reaches what it was
+ * when the request began plus the request's own work. Every step costs the logarithm of what is in
+ * work.
  */
 public final class WorkerModel {
     /** A cold worker's capacity rises in so many steps. */
@@ -23,7 +24,12 @@
         private double doneAt;
         private State state = State.NEW;
 
-        private enum State { NEW, WAITS, WORKS, OVER }
+        private enum State {
+            NEW,
+            WAITS,
+            WORKS,
+            OVER
+        }
 
         /** So much work, in ns on a standard core, above 0. */
         public Job(double work) {
@@ -40,7 +46,9 @@
 
         @Override
         public int compareTo(Job other) {
-            return doneAt != other.doneAt ? Double.compare(doneAt, other.doneAt) : Long.compare(serial, other.serial);
+            return doneAt != other.doneAt
+                    ? Double.compare(doneAt, other.doneAt)
+                    : Long.compare(serial, other.serial);
         }
     }
 
@@ -54,8 +62,13 @@
     private long serial;
     private double slowed = 1;
     private boolean jammed;
-    /** Since when it has been crowded enough to jam, or calm enough to end a jam; Long.MAX_VALUE: it is not. */
+
+    /**
+     * Since when it has been crowded enough to jam, or calm enough to end a jam; Long.MAX_VALUE: it
+     * is not.
+     */
     private long tipsSince = Long.MAX_VALUE;
+
     private double sentInWindow;
     private boolean fallen;
     private int jams;
@@ -148,7 +161,9 @@
         return true;
     }
 
-    /** A cold worker's budget: all work sent within the window, against what it can do in it now. */
+    /**
+     * A cold worker's budget: all work sent within the window, against what it can do in it now.
+     */
     private void weigh(long now, Job job) {
         WorkerLaw.Cold cold = law.cold();
         double warmth = warmth(now);
@@ -174,10 +189,14 @@
         working.add(job);
     }
 
-    /** The node has given it up: what waits is dropped, what is in work goes on, unless the law says otherwise. */
+    /**
+     * The node has given it up: what waits is dropped, what is in work goes on, unless the law says
+     * otherwise.
+     */
     public boolean drop(long now, Job job) {
-        boolean dropped = job.state == Job.State.WAITS && waiting.remove(job)
-                || job.state == Job.State.WORKS && law.cancelStops() && working.remove(job);
+        boolean dropped =
+                job.state == Job.State.WAITS && waiting.remove(job)
+                        || job.state == Job.State.WORKS && law.cancelStops() && working.remove(job);
         if (dropped) {
             job.state = Job.State.OVER;
             fill();
@@ -193,8 +212,9 @@
     }
 
     /**
-     * Work beside all requests, as for a new connection, so much on a standard core: it is taken from what is in work,
-     * in equal parts; an idle core does it unseen. {@link #advance} to this time must have been called.
+     * Work beside all requests, as for a new connection, so much on a standard core: it is taken
+     * from what is in work, in equal parts; an idle core does it unseen. {@link #advance} to this
+     * time must have been called.
      */
     public void takes(double work) {
         if (!working.isEmpty()) {
@@ -216,7 +236,10 @@
         int n = working.size();
         double share = Math.min(1, (double) law.cores() / n);
         double crowd = 1 + law.crowding() * Math.max(0, inflight() - law.cores());
-        return law.speed() * share * warmth(now) / (crowd * slowed * (jammed ? law.jam().slower() : 1));
+        return law.speed()
+                * share
+                * warmth(now)
+                / (crowd * slowed * (jammed ? law.jam().slower() : 1));
     }
 
     /** When something changes if nothing comes, Long.MAX_VALUE: never. */
@@ -249,8 +272,8 @@
     }
 
     /**
-     * How long one more request would take, for each ns of its work, if all that it holds, and that is coming, were of
-     * its size; infinite: it has no room.
+     * How long one more request would take, for each ns of its work, if all that it holds, and that
+     * is coming, were of its size; infinite: it has no room.
      */
     public double stretch(long now, int coming) {
         if (fallen || working.size() >= law.slots() && waiting.size() >= law.room()) {
@@ -258,7 +281,8 @@
         }
         int held = inflight() + coming + 1;
         double crowd = 1 + law.crowding() * Math.max(0, held - law.cores());
-        double pace = law.speed() * warmth(now) / (crowd * slowed * (jammed ? law.jam().slower() : 1));
+        double pace =
+                law.speed() * warmth(now) / (crowd * slowed * (jammed ? law.jam().slower() : 1));
         return Math.max(1, (double) held / law.cores()) / pace;
     }
 
@@ -270,7 +294,8 @@
                 break;
             }
             pass(next);
-            if (!working.isEmpty() && working.peek().doneAt - served <= 1e-6 * rate(at) + 1e-12 * served) {
+            if (!working.isEmpty()
+                    && working.peek().doneAt - served <= 1e-6 * rate(at) + 1e-12 * served) {
                 Job job = working.poll();
                 job.state = Job.State.OVER;
                 fill();
@@ -297,8 +322,10 @@
 
     private void watchForJam(long now) {
         WorkerLaw.Jam jam = law.jam();
-        boolean tips = jammed ? inflight() <= jam.idle() * law.cores()
-                : waiting.size() > jam.waitingPerCore() * law.cores();
+        boolean tips =
+                jammed
+                        ? inflight() <= jam.idle() * law.cores()
+                        : waiting.size() > jam.waitingPerCore() * law.cores();
         tipsSince = !tips ? Long.MAX_VALUE : tipsSince == Long.MAX_VALUE ? now : tipsSince;
     }
 }
--- a/lab/src/main/java/trailthread/lab/world/SimAttempt.java
+++ b/lab/src/main/java/trailthread/lab/world/SimAttempt.java
@@ -15,10 +15,13 @@
     private final long sentAt;
     private Agenda.Entry timeout;
     private boolean over;
+
     /** It has a connection, of this life of its worker. */
     private boolean connected;
+
     private int life;
     private boolean written;
+
     /** It counts among those that are on their way. */
     private boolean coming = true;
 
@@ -46,40 +49,54 @@
 
     private void connect() {
         world.figures().opens();
-        world.agenda().in(world.network().dialNs(), () -> node.input(() -> {
-            if (!connected) {
-                end(Outcome.CONNECT_FAILED, null);
-            }
-        }));
-        world.travel(node, worker, () -> {
-            boolean opened = worker.opens();
-            life = worker.process().life();
-            world.travel(worker, node, () -> {
-                if (over && opened) {
-                    worker.closes(life);
-                } else if (opened) {
-                    connected = true;
-                    write();
-                } else {
-                    end(Outcome.CONNECT_FAILED, null);
-                }
-            });
-        });
+        world.agenda()
+                .in(
+                        world.network().dialNs(),
+                        () ->
+                                node.input(
+                                        () -> {
+                                            if (!connected) {
+                                                end(Outcome.CONNECT_FAILED, null);
+                                            }
+                                        }));
+        world.travel(
+                node,
+                worker,
+                () -> {
+                    boolean opened = worker.opens();
+                    life = worker.process().life();
+                    world.travel(
+                            worker,
+                            node,
+                            () -> {
+                                if (over && opened) {
+                                    worker.closes(life);
+                                } else if (opened) {
+                                    connected = true;
+                                    write();
+                                } else {
+                                    end(Outcome.CONNECT_FAILED, null);
+                                }
+                            });
+                });
     }
 
     private void write() {
         written = true;
-        world.travel(node, worker, () -> {
-            if (over) {
-                return; // the connection was closed on it
-            }
-            comesNoMore();
-            if (worker.process().isUp() && worker.process().life() == life) {
-                worker.process().arrived(this);
-            } else {
-                world.travel(worker, node, () -> end(Outcome.RESET, null));
-            }
-        });
+        world.travel(
+                node,
+                worker,
+                () -> {
+                    if (over) {
+                        return; // the connection was closed on it
+                    }
+                    comesNoMore();
+                    if (worker.process().isUp() && worker.process().life() == life) {
+                        worker.process().arrived(this);
+                    } else {
+                        world.travel(worker, node, () -> end(Outcome.RESET, null));
+                    }
+                });
     }
 
     private void comesNoMore() {
@@ -110,13 +127,26 @@
             return;
         }
         Load load = worker.process().report();
-        world.agenda().in(drips, () -> world.travel(worker, node, () -> {
-            if (!over) {
-                node.keepsIdle(worker, life);
-                connected = false;
-                end(answer == Answer.OK ? Outcome.OK : answer == Answer.FULL ? Outcome.FULL : Outcome.ERROR, load);
-            }
-        }));
+        world.agenda()
+                .in(
+                        drips,
+                        () ->
+                                world.travel(
+                                        worker,
+                                        node,
+                                        () -> {
+                                            if (!over) {
+                                                node.keepsIdle(worker, life);
+                                                connected = false;
+                                                end(
+                                                        answer == Answer.OK
+                                                                ? Outcome.OK
+                                                                : answer == Answer.FULL
+                                                                        ? Outcome.FULL
+                                                                        : Outcome.ERROR,
+                                                        load);
+                                            }
+                                        }));
     }
 
     @Override
@@ -137,10 +167,13 @@
 
     private void closes() {
         int of = life;
-        world.travel(node, worker, () -> {
-            worker.closes(of);
-            worker.process().givenUp(this);
-        });
+        world.travel(
+                node,
+                worker,
+                () -> {
+                    worker.closes(of);
+                    worker.process().givenUp(this);
+                });
     }
 
     private void end(Outcome outcome, Load load) {
--- a/lab/src/main/java/trailthread/lab/world/SimCall.java
+++ b/lab/src/main/java/trailthread/lab/world/SimCall.java
@@ -5,8 +5,10 @@
 /** A call at a node. */
 final class SimCall {
     final long id;
+
     /** Over all nodes, in the order of the calls. */
     final long serial;
+
     final String name;
     final Ask ask;
     final long deadline;
--- a/lab/src/main/java/trailthread/lab/world/SimNode.java
+++ b/lab/src/main/java/trailthread/lab/world/SimNode.java
@@ -18,14 +18,20 @@
 import trailthread.lab.referee.Referee;
 import trailthread.lab.troubles.Stricken;
 
-/** A node in virtual time: hosts one instance of the decisions under test, which learns and acts by it alone. */
+/**
+ * A node in virtual time: hosts one instance of the decisions under test, which learns and acts by
+ * it alone.
+ */
 final class SimNode implements Actions, Stricken.Node {
-    /** What one event may ask for, and what a node may have set as timers: past it the decisions run wild. */
+    /**
+     * What one event may ask for, and what a node may have set as timers: past it the decisions run
+     * wild.
+     */
     private static final int MOST_ACTIONS = 100_000;
+
     private static final int MOST_TIMERS = 2_000_000;
 
-    private record Idle(int life, long since) {
-    }
+    private record Idle(int life, long since) {}
 
     /** One event, told at this time. */
     private interface Telling {
@@ -65,8 +71,14 @@
         leaving = false;
         life++;
         Settings settings = world.settings(this);
-        module = world.policy().make(settings, world.streams().seedOf(name + " life " + life), world.now(), this,
-                world.truth());
+        module =
+                world.policy()
+                        .make(
+                                settings,
+                                world.streams().seedOf(name + " life " + life),
+                                world.now(),
+                                this,
+                                world.truth());
         list(ListKind.CACHED, world.roster().whole());
     }
 
@@ -78,11 +90,14 @@
     void input(Runnable task) {
         int of = life;
         if (pausedUntil > world.now()) {
-            world.agenda().at(pausedUntil, () -> {
-                if (life == of) {
-                    task.run();
-                }
-            });
+            world.agenda()
+                    .at(
+                            pausedUntil,
+                            () -> {
+                                if (life == of) {
+                                    task.run();
+                                }
+                            });
         } else if (up) {
             task.run();
         }
@@ -102,17 +117,23 @@
         return up && !leaving;
     }
 
-    /** New calls go elsewhere until it is back; it ends once all that it had must have been answered. */
+    /**
+     * New calls go elsewhere until it is back; it ends once all that it had must have been
+     * answered.
+     */
     @Override
     public void restart() {
         leaving = true;
         int of = life;
-        world.agenda().in(world.longestDeadline(), () -> {
-            if (life == of) {
-                kill();
-                start();
-            }
-        });
+        world.agenda()
+                .in(
+                        world.longestDeadline(),
+                        () -> {
+                            if (life == of) {
+                                kill();
+                                start();
+                            }
+                        });
     }
 
     @Override
@@ -139,11 +160,14 @@
         calls.clear();
         asked.clear();
         timers = 0;
-        idle.forEach((worker, connections) -> connections.forEach(c -> {
-            if (c.life == worker.process().life()) {
-                worker.connections--;
-            }
-        }));
+        idle.forEach(
+                (worker, connections) ->
+                        connections.forEach(
+                                c -> {
+                                    if (c.life == worker.process().life()) {
+                                        worker.connections--;
+                                    }
+                                }));
         idle.clear();
         for (SimCall call : had) {
             if (call.out != null) {
@@ -156,20 +180,23 @@
         }
     }
 
-    // ---- events ------------------------------------------------------------------------------------
+    // ---- events
+    // ------------------------------------------------------------------------------------
 
     private void event(Telling telling) {
         long now = world.now();
         atOnce = now == lastAt ? atOnce + 1 : 0;
         lastAt = now;
         if (atOnce > MOST_ACTIONS) {
-            throw new ModuleFault(now, number, "more than " + MOST_ACTIONS + " events without time passing");
+            throw new ModuleFault(
+                    now, number, "more than " + MOST_ACTIONS + " events without time passing");
         }
         long begun = System.nanoTime();
         telling.tell(module, now);
         world.figures().decided(System.nanoTime() - begun);
         if (asked.size() > MOST_ACTIONS) {
-            throw new ModuleFault(now, number, "one event asked for more than " + MOST_ACTIONS + " actions");
+            throw new ModuleFault(
+                    now, number, "one event asked for more than " + MOST_ACTIONS + " actions");
         }
         if (busy) {
             return;
@@ -189,11 +216,30 @@
         SimCall call = new SimCall(world.nextId(), world.nextSerial(), ask, world.now(), until);
         calls.put(call.id, call);
         var rules = ask.law().rules();
-        world.referee().taken(world.now(), call.name, name, new CallTerms(rules.name(), rules.semantics(),
-                rules.group(), rules.windowNs(), until));
+        world.referee()
+                .taken(
+                        world.now(),
+                        call.name,
+                        name,
+                        new CallTerms(
+                                rules.name(),
+                                rules.semantics(),
+                                rules.group(),
+                                rules.windowNs(),
+                                until));
         long slack = world.scenario().rules().answerSlackNs();
         world.agenda().at(until + slack + 1, () -> clientLeaves(call));
-        event((m, now) -> m.request(now, call.id, rules.name(), 0, until, ask.tenant(), false, ask.key()));
+        event(
+                (m, now) ->
+                        m.request(
+                                now,
+                                call.id,
+                                rules.name(),
+                                0,
+                                until,
+                                ask.tenant(),
+                                false,
+                                ask.key()));
     }
 
     /** The client's time is over. */
@@ -202,7 +248,10 @@
             return;
         }
         if (isPaused()) {
-            world.referee().gone(world.now(), call.name); // a process that is stopped owes nothing meanwhile
+            world.referee()
+                    .gone(
+                            world.now(),
+                            call.name); // a process that is stopped owes nothing meanwhile
         } else {
             world.referee().overdue(world.now(), call.name);
         }
@@ -217,14 +266,24 @@
         SimCall call = attempt.call;
         call.out = null;
         world.referee().ended(world.now(), call.name, attempt.number, outcome);
-        input(() -> {
-            if (outcome == Outcome.OK && !call.finished) {
-                answer(call, Ask.Seen.SERVED, 0, "served");
-            }
-            boolean closed = call.finished;
-            event((m, now) -> m.outcome(now, call.id, attempt.number, outcome, latencyNs, closed, load));
-            forgetIfDone(call);
-        });
+        input(
+                () -> {
+                    if (outcome == Outcome.OK && !call.finished) {
+                        answer(call, Ask.Seen.SERVED, 0, "served");
+                    }
+                    boolean closed = call.finished;
+                    event(
+                            (m, now) ->
+                                    m.outcome(
+                                            now,
+                                            call.id,
+                                            attempt.number,
+                                            outcome,
+                                            latencyNs,
+                                            closed,
+                                            load));
+                    forgetIfDone(call);
+                });
     }
 
     private void answer(SimCall call, Ask.Seen seen, long retryAfterNs, String how) {
@@ -250,17 +309,22 @@
         event((m, now) -> m.list(now, kind, entries));
     }
 
-    // ---- connections -------------------------------------------------------------------------------
+    // ---- connections
+    // -------------------------------------------------------------------------------
 
-    /** Takes the idle connection that was used last, if there is one that the worker has not closed yet. */
+    /**
+     * Takes the idle connection that was used last, if there is one that the worker has not closed
+     * yet.
+     */
     boolean takesIdle(SimWorker worker) {
         ArrayDeque<Idle> connections = idle.get(worker);
         if (connections == null) {
             return false;
         }
         long oldest = world.now() - world.network().idleCloseNs();
-        for (Idle first = connections.peekFirst(); first != null
-                && (first.since <= oldest || first.life != worker.process().life()); first = connections.peekFirst()) {
+        for (Idle first = connections.peekFirst();
+                first != null && (first.since <= oldest || first.life != worker.process().life());
+                first = connections.peekFirst()) {
             connections.pollFirst();
             if (first.life == worker.process().life()) {
                 worker.connections--;
@@ -271,72 +335,95 @@
 
     void keepsIdle(SimWorker worker, int of) {
         if (worker.process().life() == of) {
-            idle.computeIfAbsent(worker, w -> new ArrayDeque<>()).addLast(new Idle(of, world.now()));
+            idle.computeIfAbsent(worker, w -> new ArrayDeque<>())
+                    .addLast(new Idle(of, world.now()));
         }
     }
 
-    // ---- actions -----------------------------------------------------------------------------------
+    // ---- actions
+    // -----------------------------------------------------------------------------------
 
     private SimWorker worker(String backend) {
         SimWorker worker = world.worker(backend);
         if (worker == null) {
-            throw new ModuleFault(world.now(), number, "a worker that no list has named: " + backend);
+            throw new ModuleFault(
+                    world.now(), number, "a worker that no list has named: " + backend);
         }
         return worker;
     }
 
     @Override
     public void send(long id, long timeoutNs, long writtenBy, String backend) {
-        asked.add(() -> {
-            SimWorker worker = worker(backend);
-            SimCall call = calls.get(id);
-            if (call == null) {
-                return; // it ended a moment ago
-            }
-            int attempt = call.attempts++;
-            long left = call.deadline - world.now();
-            if (call.finished || left <= 0 || call.out != null
-                    || attempt >= world.scenario().rules().maxAttempts()) {
-                event((m, now) -> m.outcome(now, id, attempt, Outcome.MOOT, 0, call.finished, null));
-                return;
-            }
-            call.out = new SimAttempt(world, this, call, attempt, worker);
-            world.figures().sends(worker.index);
-            world.referee().sent(world.now(), call.name, attempt, name,
-                    new Referee.Place(worker.name, worker.zone, worker.cell));
-            call.out.send(timeoutNs == 0 ? left : Math.min(timeoutNs, left));
-        });
+        asked.add(
+                () -> {
+                    SimWorker worker = worker(backend);
+                    SimCall call = calls.get(id);
+                    if (call == null) {
+                        return; // it ended a moment ago
+                    }
+                    int attempt = call.attempts++;
+                    long left = call.deadline - world.now();
+                    if (call.finished
+                            || left <= 0
+                            || call.out != null
+                            || attempt >= world.scenario().rules().maxAttempts()) {
+                        event(
+                                (m, now) ->
+                                        m.outcome(
+                                                now,
+                                                id,
+                                                attempt,
+                                                Outcome.MOOT,
+                                                0,
+                                                call.finished,
+                                                null));
+                        return;
+                    }
+                    call.out = new SimAttempt(world, this, call, attempt, worker);
+                    world.figures().sends(worker.index);
+                    world.referee()
+                            .sent(
+                                    world.now(),
+                                    call.name,
+                                    attempt,
+                                    name,
+                                    new Referee.Place(worker.name, worker.zone, worker.cell));
+                    call.out.send(timeoutNs == 0 ? left : Math.min(timeoutNs, left));
+                });
     }
 
     @Override
     public void refuse(long id, long retryAfterNs) {
-        asked.add(() -> {
-            SimCall call = calls.get(id);
-            if (call != null) {
-                world.figures().refuses();
-                answer(call, Ask.Seen.REFUSED, retryAfterNs, "refused");
-            }
-        });
+        asked.add(
+                () -> {
+                    SimCall call = calls.get(id);
+                    if (call != null) {
+                        world.figures().refuses();
+                        answer(call, Ask.Seen.REFUSED, retryAfterNs, "refused");
+                    }
+                });
     }
 
     @Override
     public void fail(long id) {
-        asked.add(() -> {
-            SimCall call = calls.get(id);
-            if (call != null) {
-                answer(call, Ask.Seen.FAILED, 0, "failed");
-            }
-        });
+        asked.add(
+                () -> {
+                    SimCall call = calls.get(id);
+                    if (call != null) {
+                        answer(call, Ask.Seen.FAILED, 0, "failed");
+                    }
+                });
     }
 
     @Override
     public void cancel(long id, int attempt) {
-        asked.add(() -> {
-            SimCall call = calls.get(id);
-            if (call != null && call.out != null && call.out.number == attempt) {
-                call.out.giveUp(Outcome.CANCELLED);
-            }
-        });
+        asked.add(
+                () -> {
+                    SimCall call = calls.get(id);
+                    if (call != null && call.out != null && call.out.number == attempt) {
+                        call.out.giveUp(Outcome.CANCELLED);
+                    }
+                });
     }
 
     @Override
@@ -345,38 +432,66 @@
         if (++timers > MOST_TIMERS) {
             throw new ModuleFault(world.now(), number, "more than " + MOST_TIMERS + " timers");
         }
-        world.agenda().in(delayNs, () -> {
-            if (life == of) {
-                timers--;
-                input(() -> event((m, now) -> m.timer(now, token)));
-            }
-        });
+        world.agenda()
+                .in(
+                        delayNs,
+                        () -> {
+                            if (life == of) {
+                                timers--;
+                                input(() -> event((m, now) -> m.timer(now, token)));
+                            }
+                        });
     }
 
     @Override
     public void probe(String backend) {
-        asked.add(() -> {
-            SimWorker worker = worker(backend);
-            world.figures().probes();
-            long begun = world.now();
-            boolean[] over = new boolean[1];
-            long within = world.probeWithinNs();
-            world.agenda().in(within, () -> probed(worker, Outcome.TIMEOUT, within, null, over));
-            world.travel(this, worker, () -> {
-                if (!worker.process().isUp()) {
-                    world.travel(worker, this, () -> probed(worker, Outcome.RESET, world.now() - begun, null, over));
-                } else {
-                    worker.process().probes(() -> {
-                        Load load = worker.process().probed();
-                        world.travel(worker, this,
-                                () -> probed(worker, Outcome.OK, world.now() - begun, load, over));
-                    });
-                }
-            });
-        });
-    }
-
-    private void probed(SimWorker worker, Outcome outcome, long latencyNs, Load load, boolean[] over) {
+        asked.add(
+                () -> {
+                    SimWorker worker = worker(backend);
+                    world.figures().probes();
+                    long begun = world.now();
+                    boolean[] over = new boolean[1];
+                    long within = world.probeWithinNs();
+                    world.agenda()
+                            .in(within, () -> probed(worker, Outcome.TIMEOUT, within, null, over));
+                    world.travel(
+                            this,
+                            worker,
+                            () -> {
+                                if (!worker.process().isUp()) {
+                                    world.travel(
+                                            worker,
+                                            this,
+                                            () ->
+                                                    probed(
+                                                            worker,
+                                                            Outcome.RESET,
+                                                            world.now() - begun,
+                                                            null,
+                                                            over));
+                                } else {
+                                    worker.process()
+                                            .probes(
+                                                    () -> {
+                                                        Load load = worker.process().probed();
+                                                        world.travel(
+                                                                worker,
+                                                                this,
+                                                                () ->
+                                                                        probed(
+                                                                                worker,
+                                                                                Outcome.OK,
+                                                                                world.now() - begun,
+                                                                                load,
+                                                                                over));
+                                                    });
+                                }
+                            });
+                });
+    }
+
+    private void probed(
+            SimWorker worker, Outcome outcome, long latencyNs, Load load, boolean[] over) {
         if (!over[0] && up) {
             over[0] = true;
             input(() -> event((m, now) -> m.probed(now, worker.name, outcome, latencyNs, load)));
@@ -385,13 +500,18 @@
 
     @Override
     public void closeIdle(String backend) {
-        asked.add(() -> {
-            SimWorker worker = worker(backend);
-            ArrayDeque<Idle> connections = idle.remove(worker);
-            if (connections != null) {
-                worker.connections -= (int) connections.stream().filter(c -> c.life == worker.process().life()).count();
-            }
-        });
+        asked.add(
+                () -> {
+                    SimWorker worker = worker(backend);
+                    ArrayDeque<Idle> connections = idle.remove(worker);
+                    if (connections != null) {
+                        worker.connections -=
+                                (int)
+                                        connections.stream()
+                                                .filter(c -> c.life == worker.process().life())
+                                                .count();
+                    }
+                });
     }
 
     @Override
--- a/lab/src/main/java/trailthread/lab/world/SimRoster.java
+++ b/lab/src/main/java/trailthread/lab/world/SimRoster.java
@@ -10,12 +10,17 @@
 import trailthread.BalancerApi.State;
 import trailthread.lab.random.Streams;
 
-/** The list of workers in virtual time: told to those who watch, late, in order, or not at all while it is down. */
+/**
+ * The list of workers in virtual time: told to those who watch, late, in order, or not at all while
+ * it is down.
+ */
 final class SimRoster {
     private final World world;
     private final UniformRandomProvider random;
+
     /** In the order in which workers were first named. */
     private final List<SimWorker> listed = new ArrayList<>();
+
     private final Map<SimNode, Long> lastTold = new HashMap<>();
     private boolean down;
 
@@ -81,14 +86,19 @@
 
     private void whole(SimNode node) {
         List<Entry> entries = whole();
-        long at = Math.max(world.now() + world.scenario().list().lowNs(), lastTold.getOrDefault(node, 0L));
+        long at =
+                Math.max(
+                        world.now() + world.scenario().list().lowNs(),
+                        lastTold.getOrDefault(node, 0L));
         lastTold.put(node, at);
         world.agenda().at(at, () -> node.input(() -> node.list(ListKind.FULL, entries)));
     }
 
     private void failed(SimNode node) {
-        world.agenda().in(world.scenario().list().lowNs(),
-                () -> node.input(() -> node.list(ListKind.FAILED, List.of())));
+        world.agenda()
+                .in(
+                        world.scenario().list().lowNs(),
+                        () -> node.input(() -> node.list(ListKind.FAILED, List.of())));
     }
 
     /** It answers nothing from now on, and watches break; or it is back. */
--- a/lab/src/main/java/trailthread/lab/world/SimWorker.java
+++ b/lab/src/main/java/trailthread/lab/world/SimWorker.java
@@ -16,19 +16,35 @@
     private final WorkerProcess process;
     State state = State.READY;
     int connections;
+
     /** Attempts that are on their way to it. */
     int coming;
 
-    SimWorker(World world, String name, int index, String zone, int cell, WorkerLaw law, boolean cold) {
+    SimWorker(
+            World world,
+            String name,
+            int index,
+            String zone,
+            int cell,
+            WorkerLaw law,
+            boolean cold) {
         this.world = world;
         this.name = name;
         this.index = index;
         this.zone = zone;
         this.cell = cell;
-        process = new WorkerProcess(world.agenda(), world.streams(), world.scenario().fleet(), name, law, cold, () -> {
-            connections = 0;
-            world.referee().fell(world.now(), name);
-        });
+        process =
+                new WorkerProcess(
+                        world.agenda(),
+                        world.streams(),
+                        world.scenario().fleet(),
+                        name,
+                        law,
+                        cold,
+                        () -> {
+                            connections = 0;
+                            world.referee().fell(world.now(), name);
+                        });
     }
 
     Entry entry() {
--- a/lab/src/main/java/trailthread/lab/world/World.java
+++ b/lab/src/main/java/trailthread/lab/world/World.java
@@ -24,14 +24,17 @@
 import trailthread.lab.worker.WorkerLaw;
 
 /**
- * A day in virtual time: clients, nodes with the decisions under test, the network, workers, the roster and what goes
- * wrong. One seed gives one history. Runs on the thread that calls it and shares nothing, so that many can run at once.
+ * A day in virtual time: clients, nodes with the decisions under test, the network, workers, the
+ * roster and what goes wrong. One seed gives one history. Runs on the thread that calls it and
+ * shares nothing, so that many can run at once.
  */
 public final class World implements Front, Stricken {
     /** Virtual clocks begin at an odd time, so that nothing rests on zero. */
     private static final long BEGIN = 1_000_000_000_000L;
+
     /** How long the front of the nodes goes on sending to one that has died. */
     private static final long FRONT_LEARNS_NS = 500_000_000L;
+
     private static final long SECOND = 1_000_000_000L;
 
     private final Scenario scenario;
@@ -64,8 +67,8 @@
     }
 
     /** What came of a day, and how it was judged. */
-    public record Day(Figures figures, Referee referee, long events, long wallNs, List<String> workers) {
-    }
+    public record Day(
+            Figures figures, Referee referee, long events, long wallNs, List<String> workers) {}
 
     /**
      * Plays a day.
@@ -76,7 +79,11 @@
         long begun = System.nanoTime();
         World world = new World(scenario, policy, seed);
         world.run();
-        return new Day(world.figures, world.referee, world.agenda.done(), System.nanoTime() - begun,
+        return new Day(
+                world.figures,
+                world.referee,
+                world.agenda.done(),
+                System.nanoTime() - begun,
                 world.workers.stream().map(w -> w.name).toList());
     }
 
@@ -93,8 +100,8 @@
         clients.begin(end);
         sample(end);
         // After the last arrival it runs on until all is answered.
-        for (long until = end + 2 * longestDeadline() + SECOND; agenda.now() < until
-                && (agenda.now() < end || clients.open() > 0);) {
+        for (long until = end + 2 * longestDeadline() + SECOND;
+                agenda.now() < until && (agenda.now() < end || clients.open() > 0); ) {
             agenda.runUntil(Math.min(until, agenda.now() + SECOND));
         }
         referee.finish(agenda.now());
@@ -103,15 +110,18 @@
     /** A worker under a new name. */
     void addWorker(String zone, int place, boolean cold) {
         var fleet = scenario.fleet();
-        WorkerLaw own = fleet.law().at(Streams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
+        WorkerLaw own =
+                fleet.law().at(Streams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
         int cell = fleet.cells() > 0 ? place % fleet.cells() : -1;
-        SimWorker worker = new SimWorker(this, "w" + workers.size(), workers.size(), zone, cell, own, cold);
+        SimWorker worker =
+                new SimWorker(this, "w" + workers.size(), workers.size(), zone, cell, own, cold);
         workers.add(worker);
         byName.put(worker.name, worker);
         roster.add(worker);
     }
 
-    // ---- the front of the nodes ---------------------------------------------------------------------
+    // ---- the front of the nodes
+    // ---------------------------------------------------------------------
 
     @Override
     public void take(Ask ask, int zone, double draw, long until) {
@@ -120,18 +130,22 @@
             ask.saw(Ask.Seen.UNREACHABLE, 0);
         } else {
             boolean[] heard = new boolean[1];
-            node.input(() -> {
-                if (now() <= until) { // else its client has left, before a node that was stopped came to read it
-                    heard[0] = true;
-                    node.take(ask, until);
-                }
-            });
+            node.input(
+                    () -> {
+                        if (now() <= until) { // else its client has left, before a node that was
+                            // stopped came to read it
+                            heard[0] = true;
+                            node.take(ask, until);
+                        }
+                    });
             if (!heard[0]) {
-                agenda.at(until + 1, () -> {
-                    if (!heard[0]) {
-                        ask.saw(Ask.Seen.NOTHING, 0);
-                    }
-                });
+                agenda.at(
+                        until + 1,
+                        () -> {
+                            if (!heard[0]) {
+                                ask.saw(Ask.Seen.NOTHING, 0);
+                            }
+                        });
             }
         }
     }
@@ -156,10 +170,12 @@
     }
 
     private boolean frontKnows(SimNode node) {
-        return node.isUp() && !node.isLeaving() || !node.isUp() && agenda.now() - node.diedAt() < FRONT_LEARNS_NS;
+        return node.isUp() && !node.isLeaving()
+                || !node.isUp() && agenda.now() - node.diedAt() < FRONT_LEARNS_NS;
     }
 
-    // ---- what the parts need -----------------------------------------------------------------------
+    // ---- what the parts need
+    // -----------------------------------------------------------------------
 
     long now() {
         return agenda.now();
@@ -236,7 +252,10 @@
     }
 
     long longestDeadline() {
-        return scenario.classes().stream().mapToLong(c -> c.rules().deadlineNs()).max().orElseThrow();
+        return scenario.classes().stream()
+                .mapToLong(c -> c.rules().deadlineNs())
+                .max()
+                .orElseThrow();
     }
 
     /** What takes longer to tell its load than the tightest aim is fit for nothing just now. */
@@ -255,11 +274,13 @@
     /** One way over the network, if there is one. */
     private void travel(String from, String to, SimWorker worker, Runnable task) {
         boolean far = !from.equals(to);
-        if (worker.process().ills.cut || far && cutZone != null && (from.equals(cutZone) || to.equals(cutZone))) {
+        if (worker.process().ills.cut
+                || far && cutZone != null && (from.equals(cutZone) || to.equals(cutZone))) {
             return; // nothing is said
         }
         NetworkLaw law = scenario.network();
-        double delay = (far ? law.farNs() : law.nearNs()) * (1 + law.jitter() * network.nextDouble());
+        double delay =
+                (far ? law.farNs() : law.nearNs()) * (1 + law.jitter() * network.nextDouble());
         agenda.in((long) delay, task);
     }
 
@@ -302,21 +323,26 @@
             @Override
             public double stretch(String name) {
                 SimWorker w = byName.get(name);
-                boolean well = w.process().isUp() && w.process().ills.none() && w.state == State.READY;
-                return well ? w.process().model().stretch(now(), w.coming) : Double.POSITIVE_INFINITY;
+                boolean well =
+                        w.process().isUp() && w.process().ills.none() && w.state == State.READY;
+                return well
+                        ? w.process().model().stretch(now(), w.coming)
+                        : Double.POSITIVE_INFINITY;
             }
         };
     }
 
     private void sample(long end) {
         for (long at = BEGIN + SECOND - 1; at < end; at += SECOND) {
-            agenda.at(at, () -> {
-                int[] held = new int[workers.size()];
-                for (int i = 0; i < held.length; i++) {
-                    held[i] = workers.get(i).process().holds();
-                }
-                figures.holds(now(), held);
-            });
+            agenda.at(
+                    at,
+                    () -> {
+                        int[] held = new int[workers.size()];
+                        for (int i = 0; i < held.length; i++) {
+                            held[i] = workers.get(i).process().holds();
+                        }
+                        figures.holds(now(), held);
+                    });
         }
     }
 }
--- a/lab/src/test/java/trailthread/lab/LabArchitectureTest.java
+++ b/lab/src/test/java/trailthread/lab/LabArchitectureTest.java
@@ -11,22 +11,44 @@
 
 /** What depends on what in the lab. */
 public class LabArchitectureTest {
-    private static final JavaClasses LAB = new ClassFileImporter()
-            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("trailthread.lab");
+    private static final JavaClasses LAB =
+            new ClassFileImporter()
+                    .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+                    .importPackages("trailthread.lab");
 
     @Test
     public void packagesFormNoCircles() {
         slices().matching("trailthread.lab.(*)..").should().beFreeOfCycles().check(LAB);
     }
 
-    /** They are driven by virtual and by real time: neither knows a clock, and neither knows the other. */
+    /**
+     * They are driven by virtual and by real time: neither knows a clock, and neither knows the
+     * other.
+     */
     @Test
     public void theModelAndTheRefereeKnowNoClock() {
-        classes().that().resideInAnyPackage("trailthread.lab.worker..").should()
-                .onlyDependOnClassesThat(resideInAnyPackage("trailthread.lab.worker..", "java.lang..", "java.util",
-                        "java.util.function")).check(LAB);
-        classes().that().resideInAnyPackage("trailthread.lab.referee..").should()
-                .onlyDependOnClassesThat(resideInAnyPackage("trailthread.lab.referee..", "trailthread", "java.lang..",
-                        "java.util", "java.util.function")).check(LAB);
+        classes()
+                .that()
+                .resideInAnyPackage("trailthread.lab.worker..")
+                .should()
+                .onlyDependOnClassesThat(
+                        resideInAnyPackage(
+                                "trailthread.lab.worker..",
+                                "java.lang..",
+                                "java.util",
+                                "java.util.function"))
+                .check(LAB);
+        classes()
+                .that()
+                .resideInAnyPackage("trailthread.lab.referee..")
+                .should()
+                .onlyDependOnClassesThat(
+                        resideInAnyPackage(
+                                "trailthread.lab.referee..",
+                                "trailthread",
+                                "java.lang..",
+                                "java.util",
+                                "java.util.function"))
+                .check(LAB);
     }
 }
--- a/lab/src/test/java/trailthread/lab/agenda/AgendaTest.java
+++ b/lab/src/test/java/trailthread/lab/agenda/AgendaTest.java
@@ -7,7 +7,9 @@
 import java.util.List;
 import org.junit.Test;
 
-/** The order of what happens is defined, and rests on nothing but times and the order of setting. */
+/**
+ * The order of what happens is defined, and rests on nothing but times and the order of setting.
+ */
 public class AgendaTest {
     private final Agenda agenda = new Agenda(100);
     private final List<String> done = new ArrayList<>();
@@ -36,11 +38,13 @@
 
     @Test
     public void whatIsSetWithinSomethingFollowsWhatStoodThereBefore() {
-        agenda.at(200, () -> {
-            done.add("first");
-            set(200, "set within");
-            set(150, "set to the past");
-        });
+        agenda.at(
+                200,
+                () -> {
+                    done.add("first");
+                    set(200, "set within");
+                    set(150, "set to the past");
+                });
         set(200, "second");
         agenda.runUntil(200);
         assertEquals(List.of("first", "second@200", "set within@200", "set to the past@200"), done);
--- a/lab/src/test/java/trailthread/lab/real/EmulatorTest.java
+++ b/lab/src/test/java/trailthread/lab/real/EmulatorTest.java
@@ -23,7 +23,8 @@
 
 /** The stand-ins do on sockets what the scenario says. */
 public class EmulatorTest {
-    private static final String SCENARIO = """
+    private static final String SCENARIO =
+            """
             name = "test"
             length = "60s"
             [clients]
@@ -45,21 +46,26 @@
     private Thread loop;
     private volatile boolean ending;
 
-    /** Plays on a thread of its own, as the emulator does; faults are under way from the first moment on. */
+    /**
+     * Plays on a thread of its own, as the emulator does; faults are under way from the first
+     * moment on.
+     */
     private void start(String faults) throws Exception {
         day = new RealDay(ScenarioReader.parse("test", SCENARIO + faults), 1, 1);
         CountDownLatch begun = new CountDownLatch(1);
-        loop = new Thread(() -> {
-            try {
-                day.agenda().in(1_000_000, begun::countDown);
-                day.agenda().in(0, this::watchEnd);
-                day.play(true, d -> { });
-            } catch (IOException | IllegalStateException e) {
-                if (!ending) {
-                    throw new AssertionError(e);
-                }
-            }
-        });
+        loop =
+                new Thread(
+                        () -> {
+                            try {
+                                day.agenda().in(1_000_000, begun::countDown);
+                                day.agenda().in(0, this::watchEnd);
+                                day.play(true, d -> {});
+                            } catch (IOException | IllegalStateException e) {
+                                if (!ending) {
+                                    throw new AssertionError(e);
+                                }
+                            }
+                        });
         loop.start();
         assertTrue(begun.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
     }
@@ -82,8 +88,10 @@
     }
 
     private Socket connect(String hostPort) throws IOException {
-        Socket socket = new Socket(InetAddress.getLoopbackAddress(),
-                Integer.parseInt(hostPort.substring(hostPort.indexOf(':') + 1)));
+        Socket socket =
+                new Socket(
+                        InetAddress.getLoopbackAddress(),
+                        Integer.parseInt(hostPort.substring(hostPort.indexOf(':') + 1)));
         socket.setSoTimeout(1000 * Peer.LONGEST_WAIT_S);
         open.add(socket);
         return socket;
@@ -100,7 +108,11 @@
     }
 
     private static String fault(String trouble, String keys) {
-        return "[[faults]]\ntrouble = \"" + trouble + "\"\nat = \"0s\"\nfor = \"50s\"\n" + keys + "\n";
+        return "[[faults]]\ntrouble = \""
+                + trouble
+                + "\"\nat = \"0s\"\nfor = \"50s\"\n"
+                + keys
+                + "\n";
     }
 
     @Test
@@ -140,7 +152,10 @@
         Socket silent = call("1", 1);
         silent.setSoTimeout(400);
         assertThrows(SocketTimeoutException.class, () -> Message.read(silent));
-        assertEquals("others are told of their load", 200, Message.read(ask("/status/load", "")).status());
+        assertEquals(
+                "others are told of their load",
+                200,
+                Message.read(ask("/status/load", "")).status());
     }
 
     @Test
@@ -167,7 +182,12 @@
         StringBuilder all = new StringBuilder();
         while (!all.toString().endsWith("w0 1\n")) {
             try {
-                all.append(new String(part, 0, slow.getInputStream().read(part), StandardCharsets.ISO_8859_1));
+                all.append(
+                        new String(
+                                part,
+                                0,
+                                slow.getInputStream().read(part),
+                                StandardCharsets.ISO_8859_1));
             } catch (SocketTimeoutException e) {
                 waits++;
             }
@@ -218,11 +238,13 @@
         start("[[faults]]\ntrouble = \"roster_down\"\nat = \"300ms\"\nfor = \"50s\"\n");
         Socket watch = connect(day.rosterAt(0));
         Message.send(watch, "GET /v1/endpoints?stream=1&index=0 HTTP/1.1\r\nHost: r\r\n\r\n");
-        assertThrows(SocketException.class, () -> {
-            while (true) {
-                line(watch);
-            }
-        });
+        assertThrows(
+                SocketException.class,
+                () -> {
+                    while (true) {
+                        line(watch);
+                    }
+                });
         Socket again = connect(day.rosterAt(0));
         Message.send(again, "GET /v1/endpoints HTTP/1.1\r\nHost: r\r\n\r\n");
         Message answer;
--- a/lab/src/test/java/trailthread/lab/real/MessageDecoderTest.java
+++ b/lab/src/test/java/trailthread/lab/real/MessageDecoderTest.java
@@ -13,13 +13,16 @@
 
 /** Messages however they come in pieces, and what is none. */
 public class MessageDecoderTest {
-    private static final String TWO = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
-            + "POST /b HTTP/1.1\r\nX-A:  1 \r\nContent-Length: 3\r\n\r\nabc";
-    private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-            + "3;x=1\r\nabc\r\nA\r\n0123456789\r\n0\r\nX-T: 1\r\n\r\n"
-            + "HTTP/1.1 503 Full\r\nConnection: close\r\n\r\n";
+    private static final String TWO =
+            "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
+                    + "POST /b HTTP/1.1\r\nX-A:  1 \r\nContent-Length: 3\r\n\r\nabc";
+    private static final String CHUNKED =
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                    + "3;x=1\r\nabc\r\nA\r\n0123456789\r\n0\r\nX-T: 1\r\n\r\n"
+                    + "HTTP/1.1 503 Full\r\nConnection: close\r\n\r\n";
 
-    private static List<HttpMessage> decode(MessageDecoder decoder, String text) throws ProtocolException {
+    private static List<HttpMessage> decode(MessageDecoder decoder, String text)
+            throws ProtocolException {
         List<HttpMessage> messages = new ArrayList<>();
         ByteBuffer in = ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
         while (in.hasRemaining()) {
@@ -66,12 +69,18 @@
 
     @Test
     public void whatIsNone() {
-        for (String text : List.of("hello\r\n", "GET / HTTP/1.1\r\nno colon\r\n\r\n",
-                "GET / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
-                "GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", "GET / HTTP/1.1\r\nContent-Length: 3000000000\r\n\r\n",
-                "GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n", "GET / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
-                "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-                "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", "G".repeat(20_000))) {
+        for (String text :
+                List.of(
+                        "hello\r\n",
+                        "GET / HTTP/1.1\r\nno colon\r\n\r\n",
+                        "GET / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+                        "GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
+                        "GET / HTTP/1.1\r\nContent-Length: 3000000000\r\n\r\n",
+                        "GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n",
+                        "GET / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
+                        "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+                        "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
+                        "G".repeat(20_000))) {
             assertThrows(text, ProtocolException.class, () -> decode(new MessageDecoder(), text));
         }
     }
--- a/lab/src/test/java/trailthread/lab/real/RealDayTest.java
+++ b/lab/src/test/java/trailthread/lab/real/RealDayTest.java
@@ -11,9 +11,13 @@
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
 
-/** Real nodes between the stand-ins, through troubles of every kind that sockets know; all times are generous. */
+/**
+ * Real nodes between the stand-ins, through troubles of every kind that sockets know; all times are
+ * generous.
+ */
 public class RealDayTest {
-    private static final String SCENARIO = """
+    private static final String SCENARIO =
+            """
             name = "test"
             length = "14s"
             nodes = 2
@@ -85,11 +89,17 @@
     public void noRuleIsBrokenAndMostIsServed() throws Exception {
         Scenario scenario = ScenarioReader.parse("test", SCENARIO);
         Path logs = Files.createTempDirectory("lab");
-        List<String> command = List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path"), "-Xmx64m", "trailthread.daemon.Main", "serve");
+        List<String> command =
+                List.of(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "-Xmx64m",
+                        "trailthread.daemon.Main",
+                        "serve");
         try (RealDay day = new RealDay(scenario, 7, scenario.nodes())) {
             day.startNodes(new RealDay.Program(command, Path.of("").toAbsolutePath()), logs);
-            day.play(true, d -> { });
+            day.play(true, d -> {});
             assertEquals(day.referee().violations().toString(), Map.of(), day.referee().broken());
             assertTrue("judged " + day.referee().judged(), day.referee().judged() > 500);
             assertTrue("goodput " + day.figures().goodput(), day.figures().goodput() > 0.8);
--- a/lab/src/test/java/trailthread/lab/real/RealLoopTest.java
+++ b/lab/src/test/java/trailthread/lab/real/RealLoopTest.java
@@ -11,13 +11,16 @@
     private static boolean late(long eachBlocksMs) throws IOException {
         try (RealLoop loop = new RealLoop()) {
             for (int i = 0; i < 50; i++) {
-                loop.agenda().in(i * 1_000_000L, () -> {
-                    try {
-                        Thread.sleep(eachBlocksMs);
-                    } catch (InterruptedException e) {
-                        throw new AssertionError(e);
-                    }
-                });
+                loop.agenda()
+                        .in(
+                                i * 1_000_000L,
+                                () -> {
+                                    try {
+                                        Thread.sleep(eachBlocksMs);
+                                    } catch (InterruptedException e) {
+                                        throw new AssertionError(e);
+                                    }
+                                });
             }
             loop.runUntil(System.nanoTime() + 51_000_000L);
             return loop.wasLate();
--- a/lab/src/test/java/trailthread/lab/referee/RefereeTest.java
+++ b/lab/src/test/java/trailthread/lab/referee/RefereeTest.java
@@ -46,7 +46,9 @@
         broken();
         referee.answered(6, "7", "failed");
         broken(Rule.ONE_ANSWER);
-        assertTrue(referee.violations().get(0).told(), referee.violations().get(0).told().contains("refused"));
+        assertTrue(
+                referee.violations().get(0).told(),
+                referee.violations().get(0).told().contains("refused"));
     }
 
     @Test
--- a/lab/src/test/java/trailthread/lab/scenario/ScenarioReaderTest.java
+++ b/lab/src/test/java/trailthread/lab/scenario/ScenarioReaderTest.java
@@ -9,7 +9,8 @@
 
 /** Each fault of a scenario is told with its place. */
 public class ScenarioReaderTest {
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
             name = "x"
             length = "10s"
             [clients]
@@ -34,33 +35,43 @@
     }
 
     private static void faulty(String text, String... told) {
-        ScenarioReader.BadScenario e = assertThrows(ScenarioReader.BadScenario.class,
-                () -> ScenarioReader.parse("f", text));
+        ScenarioReader.BadScenario e =
+                assertThrows(
+                        ScenarioReader.BadScenario.class, () -> ScenarioReader.parse("f", text));
         assertEquals(List.of(told), e.faults().stream().map(Object::toString).toList());
     }
 
     @Test
     public void faultsAreToldWithTheirPlaces() {
-        faulty(GOOD + "spede = 2\n", "f:12:1: fleet.spede: expected a key that is known, such as speed, found 2");
-        faulty(GOOD.replace("\"10ms\"", "10"),
+        faulty(
+                GOOD + "spede = 2\n",
+                "f:12:1: fleet.spede: expected a key that is known, such as speed, found 2");
+        faulty(
+                GOOD.replace("\"10ms\"", "10"),
                 "f:8:1: classes[0].aim: expected a duration with its unit, such as 250ms, found 10");
-        faulty(GOOD.replace("\"1ms\", \"3ms\"", "\"3ms\", \"1ms\""),
+        faulty(
+                GOOD.replace("\"1ms\", \"3ms\"", "\"3ms\", \"1ms\""),
                 "f:7:1: classes[0].work: expected the lesser one first, found a list");
-        faulty(GOOD.replace("workers = 4", "workers = 0"),
+        faulty(
+                GOOD.replace("workers = 4", "workers = 0"),
                 "f:11:1: fleet.workers: expected a whole number from 1 to 100000, found 0");
         faulty(GOOD.replace("name = \"x\"\n", ""), "f:1:1: name: expected a text, found nothing");
-        faulty(GOOD + "[[faults]]\ntrouble = \"gremlins\"\nat = \"1s\"\n",
+        faulty(
+                GOOD + "[[faults]]\ntrouble = \"gremlins\"\nat = \"1s\"\n",
                 "f:13:1: faults[0].trouble: expected one of fast_errors, lost_answers, resets, garbage, drips, slow, "
                         + "late_reports, heavy_tail, cut, zone_cut, restart, replace, cold_fleet, roster_down, "
                         + "node_kill, node_restart, node_reload, node_pause, found gremlins");
-        faulty(GOOD + "[[faults]]\ntrouble = \"zone_cut\"\nat = \"1s\"\nzone = \"q\"\n",
+        faulty(
+                GOOD + "[[faults]]\ntrouble = \"zone_cut\"\nat = \"1s\"\nzone = \"q\"\n",
                 "f:15:1: faults[0].zone: expected one of a, found q");
     }
 
     @Test
     public void whatIsNoTomlIsToldOf() {
-        ScenarioReader.BadScenario e = assertThrows(ScenarioReader.BadScenario.class,
-                () -> ScenarioReader.parse("f", "name = \n"));
+        ScenarioReader.BadScenario e =
+                assertThrows(
+                        ScenarioReader.BadScenario.class,
+                        () -> ScenarioReader.parse("f", "name = \n"));
         assertTrue(e.getMessage(), e.getMessage().startsWith("f:1:"));
     }
 }
--- a/lab/src/test/java/trailthread/lab/troubles/RollingRestartTest.java
+++ b/lab/src/test/java/trailthread/lab/troubles/RollingRestartTest.java
@@ -83,7 +83,8 @@
 
     @Test
     public void atMostOneNodeIsOutOfServiceAndAllAreRestartedOnce() {
-        List<SlowNode> nodes = Stream.of(5 * SECOND, SECOND / 10, 7 * SECOND).map(SlowNode::new).toList();
+        List<SlowNode> nodes =
+                Stream.of(5 * SECOND, SECOND / 10, 7 * SECOND).map(SlowNode::new).toList();
         Fault fault = new Fault(Trouble.NODE_RESTART, SECOND, 3 * SECOND, 1, 0, 0, null);
         Troubles.arrange(agenda, new Streams(3), List.of(fault), new Nodes(nodes));
         nodes.get(0).kill(); // out of service already when the restart is due
--- a/lab/src/test/java/trailthread/lab/worker/WorkerModelTest.java
+++ b/lab/src/test/java/trailthread/lab/worker/WorkerModelTest.java
@@ -36,7 +36,8 @@
     private void advance(long until) {
         while (model.nextAt() <= until) {
             long at = model.nextAt();
-            model.advance(at, job -> done.add(((Named) job).name + "@" + Math.round((double) at / MS)));
+            model.advance(
+                    at, job -> done.add(((Named) job).name + "@" + Math.round((double) at / MS)));
         }
         model.advance(until, job -> done.add("?"));
     }
@@ -67,7 +68,9 @@
 
     @Test
     public void aCrowdCostsEfficiency() {
-        start(new WorkerLaw(1, 1, 8, 0, 0.5, WorkerLaw.Jam.NEVER, WorkerLaw.Cold.NEVER, false), false);
+        start(
+                new WorkerLaw(1, 1, 8, 0, 0.5, WorkerLaw.Jam.NEVER, WorkerLaw.Cold.NEVER, false),
+                false);
         bring(0, new Named("a", 10 * MS));
         bring(0, new Named("b", 10 * MS));
         advance(100 * MS);
--- a/lab/src/test/java/trailthread/lab/worker/WorkerTheoryTest.java
+++ b/lab/src/test/java/trailthread/lab/worker/WorkerTheoryTest.java
@@ -8,12 +8,18 @@
 import org.junit.Test;
 import trailthread.lab.random.Streams;
 
-/** The model against queueing theory (Kleinrock, "Queueing Systems" I, 3.2 and 3.5; II, 4.4), within 2%. */
+/**
+ * The model against queueing theory (Kleinrock, "Queueing Systems" I, 3.2 and 3.5; II, 4.4), within
+ * 2%.
+ */
 public class WorkerTheoryTest {
     private static final int CUSTOMERS = 1_000_000;
     private static final double MEAN_NS = 1e6;
 
-    /** The mean time from arrival to end over the mean work, with Poisson arrivals at this share of the capacity. */
+    /**
+     * The mean time from arrival to end over the mean work, with Poisson arrivals at this share of
+     * the capacity.
+     */
     private static double meanTime(WorkerLaw law, double load, boolean exponential, long seed) {
         UniformRandomProvider random = new Streams(seed).of("theory");
         WorkerModel model = new WorkerModel(law, 0, false);
@@ -26,14 +32,19 @@
             long until = now;
             while (model.nextAt() <= until) {
                 long at = model.nextAt();
-                model.advance(at, job -> {
-                    sum[0] += at - arrivedAt.remove(job);
-                    sum[1]++;
-                });
+                model.advance(
+                        at,
+                        job -> {
+                            sum[0] += at - arrivedAt.remove(job);
+                            sum[1]++;
+                        });
             }
-            model.advance(now, job -> { });
-            WorkerModel.Job job = new WorkerModel.Job(exponential ? Math.max(1, Streams.exponential(random, MEAN_NS))
-                    : MEAN_NS);
+            model.advance(now, job -> {});
+            WorkerModel.Job job =
+                    new WorkerModel.Job(
+                            exponential
+                                    ? Math.max(1, Streams.exponential(random, MEAN_NS))
+                                    : MEAN_NS);
             model.arrive(now, job);
             arrivedAt.put(job, now);
         }
@@ -57,8 +68,11 @@
     public void oneServerFirstComeFirstServed() {
         for (double load : new double[] {0.3, 0.5, 0.7, 0.8}) {
             double expected = 1 / (1 - load);
-            assertEquals("load " + load, expected,
-                    meanTime(WorkerLaw.plain(1, 1, 1, 1_000_000), load, true, 11), 0.02 * expected);
+            assertEquals(
+                    "load " + load,
+                    expected,
+                    meanTime(WorkerLaw.plain(1, 1, 1, 1_000_000), load, true, 11),
+                    0.02 * expected);
         }
     }
 
@@ -67,7 +81,10 @@
         for (int c : new int[] {2, 8}) {
             double load = 0.75;
             double expected = 1 + erlangC(c, load) / (c * (1 - load));
-            assertEquals("servers " + c, expected, meanTime(WorkerLaw.plain(1, c, c, 1_000_000), load, true, 12),
+            assertEquals(
+                    "servers " + c,
+                    expected,
+                    meanTime(WorkerLaw.plain(1, c, c, 1_000_000), load, true, 12),
                     0.02 * expected);
         }
     }
--- a/lab/src/test/java/trailthread/lab/world/FleetTheoryTest.java
+++ b/lab/src/test/java/trailthread/lab/world/FleetTheoryTest.java
@@ -12,7 +12,9 @@
 /** What is known of whole fleets shows in the model. */
 public class FleetTheoryTest {
     private static Scenario scenario(int workers, double perSecond, String fleet) throws Exception {
-        return ScenarioReader.parse("test", """
+        return ScenarioReader.parse(
+                "test",
+                """
                 name = "test"
                 length = "60s"
                 [clients]
@@ -31,7 +33,8 @@
                 workers = %d
                 slots = 1
                 %s
-                """.formatted(perSecond, workers, fleet));
+                """
+                        .formatted(perSecond, workers, fleet));
     }
 
     /** Two choices against one: the longest line is far shorter (Mitzenmacher 2001). */
@@ -53,18 +56,26 @@
         return most;
     }
 
-    /** Without the correction, queues of two workers swing with the reports; with it they do not (the paper, 4.3). */
+    /**
+     * Without the correction, queues of two workers swing with the reports; with it they do not
+     * (the paper, 4.3).
+     */
     @Test
     public void theCorrectionDampsTheSwingOfTwoWorkers() throws Exception {
         Scenario scenario = scenario(2, 170, "report_every = \"2s\"");
         double with = swing(World.play(scenario, Policies.named("sns"), 1).figures());
-        double without = swing(World.play(scenario, Policies.named("sns-uncorrected"), 1).figures());
+        double without =
+                swing(World.play(scenario, Policies.named("sns-uncorrected"), 1).figures());
         assertTrue(without + " without, " + with + " with", 2 * with < without);
     }
 
     private static double swing(Figures figures) {
-        return figures.seconds().stream().map(Figures.Second::held).filter(held -> held.length == 2)
-                .mapToInt(held -> Math.abs(held[0] - held[1])).average().orElseThrow();
+        return figures.seconds().stream()
+                .map(Figures.Second::held)
+                .filter(held -> held.length == 2)
+                .mapToInt(held -> Math.abs(held[0] - held[1]))
+                .average()
+                .orElseThrow();
     }
 
     /** Who sees the true state is no worse than who draws blindly. */
@@ -72,7 +83,8 @@
     public void theOracleIsBestOfAll() throws Exception {
         Scenario scenario = scenario(10, 800, "speed = [0.6, 1.4]");
         double oracle = mean(scenario, "oracle");
-        for (String other : List.of("random", "round-robin", "least-outstanding", "two-choices", "sns")) {
+        for (String other :
+                List.of("random", "round-robin", "least-outstanding", "two-choices", "sns")) {
             assertTrue(other, oracle < mean(scenario, other));
         }
     }
--- a/lab/src/test/java/trailthread/lab/world/WorldTest.java
+++ b/lab/src/test/java/trailthread/lab/world/WorldTest.java
@@ -25,20 +25,38 @@
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
 
-/** Days in virtual time: the same from the same seed, judged, and ended where the decisions run wild. */
+/**
+ * Days in virtual time: the same from the same seed, judged, and ended where the decisions run
+ * wild.
+ */
 public class WorldTest {
     private static final Path SCENARIOS = Path.of("scenarios");
 
     /** A short form of a scenario of the repository. */
-    private static Scenario shortened(String name, double seconds) throws IOException, ScenarioReader.BadScenario {
+    private static Scenario shortened(String name, double seconds)
+            throws IOException, ScenarioReader.BadScenario {
         Scenario s = ScenarioReader.read(SCENARIOS.resolve(name + ".toml"));
         long length = Math.min(s.lengthNs(), (long) (seconds * 1e9));
-        return new Scenario(s.name(), s.about(), length, Math.min(s.warmUpNs(), length / 4), s.nodes(), s.zones(),
-                s.classes(), s.tenants(), s.clients(), s.network(), s.fleet(), s.list(), s.rules(), s.faults());
+        return new Scenario(
+                s.name(),
+                s.about(),
+                length,
+                Math.min(s.warmUpNs(), length / 4),
+                s.nodes(),
+                s.zones(),
+                s.classes(),
+                s.tenants(),
+                s.clients(),
+                s.network(),
+                s.fleet(),
+                s.list(),
+                s.rules(),
+                s.faults());
     }
 
     private static Result play(Scenario scenario, String policy, long seed) {
-        return Result.of(scenario, policy, seed, World.play(scenario, Policies.named(policy), seed)).withoutTimes();
+        return Result.of(scenario, policy, seed, World.play(scenario, Policies.named(policy), seed))
+                .withoutTimes();
     }
 
     @Test
@@ -49,8 +67,10 @@
                 orders.add(new Runs.Order(shortened(name, 7), policy, 5));
             }
         }
-        List<String> once = Runs.make(orders, 1, r -> { }).stream().map(r -> r.withoutTimes().json()).toList();
-        List<String> again = Runs.make(orders, 7, r -> { }).stream().map(r -> r.withoutTimes().json()).toList();
+        List<String> once =
+                Runs.make(orders, 1, r -> {}).stream().map(r -> r.withoutTimes().json()).toList();
+        List<String> again =
+                Runs.make(orders, 7, r -> {}).stream().map(r -> r.withoutTimes().json()).toList();
         assertEquals(once, again);
         assertNotEquals(once.get(0), play(shortened("fast-errors", 7), "trailthread", 6).json());
     }
@@ -59,9 +79,15 @@
     @Test
     public void policiesMeetTheSameClients() throws Exception {
         Scenario scenario = shortened("calm", 8);
-        long[] asked = World.play(scenario, Policies.named("random"), 3).figures().classes().get("action").counts();
+        long[] asked =
+                World.play(scenario, Policies.named("random"), 3)
+                        .figures()
+                        .classes()
+                        .get("action")
+                        .counts();
         for (Policy policy : Policies.all()) {
-            long[] other = World.play(scenario, policy, 3).figures().classes().get("action").counts();
+            long[] other =
+                    World.play(scenario, policy, 3).figures().classes().get("action").counts();
             assertEquals(policy.name(), asked[0], other[0]);
         }
     }
@@ -73,17 +99,22 @@
         try (Stream<Path> files = Files.list(SCENARIOS)) {
             for (Path file : files.sorted().toList()) {
                 String name = file.getFileName().toString().replace(".toml", "");
-                orders.add(new Runs.Order(shortened(name, name.equals("large") ? 0.5 : 14), Policies.TRAILTHREAD, 2));
+                orders.add(
+                        new Runs.Order(
+                                shortened(name, name.equals("large") ? 0.5 : 14),
+                                Policies.TRAILTHREAD,
+                                2));
             }
         }
         assertTrue("twelve at least", orders.size() >= 12);
-        for (Result result : Runs.make(orders, 4, r -> { })) {
+        for (Result result : Runs.make(orders, 4, r -> {})) {
             assertTrue(result.row(), result.broken().isEmpty());
             assertTrue(result.row(), result.goodput() > 0.3);
         }
     }
 
-    // ---- decisions that run wild -------------------------------------------------------------------
+    // ---- decisions that run wild
+    // -------------------------------------------------------------------
 
     /** The project's module, but for what the test puts between. */
     private interface Spoiler {
@@ -103,7 +134,8 @@
             }
 
             @Override
-            public Events make(Settings settings, long seed, long now, Actions actions, Truth truth) {
+            public Events make(
+                    Settings settings, long seed, long now, Actions actions, Truth truth) {
                 Events[] module = new Events[1];
                 module[0] = new Balancer(settings, seed, now, spoiler.spoil(actions, module));
                 return module[0];
@@ -176,77 +208,118 @@
 
     private static void runsWild(String with, Spoiler spoiler) throws Exception {
         Scenario scenario = shortened("calm", 5);
-        ModuleFault fault = assertThrows(ModuleFault.class, () -> World.play(scenario, spoilt(spoiler), 1));
+        ModuleFault fault =
+                assertThrows(ModuleFault.class, () -> World.play(scenario, spoilt(spoiler), 1));
         assertTrue(fault.getMessage(), fault.getMessage().contains(with));
     }
 
     @Test(timeout = 60_000)
     public void aFloodOfTimersEndsTheRun() throws Exception {
-        runsWild("without time passing", (actions, module) -> new Passing(actions) {
-            @Override
-            public void timer(long delayNs, long token) {
-                super.timer(0, token);
-            }
-
-            @Override
-            public void send(long id, long timeoutNs, long writtenBy, String backend) {
-                super.timer(0, 2); // each sets the next: it is the timer that the module sets again
-                super.send(id, timeoutNs, writtenBy, backend);
-            }
-        });
+        runsWild(
+                "without time passing",
+                (actions, module) ->
+                        new Passing(actions) {
+                            @Override
+                            public void timer(long delayNs, long token) {
+                                super.timer(0, token);
+                            }
+
+                            @Override
+                            public void send(
+                                    long id, long timeoutNs, long writtenBy, String backend) {
+                                super.timer(
+                                        0,
+                                        2); // each sets the next: it is the timer that the module
+                                // sets again
+                                super.send(id, timeoutNs, writtenBy, backend);
+                            }
+                        });
     }
 
     @Test
     public void moreActionsThanAnyEventNeedsEndTheRun() throws Exception {
-        runsWild("one event asked for more than", (actions, module) -> new Passing(actions) {
-            @Override
-            public void send(long id, long timeoutNs, long writtenBy, String backend) {
-                for (int i = 0; i < 200_000; i++) {
-                    super.send(id, timeoutNs, writtenBy, backend);
-                }
-            }
-        });
+        runsWild(
+                "one event asked for more than",
+                (actions, module) ->
+                        new Passing(actions) {
+                            @Override
+                            public void send(
+                                    long id, long timeoutNs, long writtenBy, String backend) {
+                                for (int i = 0; i < 200_000; i++) {
+                                    super.send(id, timeoutNs, writtenBy, backend);
+                                }
+                            }
+                        });
     }
 
     @Test
     public void aWorkerThatNobodyNamedEndsTheRun() throws Exception {
-        runsWild("no list has named: w999", (actions, module) -> new Passing(actions) {
-            @Override
-            public void send(long id, long timeoutNs, long writtenBy, String backend) {
-                super.send(id, timeoutNs, writtenBy, "w999");
-            }
-        });
+        runsWild(
+                "no list has named: w999",
+                (actions, module) ->
+                        new Passing(actions) {
+                            @Override
+                            public void send(
+                                    long id, long timeoutNs, long writtenBy, String backend) {
+                                super.send(id, timeoutNs, writtenBy, "w999");
+                            }
+                        });
     }
 
     @Test
     public void aSecondAnswerIsSeen() throws Exception {
-        World.Day day = World.play(shortened("calm", 4), spoilt((actions, module) -> new Passing(actions) {
-            @Override
-            public void send(long id, long timeoutNs, long writtenBy, String backend) {
-                super.send(id, timeoutNs, writtenBy, backend);
-                super.refuse(id, 0);
-                super.fail(id);
-            }
-        }), 1);
-        assertTrue(day.referee().broken().toString(), day.referee().broken().containsKey(Rule.ONE_ANSWER));
-        assertTrue(day.referee().violations().get(0).told(),
+        World.Day day =
+                World.play(
+                        shortened("calm", 4),
+                        spoilt(
+                                (actions, module) ->
+                                        new Passing(actions) {
+                                            @Override
+                                            public void send(
+                                                    long id,
+                                                    long timeoutNs,
+                                                    long writtenBy,
+                                                    String backend) {
+                                                super.send(id, timeoutNs, writtenBy, backend);
+                                                super.refuse(id, 0);
+                                                super.fail(id);
+                                            }
+                                        }),
+                        1);
+        assertTrue(
+                day.referee().broken().toString(),
+                day.referee().broken().containsKey(Rule.ONE_ANSWER));
+        assertTrue(
+                day.referee().violations().get(0).told(),
                 day.referee().violations().get(0).told().contains("answered: refused"));
     }
 
     @Test
     public void callsThatAreForgottenAreSeen() throws Exception {
-        World.Day day = World.play(shortened("calm", 4), spoilt((actions, module) -> new Passing(actions) {
-            @Override
-            public void send(long id, long timeoutNs, long writtenBy, String backend) {
-                // nothing
-            }
-
-            @Override
-            public void refuse(long id, long retryAfterNs) {
-                // nothing
-            }
-        }), 1);
-        assertTrue(day.referee().broken().toString(), day.referee().broken().containsKey(Rule.IN_TIME));
+        World.Day day =
+                World.play(
+                        shortened("calm", 4),
+                        spoilt(
+                                (actions, module) ->
+                                        new Passing(actions) {
+                                            @Override
+                                            public void send(
+                                                    long id,
+                                                    long timeoutNs,
+                                                    long writtenBy,
+                                                    String backend) {
+                                                // nothing
+                                            }
+
+                                            @Override
+                                            public void refuse(long id, long retryAfterNs) {
+                                                // nothing
+                                            }
+                                        }),
+                        1);
+        assertTrue(
+                day.referee().broken().toString(),
+                day.referee().broken().containsKey(Rule.IN_TIME));
         assertEquals("each is judged", 0, day.referee().open());
     }
 }
--- a/testkit/src/main/java/trailthread/testkit/Holder.java
+++ b/testkit/src/main/java/trailthread/testkit/Holder.java
@@ -14,11 +14,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Holds a listening socket on loopback that each program it starts inherits as descriptor 0. In Perl, which every
- * Debian has: Java can hand no socket of its own to another process.
+ * Holds a listening socket on loopback that each program it starts inherits as descriptor 0. In
+ * Perl, which every Debian has: Java can hand no socket of its own to another process.
  */
 public final class Holder implements Closeable {
-    private static final String SCRIPT = """
+    private static final String SCRIPT =
+            """
             use Socket; use POSIX;
             socket(my $s, PF_INET, SOCK_STREAM, 0) or die; bind($s, sockaddr_in(0, INADDR_LOOPBACK)) or die;
             listen($s, 128) or die; open(my $orders, '<&', \\*STDIN) or die; POSIX::dup2(fileno($s), 0);
@@ -28,6 +29,7 @@
 
     /** What the programs have written so far. */
     public final List<String> log = new CopyOnWriteArrayList<>();
+
     public final int port;
     private final Process process;
 
@@ -41,11 +43,15 @@
     }
 
     /** Starts a program with these variables and says its process id. */
-    public long start(String variables, List<String> command) throws IOException, InterruptedException {
+    public long start(String variables, List<String> command)
+            throws IOException, InterruptedException {
         int before = (int) log.stream().filter(line -> line.startsWith("pid ")).count();
-        String words = command.stream().map(word -> "'" + word + "'").collect(Collectors.joining(" "));
-        process.getOutputStream().write(("echo pid $$; exec env LB_SOCKET_FD=0 " + variables + " " + words + "\n")
-                .getBytes(StandardCharsets.UTF_8));
+        String words =
+                command.stream().map(word -> "'" + word + "'").collect(Collectors.joining(" "));
+        process.getOutputStream()
+                .write(
+                        ("echo pid $$; exec env LB_SOCKET_FD=0 " + variables + " " + words + "\n")
+                                .getBytes(StandardCharsets.UTF_8));
         process.getOutputStream().flush();
         return Long.parseLong(logged("pid (\\d+)", before + 1));
     }
--- a/testkit/src/main/java/trailthread/testkit/Message.java
+++ b/testkit/src/main/java/trailthread/testkit/Message.java
@@ -28,7 +28,9 @@
         Map<String, String> headers = new TreeMap<>();
         for (String line = line(in); !line.isEmpty(); line = line(in)) {
             int colon = line.indexOf(':');
-            headers.put(line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).trim());
+            headers.put(
+                    line.substring(0, colon).toLowerCase(Locale.ROOT),
+                    line.substring(colon + 1).trim());
         }
         if (headers.getOrDefault("transfer-encoding", "").equals("chunked")) {
             return new Message(start, headers, chunks(in), connection);
@@ -39,12 +41,13 @@
         if (body.length < length) {
             throw new EOFException("ended in the body");
         }
-        return new Message(start, headers, new String(body, StandardCharsets.ISO_8859_1), connection);
+        return new Message(
+                start, headers, new String(body, StandardCharsets.ISO_8859_1), connection);
     }
 
     private static String chunks(InputStream in) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        for (int size = -1; size != 0;) {
+        for (int size = -1; size != 0; ) {
             size = Integer.parseInt(line(in), 16);
             body.write(in.readNBytes(size));
             line(in);
@@ -75,8 +78,16 @@
 
     /** Answers on the connection that this came on. */
     public void answer(String status, String headers, String body) throws IOException {
-        send(connection, "HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n" + headers
-                + "\r\n" + body);
+        send(
+                connection,
+                "HTTP/1.1 "
+                        + status
+                        + "\r\nContent-Length: "
+                        + body.length()
+                        + "\r\n"
+                        + headers
+                        + "\r\n"
+                        + body);
     }
 
     public static void send(Socket connection, String text) throws IOException {
--- a/testkit/src/main/java/trailthread/testkit/Peer.java
+++ b/testkit/src/main/java/trailthread/testkit/Peer.java
@@ -16,7 +16,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A scripted peer of the node on loopback: what it is asked is recorded, and answered by its script. */
+/**
+ * A scripted peer of the node on loopback: what it is asked is recorded, and answered by its
+ * script.
+ */
 public final class Peer implements Closeable {
     public static final int LONGEST_WAIT_S = 30;
 
@@ -44,10 +47,11 @@
 
     /** A peer that makes this body of every request, once the latch is open. */
     public static Peer servingAfter(CountDownLatch open, String body) throws IOException {
-        return new Peer(request -> {
-            await(open);
-            request.answer("200 OK", "", body);
-        });
+        return new Peer(
+                request -> {
+                    await(open);
+                    request.answer("200 OK", "", body);
+                });
     }
 
     /** Waits for what must come. */
@@ -76,7 +80,9 @@
         return request;
     }
 
-    /** Nothing has come but what was looked at; to be called when what might have sent it is over. */
+    /**
+     * Nothing has come but what was looked at; to be called when what might have sent it is over.
+     */
     public void wasNotAsked() {
         assertNull(requests.peek());
     }
--- a/testkit/src/main/java/trailthread/testkit/Stage.java
+++ b/testkit/src/main/java/trailthread/testkit/Stage.java
@@ -22,14 +22,17 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The real program between scripted workers, a scripted discovery and a client, all on loopback. */
+/**
+ * The real program between scripted workers, a scripted discovery and a client, all on loopback.
+ */
 public final class Stage {
     private static final Pattern SERVES = Pattern.compile("serves on .*:(\\d+)");
 
     private static final Pattern DOOR = Pattern.compile("operators are told on .*:(\\d+)");
 
     /** The settings of the tests: generous times, so that a slow machine changes no verdict. */
-    public static final String SETTINGS = """
+    public static final String SETTINGS =
+            """
             "categories":[
              {"name":"state","aim_ns":10000000000,"deadline_ns":20000000000,"semantics":"retryable"},
              {"name":"action","aim_ns":10000000000,"deadline_ns":20000000000,"semantics":"dedup",
@@ -44,14 +47,18 @@
     private static final AtomicLong LAST_ID = new AtomicLong(0x9b1f03aa5c7e2d40L);
 
     public final Peer discovery = new Peer(Stage::watchUnchanged);
+
     /** What the program has written so far. */
     public final List<String> log = new CopyOnWriteArrayList<>();
+
     private final List<Closeable> open = new ArrayList<>();
     private final Path config = Files.createTempFile("trailthread", ".json");
     private Process node;
     public int sockets = 256;
+
     /** Further keys of the configuration, each with a comma after it. */
     public String more = "";
+
     /** Where the program serves, or did last. */
     public volatile int port;
 
@@ -59,7 +66,10 @@
         open.add(discovery);
     }
 
-    /** Starts the node, once more if it has ended, with these settings and workers known; it then serves. */
+    /**
+     * Starts the node, once more if it has ended, with these settings and workers known; it then
+     * serves.
+     */
     public Stage start(String settings, Peer... known) throws IOException, InterruptedException {
         log.clear();
         run(config(settings, known), "serve");
@@ -84,9 +94,17 @@
     }
 
     public String config(Peer discovery, String settings, Peer... known) {
-        return "{" + more + "\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery.hostPort()
-                + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + sockets + "},\"known\":"
-                + list(1, true, "active", known) + ",\"settings\":{" + settings + "}}";
+        return "{"
+                + more
+                + "\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
+                + discovery.hostPort()
+                + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":"
+                + sockets
+                + "},\"known\":"
+                + list(1, true, "active", known)
+                + ",\"settings\":{"
+                + settings
+                + "}}";
     }
 
     /** Runs the program with this configuration; what it writes goes to the log. */
@@ -96,7 +114,10 @@
         return runClass(json, words);
     }
 
-    /** Starts the program with a pipe in place of its file; returns its end once the program reads there. */
+    /**
+     * Starts the program with a pipe in place of its file; returns its end once the program reads
+     * there.
+     */
     public OutputStream startAtPipe() throws IOException, InterruptedException {
         Files.delete(config);
         assertEquals(0, new ProcessBuilder("mkfifo", config.toString()).start().waitFor());
@@ -115,9 +136,13 @@
     }
 
     private Process launch(List<String> words) throws IOException {
-        List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-cp", System.getProperty("java.class.path"), "-Xmx64m"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "-Xmx64m"));
         command.addAll(words);
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("LB_CONFIG", config.toString());
@@ -146,12 +171,22 @@
     public static String list(int generation, boolean reset, String lifecycle, Peer... workers) {
         StringBuilder entries = new StringBuilder();
         for (int i = 0; i < workers.length; i++) {
-            entries.append(i == 0 ? "" : ",").append("{\"instanceId\":\"w").append(i)
-                    .append("\",\"hostPort\":\"").append(workers[i].hostPort())
-                    .append("\",\"zone\":\"a\",\"cell\":0,\"lifecycle\":\"").append(lifecycle)
+            entries.append(i == 0 ? "" : ",")
+                    .append("{\"instanceId\":\"w")
+                    .append(i)
+                    .append("\",\"hostPort\":\"")
+                    .append(workers[i].hostPort())
+                    .append("\",\"zone\":\"a\",\"cell\":0,\"lifecycle\":\"")
+                    .append(lifecycle)
                     .append("\",\"weight\":1.0,\"startedAtMs\":0,\"new\":[{}]}");
         }
-        return "{\"generation\":" + generation + ",\"reset\":" + reset + ",\"instances\":[" + entries + "]}";
+        return "{\"generation\":"
+                + generation
+                + ",\"reset\":"
+                + reset
+                + ",\"instances\":["
+                + entries
+                + "]}";
     }
 
     /** Opens a watch and says nothing. */
@@ -167,7 +202,9 @@
 
     /** Sends a line on a watch. */
     public static void line(Message watch, String line) throws IOException {
-        Message.send(watch.connection(), Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
+        Message.send(
+                watch.connection(),
+                Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
 
     /** A client's connection. */
@@ -217,10 +254,16 @@
     /** A well-formed call of a class with a query and further headers, under an id of its own. */
     public static String request(String requestClass, String query, String headers) {
         boolean safe = requestClass.equals("state");
-        return (safe ? "GET /" : "POST /") + requestClass + query + " HTTP/1.1\r\nHost: api.internal\r\n"
-                + "X-Correlation-Id: " + Long.toHexString(LAST_ID.incrementAndGet())
-                + "\r\nX-Service-Class: " + requestClass
-                + "\r\nX-Account: acme\r\nX-Time-Left: 20.000\r\n" + headers
+        return (safe ? "GET /" : "POST /")
+                + requestClass
+                + query
+                + " HTTP/1.1\r\nHost: api.internal\r\n"
+                + "X-Correlation-Id: "
+                + Long.toHexString(LAST_ID.incrementAndGet())
+                + "\r\nX-Service-Class: "
+                + requestClass
+                + "\r\nX-Account: acme\r\nX-Time-Left: 20.000\r\n"
+                + headers
                 + (requestClass.equals("action") ? "Idempotency-Key: 5c0f6e1a2b3d4c59\r\n" : "")
                 + (safe ? "\r\n" : "Content-Length: 4\r\n\r\npour");
     }
@@ -228,7 +271,10 @@
     /** Replaces the configuration and says so, as the platform does. */
     public void reload(String json) throws IOException, InterruptedException {
         Path beside = Files.writeString(Path.of(config + ".new"), json);
-        Files.move(beside, config, StandardCopyOption.ATOMIC_MOVE); // a reading under way finds the old one whole
+        Files.move(
+                beside,
+                config,
+                StandardCopyOption.ATOMIC_MOVE); // a reading under way finds the old one whole
         signal("HUP");
     }
 
@@ -240,7 +286,11 @@
 
     /** Sends the program a signal, which has been delivered when this returns. */
     public void signal(String name) throws IOException, InterruptedException {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(node.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, Long.toString(node.pid()))
+                        .start()
+                        .waitFor());
     }
 
     /** Whether the program has not ended. */
