--- a/adapter/src/main/java/trailthread/adapter/WireReader.java
+++ b/adapter/src/main/java/trailthread/adapter/WireReader.java
@@ -97,7 +97,7 @@
     boolean absent(int part) {
         return part >= parts
                 || ends[part] == starts[part]
-                || ends[part] - starts[part] == 1 && buffer[starts[part]] == '-';
+                || (ends[part] - starts[part] == 1 && buffer[starts[part]] == '-');
     }
 
     /** The part as an interned string, the same object for the same bytes. */
--- a/adapter/src/main/java/trailthread/adapter/WireWriter.java
+++ b/adapter/src/main/java/trailthread/adapter/WireWriter.java
@@ -37,6 +37,8 @@
         end();
     }
 
+    @SuppressWarnings(
+            "ReferenceEquality") // identity is enough: each instance hands in its own string
     private void begin(String instance, String message) {
         if (instance != current) {
             bytes("from\t");
--- a/configuration/src/main/java/trailthread/configuration/OperatorFileReader.java
+++ b/configuration/src/main/java/trailthread/configuration/OperatorFileReader.java
@@ -120,7 +120,7 @@
                 (int) node.whole(Key.NODE_DESCRIPTORS, 1024, LEAST_DESCRIPTORS, MOST_DESCRIPTORS);
         int forClients = (int) (CLIENTS_SHARE * (descriptors - OWN_DESCRIPTORS));
         long calls = Math.max(1, (long) (CALLS_SHARE * forClients));
-        long connections = descriptors - OWN_DESCRIPTORS - forClients;
+        long connections = (long) descriptors - OWN_DESCRIPTORS - forClients;
         long bodyBytes = node.size(Key.NODE_BODY_MEMORY, 16 << 20, 64 << 10, MOST_BYTES);
         readPools(root, new long[] {calls, connections, bodyBytes});
         List<Route> routes = readRoutes(root);
--- a/daemon/src/main/java/trailthread/daemon/Lifecycle.java
+++ b/daemon/src/main/java/trailthread/daemon/Lifecycle.java
@@ -53,7 +53,7 @@
                             new Class<?>[] {handler},
                             (proxy, method, args) -> {
                                 if (method.getName().equals("handle")) {
-                                    reload.thenAccept(Runnable::run);
+                                    var unused = reload.thenAccept(Runnable::run);
                                 }
                                 return null;
                             });
--- a/daemon/src/main/java/trailthread/daemon/WarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/WarmUp.java
@@ -181,7 +181,7 @@
                         || last.outcome() == Outcome.OK
                         || last.outcome() == Outcome.ERROR
                         || last.outcome() == Outcome.TIMEOUT;
-        if (count == MOST_CALLS || count >= LEAST_CALLS && loop.now() > endsAt || !works) {
+        if (count == MOST_CALLS || (count >= LEAST_CALLS && loop.now() > endsAt) || !works) {
             LOG.info(
                     "warmed up with {} calls{}{}",
                     count,
--- a/daemon/src/main/java/trailthread/daemon/acceptor/Acceptor.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/Acceptor.java
@@ -11,8 +11,6 @@
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
 import java.util.Map;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import org.xnio.ChannelListener;
 import org.xnio.ChannelListeners;
 import org.xnio.IoUtils;
@@ -29,7 +27,6 @@
 
 /** The clients' side: HTTP connections in, calls out to who takes them, its replies back. */
 public final class Acceptor {
-    private static final Logger LOG = LoggerFactory.getLogger(Acceptor.class);
     private static final int MOST_HEADER_BYTES = 16 * 1024;
     private static final int BACKLOG = 1024;
 
--- a/daemon/src/main/java/trailthread/daemon/acceptor/ClientConnections.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/ClientConnections.java
@@ -79,7 +79,7 @@
     private final Set<ClientConnection> leaving = new LinkedHashSet<>();
 
     /** How many idle after calls of each owner, where connections have owners. */
-    private final Map<Object, Integer> idleOf = new IdentityHashMap<>();
+    private final IdentityHashMap<Object, Integer> idleOf = new IdentityHashMap<>();
 
     private boolean ending;
 
@@ -168,9 +168,9 @@
     /** Whether the answer to what this one carries is to end it, so that others find room. */
     boolean endsWithAnswer(ClientConnection client) {
         return ending
-                || idle.size() > IDLE_SHARE * mayHold
+                || (idle.size() > IDLE_SHARE * mayHold
                         && idle.iterator().next().since() < loop.now() - CROWDED_NS
-                        && makesRoom(client.owner());
+                        && makesRoom(client.owner()));
     }
 
     /** Answers end their connections from now on. */
--- a/daemon/src/main/java/trailthread/daemon/operator/Bodies.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/Bodies.java
@@ -28,6 +28,7 @@
         OPEN_METRICS(OpenMetricsTextFormatWriter.create()),
         JSON(null);
 
+        @SuppressWarnings("ImmutableEnumChecker") // the library's writers hold no state
         private final ExpositionFormatWriter writer;
 
         Form(ExpositionFormatWriter writer) {
--- a/daemon/src/main/java/trailthread/daemon/operator/Exposition.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/Exposition.java
@@ -56,7 +56,7 @@
         e.calls(s);
         e.attempts(s);
         e.connections(s);
-        e.process(s, process);
+        e.process(process);
         e.workers(s.fleet());
         ByteArrayOutputStream out = new ByteArrayOutputStream(USUAL_BYTES);
         writer.write(out, new MetricSnapshots(e.all));
@@ -171,7 +171,7 @@
                 s.descriptorLimit());
     }
 
-    private void process(Snapshot s, ProcessFigures process) {
+    private void process(ProcessFigures process) {
         known("process_open_fds", "File descriptors held.", process.openDescriptors());
         known("process_resident_memory_bytes", "Resident memory.", process.residentBytes());
         known(
--- a/daemon/src/test/java/trailthread/daemon/CrowdTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CrowdTest.java
@@ -107,7 +107,9 @@
                     heard.startsWith("HTTP/1.1 503 ") && heard.contains("\r\nRetry-After: ");
             assertTrue(
                     heard,
-                    refused || heard.startsWith("HTTP/1.1 200 ") && heard.endsWith("\r\n\r\nmade"));
+                    refused
+                            || (heard.startsWith("HTTP/1.1 200 ")
+                                    && heard.endsWith("\r\n\r\nmade")));
             return true;
         }
     }
--- a/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
+++ b/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
@@ -78,6 +78,7 @@
     /**
      * Sends on a connection that idles, until it is told that the answer was the last one there.
      */
+    @SuppressWarnings("AssertionFailureIgnored") // collected, and reported by the test
     private void sends(Socket connection, int number, int deadlineMs) {
         String id = "";
         try {
@@ -173,7 +174,7 @@
             Thread.sleep(pausedMs);
             stage.signal("CONT");
         }
-        long killedMs = 700 + Math.min(deadlineMs, 3_000);
+        long killedMs = 700L + Math.min(deadlineMs, 3_000);
         Thread.sleep(Math.max(0, killedMs - (System.nanoTime() - askedAt) / 1_000_000));
         killed = true;
         if (stage.isRunning()) {
--- a/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
@@ -4,6 +4,7 @@
 import static org.junit.Assert.assertTrue;
 
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -155,7 +156,8 @@
             builder.environment().put("LB_CONFIG", config.toString());
             builder.environment().put("LB_SOCKET_FD", told);
             Process refused = builder.start();
-            String said = new String(refused.getInputStream().readAllBytes());
+            String said =
+                    new String(refused.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             assertEquals(2, refused.waitFor());
             assertTrue(
                     said,
--- a/daemon/src/test/java/trailthread/daemon/NodeConfigTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NodeConfigTest.java
@@ -6,6 +6,7 @@
 import static org.junit.Assert.assertTrue;
 
 import java.io.StringReader;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -51,7 +52,9 @@
     public void operatorsHaveADoorOnlyWhereTheyAreTold() throws ConfigException {
         assertNull(parse(GOOD, Map.of()).management());
         String told = GOOD.replaceFirst("\\{", "{\"management\":\"127.0.0.1:9200\",");
-        assertEquals(new InetSocketAddress("127.0.0.1", 9200), parse(told, Map.of()).management());
+        assertEquals(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 9200),
+                parse(told, Map.of()).management());
         for (String file : new String[] {told, GOOD}) {
             assertEquals(
                     9300,
--- a/daemon/src/test/java/trailthread/daemon/OperatorOffTest.java
+++ b/daemon/src/test/java/trailthread/daemon/OperatorOffTest.java
@@ -27,6 +27,7 @@
  */
 public class OperatorOffTest {
     /** Joins the parts as the node does; an argument is the address to tell operators on. */
+    @SuppressWarnings("StreamResourceLeak") // closed at once
     public static void main(String[] args) throws IOException {
         InetSocketAddress listen = args.length == 0 ? null : new InetSocketAddress(args[0], 0);
         Loop loop = new Loop("n0");
--- a/decisions/src/main/java/trailthread/Balancer.java
+++ b/decisions/src/main/java/trailthread/Balancer.java
@@ -451,7 +451,7 @@
     /** What comes after an attempt that did not serve: another, a wait, or the final answer. */
     private void again(Request r, long now) {
         boolean mayHaveRun = r.firstThatMayHaveRun() >= 0;
-        if (!permits(r, now) || mayHaveRun && retryTokens < 1) {
+        if (!permits(r, now) || (mayHaveRun && retryTokens < 1)) {
             giveUp(r);
             return;
         }
@@ -590,7 +590,8 @@
         boolean trustAll = tooManyEjected(0);
         for (int i = 0; i < mine.size(); i++) {
             Backend b = mine.get(i);
-            if (b.state == State.READY && (trustAll || b.failures < EJECT_AFTER && b.rests == 0)) {
+            if (b.state == State.READY
+                    && (trustAll || (b.failures < EJECT_AFTER && b.rests == 0))) {
                 roomInAll += b.coldness(settings, now) * room(b, pace(b, now));
             }
         }
@@ -987,7 +988,7 @@
     private static boolean mayRefuse(Request r) {
         return r.c.rules.semantics() == Semantics.SAFE
                 || r.firstThatMayHaveRun() < 0
-                || r.c.rules.semantics() == Semantics.KEYED && r.c.rules.group() == Group.ALL;
+                || (r.c.rules.semantics() == Semantics.KEYED && r.c.rules.group() == Group.ALL);
     }
 
     private void hold(Request r, long now) {
@@ -1326,10 +1327,10 @@
                         .filter(
                                 b ->
                                         b.state != State.READY
-                                                || !trustAll
+                                                || (!trustAll
                                                         && now < b.ejectedUntil
                                                         && (b.failures >= EJECT_AFTER
-                                                                || b.rests > 0))
+                                                                || b.rests > 0)))
                         .count();
     }
 
@@ -1409,7 +1410,7 @@
             return switch (c.rules.group()) {
                 case ALL -> true;
                 case ZONE -> a.zone.equals(b.zone);
-                case CELL -> a == b || a.cell >= 0 && a.cell == b.cell;
+                case CELL -> a == b || (a.cell >= 0 && a.cell == b.cell);
             };
         }
 
--- a/decisions/src/main/java/trailthread/levels/Plan.java
+++ b/decisions/src/main/java/trailthread/levels/Plan.java
@@ -106,6 +106,7 @@
     }
 
     /** Throws an IllegalArgumentException that names the first field out of its range. */
+    @SuppressWarnings("ReferenceEquality") // the first element, not one equal to it
     public void check() {
         require(!levels.isEmpty(), "levels: at least one is needed");
         Set<String> names = new HashSet<>();
--- a/decisions/src/test/java/trailthread/ColdFleetTest.java
+++ b/decisions/src/test/java/trailthread/ColdFleetTest.java
@@ -7,6 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableMap;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -42,7 +43,7 @@
      * beginning.
      */
     private static void play(
-            int nodes, int me, long seed, Map<String, TreeMap<Long, Integer>> sent) {
+            int nodes, int me, long seed, Map<String, NavigableMap<Long, Integer>> sent) {
         Settings settings = Script.settings();
         settings.nodes = nodes;
         settings.me = me;
@@ -98,12 +99,12 @@
     public void noneFallsUnderTheSumOfAllNodes() {
         for (int nodes : new int[] {20, 30, 120}) {
             for (long seed = 1; seed <= 3; seed++) {
-                Map<String, TreeMap<Long, Integer>> sent = new HashMap<>();
+                Map<String, NavigableMap<Long, Integer>> sent = new HashMap<>();
                 for (int me = 0; me < nodes; me++) {
                     play(nodes, me, seed, sent);
                 }
                 assertTrue("they are used", sent.size() == STARTED);
-                for (Map.Entry<String, TreeMap<Long, Integer>> e : sent.entrySet()) {
+                for (Map.Entry<String, NavigableMap<Long, Integer>> e : sent.entrySet()) {
                     for (long at : e.getValue().keySet()) {
                         int count =
                                 e.getValue().subMap(at - FALL_MS, false, at, true).values().stream()
--- a/decisions/src/test/java/trailthread/ListCallsTest.java
+++ b/decisions/src/test/java/trailthread/ListCallsTest.java
@@ -169,7 +169,7 @@
                                     ? Math.min(waitsMs, waits + handleMs)
                                     : at >= downMs - hangsMs ? waitsMs : 0;
                     endsAt[i] = at + TICK_MS + (int) waitedFor;
-                    free = down || fails[i] && !alsoInVain ? free : Math.max(free, at) + handleMs;
+                    free = down || (fails[i] && !alsoInVain) ? free : Math.max(free, at) + handleMs;
                 }
             }
         }
--- a/decisions/src/test/java/trailthread/LotteryTest.java
+++ b/decisions/src/test/java/trailthread/LotteryTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import trailthread.BalancerApi.Entry;
@@ -20,9 +21,9 @@
     /**
      * Serves one request after another, each in {@code latencies} by backend, and counts the sends.
      */
-    private static TreeMap<String, Integer> serve(
+    private static Map<String, Integer> serve(
             Script s, int requests, long aLatency, long bLatency) {
-        TreeMap<String, Integer> counts = new TreeMap<>();
+        Map<String, Integer> counts = new TreeMap<>();
         for (int i = 0; i < requests; i++) {
             long id = s.request("safe");
             if (s.sendsOf(id).isEmpty()) {
@@ -40,7 +41,7 @@
     void equalBackendsShareEvenly() {
         Script s = new Script(Script.settings(), 7);
         s.backends("a", "b");
-        TreeMap<String, Integer> counts = serve(s, 2000, 20 * MS, 20 * MS);
+        Map<String, Integer> counts = serve(s, 2000, 20 * MS, 20 * MS);
         assertEquals(1000, counts.get("a"), 150);
     }
 
@@ -86,7 +87,7 @@
     void aSlowBackendGetsFewTickets() {
         Script s = new Script(Script.settings(), 5);
         s.backends("a", "b");
-        TreeMap<String, Integer> counts = serve(s, 600, 15 * MS, 90 * MS);
+        Map<String, Integer> counts = serve(s, 600, 15 * MS, 90 * MS);
         assertTrue(counts.get("b") < 60, "to the slow one: " + counts);
     }
 
@@ -102,7 +103,7 @@
         serve(s, 2000, MS / 15, MS / 15);
         s.delta(Script.ready("b"));
         s.pass(10_000 * MS);
-        TreeMap<String, Integer> counts = serve(s, 2000, MS / 15, MS / 15);
+        Map<String, Integer> counts = serve(s, 2000, MS / 15, MS / 15);
         assertTrue(counts.getOrDefault("b", 0) > 500, "to the one that was away: " + counts);
     }
 
@@ -195,7 +196,7 @@
         assertTrue(
                 during <= 3, "sends to a jammed one in " + (s.now - from) / MS + " ms: " + during);
         s.pass(20_000 * MS);
-        TreeMap<String, Integer> after = serve(s, 400, 20 * MS, 20 * MS);
+        Map<String, Integer> after = serve(s, 400, 20 * MS, 20 * MS);
         assertTrue(after.getOrDefault("a", 0) > 50, "after it recovered: " + after);
     }
 
@@ -261,7 +262,7 @@
             s.pass(3000 * MS);
             s.end(id, Outcome.OK);
         }
-        TreeMap<String, Integer> counts = serve(s, 400, 20 * MS, 20 * MS);
+        Map<String, Integer> counts = serve(s, 400, 20 * MS, 20 * MS);
         assertEquals(200, counts.get("a"), 80);
     }
 
@@ -292,7 +293,7 @@
         for (int i = 0; i < 50; i++) {
             s.request("unsafe");
         }
-        long out = s.sends.size() - 100;
+        long out = s.sends.size() - 100L;
         assertTrue(out >= 1 && out <= 4, "sent at once: " + out);
         s.pass(1500 * MS);
         assertEquals(50 - out, s.refused.size(), "held work is refused, not failed");
@@ -361,7 +362,7 @@
                 s.now,
                 ListKind.FULL,
                 List.of(Script.ready("a"), new Entry("b", 1, State.READY, "there", 0, 1)));
-        TreeMap<String, Integer> counts = serve(s, 200, 20 * MS, 20 * MS);
+        Map<String, Integer> counts = serve(s, 200, 20 * MS, 20 * MS);
         assertTrue(counts.getOrDefault("b", 0) < 40, counts.toString());
     }
 
@@ -372,7 +373,7 @@
         Script s = new Script(settings, 5);
         s.backends("a", "b", "c", "d", "e", "f");
         serve(s, 300, 20 * MS, 20 * MS);
-        TreeMap<String, Integer> counts = whereAKeyGoes(s, 20);
+        Map<String, Integer> counts = whereAKeyGoes(s, 20);
         assertTrue(counts.size() <= 3, "a key in: " + counts);
         assertTrue(counts.values().stream().anyMatch(n -> n > 160), "a key in: " + counts);
     }
@@ -388,16 +389,16 @@
         Script s = new Script(settings, 5);
         s.backends("a", "b", "c", "d", "e", "f");
         serve(s, 300, 20 * MS, 20 * MS);
-        TreeMap<String, Integer> counts = whereAKeyGoes(s, 1);
+        Map<String, Integer> counts = whereAKeyGoes(s, 1);
         int most = counts.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
         assertTrue(counts.size() >= 3 && most < 120, "half of the traffic in: " + counts);
     }
 
     /** Where one key goes, two hundred times, amid so many others for each. */
-    private static TreeMap<String, Integer> whereAKeyGoes(Script s, int others) {
-        TreeMap<String, Integer> counts = new TreeMap<>();
+    private static Map<String, Integer> whereAKeyGoes(Script s, int others) {
+        Map<String, Integer> counts = new TreeMap<>();
         for (int i = 0; i < 200 * (1 + others); i++) {
-            long id = 100_000 + i;
+            long id = 100_000L + i;
             boolean watched = i % (1 + others) == 0;
             long key = watched ? 42 : 1000 + i % 97;
             s.balancer.request(s.now, id, "safe", 0, s.now + 1000 * MS, null, false, key);
@@ -416,9 +417,9 @@
         settings.warmKeys = true;
         Script s = new Script(settings, 5);
         s.backends("a", "b", "c", "d", "e", "f");
-        TreeMap<String, Integer> counts = new TreeMap<>();
+        Map<String, Integer> counts = new TreeMap<>();
         for (int i = 0; i < 6; i++) {
-            long id = 100_000 + i;
+            long id = 100_000L + i;
             s.balancer.request(s.now, id, "safe", 0, s.now + 1000 * MS, null, false, 42);
             counts.merge(s.sendsOf(id).get(0).backend(), 1, Integer::sum);
         }
@@ -431,9 +432,9 @@
         settings.warmKeys = true;
         Script s = new Script(settings, 5);
         s.backends("a", "b", "c", "d", "e", "f");
-        TreeMap<Long, String> before = homes(s, 100_000);
+        Map<Long, String> before = homes(s, 100_000);
         s.delta(new Entry("c", 1, State.GONE, "here", 0, 0));
-        TreeMap<Long, String> after = homes(s, 200_000);
+        Map<Long, String> after = homes(s, 200_000);
         before.values().removeIf("c"::equals);
         after.keySet().retainAll(before.keySet());
         long kept =
@@ -443,8 +444,8 @@
     }
 
     /** Where most draws of each of 40 keys go. */
-    private static TreeMap<Long, String> homes(Script s, long firstId) {
-        TreeMap<Long, String> homes = new TreeMap<>();
+    private static Map<Long, String> homes(Script s, long firstId) {
+        Map<Long, String> homes = new TreeMap<>();
         for (long key = 1; key <= 40; key++) {
             TreeMap<String, Integer> counts = new TreeMap<>();
             for (int i = 0; i < 20; i++) {
--- a/decisions/src/test/java/trailthread/RandomRulesTest.java
+++ b/decisions/src/test/java/trailthread/RandomRulesTest.java
@@ -160,8 +160,8 @@
                 boolean harmless =
                         a.rules.semantics() == Semantics.SAFE
                                 || !mayHaveRun
-                                || a.rules.semantics() == Semantics.KEYED
-                                        && a.rules.group() == Group.ALL;
+                                || (a.rules.semantics() == Semantics.KEYED
+                                        && a.rules.group() == Group.ALL);
                 assertTrue(harmless, "a refusal of what may have run: " + id);
             }
         }
--- a/decisions/src/test/java/trailthread/levels/LevelsTest.java
+++ b/decisions/src/test/java/trailthread/levels/LevelsTest.java
@@ -127,7 +127,7 @@
                         Double.POSITIVE_INFINITY,
                         Double.NEGATIVE_INFINITY
                     }) {
-                if (r == REPORT_AGE && Double.isNaN(absurd) || !r.isShare() && absurd == 1.5) {
+                if ((r == REPORT_AGE && Double.isNaN(absurd)) || (!r.isShare() && absurd == 1.5)) {
                     continue; // no reports expected; 1.5 ns
                 }
                 String what = r + " " + absurd;
--- a/engine/src/main/java/trailthread/engine/http/AnswerDecoder.java
+++ b/engine/src/main/java/trailthread/engine/http/AnswerDecoder.java
@@ -250,25 +250,25 @@
         boolean chunked = headers.contains(Headers.TRANSFER_ENCODING);
         int lengths = headers.count(Headers.CONTENT_LENGTH);
         if (lengths > 1
-                || chunked
+                || (chunked
                         && (lengths > 0
                                 || headers.count(Headers.TRANSFER_ENCODING) > 1
                                 || !"chunked"
                                         .equalsIgnoreCase(
-                                                headers.getFirst(Headers.TRANSFER_ENCODING)))) {
+                                                headers.getFirst(Headers.TRANSFER_ENCODING))))) {
             throw new MalformedAnswerException("an unclear length");
         }
         boolean bare = bodiless || status == 204 || status == 304;
         boolean ends = lengths == 0 && !chunked && !bare; // with its connection: RFC 9112, 6.3
         lasting &= !ends;
         left = lengths == 1 ? whole(headers.getFirst(Headers.CONTENT_LENGTH), 10) : 0;
-        if (left < 0 || left > mostBodyBytes && !bare) {
+        if (left < 0 || (left > mostBodyBytes && !bare)) {
             throw new MalformedAnswerException("a length that can't be");
         }
         state =
                 ends
                         ? State.REST
-                        : bare || !chunked && left == 0
+                        : bare || (!chunked && left == 0)
                                 ? State.WHOLE
                                 : chunked ? State.CHUNK_SIZE : State.BODY;
         out.head(status, headers);
--- a/engine/src/main/java/trailthread/engine/http/EndToEnd.java
+++ b/engine/src/main/java/trailthread/engine/http/EndToEnd.java
@@ -69,9 +69,9 @@
     private static boolean isName(String name) {
         for (byte letter : name.getBytes(StandardCharsets.ISO_8859_1)) {
             boolean plain =
-                    letter >= 'a' && letter <= 'z'
-                            || letter >= 'A' && letter <= 'Z'
-                            || letter >= '0' && letter <= '9'
+                    (letter >= 'a' && letter <= 'z')
+                            || (letter >= 'A' && letter <= 'Z')
+                            || (letter >= '0' && letter <= '9')
                             || "!#$%&'*+-.^_`|~".indexOf(letter) >= 0;
             if (!plain) {
                 return false;
@@ -84,7 +84,7 @@
     private static boolean isValue(String value) {
         for (int i = 0; i < value.length(); i++) {
             char c = value.charAt(i);
-            if (c < ' ' && c != '\t' || c == 0x7f || c > 0xff) {
+            if ((c < ' ' && c != '\t') || c == 0x7f || c > 0xff) {
                 return false;
             }
         }
--- a/engine/src/main/java/trailthread/engine/routes/Hosts.java
+++ b/engine/src/main/java/trailthread/engine/routes/Hosts.java
@@ -22,7 +22,7 @@
                     c == '-' && label > 0 && i + 1 < text.length() && text.charAt(i + 1) != '.';
             if (c == '.'
                     ? label == 0
-                    : !(c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '_' || inner)) {
+                    : !((c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '_' || inner)) {
                 return false;
             }
             label = c == '.' ? 0 : label + 1;
@@ -42,7 +42,7 @@
         }
         for (int i = 1; i < text.length() - 1; i++) {
             char c = text.charAt(i);
-            if (!(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c == ':' || c == '.')) {
+            if (!((c >= '0' && c <= '9') || (c >= 'a' && c <= 'f') || c == ':' || c == '.')) {
                 return false;
             }
         }
--- a/engine/src/main/java/trailthread/engine/routes/PathPattern.java
+++ b/engine/src/main/java/trailthread/engine/routes/PathPattern.java
@@ -33,7 +33,7 @@
                 String[] written = fixed.substring(1).split("/", -1);
                 for (int i = 0; i < written.length; i++) {
                     boolean any = written[i].startsWith("{") && written[i].endsWith("}");
-                    if (!any && written[i].indexOf('{') >= 0 || written[i].indexOf('*') >= 0) {
+                    if ((!any && written[i].indexOf('{') >= 0) || written[i].indexOf('*') >= 0) {
                         throw new IllegalArgumentException(
                                 "{name} or ** for whole segments, ** at the end");
                     }
@@ -48,7 +48,7 @@
 
     /** Whether it takes a path of these segments. */
     public boolean takes(List<String> path) {
-        if (path.size() < segments.size() || !prefix && path.size() > segments.size()) {
+        if (path.size() < segments.size() || (!prefix && path.size() > segments.size())) {
             return false;
         }
         for (int i = 0; i < segments.size(); i++) {
--- a/engine/src/main/java/trailthread/engine/routes/Route.java
+++ b/engine/src/main/java/trailthread/engine/routes/Route.java
@@ -62,14 +62,14 @@
 
     /** Whether it takes the request, if host and path suit. */
     boolean takesConditions(Asked asked) {
-        if (!methods.isEmpty() && !methods.contains(asked.method())
-                || requestClass != null && !requestClass.equals(asked.requestClass())) {
+        if ((!methods.isEmpty() && !methods.contains(asked.method()))
+                || (requestClass != null && !requestClass.equals(asked.requestClass()))) {
             return false;
         }
         for (Map.Entry<String, String> wanted : headers.entrySet()) {
             String value = asked.header().apply(wanted.getKey());
             if (value == null
-                    || !wanted.getValue().equals(PRESENT) && !wanted.getValue().equals(value)) {
+                    || (!wanted.getValue().equals(PRESENT) && !wanted.getValue().equals(value))) {
                 return false;
             }
         }
--- a/engine/src/main/java/trailthread/engine/routes/RouteTable.java
+++ b/engine/src/main/java/trailthread/engine/routes/RouteTable.java
@@ -130,6 +130,7 @@
     }
 
     /** Why each route has the request or not, for people, in the order in which they are asked. */
+    @SuppressWarnings("ReferenceEquality") // routes are compared as entries of this table
     public List<String> explain(Asked asked) {
         Route winner = match(asked);
         List<String> lines = new ArrayList<>();
--- a/engine/src/main/java/trailthread/engine/routes/Target.java
+++ b/engine/src/main/java/trailthread/engine/routes/Target.java
@@ -188,9 +188,9 @@
     }
 
     private static boolean isPlain(char c, String marks) {
-        return c >= 'a' && c <= 'z'
-                || c >= 'A' && c <= 'Z'
-                || c >= '0' && c <= '9'
+        return (c >= 'a' && c <= 'z')
+                || (c >= 'A' && c <= 'Z')
+                || (c >= '0' && c <= '9')
                 || marks.indexOf(c) >= 0;
     }
 }
--- a/engine/src/main/java/trailthread/engine/service/Failing.java
+++ b/engine/src/main/java/trailthread/engine/service/Failing.java
@@ -23,10 +23,10 @@
     private static final long FORGOTTEN_NS = 60_000_000_000L;
 
     private final long quickNs;
-    private final Map<String, Record> workers = new HashMap<>();
+    private final Map<String, AttemptHistory> workers = new HashMap<>();
 
-    /** What is known of one worker. */
-    private static final class Record {
+    /** The last attempts at one worker. */
+    private static final class AttemptHistory {
         State state;
 
         /** Its last attempts, the latest in the lowest bit; 1: it failed. */
@@ -49,7 +49,8 @@
             workers.values().forEach(record -> record.state = State.GONE);
         }
         for (Entry entry : entries) {
-            workers.computeIfAbsent(entry.backend(), name -> new Record()).state = entry.state();
+            workers.computeIfAbsent(entry.backend(), name -> new AttemptHistory()).state =
+                    entry.state();
         }
         workers.values().removeIf(record -> record.state == State.GONE);
     }
@@ -60,7 +61,7 @@
      * @param latencyNs -1 where it is not known: that was no time-out, and passes for quick
      */
     void ended(String worker, Outcome outcome, long latencyNs, long now) {
-        Record record = workers.get(worker);
+        AttemptHistory record = workers.get(worker);
         boolean failed =
                 outcome == Outcome.ERROR
                         || outcome == Outcome.CONNECT_FAILED
@@ -77,7 +78,7 @@
     double share(long now) {
         int ready = 0;
         int failing = 0;
-        for (Record record : workers.values()) {
+        for (AttemptHistory record : workers.values()) {
             if (record.state == State.READY) {
                 ready++;
                 int failed = Integer.bitCount(record.failed);
--- a/engine/src/main/java/trailthread/engine/worker/Attempt.java
+++ b/engine/src/main/java/trailthread/engine/worker/Attempt.java
@@ -243,7 +243,7 @@
 
     @Override
     public void body(ByteBuffer piece) {
-        if (over || sink == null && answer.outcome(passed != null) != Outcome.OK) {
+        if (over || (sink == null && answer.outcome(passed != null) != Outcome.OK)) {
             return; // nobody will see it
         }
         if (body.size() == 0 && sink == null && length < 0) {
--- a/engine/src/main/java/trailthread/engine/worker/WorkerAnswer.java
+++ b/engine/src/main/java/trailthread/engine/worker/WorkerAnswer.java
@@ -34,7 +34,7 @@
      *     fault has failed, and 429 too, as only the node's own module refuses
      */
     Outcome outcome(boolean plain) {
-        if (status == 200 || plain && status < 500 && status != 429) {
+        if (status == 200 || (plain && status < 500 && status != 429)) {
             return Outcome.OK;
         }
         return unprocessed && (status == 503 || status == 504) ? Outcome.FULL : Outcome.ERROR;
--- a/engine/src/test/java/trailthread/engine/quota/AnyQuotaTest.java
+++ b/engine/src/test/java/trailthread/engine/quota/AnyQuotaTest.java
@@ -35,7 +35,7 @@
             int i = random.nextInt(n);
             Quota.Party party = parties.get(i);
             if (random.nextInt(3) > 0) {
-                long amount = 1 + random.nextInt(3);
+                long amount = 1L + random.nextInt(3);
                 boolean within = party.holds() + amount <= guaranteed[i];
                 boolean taken = party.take(amount, now);
                 assertTrue(taken || !within, "a guarantee that was not kept");
--- a/engine/src/test/java/trailthread/engine/routes/AnyRoutesTest.java
+++ b/engine/src/test/java/trailthread/engine/routes/AnyRoutesTest.java
@@ -46,6 +46,7 @@
     }
 
     @Property(tries = 2000)
+    @SuppressWarnings("ReferenceEquality") // which entry of the table, not one equal to it
     void theTableAgreesWithALinearMatcher(
             @ForAll("tables") List<Route> routes, @ForAll("requests") Asked asked) {
         RouteTable table = new RouteTable(routes);
--- a/lab/src/main/java/trailthread/lab/experiment/Bootstrap.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Bootstrap.java
@@ -60,7 +60,7 @@
      * told apart.
      */
     public Verdict verdict() {
-        if (pairs < 5 || low <= 0 && high >= 0) {
+        if (pairs < 5 || (low <= 0 && high >= 0)) {
             return Verdict.NOT_TOLD_APART;
         }
         return low > 0 ? Verdict.BETTER : Verdict.WORSE;
--- a/lab/src/main/java/trailthread/lab/peers/PlainPolicy.java
+++ b/lab/src/main/java/trailthread/lab/peers/PlainPolicy.java
@@ -178,14 +178,15 @@
         RequestClass rules = request.rules;
         Backend first = request.sent.get(request.firstRan);
         return rules.semantics() == Semantics.SAFE
-                || rules.semantics() == Semantics.KEYED
+                || (rules.semantics() == Semantics.KEYED
                         && now + settings.connectTimeoutNs
                                 < request.sentAt.get(request.firstRan) + rules.windowNs()
                         && (rules.group() == Group.ALL
-                                || rules.group() == Group.ZONE && first.zone.equals(backend.zone)
-                                || rules.group() == Group.CELL
+                                || (rules.group() == Group.ZONE && first.zone.equals(backend.zone))
+                                || (rules.group() == Group.CELL
                                         && (first == backend
-                                                || first.cell >= 0 && first.cell == backend.cell));
+                                                || (first.cell >= 0
+                                                        && first.cell == backend.cell)))));
     }
 
     @Override
--- a/lab/src/main/java/trailthread/lab/referee/Referee.java
+++ b/lab/src/main/java/trailthread/lab/referee/Referee.java
@@ -183,7 +183,7 @@
             case ALL -> true;
             case ZONE -> place.zone().equals(watched.firstRan.zone());
             case CELL ->
-                    place.cell() >= 0 && place.cell() == watched.firstRan.cell()
+                    (place.cell() >= 0 && place.cell() == watched.firstRan.cell())
                             || place.worker().equals(watched.firstRan.worker());
         };
     }
--- a/lab/src/main/java/trailthread/lab/worker/WorkerModel.java
+++ b/lab/src/main/java/trailthread/lab/worker/WorkerModel.java
@@ -195,8 +195,10 @@
      */
     public boolean drop(long now, Job job) {
         boolean dropped =
-                job.state == Job.State.WAITS && waiting.remove(job)
-                        || job.state == Job.State.WORKS && law.cancelStops() && working.remove(job);
+                (job.state == Job.State.WAITS && waiting.remove(job))
+                        || (job.state == Job.State.WORKS
+                                && law.cancelStops()
+                                && working.remove(job));
         if (dropped) {
             job.state = Job.State.OVER;
             fill();
@@ -276,7 +278,7 @@
      * is coming, were of its size; infinite: it has no room.
      */
     public double stretch(long now, int coming) {
-        if (fallen || working.size() >= law.slots() && waiting.size() >= law.room()) {
+        if (fallen || (working.size() >= law.slots() && waiting.size() >= law.room())) {
             return Double.POSITIVE_INFINITY;
         }
         int held = inflight() + coming + 1;
--- a/lab/src/main/java/trailthread/lab/world/World.java
+++ b/lab/src/main/java/trailthread/lab/world/World.java
@@ -170,8 +170,8 @@
     }
 
     private boolean frontKnows(SimNode node) {
-        return node.isUp() && !node.isLeaving()
-                || !node.isUp() && agenda.now() - node.diedAt() < FRONT_LEARNS_NS;
+        return (node.isUp() && !node.isLeaving())
+                || (!node.isUp() && agenda.now() - node.diedAt() < FRONT_LEARNS_NS);
     }
 
     // ---- what the parts need
@@ -275,7 +275,7 @@
     private void travel(String from, String to, SimWorker worker, Runnable task) {
         boolean far = !from.equals(to);
         if (worker.process().ills.cut
-                || far && cutZone != null && (from.equals(cutZone) || to.equals(cutZone))) {
+                || (far && cutZone != null && (from.equals(cutZone) || to.equals(cutZone)))) {
             return; // nothing is said
         }
         NetworkLaw law = scenario.network();
--- a/lab/src/test/java/trailthread/lab/worker/WorkerModelTest.java
+++ b/lab/src/test/java/trailthread/lab/worker/WorkerModelTest.java
@@ -15,7 +15,7 @@
     private final List<String> done = new ArrayList<>();
     private WorkerModel model;
 
-    private final class Named extends Job {
+    private static final class Named extends Job {
         private final String name;
 
         Named(String name, double work) {
