--- a/adapter/src/main/java/trailthread/adapter/Adapter.java
+++ b/adapter/src/main/java/trailthread/adapter/Adapter.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.Map;
 import trailthread.Balancer;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
+import trailthread.api.Settings;
 import trailthread.settings.SettingsParser;
 import trailthread.settings.WireException;
 
@@ -29,7 +29,7 @@
     private final WireReader in;
     private final WireWriter out;
     private final Map<String, Balancer> instances = new HashMap<>();
-    private final List<List<Entry>> pages = new ArrayList<>();
+    private final List<List<EndpointEntry>> pages = new ArrayList<>();
     private String instance;
     private Balancer balancer;
     private long now;
@@ -129,14 +129,14 @@
         in.expectParts(3, 3, "pool");
         int page = page();
         long count = in.number(2, "entries");
-        List<Entry> entries = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             if (!in.advance() || !in.name(0, "message").equals("entry")) {
                 throw new WireException(in.line(), "message", "entry " + (i + 1) + " of " + count);
             }
             in.expectParts(4, 8, "entry");
             entries.add(
-                    new Entry(
+                    new EndpointEntry(
                             in.name(1, "backend"),
                             in.absent(2) ? 1 : in.decimal(2, "power_hint"),
                             state(in.number(3, "state")),
@@ -155,11 +155,11 @@
         return (int) page;
     }
 
-    private State state(long code) {
+    private EndpointState state(long code) {
         return switch ((int) code) {
-            case 2 -> State.READY;
-            case 0 -> State.DRAINING;
-            case 3 -> State.GONE;
+            case 2 -> EndpointState.READY;
+            case 0 -> EndpointState.DRAINING;
+            case 3 -> EndpointState.GONE;
             default -> throw new WireException(in.line(), "state", "0, 2 or 3");
         };
     }
@@ -224,7 +224,7 @@
             }
             case "health_result" -> {
                 in.expectParts(4, 5, word);
-                balancer.probed(
+                balancer.healthChecked(
                         now,
                         in.name(1, "backend"),
                         outcome(2),
@@ -245,7 +245,7 @@
         in.expectParts(4, 4, "membership");
         in.number(2, "rev");
         ListKind kind = listKind(in.number(3, "scope"));
-        List<Entry> entries = List.of();
+        List<EndpointEntry> entries = List.of();
         if (kind != ListKind.FAILED) {
             entries = pages.get(page());
             if (entries == null) {
@@ -270,12 +270,12 @@
         return switch (word) {
             case "Ok" -> Outcome.OK;
             case "Failed" -> Outcome.ERROR;
-            case "QueueFull" -> Outcome.FULL;
+            case "QueueFull" -> Outcome.REJECTED;
             case "TimedOut" -> Outcome.TIMEOUT;
             case "ConnectError" -> Outcome.CONNECT_FAILED;
             case "ResetByPeer" -> Outcome.RESET;
             case "Canceled" -> Outcome.CANCELLED;
-            case "Ignored" -> Outcome.MOOT;
+            case "Ignored" -> Outcome.NOT_SENT;
             default ->
                     throw new WireException(
                             in.line(), "ending", "a known outcome, got '" + word + "'");
@@ -283,7 +283,7 @@
     }
 
     /** The load report of a part, or null; values that are not known by name are skipped. */
-    private Load load(int part) {
+    private LoadReport load(int part) {
         if (in.absent(part)) {
             return null;
         }
@@ -316,7 +316,7 @@
             }
             from = to + 1;
         }
-        return new Load(inflight, queue, util, latencyMs, qps, eps);
+        return new LoadReport(inflight, queue, util, latencyMs, qps, eps);
     }
 
     private double value(String text) {
--- a/adapter/src/main/java/trailthread/adapter/WireWriter.java
+++ b/adapter/src/main/java/trailthread/adapter/WireWriter.java
@@ -4,9 +4,9 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import trailthread.BalancerApi.Actions;
+import trailthread.api.BalancerActions;
 
-/** Writes one reply; each instance has its own {@link Actions} face on it. */
+/** Writes one reply; each instance has its own {@link BalancerActions} face on it. */
 final class WireWriter {
     private static final long LONGEST_TIMER_NS = 70L * 60 * 1_000_000_000;
 
@@ -19,7 +19,7 @@
         this.out = out;
     }
 
-    Actions forInstance(String name) {
+    BalancerActions forInstance(String name) {
         return new InstanceActions(name);
     }
 
@@ -98,7 +98,7 @@
         bytes(name);
     }
 
-    private final class InstanceActions implements Actions {
+    private final class InstanceActions implements BalancerActions {
         private final String instance;
 
         InstanceActions(String instance) {
@@ -106,11 +106,11 @@
         }
 
         @Override
-        public void send(long id, long timeoutNs, long writtenBy, String backend) {
+        public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
             begin(instance, "forward");
             number(id);
             number(timeoutNs);
-            name(backend);
+            name(endpoint);
             end();
         }
 
@@ -146,16 +146,16 @@
         }
 
         @Override
-        public void probe(String backend) {
+        public void probe(String endpoint) {
             begin(instance, "sample");
-            name(backend);
+            name(endpoint);
             end();
         }
 
         @Override
-        public void closeIdle(String backend) {
+        public void closeIdle(String endpoint) {
             begin(instance, "shut_idle");
-            name(backend);
+            name(endpoint);
             end();
         }
 
--- a/configuration/src/main/java/trailthread/configuration/OperatorFileReader.java
+++ b/configuration/src/main/java/trailthread/configuration/OperatorFileReader.java
@@ -18,10 +18,10 @@
 import org.tomlj.TomlParseError;
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlTable;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.Reports;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Tenant;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.LoadReportSource;
+import trailthread.api.RequestClass;
+import trailthread.api.Tenant;
 import trailthread.engine.pool.PoolConfig;
 import trailthread.engine.pool.PoolConfig.ClassConfig;
 import trailthread.engine.pool.PoolConfig.Limits;
@@ -284,11 +284,11 @@
                         ? Profile.PLAIN
                         : Profile.PLATFORM;
         int nodes = (int) pool.whole(Key.POOL_NODES, 1, 1, 100_000);
-        Reports reports =
+        LoadReportSource reports =
                 switch (pool.word(Key.POOL_REPORTS, "none", "none", "answers", "probes")) {
-                    case "answers" -> Reports.ANSWERS;
-                    case "probes" -> Reports.PROBES;
-                    default -> Reports.NONE;
+                    case "answers" -> LoadReportSource.ANSWERS;
+                    case "probes" -> LoadReportSource.PROBES;
+                    default -> LoadReportSource.NONE;
                 };
         Rules rules =
                 new Rules(
@@ -359,8 +359,8 @@
                                             "unsafe")
                                     .toUpperCase(Locale.ROOT));
             long ownDeadline = section.duration(Key.CLASS_DEADLINE, deadline, MS, HOUR);
-            Group group =
-                    Group.valueOf(
+            DeduplicationScope group =
+                    DeduplicationScope.valueOf(
                             section.word(Key.CLASS_GROUP, "all", "all", "zone", "cell")
                                     .toUpperCase(Locale.ROOT));
             if (!name.matches(NAME)) {
@@ -383,7 +383,7 @@
                                             section.duration(Key.CLASS_AIM, aim, MS, HOUR)),
                                     0,
                                     ownDeadline,
-                                    ClassConfig.semantics(repeats),
+                                    ClassConfig.idempotency(repeats),
                                     group,
                                     section.duration(Key.CLASS_WINDOW, ownDeadline, 0, HOUR),
                                     section.number(Key.CLASS_WORTH, 1, 0, 1e9),
@@ -408,8 +408,8 @@
                                         Math.min(aim, deadline),
                                         0,
                                         deadline,
-                                        ClassConfig.semantics(repeats),
-                                        Group.ALL,
+                                        ClassConfig.idempotency(repeats),
+                                        DeduplicationScope.ALL,
                                         deadline,
                                         1,
                                         0.5),
--- a/daemon/src/main/java/trailthread/daemon/ModuleDrill.java
+++ b/daemon/src/main/java/trailthread/daemon/ModuleDrill.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import trailthread.Balancer;
-import trailthread.BalancerApi.Actions;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
+import trailthread.api.BalancerActions;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 
 /**
  * Plays a crowd of requests to a module of its own, in time of its own, so that the decisions of a
@@ -20,7 +20,7 @@
  * the rest of a call, and the crowd that a restart brings takes hundreds. No socket and no clock;
  * what it decides is dropped.
  */
-class ModuleDrill implements Actions {
+class ModuleDrill implements BalancerActions {
     private static final int WORKERS = 10;
     private static final long STEP_NS = 1_000_000;
 
@@ -44,9 +44,9 @@
     ModuleDrill(Settings settings, long seed) {
         this.settings = settings;
         module = new Balancer(settings, seed, now, this);
-        List<Entry> entries = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < WORKERS; i++) {
-            entries.add(new Entry("w" + i, 1, State.READY, settings.zone, 0, i));
+            entries.add(new EndpointEntry("w" + i, 1, EndpointState.READY, settings.zone, 0, i));
         }
         module.list(now, ListKind.FULL, entries);
     }
@@ -66,7 +66,7 @@
                     Outcome.OK,
                     ANSWER_NS,
                     true,
-                    new Load(1, 0, Double.NaN, Double.NaN, Double.NaN, Double.NaN));
+                    new LoadReport(1, 0, Double.NaN, Double.NaN, Double.NaN, Double.NaN));
         }
         for (int i = 0; i < REQUESTS_A_STEP; i++) {
             RequestClass c = settings.classes.get((int) (++id % settings.classes.size()));
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void send(long request, long timeoutNs, long writtenBy, String backend) {
+    public void send(long request, long timeoutNs, long writtenBy, String endpoint) {
         out.add(new Attempt(request, 0, now + ANSWER_NS));
     }
 
@@ -94,10 +94,10 @@
     public void cancel(long request, int attempt) {}
 
     @Override
-    public void probe(String backend) {}
+    public void probe(String endpoint) {}
 
     @Override
-    public void closeIdle(String backend) {}
+    public void closeIdle(String endpoint) {}
 
     @Override
     public void tell(int peer, byte[] data) {}
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Reports;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.State;
 import trailthread.ListLease;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReportSource;
+import trailthread.api.RequestClass;
 import trailthread.daemon.acceptor.Acceptor;
 import trailthread.daemon.acceptor.PlatformFront;
 import trailthread.daemon.operator.OperatorEndpoint;
@@ -108,13 +108,13 @@
                         config.idleCloseNs(),
                         config.drainGraceNs(),
                         ConnectionRoom.of(forOthers - forClients),
-                        config.settings().finestNs(),
+                        config.settings().latencyResolutionNs(),
                         Account.NONE);
         calls = new Calls(loop, workers, config.settings(), config.seed(), meter);
         discovery = new Discovery(loop, config.discovery(), this);
         calls.setDiscovery(discovery);
         workers.setNews(discovery::readNews);
-        lease = new ListLease(config.drainGraceNs(), !config.settings().listOnRequest);
+        lease = new ListLease(config.drainGraceNs(), !config.settings().listIsPolled);
         warmUp = new WarmUp(loop, config, calls);
         front = new PlatformFront(config.settings().classes, warmUp);
         acceptor =
@@ -151,7 +151,7 @@
                     leased();
                     discovery.known(config.known());
                     list(ListKind.CACHED, config.known(), loop.now());
-                    discovery.setPushed(!config.settings().listOnRequest);
+                    discovery.setPushed(!config.settings().listIsPolled);
                     long startedAt = loop.now();
                     warmUp.start(
                             self,
@@ -218,11 +218,13 @@
     private boolean askAround() {
         List<String> some =
                 config.known().instances().stream()
-                        .filter(worker -> worker.lifecycle() == State.READY)
+                        .filter(worker -> worker.lifecycle() == EndpointState.READY)
                         .limit(ASKED_AT_START)
                         .map(DiscoveryEntry::instanceId)
                         .toList();
-        boolean may = config.settings().mayProbe && config.settings().reports != Reports.NONE;
+        boolean may =
+                config.settings().mayCheckHealth
+                        && config.settings().reports != LoadReportSource.NONE;
         if (may) {
             some.forEach(
                     worker ->
@@ -257,9 +259,9 @@
         if (discovery.move(now.discovery())) {
             lease.moved(loop.now());
         }
-        discovery.setPushed(!now.settings().listOnRequest);
+        discovery.setPushed(!now.settings().listIsPolled);
         calls.retune(now.settings());
-        lease.retune(now.drainGraceNs(), !now.settings().listOnRequest);
+        lease.retune(now.drainGraceNs(), !now.settings().listIsPolled);
         leased();
         workers.retune(now.settings().connectTimeoutNs, now.idleCloseNs(), now.drainGraceNs());
         front.retune(now.settings().classes);
@@ -364,8 +366,8 @@
 
     /** Brings the lease to all that act on the list. */
     private void leased() {
-        workers.listUsable(lease.until());
-        calls.listUsable(lease.until());
+        workers.listLeaseUntil(lease.until());
+        calls.listLeaseUntil(lease.until());
         if (lease.isHeld(loop.now())) {
             listed();
         }
@@ -373,7 +375,7 @@
 
     private void list(ListKind kind, DiscoveryUpdate update, long knownSince) {
         workers.update(update, knownSince);
-        List<Entry> entries = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         for (DiscoveryEntry e : update.instances()) {
             entries.add(e.entry());
         }
--- a/daemon/src/main/java/trailthread/daemon/NodeConfig.java
+++ b/daemon/src/main/java/trailthread/daemon/NodeConfig.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import trailthread.BalancerApi.Settings;
+import trailthread.api.Settings;
 import trailthread.engine.discovery.DiscoveryParser;
 import trailthread.engine.discovery.DiscoveryUpdate;
 import trailthread.engine.service.LevelsConfig;
--- a/daemon/src/main/java/trailthread/daemon/WarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/WarmUp.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.Idempotency;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
+import trailthread.api.RequestClass;
 import trailthread.engine.call.CallTaker;
 import trailthread.engine.call.Calls;
 import trailthread.engine.call.ClientCall;
@@ -109,7 +109,7 @@
                         config.idleCloseNs(),
                         config.drainGraceNs(),
                         ConnectionRoom.of(16),
-                        config.settings().finestNs(),
+                        config.settings().latencyResolutionNs(),
                         Account.NONE);
         calls = new Calls(loop, workers, config.settings(), config.seed(), Meter.OFF);
     }
@@ -137,13 +137,15 @@
                                         hostPort,
                                         config.settings().zone,
                                         0,
-                                        State.READY,
+                                        EndpointState.READY,
                                         1,
                                         0))),
                 loop.now());
         calls.list(
                 ListKind.FULL,
-                List.of(new Entry(SELF, 1, State.READY, config.settings().zone, 0, 0)));
+                List.of(
+                        new EndpointEntry(
+                                SELF, 1, EndpointState.READY, config.settings().zone, 0, 0)));
         drill();
         next(null);
     }
@@ -152,7 +154,7 @@
      * A worker has told its load, or none (null): one that holds requests says that the fleet is at
      * work.
      */
-    void told(Load load) {
+    void told(LoadReport load) {
         if (patient) {
             return;
         }
@@ -197,7 +199,7 @@
         }
         List<RequestClass> classes = config.settings().classes;
         RequestClass c = classes.get(count++ % classes.size());
-        boolean safe = c.semantics() == Semantics.SAFE;
+        boolean safe = c.idempotency() == Idempotency.IDEMPOTENT;
         String id = prefix + count;
         workers.attempt(
                 SELF,
@@ -206,7 +208,7 @@
                         c.name(),
                         safe ? "GET" : "POST",
                         "/" + c.name(),
-                        c.semantics() == Semantics.KEYED ? id : null,
+                        c.idempotency() == Idempotency.IDEMPOTENCY_KEY ? id : null,
                         safe ? new byte[0] : BODY,
                         null),
                 CALL_WITHIN_NS,
--- a/daemon/src/main/java/trailthread/daemon/acceptor/CallDecoder.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/CallDecoder.java
@@ -5,8 +5,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
+import trailthread.api.Idempotency;
+import trailthread.api.RequestClass;
 import trailthread.engine.call.ClientCall;
 import trailthread.engine.loop.Seconds;
 
@@ -42,8 +42,8 @@
             throw new BadCallException("no such class at this path");
         }
         String key = optional(headers, IDEMPOTENCY_KEY);
-        boolean keyed = requestClass.semantics() == Semantics.KEYED;
-        boolean safe = requestClass.semantics() == Semantics.SAFE;
+        boolean keyed = requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY;
+        boolean safe = requestClass.idempotency() == Idempotency.IDEMPOTENT;
         if (!method.equals(safe ? "GET" : "POST") || keyed != (key != null)) {
             throw new BadCallException("method or Idempotency-Key do not suit the class");
         }
--- a/daemon/src/main/java/trailthread/daemon/acceptor/PlatformFront.java
+++ b/daemon/src/main/java/trailthread/daemon/acceptor/PlatformFront.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import trailthread.BalancerApi.RequestClass;
+import trailthread.api.RequestClass;
 import trailthread.engine.call.CallTaker;
 import trailthread.engine.meter.Rejection;
 
--- a/daemon/src/main/java/trailthread/daemon/operator/Exposition.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/Exposition.java
@@ -20,10 +20,9 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
-import trailthread.BalancerApi.Outcome;
+import trailthread.api.Outcome;
 import trailthread.engine.meter.Answer;
 import trailthread.engine.meter.Rejection;
 
@@ -116,7 +115,7 @@
                 answers.dataPoint(
                         count(
                                 figures.answers[answer.ordinal()],
-                                Labels.of("class", e.getKey(), "answer", lower(answer))));
+                                Labels.of("class", e.getKey(), "answer", MetricLabels.of(answer))));
             }
             gone.dataPoint(count(figures.gone, labels));
             durations.dataPoint(histogram(figures.durations, labels));
@@ -289,7 +288,7 @@
     private void counters(String name, String help, String label, Enum<?>[] keys, long[] values) {
         CounterSnapshot.Builder counter = counter(name, help);
         for (Enum<?> key : keys) {
-            counter.dataPoint(count(values[key.ordinal()], Labels.of(label, lower(key))));
+            counter.dataPoint(count(values[key.ordinal()], Labels.of(label, MetricLabels.of(key))));
         }
         all.add(counter.build());
     }
@@ -308,8 +307,4 @@
         return new HistogramDataPointSnapshot(
                 buckets, durations.sumSeconds(), labels, Exemplars.EMPTY, 0);
     }
-
-    static String lower(Enum<?> value) {
-        return value.name().toLowerCase(Locale.ROOT);
-    }
 }
--- a/daemon/src/main/java/trailthread/daemon/operator/FleetFigures.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/FleetFigures.java
@@ -5,7 +5,7 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.PriorityQueue;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointState;
 
 /**
  * All workers, told in a bounded space.
@@ -33,7 +33,7 @@
         long failures = 0;
         double queue = 0;
         for (WorkerFigures worker : workers) {
-            ready += worker.state == State.READY ? 1 : 0;
+            ready += worker.state == EndpointState.READY ? 1 : 0;
             WorkerFigures left = worker;
             if (worst.size() < most || WorkerFigures.BEST_FIRST.compare(worker, worst.peek()) > 0) {
                 worst.add(worker);
--- a/daemon/src/main/java/trailthread/daemon/operator/NodeMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/NodeMetrics.java
@@ -4,11 +4,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
 import trailthread.engine.meter.Answer;
 import trailthread.engine.meter.Meter;
 import trailthread.engine.meter.NodeView;
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void attemptEnded(String worker, Outcome outcome, long latencyNs, Load load) {
+    public void attemptEnded(String worker, Outcome outcome, long latencyNs, LoadReport load) {
         attemptsAtWork--;
         attempts[outcome.ordinal()]++;
         WorkerFigures figures = workers.get(worker);
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public void probed(String worker, Outcome outcome, Load load) {
+    public void healthChecked(String worker, Outcome outcome, LoadReport load) {
         probes[outcome.ordinal()]++;
         WorkerFigures figures = workers.get(worker);
         if (figures != null) {
@@ -105,16 +105,16 @@
     }
 
     @Override
-    public void listed(ListKind kind, List<Entry> entries) {
+    public void listed(ListKind kind, List<EndpointEntry> entries) {
         Map<String, WorkerFigures> before = Map.of();
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
             before = new HashMap<>(workers);
             workers.clear();
         }
-        for (Entry entry : entries) {
-            String id = entry.backend();
+        for (EndpointEntry entry : entries) {
+            String id = entry.endpoint();
             WorkerFigures figures = workers.getOrDefault(id, before.get(id));
-            if (entry.state() == State.GONE) {
+            if (entry.state() == EndpointState.GONE) {
                 workers.remove(id);
             } else if (figures == null) {
                 workers.put(id, new WorkerFigures(id, entry.state()));
--- a/daemon/src/main/java/trailthread/daemon/operator/OperatorEndpoint.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/OperatorEndpoint.java
@@ -24,7 +24,7 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 import org.xnio.channels.AcceptingChannel;
-import trailthread.BalancerApi.RequestClass;
+import trailthread.api.RequestClass;
 import trailthread.engine.loop.Loop;
 import trailthread.engine.meter.Meter;
 import trailthread.engine.meter.NodeControl;
--- a/daemon/src/main/java/trailthread/daemon/operator/Snapshot.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/Snapshot.java
@@ -9,8 +9,7 @@
  * @param levelSince Unix time in nanoseconds
  * @param levelChanges how often each level was entered from another one, in the order of levels
  * @param rejections by the ordinal of {@link trailthread.engine.meter.Rejection}
- * @param attempts those ended, by the ordinal of {@link trailthread.BalancerApi.Outcome}; so are
- *     probes
+ * @param attempts those ended, by the ordinal of {@link trailthread.Outcome}; so are probes
  */
 record Snapshot(
         boolean ready,
--- a/daemon/src/main/java/trailthread/daemon/operator/StatusJson.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/StatusJson.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Instant;
 import java.util.Map;
-import trailthread.BalancerApi.Outcome;
+import trailthread.api.Outcome;
 import trailthread.engine.meter.Answer;
 import trailthread.engine.meter.Rejection;
 
@@ -72,7 +72,7 @@
             out.name(e.getKey()).beginObject();
             out.name("taken").value(figures.taken);
             for (Answer answer : Answer.values()) {
-                out.name(Exposition.lower(answer)).value(figures.answers[answer.ordinal()]);
+                out.name(MetricLabels.of(answer)).value(figures.answers[answer.ordinal()]);
             }
             out.name("gone").value(figures.gone);
             out.name("at_work").value(figures.atWork());
@@ -90,7 +90,7 @@
         for (WorkerFigures worker : fleet.worst()) {
             out.beginObject();
             out.name("id").value(worker.id);
-            out.name("state").value(Exposition.lower(worker.state));
+            out.name("state").value(MetricLabels.of(worker.state));
             out.name("in_flight").value(worker.inFlight);
             figure("queue", worker.queue);
             figure("latency_seconds", worker.latencyS);
@@ -123,7 +123,7 @@
     private void counts(String name, Enum<?>[] keys, long[] values) throws IOException {
         out.name(name).beginObject();
         for (Enum<?> key : keys) {
-            out.name(Exposition.lower(key)).value(values[key.ordinal()]);
+            out.name(MetricLabels.of(key)).value(values[key.ordinal()]);
         }
         out.endObject();
     }
--- a/daemon/src/main/java/trailthread/daemon/operator/WorkerFigures.java
+++ b/daemon/src/main/java/trailthread/daemon/operator/WorkerFigures.java
@@ -1,9 +1,9 @@
 package trailthread.daemon.operator;
 
 import java.util.Comparator;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointState;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
 
 /** What this node has seen of one worker. */
 final class WorkerFigures {
@@ -17,7 +17,7 @@
     private static final double WEIGHT = 0.1;
 
     final String id;
-    State state;
+    EndpointState state;
     long inFlight;
     long attempts;
     long failures;
@@ -31,7 +31,7 @@
     /** The queue that the worker told of last; NaN: it told of none. */
     double queue = Double.NaN;
 
-    WorkerFigures(String id, State state) {
+    WorkerFigures(String id, EndpointState state) {
         this.id = id;
         this.state = state;
     }
@@ -51,15 +51,15 @@
         return new WorkerFigures(this);
     }
 
-    void ended(Outcome outcome, long latencyNs, Load load) {
+    void ended(Outcome outcome, long latencyNs, LoadReport load) {
         inFlight =
                 Math.max(
                         0, inFlight - 1); // one begun before the worker left the list and came back
         told(load);
-        if (outcome == Outcome.MOOT || outcome == Outcome.CANCELLED) {
+        if (outcome == Outcome.NOT_SENT || outcome == Outcome.CANCELLED) {
             return; // says nothing of the worker
         }
-        boolean failed = outcome != Outcome.OK && outcome != Outcome.FULL;
+        boolean failed = outcome != Outcome.OK && outcome != Outcome.REJECTED;
         attempts++;
         failures += failed ? 1 : 0;
         failureRatio += WEIGHT * ((failed ? 1 : 0) - failureRatio);
@@ -69,7 +69,7 @@
         }
     }
 
-    void told(Load load) {
+    void told(LoadReport load) {
         if (load != null && !Double.isNaN(load.queue())) {
             queue = load.queue();
         }
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import trailthread.BalancerApi.RequestClass;
+import trailthread.api.RequestClass;
 import trailthread.configuration.Fault;
 import trailthread.configuration.OperatorFile;
 import trailthread.configuration.OperatorFileReader;
@@ -113,14 +113,14 @@
                 named.add(
                         new RequestClass(
                                 pool.name() + "/" + r.name(),
-                                r.aimNs(),
-                                r.aimStretch(),
+                                r.latencyObjectiveNs(),
+                                r.objectiveWorkMultiple(),
                                 r.deadlineNs(),
-                                r.semantics(),
-                                r.group(),
-                                r.windowNs(),
-                                r.worth(),
-                                r.lateWorth()));
+                                r.idempotency(),
+                                r.deduplicationScope(),
+                                r.deduplicationWindowNs(),
+                                r.priorityWeight(),
+                                r.lateWeightShare()));
             }
         }
         return named;
--- a/daemon/src/test/java/trailthread/daemon/ArchitectureTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ArchitectureTest.java
@@ -28,6 +28,7 @@
         for (String name :
                 new String[] {
                     "trailthread.Balancer",
+                    "trailthread.api.BalancerEvents",
                     "trailthread.levels.Levels",
                     "trailthread.adapter.Adapter",
                     "trailthread.engine.call.Call",
@@ -44,7 +45,11 @@
         layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .layer("decisions")
-                .definedBy("trailthread", "trailthread.levels..", "trailthread.settings..")
+                .definedBy(
+                        "trailthread",
+                        "trailthread.api..",
+                        "trailthread.levels..",
+                        "trailthread.settings..")
                 .layer("adapter")
                 .definedBy("trailthread.adapter..")
                 .layer("engine")
@@ -68,11 +73,16 @@
     public void decisionsDependOnNothingAndDoNoInputOrOutput() {
         classes()
                 .that()
-                .resideInAnyPackage("trailthread", "trailthread.levels..", "trailthread.settings..")
+                .resideInAnyPackage(
+                        "trailthread",
+                        "trailthread.api..",
+                        "trailthread.levels..",
+                        "trailthread.settings..")
                 .should()
                 .onlyDependOnClassesThat(
                         resideInAnyPackage(
                                         "trailthread",
+                                        "trailthread.api..",
                                         "trailthread.levels..",
                                         "trailthread.settings..",
                                         "java.lang..",
--- a/daemon/src/test/java/trailthread/daemon/ModuleDrillTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ModuleDrillTest.java
@@ -5,10 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.Test;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
-import trailthread.BalancerApi.Settings;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.Idempotency;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 
 /** The drill is worth its time only if it takes the decisions that a crowd asks for. */
 public class ModuleDrillTest {
@@ -23,8 +23,8 @@
                         100_000_000L,
                         0,
                         500_000_000L,
-                        Semantics.UNSAFE,
-                        Group.ALL,
+                        Idempotency.NOT_IDEMPOTENT,
+                        DeduplicationScope.ALL,
                         0,
                         1,
                         0));
@@ -33,9 +33,10 @@
         ModuleDrill drill =
                 new ModuleDrill(settings, 1) {
                     @Override
-                    public void send(long request, long timeoutNs, long writtenBy, String backend) {
+                    public void send(
+                            long request, long timeoutNs, long writtenBy, String endpoint) {
                         sent[0]++;
-                        super.send(request, timeoutNs, writtenBy, backend);
+                        super.send(request, timeoutNs, writtenBy, endpoint);
                     }
 
                     @Override
--- a/daemon/src/test/java/trailthread/daemon/NodeConfigTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NodeConfigTest.java
@@ -12,7 +12,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import org.junit.Test;
-import trailthread.BalancerApi.Semantics;
+import trailthread.api.Idempotency;
 import trailthread.engine.service.LevelsConfig;
 import trailthread.levels.Reading;
 import trailthread.testkit.Stage;
@@ -43,8 +43,8 @@
         assertEquals(4, config.known().generation());
         assertEquals(60_000_000_000L, config.idleCloseNs());
         assertEquals(3, config.settings().classes.size());
-        assertEquals(Semantics.KEYED, config.settings().classes.get(1).semantics());
-        assertTrue(config.settings().listOnRequest && config.settings().retryAfter);
+        assertEquals(Idempotency.IDEMPOTENCY_KEY, config.settings().classes.get(1).idempotency());
+        assertTrue(config.settings().listIsPolled && config.settings().retryAfter);
         assertEquals("acme", config.settings().tenants.get(0).name());
     }
 
--- a/daemon/src/test/java/trailthread/daemon/UnreadNewsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UnreadNewsTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.After;
 import org.junit.Test;
-import trailthread.BalancerApi.Outcome;
+import trailthread.api.Outcome;
 import trailthread.engine.discovery.Discovery;
 import trailthread.engine.discovery.DiscoveryListener;
 import trailthread.engine.discovery.DiscoveryUpdate;
@@ -117,7 +117,7 @@
         Stage.line(watch, Stage.list(2, false, "leaving", server));
         Thread.sleep(HELD_MS);
         goOn.countDown();
-        assertEquals(Outcome.MOOT, ended());
+        assertEquals(Outcome.NOT_SENT, ended());
         assertEquals("the watch stays", 0, failures.get());
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/acceptor/CallDecoderTest.java
+++ b/daemon/src/test/java/trailthread/daemon/acceptor/CallDecoderTest.java
@@ -7,9 +7,9 @@
 import io.undertow.util.HttpString;
 import java.util.List;
 import org.junit.Test;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.Idempotency;
+import trailthread.api.RequestClass;
 import trailthread.engine.call.ClientCall;
 
 /** Clients' calls, right and wrong. */
@@ -17,12 +17,13 @@
     private final CallDecoder decoder =
             new CallDecoder(
                     List.of(
-                            of("state", Semantics.SAFE),
-                            of("action", Semantics.KEYED),
-                            of("use", Semantics.UNSAFE)));
+                            of("state", Idempotency.IDEMPOTENT),
+                            of("action", Idempotency.IDEMPOTENCY_KEY),
+                            of("use", Idempotency.NOT_IDEMPOTENT)));
 
-    private static RequestClass of(String name, Semantics semantics) {
-        return new RequestClass(name, 1, 0, 2_000_000_000L, semantics, Group.ALL, 1, 1, 0);
+    private static RequestClass of(String name, Idempotency idempotency) {
+        return new RequestClass(
+                name, 1, 0, 2_000_000_000L, idempotency, DeduplicationScope.ALL, 1, 1, 0);
     }
 
     /** Decodes a request of one line a header, the first one its method, path and query. */
--- a/daemon/src/test/java/trailthread/daemon/acceptor/LateLoopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/acceptor/LateLoopTest.java
@@ -22,9 +22,9 @@
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.Idempotency;
+import trailthread.api.RequestClass;
 import trailthread.engine.call.CallTaker;
 import trailthread.engine.call.ClientCall;
 import trailthread.engine.call.Reply;
@@ -44,8 +44,8 @@
                     10_000_000_000L,
                     0,
                     20_000_000_000L,
-                    Semantics.UNSAFE,
-                    Group.ALL,
+                    Idempotency.NOT_IDEMPOTENT,
+                    DeduplicationScope.ALL,
                     0,
                     1,
                     0);
--- a/daemon/src/test/java/trailthread/daemon/acceptor/LeavingClientTest.java
+++ b/daemon/src/test/java/trailthread/daemon/acceptor/LeavingClientTest.java
@@ -15,13 +15,13 @@
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.Idempotency;
+import trailthread.api.ListKind;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 import trailthread.engine.call.Calls;
 import trailthread.engine.discovery.DiscoveryEntry;
 import trailthread.engine.discovery.DiscoveryUpdate;
@@ -54,7 +54,16 @@
     @Before
     public void listen() throws Exception {
         settings.classes.add(
-                new RequestClass("use", LONG_NS, 0, LONG_NS, Semantics.UNSAFE, Group.ALL, 0, 1, 0));
+                new RequestClass(
+                        "use",
+                        LONG_NS,
+                        0,
+                        LONG_NS,
+                        Idempotency.NOT_IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        1,
+                        0));
         workers = new Workers(loop, LONG_NS, LONG_NS, 0, ConnectionRoom.of(8), 0, Account.NONE);
         calls = new Calls(loop, workers, settings, 1, Meter.OFF);
         acceptor =
@@ -72,7 +81,7 @@
                                                         worker.hostPort(),
                                                         "a",
                                                         0,
-                                                        State.READY,
+                                                        EndpointState.READY,
                                                         1,
                                                         0))),
                                 loop.now()));
@@ -96,7 +105,8 @@
 
     /** The module knows the worker, which what is held waits for. To be called on the loop. */
     private void list() {
-        calls.list(ListKind.FULL, List.of(new Entry("w", 1, State.READY, "a", 0, 0)));
+        calls.list(
+                ListKind.FULL, List.of(new EndpointEntry("w", 1, EndpointState.READY, "a", 0, 0)));
     }
 
     /** The module knows no worker: what comes is held. To be called on the loop. */
--- a/daemon/src/test/java/trailthread/daemon/operator/FiguresTest.java
+++ b/daemon/src/test/java/trailthread/daemon/operator/FiguresTest.java
@@ -18,11 +18,11 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.junit.Test;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
 import trailthread.engine.meter.Answer;
 import trailthread.engine.meter.Rejection;
 
@@ -75,24 +75,24 @@
         return JsonParser.parseString(new String(json, StandardCharsets.UTF_8)).getAsJsonObject();
     }
 
-    private void list(ListKind kind, State state, String... workers) {
-        List<Entry> entries = new ArrayList<>();
+    private void list(ListKind kind, EndpointState state, String... workers) {
+        List<EndpointEntry> entries = new ArrayList<>();
         for (String worker : workers) {
-            entries.add(new Entry(worker, 1, state, "a", 0, 0));
+            entries.add(new EndpointEntry(worker, 1, state, "a", 0, 0));
         }
         metrics.listed(kind, entries);
     }
 
     private void attempt(String worker, Outcome outcome, double queue) {
         metrics.attemptBegun(worker);
-        metrics.attemptEnded(worker, outcome, 20_000_000L, new Load(1, queue, 0, 0, 0, 0));
+        metrics.attemptEnded(worker, outcome, 20_000_000L, new LoadReport(1, queue, 0, 0, 0, 0));
     }
 
     @Test
     public void whatHappenedIsToldInBothForms() throws IOException {
         String odd = "w\\\"\n0";
-        list(ListKind.FULL, State.READY, odd, "w1");
-        list(ListKind.DELTA, State.DRAINING, "w1");
+        list(ListKind.FULL, EndpointState.READY, odd, "w1");
+        list(ListKind.DELTA, EndpointState.DRAINING, "w1");
         for (int i = 0; i < 3; i++) {
             metrics.taken("read");
         }
@@ -101,7 +101,7 @@
         metrics.rejected(Rejection.CONFLICT);
         attempt(odd, Outcome.OK, 7);
         metrics.attemptBegun("w1");
-        metrics.probed("w1", Outcome.TIMEOUT, null);
+        metrics.healthChecked("w1", Outcome.TIMEOUT, null);
         metrics.levelEntered(1_500_000_000L, "full");
         metrics.levelEntered(2_500_000_000L, "saving");
         metrics.levelEntered(3_500_000_000L, "saving");
@@ -171,7 +171,7 @@
         for (int i = 0; i < ids.length; i++) {
             ids[i] = "w" + i;
         }
-        list(ListKind.FULL, State.READY, ids);
+        list(ListKind.FULL, EndpointState.READY, ids);
         for (String id : ids) {
             attempt(id, Outcome.OK, 2);
         }
@@ -189,10 +189,10 @@
         assertEquals(8_976, fleet.restAttempts());
         assertEquals(0, fleet.restInFlight() + fleet.restFailures());
         assertEquals(17_952, fleet.restQueue(), 0);
-        list(ListKind.FULL, State.READY, "w77", "new");
-        list(ListKind.FAILED, State.READY);
-        attempt("w77", Outcome.MOOT, 0);
-        list(ListKind.DELTA, State.GONE, "new");
+        list(ListKind.FULL, EndpointState.READY, "w77", "new");
+        list(ListKind.FAILED, EndpointState.READY);
+        attempt("w77", Outcome.NOT_SENT, 0);
+        list(ListKind.DELTA, EndpointState.GONE, "new");
         fleet = metrics.snapshot(new View()).fleet();
         assertEquals(1, fleet.worst().size());
         assertEquals("kept over a list", 2, fleet.worst().get(0).attempts);
@@ -202,7 +202,7 @@
     @Test
     public void thePageForOperatorsTellsOfEachMetricAndOfNoOther() throws IOException {
         metrics.levelEntered(1, "full");
-        list(ListKind.FULL, State.READY, "w0");
+        list(ListKind.FULL, EndpointState.READY, "w0");
         attempt("w0", Outcome.OK, 1);
         Set<String> told = matches("(?m)^# TYPE (\\S+ \\S+)$", text());
         Set<String> explained =
--- a/daemon/src/test/java/trailthread/daemon/operator/OperatorEndpointTest.java
+++ b/daemon/src/test/java/trailthread/daemon/operator/OperatorEndpointTest.java
@@ -21,12 +21,12 @@
 import java.util.regex.Pattern;
 import org.junit.After;
 import org.junit.Test;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
-import trailthread.BalancerApi.State;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.Idempotency;
+import trailthread.api.ListKind;
+import trailthread.api.RequestClass;
 import trailthread.engine.loop.Loop;
 import trailthread.engine.meter.Answer;
 import trailthread.engine.meter.Meter;
@@ -40,7 +40,8 @@
     private static final int SHORT_MS = 200;
     private static final long SHORT_NS = 1_000_000L * SHORT_MS;
     private static final RequestClass READ =
-            new RequestClass("read", 1, 0, 1, Semantics.SAFE, Group.ALL, 0, 1, 0);
+            new RequestClass(
+                    "read", 1, 0, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 1, 0);
 
     private final View view = new View();
     private final List<String> done = new CopyOnWriteArrayList<>();
@@ -210,7 +211,9 @@
         Meter meter = endpoint.meter();
         loop.execute(
                 () -> {
-                    meter.listed(ListKind.FULL, List.of(new Entry("w", 1, State.READY, "a", 0, 0)));
+                    meter.listed(
+                            ListKind.FULL,
+                            List.of(new EndpointEntry("w", 1, EndpointState.READY, "a", 0, 0)));
                     for (int i = 0; i < 4; i++) {
                         meter.taken("read");
                     }
@@ -314,9 +317,9 @@
     public void whoNeverReadsLosesTheConnection() throws Exception {
         int requests = 1000;
         listen(new Limits(1, LONG_MS, LONG_MS, SHORT_NS, 0, 0, 0));
-        List<Entry> entries = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            entries.add(new Entry("w" + i, 1, State.READY, "a", 0, 0));
+            entries.add(new EndpointEntry("w" + i, 1, EndpointState.READY, "a", 0, 0));
         }
         loop.execute(() -> endpoint.meter().listed(ListKind.FULL, entries));
         Socket jammed = connect();
--- a/decisions/src/main/java/trailthread/Balancer.java
+++ b/decisions/src/main/java/trailthread/Balancer.java
@@ -11,14 +11,29 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import trailthread.BalancerApi.*;
+import trailthread.api.Admission;
+import trailthread.api.BalancerActions;
+import trailthread.api.BalancerEvents;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.Idempotency;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReport;
+import trailthread.api.LoadReportSource;
+import trailthread.api.Outcome;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
+import trailthread.api.Tenant;
+import trailthread.api.WeightMeaning;
 
 /**
- * Every decision of one node. Settings, types, events and actions are declared in BalancerApi.java.
- * A state machine: time comes with the events, randomness from the seed. Not thread-safe. In the
- * order of a request's life: events in; lottery; gate; answers; list; what is known.
+ * Every decision of one node. Settings, types, events and actions are declared in {@link
+ * trailthread.api}. A state machine: time comes with the events, randomness from the seed. Not
+ * thread-safe. In the order of a request's life: events in; lottery; gate; answers; list; what is
+ * known.
  */
-public final class Balancer implements Events {
+public final class Balancer implements BalancerEvents {
     /** Memory of the idle latency, in longest deadlines: minutes, as no jam must move it. */
     private static final double FLOOR_MEMORY = 300;
 
@@ -28,19 +43,20 @@
     private static final double REPORT_ANSWERS = 5;
 
     /**
-     * Least share of time for which a backend that turned this node away is tried: still often in
+     * Least share of time for which an endpoint that turned this node away is tried: still often in
      * an aim.
      */
     private static final double LEAST_LIMIT = 1.0 / 16;
 
     /**
      * What open connections may cost of the goal: with many nodes each keeps to a part of the
-     * backends.
+     * endpoints.
      */
     private static final double CONNECTION_COST = 0.006;
 
     /**
-     * Least backends to draw from, in fully warm ones: fewer could not stand in for one that fails.
+     * Least endpoints to draw from, in fully warm ones: fewer could not stand in for one that
+     * fails.
      */
     private static final double LEAST_PART = 3;
 
@@ -57,10 +73,12 @@
      */
     private static final double REPORT_WEIGHT = 0.5;
 
-    /** Share of a cold backend's spare budget that is used: half, as its capacity is a guess. */
+    /** Share of a cold endpoint's spare budget that is used: half, as its capacity is a guess. */
     private static final double COLD_MARGIN = 0.5;
 
-    /** A backend is open while its predicted time is within this multiple of its idle latency... */
+    /**
+     * An endpoint is open while its predicted time is within this multiple of its idle latency...
+     */
     private static final double OPEN_WITHIN_FLOOR = 1.8;
 
     /**
@@ -70,22 +88,22 @@
     private static final double OPEN_WITHIN_AIM = 0.4, OPEN_FAR = 1.3;
 
     /**
-     * A backend holds tickets while its predicted time is within this multiple of the best that
+     * An endpoint holds tickets while its predicted time is within this multiple of the best that
      * matters.
      */
     private static final double NEAR_BEST = 2;
 
     /**
-     * A gap between answers of this many usual gaps means that the backend has slowed or stopped.
+     * A gap between answers of this many usual gaps means that the endpoint has slowed or stopped.
      */
     private static final double SILENT_GAPS = 3;
 
-    /** What all nodes together start with at a backend: a few, so that its idle latency shows. */
+    /** What all nodes together start with at an endpoint: a few, so that its idle latency shows. */
     private static final double START_TOGETHER = 4;
 
     /**
-     * What all nodes' limits at a backend grow by together in a latency; a whole one would outweigh
-     * cuts.
+     * What all nodes' limits at an endpoint grow by together in a latency; a whole one would
+     * outweigh cuts.
      */
     private static final double GROWTH = 0.7;
 
@@ -101,18 +119,19 @@
     private static final double FAIR_PART = 1.5;
 
     /**
-     * What one point of cross-zone price adds to a remote backend's predicted time, as a factor.
+     * What one point of cross-zone price adds to a remote endpoint's predicted time, as a factor.
      */
     private static final double CROSS_ZONE_FACTOR = 20;
 
     /**
-     * A backend that turned one away keeps this share of what this node had out there as its limit.
+     * An endpoint that turned one away keeps this share of what this node had out there as its
+     * limit.
      */
     private static final double FULL_CUT = 0.7;
 
     /**
-     * A backend this many times slower than idle is jammed: past what the bound on its crowd leaves
-     * open.
+     * An endpoint this many times slower than idle is jammed: past what the bound on its crowd
+     * leaves open.
      */
     private static final double JAMMED = 2.5;
 
@@ -122,7 +141,7 @@
      */
     private static final double REST_DEADLINES = 1.5;
 
-    /** Outlier ejection: failures in a row that eject a backend; by chance, three are rare. */
+    /** Outlier ejection: failures in a row that eject an endpoint; by chance, three are rare. */
     private static final int EJECT_AFTER = 3;
 
     /** Longest outlier ejection, in doublings of the tightest aim. */
@@ -141,12 +160,15 @@
     private static final double RETRY_SHARE = 0.2;
 
     /**
-     * A safe attempt is called off after this many of its backend's latencies: a few in a hundred
+     * A safe attempt is called off after this many of its endpoint's latencies: a few in a hundred
      * are.
      */
     private static final double PATIENCE = 5;
 
-    /** Where reports come only to probes, each backend is probed once in this many mean aims. */
+    /**
+     * Where reports come only to probes, each endpoint is healthChecked once in this many mean
+     * aims.
+     */
     private static final double POLL_AIMS = 4;
 
     /** Most repeats saved up, in requests. */
@@ -193,7 +215,7 @@
     }
 
     private Settings settings;
-    private final Actions actions;
+    private final BalancerActions actions;
     private final SplittableRandom random;
 
     /** What the host allows for now; null: everything. */
@@ -208,16 +230,16 @@
     private final List<Line> lines = new ArrayList<>();
 
     private int held;
-    private final Map<String, Backend> known = new HashMap<>();
-    private final List<Backend> listed = new ArrayList<>();
+    private final Map<String, Endpoint> known = new HashMap<>();
+    private final List<Endpoint> listed = new ArrayList<>();
 
     /** Those of the list that this node draws from: all, or its part of them. */
-    private final List<Backend> mine = new ArrayList<>();
+    private final List<Endpoint> mine = new ArrayList<>();
 
     /** Those with attempts out: of thousands, few. */
-    private final Set<Backend> awaited = new LinkedHashSet<>();
+    private final Set<Endpoint> awaited = new LinkedHashSet<>();
 
-    /** How many nodes draw from a backend, as far as this one can tell. */
+    /** How many nodes draw from an endpoint, as far as this one can tell. */
     private double sharers = 1;
 
     /**
@@ -226,7 +248,7 @@
      */
     private final Pace pool = new Pace();
 
-    /** What answers take beyond the service time that backends report. */
+    /** What answers take beyond the service time that endpoints report. */
     private double waits;
 
     private double roomInAll = 1, outRounding;
@@ -235,7 +257,7 @@
     /** Nothing is sent by the list then or later. */
     private long listUsableUntil = Long.MAX_VALUE;
 
-    /** What cold backends may be sent, in requests. */
+    /** What cold endpoints may be sent, in requests. */
     private double coldTokens;
 
     private double[] tickets = new double[16], predicted = new double[16];
@@ -256,17 +278,17 @@
     private final long[] notedAt = new long[Note.values().length];
 
     /**
-     * A {@link Events#list} should follow; throws IllegalArgumentException that names a bad
+     * A {@link BalancerEvents#list} should follow; throws IllegalArgumentException that names a bad
      * setting.
      */
-    public Balancer(Settings settings, long seed, long now, Actions actions) {
+    public Balancer(Settings settings, long seed, long now, BalancerActions actions) {
         this.actions = actions;
         this.random = new SplittableRandom(seed);
         retune(now, settings);
         meanAim = tightestAim;
         Arrays.fill(notedAt, now - longestDeadline);
         askedWorth = new Rate((long) (GOAL_MEMORY * longestDeadline), now);
-        served = new Rate(settings.fallNs, now);
+        served = new Rate(settings.overloadWindowNs, now);
     }
 
     /**
@@ -276,13 +298,13 @@
     public void retune(long now, Settings to) {
         to.check();
         settings = to;
-        finest = to.finestNs();
+        finest = to.latencyResolutionNs();
         classes.clear();
         longestDeadline = 0;
         tightestAim = Long.MAX_VALUE;
         for (RequestClass c : to.classes) {
             longestDeadline = Math.max(longestDeadline, c.deadlineNs());
-            tightestAim = Math.min(tightestAim, Math.max(to.tickNs, c.aimNs()));
+            tightestAim = Math.min(tightestAim, Math.max(to.tickNs, c.latencyObjectiveNs()));
         }
         long memory = (long) (GOAL_MEMORY * longestDeadline);
         for (RequestClass c : to.classes) {
@@ -290,13 +312,13 @@
                     c.name(),
                     everyClass.merge(
                             c.name(),
-                            new Party(c, null, memory, to.fallNs, now),
+                            new Party(c, null, memory, to.overloadWindowNs, now),
                             (had, fresh) -> had.rules.equals(c) ? had : fresh));
         }
         for (Tenant t : to.tenants) {
             tenants.merge(
                     t.name(),
-                    new Party(null, t, memory, to.fallNs, now),
+                    new Party(null, t, memory, to.overloadWindowNs, now),
                     (had, fresh) -> had.tenant.equals(t) ? had : fresh);
         }
     }
@@ -315,8 +337,10 @@
             boolean repeat,
             long key) {
         Party c = everyClass.get(requestClass);
-        Settings.require(c != null, "classes: none is named " + requestClass);
-        long as = settings.warmKeys && key != 0 ? spread(key) : key;
+        if (c == null) {
+            throw new IllegalArgumentException("classes: none is named " + requestClass);
+        }
+        long as = settings.keyAffinity && key != 0 ? spread(key) : key;
         Request r =
                 new Request(
                         id,
@@ -356,7 +380,7 @@
     }
 
     @Override
-    public void listUsable(long now, long until) {
+    public void listLeaseUntil(long now, long until) {
         listUsableUntil = until;
         release(now);
     }
@@ -369,7 +393,7 @@
             leaves(
                     r,
                     attempt); // it passes on what is made: that holds up nobody who comes after it
-            learnLatency(r.backends[attempt], r, attempt, now - r.sentAt[attempt], now);
+            learnLatency(r.endpoints[attempt], r, attempt, now - r.sentAt[attempt], now);
         }
     }
 
@@ -381,21 +405,21 @@
             Outcome outcome,
             long latency,
             boolean closed,
-            Load load) {
+            LoadReport load) {
         Request r = requests.get(id);
         if (r == null || attempt < 0 || attempt >= r.sent || r.fate[attempt] != null) {
             return;
         }
         r.fate[attempt] = outcome;
         r.open--;
-        Backend b = r.backends[attempt];
+        Endpoint b = r.endpoints[attempt];
         b.unanswered -= leaves(r, attempt) ? 0 : Math.min(1, b.unanswered);
         if (load != null) {
             b.report(load, now);
         }
         learn(b, r, attempt, outcome, latency, now);
         if (outcome == Outcome.OK && closed && !r.ended) {
-            double worth = now <= r.aimAt ? r.worth : r.worth * r.c.rules.lateWorth();
+            double worth = now <= r.aimAt ? r.worth : r.worth * r.c.rules.lateWeightShare();
             r.c.served.count(now, worth);
             if (r.tenant != null) {
                 r.tenant.served.count(now, worth);
@@ -441,8 +465,9 @@
     }
 
     @Override
-    public void probed(long now, String backend, Outcome outcome, long latency, Load load) {
-        Backend b = known.get(backend);
+    public void healthChecked(
+            long now, String endpoint, Outcome outcome, long latency, LoadReport load) {
+        Endpoint b = known.get(endpoint);
         if (b != null && load != null) {
             b.report(load, now);
         }
@@ -464,7 +489,7 @@
     /** What has ended, or seems lost, leaves the correction; whether it had not before. */
     private boolean leaves(Request r, int attempt) {
         int one = r.lost[attempt] ? 0 : 1;
-        Backend b = r.backends[attempt];
+        Endpoint b = r.endpoints[attempt];
         r.lost[attempt] = true;
         b.outstanding -= one;
         b.sentSince = Math.max(0, b.sentSince - one);
@@ -473,12 +498,12 @@
     }
 
     /**
-     * Danger: attempts whose answers are lost would fill limits, and make their backends look
+     * Danger: attempts whose answers are lost would fill limits, and make their endpoints look
      * frozen, until their clients quit. What is out for long counts no more if a later one has
      * overtaken it; else, with no other open, it leaves room for a safe trial, and where that gets
      * no answer either, twice as long after.
      */
-    private void letLostGo(Backend b, long now) {
+    private void letLostGo(Endpoint b, long now) {
         for (Sent s = b.sent.peek(); s != null; s = b.sent.peek()) {
             if (s.r.fate[s.attempt] == null) {
                 long at = s.r.sentAt[s.attempt];
@@ -501,7 +526,8 @@
     }
 
     /** Takes in how an attempt ended: latency, refusals, failures. */
-    private void learn(Backend b, Request r, int attempt, Outcome outcome, long latency, long now) {
+    private void learn(
+            Endpoint b, Request r, int attempt, Outcome outcome, long latency, long now) {
         b.lastSign = now;
         switch (outcome) {
             case OK -> {
@@ -515,8 +541,8 @@
                     learnLatency(b, r, attempt, latency, now);
                 }
             }
-            case FULL -> {
-                // Danger: a full backend answers at once and so wins the next draw; refusing costs
+            case REJECTED -> {
+                // Danger: a full endpoint answers at once and so wins the next draw; refusing costs
                 // it work.
                 b.limit = Math.max(leastLimit(), FULL_CUT * Math.min(b.limit, b.outstanding + 1));
             }
@@ -540,13 +566,13 @@
                 }
             }
             default -> {
-                // a cancelled attempt, or one never sent, tells nothing of its backend
+                // a cancelled attempt, or one never sent, tells nothing of its endpoint
             }
         }
         rest(b, now);
     }
 
-    private void learnLatency(Backend b, Request r, int attempt, long latency, long now) {
+    private void learnLatency(Endpoint b, Request r, int attempt, long latency, long now) {
         double size = r.workNs > 0 && meanWork > 0 ? 0.5 + 0.5 * r.workNs / meanWork : 1;
         if (b.reportedAt == now) {
             waits += (waits == 0 ? 1 : Pace.LATENCY_WEIGHT) * (latency / size - b.reported - waits);
@@ -557,7 +583,7 @@
         r.c.latency += (r.c.latency == 0 ? 1 : Pace.LATENCY_WEIGHT / 4) * (latency - r.c.latency);
     }
 
-    private void took(Backend b, int outAtSend, double latency, long now) {
+    private void took(Endpoint b, int outAtSend, double latency, long now) {
         b.took(latency, outAtSend, meanAim, FLOOR_MEMORY * longestDeadline, now);
         pool.took(latency, outAtSend, meanAim, FLOOR_MEMORY * longestDeadline, now);
         steer(b, now);
@@ -565,12 +591,12 @@
     }
 
     /**
-     * Danger: with many nodes, one request from each is already too much for a backend. Rooms under
-     * one are pooled: they bound what this node has out in all; where that is under one too, it
-     * rests in between. None at all is no reason: no backend is ready, and the next one that is may
-     * be sent to at once.
+     * Danger: with many nodes, one request from each is already too much for an endpoint. Rooms
+     * under one are pooled: they bound what this node has out in all; where that is under one too,
+     * it rests in between. None at all is no reason: no endpoint is ready, and the next one that is
+     * may be sent to at once.
      */
-    private void rest(Backend b, long now) {
+    private void rest(Endpoint b, long now) {
         b.rounding = random.nextDouble();
         outRounding = random.nextDouble();
         addRooms(now);
@@ -582,15 +608,15 @@
     }
 
     /**
-     * What this node may have out in all. Danger: were the room of backends that take nothing lent
+     * What this node may have out in all. Danger: were the room of endpoints that take nothing lent
      * to the rest, all nodes would pour it on the few that look free.
      */
     private void addRooms(long now) {
         roomInAll = 0;
         boolean trustAll = tooManyEjected(0);
         for (int i = 0; i < mine.size(); i++) {
-            Backend b = mine.get(i);
-            if (b.state == State.READY
+            Endpoint b = mine.get(i);
+            if (b.state == EndpointState.READY
                     && (trustAll || (b.failures < EJECT_AFTER && b.rests == 0))) {
                 roomInAll += b.coldness(settings, now) * room(b, pace(b, now));
             }
@@ -600,15 +626,15 @@
     /**
      * Moves this node's limits so that latency stays within bounds. Danger: a bound computed from
      * latency alone lets the crowd grow with the root of the number of nodes; cut and raised step
-     * by step, each node ends where the latency is right, however many share a backend. Where a
-     * backend's own answers are few, all answers move its limit, less the noise of their mean: a
-     * crowd tips backends long before each node hears from each.
+     * by step, each node ends where the latency is right, however many share an endpoint. Where an
+     * endpoint's own answers are few, all answers move its limit, less the noise of their mean: a
+     * crowd tips endpoints long before each node hears from each.
      */
-    private void steer(Backend b, long now) {
+    private void steer(Endpoint b, long now) {
         boolean used = out + 2 > roomInAll; // it was in use, rounded down
         double noise = Math.exp(-Math.sqrt(pool.variance * Pace.LATENCY_WEIGHT));
         for (int i = 0; i < mine.size(); i++) {
-            Backend other = mine.get(i);
+            Endpoint other = mine.get(i);
             double excess = noise * latency(other, now) / mostLatency(other) - 1;
             double borrowed = Pace.BORROWED / (Pace.BORROWED + other.recent(now, meanAim));
             borrowed = other == b ? 0 : borrowed * borrowed;
@@ -631,11 +657,11 @@
     }
 
     /**
-     * Danger: a backend that was crowded stays slow until it has been nearly idle for a while. It
+     * Danger: an endpoint that was crowded stays slow until it has been nearly idle for a while. It
      * rests, then gets single trials, each slow one doubling the rest; never more than half of the
      * list at once.
      */
-    private void restIfJammed(Backend b, long now) {
+    private void restIfJammed(Endpoint b, long now) {
         if (b.floor == 0 || latency(b, now) <= JAMMED * Math.max(b.floor, finest)) {
             b.rests = 0;
         } else if (now >= b.ejectedUntil && (b.rests > 0 || !tooManyEjected(1))) {
@@ -657,7 +683,7 @@
         return Math.min(LEAST_LIMIT, 1 / sharers);
     }
 
-    private double mostLatency(Backend b) {
+    private double mostLatency(Endpoint b) {
         double idle = Math.max(b.floor > 0 ? b.floor : pool.floor, finest);
         double most = Math.max(OPEN_WITHIN_AIM * meanAim, OPEN_FAR * idle);
         return b.floor > 0 ? Math.min(most, OPEN_WITHIN_FLOOR * idle) : most;
@@ -665,10 +691,10 @@
 
     /**
      * Its latency, by its own answers as far as they are many and fresh, by the service time that
-     * it reports (it rests on answers to all nodes) and by all backends. Danger: by few own answers
-     * a crowd is seen too late.
+     * it reports (it rests on answers to all nodes) and by all endpoints. Danger: by few own
+     * answers a crowd is seen too late.
      */
-    private double latency(Backend b, long now) {
+    private double latency(Endpoint b, long now) {
         if (pool.latency == 0) {
             return b.latency;
         }
@@ -688,17 +714,17 @@
     }
 
     /**
-     * How many this node may have out at a backend at a time; below one, for what share of the
+     * How many this node may have out at an endpoint at a time; below one, for what share of the
      * time.
      */
-    private double room(Backend b, double pace) {
+    private double room(Endpoint b, double pace) {
         return Math.min(b.limit, mostLatency(b) / pace);
     }
 
     // ---- lottery
     // -----------------------------------------------------------------------------------
 
-    /** Draws a backend for the request among those that the gate permits, and sends it there. */
+    /** Draws an endpoint for the request among those that the gate permits, and sends it there. */
     private boolean place(Request r, long now) {
         if (now >= listUsableUntil) {
             return false;
@@ -719,7 +745,7 @@
         boolean lenient = r.sent > 0 && now - r.sentAt[r.sent - 1] > tightestAim / 8;
         double best = Double.MAX_VALUE;
         for (int i = 0; i < mine.size(); i++) {
-            Backend b = mine.get(i);
+            Endpoint b = mine.get(i);
             predicted[i] = Double.MAX_VALUE;
             if (suits(r, b, now) && (lenient || !r.tried(b)) && (trustAll || healthy(b, r, now))) {
                 double pace = pace(b, now); // once: of thousands, each step counts
@@ -732,7 +758,7 @@
         if (best == Double.MAX_VALUE || now + meanLatency / 2 > r.deadline) {
             return false;
         }
-        int home = settings.warmKeys && r.key != 0 ? findHome(r.key) : -1;
+        int home = settings.keyAffinity && r.key != 0 ? findHome(r.key) : -1;
         double total = 0, most = NEAR_BEST * Math.max(best, finest);
         for (int i = 0; i < mine.size(); i++) {
             tickets[i] = 0;
@@ -755,22 +781,24 @@
 
     /**
      * The lottery: tickets inversely proportional to one more than the queue and the own sends,
-     * told in time. Cold: in step with what it can do by now. Trust: an erring backend is fast and
+     * told in time. Cold: in step with what it can do by now. Trust: an erring endpoint is fast and
      * short of queue. Room under one: what this node may send it is less than one at a time.
      */
-    private double tickets(Backend b, double predicted, long now) {
+    private double tickets(Endpoint b, double predicted, long now) {
         return b.coldness(settings, now) * b.trust * b.trust / predicted;
     }
 
     /**
-     * Warm keys: the draw is kept to the first backend in an order that is the key's own at every
+     * Warm keys: the draw is kept to the first endpoint in an order that is the key's own at every
      * node (rendezvous hashing by listed size); one that is not open, or holds over its fair part
      * of this node's requests, is passed over for the next. Dangers: spilled at random, a key meets
-     * every backend cold and drives other keys out; without the fair part, popular keys make hot
+     * every endpoint cold and drives other keys out; without the fair part, popular keys make hot
      * spots.
      */
     private int findHome(long key) {
-        boolean sized = settings.weights == Weights.NOMINAL || settings.weights == Weights.ROUGH;
+        boolean sized =
+                settings.weights == WeightMeaning.NOMINAL
+                        || settings.weights == WeightMeaning.ROUGH;
         double out = 1;
         double sizes = 0;
         for (int i = 0; i < mine.size(); i++) {
@@ -782,7 +810,7 @@
         int home = -1;
         double first = -1;
         for (int i = 0; i < mine.size(); i++) {
-            Backend b = mine.get(i);
+            Endpoint b = mine.get(i);
             if (predicted[i] < Double.MAX_VALUE
                     && b.outstanding < FAIR_PART * out * b.size(sized) / sizes) {
                 double unit = ((mix(key ^ b.hash) >>> 11) + 0.5) * 0x1p-53;
@@ -818,12 +846,13 @@
     }
 
     /**
-     * Time that one more request would take there: its place in the line, times the backend's pace.
+     * Time that one more request would take there: its place in the line, times the endpoint's
+     * pace.
      */
-    private double predicted(Backend b, double pace) {
+    private double predicted(Endpoint b, double pace) {
         double far =
-                b.zone.equals(settings.zone) ? 1 : 1 + CROSS_ZONE_FACTOR * settings.priceCrossZone;
-        if (settings.weights == Weights.LIVE && b.idleWeight > 0) {
+                b.zone.equals(settings.zone) ? 1 : 1 + CROSS_ZONE_FACTOR * settings.crossZonePrice;
+        if (settings.weights == WeightMeaning.LIVE && b.idleWeight > 0) {
             far /= b.idleWeight;
         }
         return (1 + b.load()) * pace * far;
@@ -833,7 +862,7 @@
      * Time per place in line, from the answers; longer when answers are overdue (it froze, or lost
      * them).
      */
-    private double pace(Backend b, long now) {
+    private double pace(Endpoint b, long now) {
         if (b.latency == 0) {
             return Math.max(1, meanLatency);
         }
@@ -852,11 +881,11 @@
     }
 
     /**
-     * Whether the backend takes more for now. Danger: past a point a crowded server only slows, and
-     * stays slow; and what has been sent can no longer be refused. What finds none open is held
+     * Whether the endpoint takes more for now. Danger: past a point a crowded server only slows,
+     * and stays slow; and what has been sent can no longer be refused. What finds none open is held
      * here.
      */
-    private boolean open(Backend b, double room, long now) {
+    private boolean open(Endpoint b, double room, long now) {
         return now >= closedUntil
                 && (out == 0 || out + outRounding < roomInAll)
                 && (b.outstanding == 0
@@ -864,24 +893,27 @@
     }
 
     /** Not ejected as an outlier; after that, half-open: one safe trial at a time. */
-    private boolean healthy(Backend b, Request r, long now) {
+    private boolean healthy(Endpoint b, Request r, long now) {
         if (b.failures < EJECT_AFTER && b.rests == 0) {
-            return b.unanswered == 0 || r.c.rules.semantics() == Semantics.SAFE;
+            return b.unanswered == 0 || r.c.rules.idempotency() == Idempotency.IDEMPOTENT;
         }
         return now >= b.ejectedUntil
                 && b.outstanding == 0
-                && r.c.rules.semantics() == Semantics.SAFE;
+                && r.c.rules.idempotency() == Idempotency.IDEMPOTENT;
     }
 
     /**
-     * Danger: a node that is itself cut off sees every backend fail; it must not eject them all.
+     * Danger: a node that is itself cut off sees every endpoint fail; it must not eject them all.
      */
     private boolean tooManyEjected(int more) {
         int ejected = more, ready = 0;
         for (int i = 0; i < mine.size(); i++) {
-            Backend b = mine.get(i);
-            ready += b.state == State.READY ? 1 : 0;
-            ejected += b.state == State.READY && (b.failures >= EJECT_AFTER || b.rests > 0) ? 1 : 0;
+            Endpoint b = mine.get(i);
+            ready += b.state == EndpointState.READY ? 1 : 0;
+            ejected +=
+                    b.state == EndpointState.READY && (b.failures >= EJECT_AFTER || b.rests > 0)
+                            ? 1
+                            : 0;
         }
         return ejected > EJECT_MOST * ready;
     }
@@ -889,9 +921,9 @@
     // ---- gate
     // --------------------------------------------------------------------------------------
 
-    private void send(Request r, Backend b, long now) {
+    private void send(Request r, Endpoint b, long now) {
         long writtenBy = Math.min(r.deadline, r.repeatedBy());
-        r.backends[r.sent] = b;
+        r.endpoints[r.sent] = b;
         r.sentAt[r.sent] = now;
         r.outAtSend[r.sent] = b.outstanding;
         b.lastSign = b.outstanding + b.unanswered == 0 ? now : b.lastSign;
@@ -912,8 +944,8 @@
      * budget, and still has time for another attempt is called off early; anything else would be
      * given up for nothing.
      */
-    private long patience(Request r, Backend b, long now) {
-        if (r.c.rules.semantics() != Semantics.SAFE
+    private long patience(Request r, Endpoint b, long now) {
+        if (r.c.rules.idempotency() != Idempotency.IDEMPOTENT
                 || r.sent >= r.most(settings)
                 || retryTokens < 1) {
             return 0;
@@ -925,43 +957,43 @@
                 : 0;
     }
 
-    /** Whether an attempt may go to any backend at all now. */
+    /** Whether an attempt may go to any endpoint at all now. */
     private boolean permits(Request r, long now) {
         return !r.ended
                 && !r.streaming
                 && r.sent < r.most(settings)
                 && now < r.deadline
-                && (r.open == 0 || settings.secondCopies)
+                && (r.open == 0 || settings.mayHedge)
                 && now + settings.connectTimeoutNs < r.repeatedBy();
     }
 
-    /** Whether an attempt that is permitted may go to this backend. */
-    private boolean suits(Request r, Backend b, long now) {
-        return b.state == State.READY
+    /** Whether an attempt that is permitted may go to this endpoint. */
+    private boolean suits(Request r, Endpoint b, long now) {
+        return b.state == EndpointState.READY
                 && r.droppedBy(b)
                 && (coldTokens >= 1 || b.coldness(settings, now) >= 1);
     }
 
     /**
-     * Fills the bucket that cold backends share with this node's sure part of what they bear.
+     * Fills the bucket that cold endpoints share with this node's sure part of what they bear.
      * Dangers: one at a time from each of hundreds of nodes pushes one over; were there a bucket
      * for each, most would be full while the lottery is elsewhere. Capacity is taken from what
-     * backends serve to this node; over all nodes that adds up to no more than the true one,
+     * endpoints serve to this node; over all nodes that adds up to no more than the true one,
      * however traffic is split. A new one brings a part by chance, as it is announced to all nodes
      * at once.
      */
     private void fillColdBudget(long now) {
         double all = 0, cold = 0, count = 0;
-        for (Backend b : mine) {
+        for (Endpoint b : mine) {
             double share = b.coldness(settings, now);
             all += share;
             cold += share < 1 ? share : 0;
             count += share < 1 ? 1 : 0;
         }
-        double capacity = served.inSpan(now) / settings.fallNs / Math.max(1, all);
+        double capacity = served.inSpan(now) / settings.overloadWindowNs / Math.max(1, all);
         double rate =
                 Math.max(
-                        COLD_MARGIN * settings.fallMultiple * cold * capacity,
+                        COLD_MARGIN * settings.overloadMultiple * cold * capacity,
                         count / (sharers * meanAim));
         coldTokens = Math.min(count, coldTokens + rate * (now - coldAt));
         coldAt = now;
@@ -986,9 +1018,10 @@
     }
 
     private static boolean mayRefuse(Request r) {
-        return r.c.rules.semantics() == Semantics.SAFE
+        return r.c.rules.idempotency() == Idempotency.IDEMPOTENT
                 || r.firstThatMayHaveRun() < 0
-                || (r.c.rules.semantics() == Semantics.KEYED && r.c.rules.group() == Group.ALL);
+                || (r.c.rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && r.c.rules.deduplicationScope() == DeduplicationScope.ALL);
     }
 
     private void hold(Request r, long now) {
@@ -1029,7 +1062,7 @@
         if (r.open > 0) {
             return r.deadline;
         }
-        long last = (c.lateWorth() > 0 ? r.deadline : r.aimAt) - (long) (meanLatency / 2);
+        long last = (c.lateWeightShare() > 0 ? r.deadline : r.aimAt) - (long) (meanLatency / 2);
         if (now >= listUsableUntil) {
             last =
                     Math.min(
@@ -1064,7 +1097,7 @@
     }
 
     /**
-     * Sends held requests while any backend is open to them: from the line whose newest request
+     * Sends held requests while any endpoint is open to them: from the line whose newest request
      * adds most to the goal for its work. Newest first, as under overload the oldest are the
      * likeliest to come too late.
      */
@@ -1102,8 +1135,8 @@
             if (place(best.requests.peekLast(), now)) {
                 best.requests.removeLast();
                 held--;
-            } else if (!best.again && best.c.rules.semantics() == Semantics.SAFE) {
-                break; // no backend is open to the least bound of requests
+            } else if (!best.again && best.c.rules.idempotency() == Idempotency.IDEMPOTENT) {
+                break; // no endpoint is open to the least bound of requests
             } else {
                 blocked.add(best.requests);
             }
@@ -1130,15 +1163,16 @@
     private void appraise(Request r, long now) {
         RequestClass c = r.c.rules;
         double work = r.workNs > 0 && meanWork > 0 ? r.workNs / meanWork : 1;
-        r.worth = c.worth() * (settings.worthByWork ? work : 1);
+        r.worth = c.priorityWeight() * (settings.weightByWork ? work : 1);
         if (r.tenant != null && !r.tenant.withinQuota(settings.nodes, now)) {
-            r.worth *= settings.overShareWorth;
+            r.worth *= settings.overQuotaWeight;
             r.overQuota = true;
         } else if (r.tenant != null) {
             r.tenant.asked.count(now, r.worth);
         }
         double asked = askedWorth.inSpan(now);
-        meanAim += Math.max(0.001, r.worth / (asked + r.worth)) * (c.aimNs() - meanAim);
+        meanAim +=
+                Math.max(0.001, r.worth / (asked + r.worth)) * (c.latencyObjectiveNs() - meanAim);
         r.c.asked.count(now, r.worth);
         askedWorth.count(now, r.worth);
     }
@@ -1147,7 +1181,7 @@
     private double worthPerWork(Request r, long now) {
         double left = Math.max(0, r.aimAt - now) / Math.max(1, meanLatency);
         double chance = left * left * left / (1 + left * left * left);
-        double late = r.c.rules.lateWorth();
+        double late = r.c.rules.lateWeightShare();
         boolean hinted = r.workNs > 0 && meanWork > 0;
         double work =
                 hinted ? r.workNs / meanWork : Math.max(1, r.c.latency) / Math.max(1, meanLatency);
@@ -1182,10 +1216,10 @@
     // --------------------------------------------------------------------------------------
 
     @Override
-    public void list(long now, ListKind kind, List<Entry> entries) {
+    public void list(long now, ListKind kind, List<EndpointEntry> entries) {
         // Danger: a fleet that calls in step keeps the list from most of its nodes: waits in vain
         // cost, too.
-        double period = settings.askEveryNs, spread = settings.nodes / FIRST_CALLS * period;
+        double period = settings.pollIntervalNs, spread = settings.nodes / FIRST_CALLS * period;
         double waited = askedAt == Long.MAX_VALUE ? 0 : now - askedAt;
         askedAt = Long.MAX_VALUE;
         if (kind == ListKind.FAILED) {
@@ -1208,26 +1242,26 @@
         }
         fillColdBudget(now);
         if (kind != ListKind.DELTA) {
-            listed.forEach(b -> b.state = State.GONE);
+            listed.forEach(b -> b.state = EndpointState.GONE);
         }
         boolean restarted = false;
-        for (Entry e : entries) {
+        for (EndpointEntry e : entries) {
             restarted |= apply(e, now);
         }
         if (restarted) {
             listed.replaceAll(b -> known.get(b.name));
         }
-        listed.removeIf(b -> b.state == State.GONE && known.remove(b.name, b));
+        listed.removeIf(b -> b.state == EndpointState.GONE && known.remove(b.name, b));
         choosePart(now);
         tickets = Arrays.copyOf(tickets, Math.max(tickets.length, listed.size()));
         predicted = Arrays.copyOf(predicted, tickets.length);
         watching = kind != ListKind.CACHED;
         failedCalls = watching ? 0 : failedCalls;
-        if (settings.listOnRequest && !watching) {
+        if (settings.listIsPolled && !watching) {
             double others = 4 * (spread - spread / settings.nodes); // a node alone need not wait
             askAgainIn(random.nextDouble() * Math.min(others, ASK_FIRST_NS) / (1 + JITTER));
         }
-        if (!polling && settings.mayProbe && settings.reports == Reports.PROBES) {
+        if (!polling && settings.mayCheckHealth && settings.reports == LoadReportSource.PROBES) {
             polling = true;
             poll(now);
         }
@@ -1236,20 +1270,20 @@
     }
 
     /**
-     * Chooses the backends that this node draws from. Danger: hundreds of nodes connected to every
-     * backend fill their tables, and answers from any one are too rare to learn from. Each zone's
-     * backends form a ring by hash; from its own place on, a node takes as many as hold its part of
-     * fully warm ones that are fit.
+     * Chooses the endpoints that this node draws from. Danger: hundreds of nodes connected to every
+     * endpoint fill their tables, and answers from any one are too rare to learn from. Each zone's
+     * endpoints form a ring by hash; from its own place on, a node takes as many as hold its part
+     * of fully warm ones that are fit.
      */
     private void choosePart(long now) {
-        double price = settings.priceConnection;
+        double price = settings.connectionPrice;
         double most = price > 0 ? 100 * CONNECTION_COST / price : settings.nodes;
         double part = Math.max(LEAST_PART, most * listed.size() / settings.nodes);
         boolean all = part >= listed.size();
         mine.clear();
         mine.addAll(all ? listed : List.of());
-        List<Backend> ring = new ArrayList<>(all ? List.of() : listed);
-        ring.sort(Comparator.comparing((Backend b) -> b.zone).thenComparingLong(b -> b.hash));
+        List<Endpoint> ring = new ArrayList<>(all ? List.of() : listed);
+        ring.sort(Comparator.comparing((Endpoint b) -> b.zone).thenComparingLong(b -> b.hash));
         for (int from = 0, to; from < ring.size(); from = to) {
             to = from;
             while (to < ring.size() && ring.get(to).zone.equals(ring.get(from).zone)) {
@@ -1259,16 +1293,16 @@
             int place = (int) (GOLDEN * (settings.me + 1) % 1 * count);
             double wanted = Math.max(1, part * count / ring.size());
             for (int i = 0; i < count && wanted > 0.5; i++) {
-                Backend b = ring.get(from + (place + i) % count);
+                Endpoint b = ring.get(from + (place + i) % count);
                 mine.add(b);
                 boolean slow = b.rests > 0 || latency(b, now) > JAMMED * pool.latency;
-                boolean fit = b.state == State.READY && b.failures < EJECT_AFTER && !slow;
+                boolean fit = b.state == EndpointState.READY && b.failures < EJECT_AFTER && !slow;
                 wanted -= fit ? b.coldness(settings, now) : 0;
             }
         }
         partAgainAt = now + jittered(longestDeadline);
         sharers = Math.max(1, (double) settings.nodes * mine.size() / Math.max(1, listed.size()));
-        for (Backend b : mine) {
+        for (Endpoint b : mine) {
             double few =
                     START_TOGETHER
                             / sharers; // up to twice that where this node could not have one out
@@ -1276,32 +1310,37 @@
         }
     }
 
-    /** Takes in one entry; whether it replaces one that is listed, as its backend has restarted. */
-    private boolean apply(Entry e, long now) {
-        Backend b = known.get(e.backend());
-        if (b == null && e.state() == State.GONE) {
+    /**
+     * Takes in one entry; whether it replaces one that is listed, as its endpoint has restarted.
+     */
+    private boolean apply(EndpointEntry e, long now) {
+        Endpoint b = known.get(e.endpoint());
+        if (b == null && e.state() == EndpointState.GONE) {
             return false;
         }
-        boolean restarted = b != null && e.readyAtNs() != b.readyAt && e.state() == State.READY;
+        boolean restarted =
+                b != null && e.readyAtNs() != b.readyAt && e.state() == EndpointState.READY;
         if (b == null || restarted) {
-            Backend fresh = new Backend(e.backend());
+            Endpoint fresh = new Endpoint(e.endpoint());
             known.put(fresh.name, fresh);
             if (b == null) {
                 listed.add(fresh);
             }
             b = fresh;
             coldTokens +=
-                    e.readyAtNs() > Math.max(0, now - settings.coldNs) ? random.nextDouble() : 0;
+                    e.readyAtNs() > Math.max(0, now - settings.slowStartNs)
+                            ? random.nextDouble()
+                            : 0;
         }
         b.apply(e);
         return restarted;
     }
 
-    /** Probes the next warm backend in turn. */
+    /** Probes the next warm endpoint in turn. */
     private void poll(long now) {
         if (!listed.isEmpty()) {
-            Backend b = listed.get(pollNext++ % listed.size());
-            if (b.state == State.READY && b.coldness(settings, now) >= 1) {
+            Endpoint b = listed.get(pollNext++ % listed.size());
+            if (b.state == EndpointState.READY && b.coldness(settings, now) >= 1) {
                 actions.probe(b.name);
             }
         }
@@ -1312,7 +1351,7 @@
     private void ask(long now) {
         askedAt = Math.min(askedAt, now);
         actions.watch(true);
-        askAgainIn(ASK_AGAIN * settings.askEveryNs);
+        askAgainIn(ASK_AGAIN * settings.pollIntervalNs);
     }
 
     private void askAgainIn(double delay) {
@@ -1326,7 +1365,7 @@
                 listed.stream()
                         .filter(
                                 b ->
-                                        b.state != State.READY
+                                        b.state != EndpointState.READY
                                                 || (!trustAll
                                                         && now < b.ejectedUntil
                                                         && (b.failures >= EJECT_AFTER
@@ -1341,7 +1380,7 @@
     private static final class Request {
         final long id, key, workNs, arrivedAt, deadline, aimAt;
         final Party c, tenant;
-        final Backend[] backends;
+        final Endpoint[] endpoints;
         final long[] sentAt;
         final int[] outAtSend;
         final Outcome[] fate;
@@ -1366,9 +1405,11 @@
             this.workNs = workNs;
             this.arrivedAt = now;
             this.deadline = deadline;
-            long aim = c.rules.aimNs() + (long) (c.rules.aimStretch() * workNs);
+            long aim =
+                    c.rules.latencyObjectiveNs()
+                            + (long) (c.rules.objectiveWorkMultiple() * workNs);
             this.aimAt = Math.min(deadline, now + aim);
-            backends = new Backend[maxAttempts];
+            endpoints = new Endpoint[maxAttempts];
             sentAt = new long[maxAttempts];
             outAtSend = new int[maxAttempts];
             fate = new Outcome[maxAttempts];
@@ -1395,27 +1436,33 @@
         /** Until when one more attempt may be written, by what those before it may have done. */
         long repeatedBy() {
             int first = firstThatMayHaveRun();
-            return first < 0 || c.rules.semantics() == Semantics.SAFE
+            return first < 0 || c.rules.idempotency() == Idempotency.IDEMPOTENT
                     ? Long.MAX_VALUE
                     : sentAt[first]
-                            + (c.rules.semantics() == Semantics.KEYED ? c.rules.windowNs() : 0);
+                            + (c.rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                                    ? c.rules.deduplicationWindowNs()
+                                    : 0);
         }
 
         /**
-         * Whether the backend drops a repeat of what may have run; any will do where none needs to.
+         * Whether the endpoint drops a repeat of what may have run; any will do where none needs
+         * to.
          */
-        boolean droppedBy(Backend b) {
+        boolean droppedBy(Endpoint b) {
             int first = firstThatMayHaveRun();
-            Backend a = first < 0 || c.rules.semantics() != Semantics.KEYED ? b : backends[first];
-            return switch (c.rules.group()) {
+            Endpoint a =
+                    first < 0 || c.rules.idempotency() != Idempotency.IDEMPOTENCY_KEY
+                            ? b
+                            : endpoints[first];
+            return switch (c.rules.deduplicationScope()) {
                 case ALL -> true;
                 case ZONE -> a.zone.equals(b.zone);
                 case CELL -> a == b || (a.cell >= 0 && a.cell == b.cell);
             };
         }
 
-        boolean tried(Backend b) {
-            return sent > 0 && Arrays.asList(backends).contains(b);
+        boolean tried(Endpoint b) {
+            return sent > 0 && Arrays.asList(endpoints).contains(b);
         }
     }
 
@@ -1446,14 +1493,14 @@
     }
 
     /**
-     * Held requests of one kind, the oldest first; {@code again}: not every backend may be open to
+     * Held requests of one kind, the oldest first; {@code again}: not every endpoint may be open to
      * them.
      */
     private record Line(
             Party c, Party tenant, boolean over, boolean again, ArrayDeque<Request> requests) {}
 
-    /** One backend as this node sees it. */
-    private static final class Backend extends Pace {
+    /** One endpoint as this node sees it. */
+    private static final class Endpoint extends Pace {
         final String name;
         final long hash;
         String zone;
@@ -1462,7 +1509,7 @@
         /** The most it was ever listed with: its size, where weights fall with load. */
         double idleWeight;
 
-        State state;
+        EndpointState state;
         long readyAt;
 
         /** Reported queue, or requests in hand where no queue is: smoothed, and as told last. */
@@ -1500,7 +1547,7 @@
         long ejectedUntil;
         double limit;
 
-        Backend(String name) {
+        Endpoint(String name) {
             this.name = name;
             hash = hash(name);
         }
@@ -1513,7 +1560,7 @@
             return hash;
         }
 
-        void apply(Entry e) {
+        void apply(EndpointEntry e) {
             zone = e.zone();
             cell = e.cell();
             idleWeight = Math.max(idleWeight, e.weight());
@@ -1525,7 +1572,7 @@
             return listed && idleWeight > 0 ? idleWeight : 1;
         }
 
-        void report(Load load, long now) {
+        void report(LoadReport load, long now) {
             if (load.latencyMs() > 0 && load.latencyMs() < Double.POSITIVE_INFINITY) {
                 reported = 1e6 * load.latencyMs();
                 reportedAt = now;
@@ -1549,11 +1596,11 @@
 
         /** The share of its capacity that it is sure to have after its start: 1 when warm. */
         double coldness(Settings s, long now) {
-            if (readyAt == 0 || now - readyAt >= s.coldNs) {
+            if (readyAt == 0 || now - readyAt >= s.slowStartNs) {
                 return 1;
             }
             double age = Math.max(0, now - readyAt);
-            return s.coldShare + (1 - s.coldShare) * age / s.coldNs;
+            return s.slowStartInitialShare + (1 - s.slowStartInitialShare) * age / s.slowStartNs;
         }
     }
 }
--- a/decisions/src/main/java/trailthread/ListLease.java
+++ b/decisions/src/main/java/trailthread/ListLease.java
@@ -1,7 +1,7 @@
 package trailthread;
 
 /**
- * A lease on the list of backends: until when a node may send by the list that it holds.
+ * A lease on the list of endpoints: until when a node may send by the list that it holds.
  *
  * <p>A change counts as told {@link #NEWS_DUE_NS} after discovery had it, also to a node that did
  * not hear of it, unless discovery could not be reached. So each sign of life of a watch renews the
--- a/decisions/src/main/java/trailthread/Pace.java
+++ b/decisions/src/main/java/trailthread/Pace.java
@@ -1,8 +1,8 @@
 package trailthread;
 
-/** Latency of the answers of one backend, or of all together: now, and when idle; pure. */
+/** Latency of the answers of one endpoint, or of all together: now, and when idle; pure. */
 class Pace {
-    /** Weight of one answer in a backend's latency: about ten answers of memory. */
+    /** Weight of one answer in an endpoint's latency: about ten answers of memory. */
     static final double LATENCY_WEIGHT = 0.1;
 
     /**
@@ -10,10 +10,10 @@
      */
     private static final double SLOW_WEIGHT = 0.02;
 
-    /** Memory of a backend's latency where answers are rare, in mean aims. */
+    /** Memory of an endpoint's latency where answers are rare, in mean aims. */
     static final double LATENCY_MEMORY_AIMS = 5;
 
-    /** What is borrowed from all backends for the estimate of one, in answers of its own. */
+    /** What is borrowed from all endpoints for the estimate of one, in answers of its own. */
     static final double BORROWED = 2;
 
     /**
@@ -31,7 +31,7 @@
     /** Of the logarithm of single answers. */
     double variance;
 
-    /** Smooths the logarithm: one giant among the answers says little about the backend. */
+    /** Smooths the logarithm: one giant among the answers says little about the endpoint. */
     void took(double ns, int outAtSend, double meanAim, double memory, long now) {
         double log = Math.log(Math.max(1, ns));
         double rare = 1 - Math.exp(-(now - tookAt) / (LATENCY_MEMORY_AIMS * meanAim));
--- /dev/null
+++ b/decisions/src/main/java/trailthread/api/LoadReportSource.java
@@ -0,0 +1,8 @@
+package trailthread.api;
+
+/** How load reports reach the node. */
+public enum LoadReportSource {
+    ANSWERS,
+    PROBES,
+    NONE
+}
--- a/decisions/src/main/java/trailthread/levels/Levels.java
+++ b/decisions/src/main/java/trailthread/levels/Levels.java
@@ -15,11 +15,11 @@
  *
  * <p>Thinning: while a reading that shedding relieves is at or over the level's enter bound, what
  * is not yet shed of the level's reach falls by the factor 1/e in {@link Plan#riseNs}; while all
- * are under their leave bounds, the depth falls by one class in {@link Plan#fallNs}; in between it
- * stands. So the depth settles at what the workers bear, and the level need not be left and entered
- * in search of it. What is taken grows by addition and is cut by multiplication: nodes that share
- * workers then end at like depths, where otherwise one sheds all and another nothing (Chiu and
- * Jain, 1989).
+ * are under their leave bounds, the depth falls by one class in {@link Plan#overloadWindowNs}; in
+ * between it stands. So the depth settles at what the workers bear, and the level need not be left
+ * and entered in search of it. What is taken grows by addition and is cut by multiplication: nodes
+ * that share workers then end at like depths, where otherwise one sheds all and another nothing
+ * (Chiu and Jain, 1989).
  *
  * <p>Flapping, after RFC 2439 (penalty, half-life, ceiling): each level has a penalty p. Entered
  * for the first time, p = 1; entered again after a time t for which neither it nor a deeper level
@@ -183,7 +183,7 @@
         if (pressed) {
             depth = s.reach - (s.reach - depth) * Math.exp(-(double) step / plan.riseNs);
         } else if (eased) {
-            depth -= (double) step / plan.fallNs;
+            depth -= (double) step / plan.overloadWindowNs;
         }
         depth = Math.min(s.reach, Math.max(floor, depth));
         settled = depth <= above ? settled + step : 0;
--- a/decisions/src/main/java/trailthread/levels/Plan.java
+++ b/decisions/src/main/java/trailthread/levels/Plan.java
@@ -44,7 +44,7 @@
     /**
      * Once it is over, one class less is shed in this time, ns: slowly, as load comes back with it.
      */
-    public long fallNs = 60 * S;
+    public long overloadWindowNs = 60 * S;
 
     /**
      * Share of a class that is let through when it is shed. Danger: the decision module tries an
@@ -133,7 +133,7 @@
         requireNs(halfLifeNs, 1, "halfLifeNs");
         requireNs(mostStayNs, 1, "mostStayNs");
         requireNs(riseNs, 1, "riseNs");
-        requireNs(fallNs, 1, "fallNs");
+        requireNs(overloadWindowNs, 1, "fallNs");
         require(keep > 0 && keep <= 1, "keep: not in (0, 1]");
     }
 
--- a/decisions/src/main/java/trailthread/levels/ShedOrder.java
+++ b/decisions/src/main/java/trailthread/levels/ShedOrder.java
@@ -6,8 +6,8 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
+import trailthread.api.Idempotency;
+import trailthread.api.RequestClass;
 import trailthread.levels.Level.Reach;
 
 /**
@@ -38,12 +38,12 @@
         List<RequestClass> order = new ArrayList<>(classes);
         order.sort(
                 Comparator.comparingInt((RequestClass c) -> place(first, c.name()))
-                        .thenComparing(RequestClass::semantics)
-                        .thenComparingDouble(RequestClass::worth));
+                        .thenComparing(RequestClass::idempotency)
+                        .thenComparingDouble(RequestClass::priorityWeight));
         int lastSafe = -1;
         for (RequestClass c : order) {
             places.put(c.name(), names.size());
-            lastSafe = c.semantics() == Semantics.SAFE ? names.size() : lastSafe;
+            lastSafe = c.idempotency() == Idempotency.IDEMPOTENT ? names.size() : lastSafe;
             names.add(c.name());
         }
         safe = Math.min(lastSafe + 1, names.size() - 1);
--- a/decisions/src/main/java/trailthread/settings/SettingsParser.java
+++ b/decisions/src/main/java/trailthread/settings/SettingsParser.java
@@ -2,13 +2,13 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.Reports;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.Tenant;
-import trailthread.BalancerApi.Weights;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.Idempotency;
+import trailthread.api.LoadReportSource;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
+import trailthread.api.Tenant;
+import trailthread.api.WeightMeaning;
 
 /**
  * Turns path=value pairs into {@link Settings}, for the simulator's wire and for a node's
@@ -58,32 +58,32 @@
                             decimal(at + "quota_per_s", Double.MAX_VALUE),
                             decimal(at + "fraction", 1)));
         }
-        s.overShareWorth = decimal("over_share_worth", s.overShareWorth);
-        s.worthByWork = "work".equals(values.get("worth_by"));
+        s.overQuotaWeight = decimal("over_share_worth", s.overQuotaWeight);
+        s.weightByWork = "work".equals(values.get("worth_by"));
         s.goalWhole = decimal("objective_mix.whole", s.goalWhole);
         s.goalWorstWindow = decimal("objective_mix.worst_window", s.goalWorstWindow);
         s.goalWorstClass = decimal("objective_mix.worst_class", s.goalWorstClass);
         s.goalWorstTenant = decimal("objective_mix.worst_tenant", s.goalWorstTenant);
-        s.priceCrossZone = decimal("deductions.cross_zone", s.priceCrossZone);
-        s.priceConnection = decimal("deductions.connection", s.priceConnection);
+        s.crossZonePrice = decimal("deductions.cross_zone", s.crossZonePrice);
+        s.connectionPrice = decimal("deductions.connection", s.connectionPrice);
         s.mayCancel = flag("limits.may_cancel", s.mayCancel);
-        s.mayProbe = flag("limits.probes", s.mayProbe);
-        s.mayTellPeers = flag("limits.peers", s.mayTellPeers);
-        s.secondCopies = flag("limits.second_copies", s.secondCopies);
+        s.mayCheckHealth = flag("limits.probes", s.mayCheckHealth);
+        s.mayGossip = flag("limits.peers", s.mayGossip);
+        s.mayHedge = flag("limits.second_copies", s.mayHedge);
         s.maxAttempts = (int) whole("limits.most_tries", s.maxAttempts);
         s.retryAfter = flag("limits.retry_after", s.retryAfter);
         s.maxRetryAfterNs = whole("limits.max_retry_after_ns", s.maxRetryAfterNs);
         s.connectTimeoutNs = whole("limits.dial_timeout_ns", s.connectTimeoutNs);
-        s.listOnRequest = "on_request".equals(values.get("discovery"));
+        s.listIsPolled = "on_request".equals(values.get("discovery"));
         s.weights = weights(values.getOrDefault("weights", "silent"));
         s.reports = reports(values.getOrDefault("report.how", "silent"));
-        s.warmKeys = flag("extra.warm_keys", s.warmKeys);
-        s.answerSlackNs = whole("safety.answer_slack_ns", s.answerSlackNs);
-        s.askEveryNs = whole("safety.ask_every_ns", s.askEveryNs);
-        s.coldShare = decimal("safety.start_capacity", s.coldShare);
-        s.coldNs = whole("safety.cold_ns", s.coldNs);
-        s.fallMultiple = decimal("safety.fall_multiple", s.fallMultiple);
-        s.fallNs = whole("safety.fall_ns", s.fallNs);
+        s.keyAffinity = flag("extra.warm_keys", s.keyAffinity);
+        s.responseSlackNs = whole("safety.answer_slack_ns", s.responseSlackNs);
+        s.pollIntervalNs = whole("safety.ask_every_ns", s.pollIntervalNs);
+        s.slowStartInitialShare = decimal("safety.start_capacity", s.slowStartInitialShare);
+        s.slowStartNs = whole("safety.cold_ns", s.slowStartNs);
+        s.overloadMultiple = decimal("safety.fall_multiple", s.overloadMultiple);
+        s.overloadWindowNs = whole("safety.fall_ns", s.overloadWindowNs);
         return s;
     }
 
@@ -93,45 +93,45 @@
                 whole(at + "aim_ns", 0),
                 decimal(at + "aim_stretch", 0),
                 whole(at + "deadline_ns", 0),
-                semantics(at + "semantics"),
+                idempotency(at + "semantics"),
                 group(at + "group"),
                 whole(at + "window_ns", 0),
                 decimal(at + "gain", 1),
                 decimal(at + "late_value", 0));
     }
 
-    private Semantics semantics(String path) {
+    private Idempotency idempotency(String path) {
         return switch (values.getOrDefault(path, "fragile")) {
-            case "retryable" -> Semantics.SAFE;
-            case "dedup" -> Semantics.KEYED;
-            case "fragile" -> Semantics.UNSAFE;
+            case "retryable" -> Idempotency.IDEMPOTENT;
+            case "dedup" -> Idempotency.IDEMPOTENCY_KEY;
+            case "fragile" -> Idempotency.NOT_IDEMPOTENT;
             default -> throw new WireException(where, path, "retryable, dedup or fragile");
         };
     }
 
-    private Group group(String path) {
+    private DeduplicationScope group(String path) {
         return switch (values.getOrDefault(path, "all")) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.CELL;
             default -> throw new WireException(where, path, "all, zone or cell");
         };
     }
 
-    private static Weights weights(String word) {
+    private static WeightMeaning weights(String word) {
         return switch (word) {
-            case "nominal" -> Weights.NOMINAL;
-            case "rough" -> Weights.ROUGH;
-            case "live" -> Weights.LIVE;
-            default -> Weights.NONE;
+            case "nominal" -> WeightMeaning.NOMINAL;
+            case "rough" -> WeightMeaning.ROUGH;
+            case "live" -> WeightMeaning.LIVE;
+            default -> WeightMeaning.NONE;
         };
     }
 
-    private static Reports reports(String word) {
+    private static LoadReportSource reports(String word) {
         return switch (word) {
-            case "piggyback" -> Reports.ANSWERS;
-            case "pull" -> Reports.PROBES;
-            default -> Reports.NONE;
+            case "piggyback" -> LoadReportSource.ANSWERS;
+            case "pull" -> LoadReportSource.PROBES;
+            default -> LoadReportSource.NONE;
         };
     }
 
--- a/decisions/src/test/java/trailthread/AdmissionTest.java
+++ b/decisions/src/test/java/trailthread/AdmissionTest.java
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.Test;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.Tenant;
+import trailthread.api.Settings;
+import trailthread.api.Tenant;
 
 /** What the host does not allow is turned away at once, and nothing else is. */
 public class AdmissionTest {
@@ -19,7 +19,7 @@
         settings.retryAfter = true;
         settings.maxRetryAfterNs = 500 * MS;
         Script s = new Script(settings, 3);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         List<Double> drawn = new ArrayList<>();
         s.balancer.admit(
                 (requestClass, overQuota, random) -> {
@@ -41,7 +41,7 @@
     public void itHearsWhetherTheTenantIsOverItsQuota() {
         settings.tenants.add(new Tenant("acme", 1, 1));
         Script s = new Script(settings, 3);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         s.balancer.admit((requestClass, overQuota, random) -> !overQuota);
         s.balancer.request(s.now, 1, "safe", 0, s.now + 1000 * MS, "acme", false, 0);
         s.balancer.request(s.now, 2, "safe", 0, s.now + 1000 * MS, "acme", false, 0);
@@ -56,7 +56,7 @@
         with.balancer.admit(null);
         Script without = new Script(settings, 3);
         for (Script s : List.of(with, without)) {
-            s.backends("a", "b", "c");
+            s.endpoints("a", "b", "c");
             for (int i = 0; i < 20; i++) {
                 s.request("safe");
                 s.pass(MS);
--- a/decisions/src/test/java/trailthread/ColdBudgetTest.java
+++ b/decisions/src/test/java/trailthread/ColdBudgetTest.java
@@ -6,14 +6,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.Test;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.ListKind;
+import trailthread.api.Outcome;
+import trailthread.api.Settings;
 
 /**
- * What cold backends are sent: no more than they bear, and that much as long as the lottery draws
+ * What cold endpoints are sent: no more than they bear, and that much as long as the lottery draws
  * them.
  */
 public class ColdBudgetTest {
@@ -28,15 +28,15 @@
     private static double shareOfTheCold(long seed) {
         Settings settings = Script.settings();
         settings.nodes = 90;
-        settings.coldShare = 0.5;
-        settings.coldNs = 100_000_000 * MS;
+        settings.slowStartInitialShare = 0.5;
+        settings.slowStartNs = 100_000_000 * MS;
         Script s = new Script(settings, seed);
-        List<Entry> entries = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < WARM; i++) {
             entries.add(Script.ready("warm-" + i));
         }
         for (int i = 0; i < COLD; i++) {
-            entries.add(new Entry("cold-" + i, 1, State.READY, "here", s.now, 0));
+            entries.add(new EndpointEntry("cold-" + i, 1, EndpointState.READY, "here", s.now, 0));
         }
         s.balancer.list(s.now, ListKind.FULL, entries);
         serve(s, 200); // what it serves is what its budget rests on
@@ -44,7 +44,7 @@
         serve(s, REQUESTS);
         return s.sends.stream()
                         .skip(before)
-                        .filter(send -> send.backend().startsWith("cold"))
+                        .filter(send -> send.endpoint().startsWith("cold"))
                         .count()
                 / (double) REQUESTS;
     }
--- a/decisions/src/test/java/trailthread/ColdFleetTest.java
+++ b/decisions/src/test/java/trailthread/ColdFleetTest.java
@@ -12,11 +12,11 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.junit.Test;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.ListKind;
+import trailthread.api.Outcome;
+import trailthread.api.Settings;
 
 /**
  * Half of the workers start anew under a burst, and nodes do not talk: what all of them send to one
@@ -47,10 +47,10 @@
         Settings settings = Script.settings();
         settings.nodes = nodes;
         settings.me = me;
-        settings.fallMultiple = MULTIPLE;
-        settings.fallNs = FALL_MS * MS;
-        settings.coldShare = COLD_SHARE;
-        settings.coldNs = COLD_MS * MS;
+        settings.overloadMultiple = MULTIPLE;
+        settings.overloadWindowNs = FALL_MS * MS;
+        settings.slowStartInitialShare = COLD_SHARE;
+        settings.slowStartNs = COLD_MS * MS;
         SplittableRandom random = new SplittableRandom(seed * 1_000 + me);
         Script s = new Script(settings, random.nextLong());
         long start = s.now;
@@ -75,8 +75,8 @@
             for (; seen < s.sends.size(); seen++) {
                 Script.Send send = s.sends.get(seen);
                 answers.add(new Answer(at + 15 + random.nextInt(15), send.id()));
-                if (send.backend().startsWith("started")) {
-                    sent.computeIfAbsent(send.backend(), none -> new TreeMap<>())
+                if (send.endpoint().startsWith("started")) {
+                    sent.computeIfAbsent(send.endpoint(), none -> new TreeMap<>())
                             .merge(at, 1, Integer::sum);
                 }
             }
@@ -84,12 +84,13 @@
     }
 
     private static void list(Script s, long readyAt) {
-        List<Entry> entries = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < WORKERS; i++) {
             entries.add(
                     readyAt == 0 || i >= STARTED
                             ? Script.ready("warm-" + i)
-                            : new Entry("started-" + i, 1, State.READY, "here", readyAt, 0));
+                            : new EndpointEntry(
+                                    "started-" + i, 1, EndpointState.READY, "here", readyAt, 0));
         }
         s.balancer.list(s.now, ListKind.FULL, entries);
     }
--- a/decisions/src/test/java/trailthread/EmbeddingTest.java
+++ b/decisions/src/test/java/trailthread/EmbeddingTest.java
@@ -4,13 +4,13 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.Idempotency;
+import trailthread.api.ListKind;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 
 /** The embedding example of the README, as it stands there. */
 class EmbeddingTest {
@@ -27,8 +27,8 @@
                         200_000_000L,
                         0,
                         1_000_000_000L,
-                        Semantics.SAFE,
-                        Group.ALL,
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
                         0,
                         1,
                         0.2));
@@ -36,9 +36,9 @@
         balancer.list(
                 now,
                 ListKind.FULL,
-                List.of(new Entry("10.0.0.1:80", 1, State.READY, "east", 0, -1)));
+                List.of(new EndpointEntry("10.0.0.1:80", 1, EndpointState.READY, "east", 0, -1)));
         balancer.request(now, 1, "read", 0, now + 1_000_000_000L, null, false, 0);
 
-        assertEquals("10.0.0.1:80", actions.sends.get(0).backend());
+        assertEquals("10.0.0.1:80", actions.sends.get(0).endpoint());
     }
 }
--- a/decisions/src/test/java/trailthread/FleetTest.java
+++ b/decisions/src/test/java/trailthread/FleetTest.java
@@ -11,43 +11,46 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
+import trailthread.api.Settings;
+import trailthread.api.WeightMeaning;
 
 /** Many nodes, each seeing little: what they do one by one must add up. */
 class FleetTest {
     private static final long MS = Script.MS;
     private static final int NODES = 200;
 
-    private static Settings settings(int me, double priceConnection) {
+    private static Settings settings(int me, double connectionPrice) {
         Settings s = Script.settings();
         s.nodes = NODES;
         s.me = me;
-        s.priceConnection = priceConnection;
+        s.connectionPrice = connectionPrice;
         return s;
     }
 
-    private static List<Entry> entries(int from, int to) {
-        List<Entry> entries = new ArrayList<>();
+    private static List<EndpointEntry> entries(int from, int to) {
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int i = from; i < to; i++) {
             String zone = i % 2 == 0 ? "here" : "there";
-            entries.add(new Entry("10.0.0." + i + ":80", 1, State.READY, zone, 0, i / 4));
+            entries.add(
+                    new EndpointEntry(
+                            "10.0.0." + i + ":80", 1, EndpointState.READY, zone, 0, i / 4));
         }
         return entries;
     }
 
-    /** The backends that a node uses for this many requests on end. */
+    /** The endpoints that a node uses for this many requests on end. */
     private static Set<String> used(Script s, int requests) {
         Set<String> used = new HashSet<>();
         for (int i = 0; i < requests; i++) {
             long id = s.request("safe");
             s.pass(100 * MS);
             for (Script.Send send : s.sendsOf(id)) {
-                used.add(send.backend());
+                used.add(send.endpoint());
                 s.end(id, Outcome.OK);
             }
         }
@@ -104,17 +107,17 @@
             long id = s.request("unsafe");
             s.pass(100 * MS);
             for (Script.Send send : List.copyOf(s.sendsOf(id))) {
-                boolean fails = struck.contains(send.backend());
+                boolean fails = struck.contains(send.endpoint());
                 s.end(id, fails ? Outcome.ERROR : Outcome.OK);
                 if (!fails) {
-                    others.add(send.backend());
+                    others.add(send.endpoint());
                 }
             }
         }
         assertTrue(others.size() >= 2, "others found: " + others);
     }
 
-    /** A crowd shows in the answers of some backends long before each has answered this node. */
+    /** A crowd shows in the answers of some endpoints long before each has answered this node. */
     @Test
     void slowAnswersOfSomeBackendsCutWhatIsOutAtAll() {
         assertTrue(outAfter(400 * MS, Outcome.OK) < outAfter(20 * MS, Outcome.OK), "slow answers");
@@ -122,7 +125,7 @@
         assertTrue(outAfter(600 * MS, Outcome.TIMEOUT) < failing, "time-outs");
     }
 
-    /** Limits of backends that said nothing are cut too: a quick answer does not open them all. */
+    /** Limits of endpoints that said nothing are cut too: a quick answer does not open them all. */
     @Test
     void aCrowdSeenElsewhereIsNotForgottenAtOnce() {
         Script calm = new Script(settings(3, 0), 3);
@@ -156,17 +159,24 @@
     @Test
     void sizesAreTakenFromWeightsThatFallWithLoadAndTheirFallIsNot() {
         Settings settings = Script.settings();
-        settings.weights = BalancerApi.Weights.LIVE;
+        settings.weights = WeightMeaning.LIVE;
         Script s = new Script(settings, 5);
         s.balancer.list(
                 s.now,
                 ListKind.FULL,
                 List.of(
-                        new Entry("big", 2, State.READY, "here", 0, 0),
-                        new Entry("small", 1, State.READY, "here", 0, 0)));
-        s.delta(new Entry("big", 0.2, State.READY, "here", 0, 0)); // all nodes hear this at once
+                        new EndpointEntry("big", 2, EndpointState.READY, "here", 0, 0),
+                        new EndpointEntry("small", 1, EndpointState.READY, "here", 0, 0)));
+        s.delta(
+                new EndpointEntry(
+                        "big",
+                        0.2,
+                        EndpointState.READY,
+                        "here",
+                        0,
+                        0)); // all nodes hear this at once
         run(s, 300, 20 * MS);
-        long big = s.sends.stream().filter(x -> x.backend().equals("big")).count();
+        long big = s.sends.stream().filter(x -> x.endpoint().equals("big")).count();
         assertTrue(big > 180 && big < 240, "of 300 to one twice as large: " + big);
     }
 
@@ -195,13 +205,13 @@
             long id = s.request("safe");
             s.pass(50 * MS); // answers themselves take the same everywhere
             if (!s.sendsOf(id).isEmpty()) {
-                String b = s.sendsOf(id).get(0).backend();
+                String b = s.sendsOf(id).get(0).endpoint();
                 sends.merge(b, 1, Integer::sum);
                 double ms = b.equals(slow) ? 90 : 20;
                 s.end(
                         id,
                         Outcome.OK,
-                        new Load(Double.NaN, 0, Double.NaN, ms, Double.NaN, Double.NaN));
+                        new LoadReport(Double.NaN, 0, Double.NaN, ms, Double.NaN, Double.NaN));
             }
         }
         int mean = sends.values().stream().mapToInt(Integer::intValue).sum() / 4;
@@ -218,9 +228,9 @@
             long id = s.request("unsafe");
             s.pass(20 * MS);
             if (!s.sendsOf(id).isEmpty()) {
-                String b = s.sendsOf(id).get(s.sendsOf(id).size() - 1).backend();
+                String b = s.sendsOf(id).get(s.sendsOf(id).size() - 1).endpoint();
                 sends.merge(b, 1, Integer::sum);
-                s.end(id, b.equals(full) ? Outcome.FULL : Outcome.OK);
+                s.end(id, b.equals(full) ? Outcome.REJECTED : Outcome.OK);
                 if (b.equals(full) && s.sendsOf(id).size() == 2) {
                     s.pass(20 * MS);
                     s.end(id, Outcome.OK);
@@ -238,7 +248,7 @@
             settings.retryAfter = listens;
             settings.maxRetryAfterNs = 500 * MS;
             Script s = new Script(settings, 5);
-            s.backends();
+            s.endpoints();
             s.request("safe");
             s.pass(1000 * MS);
             assertEquals(1, s.refused.size());
@@ -255,7 +265,7 @@
             s.balancer.list(
                     s.now,
                     ListKind.FULL,
-                    List.of(new Entry("new", 1, State.READY, "here", s.now, 0)));
+                    List.of(new EndpointEntry("new", 1, EndpointState.READY, "here", s.now, 0)));
             s.request("safe");
             atOnce += s.sends.size();
         }
--- a/decisions/src/test/java/trailthread/GuardsTest.java
+++ b/decisions/src/test/java/trailthread/GuardsTest.java
@@ -8,16 +8,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
-import trailthread.BalancerApi.Tenant;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.Outcome;
+import trailthread.api.Settings;
+import trailthread.api.Tenant;
 
 /** One test for each guard that no other test would miss. */
 final class GuardsTest {
     private static String backendOf(Script s, long id) {
-        return s.sendsOf(id).get(0).backend();
+        return s.sendsOf(id).get(0).endpoint();
     }
 
     /** Sends one request after another; returns how many went to "a". */
@@ -44,7 +44,7 @@
         Settings settings = Script.settings();
         settings.nodes = 4; // this node begins with one at a time
         Script s = new Script(settings, 5);
-        s.backends();
+        s.endpoints();
         long old = s.request("safe");
         s.pass(50 * MS);
         long young = s.request("safe");
@@ -57,12 +57,12 @@
     void trafficPastItsQuotaWaitsBehindTrafficWithin() {
         Settings settings = Script.settings();
         settings.nodes = 4;
-        settings.overShareWorth = 0.1;
+        settings.overQuotaWeight = 0.1;
         settings.tenants.add(new Tenant("t", 2, 1)); // one in two seconds at this node
         Script s = new Script(settings, 5);
-        s.backends("a");
+        s.endpoints("a");
         serve(s, 20, 20 * MS);
-        s.delta(new Entry("a", 1, State.GONE, "here", 0, 0));
+        s.delta(new EndpointEntry("a", 1, EndpointState.GONE, "here", 0, 0));
         s.balancer.request(s.now, 1001, "safe", 0, s.now + 1000 * MS, "t", false, 0);
         s.pass(50 * MS);
         s.balancer.request(s.now, 1002, "safe", 0, s.now + 1000 * MS, "t", false, 0);
@@ -74,14 +74,14 @@
     @Test
     void aRestartedBackendStartsWithACleanRecord() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a", "b", "c");
+        s.endpoints("a", "b", "c");
         for (int i = 0; i < 100; i++) {
             long id = s.request("unsafe");
             boolean bad = backendOf(s, id).equals("a");
             s.pass(bad ? MS : 20 * MS);
             s.end(id, bad ? Outcome.ERROR : Outcome.OK);
         }
-        s.delta(new Entry("a", 1, State.READY, "here", s.now - 60_000 * MS, 0));
+        s.delta(new EndpointEntry("a", 1, EndpointState.READY, "here", s.now - 60_000 * MS, 0));
         int toA = 0;
         for (int i = 0; i < 30; i++) {
             long id = s.request("unsafe");
@@ -95,13 +95,13 @@
     @Test
     void aQuickRepeatGoesElsewhere() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         for (int i = 0; i < 20; i++) {
             long id = s.request("safe");
             s.pass(MS);
             s.end(id, Outcome.ERROR);
             assertEquals(2, s.sendsOf(id).size());
-            assertNotEquals(backendOf(s, id), s.sendsOf(id).get(1).backend());
+            assertNotEquals(backendOf(s, id), s.sendsOf(id).get(1).endpoint());
             s.pass(20 * MS);
             s.end(id, Outcome.OK);
             serve(s, 20, 20 * MS);
@@ -111,7 +111,7 @@
     @Test
     void aBackendThatErrsNowAndThenGetsLess() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         int toA = 0;
         for (int i = 0; i < 400; i++) {
             long id = s.request("unsafe");
@@ -128,7 +128,7 @@
         Settings settings = Script.settings();
         settings.nodes = 8;
         Script s = new Script(settings, 5);
-        s.backends("a");
+        s.endpoints("a");
         serve(s, 100, 20 * MS);
         List<Script.Send> out = new ArrayList<>();
         int late = 0;
@@ -153,11 +153,11 @@
     @Test
     void aColdBackendGetsTicketsInStepWithItsShare() {
         Settings settings = Script.settings();
-        settings.coldNs = 300_000 * MS;
+        settings.slowStartNs = 300_000 * MS;
         Script s = new Script(settings, 5);
-        s.backends("b");
+        s.endpoints("b");
         serve(s, 100, 20 * MS);
-        s.delta(new Entry("a", 1, State.READY, "here", s.now - 30_000 * MS, 0));
+        s.delta(new EndpointEntry("a", 1, EndpointState.READY, "here", s.now - 30_000 * MS, 0));
         int toA = serve(s, 300, 20 * MS);
         assertTrue(toA > 10 && toA < 90, "of 300 to the cold one: " + toA);
     }
@@ -165,7 +165,7 @@
     @Test
     void aSlowSpellDoesNotPassForIdle() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a");
+        s.endpoints("a");
         serve(s, 300, 20 * MS);
         serve(s, 300, 34 * MS);
         serve(s, 60, 50 * MS);
--- a/decisions/src/test/java/trailthread/HeldTest.java
+++ b/decisions/src/test/java/trailthread/HeldTest.java
@@ -6,11 +6,11 @@
 
 import java.util.List;
 import org.junit.Test;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
-import trailthread.BalancerApi.Settings;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.Idempotency;
+import trailthread.api.Outcome;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 
 /**
  * A request that nobody means to send any more is answered at once; it was once held to its
@@ -26,15 +26,23 @@
         settings.connectTimeoutNs = 100 * MS;
         settings.classes.add(
                 new RequestClass(
-                        "unsafe", 200 * MS, 0, 1000 * MS, Semantics.UNSAFE, Group.ALL, 0, 1, 0));
+                        "unsafe",
+                        200 * MS,
+                        0,
+                        1000 * MS,
+                        Idempotency.NOT_IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        1,
+                        0));
         settings.classes.add(
                 new RequestClass(
                         "keyed",
                         800 * MS,
                         0,
                         1000 * MS,
-                        Semantics.KEYED,
-                        Group.CELL,
+                        Idempotency.IDEMPOTENCY_KEY,
+                        DeduplicationScope.CELL,
                         300 * MS,
                         1,
                         0));
@@ -43,7 +51,7 @@
 
     @Test
     public void pastItsAimItIsRefusedWithAdvice() {
-        s.backends();
+        s.endpoints();
         long id = s.request("unsafe");
         s.pass(199 * MS);
         assertTrue("it may yet earn", s.refused.isEmpty());
@@ -54,31 +62,31 @@
 
     @Test
     public void aLateRejectionWithNowhereToGoIsAnsweredThere() {
-        s.backends("a");
+        s.endpoints("a");
         long id = s.request("unsafe");
         s.pass(250 * MS);
-        s.backends();
-        s.end(id, Outcome.FULL);
+        s.endpoints();
+        s.end(id, Outcome.REJECTED);
         assertEquals(List.of(id), s.refused);
     }
 
-    /** With no backend ready the node once rested for many latencies after its last outcome. */
+    /** With no endpoint ready the node once rested for many latencies after its last outcome. */
     @Test
     public void itGoesOutAsSoonAsABackendIsReadyAgain() {
-        s.backends("a");
+        s.endpoints("a");
         long id = s.request("keyed");
-        s.backends();
-        s.end(id, Outcome.FULL);
+        s.endpoints();
+        s.end(id, Outcome.REJECTED);
         s.pass(10 * MS);
-        s.backends("b");
-        assertEquals("b", s.sendsOf(id).get(1).backend());
+        s.endpoints("b");
+        assertEquals("b", s.sendsOf(id).get(1).endpoint());
     }
 
     @Test
     public void pastTheWindowThatDropsRepeatsItFails() {
-        s.backends("a");
+        s.endpoints("a");
         long id = s.request("keyed");
-        s.backends();
+        s.endpoints();
         s.end(id, Outcome.ERROR);
         s.pass(199 * MS);
         assertTrue("a backend of its cell may yet come", s.failed.isEmpty());
@@ -90,7 +98,7 @@
     @Test
     public void nothingIsHeldBackFromWorkersThatAreFar() {
         Script s = new Script(Script.settings(), 7);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         int ended = 0;
         for (int step = 0; step < 4000; step++) {
             if (step % 8 == 0) {
--- a/decisions/src/test/java/trailthread/ListCallsTest.java
+++ b/decisions/src/test/java/trailthread/ListCallsTest.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.Test;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Settings;
+import trailthread.api.ListKind;
+import trailthread.api.Settings;
 
 /**
  * Calls for the list that fail at all nodes at once, in virtual time: discovery handles one after
@@ -47,8 +47,8 @@
         Settings settings = Script.settings();
         settings.nodes = count;
         settings.me = me;
-        settings.listOnRequest = true;
-        settings.askEveryNs = PERIOD_S * 1000 * MS;
+        settings.listIsPolled = true;
+        settings.pollIntervalNs = PERIOD_S * 1000 * MS;
         Script s = new Script(settings, seed);
         s.now += startsMs * MS;
         s.balancer.list(s.now, first, List.of(Script.ready("a")));
@@ -252,8 +252,8 @@
     public void aStartAsksBeforeNewsIsDueHoweverLongThePeriodIs() {
         Settings settings = Script.settings();
         settings.nodes = 100;
-        settings.listOnRequest = true;
-        settings.askEveryNs = 3_600_000 * MS;
+        settings.listIsPolled = true;
+        settings.pollIntervalNs = 3_600_000 * MS;
         for (int seed = 0; seed < 100; seed++) {
             Script s = new Script(settings, seed);
             s.balancer.list(s.now, ListKind.CACHED, List.of(Script.ready("a")));
--- a/decisions/src/test/java/trailthread/LostAnswerTest.java
+++ b/decisions/src/test/java/trailthread/LostAnswerTest.java
@@ -6,9 +6,9 @@
 
 import java.util.ArrayDeque;
 import org.junit.Test;
-import trailthread.BalancerApi.Outcome;
+import trailthread.api.Outcome;
 
-/** What a time-out says of a backend. */
+/** What a time-out says of an endpoint. */
 public class LostAnswerTest {
     private final Script s = new Script(Script.settings(), 7);
 
@@ -31,12 +31,12 @@
     }
 
     /**
-     * A network that loses answers struck all backends alike, one after the other: soon none was
+     * A network that loses answers struck all endpoints alike, one after the other: soon none was
      * open.
      */
     @Test
     public void oneLostAnswerDoesNotPassForAJam() {
-        s.backends("a", "b", "c", "d");
+        s.endpoints("a", "b", "c", "d");
         serve(200);
         timeOut();
         assertTrue(s.log.toString(), !rested());
@@ -45,7 +45,7 @@
     /** In a jam nothing else comes back, so those that follow must count. */
     @Test
     public void timeOutsInARowStillDo() {
-        s.backends("a", "b", "c", "d");
+        s.endpoints("a", "b", "c", "d");
         serve(200);
         for (int i = 0; i < 12 && !rested(); i++) {
             timeOut();
@@ -53,10 +53,10 @@
         assertTrue(s.log.toString(), rested());
     }
 
-    /** One lost answer closed its backend until the client quit: 25 usual times here. */
+    /** One lost answer closed its endpoint until the client quit: 25 usual times here. */
     @Test
     public void aSilentBackendGetsASafeTrialInBetween() {
-        s.backends("a");
+        s.endpoints("a");
         serve(200);
         s.request("unsafe");
         s.pass(70 * MS);
@@ -72,7 +72,7 @@
     /** Three milliseconds are nothing where the aim is 200, though answers usually take one. */
     @Test
     public void aQuickBackendIsNotSilentAtOnce() {
-        s.backends("a");
+        s.endpoints("a");
         for (int i = 0; i < 200; i++) {
             long id = s.request("unsafe");
             s.pass(MS);
@@ -83,10 +83,10 @@
         assertEquals(1, s.sendsOf(s.request("unsafe")).size());
     }
 
-    /** A frozen backend answers none of its trials, and gets fewer and fewer. */
+    /** A frozen endpoint answers none of its trials, and gets fewer and fewer. */
     @Test
     public void trialsOfASilentBackendGrowRare() {
-        s.backends("a");
+        s.endpoints("a");
         serve(200);
         int before = s.sends.size();
         for (int i = 0; i < 100; i++) {
@@ -100,7 +100,7 @@
     /** With one answer in five lost, what waits for them once filled the limits. */
     @Test
     public void whatALaterAnswerOvertookFillsNoLimit() {
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         serve(400);
         int refused = s.refused.size();
         ArrayDeque<Script.Send> out = new ArrayDeque<>();
--- a/decisions/src/test/java/trailthread/LotteryTest.java
+++ b/decisions/src/test/java/trailthread/LotteryTest.java
@@ -8,18 +8,24 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.Idempotency;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReport;
+import trailthread.api.LoadReportSource;
+import trailthread.api.Outcome;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 
 /** Where requests go on the ordinary path, and the named departures from it. */
 class LotteryTest {
     private static final long MS = Script.MS;
 
     /**
-     * Serves one request after another, each in {@code latencies} by backend, and counts the sends.
+     * Serves one request after another, each in {@code latencies} by endpoint, and counts the
+     * sends.
      */
     private static Map<String, Integer> serve(
             Script s, int requests, long aLatency, long bLatency) {
@@ -29,9 +35,9 @@
             if (s.sendsOf(id).isEmpty()) {
                 s.pass(500 * MS);
             }
-            String backend = s.sendsOf(id).get(0).backend();
-            counts.merge(backend, 1, Integer::sum);
-            s.pass(backend.equals("a") ? aLatency : bLatency);
+            String endpoint = s.sendsOf(id).get(0).endpoint();
+            counts.merge(endpoint, 1, Integer::sum);
+            s.pass(endpoint.equals("a") ? aLatency : bLatency);
             s.end(id, Outcome.OK, Script.queue(0));
         }
         return counts;
@@ -40,7 +46,7 @@
     @Test
     void equalBackendsShareEvenly() {
         Script s = new Script(Script.settings(), 7);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         Map<String, Integer> counts = serve(s, 2000, 20 * MS, 20 * MS);
         assertEquals(1000, counts.get("a"), 150);
     }
@@ -48,15 +54,15 @@
     @Test
     void ticketsFollowTheReportedQueue() {
         Script s = new Script(Script.settings(), 7);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         serve(s, 400, 20 * MS, 20 * MS);
         int toA = 0;
         for (int i = 0; i < 1500; i++) {
             long id = s.request("safe");
-            String backend = s.sendsOf(id).get(0).backend();
-            toA += backend.equals("a") ? 1 : 0;
+            String endpoint = s.sendsOf(id).get(0).endpoint();
+            toA += endpoint.equals("a") ? 1 : 0;
             s.pass(20 * MS);
-            s.end(id, Outcome.OK, Script.queue(backend.equals("a") ? 0.8 : 0));
+            s.end(id, Outcome.OK, Script.queue(endpoint.equals("a") ? 0.8 : 0));
         }
         // tickets 1/1.8 against 1/1: 36 in 100
         assertEquals(0.36, toA / 1500.0, 0.06);
@@ -65,14 +71,14 @@
     @Test
     void ownSendsSinceTheReportCountAgainstABackend() {
         Script s = new Script(Script.settings(), 3);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         serve(s, 100, 20 * MS, 20 * MS);
         int other = 0;
         for (int i = 0; i < 400; i++) {
             long first = s.request("safe");
             long second = s.request("safe");
             other +=
-                    s.sendsOf(first).get(0).backend().equals(s.sendsOf(second).get(0).backend())
+                    s.sendsOf(first).get(0).endpoint().equals(s.sendsOf(second).get(0).endpoint())
                             ? 0
                             : 1;
             s.pass(20 * MS);
@@ -86,7 +92,7 @@
     @Test
     void aSlowBackendGetsFewTickets() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         Map<String, Integer> counts = serve(s, 600, 15 * MS, 90 * MS);
         assertTrue(counts.get("b") < 60, "to the slow one: " + counts);
     }
@@ -97,9 +103,9 @@
     @Test
     void differencesThatMatterToNobodyLeaveNobodyOut() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         serve(s, 200, MS / 2, MS / 2);
-        s.delta(new Entry("b", 1, State.DRAINING, "here", 0, 0));
+        s.delta(new EndpointEntry("b", 1, EndpointState.DRAINING, "here", 0, 0));
         serve(s, 2000, MS / 15, MS / 15);
         s.delta(Script.ready("b"));
         s.pass(10_000 * MS);
@@ -110,11 +116,11 @@
     @Test
     void aBackendThatFailsFastIsEjectedAndTriedAgainLater() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a", "b", "c");
+        s.endpoints("a", "b", "c");
         int toA = 0;
         for (int i = 0; i < 300; i++) {
             long id = s.request("unsafe");
-            if (s.sendsOf(id).get(0).backend().equals("a")) {
+            if (s.sendsOf(id).get(0).endpoint().equals("a")) {
                 toA++;
                 s.pass(MS);
                 s.end(id, Outcome.ERROR);
@@ -128,7 +134,7 @@
         boolean tried = false;
         for (int i = 0; i < 50 && !tried; i++) {
             long id = s.request("safe");
-            tried = s.sendsOf(id).get(0).backend().equals("a");
+            tried = s.sendsOf(id).get(0).endpoint().equals("a");
             s.pass(20 * MS);
             s.end(id, Outcome.OK);
         }
@@ -138,7 +144,7 @@
     @Test
     void aNodeThatSeesAllFailEjectsNone() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         for (int i = 0; i < 30; i++) {
             long id = s.request("unsafe");
             s.pass(300 * MS);
@@ -150,12 +156,12 @@
     @Test
     void aFullBackendIsNotHammered() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a");
+        s.endpoints("a");
         int sends = 0;
         for (int i = 0; i < 100; i++) {
             long id = s.request("safe");
             if (!s.sendsOf(id).isEmpty()) {
-                s.end(id, Outcome.FULL);
+                s.end(id, Outcome.REJECTED);
                 sends++;
             }
             s.pass(MS);
@@ -166,14 +172,14 @@
     @Test
     void aSilentBackendGetsNothingMore() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         serve(s, 200, 20 * MS, 20 * MS);
         long stuck = s.request("safe");
-        String silent = s.sendsOf(stuck).get(0).backend();
+        String silent = s.sendsOf(stuck).get(0).endpoint();
         s.pass(300 * MS);
         for (int i = 0; i < 20; i++) {
             long id = s.request("safe");
-            assertNotEquals(silent, s.sendsOf(id).get(0).backend());
+            assertNotEquals(silent, s.sendsOf(id).get(0).endpoint());
             s.pass(20 * MS);
             s.end(id, Outcome.OK);
         }
@@ -182,17 +188,17 @@
     @Test
     void aJammedBackendRestsAndIsTriedAgain() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         serve(s, 300, 20 * MS, 20 * MS);
         for (int i = 0; i < 200; i++) {
             long id = s.request("safe");
-            s.pass(s.sendsOf(id).get(0).backend().equals("a") ? 150 * MS : 20 * MS);
+            s.pass(s.sendsOf(id).get(0).endpoint().equals("a") ? 150 * MS : 20 * MS);
             s.end(id, Outcome.OK);
         }
-        int before = (int) s.sends.stream().filter(x -> x.backend().equals("a")).count();
+        int before = (int) s.sends.stream().filter(x -> x.endpoint().equals("a")).count();
         long from = s.now;
         serve(s, 100, 150 * MS, 20 * MS);
-        int during = (int) s.sends.stream().filter(x -> x.backend().equals("a")).count() - before;
+        int during = (int) s.sends.stream().filter(x -> x.endpoint().equals("a")).count() - before;
         assertTrue(
                 during <= 3, "sends to a jammed one in " + (s.now - from) / MS + " ms: " + during);
         s.pass(20_000 * MS);
@@ -203,7 +209,7 @@
     @Test
     void limitsDoNotStickWhileAnswersAreQuick() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a");
+        s.endpoints("a");
         for (int i = 0; i < 40; i++) {
             for (int k = 0; k < 12; k++) {
                 s.request("safe");
@@ -225,7 +231,7 @@
     @Test
     void onlySafeAttemptsAreCalledOffEarly() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         serve(s, 100, 20 * MS, 20 * MS);
         String before = s.transcript.toString();
         long safe = s.request("safe");
@@ -240,20 +246,20 @@
     @Test
     void reportedRequestsInHandDoNotCloseABackend() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a");
+        s.endpoints("a");
         for (int i = 0; i < 100; i++) {
             long id = s.request("safe");
             assertEquals(1, s.sendsOf(id).size(), "request " + i);
             s.pass(20 * MS);
             double none = Double.NaN;
-            s.end(id, Outcome.OK, new BalancerApi.Load(10 + i % 3, none, none, none, none, none));
+            s.end(id, Outcome.OK, new LoadReport(10 + i % 3, none, none, none, none, none));
         }
     }
 
     @Test
     void aLongStreamDoesNotMakeItsBackendLookSlow() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         serve(s, 100, 20 * MS, 20 * MS);
         for (int i = 0; i < 20; i++) {
             long id = s.request("safe");
@@ -269,18 +275,18 @@
     @Test
     void backendsThatReportOnlyToProbesAreProbedInTurn() {
         Settings settings = Script.settings();
-        settings.reports = BalancerApi.Reports.PROBES;
-        settings.mayProbe = true;
+        settings.reports = LoadReportSource.PROBES;
+        settings.mayCheckHealth = true;
         Script s = new Script(settings, 5);
-        s.backends("a", "b", "c");
+        s.endpoints("a", "b", "c");
         s.pass(5000 * MS);
         String asked = s.transcript.toString();
         for (String name : List.of("a", "b", "c")) {
             assertTrue(asked.contains("probe " + name), asked);
         }
-        settings.mayProbe = false;
+        settings.mayCheckHealth = false;
         Script silent = new Script(settings, 5);
-        silent.backends("a");
+        silent.endpoints("a");
         silent.pass(5000 * MS);
         assertTrue(!silent.transcript.toString().contains("probe"), "probes need permission");
     }
@@ -288,7 +294,7 @@
     @Test
     void crowdedBackendsAreSparedAndTheRestIsHeld() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a");
+        s.endpoints("a");
         serve(s, 100, 30 * MS, 30 * MS);
         for (int i = 0; i < 50; i++) {
             s.request("unsafe");
@@ -303,22 +309,22 @@
     void theMoreValuableGoesFirst() {
         Settings settings = Script.settings();
         settings.classes.add(
-                new BalancerApi.RequestClass(
+                new RequestClass(
                         "dear",
                         200 * MS,
                         0,
                         1000 * MS,
-                        BalancerApi.Semantics.SAFE,
-                        BalancerApi.Group.ALL,
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
                         0,
                         10,
                         0.2));
         Script s = new Script(settings, 5);
-        s.backends();
+        s.endpoints();
         long cheap = s.request("safe");
         long dear = s.request("dear");
-        s.delta(new Entry("a", 1, State.READY, "here", s.now, 0));
-        s.pass(250 * MS); // a cold backend's first comes within an aim
+        s.delta(new EndpointEntry("a", 1, EndpointState.READY, "here", s.now, 0));
+        s.pass(250 * MS); // a cold endpoint's first comes within an aim
         assertEquals(1, s.sendsOf(dear).size());
         assertEquals(0, s.sendsOf(cheap).size());
     }
@@ -328,7 +334,7 @@
         Settings settings = Script.settings();
         settings.nodes = 40;
         Script s = new Script(settings, 5);
-        s.backends("a");
+        s.endpoints("a");
         int sent = 0;
         for (int i = 0; i < 10; i++) {
             long id = s.request("safe");
@@ -344,7 +350,7 @@
     @Test
     void aRequestTooLateToServeIsNotSent() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a");
+        s.endpoints("a");
         serve(s, 50, 60 * MS, 60 * MS);
         s.balancer.request(s.now, 9999, "safe", 0, s.now + 10 * MS, null, false, 0);
         assertTrue(s.sendsOf(9999).isEmpty());
@@ -356,12 +362,14 @@
     void theLocalZoneIsPreferredByItsPrice() {
         Settings settings = Script.settings();
         settings.zone = "here";
-        settings.priceCrossZone = 0.06;
+        settings.crossZonePrice = 0.06;
         Script s = new Script(settings, 5);
         s.balancer.list(
                 s.now,
                 ListKind.FULL,
-                List.of(Script.ready("a"), new Entry("b", 1, State.READY, "there", 0, 1)));
+                List.of(
+                        Script.ready("a"),
+                        new EndpointEntry("b", 1, EndpointState.READY, "there", 0, 1)));
         Map<String, Integer> counts = serve(s, 200, 20 * MS, 20 * MS);
         assertTrue(counts.getOrDefault("b", 0) < 40, counts.toString());
     }
@@ -369,9 +377,9 @@
     @Test
     void aWarmKeyHasAHome() {
         Settings settings = Script.settings();
-        settings.warmKeys = true;
+        settings.keyAffinity = true;
         Script s = new Script(settings, 5);
-        s.backends("a", "b", "c", "d", "e", "f");
+        s.endpoints("a", "b", "c", "d", "e", "f");
         serve(s, 300, 20 * MS, 20 * MS);
         Map<String, Integer> counts = whereAKeyGoes(s, 20);
         assertTrue(counts.size() <= 3, "a key in: " + counts);
@@ -385,9 +393,9 @@
     @Test
     void aPopularKeyHasSeveralHomes() {
         Settings settings = Script.settings();
-        settings.warmKeys = true;
+        settings.keyAffinity = true;
         Script s = new Script(settings, 5);
-        s.backends("a", "b", "c", "d", "e", "f");
+        s.endpoints("a", "b", "c", "d", "e", "f");
         serve(s, 300, 20 * MS, 20 * MS);
         Map<String, Integer> counts = whereAKeyGoes(s, 1);
         int most = counts.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
@@ -403,7 +411,7 @@
             long key = watched ? 42 : 1000 + i % 97;
             s.balancer.request(s.now, id, "safe", 0, s.now + 1000 * MS, null, false, key);
             if (watched) {
-                counts.merge(s.sendsOf(id).get(0).backend(), 1, Integer::sum);
+                counts.merge(s.sendsOf(id).get(0).endpoint(), 1, Integer::sum);
             }
             s.pass(20 * MS);
             s.end(id, Outcome.OK);
@@ -414,14 +422,14 @@
     @Test
     void aPopularKeySpillsPastItsFairPart() {
         Settings settings = Script.settings();
-        settings.warmKeys = true;
+        settings.keyAffinity = true;
         Script s = new Script(settings, 5);
-        s.backends("a", "b", "c", "d", "e", "f");
+        s.endpoints("a", "b", "c", "d", "e", "f");
         Map<String, Integer> counts = new TreeMap<>();
         for (int i = 0; i < 6; i++) {
             long id = 100_000L + i;
             s.balancer.request(s.now, id, "safe", 0, s.now + 1000 * MS, null, false, 42);
-            counts.merge(s.sendsOf(id).get(0).backend(), 1, Integer::sum);
+            counts.merge(s.sendsOf(id).get(0).endpoint(), 1, Integer::sum);
         }
         assertTrue(counts.values().stream().allMatch(n -> n <= 2), "a hot spot: " + counts);
     }
@@ -429,11 +437,11 @@
     @Test
     void aKeyKeepsItsHomeWhenAnotherBackendLeaves() {
         Settings settings = Script.settings();
-        settings.warmKeys = true;
+        settings.keyAffinity = true;
         Script s = new Script(settings, 5);
-        s.backends("a", "b", "c", "d", "e", "f");
+        s.endpoints("a", "b", "c", "d", "e", "f");
         Map<Long, String> before = homes(s, 100_000);
-        s.delta(new Entry("c", 1, State.GONE, "here", 0, 0));
+        s.delta(new EndpointEntry("c", 1, EndpointState.GONE, "here", 0, 0));
         Map<Long, String> after = homes(s, 200_000);
         before.values().removeIf("c"::equals);
         after.keySet().retainAll(before.keySet());
@@ -451,7 +459,7 @@
             for (int i = 0; i < 20; i++) {
                 long id = firstId + 1000 * key + i;
                 s.balancer.request(s.now, id, "safe", 0, s.now + 1000 * MS, null, false, key);
-                counts.merge(s.sendsOf(id).get(0).backend(), 1, Integer::sum);
+                counts.merge(s.sendsOf(id).get(0).endpoint(), 1, Integer::sum);
                 s.pass(20 * MS);
                 s.end(id, Outcome.OK);
             }
@@ -467,17 +475,19 @@
     @Test
     void anUnwatchedListIsAskedForAgain() {
         Settings settings = Script.settings();
-        settings.listOnRequest = true;
+        settings.listIsPolled = true;
         Script s = new Script(settings, 5);
         s.balancer.list(s.now, ListKind.CACHED, List.of(Script.ready("a")));
-        s.pass(settings.askEveryNs / 300); // all nodes' first calls are spread: see ListCallsTest
+        s.pass(
+                settings.pollIntervalNs
+                        / 300); // all nodes' first calls are spread: see ListCallsTest
         assertEquals(1, s.watches);
         s.balancer.list(s.now, ListKind.FAILED, List.of());
-        s.pass(settings.askEveryNs / 2);
+        s.pass(settings.pollIntervalNs / 2);
         assertTrue(s.watches >= 2, "asked " + s.watches);
         s.balancer.list(s.now, ListKind.DELTA, List.of());
         int asked = s.watches;
-        s.pass(10 * settings.askEveryNs);
+        s.pass(10 * settings.pollIntervalNs);
         assertEquals(asked, s.watches, "a watch that stands is left alone");
     }
 
@@ -486,7 +496,7 @@
         StringBuilder[] transcripts = new StringBuilder[2];
         for (int run = 0; run < 2; run++) {
             Script s = new Script(Script.settings(), 99);
-            s.backends("a", "b", "c");
+            s.endpoints("a", "b", "c");
             serve(s, 300, 20 * MS, 30 * MS);
             transcripts[run] = s.transcript;
         }
--- a/decisions/src/test/java/trailthread/NotesTest.java
+++ b/decisions/src/test/java/trailthread/NotesTest.java
@@ -6,8 +6,8 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Outcome;
+import trailthread.api.ListKind;
+import trailthread.api.Outcome;
 
 /** The lines for staff: those that on-call.md names, and few of them. */
 final class NotesTest {
@@ -18,7 +18,7 @@
     @Test
     void quietServiceSaysNothing() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         for (int i = 0; i < 200; i++) {
             long id = s.request("safe");
             s.pass(20 * MS);
@@ -30,10 +30,10 @@
     @Test
     void anEjectionIsToldWithItsBackend() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a", "b", "c");
+        s.endpoints("a", "b", "c");
         for (int i = 0; i < 100; i++) {
             long id = s.request("unsafe");
-            boolean bad = s.sendsOf(id).get(0).backend().equals("a");
+            boolean bad = s.sendsOf(id).get(0).endpoint().equals("a");
             s.pass(bad ? MS : 20 * MS);
             s.end(id, bad ? Outcome.ERROR : Outcome.OK);
         }
@@ -43,7 +43,7 @@
     @Test
     void aNodeThatSeesMostFailSaysSoOnceInAWhile() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         long from = s.now;
         for (int i = 0; i < 300; i++) {
             long id = s.request("unsafe");
@@ -59,10 +59,10 @@
     @Test
     void aJammedBackendIsTold() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         for (int i = 0; i < 500; i++) {
             long id = s.request("safe");
-            boolean slow = i > 300 && s.sendsOf(id).get(0).backend().equals("a");
+            boolean slow = i > 300 && s.sendsOf(id).get(0).endpoint().equals("a");
             s.pass(slow ? 150 * MS : 20 * MS);
             s.end(id, Outcome.OK);
         }
@@ -73,7 +73,7 @@
     @Test
     void requestsTurnedAwayAreToldOnceInAWhile() {
         Script s = new Script(Script.settings(), 5);
-        s.backends();
+        s.endpoints();
         for (int i = 0; i < 50; i++) {
             s.request("safe");
             s.pass(10 * MS);
@@ -87,7 +87,7 @@
     @Test
     void aFailedListCallIsTold() {
         Script s = new Script(Script.settings(), 5);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         s.balancer.list(s.now, ListKind.FAILED, List.of());
         s.balancer.list(s.now, ListKind.FAILED, List.of());
         assertEquals(List.of("list call failed: going on with the last list of 2"), s.log);
--- a/decisions/src/test/java/trailthread/RandomRulesTest.java
+++ b/decisions/src/test/java/trailthread/RandomRulesTest.java
@@ -12,14 +12,14 @@
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.Idempotency;
+import trailthread.api.ListKind;
+import trailthread.api.Outcome;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 
 /**
  * Random legal events; the rules are checked from outside after each step. Nothing is simulated.
@@ -31,7 +31,7 @@
         Outcome.OK,
         Outcome.OK,
         Outcome.ERROR,
-        Outcome.FULL,
+        Outcome.REJECTED,
         Outcome.TIMEOUT,
         Outcome.CONNECT_FAILED,
         Outcome.RESET
@@ -46,7 +46,7 @@
     }
 
     private final Map<Long, Asked> asked = new HashMap<>();
-    private final Map<String, Entry> list = new HashMap<>();
+    private final Map<String, EndpointEntry> list = new HashMap<>();
     private Settings settings;
     private Script s;
     private int seen;
@@ -57,16 +57,16 @@
     void theRulesHold(int seed) {
         Random random = new Random(seed);
         settings = Script.settings();
-        settings.classes.add(keyed("keyed-all", Group.ALL, 400 * MS));
-        settings.classes.add(keyed("keyed-zone", Group.ZONE, 2000 * MS));
-        settings.secondCopies = seed % 2 == 0;
-        settings.listOnRequest = seed % 3 == 0;
-        settings.warmKeys = seed % 4 == 0;
+        settings.classes.add(keyed("keyed-all", DeduplicationScope.ALL, 400 * MS));
+        settings.classes.add(keyed("keyed-zone", DeduplicationScope.ZONE, 2000 * MS));
+        settings.mayHedge = seed % 2 == 0;
+        settings.listIsPolled = seed % 3 == 0;
+        settings.keyAffinity = seed % 4 == 0;
         settings.zone = "z0";
         s = new Script(settings, seed);
         for (int i = 0; i < 8; i++) {
-            Entry e = entry(i, State.READY, 0);
-            list.put(e.backend(), e);
+            EndpointEntry e = entry(i, EndpointState.READY, 0);
+            list.put(e.endpoint(), e);
         }
         s.balancer.list(s.now, ListKind.CACHED, new ArrayList<>(list.values()));
         for (int step = 0; step < 6000; step++) {
@@ -78,13 +78,13 @@
         asked.forEach((id, a) -> assertTrue(a.ended, "no final answer for " + id));
     }
 
-    private static RequestClass keyed(String name, Group group, long window) {
+    private static RequestClass keyed(String name, DeduplicationScope group, long window) {
         return new RequestClass(
-                name, 200 * MS, 0, 1000 * MS, Semantics.KEYED, group, window, 2, 0.2);
+                name, 200 * MS, 0, 1000 * MS, Idempotency.IDEMPOTENCY_KEY, group, window, 2, 0.2);
     }
 
-    private static Entry entry(int i, State state, long readyAt) {
-        return new Entry("b" + i, 1, state, "z" + i % 2, readyAt, i % 3);
+    private static EndpointEntry entry(int i, EndpointState state, long readyAt) {
+        return new EndpointEntry("b" + i, 1, state, "z" + i % 2, readyAt, i % 3);
     }
 
     private void step(Random random) {
@@ -101,9 +101,9 @@
             endOne(random);
         } else if (what < 88) {
             int i = random.nextInt(8);
-            State state = State.values()[random.nextInt(3)];
-            Entry e = entry(i, state, random.nextBoolean() ? s.now : 0);
-            list.put(e.backend(), e);
+            EndpointState state = EndpointState.values()[random.nextInt(3)];
+            EndpointEntry e = entry(i, state, random.nextBoolean() ? s.now : 0);
+            list.put(e.endpoint(), e);
             s.balancer.list(s.now, ListKind.DELTA, List.of(e));
         } else if (what < 89) {
             s.balancer.list(s.now, ListKind.FAILED, List.of());
@@ -148,7 +148,8 @@
             assertTrue(a.sends.size() < settings.maxAttempts, "too many attempts of " + send.id());
             checkEffect(a, send);
             assertTrue(
-                    list.get(send.backend()).state() == State.READY, "a send to a drained " + send);
+                    list.get(send.endpoint()).state() == EndpointState.READY,
+                    "a send to a drained " + send);
             a.sends.add(send);
             a.fates.add(null);
         }
@@ -158,10 +159,10 @@
                 answer(a, id);
                 boolean mayHaveRun = a.fates.stream().anyMatch(o -> o == null || o.mayHaveRun());
                 boolean harmless =
-                        a.rules.semantics() == Semantics.SAFE
+                        a.rules.idempotency() == Idempotency.IDEMPOTENT
                                 || !mayHaveRun
-                                || (a.rules.semantics() == Semantics.KEYED
-                                        && a.rules.group() == Group.ALL);
+                                || (a.rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                                        && a.rules.deduplicationScope() == DeduplicationScope.ALL);
                 assertTrue(harmless, "a refusal of what may have run: " + id);
             }
         }
@@ -174,7 +175,7 @@
         asked.forEach(
                 (id, a) ->
                         assertTrue(
-                                a.ended || s.now <= a.deadline + settings.answerSlackNs,
+                                a.ended || s.now <= a.deadline + settings.responseSlackNs,
                                 "unanswered past its time: " + id));
     }
 
@@ -186,22 +187,27 @@
     private void checkEffect(Asked a, Script.Send send) {
         for (int k = 0; k < a.sends.size(); k++) {
             Outcome o = a.fates.get(k);
-            assertTrue(o != null || settings.secondCopies, "overlapping attempts of " + send.id());
+            assertTrue(o != null || settings.mayHedge, "overlapping attempts of " + send.id());
             if (o != null && !o.mayHaveRun()) {
                 continue;
             }
-            if (a.rules.semantics() == Semantics.UNSAFE) {
+            if (a.rules.idempotency() == Idempotency.NOT_IDEMPOTENT) {
                 throw new AssertionError("a repeat of unsafe " + send.id());
             }
-            if (a.rules.semantics() == Semantics.KEYED) {
-                Entry was = list.get(a.sends.get(k).backend());
-                Entry is = list.get(send.backend());
-                assertTrue(send.at() < a.sends.get(k).at() + a.rules.windowNs(), "past the window");
+            if (a.rules.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+                EndpointEntry was = list.get(a.sends.get(k).endpoint());
+                EndpointEntry is = list.get(send.endpoint());
                 assertTrue(
-                        a.rules.group() != Group.ZONE || was.zone().equals(is.zone()),
+                        send.at() < a.sends.get(k).at() + a.rules.deduplicationWindowNs(),
+                        "past the window");
+                assertTrue(
+                        a.rules.deduplicationScope() != DeduplicationScope.ZONE
+                                || was.zone().equals(is.zone()),
                         "another zone");
                 assertTrue(
-                        a.rules.group() != Group.CELL || was.cell() == is.cell(), "another cell");
+                        a.rules.deduplicationScope() != DeduplicationScope.CELL
+                                || was.cell() == is.cell(),
+                        "another cell");
             }
         }
     }
--- a/decisions/src/test/java/trailthread/RepeatsTest.java
+++ b/decisions/src/test/java/trailthread/RepeatsTest.java
@@ -5,11 +5,11 @@
 
 import java.util.List;
 import org.junit.Test;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
-import trailthread.BalancerApi.Settings;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.Idempotency;
+import trailthread.api.Outcome;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 
 /**
  * What follows an attempt's end, by outcome and class: another one, and until when; a refusal; a
@@ -20,21 +20,30 @@
     private static final List<String> CLASSES =
             List.of("safe", "keyed", "keyed-everywhere", "unsafe");
     private static final List<Outcome> NEVER_RAN =
-            List.of(Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT);
+            List.of(Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT);
     private static final List<Outcome> MAY_HAVE_RUN =
             List.of(Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED);
 
-    private static RequestClass keyed(String name, Group group, long windowNs) {
+    private static RequestClass keyed(
+            String name, DeduplicationScope group, long deduplicationWindowNs) {
         return new RequestClass(
-                name, 200 * MS, 0, 1000 * MS, Semantics.KEYED, group, windowNs, 1, 0.2);
+                name,
+                200 * MS,
+                0,
+                1000 * MS,
+                Idempotency.IDEMPOTENCY_KEY,
+                group,
+                deduplicationWindowNs,
+                1,
+                0.2);
     }
 
     private static Script script(int attempts) {
         Settings settings = Script.settings();
-        settings.classes.add(keyed("keyed-everywhere", Group.ALL, 2000 * MS));
+        settings.classes.add(keyed("keyed-everywhere", DeduplicationScope.ALL, 2000 * MS));
         settings.maxAttempts = attempts;
         Script script = new Script(settings, 1);
-        script.backends("a", "b");
+        script.endpoints("a", "b");
         return script;
     }
 
@@ -78,18 +87,18 @@
             for (boolean ran : new boolean[] {true, false}) {
                 Settings settings = Script.settings();
                 settings.classes.removeIf(c -> c.name().equals("keyed"));
-                settings.classes.add(keyed("keyed", Group.CELL, 400 * MS));
-                settings.classes.add(keyed("keyed-everywhere", Group.ALL, 400 * MS));
+                settings.classes.add(keyed("keyed", DeduplicationScope.CELL, 400 * MS));
+                settings.classes.add(keyed("keyed-everywhere", DeduplicationScope.ALL, 400 * MS));
                 settings.maxAttempts = 6;
                 Script s = new Script(settings, 1);
-                s.backends("a", "b", "c", "d");
+                s.endpoints("a", "b", "c", "d");
                 long id = s.request(name);
                 long deadline = s.now + 1000 * MS;
                 s.pass(10 * MS);
-                s.end(id, Outcome.FULL);
+                s.end(id, Outcome.REJECTED);
                 long second = s.now;
                 s.pass(20 * MS);
-                s.end(id, ran && !name.equals("unsafe") ? Outcome.ERROR : Outcome.FULL);
+                s.end(id, ran && !name.equals("unsafe") ? Outcome.ERROR : Outcome.REJECTED);
                 List<Script.Send> sends = s.sendsOf(id);
                 assertTrue(name, sends.size() >= 3);
                 boolean bound = ran && name.startsWith("keyed");
--- a/decisions/src/test/java/trailthread/ReportTest.java
+++ b/decisions/src/test/java/trailthread/ReportTest.java
@@ -4,7 +4,7 @@
 import static trailthread.Script.MS;
 
 import org.junit.Test;
-import trailthread.BalancerApi.Outcome;
+import trailthread.api.Outcome;
 
 /** The design's correction: own sends since the report that the tickets rest on. */
 public class ReportTest {
@@ -13,16 +13,17 @@
     /** How often the second of two requests goes where the first is not. */
     private static int apart(boolean freshReport) {
         Script s = new Script(Script.settings(), 3);
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         int apart = 0;
         for (int i = 0; i < TURNS; i++) {
             long first = s.request("safe");
-            String holds = s.sendsOf(first).get(0).backend();
+            String holds = s.sendsOf(first).get(0).endpoint();
             if (freshReport) {
-                s.balancer.probed(s.now, holds, Outcome.OK, MS, Script.queue(0.001 * (i % 2)));
+                s.balancer.healthChecked(
+                        s.now, holds, Outcome.OK, MS, Script.queue(0.001 * (i % 2)));
             }
             long second = s.request("safe");
-            apart += s.sendsOf(second).get(0).backend().equals(holds) ? 0 : 1;
+            apart += s.sendsOf(second).get(0).endpoint().equals(holds) ? 0 : 1;
             s.pass(20 * MS);
             s.end(first, Outcome.OK);
             s.end(second, Outcome.OK);
--- a/decisions/src/test/java/trailthread/RulesTest.java
+++ b/decisions/src/test/java/trailthread/RulesTest.java
@@ -7,24 +7,27 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.Idempotency;
+import trailthread.api.ListKind;
+import trailthread.api.Outcome;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 
 /** The four rules, each by the guard that keeps it. */
 class RulesTest {
     private static final long MS = Script.MS;
     private final Script s = new Script(Script.settings(), 1);
 
-    private static Entry inCell(String name, int cell) {
-        return new Entry(name, 1, State.READY, "here", 0, cell);
+    private static EndpointEntry inCell(String name, int cell) {
+        return new EndpointEntry(name, 1, EndpointState.READY, "here", 0, cell);
     }
 
     @Test
     void aRequestWithNoBackendIsHeldThenRefusedInTime() {
-        s.backends();
+        s.endpoints();
         long id = s.request("safe");
         s.pass(900 * MS);
         assertTrue(s.sends.isEmpty());
@@ -36,16 +39,16 @@
 
     @Test
     void aHeldRequestGoesOutWhenABackendAppears() {
-        s.backends();
+        s.endpoints();
         long id = s.request("unsafe");
         s.pass(50 * MS);
-        s.backends("a");
-        assertEquals("a", s.sendsOf(id).get(0).backend());
+        s.endpoints("a");
+        assertEquals("a", s.sendsOf(id).get(0).endpoint());
     }
 
     @Test
     void anUnsafeRequestThatMayHaveRunFailsAndIsNeitherRepeatedNorRefused() {
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         for (Outcome o : List.of(Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)) {
             long id = s.request("unsafe");
             s.end(id, o);
@@ -58,16 +61,16 @@
 
     @Test
     void anUnsafeRequestThatNeverRanIsRepeatedElsewhere() {
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         long id = s.request("unsafe");
-        s.end(id, Outcome.FULL);
+        s.end(id, Outcome.REJECTED);
         assertEquals(2, s.sendsOf(id).size());
-        assertNotEquals(s.sendsOf(id).get(0).backend(), s.sendsOf(id).get(1).backend());
+        assertNotEquals(s.sendsOf(id).get(0).endpoint(), s.sendsOf(id).get(1).endpoint());
     }
 
     @Test
     void anUnsafeRequestInFlightAtItsDeadlineFails() {
-        s.backends("a");
+        s.endpoints("a");
         long id = s.request("unsafe");
         s.pass(1100 * MS);
         assertEquals(List.of(id), s.failed);
@@ -85,8 +88,8 @@
             t.end(id, Outcome.ERROR);
             assertEquals(2, t.sendsOf(id).size());
             assertEquals(
-                    t.sendsOf(id).get(0).backend().charAt(0),
-                    t.sendsOf(id).get(1).backend().charAt(0));
+                    t.sendsOf(id).get(0).endpoint().charAt(0),
+                    t.sendsOf(id).get(1).endpoint().charAt(0));
         }
     }
 
@@ -94,18 +97,18 @@
     void aKeyedRequestIsNotRepeatedPastItsWindow() {
         Settings settings = Script.settings();
         settings.classes.add(
-                new BalancerApi.RequestClass(
+                new RequestClass(
                         "brief",
                         200 * MS,
                         0,
                         1000 * MS,
-                        BalancerApi.Semantics.KEYED,
-                        BalancerApi.Group.ALL,
+                        Idempotency.IDEMPOTENCY_KEY,
+                        DeduplicationScope.ALL,
                         300 * MS,
                         1,
                         0.2));
         Script t = new Script(settings, 1);
-        t.backends("a", "b");
+        t.endpoints("a", "b");
         long early = t.request("brief");
         t.pass(50 * MS);
         t.end(early, Outcome.ERROR);
@@ -120,7 +123,7 @@
 
     @Test
     void repeatsOfWhatMayHaveRunStayWithinABudget() {
-        s.backends("a", "b", "c");
+        s.endpoints("a", "b", "c");
         int sends = 0;
         for (int i = 0; i < 200; i++) {
             long id = s.request("safe");
@@ -135,10 +138,10 @@
 
     @Test
     void aRequestHasNoMoreAttemptsThanAllowed() {
-        s.backends("a", "b", "c", "d", "e", "f");
+        s.endpoints("a", "b", "c", "d", "e", "f");
         long id = s.request("safe");
         for (int k = 0; k < 6 && s.sendsOf(id).size() > k; k++) {
-            s.end(id, Outcome.FULL);
+            s.end(id, Outcome.REJECTED);
             s.pass(100 * MS);
         }
         assertEquals(3, s.sendsOf(id).size());
@@ -147,7 +150,7 @@
 
     @Test
     void aRequestTheClientLeftIsAnsweredNoMore() {
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         long id = s.request("safe");
         s.balancer.gone(s.now, id);
         s.end(id, Outcome.ERROR);
@@ -158,7 +161,7 @@
 
     @Test
     void aStreamThatBeganHasNoDeadlineAndIsNotRepeated() {
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         long id = s.request("safe");
         s.balancer.firstByte(s.now, id, 0);
         s.pass(3000 * MS);
@@ -169,7 +172,7 @@
 
     @Test
     void absurdReportsAreIgnored() {
-        s.backends("a", "b");
+        s.endpoints("a", "b");
         for (double queue : new double[] {Double.NaN, -5, Double.POSITIVE_INFINITY}) {
             long id = s.request("safe");
             s.pass(20 * MS);
@@ -181,27 +184,27 @@
 
     @Test
     void aDrainingBackendGetsNothingMoreAtOnce() {
-        s.backends("a", "b");
-        s.delta(new Entry("a", 1, State.DRAINING, "here", 0, 0));
+        s.endpoints("a", "b");
+        s.delta(new EndpointEntry("a", 1, EndpointState.DRAINING, "here", 0, 0));
         for (int i = 0; i < 50; i++) {
             long id = s.request("safe");
-            assertEquals("b", s.sendsOf(id).get(0).backend());
+            assertEquals("b", s.sendsOf(id).get(0).endpoint());
             s.end(id, Outcome.OK);
         }
     }
 
     @Test
     void aBackendMissingFromAFullListGetsNothingMore() {
-        s.backends("a", "b");
-        s.backends("b");
+        s.endpoints("a", "b");
+        s.endpoints("b");
         for (int i = 0; i < 20; i++) {
             long id = s.request("safe");
-            assertEquals("b", s.sendsOf(id).get(0).backend());
+            assertEquals("b", s.sendsOf(id).get(0).endpoint());
             s.end(id, Outcome.OK);
         }
     }
 
-    /** Nothing known: all nodes together send a cold backend about one in a mean aim. */
+    /** Nothing known: all nodes together send a cold endpoint about one in a mean aim. */
     @Test
     void aColdBackendIsSentLittleByManyNodesTogether() {
         int sent = 0;
@@ -210,7 +213,7 @@
             settings.nodes = 40;
             settings.me = node;
             Script n = new Script(settings, node);
-            n.delta(new Entry("a", 1, State.READY, "here", n.now, 0));
+            n.delta(new EndpointEntry("a", 1, EndpointState.READY, "here", n.now, 0));
             for (int i = 0; i < 20; i++) { // each node has more than enough to send
                 n.request("safe");
                 n.pass(100 * MS);
--- a/decisions/src/test/java/trailthread/Script.java
+++ b/decisions/src/test/java/trailthread/Script.java
@@ -2,23 +2,23 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import trailthread.BalancerApi.Actions;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
+import trailthread.api.BalancerActions;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.Idempotency;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 
 /** A balancer with a scripted clock; what it asks for is recorded, nothing is simulated. */
-final class Script implements Actions {
+final class Script implements BalancerActions {
     static final long MS = 1_000_000L;
 
     /** One send, in the order of its request's. */
-    record Send(long id, String backend, long at, int attempt, long writtenBy) {}
+    record Send(long id, String endpoint, long at, int attempt, long writtenBy) {}
 
     /** One timer that is still to come due. */
     record Timer(long at, long token) {}
@@ -47,37 +47,53 @@
         Settings s = new Settings();
         s.classes.add(
                 new RequestClass(
-                        "safe", 200 * MS, 0, 1000 * MS, Semantics.SAFE, Group.ALL, 0, 1, 0.2));
+                        "safe",
+                        200 * MS,
+                        0,
+                        1000 * MS,
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        1,
+                        0.2));
         s.classes.add(
                 new RequestClass(
                         "keyed",
                         200 * MS,
                         0,
                         1000 * MS,
-                        Semantics.KEYED,
-                        Group.CELL,
+                        Idempotency.IDEMPOTENCY_KEY,
+                        DeduplicationScope.CELL,
                         2000 * MS,
                         1,
                         0.2));
         s.classes.add(
                 new RequestClass(
-                        "unsafe", 200 * MS, 0, 1000 * MS, Semantics.UNSAFE, Group.ALL, 0, 1, 0.2));
+                        "unsafe",
+                        200 * MS,
+                        0,
+                        1000 * MS,
+                        Idempotency.NOT_IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        1,
+                        0.2));
         return s;
     }
 
-    static Entry ready(String name) {
-        return new Entry(name, 1, State.READY, "here", 0, 0);
+    static EndpointEntry ready(String name) {
+        return new EndpointEntry(name, 1, EndpointState.READY, "here", 0, 0);
     }
 
-    void backends(String... names) {
-        List<Entry> entries = new ArrayList<>();
+    void endpoints(String... names) {
+        List<EndpointEntry> entries = new ArrayList<>();
         for (String name : names) {
             entries.add(ready(name));
         }
         balancer.list(now, ListKind.FULL, entries);
     }
 
-    void delta(Entry entry) {
+    void delta(EndpointEntry entry) {
         balancer.list(now, ListKind.DELTA, List.of(entry));
     }
 
@@ -97,14 +113,14 @@
     }
 
     /** Ends the last attempt of a request. */
-    void end(long id, Outcome outcome, Load load) {
+    void end(long id, Outcome outcome, LoadReport load) {
         Send last = sendsOf(id).get(sendsOf(id).size() - 1);
         balancer.outcome(
                 now, id, last.attempt(), outcome, now - last.at(), outcome == Outcome.OK, load);
     }
 
-    static Load queue(double queue) {
-        return new Load(Double.NaN, queue, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+    static LoadReport queue(double queue) {
+        return new LoadReport(Double.NaN, queue, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
     /** Moves the clock on, delivering timers as they come due. */
@@ -128,15 +144,15 @@
     }
 
     @Override
-    public void send(long id, long timeoutNs, long writtenBy, String backend) {
-        sends.add(new Send(id, backend, now, sendsOf(id).size(), writtenBy));
+    public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
+        sends.add(new Send(id, endpoint, now, sendsOf(id).size(), writtenBy));
         transcript
                 .append("send ")
                 .append(id)
                 .append(' ')
                 .append(timeoutNs)
                 .append(' ')
-                .append(backend)
+                .append(endpoint)
                 .append('\n');
     }
 
@@ -166,13 +182,13 @@
     }
 
     @Override
-    public void probe(String backend) {
-        transcript.append("probe ").append(backend).append('\n');
+    public void probe(String endpoint) {
+        transcript.append("probe ").append(endpoint).append('\n');
     }
 
     @Override
-    public void closeIdle(String backend) {
-        transcript.append("close ").append(backend).append('\n');
+    public void closeIdle(String endpoint) {
+        transcript.append("close ").append(endpoint).append('\n');
     }
 
     @Override
--- a/decisions/src/test/java/trailthread/SourceTest.java
+++ b/decisions/src/test/java/trailthread/SourceTest.java
@@ -36,6 +36,6 @@
         long filled = lines.stream().filter(l -> !l.isBlank()).count();
         assertTrue(filled <= MOST_LINES, "non-blank lines: " + filled);
         assertEquals(
-                1, lines.stream().limit(40).filter(l -> l.contains("BalancerApi.java")).count());
+                1, lines.stream().limit(40).filter(l -> l.contains("trailthread.api")).count());
     }
 }
--- a/decisions/src/test/java/trailthread/UnconfirmedListTest.java
+++ b/decisions/src/test/java/trailthread/UnconfirmedListTest.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 import org.junit.Test;
-import trailthread.BalancerApi.Outcome;
+import trailthread.api.Outcome;
 
 /** What the module does while the list may not be acted on. */
 public class UnconfirmedListTest {
@@ -12,12 +12,12 @@
     private final Script script = new Script(Script.settings(), 1);
 
     public UnconfirmedListTest() {
-        script.backends("a", "b", "c");
+        script.endpoints("a", "b", "c");
     }
 
     @Test
     public void requestsWaitForAQuarterOfTheirTimeAndAreRefused() {
-        script.balancer.listUsable(script.now, Long.MIN_VALUE);
+        script.balancer.listLeaseUntil(script.now, Long.MIN_VALUE);
         long id = script.request("unsafe");
         script.pass(249 * MS); // of 1,000
         assertEquals(List.of(), script.refused);
@@ -28,16 +28,16 @@
 
     @Test
     public void theyAreSentOnceTheListIsConfirmed() {
-        script.balancer.listUsable(script.now, Long.MIN_VALUE);
+        script.balancer.listLeaseUntil(script.now, Long.MIN_VALUE);
         long id = script.request("unsafe");
         script.pass(100 * MS);
-        script.balancer.listUsable(script.now, script.now + 6_000 * MS);
+        script.balancer.listLeaseUntil(script.now, script.now + 6_000 * MS);
         assertEquals(1, script.sendsOf(id).size());
     }
 
     @Test
     public void nothingIsSentAgainAfterTheListHasRunOut() {
-        script.balancer.listUsable(script.now, script.now + 50 * MS);
+        script.balancer.listLeaseUntil(script.now, script.now + 50 * MS);
         long id = script.request("safe");
         script.pass(50 * MS);
         script.end(id, Outcome.RESET);
--- a/decisions/src/test/java/trailthread/levels/AllowanceTest.java
+++ b/decisions/src/test/java/trailthread/levels/AllowanceTest.java
@@ -7,19 +7,19 @@
 
 import java.util.List;
 import org.junit.Test;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
+import trailthread.api.Idempotency;
+import trailthread.api.RequestClass;
 import trailthread.levels.Level.Reach;
 
 /** Which calls are taken, in which order they are shed, and whose are over. */
 public class AllowanceTest {
     private static final List<RequestClass> CLASSES =
             List.of(
-                    Feed.kind("u", Semantics.UNSAFE, 1),
-                    Feed.kind("k", Semantics.KEYED, 9),
-                    Feed.kind("s2", Semantics.SAFE, 2),
-                    Feed.kind("s1", Semantics.SAFE, 1),
-                    Feed.kind("s0", Semantics.SAFE, 1));
+                    Feed.kind("u", Idempotency.NOT_IDEMPOTENT, 1),
+                    Feed.kind("k", Idempotency.IDEMPOTENCY_KEY, 9),
+                    Feed.kind("s2", Idempotency.IDEMPOTENT, 2),
+                    Feed.kind("s1", Idempotency.IDEMPOTENT, 1),
+                    Feed.kind("s0", Idempotency.IDEMPOTENT, 1));
 
     @Test
     public void theOrderIsBySemanticsThenWorthUnlessNamesAreGiven() {
--- a/decisions/src/test/java/trailthread/levels/Feed.java
+++ b/decisions/src/test/java/trailthread/levels/Feed.java
@@ -4,18 +4,18 @@
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.Idempotency;
+import trailthread.api.RequestClass;
 
 /** Levels under readings four times a second. */
 final class Feed {
     static final long STEP = 250_000_000;
     static final List<RequestClass> CLASSES =
             List.of(
-                    kind("attempt-use", Semantics.UNSAFE, 2),
-                    kind("bench-action", Semantics.KEYED, 10),
-                    kind("bench-state", Semantics.SAFE, 1));
+                    kind("attempt-use", Idempotency.NOT_IDEMPOTENT, 2),
+                    kind("bench-action", Idempotency.IDEMPOTENCY_KEY, 10),
+                    kind("bench-state", Idempotency.IDEMPOTENT, 1));
 
     final Levels levels;
     final List<Change> changes = new ArrayList<>();
@@ -30,8 +30,8 @@
         levels = new Levels(plan, new ShedOrder(CLASSES, List.of()));
     }
 
-    static RequestClass kind(String name, Semantics semantics, double worth) {
-        return new RequestClass(name, 1, 0, 1, semantics, Group.ALL, 0, worth, 0);
+    static RequestClass kind(String name, Idempotency idempotency, double worth) {
+        return new RequestClass(name, 1, 0, 1, idempotency, DeduplicationScope.ALL, 0, worth, 0);
     }
 
     Feed set(Reading reading, double value) {
