--- a/decisions/src/test/java/trailthread/levels/Fleet.java
+++ b/decisions/src/test/java/trailthread/levels/Fleet.java
@@ -9,17 +9,17 @@
 import java.util.SplittableRandom;
 import java.util.function.LongToDoubleFunction;
 import trailthread.Balancer;
-import trailthread.BalancerApi.Actions;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.Reports;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
+import trailthread.api.BalancerActions;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.Idempotency;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReport;
+import trailthread.api.LoadReportSource;
+import trailthread.api.Outcome;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 
 /**
  * Six nodes, each with the real decision module, ten workers and their clients, in virtual time. A
@@ -39,7 +39,7 @@
 
     /** What a worker says of its load, which is in truth this; null: nothing. */
     interface Told {
-        Load load(int worker, long now, Load truth);
+        LoadReport load(int worker, long now, LoadReport truth);
     }
 
     /**
@@ -127,19 +127,27 @@
     private static Settings settings() {
         Settings s = new Settings();
         s.nodes = NODES;
-        s.reports = Reports.ANSWERS;
+        s.reports = LoadReportSource.ANSWERS;
         s.connectTimeoutNs = 100 * MS;
         s.classes.add(
                 new RequestClass(
-                        "bench-state", 300 * MS, 0, 1200 * MS, Semantics.SAFE, Group.ALL, 0, 1, 0));
+                        "bench-state",
+                        300 * MS,
+                        0,
+                        1200 * MS,
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        1,
+                        0));
         s.classes.add(
                 new RequestClass(
                         "bench-action",
                         200 * MS,
                         0,
                         500 * MS,
-                        Semantics.KEYED,
-                        Group.CELL,
+                        Idempotency.IDEMPOTENCY_KEY,
+                        DeduplicationScope.CELL,
                         300 * MS,
                         10,
                         0));
@@ -149,8 +157,8 @@
                         250 * MS,
                         0,
                         1200 * MS,
-                        Semantics.UNSAFE,
-                        Group.ALL,
+                        Idempotency.NOT_IDEMPOTENT,
+                        DeduplicationScope.ALL,
                         0,
                         2,
                         0));
@@ -191,7 +199,7 @@
             return number < day.failing() * WORKERS;
         }
 
-        Load report() {
+        LoadReport report() {
             long[] told = past.peekFirst();
             while (past.size() > 1 && past.peekFirst()[0] <= now - day.reportAgeNs()) {
                 told = past.removeFirst();
@@ -200,7 +208,7 @@
                     .load(
                             number,
                             now,
-                            new Load(
+                            new LoadReport(
                                     told[1],
                                     told[2],
                                     Double.NaN,
@@ -236,7 +244,7 @@
     }
 
     /** A node: the decision module, with or without an allowance before it. */
-    private final class Node implements Actions {
+    private final class Node implements BalancerActions {
         private final Balancer balancer;
         private final ShedOrder order = new ShedOrder(settings.classes, List.of());
         private final Levels levels = new Levels(new Plan(), order);
@@ -253,7 +261,15 @@
                     0,
                     ListKind.FULL,
                     workers.stream()
-                            .map(w -> new Entry("" + w.number, 1, State.READY, "", 0, 0))
+                            .map(
+                                    w ->
+                                            new EndpointEntry(
+                                                    "" + w.number,
+                                                    1,
+                                                    EndpointState.READY,
+                                                    "",
+                                                    0,
+                                                    0))
                             .toList());
             if (withLevels) {
                 read();
@@ -299,26 +315,27 @@
             if (!call.over) {
                 call.over = true;
                 RequestClass c = settings.classes.get(call.kind);
-                served[call.kind] += answered && now - call.at <= c.aimNs() ? 1 : 0;
+                served[call.kind] += answered && now - call.at <= c.latencyObjectiveNs() ? 1 : 0;
                 if (order.isGuarded(c.name())) {
-                    starved.count(now, !answered || call.sentAt - call.at > c.aimNs() / 10);
+                    starved.count(
+                            now, !answered || call.sentAt - call.at > c.latencyObjectiveNs() / 10);
                 }
             }
         }
 
         @Override
-        public void send(long id, long timeoutNs, long writtenBy, String backend) {
+        public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
             Call call = calls.get((int) id);
             call.sentAt = call.sentAt < 0 ? now : call.sentAt;
-            sent[Integer.parseInt(backend)]++;
-            Worker w = workers.get(Integer.parseInt(backend));
+            sent[Integer.parseInt(endpoint)]++;
+            Worker w = workers.get(Integer.parseInt(endpoint));
             int attempt = call.attempts++;
             long at = now;
             boolean[] over = new boolean[1];
             long left =
                     call.at
                             + settings.classes.get(call.kind).deadlineNs()
-                            + settings.answerSlackNs
+                            + settings.responseSlackNs
                             - now;
             after(
                     timeoutNs > 0 ? timeoutNs : left,
@@ -329,7 +346,7 @@
                         if (w.fails()) {
                             after(2 * MS, () -> outcome(id, attempt, Outcome.ERROR, at, over, w));
                         } else if (w.queue.size() >= LONGEST_QUEUE) {
-                            after(WIRE, () -> outcome(id, attempt, Outcome.FULL, at, over, w));
+                            after(WIRE, () -> outcome(id, attempt, Outcome.REJECTED, at, over, w));
                         } else {
                             w.serve(
                                     () ->
@@ -353,7 +370,7 @@
                 return;
             }
             over[0] = true;
-            if (outcome != Outcome.FULL) {
+            if (outcome != Outcome.REJECTED) {
                 errors[w.number] += 0.1 * ((outcome == Outcome.OK ? 0 : 1) - errors[w.number]);
             }
             boolean answers = outcome == Outcome.OK && !calls.get((int) id).over;
@@ -382,10 +399,10 @@
         public void cancel(long id, int attempt) {}
 
         @Override
-        public void probe(String backend) {}
+        public void probe(String endpoint) {}
 
         @Override
-        public void closeIdle(String backend) {}
+        public void closeIdle(String endpoint) {}
 
         @Override
         public void tell(int peer, byte[] data) {}
--- a/decisions/src/test/java/trailthread/levels/ReportsTest.java
+++ b/decisions/src/test/java/trailthread/levels/ReportsTest.java
@@ -4,7 +4,7 @@
 
 import java.util.Arrays;
 import org.junit.Test;
-import trailthread.BalancerApi.Load;
+import trailthread.api.LoadReport;
 import trailthread.levels.Fleet.Day;
 import trailthread.levels.Fleet.Told;
 
@@ -33,7 +33,7 @@
      */
     @Test
     public void aFullWorkerThatTellsOfNoLoadIsNotBelieved() {
-        Load none = new Load(0, 0, UNKNOWN, UNKNOWN, UNKNOWN, UNKNOWN);
+        LoadReport none = new LoadReport(0, 0, UNKNOWN, UNKNOWN, UNKNOWN, UNKNOWN);
         Fleet fleet = play(15, (worker, now, truth) -> worker == 0 ? none : truth);
         double share = (double) fleet.sent[0] / Arrays.stream(fleet.sent).sum();
         assertTrue("sent to the liar: " + share, share < 0.03);
@@ -42,7 +42,7 @@
     /** 0.12 of all sends went there. */
     @Test
     public void aWorkerThatAlwaysTellsOfNoLoadIsNotCrowded() {
-        Load none = new Load(0, 0, UNKNOWN, UNKNOWN, UNKNOWN, UNKNOWN);
+        LoadReport none = new LoadReport(0, 0, UNKNOWN, UNKNOWN, UNKNOWN, UNKNOWN);
         Fleet fleet = play(0, (worker, now, truth) -> worker == 0 ? none : truth);
         double share = (double) fleet.sent[0] / Arrays.stream(fleet.sent).sum();
         assertTrue("sent to the liar: " + share, share < 0.2);
--- a/engine/src/main/java/trailthread/engine/call/Call.java
+++ b/engine/src/main/java/trailthread/engine/call/Call.java
@@ -4,8 +4,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioExecutor;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
 import trailthread.engine.http.ByteSink;
 import trailthread.engine.meter.Answer;
 import trailthread.engine.worker.Attempt;
@@ -64,7 +64,7 @@
     void taken() {
         // Guards against a module that forgets a call: its client is owed an answer within the
         // slack.
-        long withinNs = deadline - takenAt + calls.answerSlackNs() / 2;
+        long withinNs = deadline - takenAt + calls.responseSlackNs() / 2;
         overdue = calls.loop().afterReading(withinNs, this::overdue);
         calls.decisions()
                 .event(
@@ -95,7 +95,7 @@
                 client.source() != null
                         && client.source().hasBegun(); // such a body can't be sent again
         if (finished || out != null || left <= 0 || spent) {
-            outcome(worker, attempt, new Ending(Outcome.MOOT, 0, null, null));
+            outcome(worker, attempt, new Ending(Outcome.NOT_SENT, 0, null, null));
             return;
         }
         long wait = timeoutNs == 0 ? left : Math.min(timeoutNs, left);
@@ -126,7 +126,10 @@
 
                                     @Override
                                     public ByteSink begins(
-                                            Made head, long length, Load told, Runnable more) {
+                                            Made head,
+                                            long length,
+                                            LoadReport told,
+                                            Runnable more) {
                                         return begun(
                                                 worker,
                                                 attempt,
@@ -157,7 +160,8 @@
             overdue =
                     calls.loop()
                             .afterReading(
-                                    client.timeLeftNs() + calls.answerSlackNs() / 2, this::overdue);
+                                    client.timeLeftNs() + calls.responseSlackNs() / 2,
+                                    this::overdue);
         }
     }
 
@@ -165,7 +169,7 @@
      * A long answer begins: the client has it from here on, and the module makes no further
      * attempt.
      */
-    private ByteSink begun(String worker, int attempt, Load told, Supplier<ByteSink> begin) {
+    private ByteSink begun(String worker, int attempt, LoadReport told, Supplier<ByteSink> begin) {
         if (finished) {
             return null; // the client has gone
         }
@@ -175,7 +179,10 @@
         calls.decisions().event(this, (module, now) -> module.firstByte(now, id, attempt));
         if (told != null) {
             calls.decisions()
-                    .event(null, (module, now) -> module.probed(now, worker, Outcome.OK, -1, told));
+                    .event(
+                            null,
+                            (module, now) ->
+                                    module.healthChecked(now, worker, Outcome.OK, -1, told));
         }
         return sink;
     }
--- a/engine/src/main/java/trailthread/engine/call/Calls.java
+++ b/engine/src/main/java/trailthread/engine/call/Calls.java
@@ -9,19 +9,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import trailthread.Balancer;
-import trailthread.BalancerApi.Actions;
-import trailthread.BalancerApi.Admission;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Settings;
+import trailthread.api.Admission;
+import trailthread.api.BalancerActions;
+import trailthread.api.EndpointEntry;
+import trailthread.api.ListKind;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 import trailthread.engine.discovery.WorkerList;
 import trailthread.engine.loop.Loop;
 import trailthread.engine.meter.Meter;
 import trailthread.engine.worker.Workers;
 
 /** The calls at work, between the module that decides on them and the sockets that carry them. */
-public final class Calls implements Actions, CallTaker {
+public final class Calls implements BalancerActions, CallTaker {
     private static final Logger LOG = LoggerFactory.getLogger(Calls.class);
 
     private final Loop loop;
@@ -34,7 +34,7 @@
     /** The clients' ids of these. Workers tell copies of a call by its id. */
     private final Set<String> openIds = new HashSet<>();
 
-    private long answerSlackNs;
+    private long responseSlackNs;
 
     /** What takes longer to tell its load than the tightest aim is fit for nothing just now. */
     private long probeWithinNs;
@@ -45,7 +45,7 @@
     private Runnable whenOver;
 
     private boolean over;
-    private Predicate<String> mayProbe = backend -> true;
+    private Predicate<String> mayCheckHealth = endpoint -> true;
     private long lastId;
 
     /** No call waits for its answer longer, by {@link Loop#now}. */
@@ -62,9 +62,12 @@
     }
 
     private void apply(Settings settings) {
-        answerSlackNs = settings.answerSlackNs;
+        responseSlackNs = settings.responseSlackNs;
         probeWithinNs =
-                settings.classes.stream().mapToLong(RequestClass::aimNs).min().orElseThrow();
+                settings.classes.stream()
+                        .mapToLong(RequestClass::latencyObjectiveNs)
+                        .min()
+                        .orElseThrow();
     }
 
     /** Other settings hold from now on; calls under way keep their class. */
@@ -114,8 +117,8 @@
     }
 
     /** Which probes that the module asks for are made; without it, all. */
-    public void setProbes(Predicate<String> mayProbe) {
-        this.mayProbe = mayProbe;
+    public void setProbes(Predicate<String> mayCheckHealth) {
+        this.mayCheckHealth = mayCheckHealth;
     }
 
     /** Tells the module which calls to take; null: all. */
@@ -129,13 +132,13 @@
     }
 
     /** Brings the module news of the workers. */
-    public void list(ListKind kind, List<Entry> entries) {
+    public void list(ListKind kind, List<EndpointEntry> entries) {
         decisions.event(null, (module, now) -> module.list(now, kind, entries));
     }
 
     /** Tells the module until when the list may be acted on. */
-    public void listUsable(long until) {
-        decisions.event(null, (module, now) -> module.listUsable(now, until));
+    public void listLeaseUntil(long until) {
+        decisions.event(null, (module, now) -> module.listLeaseUntil(now, until));
     }
 
     @Override
@@ -176,8 +179,8 @@
         return workers;
     }
 
-    long answerSlackNs() {
-        return answerSlackNs;
+    long responseSlackNs() {
+        return responseSlackNs;
     }
 
     void forget(Call call, long id, String clientsId) {
@@ -192,10 +195,10 @@
     // -----------------------------------------------------------------------------------
 
     @Override
-    public void send(long id, long timeoutNs, long writtenBy, String backend) {
+    public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
         Call call = calls.get(id);
         if (call != null) {
-            call.attempt(backend, timeoutNs, writtenBy);
+            call.attempt(endpoint, timeoutNs, writtenBy);
         }
     }
 
@@ -235,21 +238,21 @@
     }
 
     @Override
-    public void probe(String backend) {
-        if (!mayProbe.test(backend)) {
+    public void probe(String endpoint) {
+        if (!mayCheckHealth.test(endpoint)) {
             return;
         }
         workers.probe(
-                backend,
+                endpoint,
                 probeWithinNs,
                 ending -> {
-                    meter.probed(backend, ending.outcome(), ending.load());
+                    meter.healthChecked(endpoint, ending.outcome(), ending.load());
                     decisions.event(
                             null,
                             (module, now) ->
-                                    module.probed(
+                                    module.healthChecked(
                                             now,
-                                            backend,
+                                            endpoint,
                                             ending.outcome(),
                                             ending.latencyNs(),
                                             ending.load()));
@@ -257,8 +260,8 @@
     }
 
     @Override
-    public void closeIdle(String backend) {
-        workers.closeIdle(backend);
+    public void closeIdle(String endpoint) {
+        workers.closeIdle(endpoint);
     }
 
     @Override
--- a/engine/src/main/java/trailthread/engine/call/Decisions.java
+++ b/engine/src/main/java/trailthread/engine/call/Decisions.java
@@ -4,8 +4,8 @@
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import trailthread.BalancerApi.Actions;
-import trailthread.BalancerApi.Events;
+import trailthread.api.BalancerActions;
+import trailthread.api.BalancerEvents;
 
 /**
  * Brings events to the module. What it asks for while it handles one is queued and done after it,
@@ -16,12 +16,12 @@
 
     /** One event, told at this time. */
     interface Telling {
-        void tell(Events module, long now);
+        void tell(BalancerEvents module, long now);
     }
 
     private final LongSupplier clock;
     private final ArrayDeque<Runnable> asked = new ArrayDeque<>();
-    private Events module;
+    private BalancerEvents module;
     private boolean busy;
 
     /** When the last event was, for the module. */
@@ -35,7 +35,7 @@
         eventAt = clock.getAsLong();
     }
 
-    void setModule(Events module) {
+    void setModule(BalancerEvents module) {
         this.module = module;
     }
 
@@ -72,11 +72,11 @@
     }
 
     /** The actions that the module sees: each is queued. */
-    Actions queueing(Actions target) {
-        return new Actions() {
+    BalancerActions queueing(BalancerActions target) {
+        return new BalancerActions() {
             @Override
-            public void send(long id, long timeoutNs, long writtenBy, String backend) {
-                asked.add(() -> target.send(id, timeoutNs, writtenBy, backend));
+            public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
+                asked.add(() -> target.send(id, timeoutNs, writtenBy, endpoint));
             }
 
             @Override
@@ -103,13 +103,13 @@
             }
 
             @Override
-            public void probe(String backend) {
-                asked.add(() -> target.probe(backend));
+            public void probe(String endpoint) {
+                asked.add(() -> target.probe(endpoint));
             }
 
             @Override
-            public void closeIdle(String backend) {
-                asked.add(() -> target.closeIdle(backend));
+            public void closeIdle(String endpoint) {
+                asked.add(() -> target.closeIdle(endpoint));
             }
 
             @Override
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryEntry.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryEntry.java
@@ -1,7 +1,7 @@
 package trailthread.engine.discovery;
 
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
 
 /**
  * One worker as discovery names it.
@@ -16,11 +16,12 @@
         String hostPort,
         String zone,
         int cell,
-        State lifecycle,
+        EndpointState lifecycle,
         double weight,
         long startedAtMs) {
     /** The worker as the decision module has it. */
-    public Entry entry() {
-        return new Entry(instanceId, weight, lifecycle, zone, startedAtMs * 1_000_000, cell);
+    public EndpointEntry entry() {
+        return new EndpointEntry(
+                instanceId, weight, lifecycle, zone, startedAtMs * 1_000_000, cell);
     }
 }
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryParser.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryParser.java
@@ -9,7 +9,7 @@
 import java.net.URISyntaxException;
 import java.util.ArrayList;
 import java.util.List;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointState;
 
 /** Reads discovery's JSON; unknown keys are skipped. */
 public final class DiscoveryParser {
@@ -81,7 +81,7 @@
         String hostPort = null;
         String zone = "";
         int cell = -1;
-        State lifecycle = null;
+        EndpointState lifecycle = null;
         double weight = 1;
         long startedAtMs = 0;
         in.beginObject();
@@ -171,11 +171,11 @@
         return port > 0 && port <= MOST_PORT;
     }
 
-    private static State lifecycle(String word) throws IOException {
+    private static EndpointState lifecycle(String word) throws IOException {
         return switch (word) {
-            case "active" -> State.READY;
-            case "leaving" -> State.DRAINING;
-            case "left" -> State.GONE;
+            case "active" -> EndpointState.READY;
+            case "leaving" -> EndpointState.DRAINING;
+            case "left" -> EndpointState.GONE;
             default ->
                     throw new IOException(
                             "expected lifecycle active, leaving or left, got " + word);
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryUpdate.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryUpdate.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointState;
 
 /**
  * One object of discovery.
@@ -18,7 +18,7 @@
             before.instances.forEach(entry -> all.put(entry.instanceId(), entry));
         }
         for (DiscoveryEntry entry : instances) {
-            if (entry.lifecycle() == State.GONE) {
+            if (entry.lifecycle() == EndpointState.GONE) {
                 all.remove(entry.instanceId());
             } else {
                 all.put(entry.instanceId(), entry);
--- a/engine/src/main/java/trailthread/engine/discovery/FixedList.java
+++ b/engine/src/main/java/trailthread/engine/discovery/FixedList.java
@@ -1,7 +1,7 @@
 package trailthread.engine.discovery;
 
 import java.util.List;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointState;
 import trailthread.engine.loop.Loop;
 
 /** Workers that are given once and for all: always ready, as far as a list can tell. */
@@ -31,7 +31,7 @@
                                                         hostPort,
                                                         "",
                                                         -1,
-                                                        State.READY,
+                                                        EndpointState.READY,
                                                         1,
                                                         0))
                                 .toList());
--- a/engine/src/main/java/trailthread/engine/meter/Meter.java
+++ b/engine/src/main/java/trailthread/engine/meter/Meter.java
@@ -1,10 +1,10 @@
 package trailthread.engine.meter;
 
 import java.util.List;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
+import trailthread.api.EndpointEntry;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
 
 /** Hears what happens in the node, on the loop's thread, and returns at once. */
 public interface Meter {
@@ -44,17 +44,17 @@
      * @param latencyNs -1 where the node can't tell its own lateness from it
      * @param load what the worker told of itself with it, or null
      */
-    void attemptEnded(String worker, Outcome outcome, long latencyNs, Load load);
+    void attemptEnded(String worker, Outcome outcome, long latencyNs, LoadReport load);
 
     /**
      * A probe has ended.
      *
      * @param load what the worker told of itself, or null
      */
-    void probed(String worker, Outcome outcome, Load load);
+    void healthChecked(String worker, Outcome outcome, LoadReport load);
 
     /** News of the workers, as the decision module gets it. */
-    void listed(ListKind kind, List<Entry> entries);
+    void listed(ListKind kind, List<EndpointEntry> entries);
 
     /** A configuration was read at a reload, and was taken over or not. */
     void reloaded(boolean taken);
--- a/engine/src/main/java/trailthread/engine/meter/NoMeter.java
+++ b/engine/src/main/java/trailthread/engine/meter/NoMeter.java
@@ -1,10 +1,10 @@
 package trailthread.engine.meter;
 
 import java.util.List;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
+import trailthread.api.EndpointEntry;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
 
 /** Keeps nothing. */
 final class NoMeter implements Meter {
@@ -27,13 +27,13 @@
     public void attemptSent() {}
 
     @Override
-    public void attemptEnded(String worker, Outcome outcome, long latencyNs, Load load) {}
+    public void attemptEnded(String worker, Outcome outcome, long latencyNs, LoadReport load) {}
 
     @Override
-    public void probed(String worker, Outcome outcome, Load load) {}
+    public void healthChecked(String worker, Outcome outcome, LoadReport load) {}
 
     @Override
-    public void listed(ListKind kind, List<Entry> entries) {}
+    public void listed(ListKind kind, List<EndpointEntry> entries) {}
 
     @Override
     public void reloaded(boolean taken) {}
--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
+import trailthread.api.EndpointEntry;
+import trailthread.api.ListKind;
 import trailthread.engine.call.CallTaker;
 import trailthread.engine.call.Calls;
 import trailthread.engine.call.ClientCall;
@@ -83,7 +83,7 @@
                         config.rules().idleCloseNs(),
                         config.rules().drainGraceNs(),
                         new Room(),
-                        settings.finestNs(),
+                        settings.latencyResolutionNs(),
                         this);
         meter = new PoolMeter(config.name(), operators);
         atWork = new Calls(loop, workers, settings, seed, meter);
@@ -243,7 +243,7 @@
     private void listed(ListKind kind, DiscoveryUpdate update, long knownSince) {
         known = update.onto(known);
         workers.update(update, knownSince);
-        List<Entry> entries = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         update.instances().forEach(worker -> entries.add(worker.entry()));
         meter.listed(kind, entries);
         atWork.list(kind, entries);
--- a/engine/src/main/java/trailthread/engine/pool/PoolConfig.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolConfig.java
@@ -1,12 +1,12 @@
 package trailthread.engine.pool;
 
 import java.util.List;
-import trailthread.BalancerApi.Reports;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.Tenant;
-import trailthread.BalancerApi.Weights;
+import trailthread.api.Idempotency;
+import trailthread.api.LoadReportSource;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
+import trailthread.api.Tenant;
+import trailthread.api.WeightMeaning;
 
 /**
  * All that makes a pool what it is. Equal ones are one pool: a reload keeps a pool whose
@@ -61,7 +61,7 @@
     /**
      * Where this node stands.
      *
-     * @param zone its own; workers of other zones cost more by {@link Rules#priceCrossZone}
+     * @param zone its own; workers of other zones cost more by {@link Rules#crossZonePrice}
      * @param number from 0 on
      * @param nodes how many share the workers, 1 or more
      */
@@ -78,11 +78,11 @@
     /** A class of calls, as the decision module has it, and what of it may be done again. */
     public record ClassConfig(RequestClass rules, Repeats repeats) {
         /** What the decision module is to think of calls that may be repeated so. */
-        public static Semantics semantics(Repeats repeats) {
+        public static Idempotency idempotency(Repeats repeats) {
             return switch (repeats) {
-                case SAFE, IDEMPOTENT -> Semantics.SAFE;
-                case KEYED -> Semantics.KEYED;
-                case UNSAFE -> Semantics.UNSAFE;
+                case SAFE, IDEMPOTENT -> Idempotency.IDEMPOTENT;
+                case KEYED -> Idempotency.IDEMPOTENCY_KEY;
+                case UNSAFE -> Idempotency.NOT_IDEMPOTENT;
             };
         }
     }
@@ -92,7 +92,7 @@
      *
      * @param idleCloseNs how long a worker leaves an idle connection open
      * @param drainGraceNs how long after the news of a drain something new may still be sent
-     * @param answerSlackNs how far past a client's deadline an answer still counts
+     * @param responseSlackNs how far past a client's deadline an answer still counts
      * @param maxRetryAfterNs the longest advice on when to return; 0: none is given
      */
     public record Rules(
@@ -100,13 +100,13 @@
             long connectTimeoutNs,
             long idleCloseNs,
             long drainGraceNs,
-            long answerSlackNs,
+            long responseSlackNs,
             long maxRetryAfterNs,
-            Reports reports,
-            boolean mayProbe,
-            double priceCrossZone,
-            double coldShare,
-            long coldNs) {}
+            LoadReportSource reports,
+            boolean mayCheckHealth,
+            double crossZonePrice,
+            double slowStartInitialShare,
+            long slowStartNs) {}
 
     /** Of one thing: what is there for it at all times, and the most that it may have. */
     public record Part(long guaranteed, long most) {}
@@ -134,18 +134,18 @@
         s.zone = place.zone();
         classes.forEach(c -> s.classes.add(c.rules()));
         s.tenants.addAll(tenants);
-        s.priceCrossZone = rules.priceCrossZone();
-        s.mayProbe = rules.mayProbe();
+        s.crossZonePrice = rules.crossZonePrice();
+        s.mayCheckHealth = rules.mayCheckHealth();
         s.maxAttempts = rules.maxAttempts();
         s.retryAfter = rules.maxRetryAfterNs() > 0;
         s.maxRetryAfterNs = rules.maxRetryAfterNs();
         s.connectTimeoutNs = rules.connectTimeoutNs();
-        s.listOnRequest = source instanceof Source.Roster;
-        s.weights = Weights.NOMINAL;
+        s.listIsPolled = source instanceof Source.Roster;
+        s.weights = WeightMeaning.NOMINAL;
         s.reports = rules.reports();
-        s.answerSlackNs = rules.answerSlackNs();
-        s.coldShare = rules.coldShare();
-        s.coldNs = rules.coldNs();
+        s.responseSlackNs = rules.responseSlackNs();
+        s.slowStartInitialShare = rules.slowStartInitialShare();
+        s.slowStartNs = rules.slowStartNs();
         return s;
     }
 
--- a/engine/src/main/java/trailthread/engine/pool/PoolMeter.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolMeter.java
@@ -4,11 +4,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
 import trailthread.engine.meter.Answer;
 import trailthread.engine.meter.Meter;
 import trailthread.engine.meter.Rejection;
@@ -17,7 +17,7 @@
 final class PoolMeter implements Meter {
     private final String prefix;
     private final Meter operators;
-    private final Map<String, Entry> listed = new HashMap<>();
+    private final Map<String, EndpointEntry> listed = new HashMap<>();
 
     PoolMeter(String pool, Meter operators) {
         this.prefix = pool + "/";
@@ -55,31 +55,31 @@
     }
 
     @Override
-    public void attemptEnded(String worker, Outcome outcome, long latencyNs, Load load) {
+    public void attemptEnded(String worker, Outcome outcome, long latencyNs, LoadReport load) {
         operators.attemptEnded(prefix + worker, outcome, latencyNs, load);
     }
 
     @Override
-    public void probed(String worker, Outcome outcome, Load load) {
-        operators.probed(prefix + worker, outcome, load);
+    public void healthChecked(String worker, Outcome outcome, LoadReport load) {
+        operators.healthChecked(prefix + worker, outcome, load);
     }
 
     /** The meter holds the workers of all pools, so a whole list of one is told as what changed. */
     @Override
-    public void listed(ListKind kind, List<Entry> entries) {
-        List<Entry> changes = new ArrayList<>();
+    public void listed(ListKind kind, List<EndpointEntry> entries) {
+        List<EndpointEntry> changes = new ArrayList<>();
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
-            Map<String, Entry> left = new HashMap<>(listed);
-            entries.forEach(entry -> left.remove(entry.backend()));
-            left.values().forEach(entry -> changes.add(named(entry, State.GONE)));
+            Map<String, EndpointEntry> left = new HashMap<>(listed);
+            entries.forEach(entry -> left.remove(entry.endpoint()));
+            left.values().forEach(entry -> changes.add(named(entry, EndpointState.GONE)));
             listed.clear();
         }
-        for (Entry entry : entries) {
+        for (EndpointEntry entry : entries) {
             changes.add(named(entry, entry.state()));
-            if (entry.state() == State.GONE) {
-                listed.remove(entry.backend());
+            if (entry.state() == EndpointState.GONE) {
+                listed.remove(entry.endpoint());
             } else {
-                listed.put(entry.backend(), entry);
+                listed.put(entry.endpoint(), entry);
             }
         }
         operators.listed(ListKind.DELTA, changes);
@@ -90,9 +90,9 @@
         listed(ListKind.FULL, List.of());
     }
 
-    private Entry named(Entry entry, State state) {
-        return new Entry(
-                prefix + entry.backend(),
+    private EndpointEntry named(EndpointEntry entry, EndpointState state) {
+        return new EndpointEntry(
+                prefix + entry.endpoint(),
                 entry.weight(),
                 state,
                 entry.zone(),
--- a/engine/src/main/java/trailthread/engine/service/Failing.java
+++ b/engine/src/main/java/trailthread/engine/service/Failing.java
@@ -3,10 +3,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.ListKind;
+import trailthread.api.Outcome;
 
 /**
  * Which share of the ready workers fails; pure.
@@ -27,7 +27,7 @@
 
     /** The last attempts at one worker. */
     private static final class AttemptHistory {
-        State state;
+        EndpointState state;
 
         /** Its last attempts, the latest in the lowest bit; 1: it failed. */
         int failed;
@@ -44,15 +44,15 @@
     }
 
     /** News of the workers. */
-    void listed(ListKind kind, List<Entry> entries) {
+    void listed(ListKind kind, List<EndpointEntry> entries) {
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
-            workers.values().forEach(record -> record.state = State.GONE);
+            workers.values().forEach(record -> record.state = EndpointState.GONE);
         }
-        for (Entry entry : entries) {
-            workers.computeIfAbsent(entry.backend(), name -> new AttemptHistory()).state =
+        for (EndpointEntry entry : entries) {
+            workers.computeIfAbsent(entry.endpoint(), name -> new AttemptHistory()).state =
                     entry.state();
         }
-        workers.values().removeIf(record -> record.state == State.GONE);
+        workers.values().removeIf(record -> record.state == EndpointState.GONE);
     }
 
     /**
@@ -79,7 +79,7 @@
         int ready = 0;
         int failing = 0;
         for (AttemptHistory record : workers.values()) {
-            if (record.state == State.READY) {
+            if (record.state == EndpointState.READY) {
                 ready++;
                 int failed = Integer.bitCount(record.failed);
                 boolean fails = failed >= LEAST_FAILED && 3 * failed > record.count;
--- a/engine/src/main/java/trailthread/engine/service/LevelsConfig.java
+++ b/engine/src/main/java/trailthread/engine/service/LevelsConfig.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import trailthread.BalancerApi.RequestClass;
+import trailthread.api.RequestClass;
 import trailthread.levels.Condition;
 import trailthread.levels.Level;
 import trailthread.levels.Plan;
@@ -104,7 +104,7 @@
         plan.halfLifeNs = keys.ns("half_life_s", plan.halfLifeNs);
         plan.mostStayNs = keys.ns("most_stay_s", plan.mostStayNs);
         plan.riseNs = keys.ns("rise_s", plan.riseNs);
-        plan.fallNs = keys.ns("fall_s", plan.fallNs);
+        plan.overloadWindowNs = keys.ns("fall_s", plan.overloadWindowNs);
         plan.keep = keys.number("keep", plan.keep);
         for (int i = 1;
                 i < plan.levels.size();
--- a/engine/src/main/java/trailthread/engine/service/Service.java
+++ b/engine/src/main/java/trailthread/engine/service/Service.java
@@ -9,14 +9,14 @@
 import java.util.stream.Collectors;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import trailthread.BalancerApi.Admission;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.Reports;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Settings;
+import trailthread.api.Admission;
+import trailthread.api.EndpointEntry;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReport;
+import trailthread.api.LoadReportSource;
+import trailthread.api.Outcome;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 import trailthread.engine.loop.Loop;
 import trailthread.engine.meter.Answer;
 import trailthread.engine.meter.Meter;
@@ -40,7 +40,7 @@
     private final Loop loop;
     private final LevelsConfig config;
     private final Meter next;
-    private final Reports reports;
+    private final LoadReportSource reports;
     private final Levels levels;
     private final Failing failing;
     private final ReportAge reportAge;
@@ -69,7 +69,7 @@
         failing =
                 new Failing(
                         settings.classes.stream()
-                                .mapToLong(RequestClass::aimNs)
+                                .mapToLong(RequestClass::latencyObjectiveNs)
                                 .min()
                                 .orElseThrow());
         reportAge = new ReportAge(loop.now());
@@ -119,7 +119,7 @@
         long now = loop.now();
         Runtime runtime = Runtime.getRuntime();
         long used = memory.sampled(runtime.totalMemory() - runtime.freeMemory());
-        double ageNs = reports == Reports.NONE ? Double.NaN : reportAge.ns();
+        double ageNs = reports == LoadReportSource.NONE ? Double.NaN : reportAge.ns();
         readings =
                 new Readings(
                         now,
@@ -199,16 +199,16 @@
     }
 
     @Override
-    public void attemptEnded(String worker, Outcome outcome, long latencyNs, Load load) {
+    public void attemptEnded(String worker, Outcome outcome, long latencyNs, LoadReport load) {
         failing.ended(worker, outcome, latencyNs, loop.now());
-        told(load, reports == Reports.ANSWERS && outcome == Outcome.OK);
+        told(load, reports == LoadReportSource.ANSWERS && outcome == Outcome.OK);
         next.attemptEnded(worker, outcome, latencyNs, load);
     }
 
     @Override
-    public void probed(String worker, Outcome outcome, Load load) {
-        told(load, reports == Reports.PROBES);
-        next.probed(worker, outcome, load);
+    public void healthChecked(String worker, Outcome outcome, LoadReport load) {
+        told(load, reports == LoadReportSource.PROBES);
+        next.healthChecked(worker, outcome, load);
     }
 
     @Override
@@ -217,7 +217,7 @@
     }
 
     @Override
-    public void listed(ListKind kind, List<Entry> entries) {
+    public void listed(ListKind kind, List<EndpointEntry> entries) {
         failing.listed(kind, entries);
         next.listed(kind, entries);
     }
@@ -227,7 +227,7 @@
         next.levelEntered(now, level);
     }
 
-    private void told(Load load, boolean owed) {
+    private void told(LoadReport load, boolean owed) {
         if (load != null) {
             reportAge.reported(loop.now());
         } else if (owed) {
--- a/engine/src/main/java/trailthread/engine/service/Starved.java
+++ b/engine/src/main/java/trailthread/engine/service/Starved.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import trailthread.BalancerApi.RequestClass;
+import trailthread.api.RequestClass;
 import trailthread.engine.meter.Answer;
 import trailthread.levels.Lately;
 import trailthread.levels.ShedOrder;
@@ -29,7 +29,7 @@
         lately = new Lately(SPAN_NS, now);
         for (RequestClass c : classes) {
             if (order.isGuarded(c.name())) {
-                mostWaitNs.put(c.name(), c.aimNs() / AIM_PARTS);
+                mostWaitNs.put(c.name(), c.latencyObjectiveNs() / AIM_PARTS);
             }
         }
     }
--- a/engine/src/main/java/trailthread/engine/worker/Attempt.java
+++ b/engine/src/main/java/trailthread/engine/worker/Attempt.java
@@ -7,8 +7,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.xnio.XnioExecutor;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
 import trailthread.engine.http.AnswerListener;
 import trailthread.engine.http.ByteSink;
 import trailthread.engine.http.HttpConnection;
@@ -140,7 +140,7 @@
             // drops this as a repeat, or nobody waits for it. The rules count from when it is
             // written.
             connections.keep(worker, to);
-            end(Outcome.MOOT);
+            end(Outcome.NOT_SENT);
             return;
         }
         connection = to;
@@ -220,7 +220,7 @@
      * too late to it.
      */
     private Outcome unsent() {
-        return mayBeWritten() ? Outcome.CONNECT_FAILED : Outcome.MOOT;
+        return mayBeWritten() ? Outcome.CONNECT_FAILED : Outcome.NOT_SENT;
     }
 
     @Override
@@ -332,7 +332,7 @@
 
     /** Stops waiting; what has not been written whole by then never is. */
     public void cancel() {
-        end(isSent() ? Outcome.CANCELLED : Outcome.MOOT);
+        end(isSent() ? Outcome.CANCELLED : Outcome.NOT_SENT);
     }
 
     private void end(Outcome outcome) {
@@ -371,12 +371,12 @@
                         : passed == null
                                 ? Made.of(body.toByteArray())
                                 : new Made(answer.status(), passed, body.toByteArray());
-        Load load =
+        LoadReport load =
                 answer == null || sink != null
                         ? null
                         : answer.load(); // old by the end of a long answer
         if (load == null && made != null && request.isProbe()) {
-            load = LoadReport.parse(new String(made.body(), StandardCharsets.UTF_8));
+            load = LoadReportParser.parse(new String(made.body(), StandardCharsets.UTF_8));
         }
         listener.ended(new Ending(outcome, latencyNs, load, made));
     }
--- a/engine/src/main/java/trailthread/engine/worker/AttemptListener.java
+++ b/engine/src/main/java/trailthread/engine/worker/AttemptListener.java
@@ -1,6 +1,6 @@
 package trailthread.engine.worker;
 
-import trailthread.BalancerApi.Load;
+import trailthread.api.LoadReport;
 import trailthread.engine.http.ByteSink;
 
 /** Hears what becomes of one attempt. */
@@ -24,7 +24,7 @@
      *     there was none
      * @return where it goes, or null: nobody waits for it any more
      */
-    default ByteSink begins(Made head, long length, Load told, Runnable more) {
+    default ByteSink begins(Made head, long length, LoadReport told, Runnable more) {
         return null;
     }
 
--- a/engine/src/main/java/trailthread/engine/worker/Connections.java
+++ b/engine/src/main/java/trailthread/engine/worker/Connections.java
@@ -77,7 +77,7 @@
     }
 
     /** The list may be acted on until this time, by {@link Loop#now}. */
-    void listUsable(long until) {
+    void listLeaseUntil(long until) {
         listUsableUntil = until;
     }
 
--- a/engine/src/main/java/trailthread/engine/worker/Ending.java
+++ b/engine/src/main/java/trailthread/engine/worker/Ending.java
@@ -1,7 +1,7 @@
 package trailthread.engine.worker;
 
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
 
 /**
  * How an attempt ended.
@@ -9,4 +9,4 @@
  * @param load or null
  * @param made what the worker made, if the outcome is OK
  */
-public record Ending(Outcome outcome, long latencyNs, Load load, Made made) {}
+public record Ending(Outcome outcome, long latencyNs, LoadReport load, Made made) {}
--- a/engine/src/main/java/trailthread/engine/worker/LoadReport.java
+++ b/engine/src/main/java/trailthread/engine/worker/LoadReportParser.java
@@ -5,19 +5,19 @@
 import com.google.gson.stream.JsonToken;
 import java.io.IOException;
 import java.io.StringReader;
-import trailthread.BalancerApi.Load;
+import trailthread.api.LoadReport;
 
 /** Reads a worker's load report; pure. */
-final class LoadReport {
+final class LoadReportParser {
     /** No worker holds, serves or takes more; whoever tells of it tells nonsense. */
     private static final double MOST = 1e6;
 
-    private LoadReport() {}
+    private LoadReportParser() {}
 
     /**
      * The report, or null if there is none or it is malformed or absurd; unknown keys are skipped.
      */
-    static Load parse(String json) {
+    static LoadReport parse(String json) {
         if (json == null) {
             return null;
         }
@@ -59,6 +59,6 @@
                 return null;
             }
         }
-        return new Load(inflight, queue, util, latencyMs, qps, eps);
+        return new LoadReport(inflight, queue, util, latencyMs, qps, eps);
     }
 }
--- a/engine/src/main/java/trailthread/engine/worker/Worker.java
+++ b/engine/src/main/java/trailthread/engine/worker/Worker.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointState;
 
 /** One worker, and the idle connections to it. */
 final class Worker {
@@ -29,8 +29,8 @@
         this.address = Workers.address(hostPort);
     }
 
-    void tell(State state, long now) {
-        if (state == State.READY) {
+    void tell(EndpointState state, long now) {
+        if (state == EndpointState.READY) {
             drainsSince = 0;
         } else if (drainsSince == 0) {
             drainsSince = now;
--- a/engine/src/main/java/trailthread/engine/worker/WorkerAnswer.java
+++ b/engine/src/main/java/trailthread/engine/worker/WorkerAnswer.java
@@ -2,11 +2,11 @@
 
 import io.undertow.util.HeaderMap;
 import io.undertow.util.HttpString;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
 
 /** The head of a worker's answer, decoded. */
-record WorkerAnswer(int status, boolean unprocessed, Load load) {
+record WorkerAnswer(int status, boolean unprocessed, LoadReport load) {
     private static final HttpString UNPROCESSED = new HttpString("X-Unprocessed");
     private static final HttpString LOAD = new HttpString("X-Backend-Load");
 
@@ -19,10 +19,10 @@
      * The first report that can be read: one that can't does not spoil the answer, nor the next
      * report.
      */
-    private static Load load(HeaderMap headers) {
-        Load load = null;
+    private static LoadReport load(HeaderMap headers) {
+        LoadReport load = null;
         for (int i = 0; load == null && i < headers.count(LOAD); i++) {
-            load = LoadReport.parse(headers.get(LOAD, i));
+            load = LoadReportParser.parse(headers.get(LOAD, i));
         }
         return load;
     }
@@ -37,6 +37,6 @@
         if (status == 200 || (plain && status < 500 && status != 429)) {
             return Outcome.OK;
         }
-        return unprocessed && (status == 503 || status == 504) ? Outcome.FULL : Outcome.ERROR;
+        return unprocessed && (status == 503 || status == 504) ? Outcome.REJECTED : Outcome.ERROR;
     }
 }
--- a/engine/src/main/java/trailthread/engine/worker/Workers.java
+++ b/engine/src/main/java/trailthread/engine/worker/Workers.java
@@ -5,7 +5,7 @@
 import java.util.Iterator;
 import java.util.Map;
 import java.util.function.Consumer;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointState;
 import trailthread.engine.discovery.DiscoveryEntry;
 import trailthread.engine.discovery.DiscoveryUpdate;
 import trailthread.engine.loop.Account;
@@ -73,13 +73,13 @@
                 worker = new Worker(entry.instanceId(), entry.hostPort(), fineNs);
                 workers.put(entry.instanceId(), worker);
             }
-            worker.listed = entry.lifecycle() != State.GONE;
+            worker.listed = entry.lifecycle() != EndpointState.GONE;
             worker.tell(entry.lifecycle(), now);
         }
         for (Iterator<Worker> i = workers.values().iterator(); i.hasNext(); ) {
             Worker worker = i.next();
             if (!worker.listed) {
-                worker.tell(State.GONE, now);
+                worker.tell(EndpointState.GONE, now);
                 connections.closeIdle(worker);
                 i.remove();
             }
@@ -87,8 +87,8 @@
     }
 
     /** The list may be acted on until this time, by {@link Loop#now}: no request is begun later. */
-    public void listUsable(long until) {
-        connections.listUsable(until);
+    public void listLeaseUntil(long until) {
+        connections.listLeaseUntil(until);
     }
 
     /** What takes in all that discovery has told by now; it is run before each request. */
--- a/engine/src/test/java/trailthread/engine/call/DecisionsTest.java
+++ b/engine/src/test/java/trailthread/engine/call/DecisionsTest.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.Test;
-import trailthread.BalancerApi.Actions;
-import trailthread.BalancerApi.Events;
+import trailthread.api.BalancerActions;
+import trailthread.api.BalancerEvents;
 
 /** The module is never entered again from within an event, and its failure is one event's. */
 public class DecisionsTest {
@@ -32,10 +32,10 @@
 
     @Test
     public void actionsWaitForTheEventToEnd() {
-        Actions seen =
+        BalancerActions seen =
                 decisions.queueing(
                         logged(
-                                Actions.class,
+                                BalancerActions.class,
                                 () -> {
                                     if (log.size()
                                             == 3) { // an action that ends at once, as a send to a
@@ -45,7 +45,7 @@
                                 }));
         decisions.setModule(
                 logged(
-                        Events.class,
+                        BalancerEvents.class,
                         () -> {
                             if (log.size() == 1) {
                                 seen.send(7, 0, Long.MAX_VALUE, "w");
@@ -62,7 +62,7 @@
     public void aModuleThatThrowsFailsOneEvent() {
         decisions.setModule(
                 logged(
-                        Events.class,
+                        BalancerEvents.class,
                         () -> {
                             if (log.size() == 1) {
                                 throw new IllegalStateException(
@@ -77,12 +77,12 @@
     @Test
     public void aDelayCountsFromTheEventHoweverLateItIsSet() {
         List<Object> set = new ArrayList<>();
-        Actions seen =
+        BalancerActions seen =
                 decisions.queueing(
-                        (Actions)
+                        (BalancerActions)
                                 Proxy.newProxyInstance(
-                                        Actions.class.getClassLoader(),
-                                        new Class<?>[] {Actions.class},
+                                        BalancerActions.class.getClassLoader(),
+                                        new Class<?>[] {BalancerActions.class},
                                         (proxy, method, args) -> {
                                             now += 30;
                                             set.addAll(List.of(args));
@@ -90,7 +90,7 @@
                                         }));
         decisions.setModule(
                 logged(
-                        Events.class,
+                        BalancerEvents.class,
                         () -> {
                             now += 7; // the module itself runs cold
                             seen.timer(100, 1);
--- a/engine/src/test/java/trailthread/engine/call/GoneClientTest.java
+++ b/engine/src/test/java/trailthread/engine/call/GoneClientTest.java
@@ -14,13 +14,13 @@
 import java.util.List;
 import org.junit.After;
 import org.junit.Test;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.Idempotency;
+import trailthread.api.ListKind;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 import trailthread.engine.discovery.DiscoveryEntry;
 import trailthread.engine.discovery.DiscoveryUpdate;
 import trailthread.engine.loop.Account;
@@ -63,7 +63,16 @@
     public void whatHasNotBegunIsNotWrittenAnyMore() throws Exception {
         Settings settings = new Settings();
         settings.classes.add(
-                new RequestClass("use", LONG_NS, 0, LONG_NS, Semantics.UNSAFE, Group.ALL, 0, 1, 0));
+                new RequestClass(
+                        "use",
+                        LONG_NS,
+                        0,
+                        LONG_NS,
+                        Idempotency.NOT_IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        1,
+                        0));
         Workers workers =
                 new Workers(loop, LONG_NS, LONG_NS, 0, ConnectionRoom.of(4), 0, Account.NONE);
         Calls calls = new Calls(loop, workers, settings, 1, Meter.OFF);
@@ -79,11 +88,13 @@
                                                     "127.0.0.1:" + server.getLocalPort(),
                                                     "a",
                                                     0,
-                                                    State.READY,
+                                                    EndpointState.READY,
                                                     1,
                                                     0))),
                             loop.now());
-                    calls.list(ListKind.FULL, List.of(new Entry("w", 1, State.READY, "a", 0, 0)));
+                    calls.list(
+                            ListKind.FULL,
+                            List.of(new EndpointEntry("w", 1, EndpointState.READY, "a", 0, 0)));
                     Runnable gone = calls.take(call("left"), loop.now() + LONG_NS, anyReply());
                     gone.run(); // the attempt has been decided on, and starts after this
                     assertFalse(calls.isOpen("left"));
--- a/engine/src/test/java/trailthread/engine/discovery/DiscoveryParserTest.java
+++ b/engine/src/test/java/trailthread/engine/discovery/DiscoveryParserTest.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.Test;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointState;
 
 /** discovery's objects, right and wrong, and its lines. */
 public class DiscoveryParserTest {
@@ -33,15 +33,15 @@
                                         "10.1.0.18:8080",
                                         "a",
                                         3,
-                                        State.READY,
+                                        EndpointState.READY,
                                         1.5,
                                         1_700_000_000_000L))),
                 DiscoveryParser.parse(GOOD));
-        assertEquals(State.DRAINING, lifecycle("leaving"));
-        assertEquals(State.GONE, lifecycle("left"));
+        assertEquals(EndpointState.DRAINING, lifecycle("leaving"));
+        assertEquals(EndpointState.GONE, lifecycle("left"));
     }
 
-    private static State lifecycle(String word) throws IOException {
+    private static EndpointState lifecycle(String word) throws IOException {
         return DiscoveryParser.parse(GOOD.replace("active", word)).instances().get(0).lifecycle();
     }
 
@@ -54,7 +54,9 @@
                 new DiscoveryUpdate(
                         0,
                         false,
-                        List.of(new DiscoveryEntry("s", "[::1]:80", "", -1, State.READY, 1, 0))),
+                        List.of(
+                                new DiscoveryEntry(
+                                        "s", "[::1]:80", "", -1, EndpointState.READY, 1, 0))),
                 DiscoveryParser.parse(few));
     }
 
--- a/engine/src/test/java/trailthread/engine/service/LevelsConfigTest.java
+++ b/engine/src/test/java/trailthread/engine/service/LevelsConfigTest.java
@@ -13,15 +13,25 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import org.junit.Test;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.Idempotency;
+import trailthread.api.RequestClass;
 import trailthread.levels.Plan;
 
 /** The keys of the levels, and the operators' page that names them. */
 public class LevelsConfigTest {
     private static final List<RequestClass> CLASSES =
-            List.of(new RequestClass("poll", 1, 0, 1, Semantics.SAFE, Group.ALL, 0, 1, 0));
+            List.of(
+                    new RequestClass(
+                            "poll",
+                            1,
+                            0,
+                            1,
+                            Idempotency.IDEMPOTENT,
+                            DeduplicationScope.ALL,
+                            0,
+                            1,
+                            0));
 
     @Test
     public void thePageForOperatorsNamesEveryKeyAndNoOther() throws Exception {
--- a/engine/src/test/java/trailthread/engine/service/ReadingsTest.java
+++ b/engine/src/test/java/trailthread/engine/service/ReadingsTest.java
@@ -8,13 +8,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.Test;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
-import trailthread.BalancerApi.State;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.Idempotency;
+import trailthread.api.ListKind;
+import trailthread.api.Outcome;
+import trailthread.api.RequestClass;
 import trailthread.engine.meter.Answer;
 import trailthread.levels.ShedOrder;
 
@@ -23,10 +23,10 @@
     private static final long MS = 1_000_000L;
     private static final double NONE = 0;
 
-    private static List<Entry> entries(State state, String... names) {
-        List<Entry> entries = new ArrayList<>();
+    private static List<EndpointEntry> entries(EndpointState state, String... names) {
+        List<EndpointEntry> entries = new ArrayList<>();
         for (String name : names) {
-            entries.add(new Entry(name, 1, state, "a", 0, 0));
+            entries.add(new EndpointEntry(name, 1, state, "a", 0, 0));
         }
         return entries;
     }
@@ -51,8 +51,8 @@
         };
         for (Object[] c : cases) {
             Failing failing = new Failing(100 * MS);
-            failing.listed(ListKind.FULL, entries(State.READY, "w0", "w1"));
-            failing.listed(ListKind.DELTA, entries(State.DRAINING, "w2"));
+            failing.listed(ListKind.FULL, entries(EndpointState.READY, "w0", "w1"));
+            failing.listed(ListKind.DELTA, entries(EndpointState.DRAINING, "w2"));
             for (char how : ((String) c[0]).toCharArray()) {
                 Outcome outcome =
                         switch (how) {
@@ -60,8 +60,8 @@
                             case 'c' -> Outcome.CONNECT_FAILED;
                             case 'r' -> Outcome.RESET;
                             case 't' -> Outcome.TIMEOUT;
-                            case 'f' -> Outcome.FULL;
-                            case 'm' -> Outcome.MOOT;
+                            case 'f' -> Outcome.REJECTED;
+                            case 'm' -> Outcome.NOT_SENT;
                             default -> Outcome.ERROR;
                         };
                 long latency = how == 's' ? 101 * MS : how == 'u' ? -1 : MS;
@@ -78,9 +78,9 @@
     public void whereNoWorkerIsReadyTheShareIsUnknown() {
         Failing failing = new Failing(MS);
         assertTrue(Double.isNaN(failing.share(0)));
-        failing.listed(ListKind.FULL, entries(State.READY, "w0"));
+        failing.listed(ListKind.FULL, entries(EndpointState.READY, "w0"));
         assertEquals(0, failing.share(0), NONE);
-        failing.listed(ListKind.FULL, entries(State.DRAINING, "w1"));
+        failing.listed(ListKind.FULL, entries(EndpointState.DRAINING, "w1"));
         assertTrue(Double.isNaN(failing.share(0)));
     }
 
@@ -101,14 +101,22 @@
         List<RequestClass> classes =
                 List.of(
                         new RequestClass(
-                                "poll", 100 * MS, 0, 1000 * MS, Semantics.SAFE, Group.ALL, 0, 1, 0),
+                                "poll",
+                                100 * MS,
+                                0,
+                                1000 * MS,
+                                Idempotency.IDEMPOTENT,
+                                DeduplicationScope.ALL,
+                                0,
+                                1,
+                                0),
                         new RequestClass(
                                 "use",
                                 100 * MS,
                                 0,
                                 1000 * MS,
-                                Semantics.UNSAFE,
-                                Group.ALL,
+                                Idempotency.NOT_IDEMPOTENT,
+                                DeduplicationScope.ALL,
                                 0,
                                 1,
                                 0));
--- a/engine/src/test/java/trailthread/engine/worker/LateLoopTest.java
+++ b/engine/src/test/java/trailthread/engine/worker/LateLoopTest.java
@@ -20,9 +20,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.After;
 import org.junit.Test;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointState;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
 import trailthread.engine.discovery.DiscoveryEntry;
 import trailthread.engine.discovery.DiscoveryUpdate;
 import trailthread.engine.http.ByteSink;
@@ -70,7 +70,7 @@
                                                         "127.0.0.1:" + server.getLocalPort(),
                                                         "a",
                                                         0,
-                                                        State.READY,
+                                                        EndpointState.READY,
                                                         1,
                                                         0))),
                                 loop.now()));
@@ -177,7 +177,7 @@
                                                         "127.0.0.1:" + server.getLocalPort(),
                                                         "a",
                                                         0,
-                                                        State.READY,
+                                                        EndpointState.READY,
                                                         1,
                                                         0))),
                                 loop.now()));
@@ -204,7 +204,7 @@
                                                             4);
                                                 }));
                     });
-            assertEquals(Outcome.MOOT, ending().outcome());
+            assertEquals(Outcome.NOT_SENT, ending().outcome());
             try (Socket second = server.accept()) {
                 assertTrue(readRequest(second).contains("X-Correlation-Id: 2\r\n"));
             }
@@ -238,7 +238,7 @@
                                                         "127.0.0.1:" + server.getLocalPort(),
                                                         "a",
                                                         0,
-                                                        State.READY,
+                                                        EndpointState.READY,
                                                         1,
                                                         0))),
                                 loop.now()));
@@ -320,7 +320,7 @@
                                 new AttemptListener() {
                                     @Override
                                     public ByteSink begins(
-                                            Made head, long told, Load load, Runnable more) {
+                                            Made head, long told, LoadReport load, Runnable more) {
                                         return new ByteSink() {
                                             @Override
                                             public boolean piece(ByteBuffer piece) {
@@ -400,7 +400,7 @@
                     attempt(workers, LONG_NS, loop.now() + 100 * MS, "late", 4);
                     loop.execute(() -> sleep(300));
                 });
-        assertEquals(Outcome.MOOT, ending().outcome());
+        assertEquals(Outcome.NOT_SENT, ending().outcome());
         loop.execute(() -> attempt(workers, LONG_NS, Long.MAX_VALUE, "next", 4));
         try (Socket connection = server.accept()) {
             assertTrue("its connection serves the next", readRequest(connection).contains("next"));
@@ -427,7 +427,7 @@
                                     4);
                             sleep(300); // it starts once this is over
                         });
-                assertEquals(Outcome.MOOT, ending().outcome());
+                assertEquals(Outcome.NOT_SENT, ending().outcome());
             }
             loop.execute(() -> attempt(workers, LONG_NS, Long.MAX_VALUE, "next", 4));
             assertTrue(readRequest(connection).contains("next"));
@@ -443,7 +443,7 @@
         try (Socket connection = server.accept()) {
             sleep(700);
             assertTrue(connection.getInputStream().readAllBytes().length < length);
-            assertEquals(Outcome.MOOT, ending().outcome());
+            assertEquals(Outcome.NOT_SENT, ending().outcome());
         }
     }
 
--- a/engine/src/test/java/trailthread/engine/worker/LatencyTest.java
+++ b/engine/src/test/java/trailthread/engine/worker/LatencyTest.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointState;
+import trailthread.api.Outcome;
 import trailthread.engine.discovery.DiscoveryEntry;
 import trailthread.engine.discovery.DiscoveryUpdate;
 import trailthread.engine.loop.Account;
@@ -47,7 +47,7 @@
                                                         "127.0.0.1:" + server.getLocalPort(),
                                                         "a",
                                                         0,
-                                                        State.READY,
+                                                        EndpointState.READY,
                                                         1,
                                                         0))),
                                 loop.now());
--- a/engine/src/test/java/trailthread/engine/worker/LoadReportTest.java
+++ b/engine/src/test/java/trailthread/engine/worker/LoadReportParserTest.java
@@ -4,30 +4,30 @@
 import static org.junit.Assert.assertNull;
 
 import org.junit.Test;
-import trailthread.BalancerApi.Load;
+import trailthread.api.LoadReport;
 
 /** Load reports, right and wrong. */
-public class LoadReportTest {
+public class LoadReportParserTest {
     private static final double NO = Double.NaN;
 
     @Test
     public void reportsAreRead() {
         Object[][] cases = {
-            {"{\"inflight\":7,\"queue\":2}", new Load(7, 2, NO, NO, NO, NO)},
-            {" { \"queue\" : 2.5e0 } ", new Load(NO, 2.5, NO, NO, NO, NO)},
-            {"{}", new Load(NO, NO, NO, NO, NO, NO)},
+            {"{\"inflight\":7,\"queue\":2}", new LoadReport(7, 2, NO, NO, NO, NO)},
+            {" { \"queue\" : 2.5e0 } ", new LoadReport(NO, 2.5, NO, NO, NO, NO)},
+            {"{}", new LoadReport(NO, NO, NO, NO, NO, NO)},
             {
                 "{\"util\":0.61,\"latency_ms\":9,\"qps\":1,\"eps\":0}",
-                new Load(NO, NO, 0.61, 9, 1, 0)
+                new LoadReport(NO, NO, 0.61, 9, 1, 0)
             },
             {
                 "{\"new\":{\"queue\":[9]},\"queue\":1,\"inflight\":null}",
-                new Load(NO, 1, NO, NO, NO, NO)
+                new LoadReport(NO, 1, NO, NO, NO, NO)
             },
-            {"{\"queue\":\"2\"}", new Load(NO, NO, NO, NO, NO, NO)},
+            {"{\"queue\":\"2\"}", new LoadReport(NO, NO, NO, NO, NO, NO)},
         };
         for (Object[] c : cases) {
-            assertEquals((String) c[0], c[1], LoadReport.parse((String) c[0]));
+            assertEquals((String) c[0], c[1], LoadReportParser.parse((String) c[0]));
         }
     }
 
@@ -51,7 +51,7 @@
                     "{\"queue\":1e99}",
                     "{\"queue\":1e999}"
                 }) {
-            assertNull(bad, LoadReport.parse(bad));
+            assertNull(bad, LoadReportParser.parse(bad));
         }
     }
 }
--- a/engine/src/test/java/trailthread/engine/worker/OutcomeByMomentTest.java
+++ b/engine/src/test/java/trailthread/engine/worker/OutcomeByMomentTest.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.After;
 import org.junit.Test;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointState;
+import trailthread.api.Outcome;
 import trailthread.engine.discovery.DiscoveryEntry;
 import trailthread.engine.discovery.DiscoveryUpdate;
 import trailthread.engine.loop.Account;
@@ -98,7 +98,7 @@
                                                     "127.0.0.1:" + port,
                                                     "a",
                                                     0,
-                                                    State.READY,
+                                                    EndpointState.READY,
                                                     1,
                                                     0))),
                             loop.now());
@@ -151,7 +151,7 @@
                 LONG,
                 LONG_NS,
                 reads(1, answers(unprocessed, false)),
-                Outcome.FULL);
+                Outcome.REJECTED);
         plays(
                 "it is answered with an error",
                 LONG,
@@ -184,7 +184,7 @@
         plays("the connection ends", SHORT, LONG_NS, reads(SHORT, Socket::close), Outcome.RESET);
         plays("it is served", SHORT, LONG_NS, reads(SHORT, answers(served, false)), Outcome.OK);
         for (String answer : turnedAway) {
-            plays(answer, SHORT, LONG_NS, reads(SHORT, answers(answer, false)), Outcome.FULL);
+            plays(answer, SHORT, LONG_NS, reads(SHORT, answers(answer, false)), Outcome.REJECTED);
             plays(
                     "cut: " + answer,
                     SHORT,
--- a/engine/src/test/java/trailthread/engine/worker/WorkerAnswerTest.java
+++ b/engine/src/test/java/trailthread/engine/worker/WorkerAnswerTest.java
@@ -5,7 +5,7 @@
 import io.undertow.util.HeaderMap;
 import io.undertow.util.HttpString;
 import org.junit.Test;
-import trailthread.BalancerApi.Outcome;
+import trailthread.api.Outcome;
 
 /** The protocol's table of what comes back. */
 public class WorkerAnswerTest {
@@ -16,8 +16,8 @@
             {200, "1", Outcome.OK},
             {500, null, Outcome.ERROR},
             {500, "1", Outcome.ERROR},
-            {503, "1", Outcome.FULL},
-            {504, "1", Outcome.FULL},
+            {503, "1", Outcome.REJECTED},
+            {504, "1", Outcome.REJECTED},
             {503, null, Outcome.ERROR},
             {504, "0", Outcome.ERROR},
             {429, "1", Outcome.ERROR},
--- a/lab/src/main/java/trailthread/lab/clients/Ask.java
+++ b/lab/src/main/java/trailthread/lab/clients/Ask.java
@@ -1,6 +1,6 @@
 package trailthread.lab.clients;
 
-import trailthread.BalancerApi.Semantics;
+import trailthread.api.Idempotency;
 import trailthread.lab.scenario.Scenario.ClassLaw;
 
 /**
@@ -98,7 +98,7 @@
             return;
         }
         mayHaveRun |= seen == Seen.FAILED || seen == Seen.NOTHING;
-        boolean harmless = !mayHaveRun || law.rules().semantics() == Semantics.SAFE;
+        boolean harmless = !mayHaveRun || law.rules().idempotency() == Idempotency.IDEMPOTENT;
         if (seen == Seen.SERVED || tries >= draws.patience.length || !harmless) {
             end(seen);
         } else {
--- a/lab/src/main/java/trailthread/lab/clients/Clients.java
+++ b/lab/src/main/java/trailthread/lab/clients/Clients.java
@@ -1,7 +1,7 @@
 package trailthread.lab.clients;
 
 import org.apache.commons.rng.UniformRandomProvider;
-import trailthread.BalancerApi.Tenant;
+import trailthread.api.Tenant;
 import trailthread.lab.agenda.Agenda;
 import trailthread.lab.figures.Figures;
 import trailthread.lab.random.Streams;
--- a/lab/src/main/java/trailthread/lab/figures/Figures.java
+++ b/lab/src/main/java/trailthread/lab/figures/Figures.java
@@ -105,7 +105,7 @@
     public void ended(
             ClassLaw law, boolean served, boolean refused, long begunAt, long endedAt, int tried) {
         long took = endedAt - begunAt;
-        boolean good = served && took <= law.rules().aimNs();
+        boolean good = served && took <= law.rules().latencyObjectiveNs();
         Second second = second(begunAt);
         second.asked++;
         second.good += good ? 1 : 0;
@@ -122,11 +122,11 @@
         of.good += good ? 1 : 0;
         of.late += served && !good ? 1 : 0;
         of.refused += refused ? 1 : 0;
-        askedWorth += law.rules().worth();
+        askedWorth += law.rules().priorityWeight();
         goodWorth +=
                 good
-                        ? law.rules().worth()
-                        : served ? law.rules().worth() * law.rules().lateWorth() : 0;
+                        ? law.rules().priorityWeight()
+                        : served ? law.rules().priorityWeight() * law.rules().lateWeightShare() : 0;
         if (served) {
             of.latencyUs.recordValue(Math.min(MOST_US, Math.max(0, took / 1000)));
         }
--- a/lab/src/main/java/trailthread/lab/peers/Oracle.java
+++ b/lab/src/main/java/trailthread/lab/peers/Oracle.java
@@ -1,9 +1,9 @@
 package trailthread.lab.peers;
 
 import java.util.List;
-import trailthread.BalancerApi.Actions;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Settings;
+import trailthread.api.BalancerActions;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 
 /**
  * The worker at which one more request would be done soonest, by the true state of all, with what
@@ -13,14 +13,16 @@
 final class Oracle extends PlainPolicy {
     private final Truth truth;
 
-    Oracle(Settings settings, long seed, Actions actions, Truth truth) {
+    Oracle(Settings settings, long seed, BalancerActions actions, Truth truth) {
         super(settings, seed, actions);
         this.truth = truth;
     }
 
     @Override
-    Backend choose(List<Backend> among, RequestClass rules, long now) {
-        Backend best = least(among, b -> truth.stretch(b.name));
-        return truth.stretch(best.name) * truth.meanWorkNs() > rules.aimNs() ? null : best;
+    Endpoint choose(List<Endpoint> among, RequestClass rules, long now) {
+        Endpoint best = least(among, b -> truth.stretch(b.name));
+        return truth.stretch(best.name) * truth.meanWorkNs() > rules.latencyObjectiveNs()
+                ? null
+                : best;
     }
 }
--- a/lab/src/main/java/trailthread/lab/peers/PlainPolicy.java
+++ b/lab/src/main/java/trailthread/lab/peers/PlainPolicy.java
@@ -6,33 +6,33 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import trailthread.BalancerApi.Actions;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.Events;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
+import trailthread.api.BalancerActions;
+import trailthread.api.BalancerEvents;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.Idempotency;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 
 /**
  * What all textbook policies have in common: the list, and the rules on repeats, which are the same
  * for all. Which worker a request goes to is each one's own. None of them holds requests back or
  * limits what is out.
  */
-abstract class PlainPolicy implements Events {
+abstract class PlainPolicy implements BalancerEvents {
     private static final long WATCH_AGAIN_NS = 1_000_000_000L;
     private static final long WATCH = 1;
 
     /** A worker, as this node knows it. */
-    static class Backend {
+    static class Endpoint {
         final String name;
         String zone;
         int cell;
-        State state;
+        EndpointState state;
 
         /** Own attempts that are out. */
         int outstanding;
@@ -46,7 +46,7 @@
         double lastTold = -1;
         int sentSince;
 
-        Backend(String name) {
+        Endpoint(String name) {
             this.name = name;
         }
     }
@@ -54,7 +54,7 @@
     private static final class Request {
         final RequestClass rules;
         final long deadline;
-        final List<Backend> sent = new ArrayList<>(1);
+        final List<Endpoint> sent = new ArrayList<>(1);
         final List<Long> sentAt = new ArrayList<>(1);
         int firstRan = -1;
 
@@ -65,14 +65,14 @@
     }
 
     final Settings settings;
-    final Actions actions;
+    final BalancerActions actions;
     final SplittableRandom random;
     private final Map<String, RequestClass> classes = new HashMap<>();
-    private final Map<String, Backend> known = new LinkedHashMap<>();
+    private final Map<String, Endpoint> known = new LinkedHashMap<>();
     private final Map<Long, Request> requests = new HashMap<>();
-    private List<Backend> ready = List.of();
+    private List<Endpoint> ready = List.of();
 
-    PlainPolicy(Settings settings, long seed, Actions actions) {
+    PlainPolicy(Settings settings, long seed, BalancerActions actions) {
         this.settings = settings;
         this.actions = actions;
         random = new SplittableRandom(seed);
@@ -80,42 +80,42 @@
     }
 
     /** One of these, of which there is at least one; null: none, and the request is given up. */
-    abstract Backend choose(List<Backend> among, RequestClass rules, long now);
+    abstract Endpoint choose(List<Endpoint> among, RequestClass rules, long now);
 
     /** Those that want new work. */
-    List<Backend> ready() {
+    List<Endpoint> ready() {
         return ready;
     }
 
     /** A worker by its name, or null. */
-    Backend known(String name) {
+    Endpoint known(String name) {
         return known.get(name);
     }
 
     @Override
-    public void list(long now, ListKind kind, List<Entry> entries) {
+    public void list(long now, ListKind kind, List<EndpointEntry> entries) {
         if (kind == ListKind.FAILED) {
             actions.timer(WATCH_AGAIN_NS, WATCH);
             return;
         }
         if (kind != ListKind.DELTA) {
-            known.values().forEach(b -> b.state = State.GONE);
+            known.values().forEach(b -> b.state = EndpointState.GONE);
         }
-        for (Entry entry : entries) {
-            Backend backend = known.computeIfAbsent(entry.backend(), this::backend);
-            backend.state = entry.state();
-            backend.zone = entry.zone();
-            backend.cell = entry.cell();
+        for (EndpointEntry entry : entries) {
+            Endpoint endpoint = known.computeIfAbsent(entry.endpoint(), this::endpoint);
+            endpoint.state = entry.state();
+            endpoint.zone = entry.zone();
+            endpoint.cell = entry.cell();
         }
-        known.values().removeIf(b -> b.state == State.GONE);
-        ready = known.values().stream().filter(b -> b.state == State.READY).toList();
-        if (kind == ListKind.CACHED && settings.listOnRequest) {
+        known.values().removeIf(b -> b.state == EndpointState.GONE);
+        ready = known.values().stream().filter(b -> b.state == EndpointState.READY).toList();
+        if (kind == ListKind.CACHED && settings.listIsPolled) {
             actions.watch(true);
         }
     }
 
-    Backend backend(String name) {
-        return new Backend(name);
+    Endpoint endpoint(String name) {
+        return new Endpoint(name);
     }
 
     @Override
@@ -134,59 +134,61 @@
     }
 
     private void send(long now, long id, Request request) {
-        List<Backend> among = among(request, now);
+        List<Endpoint> among = among(request, now);
         boolean may =
                 !among.isEmpty()
                         && request.sent.size() < settings.maxAttempts
                         && now < request.deadline;
-        Backend backend = may ? choose(among, request.rules, now) : null;
-        if (backend == null) {
+        Endpoint endpoint = may ? choose(among, request.rules, now) : null;
+        if (endpoint == null) {
             requests.remove(id);
-            if (request.firstRan < 0 || request.rules.semantics() == Semantics.SAFE) {
+            if (request.firstRan < 0 || request.rules.idempotency() == Idempotency.IDEMPOTENT) {
                 actions.refuse(id, 0);
             } else {
                 actions.fail(id);
             }
             return;
         }
-        request.sent.add(backend);
+        request.sent.add(endpoint);
         request.sentAt.add(now);
-        backend.outstanding++;
-        backend.sentSince++;
-        actions.send(id, 0, Long.MAX_VALUE, backend.name);
+        endpoint.outstanding++;
+        endpoint.sentSince++;
+        actions.send(id, 0, Long.MAX_VALUE, endpoint.name);
     }
 
     /**
      * Where it may go: the rules on repeats, and then another worker than before where there is
      * one.
      */
-    private List<Backend> among(Request request, long now) {
+    private List<Endpoint> among(Request request, long now) {
         if (request.sent.isEmpty()) {
             return ready;
         }
-        List<Backend> allowed = new ArrayList<>();
-        for (Backend backend : ready) {
-            if (request.firstRan < 0 || mayRepeat(request, backend, now)) {
-                allowed.add(backend);
+        List<Endpoint> allowed = new ArrayList<>();
+        for (Endpoint endpoint : ready) {
+            if (request.firstRan < 0 || mayRepeat(request, endpoint, now)) {
+                allowed.add(endpoint);
             }
         }
-        List<Backend> others = allowed.stream().filter(b -> !request.sent.contains(b)).toList();
+        List<Endpoint> others = allowed.stream().filter(b -> !request.sent.contains(b)).toList();
         return others.isEmpty() ? allowed : others;
     }
 
-    private boolean mayRepeat(Request request, Backend backend, long now) {
+    private boolean mayRepeat(Request request, Endpoint endpoint, long now) {
         RequestClass rules = request.rules;
-        Backend first = request.sent.get(request.firstRan);
-        return rules.semantics() == Semantics.SAFE
-                || (rules.semantics() == Semantics.KEYED
+        Endpoint first = request.sent.get(request.firstRan);
+        return rules.idempotency() == Idempotency.IDEMPOTENT
+                || (rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
                         && now + settings.connectTimeoutNs
-                                < request.sentAt.get(request.firstRan) + rules.windowNs()
-                        && (rules.group() == Group.ALL
-                                || (rules.group() == Group.ZONE && first.zone.equals(backend.zone))
-                                || (rules.group() == Group.CELL
-                                        && (first == backend
+                                < request.sentAt.get(request.firstRan)
+                                        + rules.deduplicationWindowNs()
+                        && (rules.deduplicationScope() == DeduplicationScope.ALL
+                                || (rules.deduplicationScope() == DeduplicationScope.ZONE
+                                        && first.zone.equals(endpoint.zone))
+                                || (rules.deduplicationScope() == DeduplicationScope.CELL
+                                        && (first == endpoint
                                                 || (first.cell >= 0
-                                                        && first.cell == backend.cell)))));
+                                                        && first.cell == endpoint.cell)))));
     }
 
     @Override
@@ -197,16 +199,16 @@
             Outcome outcome,
             long latency,
             boolean closed,
-            Load load) {
+            LoadReport load) {
         Request request = requests.get(id);
         if (request == null) {
             return;
         }
-        Backend backend = request.sent.get(attempt);
-        backend.outstanding--;
-        backend.sentSince = Math.max(0, backend.sentSince - 1);
+        Endpoint endpoint = request.sent.get(attempt);
+        endpoint.outstanding--;
+        endpoint.sentSince = Math.max(0, endpoint.sentSince - 1);
         if (load != null) {
-            report(backend, load);
+            report(endpoint, load);
         }
         if (outcome.mayHaveRun() && request.firstRan < 0) {
             request.firstRan = attempt;
@@ -218,12 +220,12 @@
         }
     }
 
-    private static void report(Backend backend, Load load) {
+    private static void report(Endpoint endpoint, LoadReport load) {
         double told = load.queue() >= 0 ? load.queue() : load.inflight();
-        if (told >= 0 && told != backend.lastTold) {
-            backend.lastTold = told;
-            backend.told += 0.5 * (told - backend.told);
-            backend.sentSince = 0;
+        if (told >= 0 && told != endpoint.lastTold) {
+            endpoint.lastTold = told;
+            endpoint.told += 0.5 * (told - endpoint.told);
+            endpoint.sentSince = 0;
         }
     }
 
@@ -231,8 +233,8 @@
     public void gone(long now, long id) {
         Request request = requests.remove(id);
         if (request != null && !request.sent.isEmpty()) {
-            Backend backend = request.sent.get(request.sent.size() - 1);
-            backend.outstanding = Math.max(0, backend.outstanding - 1);
+            Endpoint endpoint = request.sent.get(request.sent.size() - 1);
+            endpoint.outstanding = Math.max(0, endpoint.outstanding - 1);
         }
     }
 
@@ -247,18 +249,19 @@
     public void firstByte(long now, long id, int attempt) {}
 
     @Override
-    public void probed(long now, String backend, Outcome outcome, long latency, Load load) {}
+    public void healthChecked(
+            long now, String endpoint, Outcome outcome, long latency, LoadReport load) {}
 
     /** The first of the least, from a random place on, so that ties fall evenly. */
-    Backend least(List<Backend> among, java.util.function.ToDoubleFunction<Backend> cost) {
+    Endpoint least(List<Endpoint> among, java.util.function.ToDoubleFunction<Endpoint> cost) {
         int from = random.nextInt(among.size());
-        Backend best = null;
+        Endpoint best = null;
         double least = 0;
         for (int i = 0; i < among.size(); i++) {
-            Backend backend = among.get((from + i) % among.size());
-            double its = cost.applyAsDouble(backend);
+            Endpoint endpoint = among.get((from + i) % among.size());
+            double its = cost.applyAsDouble(endpoint);
             if (best == null || its < least) {
-                best = backend;
+                best = endpoint;
                 least = its;
             }
         }
--- a/lab/src/main/java/trailthread/lab/peers/Policies.java
+++ b/lab/src/main/java/trailthread/lab/peers/Policies.java
@@ -2,20 +2,22 @@
 
 import java.util.List;
 import trailthread.Balancer;
-import trailthread.BalancerApi.Actions;
-import trailthread.BalancerApi.Events;
-import trailthread.BalancerApi.Settings;
+import trailthread.api.BalancerActions;
+import trailthread.api.BalancerEvents;
+import trailthread.api.Settings;
 
 /** All policies that runs can have, by name. */
 public final class Policies {
     /** Makes the decisions of a policy. */
     private interface Maker {
-        Events make(Settings settings, long seed, long now, Actions actions, Truth truth);
+        BalancerEvents make(
+                Settings settings, long seed, long now, BalancerActions actions, Truth truth);
     }
 
     private record Named(String name, String about, Maker maker) implements Policy {
         @Override
-        public Events make(Settings settings, long seed, long now, Actions actions, Truth truth) {
+        public BalancerEvents make(
+                Settings settings, long seed, long now, BalancerActions actions, Truth truth) {
             return maker.make(settings, seed, now, actions, truth);
         }
     }
--- a/lab/src/main/java/trailthread/lab/peers/Policy.java
+++ b/lab/src/main/java/trailthread/lab/peers/Policy.java
@@ -1,8 +1,8 @@
 package trailthread.lab.peers;
 
-import trailthread.BalancerApi.Actions;
-import trailthread.BalancerApi.Events;
-import trailthread.BalancerApi.Settings;
+import trailthread.api.BalancerActions;
+import trailthread.api.BalancerEvents;
+import trailthread.api.Settings;
 
 /** What decides for a node; made anew at each start of one. */
 public interface Policy {
@@ -13,5 +13,6 @@
     String about();
 
     /** Makes the decisions of one node, which share nothing with those of others. */
-    Events make(Settings settings, long seed, long now, Actions actions, Truth truth);
+    BalancerEvents make(
+            Settings settings, long seed, long now, BalancerActions actions, Truth truth);
 }
--- a/lab/src/main/java/trailthread/lab/peers/Prequal.java
+++ b/lab/src/main/java/trailthread/lab/peers/Prequal.java
@@ -2,11 +2,11 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import trailthread.BalancerApi.Actions;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Settings;
+import trailthread.api.BalancerActions;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 
 /**
  * Prequal (Wydrowski, Kleinberg, Rumble, Archer: "Load is not what you should balance", NSDI 2024):
@@ -28,14 +28,14 @@
     private static final int LEAST_POOL = 2;
 
     private static final class Probe {
-        final Backend backend;
+        final Endpoint endpoint;
         final long at;
         double inflight;
         final double latencyMs;
         double uses;
 
-        Probe(Backend backend, long at, double inflight, double latencyMs, double uses) {
-            this.backend = backend;
+        Probe(Endpoint endpoint, long at, double inflight, double latencyMs, double uses) {
+            this.endpoint = endpoint;
             this.at = at;
             this.inflight = inflight;
             this.latencyMs = latencyMs;
@@ -48,13 +48,14 @@
 
     private boolean worstNext;
 
-    Prequal(Settings settings, long seed, Actions actions) {
+    Prequal(Settings settings, long seed, BalancerActions actions) {
         super(settings, seed, actions);
     }
 
     @Override
-    public void probed(long now, String backend, Outcome outcome, long latency, Load load) {
-        Backend of = known(backend);
+    public void healthChecked(
+            long now, String endpoint, Outcome outcome, long latency, LoadReport load) {
+        Endpoint of = known(endpoint);
         if (outcome == Outcome.OK && load != null && of != null) {
             double reuse =
                     Math.max(
@@ -79,14 +80,14 @@
     }
 
     @Override
-    Backend choose(List<Backend> among, RequestClass rules, long now) {
-        if (settings.mayProbe) {
+    Endpoint choose(List<Endpoint> among, RequestClass rules, long now) {
+        if (settings.mayCheckHealth) {
             for (int i = 0; i < PROBES; i++) {
                 actions.probe(ready().get(random.nextInt(ready().size())).name);
             }
         }
         pool.removeIf(p -> now - p.at > PROBE_LIVES_NS);
-        List<Probe> fit = pool.stream().filter(p -> among.contains(p.backend)).toList();
+        List<Probe> fit = pool.stream().filter(p -> among.contains(p.endpoint)).toList();
         if (fit.size() < LEAST_POOL) {
             return among.get(random.nextInt(among.size()));
         }
@@ -102,7 +103,7 @@
             pool.remove(best);
         }
         removeOne(hot);
-        return best.backend;
+        return best.endpoint;
     }
 
     /** Hot-cold lexicographic. */
--- a/lab/src/main/java/trailthread/lab/peers/RandomChoice.java
+++ b/lab/src/main/java/trailthread/lab/peers/RandomChoice.java
@@ -1,18 +1,18 @@
 package trailthread.lab.peers;
 
 import java.util.List;
-import trailthread.BalancerApi.Actions;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Settings;
+import trailthread.api.BalancerActions;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 
 /** Any worker, each with the same chance. */
 final class RandomChoice extends PlainPolicy {
-    RandomChoice(Settings settings, long seed, Actions actions) {
+    RandomChoice(Settings settings, long seed, BalancerActions actions) {
         super(settings, seed, actions);
     }
 
     @Override
-    Backend choose(List<Backend> among, RequestClass rules, long now) {
+    Endpoint choose(List<Endpoint> among, RequestClass rules, long now) {
         return among.get(random.nextInt(among.size()));
     }
 }
--- a/lab/src/main/java/trailthread/lab/peers/SnsLottery.java
+++ b/lab/src/main/java/trailthread/lab/peers/SnsLottery.java
@@ -1,9 +1,9 @@
 package trailthread.lab.peers;
 
 import java.util.List;
-import trailthread.BalancerApi.Actions;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Settings;
+import trailthread.api.BalancerActions;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
 
 /**
  * The paper's lottery, with nothing else of this project's: tickets inverse to the reported queue,
@@ -13,23 +13,23 @@
 final class SnsLottery extends PlainPolicy {
     private final boolean corrected;
 
-    SnsLottery(Settings settings, long seed, Actions actions, boolean corrected) {
+    SnsLottery(Settings settings, long seed, BalancerActions actions, boolean corrected) {
         super(settings, seed, actions);
         this.corrected = corrected;
     }
 
-    private double tickets(Backend b) {
+    private double tickets(Endpoint b) {
         return 1 / (1 + b.told + (corrected ? b.sentSince : 0));
     }
 
     @Override
-    Backend choose(List<Backend> among, RequestClass rules, long now) {
+    Endpoint choose(List<Endpoint> among, RequestClass rules, long now) {
         double sum = 0;
-        for (Backend b : among) {
+        for (Endpoint b : among) {
             sum += tickets(b);
         }
         double draw = random.nextDouble() * sum;
-        for (Backend b : among) {
+        for (Endpoint b : among) {
             draw -= tickets(b);
             if (draw < 0) {
                 return b;
--- a/lab/src/main/java/trailthread/lab/process/WorkerProcess.java
+++ b/lab/src/main/java/trailthread/lab/process/WorkerProcess.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
-import trailthread.BalancerApi.Load;
+import trailthread.api.LoadReport;
 import trailthread.lab.agenda.Agenda;
 import trailthread.lab.process.Incoming.Answer;
 import trailthread.lab.random.Streams;
@@ -102,7 +102,7 @@
     }
 
     /** What an answer that leaves now says; null: nothing. */
-    public Load report() {
+    public LoadReport report() {
         Report newest = null;
         for (Report report : reports) {
             if (report.at <= agenda.now() - reportsLateNs) {
@@ -111,7 +111,7 @@
         }
         return newest == null
                 ? null
-                : new Load(
+                : new LoadReport(
                         newest.inflight,
                         newest.queue,
                         Double.NaN,
@@ -124,7 +124,7 @@
      * What a probe's answer says: the present, and the time that requests of late took here that
      * came when about as much was held as now (as in Prequal: Wydrowski et al., NSDI 2024, 4).
      */
-    public Load probed() {
+    public LoadReport healthChecked() {
         int held = Math.min(MOST_DEPTHS - 1, model.inflight());
         double took = Double.NaN;
         for (int off = 0; off < MOST_DEPTHS && Double.isNaN(took); off++) {
@@ -135,7 +135,7 @@
                                     ? tookNs[held + off]
                                     : took;
         }
-        return new Load(
+        return new LoadReport(
                 model.inflight(), model.queue(), Double.NaN, took / 1e6, Double.NaN, Double.NaN);
     }
 
--- a/lab/src/main/java/trailthread/lab/real/EmulatedRoster.java
+++ b/lab/src/main/java/trailthread/lab/real/EmulatedRoster.java
@@ -10,7 +10,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.apache.commons.rng.UniformRandomProvider;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointState;
 import trailthread.lab.agenda.Agenda;
 import trailthread.lab.random.Streams;
 
@@ -65,10 +65,10 @@
     }
 
     /** A worker's state is this now. */
-    void changed(EmulatedWorker worker, State state) {
+    void changed(EmulatedWorker worker, EndpointState state) {
         worker.state = state;
         generation++;
-        if (state == State.GONE) {
+        if (state == EndpointState.GONE) {
             listed.remove(worker);
         }
         long of = generation;
@@ -89,7 +89,7 @@
                                                             day.now(),
                                                             "n" + watch.node,
                                                             worker.name,
-                                                            state == State.READY));
+                                                            state == EndpointState.READY));
                                 }
                             });
         }
@@ -112,7 +112,7 @@
                                                 day.now(),
                                                 "n" + node,
                                                 w.name,
-                                                w.state == State.READY)));
+                                                w.state == EndpointState.READY)));
     }
 
     private static String object(long generation, boolean reset, String entries) {
@@ -125,9 +125,11 @@
                 + "]}";
     }
 
-    private String entry(EmulatedWorker worker, int node, State state) {
+    private String entry(EmulatedWorker worker, int node, EndpointState state) {
         String lifecycle =
-                state == State.READY ? "active" : state == State.DRAINING ? "leaving" : "left";
+                state == EndpointState.READY
+                        ? "active"
+                        : state == EndpointState.DRAINING ? "leaving" : "left";
         return String.format(
                 Locale.ROOT,
                 "{\"instanceId\":\"%s\",\"hostPort\":\"%s\",\"zone\":\"%s\",\"cell\":%d,"
--- a/lab/src/main/java/trailthread/lab/real/EmulatedWorker.java
+++ b/lab/src/main/java/trailthread/lab/real/EmulatedWorker.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointState;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
 import trailthread.lab.process.Incoming;
 import trailthread.lab.process.WorkerProcess;
 import trailthread.lab.referee.Referee;
@@ -36,7 +36,7 @@
     private final WorkerProcess process;
     private final List<Listening> listeners = new ArrayList<>();
     private final Set<Line> lines = new HashSet<>();
-    State state = State.READY;
+    EndpointState state = EndpointState.READY;
     private boolean wasCut;
 
     EmulatedWorker(RealDay day, String name, String zone, int cell, WorkerLaw law, boolean cold)
@@ -118,7 +118,7 @@
 
     @Override
     public boolean isReady() {
-        return state == State.READY;
+        return state == EndpointState.READY;
     }
 
     @Override
@@ -128,7 +128,7 @@
 
     @Override
     public void drains() {
-        day.roster().changed(this, State.DRAINING);
+        day.roster().changed(this, EndpointState.DRAINING);
     }
 
     @Override
@@ -157,21 +157,21 @@
             throw new IllegalStateException(name + " can't listen again", e);
         }
         process.comeUp();
-        day.roster().changed(this, State.READY);
+        day.roster().changed(this, EndpointState.READY);
     }
 
     @Override
     public void isReplaced() {
-        day.roster().changed(this, State.GONE);
+        day.roster().changed(this, EndpointState.GONE);
         day.addWorker(zone, Math.max(0, cell), true);
     }
 
-    private static String load(Load load) {
+    private static String load(LoadReport load) {
         return String.format(
                 Locale.ROOT, "{\"inflight\":%.2f,\"queue\":%.2f}", load.inflight(), load.queue());
     }
 
-    private String answer(String status, Load load, String extra, String body) {
+    private String answer(String status, LoadReport load, String extra, String body) {
         return "HTTP/1.1 "
                 + status
                 + "\r\nContent-Length: "
@@ -202,7 +202,8 @@
             }
             if (message.target().equals("/health") || message.target().equals("/status/load")) {
                 day.figures().probes();
-                process.probes(() -> wire.send(answer("200 OK", null, "", load(process.probed()))));
+                process.probes(
+                        () -> wire.send(answer("200 OK", null, "", load(process.healthChecked()))));
                 return;
             }
             String id = message.header("x-correlation-id");
@@ -285,7 +286,7 @@
             if (line.served != this) {
                 return;
             }
-            Load load = process.report();
+            LoadReport load = process.report();
             switch (answer) {
                 case OK ->
                         line.answered(
@@ -303,7 +304,7 @@
                 case FULL ->
                         line.answered(
                                 this,
-                                Outcome.FULL,
+                                Outcome.REJECTED,
                                 answer("503 Full", load, "X-Unprocessed: 1\r\n", ""),
                                 drips);
                 case GARBAGE -> line.answered(this, Outcome.RESET, GARBAGE, 0);
--- a/lab/src/main/java/trailthread/lab/real/HttpFront.java
+++ b/lab/src/main/java/trailthread/lab/real/HttpFront.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.function.LongSupplier;
-import trailthread.BalancerApi.Semantics;
+import trailthread.api.Idempotency;
 import trailthread.lab.agenda.Agenda;
 import trailthread.lab.clients.Ask;
 import trailthread.lab.clients.Front;
@@ -141,7 +141,7 @@
     private record Try(Ask ask, String id, long until, boolean again) {
         String request(long now) {
             var rules = ask.law().rules();
-            boolean safe = rules.semantics() == Semantics.SAFE;
+            boolean safe = rules.idempotency() == Idempotency.IDEMPOTENT;
             return (safe ? "GET /" : "POST /")
                     + rules.name()
                     + "?work="
@@ -153,7 +153,9 @@
                     + "\r\nX-Time-Left: "
                     + String.format(Locale.ROOT, "%.4f", Math.max(0, until - now) / 1e9)
                     + (ask.tenant() == null ? "" : "\r\nX-Account: " + ask.tenant())
-                    + (rules.semantics() == Semantics.KEYED ? "\r\nIdempotency-Key: " + id : "")
+                    + (rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                            ? "\r\nIdempotency-Key: " + id
+                            : "")
                     + (safe ? "\r\n\r\n" : "\r\nContent-Length: 4\r\n\r\npour");
         }
     }
@@ -219,9 +221,9 @@
                     target.name,
                     new CallTerms(
                             rules.name(),
-                            rules.semantics(),
-                            rules.group(),
-                            rules.windowNs(),
+                            rules.idempotency(),
+                            rules.deduplicationScope(),
+                            rules.deduplicationWindowNs(),
                             call.until + GRACE_NS));
         }
 
--- a/lab/src/main/java/trailthread/lab/real/NodeProcess.java
+++ b/lab/src/main/java/trailthread/lab/real/NodeProcess.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import trailthread.BalancerApi.Semantics;
+import trailthread.api.Idempotency;
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.troubles.Stricken;
 
@@ -66,19 +66,19 @@
                             "name",
                             c.name(),
                             "aim_ns",
-                            c.aimNs(),
+                            c.latencyObjectiveNs(),
                             "deadline_ns",
                             c.deadlineNs(),
                             "semantics",
-                            semantics(c.semantics()),
+                            idempotency(c.idempotency()),
                             "group",
-                            c.group().name().toLowerCase(Locale.ROOT),
+                            c.deduplicationScope().name().toLowerCase(Locale.ROOT),
                             "window_ns",
-                            c.windowNs(),
+                            c.deduplicationWindowNs(),
                             "gain",
-                            c.worth(),
+                            c.priorityWeight(),
                             "late_value",
-                            c.lateWorth()));
+                            c.lateWeightShare()));
         }
         List<Object> tenants = new ArrayList<>();
         s.tenants()
@@ -131,7 +131,7 @@
                         "drain_grace_ns",
                         rules.drainGraceNs(),
                         "answer_slack_ns",
-                        rules.answerSlackNs(),
+                        rules.responseSlackNs(),
                         "cold_ns",
                         cold.warmNs(),
                         "start_capacity",
@@ -139,7 +139,7 @@
                         "fall_multiple",
                         Math.min(1e6, cold.multiple()),
                         "fall_ns",
-                        cold.windowNs()));
+                        cold.deduplicationWindowNs()));
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("name", "n" + number);
         all.put("listen", "127.0.0.1:" + target.address.getPort());
@@ -156,11 +156,11 @@
                 + "}";
     }
 
-    private static String semantics(Semantics semantics) {
-        return switch (semantics) {
-            case SAFE -> "retryable";
-            case KEYED -> "dedup";
-            case UNSAFE -> "fragile";
+    private static String idempotency(Idempotency idempotency) {
+        return switch (idempotency) {
+            case IDEMPOTENT -> "retryable";
+            case IDEMPOTENCY_KEY -> "dedup";
+            case NOT_IDEMPOTENT -> "fragile";
         };
     }
 
--- a/lab/src/main/java/trailthread/lab/real/RealDay.java
+++ b/lab/src/main/java/trailthread/lab/real/RealDay.java
@@ -147,7 +147,7 @@
     public void startNodes(Program program, Path directory) throws IOException {
         referee =
                 new Referee(
-                        scenario.rules().answerSlackNs() + 50_000_000L,
+                        scenario.rules().responseSlackNs() + 50_000_000L,
                         scenario.rules().drainGraceNs() + 50_000_000L);
         Files.createDirectories(directory);
         front();
@@ -177,7 +177,7 @@
                 new HttpFront(
                         loop,
                         referee,
-                        scenario.rules().answerSlackNs(),
+                        scenario.rules().responseSlackNs(),
                         scenario.zones(),
                         () -> ++lastId);
     }
@@ -187,7 +187,7 @@
      * answers is judged.
      */
     public void sendTo(List<Integer> ports) {
-        referee = new Referee(scenario.rules().answerSlackNs() + 50_000_000L, Long.MAX_VALUE / 4);
+        referee = new Referee(scenario.rules().responseSlackNs() + 50_000_000L, Long.MAX_VALUE / 4);
         front();
         for (int i = 0; i < ports.size(); i++) {
             front.add(scenario.zones().get(i % scenario.zones().size()), ports.get(i));
--- a/lab/src/main/java/trailthread/lab/referee/Referee.java
+++ b/lab/src/main/java/trailthread/lab/referee/Referee.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.Semantics;
+import trailthread.api.Idempotency;
+import trailthread.api.Outcome;
 
 /**
  * Watches a run, virtual or real, from outside, and judges it by the rules. It is told what
@@ -49,7 +49,7 @@
 
     private record Sent(Place place, long at) {}
 
-    private final long answerSlackNs;
+    private final long responseSlackNs;
     private final long drainGraceNs;
     private final Map<String, Watched> calls = new HashMap<>();
 
@@ -67,11 +67,11 @@
     private long judged;
 
     /**
-     * @param answerSlackNs how far past its deadline an answer still counts
+     * @param responseSlackNs how far past its deadline an answer still counts
      * @param drainGraceNs how long after the news of a drain something new may still be sent
      */
-    public Referee(long answerSlackNs, long drainGraceNs) {
-        this.answerSlackNs = answerSlackNs;
+    public Referee(long responseSlackNs, long drainGraceNs) {
+        this.responseSlackNs = responseSlackNs;
         this.drainGraceNs = drainGraceNs;
     }
 
@@ -173,10 +173,11 @@
 
     private static boolean mayRepeat(Watched watched, Place place, long at) {
         CallTerms terms = watched.terms;
-        if (terms.semantics() == Semantics.SAFE) {
+        if (terms.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
-        if (terms.semantics() == Semantics.UNSAFE || at > watched.firstRanSent + terms.windowNs()) {
+        if (terms.idempotency() == Idempotency.NOT_IDEMPOTENT
+                || at > watched.firstRanSent + terms.deduplicationWindowNs()) {
             return false;
         }
         return switch (terms.group()) {
@@ -211,7 +212,7 @@
         watched.history.add(new Moment(at, Moment.What.ANSWERED, -1, null, how));
         if (watched.answered) {
             violated(Rule.ONE_ANSWER, at, call, "a second answer", watched.history);
-        } else if (at > watched.terms.deadline() + answerSlackNs) {
+        } else if (at > watched.terms.deadline() + responseSlackNs) {
             violated(
                     Rule.IN_TIME,
                     at,
--- a/lab/src/main/java/trailthread/lab/scenario/Scenario.java
+++ b/lab/src/main/java/trailthread/lab/scenario/Scenario.java
@@ -1,8 +1,8 @@
 package trailthread.lab.scenario;
 
 import java.util.List;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Tenant;
+import trailthread.api.RequestClass;
+import trailthread.api.Tenant;
 import trailthread.lab.worker.WorkerLaw;
 
 /**
@@ -145,7 +145,7 @@
      */
     public record RuleLaw(
             int maxAttempts,
-            long answerSlackNs,
+            long responseSlackNs,
             long drainGraceNs,
             long maxRetryAfterNs,
             boolean probes,
--- a/lab/src/main/java/trailthread/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/trailthread/lab/scenario/ScenarioReader.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.RequestClass;
-import trailthread.BalancerApi.Semantics;
-import trailthread.BalancerApi.Tenant;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.Idempotency;
+import trailthread.api.RequestClass;
+import trailthread.api.Tenant;
 import trailthread.configuration.Fault;
 import trailthread.lab.scenario.Scenario.ClassLaw;
 import trailthread.lab.scenario.Scenario.ClientLaw;
@@ -137,6 +137,19 @@
                 : null;
     }
 
+    /** The words of the scenario file for {@link Idempotency}. */
+    private enum Repeats {
+        SAFE(Idempotency.IDEMPOTENT),
+        KEYED(Idempotency.IDEMPOTENCY_KEY),
+        UNSAFE(Idempotency.NOT_IDEMPOTENT);
+
+        private final Idempotency idempotency;
+
+        Repeats(Idempotency idempotency) {
+            this.idempotency = idempotency;
+        }
+    }
+
     private static ClassLaw requestClass(Part part) {
         long[] work = part.times("work", null);
         Draw draw = part.word("draw", work[0] == work[1] ? Draw.FIXED : Draw.UNIFORM, Draw.class);
@@ -146,8 +159,8 @@
                         part.time("aim", null),
                         0,
                         part.time("deadline", null),
-                        part.word("repeats", Semantics.SAFE, Semantics.class),
-                        part.word("group", Group.ALL, Group.class),
+                        part.word("repeats", Repeats.SAFE, Repeats.class).idempotency,
+                        part.word("group", DeduplicationScope.ALL, DeduplicationScope.class),
                         part.time("window", "0s"),
                         part.number("worth", 1.0, 0, 1e6),
                         part.number("late_worth", 0.0, 0, 1));
--- a/lab/src/main/java/trailthread/lab/worker/WorkerLaw.java
+++ b/lab/src/main/java/trailthread/lab/worker/WorkerLaw.java
@@ -38,10 +38,10 @@
 
     /**
      * After a start it does {@code share} of its work, rising evenly to all of it after {@code
-     * warmNs}. If it is sent more work within {@code windowNs} than {@code multiple} times what it
-     * can do in it now, it falls over.
+     * warmNs}. If it is sent more work within {@code deduplicationWindowNs} than {@code multiple}
+     * times what it can do in it now, it falls over.
      */
-    public record Cold(double share, long warmNs, double multiple, long windowNs) {
+    public record Cold(double share, long warmNs, double multiple, long deduplicationWindowNs) {
         /** It starts warm. */
         public static final Cold NEVER = new Cold(1, 0, Double.POSITIVE_INFINITY, 1);
     }
@@ -52,7 +52,9 @@
             throw new IllegalArgumentException(
                     "a worker needs speed, cores and slots, and no negative figures");
         }
-        if (!(cold.share() > 0 && cold.share() <= 1) || cold.warmNs() < 0 || cold.windowNs() <= 0) {
+        if (!(cold.share() > 0 && cold.share() <= 1)
+                || cold.warmNs() < 0
+                || cold.deduplicationWindowNs() <= 0) {
             throw new IllegalArgumentException(
                     "a cold start needs a share in (0, 1] and times that are not negative");
         }
--- a/lab/src/main/java/trailthread/lab/worker/WorkerModel.java
+++ b/lab/src/main/java/trailthread/lab/worker/WorkerModel.java
@@ -174,10 +174,10 @@
         }
         sentWhileCold.add(new double[] {now, job.work});
         sentInWindow += job.work;
-        while (sentWhileCold.peek()[0] < now - cold.windowNs()) {
+        while (sentWhileCold.peek()[0] < now - cold.deduplicationWindowNs()) {
             sentInWindow -= sentWhileCold.poll()[1];
         }
-        double window = law.capacity() * warmth * cold.windowNs() / 1e9;
+        double window = law.capacity() * warmth * cold.deduplicationWindowNs() / 1e9;
         if (sentInWindow > cold.multiple() * window) {
             fallen = true;
         }
--- a/lab/src/main/java/trailthread/lab/world/SimAttempt.java
+++ b/lab/src/main/java/trailthread/lab/world/SimAttempt.java
@@ -1,7 +1,7 @@
 package trailthread.lab.world;
 
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
 import trailthread.lab.agenda.Agenda;
 import trailthread.lab.process.Incoming;
 
@@ -126,7 +126,7 @@
             breaks();
             return;
         }
-        Load load = worker.process().report();
+        LoadReport load = worker.process().report();
         world.agenda()
                 .in(
                         drips,
@@ -142,7 +142,7 @@
                                                         answer == Answer.OK
                                                                 ? Outcome.OK
                                                                 : answer == Answer.FULL
-                                                                        ? Outcome.FULL
+                                                                        ? Outcome.REJECTED
                                                                         : Outcome.ERROR,
                                                         load);
                                             }
@@ -176,7 +176,7 @@
                 });
     }
 
-    private void end(Outcome outcome, Load load) {
+    private void end(Outcome outcome, LoadReport load) {
         if (!over) {
             over = true;
             comesNoMore();
--- a/lab/src/main/java/trailthread/lab/world/SimNode.java
+++ b/lab/src/main/java/trailthread/lab/world/SimNode.java
@@ -5,14 +5,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import trailthread.BalancerApi.Actions;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.Events;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.Load;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
+import trailthread.api.BalancerActions;
+import trailthread.api.BalancerEvents;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
+import trailthread.api.Settings;
 import trailthread.lab.clients.Ask;
 import trailthread.lab.referee.CallTerms;
 import trailthread.lab.referee.Referee;
@@ -22,7 +22,7 @@
  * A node in virtual time: hosts one instance of the decisions under test, which learns and acts by
  * it alone.
  */
-final class SimNode implements Actions, Stricken.Node {
+final class SimNode implements BalancerActions, Stricken.Node {
     /**
      * What one event may ask for, and what a node may have set as timers: past it the decisions run
      * wild.
@@ -35,7 +35,7 @@
 
     /** One event, told at this time. */
     private interface Telling {
-        void tell(Events module, long now);
+        void tell(BalancerEvents module, long now);
     }
 
     final int number;
@@ -45,7 +45,7 @@
     private final Map<Long, SimCall> calls = new LinkedHashMap<>();
     private final Map<SimWorker, ArrayDeque<Idle>> idle = new LinkedHashMap<>();
     private final ArrayDeque<Runnable> asked = new ArrayDeque<>();
-    private Events module;
+    private BalancerEvents module;
     private boolean busy;
     private int life;
     private boolean up = true;
@@ -223,11 +223,11 @@
                         name,
                         new CallTerms(
                                 rules.name(),
-                                rules.semantics(),
-                                rules.group(),
-                                rules.windowNs(),
+                                rules.idempotency(),
+                                rules.deduplicationScope(),
+                                rules.deduplicationWindowNs(),
                                 until));
-        long slack = world.scenario().rules().answerSlackNs();
+        long slack = world.scenario().rules().responseSlackNs();
         world.agenda().at(until + slack + 1, () -> clientLeaves(call));
         event(
                 (m, now) ->
@@ -262,7 +262,7 @@
     }
 
     /** An attempt has ended; what that came to is told to the client first. */
-    void ended(SimAttempt attempt, Outcome outcome, long latencyNs, Load load) {
+    void ended(SimAttempt attempt, Outcome outcome, long latencyNs, LoadReport load) {
         SimCall call = attempt.call;
         call.out = null;
         world.referee().ended(world.now(), call.name, attempt.number, outcome);
@@ -302,9 +302,14 @@
     }
 
     /** News of the workers. */
-    void list(ListKind kind, List<Entry> entries) {
-        for (Entry entry : entries) {
-            world.referee().told(world.now(), name, entry.backend(), entry.state() == State.READY);
+    void list(ListKind kind, List<EndpointEntry> entries) {
+        for (EndpointEntry entry : entries) {
+            world.referee()
+                    .told(
+                            world.now(),
+                            name,
+                            entry.endpoint(),
+                            entry.state() == EndpointState.READY);
         }
         event((m, now) -> m.list(now, kind, entries));
     }
@@ -343,20 +348,20 @@
     // ---- actions
     // -----------------------------------------------------------------------------------
 
-    private SimWorker worker(String backend) {
-        SimWorker worker = world.worker(backend);
+    private SimWorker worker(String endpoint) {
+        SimWorker worker = world.worker(endpoint);
         if (worker == null) {
             throw new ModuleFault(
-                    world.now(), number, "a worker that no list has named: " + backend);
+                    world.now(), number, "a worker that no list has named: " + endpoint);
         }
         return worker;
     }
 
     @Override
-    public void send(long id, long timeoutNs, long writtenBy, String backend) {
+    public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
         asked.add(
                 () -> {
-                    SimWorker worker = worker(backend);
+                    SimWorker worker = worker(endpoint);
                     SimCall call = calls.get(id);
                     if (call == null) {
                         return; // it ended a moment ago
@@ -373,7 +378,7 @@
                                                 now,
                                                 id,
                                                 attempt,
-                                                Outcome.MOOT,
+                                                Outcome.NOT_SENT,
                                                 0,
                                                 call.finished,
                                                 null));
@@ -444,16 +449,20 @@
     }
 
     @Override
-    public void probe(String backend) {
+    public void probe(String endpoint) {
         asked.add(
                 () -> {
-                    SimWorker worker = worker(backend);
+                    SimWorker worker = worker(endpoint);
                     world.figures().probes();
                     long begun = world.now();
                     boolean[] over = new boolean[1];
                     long within = world.probeWithinNs();
                     world.agenda()
-                            .in(within, () -> probed(worker, Outcome.TIMEOUT, within, null, over));
+                            .in(
+                                    within,
+                                    () ->
+                                            healthChecked(
+                                                    worker, Outcome.TIMEOUT, within, null, over));
                     world.travel(
                             this,
                             worker,
@@ -463,7 +472,7 @@
                                             worker,
                                             this,
                                             () ->
-                                                    probed(
+                                                    healthChecked(
                                                             worker,
                                                             Outcome.RESET,
                                                             world.now() - begun,
@@ -473,12 +482,13 @@
                                     worker.process()
                                             .probes(
                                                     () -> {
-                                                        Load load = worker.process().probed();
+                                                        LoadReport load =
+                                                                worker.process().healthChecked();
                                                         world.travel(
                                                                 worker,
                                                                 this,
                                                                 () ->
-                                                                        probed(
+                                                                        healthChecked(
                                                                                 worker,
                                                                                 Outcome.OK,
                                                                                 world.now() - begun,
@@ -490,19 +500,24 @@
                 });
     }
 
-    private void probed(
-            SimWorker worker, Outcome outcome, long latencyNs, Load load, boolean[] over) {
+    private void healthChecked(
+            SimWorker worker, Outcome outcome, long latencyNs, LoadReport load, boolean[] over) {
         if (!over[0] && up) {
             over[0] = true;
-            input(() -> event((m, now) -> m.probed(now, worker.name, outcome, latencyNs, load)));
+            input(
+                    () ->
+                            event(
+                                    (m, now) ->
+                                            m.healthChecked(
+                                                    now, worker.name, outcome, latencyNs, load)));
         }
     }
 
     @Override
-    public void closeIdle(String backend) {
+    public void closeIdle(String endpoint) {
         asked.add(
                 () -> {
-                    SimWorker worker = worker(backend);
+                    SimWorker worker = worker(endpoint);
                     ArrayDeque<Idle> connections = idle.remove(worker);
                     if (connections != null) {
                         worker.connections -=
--- a/lab/src/main/java/trailthread/lab/world/SimRoster.java
+++ b/lab/src/main/java/trailthread/lab/world/SimRoster.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.ListKind;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.ListKind;
 import trailthread.lab.random.Streams;
 
 /**
@@ -30,8 +30,8 @@
     }
 
     /** The whole list, as a node that starts now would have had it. */
-    List<Entry> whole() {
-        List<Entry> entries = new ArrayList<>();
+    List<EndpointEntry> whole() {
+        List<EndpointEntry> entries = new ArrayList<>();
         listed.forEach(worker -> entries.add(worker.entry()));
         return entries;
     }
@@ -42,10 +42,10 @@
     }
 
     /** A worker's state is this now. */
-    void changed(SimWorker worker, State state) {
+    void changed(SimWorker worker, EndpointState state) {
         worker.state = state;
-        Entry entry = worker.entry();
-        if (state == State.GONE) {
+        EndpointEntry entry = worker.entry();
+        if (state == EndpointState.GONE) {
             listed.remove(worker);
         }
         for (SimNode node : world.nodes()) {
@@ -85,7 +85,7 @@
     }
 
     private void whole(SimNode node) {
-        List<Entry> entries = whole();
+        List<EndpointEntry> entries = whole();
         long at =
                 Math.max(
                         world.now() + world.scenario().list().lowNs(),
--- a/lab/src/main/java/trailthread/lab/world/SimWorker.java
+++ b/lab/src/main/java/trailthread/lab/world/SimWorker.java
@@ -1,7 +1,7 @@
 package trailthread.lab.world;
 
-import trailthread.BalancerApi.Entry;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
 import trailthread.lab.process.WorkerProcess;
 import trailthread.lab.troubles.Stricken;
 import trailthread.lab.worker.WorkerLaw;
@@ -14,7 +14,7 @@
     final int cell;
     private final World world;
     private final WorkerProcess process;
-    State state = State.READY;
+    EndpointState state = EndpointState.READY;
     int connections;
 
     /** Attempts that are on their way to it. */
@@ -47,8 +47,8 @@
                         });
     }
 
-    Entry entry() {
-        return new Entry(name, 1, state, zone, process.startedAt(), cell);
+    EndpointEntry entry() {
+        return new EndpointEntry(name, 1, state, zone, process.startedAt(), cell);
     }
 
     /** A connect has come; whether it is taken. */
@@ -75,7 +75,7 @@
 
     @Override
     public boolean isReady() {
-        return state == State.READY;
+        return state == EndpointState.READY;
     }
 
     @Override
@@ -85,7 +85,7 @@
 
     @Override
     public void drains() {
-        world.roster().changed(this, State.DRAINING);
+        world.roster().changed(this, EndpointState.DRAINING);
     }
 
     @Override
@@ -97,12 +97,12 @@
     @Override
     public void comesBack() {
         process.comeUp();
-        world.roster().changed(this, State.READY);
+        world.roster().changed(this, EndpointState.READY);
     }
 
     @Override
     public void isReplaced() {
-        world.roster().changed(this, State.GONE);
+        world.roster().changed(this, EndpointState.GONE);
         world.addWorker(zone, Math.max(0, cell), true);
     }
 }
--- a/lab/src/main/java/trailthread/lab/world/World.java
+++ b/lab/src/main/java/trailthread/lab/world/World.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
-import trailthread.BalancerApi.Reports;
-import trailthread.BalancerApi.Settings;
-import trailthread.BalancerApi.State;
+import trailthread.api.EndpointState;
+import trailthread.api.LoadReportSource;
+import trailthread.api.Settings;
 import trailthread.lab.agenda.Agenda;
 import trailthread.lab.clients.Ask;
 import trailthread.lab.clients.Clients;
@@ -58,7 +58,7 @@
         this.scenario = scenario;
         this.policy = policy;
         streams = new Streams(seed);
-        referee = new Referee(scenario.rules().answerSlackNs(), scenario.rules().drainGraceNs());
+        referee = new Referee(scenario.rules().responseSlackNs(), scenario.rules().drainGraceNs());
         figures = new Figures(BEGIN, BEGIN + scenario.warmUpNs());
         network = streams.of("network");
         speeds = streams.of("speeds");
@@ -260,7 +260,10 @@
 
     /** What takes longer to tell its load than the tightest aim is fit for nothing just now. */
     long probeWithinNs() {
-        return scenario.classes().stream().mapToLong(c -> c.rules().aimNs()).min().orElseThrow();
+        return scenario.classes().stream()
+                .mapToLong(c -> c.rules().latencyObjectiveNs())
+                .min()
+                .orElseThrow();
     }
 
     void travel(SimNode from, SimWorker to, Runnable task) {
@@ -293,21 +296,21 @@
         s.zone = node.zone;
         scenario.classes().forEach(c -> s.classes.add(c.rules()));
         s.tenants.addAll(scenario.tenants());
-        s.priceCrossZone = rules.crossZonePrice();
+        s.crossZonePrice = rules.crossZonePrice();
         s.mayCancel = true;
-        s.mayProbe = rules.probes();
+        s.mayCheckHealth = rules.probes();
         s.maxAttempts = rules.maxAttempts();
         s.retryAfter = rules.maxRetryAfterNs() > 0;
         s.maxRetryAfterNs = rules.maxRetryAfterNs();
         s.connectTimeoutNs = network().dialNs();
-        s.listOnRequest = true;
-        s.reports = scenario.fleet().reports() ? Reports.ANSWERS : Reports.NONE;
-        s.answerSlackNs = rules.answerSlackNs();
+        s.listIsPolled = true;
+        s.reports = scenario.fleet().reports() ? LoadReportSource.ANSWERS : LoadReportSource.NONE;
+        s.responseSlackNs = rules.responseSlackNs();
         var cold = scenario.fleet().law().cold();
-        s.coldShare = cold.share();
-        s.coldNs = cold.warmNs();
-        s.fallMultiple = Math.min(1e6, cold.multiple());
-        s.fallNs = cold.windowNs();
+        s.slowStartInitialShare = cold.share();
+        s.slowStartNs = cold.warmNs();
+        s.overloadMultiple = Math.min(1e6, cold.multiple());
+        s.overloadWindowNs = cold.deduplicationWindowNs();
         return s;
     }
 
@@ -324,7 +327,9 @@
             public double stretch(String name) {
                 SimWorker w = byName.get(name);
                 boolean well =
-                        w.process().isUp() && w.process().ills.none() && w.state == State.READY;
+                        w.process().isUp()
+                                && w.process().ills.none()
+                                && w.state == EndpointState.READY;
                 return well
                         ? w.process().model().stretch(now(), w.coming)
                         : Double.POSITIVE_INFINITY;
--- a/lab/src/test/java/trailthread/lab/referee/RefereeTest.java
+++ b/lab/src/test/java/trailthread/lab/referee/RefereeTest.java
@@ -5,9 +5,9 @@
 
 import java.util.Map;
 import org.junit.Test;
-import trailthread.BalancerApi.Group;
-import trailthread.BalancerApi.Outcome;
-import trailthread.BalancerApi.Semantics;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.Idempotency;
+import trailthread.api.Outcome;
 import trailthread.lab.referee.Referee.Place;
 
 /** For each rule a violation that must be caught, and a near miss that must pass. */
@@ -17,8 +17,8 @@
     private static final Place OTHER = new Place("c", "east", 1);
     private final Referee referee = new Referee(10, 100);
 
-    private void take(Semantics semantics, Group group) {
-        referee.taken(0, "7", "n0", new CallTerms("c", semantics, group, 500, 1000));
+    private void take(Idempotency idempotency, DeduplicationScope group) {
+        referee.taken(0, "7", "n0", new CallTerms("c", idempotency, group, 500, 1000));
     }
 
     /** One attempt that runs and ends so. */
@@ -40,7 +40,7 @@
 
     @Test
     public void aSecondAnswer() {
-        take(Semantics.SAFE, Group.ALL);
+        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.sent(1, "7", 0, "n0", A); // still out, so that the call is not over
         referee.answered(5, "7", "refused");
         broken();
@@ -53,7 +53,7 @@
 
     @Test
     public void anAnswerAfterTheEnd() {
-        take(Semantics.SAFE, Group.ALL);
+        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.answered(5, "7", "refused");
         referee.answered(6, "7", "refused");
         broken(Rule.ONE_ANSWER);
@@ -61,14 +61,14 @@
 
     @Test
     public void noAnswer() {
-        take(Semantics.SAFE, Group.ALL);
+        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.overdue(1011, "7");
         broken(Rule.IN_TIME);
     }
 
     @Test
     public void noAnswerByTheEndOfTheRun() {
-        take(Semantics.SAFE, Group.ALL);
+        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.finish(2000);
         broken(Rule.IN_TIME);
         assertEquals(0, referee.open());
@@ -76,17 +76,17 @@
 
     @Test
     public void anAnswerWithinTheSlackAndOneAfter() {
-        take(Semantics.SAFE, Group.ALL);
+        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.answered(1010, "7", "failed");
         broken();
-        take(Semantics.SAFE, Group.ALL);
+        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.answered(1011, "7", "failed");
         broken(Rule.IN_TIME);
     }
 
     @Test
     public void aClientThatLeftIsOwedNothing() {
-        take(Semantics.SAFE, Group.ALL);
+        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.gone(500, "7");
         referee.overdue(1011, "7");
         referee.finish(2000);
@@ -95,7 +95,7 @@
 
     @Test
     public void anUnsafeCallThatMayHaveRunTwice() {
-        take(Semantics.UNSAFE, Group.ALL);
+        take(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         attempt(1, 0, A, true, Outcome.RESET);
         attempt(10, 1, OTHER, true, Outcome.OK);
         broken(Rule.REPEATS);
@@ -103,8 +103,8 @@
 
     @Test
     public void anUnsafeCallThatWasTurnedAwayMayGoOn() {
-        take(Semantics.UNSAFE, Group.ALL);
-        attempt(1, 0, A, false, Outcome.FULL);
+        take(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+        attempt(1, 0, A, false, Outcome.REJECTED);
         attempt(10, 1, OTHER, false, Outcome.CONNECT_FAILED);
         attempt(20, 2, OTHER, true, Outcome.OK);
         broken();
@@ -113,7 +113,7 @@
     /** What a node believes of an end does not count: it calls a reset a failed connect. */
     @Test
     public void aNodeThatTakesWhatRanForWhatDidNot() {
-        take(Semantics.UNSAFE, Group.ALL);
+        take(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         attempt(1, 0, A, true, Outcome.CONNECT_FAILED);
         attempt(10, 1, A, true, Outcome.OK);
         broken(Rule.REPEATS);
@@ -121,7 +121,7 @@
 
     @Test
     public void aKeyedCallWithinItsCellAndOutside() {
-        take(Semantics.KEYED, Group.CELL);
+        take(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL);
         attempt(1, 0, A, true, Outcome.RESET);
         attempt(10, 1, SAME_CELL, true, Outcome.RESET);
         broken();
@@ -131,7 +131,7 @@
 
     @Test
     public void aKeyedCallWithinItsZoneAndOutside() {
-        take(Semantics.KEYED, Group.ZONE);
+        take(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE);
         attempt(1, 0, A, true, Outcome.RESET);
         attempt(10, 1, OTHER, true, Outcome.RESET);
         broken();
@@ -141,7 +141,7 @@
 
     @Test
     public void aKeyedCallWithinItsWindowAndAfter() {
-        take(Semantics.KEYED, Group.ALL);
+        take(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL);
         attempt(1, 0, A, true, Outcome.RESET);
         attempt(490, 1, OTHER, true, Outcome.RESET);
         broken();
@@ -151,7 +151,7 @@
 
     @Test
     public void twoAttemptsAtOnce() {
-        take(Semantics.SAFE, Group.ALL);
+        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.sent(1, "7", 0, "n0", A);
         referee.ended(5, "7", 0, Outcome.TIMEOUT);
         referee.sent(5, "7", 1, "n0", OTHER);
@@ -163,7 +163,7 @@
     /** As by a node that was stopped, and reads what came meanwhile. */
     @Test
     public void aCallWhoseClientLeftIsStillRepeatedOnlyAsItsClassAllows() {
-        take(Semantics.UNSAFE, Group.ALL);
+        take(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         referee.gone(500, "7");
         attempt(600, 0, A, true, Outcome.RESET);
         referee.answered(610, "7", "failed");
@@ -174,7 +174,7 @@
 
     @Test
     public void anAttemptForACallThatIsOver() {
-        take(Semantics.SAFE, Group.ALL);
+        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.answered(5, "7", "refused");
         referee.sent(6, "7", 0, "n0", A);
         broken(Rule.REPEATS);
@@ -182,7 +182,7 @@
 
     @Test
     public void somethingNewAfterTheGraceOfADrain() {
-        take(Semantics.SAFE, Group.ALL);
+        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.told(50, "n0", "a", false);
         referee.told(140, "n0", "a", false); // told again: the first news counts
         attempt(150, 0, A, true, Outcome.RESET);
@@ -196,7 +196,7 @@
 
     @Test
     public void aWorkerThatIsBackWantsWork() {
-        take(Semantics.SAFE, Group.ALL);
+        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.told(50, "n0", "a", false);
         referee.told(200, "n0", "a", true);
         attempt(300, 0, A, true, Outcome.OK);
@@ -205,7 +205,7 @@
 
     @Test
     public void anAnswerThatWasMadeForAnother() {
-        take(Semantics.SAFE, Group.ALL);
+        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         attempt(1, 0, A, true, Outcome.OK);
         referee.answered(5, "7", "served");
         broken();
@@ -215,7 +215,7 @@
 
     @Test
     public void aConnectionThatItsNodeEnds() {
-        take(Semantics.SAFE, Group.ALL);
+        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.lost(5, "7", "the connection ended without an answer");
         referee.overdue(1100, "7"); // the call is over: once is enough
         broken(Rule.ONE_ANSWER);
--- a/lab/src/test/java/trailthread/lab/world/WorldTest.java
+++ b/lab/src/test/java/trailthread/lab/world/WorldTest.java
@@ -13,9 +13,9 @@
 import java.util.stream.Stream;
 import org.junit.Test;
 import trailthread.Balancer;
-import trailthread.BalancerApi.Actions;
-import trailthread.BalancerApi.Events;
-import trailthread.BalancerApi.Settings;
+import trailthread.api.BalancerActions;
+import trailthread.api.BalancerEvents;
+import trailthread.api.Settings;
 import trailthread.lab.experiment.Result;
 import trailthread.lab.experiment.Runs;
 import trailthread.lab.peers.Policies;
@@ -118,7 +118,7 @@
 
     /** The project's module, but for what the test puts between. */
     private interface Spoiler {
-        Actions spoil(Actions actions, Events[] module);
+        BalancerActions spoil(BalancerActions actions, BalancerEvents[] module);
     }
 
     private static Policy spoilt(Spoiler spoiler) {
@@ -134,25 +134,25 @@
             }
 
             @Override
-            public Events make(
-                    Settings settings, long seed, long now, Actions actions, Truth truth) {
-                Events[] module = new Events[1];
+            public BalancerEvents make(
+                    Settings settings, long seed, long now, BalancerActions actions, Truth truth) {
+                BalancerEvents[] module = new BalancerEvents[1];
                 module[0] = new Balancer(settings, seed, now, spoiler.spoil(actions, module));
                 return module[0];
             }
         };
     }
 
-    private static class Passing implements Actions {
-        private final Actions to;
+    private static class Passing implements BalancerActions {
+        private final BalancerActions to;
 
-        Passing(Actions to) {
+        Passing(BalancerActions to) {
             this.to = to;
         }
 
         @Override
-        public void send(long id, long timeoutNs, long writtenBy, String backend) {
-            to.send(id, timeoutNs, writtenBy, backend);
+        public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
+            to.send(id, timeoutNs, writtenBy, endpoint);
         }
 
         @Override
@@ -176,13 +176,13 @@
         }
 
         @Override
-        public void probe(String backend) {
-            to.probe(backend);
+        public void probe(String endpoint) {
+            to.probe(endpoint);
         }
 
         @Override
-        public void closeIdle(String backend) {
-            to.closeIdle(backend);
+        public void closeIdle(String endpoint) {
+            to.closeIdle(endpoint);
         }
 
         @Override
@@ -226,12 +226,12 @@
 
                             @Override
                             public void send(
-                                    long id, long timeoutNs, long writtenBy, String backend) {
+                                    long id, long timeoutNs, long writtenBy, String endpoint) {
                                 super.timer(
                                         0,
                                         2); // each sets the next: it is the timer that the module
                                 // sets again
-                                super.send(id, timeoutNs, writtenBy, backend);
+                                super.send(id, timeoutNs, writtenBy, endpoint);
                             }
                         });
     }
@@ -244,9 +244,9 @@
                         new Passing(actions) {
                             @Override
                             public void send(
-                                    long id, long timeoutNs, long writtenBy, String backend) {
+                                    long id, long timeoutNs, long writtenBy, String endpoint) {
                                 for (int i = 0; i < 200_000; i++) {
-                                    super.send(id, timeoutNs, writtenBy, backend);
+                                    super.send(id, timeoutNs, writtenBy, endpoint);
                                 }
                             }
                         });
@@ -260,7 +260,7 @@
                         new Passing(actions) {
                             @Override
                             public void send(
-                                    long id, long timeoutNs, long writtenBy, String backend) {
+                                    long id, long timeoutNs, long writtenBy, String endpoint) {
                                 super.send(id, timeoutNs, writtenBy, "w999");
                             }
                         });
@@ -279,8 +279,8 @@
                                                     long id,
                                                     long timeoutNs,
                                                     long writtenBy,
-                                                    String backend) {
-                                                super.send(id, timeoutNs, writtenBy, backend);
+                                                    String endpoint) {
+                                                super.send(id, timeoutNs, writtenBy, endpoint);
                                                 super.refuse(id, 0);
                                                 super.fail(id);
                                             }
@@ -307,7 +307,7 @@
                                                     long id,
                                                     long timeoutNs,
                                                     long writtenBy,
-                                                    String backend) {
+                                                    String endpoint) {
                                                 // nothing
                                             }
 
