--- a/benchmarks/src/main/java/trailthread/benchmark/RouteMatch.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/RouteMatch.java
@@ -13,11 +13,11 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
-import trailthread.engine.routes.Asked;
 import trailthread.engine.routes.BadTargetException;
 import trailthread.engine.routes.HostPattern;
 import trailthread.engine.routes.PathPattern;
 import trailthread.engine.routes.Route;
+import trailthread.engine.routes.RouteQuery;
 import trailthread.engine.routes.RouteTable;
 import trailthread.engine.routes.Target;
 
@@ -41,7 +41,7 @@
     private RouteTable table;
     private final String[] targets = new String[REQUESTS];
     private final List<List<String>> hosts = new ArrayList<>();
-    private final Asked[] asked = new Asked[REQUESTS];
+    private final RouteQuery[] asked = new RouteQuery[REQUESTS];
     private int next;
 
     /** Routes of every kind over twenty hosts: literals, templates, prefixes, conditions. */
@@ -83,9 +83,9 @@
         return path + (kind == 2 ? "/**" : "");
     }
 
-    private Asked read(int i) throws BadTargetException {
+    private RouteQuery read(int i) throws BadTargetException {
         Target target = Target.parse("GET", targets[i], hosts.get(i), true);
-        return new Asked(target.host(), target.segments(), "GET", name -> "1", null);
+        return new RouteQuery(target.host(), target.segments(), "GET", name -> "1", null);
     }
 
     /** The match alone. */
--- a/command/src/main/java/trailthread/command/Explain.java
+++ b/command/src/main/java/trailthread/command/Explain.java
@@ -13,9 +13,9 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import trailthread.configuration.OperatorFile;
-import trailthread.engine.routes.Asked;
 import trailthread.engine.routes.BadTargetException;
 import trailthread.engine.routes.Route;
+import trailthread.engine.routes.RouteQuery;
 import trailthread.engine.routes.RouteTable;
 import trailthread.engine.routes.Target;
 
@@ -80,8 +80,8 @@
             return Trailthread.BAD;
         }
         RouteTable routes = new RouteTable(read.services().routes());
-        Asked asked =
-                new Asked(
+        RouteQuery asked =
+                new RouteQuery(
                         target.host(),
                         target.segments(),
                         method,
--- a/configuration/src/main/java/trailthread/configuration/OperatorFileReader.java
+++ b/configuration/src/main/java/trailthread/configuration/OperatorFileReader.java
@@ -32,10 +32,10 @@
 import trailthread.engine.pool.PoolConfig.Rules;
 import trailthread.engine.pool.PoolConfig.Source;
 import trailthread.engine.pool.ServicesConfig;
-import trailthread.engine.routes.Conflict;
 import trailthread.engine.routes.HostPattern;
 import trailthread.engine.routes.PathPattern;
 import trailthread.engine.routes.Route;
+import trailthread.engine.routes.RouteConflict;
 import trailthread.engine.routes.RouteTable;
 
 /** Reads an operator's file to its end, and tells everything that is wrong with it. */
@@ -458,7 +458,7 @@
                 routes.add(route);
             }
         }
-        for (Conflict conflict : new RouteTable(routes).conflicts()) {
+        for (RouteConflict conflict : new RouteTable(routes).conflicts()) {
             byName.get(conflict.second().name())
                     .fault(null, "no two routes that tie", conflict.toString());
         }
--- a/daemon/src/main/java/org/xnio/nio/GivenTcpServer.java
+++ b/daemon/src/main/java/org/xnio/nio/InheritedTcpServer.java
@@ -12,8 +12,8 @@
  * XNIO's server on a listening socket that the process was given: XNIO itself only makes its own.
  * In XNIO's package, as the classes that this joins are not public; the build holds their version.
  */
-public final class GivenTcpServer {
-    private GivenTcpServer() {}
+public final class InheritedTcpServer {
+    private InheritedTcpServer() {}
 
     /**
      * The server, which accepts nothing as yet.
--- a/daemon/src/main/java/trailthread/daemon/Drain.java
+++ b/daemon/src/main/java/trailthread/daemon/Drain.java
@@ -2,9 +2,9 @@
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import trailthread.daemon.acceptor.Acceptor;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.NodeControl;
+import trailthread.daemon.listener.HttpListener;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.NodeControl;
 
 /**
  * Leads a node's clients away while it goes on, and takes them back. The node says at once that it
@@ -28,8 +28,8 @@
 
     private static final long IDLE_ENDS_EVERY_NS = 100_000_000L;
 
-    private final Loop loop;
-    private final Acceptor acceptor;
+    private final EventLoop loop;
+    private final HttpListener acceptor;
     private boolean drains;
 
     /**
@@ -41,7 +41,7 @@
     private boolean ends;
 
     /** Makes one for the node's clients. */
-    public Drain(Loop loop, Acceptor acceptor) {
+    public Drain(EventLoop loop, HttpListener acceptor) {
         this.loop = loop;
         this.acceptor = acceptor;
     }
--- a/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
+++ b/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import trailthread.daemon.acceptor.Acceptor;
-import trailthread.engine.loop.Loop;
+import trailthread.daemon.listener.HttpListener;
+import trailthread.engine.loop.EventLoop;
 
 /**
  * How a node ends when it is asked to: it serves on for a while, then finishes every call taken.
@@ -15,7 +15,7 @@
     public interface AtWork {
         /**
          * Calls taken from now on have their answers by the first time, all by the second; by
-         * {@link Loop#now}, in nanoseconds.
+         * {@link EventLoop#now}, in nanoseconds.
          */
         void answerBy(long newOnes, long all);
     }
@@ -28,8 +28,8 @@
      */
     private static final long LAST_ANSWER_NS = 1_700_000_000L;
 
-    private final Loop loop;
-    private final Acceptor acceptor;
+    private final EventLoop loop;
+    private final HttpListener acceptor;
     private final Drain drain;
     private final AtWork atWork;
 
@@ -40,7 +40,7 @@
     private volatile long longestNs;
 
     /** Makes the end of a node that serves with the acceptor. */
-    public GracefulShutdown(Loop loop, Acceptor acceptor, Drain drain, AtWork atWork) {
+    public GracefulShutdown(EventLoop loop, HttpListener acceptor, Drain drain, AtWork atWork) {
         this.loop = loop;
         this.acceptor = acceptor;
         this.drain = drain;
--- a/daemon/src/main/java/trailthread/daemon/GivenSocket.java
+++ b/daemon/src/main/java/trailthread/daemon/InheritedSocket.java
@@ -9,13 +9,13 @@
  * The clients' listening socket, where the platform holds it and every process of a node inherits
  * it.
  */
-final class GivenSocket {
+final class InheritedSocket {
     private static final String VARIABLE = "LB_SOCKET_FD";
 
     /** The only one that Java hands over, see {@link System#inheritedChannel}. */
     private static final String DESCRIPTOR = "0";
 
-    private GivenSocket() {}
+    private InheritedSocket() {}
 
     /** The socket, or null: the node opens its address itself. */
     static ServerSocketChannel of(Map<String, String> environment)
--- a/daemon/src/main/java/trailthread/daemon/Main.java
+++ b/daemon/src/main/java/trailthread/daemon/Main.java
@@ -40,7 +40,7 @@
         try {
             CompletableFuture<Runnable> reload = Lifecycle.onHangup();
             Node node = new Node(NodeConfig.load(System.getenv()));
-            ServerSocketChannel given = GivenSocket.of(System.getenv());
+            ServerSocketChannel given = InheritedSocket.of(System.getenv());
             Lifecycle.start(() -> node.start(given), node::stop);
             reload.complete(() -> node.reload(System.getenv()));
         } catch (ConfigException e) {
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -15,24 +15,24 @@
 import trailthread.api.ListKind;
 import trailthread.api.LoadReportSource;
 import trailthread.api.RequestClass;
-import trailthread.daemon.acceptor.Acceptor;
-import trailthread.daemon.acceptor.PlatformFront;
-import trailthread.daemon.operator.OperatorEndpoint;
-import trailthread.engine.call.Calls;
-import trailthread.engine.discovery.Discovery;
-import trailthread.engine.discovery.DiscoveryEntry;
+import trailthread.daemon.admin.AdminServer;
+import trailthread.daemon.listener.HttpListener;
+import trailthread.daemon.listener.PlatformFrontend;
+import trailthread.engine.degradation.DegradationService;
+import trailthread.engine.discovery.DiscoveredEndpoint;
+import trailthread.engine.discovery.DiscoveryClient;
 import trailthread.engine.discovery.DiscoveryListener;
 import trailthread.engine.discovery.DiscoveryUpdate;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.Meter;
-import trailthread.engine.meter.NodeView;
-import trailthread.engine.service.Service;
-import trailthread.engine.worker.ConnectionRoom;
-import trailthread.engine.worker.Workers;
+import trailthread.engine.endpoint.ConnectionLimit;
+import trailthread.engine.endpoint.EndpointPool;
+import trailthread.engine.loop.CpuAccount;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
+import trailthread.engine.metrics.NodeStatus;
+import trailthread.engine.request.RequestDispatcher;
 
 /** One node: its parts, how they are joined, its start and its end. */
-final class Node implements DiscoveryListener, NodeView {
+final class Node implements DiscoveryListener, NodeStatus {
     private static final Logger LOG = LoggerFactory.getLogger(Node.class);
 
     /** Descriptors that the virtual machine, the listening socket and discovery take. */
@@ -62,63 +62,63 @@
     private static final long LIST_WITHIN_NS = 4_500_000_000L;
 
     private volatile NodeConfig config;
-    private final Loop loop;
-    private final Workers workers;
-    private final Calls calls;
+    private final EventLoop loop;
+    private final EndpointPool workers;
+    private final RequestDispatcher calls;
     private final WarmUp warmUp;
-    private final PlatformFront front;
-    private final Discovery discovery;
+    private final PlatformFrontend front;
+    private final DiscoveryClient discovery;
     private final ListLease lease;
 
     /** What waits for the list to be usable, or null. */
     private Runnable whenListed;
 
-    private final Acceptor acceptor;
+    private final HttpListener acceptor;
     private final Drain drain;
     private final GracefulShutdown shutdown;
 
     /** Null where operators are told nothing: no class of it is loaded then. */
-    private final OperatorEndpoint operator;
+    private final AdminServer operator;
 
     /** Null where the node has no levels of service: no class of it is loaded then. */
-    private final Service service;
+    private final DegradationService service;
 
-    private final Meter meter;
+    private final MetricsRecorder meter;
 
     Node(NodeConfig config) throws IOException {
         this.config = config;
-        loop = new Loop(config.name());
+        loop = new EventLoop(config.name());
         operator =
                 config.management() == null
                         ? null
-                        : new OperatorEndpoint(
-                                loop, config.name(), config.settings().classes, this);
-        Meter operators = operator == null ? Meter.OFF : operator.meter();
+                        : new AdminServer(loop, config.name(), config.settings().classes, this);
+        MetricsRecorder operators = operator == null ? MetricsRecorder.OFF : operator.meter();
         service =
                 config.levels() == null
                         ? null
-                        : new Service(loop, config.levels(), config.settings(), operators);
+                        : new DegradationService(
+                                loop, config.levels(), config.settings(), operators);
         meter = service == null ? operators : service;
         int forOthers = config.sockets() - ownDescriptors();
         int forClients = (int) (CLIENTS_SHARE * forOthers);
         workers =
-                new Workers(
+                new EndpointPool(
                         loop,
                         config.settings().connectTimeoutNs,
                         config.idleCloseNs(),
                         config.drainGraceNs(),
-                        ConnectionRoom.of(forOthers - forClients),
+                        ConnectionLimit.of(forOthers - forClients),
                         config.settings().latencyResolutionNs(),
-                        Account.NONE);
-        calls = new Calls(loop, workers, config.settings(), config.seed(), meter);
-        discovery = new Discovery(loop, config.discovery(), this);
+                        CpuAccount.NONE);
+        calls = new RequestDispatcher(loop, workers, config.settings(), config.seed(), meter);
+        discovery = new DiscoveryClient(loop, config.discovery(), this);
         calls.setDiscovery(discovery);
         workers.setNews(discovery::readNews);
         lease = new ListLease(config.drainGraceNs(), !config.settings().listIsPolled);
         warmUp = new WarmUp(loop, config, calls);
-        front = new PlatformFront(config.settings().classes, warmUp);
+        front = new PlatformFrontend(config.settings().classes, warmUp);
         acceptor =
-                new Acceptor(
+                new HttpListener(
                         loop,
                         forClients,
                         Math.min(forClients, (int) (CALLERS_SHARE * config.sockets())),
@@ -220,7 +220,7 @@
                 config.known().instances().stream()
                         .filter(worker -> worker.lifecycle() == EndpointState.READY)
                         .limit(ASKED_AT_START)
-                        .map(DiscoveryEntry::instanceId)
+                        .map(DiscoveredEndpoint::instanceId)
                         .toList();
         boolean may =
                 config.settings().mayCheckHealth
@@ -325,7 +325,7 @@
     }
 
     private int ownDescriptors() {
-        return OWN_DESCRIPTORS + (operator == null ? 0 : OperatorEndpoint.MOST_DESCRIPTORS);
+        return OWN_DESCRIPTORS + (operator == null ? 0 : AdminServer.MOST_DESCRIPTORS);
     }
 
     /**
@@ -376,7 +376,7 @@
     private void list(ListKind kind, DiscoveryUpdate update, long knownSince) {
         workers.update(update, knownSince);
         List<EndpointEntry> entries = new ArrayList<>();
-        for (DiscoveryEntry e : update.instances()) {
+        for (DiscoveredEndpoint e : update.instances()) {
             entries.add(e.entry());
         }
         meter.listed(kind, entries);
--- a/daemon/src/main/java/trailthread/daemon/NodeConfig.java
+++ b/daemon/src/main/java/trailthread/daemon/NodeConfig.java
@@ -14,9 +14,9 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import trailthread.api.Settings;
+import trailthread.engine.degradation.DegradationConfig;
 import trailthread.engine.discovery.DiscoveryParser;
 import trailthread.engine.discovery.DiscoveryUpdate;
-import trailthread.engine.service.LevelsConfig;
 import trailthread.settings.SettingsParser;
 
 /**
@@ -43,7 +43,7 @@
         long idleCloseNs,
         long drainGraceNs,
         InetSocketAddress management,
-        LevelsConfig levels,
+        DegradationConfig levels,
         FileKeys keys) {
     private static final String FILE = "LB_CONFIG";
     private static final int DEFAULT_SOCKETS = 1024;
@@ -162,7 +162,7 @@
                     settings.whole("limits.idle_close_ns", DEFAULT_IDLE_CLOSE_NS),
                     settings.whole("safety.drain_grace_ns", DEFAULT_DRAIN_GRACE_NS),
                     management == null ? null : address("management", management, 0),
-                    levels == null ? null : LevelsConfig.parse(levels, usable.classes),
+                    levels == null ? null : DegradationConfig.parse(levels, usable.classes),
                     keys);
         } catch (IllegalArgumentException e) {
             throw new ConfigException(e);
--- a/daemon/src/main/java/trailthread/daemon/WarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/WarmUp.java
@@ -14,20 +14,20 @@
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
 import trailthread.api.RequestClass;
-import trailthread.engine.call.CallTaker;
-import trailthread.engine.call.Calls;
-import trailthread.engine.call.ClientCall;
-import trailthread.engine.call.Reply;
-import trailthread.engine.discovery.DiscoveryEntry;
+import trailthread.engine.discovery.DiscoveredEndpoint;
 import trailthread.engine.discovery.DiscoveryUpdate;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.Meter;
-import trailthread.engine.worker.ConnectionRoom;
-import trailthread.engine.worker.Ending;
-import trailthread.engine.worker.Made;
-import trailthread.engine.worker.WorkerRequest;
-import trailthread.engine.worker.Workers;
+import trailthread.engine.endpoint.AttemptResult;
+import trailthread.engine.endpoint.ConnectionLimit;
+import trailthread.engine.endpoint.EndpointPool;
+import trailthread.engine.endpoint.EndpointRequest;
+import trailthread.engine.endpoint.EndpointResponse;
+import trailthread.engine.loop.CpuAccount;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
+import trailthread.engine.request.ClientRequest;
+import trailthread.engine.request.ClientResponse;
+import trailthread.engine.request.RequestDispatcher;
+import trailthread.engine.request.RequestHandler;
 
 /**
  * Takes calls of the node's own through the whole path before clients come, so that their first
@@ -36,7 +36,7 @@
  * hears of them: one that was given up may lie unread until long after the last, so each call that
  * is read is looked at, for as long as the node runs.
  */
-final class WarmUp implements CallTaker {
+final class WarmUp implements RequestHandler {
     private static final Logger LOG = LoggerFactory.getLogger(WarmUp.class);
     private static final String SELF = "self";
 
@@ -76,14 +76,14 @@
     private static final long CALL_WITHIN_NS = 500_000_000L;
     private static final byte[] BODY = "x".repeat(512).getBytes(StandardCharsets.US_ASCII);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final NodeConfig config;
 
     /** What takes the calls that are a client's. */
-    private final CallTaker real;
+    private final RequestHandler real;
 
-    private final Workers workers;
-    private final Calls calls;
+    private final EndpointPool workers;
+    private final RequestDispatcher calls;
 
     /** Ids of the node's own calls begin so; no client's does. */
     private final String prefix;
@@ -97,21 +97,23 @@
     private int count;
     private boolean over;
 
-    WarmUp(Loop loop, NodeConfig config, CallTaker real) {
+    WarmUp(EventLoop loop, NodeConfig config, RequestHandler real) {
         this.loop = loop;
         this.config = config;
         this.real = real;
         prefix = "warm-up-" + Long.toHexString(config.seed()) + "-";
         workers =
-                new Workers(
+                new EndpointPool(
                         loop,
                         config.settings().connectTimeoutNs,
                         config.idleCloseNs(),
                         config.drainGraceNs(),
-                        ConnectionRoom.of(16),
+                        ConnectionLimit.of(16),
                         config.settings().latencyResolutionNs(),
-                        Account.NONE);
-        calls = new Calls(loop, workers, config.settings(), config.seed(), Meter.OFF);
+                        CpuAccount.NONE);
+        calls =
+                new RequestDispatcher(
+                        loop, workers, config.settings(), config.seed(), MetricsRecorder.OFF);
     }
 
     /**
@@ -132,7 +134,7 @@
                         0,
                         true,
                         List.of(
-                                new DiscoveryEntry(
+                                new DiscoveredEndpoint(
                                         SELF,
                                         hostPort,
                                         config.settings().zone,
@@ -175,7 +177,7 @@
         }
     }
 
-    private void next(Ending last) {
+    private void next(AttemptResult last) {
         // On a busy machine the first call alone may take its whole time: the next ones find what
         // it has loaded.
         boolean works =
@@ -203,7 +205,7 @@
         String id = prefix + count;
         workers.attempt(
                 SELF,
-                new WorkerRequest(
+                new EndpointRequest(
                         id,
                         c.name(),
                         safe ? "GET" : "POST",
@@ -222,7 +224,7 @@
 
     /** The node's own calls come twice: as a client's, and then as they reach the worker. */
     @Override
-    public Runnable take(ClientCall call, long deadline, Reply reply) {
+    public Runnable take(ClientRequest call, long deadline, ClientResponse reply) {
         if (!call.id().startsWith(prefix)) {
             return real.take(call, deadline, reply);
         }
@@ -237,7 +239,7 @@
         if (attempted.add(call.id())) {
             return calls.take(call, deadline, reply);
         }
-        reply.served(Made.of(BODY));
+        reply.served(EndpointResponse.of(BODY));
         return () -> {};
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/operator/OperatorConnections.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminConnections.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.operator;
+package trailthread.daemon.admin;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -7,7 +7,7 @@
 import org.xnio.StreamConnection;
 
 /** The connections to the endpoint, bounded. Guards the node's descriptors and the loop's time. */
-final class OperatorConnections {
+final class AdminConnections {
     /** One connection. */
     private static final class Client {
         private boolean busy;
@@ -22,7 +22,7 @@
     private final Limits limits;
     private final Map<StreamConnection, Client> clients = new LinkedHashMap<>();
 
-    OperatorConnections(Limits limits) {
+    AdminConnections(Limits limits) {
         this.limits = limits;
     }
 
--- a/daemon/src/main/java/trailthread/daemon/operator/OperatorEndpoint.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminServer.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.operator;
+package trailthread.daemon.admin;
 
 import io.undertow.UndertowOptions;
 import io.undertow.server.AbstractServerConnection;
@@ -25,10 +25,10 @@
 import org.xnio.StreamConnection;
 import org.xnio.channels.AcceptingChannel;
 import trailthread.api.RequestClass;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.Meter;
-import trailthread.engine.meter.NodeControl;
-import trailthread.engine.meter.NodeView;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
+import trailthread.engine.metrics.NodeControl;
+import trailthread.engine.metrics.NodeStatus;
 
 /**
  * The operators' door to the node, over HTTP: under {@code /-/} what they do to it and the figures
@@ -37,8 +37,8 @@
  * whatever its clients do. A node whose operators want nothing makes none, and then loads no class
  * of this package.
  */
-public final class OperatorEndpoint {
-    private static final Logger LOG = LoggerFactory.getLogger(OperatorEndpoint.class);
+public final class AdminServer {
+    private static final Logger LOG = LoggerFactory.getLogger(AdminServer.class);
     private static final int MOST_HEADER_BYTES = 8 * 1024;
     private static final int MOST_HEADERS = 64;
 
@@ -53,37 +53,41 @@
     private static final String OWN_PATHS = "/-/";
     private static final long LATENESS_EVERY_NS = 100_000_000L;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Limits limits;
-    private final NodeView view;
+    private final NodeStatus view;
     private NodeControl control;
     private final NodeMetrics metrics;
-    private final Bodies bodies;
-    private final OperatorConnections connections;
+    private final MetricsBodies bodies;
+    private final AdminConnections connections;
     private AcceptingChannel<StreamConnection> server;
     private boolean resting;
     private boolean closed;
 
     /** Makes one that counts, and listens nowhere as yet. */
-    public OperatorEndpoint(Loop loop, String name, List<RequestClass> classes, NodeView view) {
+    public AdminServer(EventLoop loop, String name, List<RequestClass> classes, NodeStatus view) {
         this(loop, name, classes, view, Limits.USUAL);
     }
 
-    OperatorEndpoint(
-            Loop loop, String name, List<RequestClass> classes, NodeView view, Limits limits) {
+    AdminServer(
+            EventLoop loop,
+            String name,
+            List<RequestClass> classes,
+            NodeStatus view,
+            Limits limits) {
         this.loop = loop;
         this.limits = limits;
         this.view = view;
         metrics = new NodeMetrics(classes.stream().map(RequestClass::name).toList());
-        String version = OperatorEndpoint.class.getPackage().getImplementationVersion();
+        String version = AdminServer.class.getPackage().getImplementationVersion();
         bodies =
-                new Bodies(
+                new MetricsBodies(
                         loop,
                         name,
                         version == null ? "unknown" : version,
                         limits.freshNs(),
                         () -> metrics.snapshot(view));
-        connections = new OperatorConnections(limits);
+        connections = new AdminConnections(limits);
     }
 
     /** The node serves these classes, too: they are told of before their first call. */
@@ -92,7 +96,7 @@
     }
 
     /** What the node tells of its events. */
-    public Meter meter() {
+    public MetricsRecorder meter() {
         return metrics;
     }
 
@@ -244,7 +248,9 @@
                 exchange.getResponseSender().send(metrics.figures(view));
             }
             case "GET status" ->
-                    bodies.ask(Bodies.Form.JSON, body -> tell(exchange, Bodies.Form.JSON, body));
+                    bodies.ask(
+                            MetricsBodies.Form.JSON,
+                            body -> tell(exchange, MetricsBodies.Form.JSON, body));
             default -> end(exchange, StatusCodes.NOT_FOUND);
         }
     }
@@ -264,10 +270,10 @@
         } else if (path.equals("/ready")) {
             end(exchange, view.isReady() ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE);
         } else {
-            Bodies.Form form =
+            MetricsBodies.Form form =
                     path.equals("/status")
-                            ? Bodies.Form.JSON
-                            : Bodies.Form.accepted(
+                            ? MetricsBodies.Form.JSON
+                            : MetricsBodies.Form.accepted(
                                     exchange.getRequestHeaders().getFirst(Headers.ACCEPT));
             bodies.ask(form, body -> tell(exchange, form, body));
         }
@@ -278,7 +284,7 @@
         exchange.endExchange();
     }
 
-    private void tell(HttpServerExchange exchange, Bodies.Form form, byte[] body) {
+    private void tell(HttpServerExchange exchange, MetricsBodies.Form form, byte[] body) {
         if (body == null) {
             end(exchange, StatusCodes.INTERNAL_SERVER_ERROR);
             return;
--- a/daemon/src/main/java/trailthread/daemon/operator/ClassFigures.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/ClassMetrics.java
@@ -1,28 +1,28 @@
-package trailthread.daemon.operator;
+package trailthread.daemon.admin;
 
-import trailthread.engine.meter.Answer;
+import trailthread.engine.metrics.RequestResult;
 
 /** What became of the calls of one class. */
-final class ClassFigures {
+final class ClassMetrics {
     long taken;
     long gone;
     final long[] answers;
     final Durations durations;
 
-    ClassFigures() {
-        answers = new long[Answer.values().length];
+    ClassMetrics() {
+        answers = new long[RequestResult.values().length];
         durations = new Durations();
     }
 
-    private ClassFigures(ClassFigures other) {
+    private ClassMetrics(ClassMetrics other) {
         taken = other.taken;
         gone = other.gone;
         answers = other.answers.clone();
         durations = other.durations.copy();
     }
 
-    ClassFigures copy() {
-        return new ClassFigures(this);
+    ClassMetrics copy() {
+        return new ClassMetrics(this);
     }
 
     /** How many have neither their answer nor lost their client. */
--- a/daemon/src/main/java/trailthread/daemon/operator/Durations.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/Durations.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.operator;
+package trailthread.daemon.admin;
 
 import java.util.Arrays;
 
--- a/daemon/src/main/java/trailthread/daemon/operator/WorkerFigures.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/EndpointMetrics.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.operator;
+package trailthread.daemon.admin;
 
 import java.util.Comparator;
 import trailthread.api.EndpointState;
@@ -6,10 +6,10 @@
 import trailthread.api.Outcome;
 
 /** What this node has seen of one worker. */
-final class WorkerFigures {
+final class EndpointMetrics {
     /** The best first: those that fail less, then those with less to do, then the faster. */
-    static final Comparator<WorkerFigures> BEST_FIRST =
-            Comparator.comparingDouble((WorkerFigures w) -> w.failureRatio)
+    static final Comparator<EndpointMetrics> BEST_FIRST =
+            Comparator.comparingDouble((EndpointMetrics w) -> w.failureRatio)
                     .thenComparingDouble(w -> w.inFlight + orZero(w.queue))
                     .thenComparingDouble(w -> orZero(w.latencyS));
 
@@ -31,12 +31,12 @@
     /** The queue that the worker told of last; NaN: it told of none. */
     double queue = Double.NaN;
 
-    WorkerFigures(String id, EndpointState state) {
+    EndpointMetrics(String id, EndpointState state) {
         this.id = id;
         this.state = state;
     }
 
-    private WorkerFigures(WorkerFigures other) {
+    private EndpointMetrics(EndpointMetrics other) {
         id = other.id;
         state = other.state;
         inFlight = other.inFlight;
@@ -47,8 +47,8 @@
         queue = other.queue;
     }
 
-    WorkerFigures copy() {
-        return new WorkerFigures(this);
+    EndpointMetrics copy() {
+        return new EndpointMetrics(this);
     }
 
     void ended(Outcome outcome, long latencyNs, LoadReport load) {
--- a/daemon/src/main/java/trailthread/daemon/operator/Exposition.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/Exposition.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.operator;
+package trailthread.daemon.admin;
 
 import io.prometheus.metrics.expositionformats.ExpositionFormatWriter;
 import io.prometheus.metrics.model.snapshots.ClassicHistogramBuckets;
@@ -23,8 +23,8 @@
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 import trailthread.api.Outcome;
-import trailthread.engine.meter.Answer;
-import trailthread.engine.meter.Rejection;
+import trailthread.engine.metrics.RejectionReason;
+import trailthread.engine.metrics.RequestResult;
 
 /** Tells a snapshot in Prometheus' terms; docs/operations.md explains each metric to operators. */
 final class Exposition {
@@ -36,7 +36,7 @@
 
     static byte[] render(
             Snapshot s,
-            ProcessFigures process,
+            ProcessMetrics process,
             String name,
             String version,
             ExpositionFormatWriter writer)
@@ -107,11 +107,11 @@
                         .name("trailthread_call_duration_seconds")
                         .help("From a call taken to its answer.");
         long atWork = 0;
-        for (Map.Entry<String, ClassFigures> e : s.classes().entrySet()) {
-            ClassFigures figures = e.getValue();
+        for (Map.Entry<String, ClassMetrics> e : s.classes().entrySet()) {
+            ClassMetrics figures = e.getValue();
             Labels labels = Labels.of("class", e.getKey());
             taken.dataPoint(count(figures.taken, labels));
-            for (Answer answer : Answer.values()) {
+            for (RequestResult answer : RequestResult.values()) {
                 answers.dataPoint(
                         count(
                                 figures.answers[answer.ordinal()],
@@ -130,7 +130,7 @@
                 "trailthread_rejected",
                 "Requests answered without being taken as a call.",
                 "reason",
-                Rejection.values(),
+                RejectionReason.values(),
                 s.rejections());
     }
 
@@ -170,7 +170,7 @@
                 s.descriptorLimit());
     }
 
-    private void process(ProcessFigures process) {
+    private void process(ProcessMetrics process) {
         known("process_open_fds", "File descriptors held.", process.openDescriptors());
         known("process_resident_memory_bytes", "Resident memory.", process.residentBytes());
         known(
@@ -200,7 +200,7 @@
                 Map.of("heap", process.heapMostBytes()));
     }
 
-    private void workers(FleetFigures fleet) {
+    private void workers(FleetMetrics fleet) {
         gauges(
                 "trailthread_workers",
                 "Workers listed.",
@@ -241,9 +241,12 @@
     }
 
     private void each(
-            String name, String help, FleetFigures fleet, ToDoubleFunction<WorkerFigures> figure) {
+            String name,
+            String help,
+            FleetMetrics fleet,
+            ToDoubleFunction<EndpointMetrics> figure) {
         GaugeSnapshot.Builder gauge = GaugeSnapshot.builder().name(name).help(help);
-        for (WorkerFigures worker : fleet.worst()) {
+        for (EndpointMetrics worker : fleet.worst()) {
             double value = figure.applyAsDouble(worker);
             if (!Double.isNaN(value)) {
                 gauge.dataPoint(
--- a/daemon/src/main/java/trailthread/daemon/operator/FleetFigures.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/FleetMetrics.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.operator;
+package trailthread.daemon.admin;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -13,29 +13,30 @@
  * @param worst the worst of them, the worst first
  * @param rest how many more there are; what follows is their sum
  */
-record FleetFigures(
+record FleetMetrics(
         int ready,
         int draining,
-        List<WorkerFigures> worst,
+        List<EndpointMetrics> worst,
         int rest,
         long restInFlight,
         long restAttempts,
         long restFailures,
         double restQueue) {
 
-    static FleetFigures of(Collection<WorkerFigures> workers, int most) {
-        PriorityQueue<WorkerFigures> worst =
-                new PriorityQueue<>(most + 1, WorkerFigures.BEST_FIRST);
+    static FleetMetrics of(Collection<EndpointMetrics> workers, int most) {
+        PriorityQueue<EndpointMetrics> worst =
+                new PriorityQueue<>(most + 1, EndpointMetrics.BEST_FIRST);
         int ready = 0;
         int rest = 0;
         long inFlight = 0;
         long attempts = 0;
         long failures = 0;
         double queue = 0;
-        for (WorkerFigures worker : workers) {
+        for (EndpointMetrics worker : workers) {
             ready += worker.state == EndpointState.READY ? 1 : 0;
-            WorkerFigures left = worker;
-            if (worst.size() < most || WorkerFigures.BEST_FIRST.compare(worker, worst.peek()) > 0) {
+            EndpointMetrics left = worker;
+            if (worst.size() < most
+                    || EndpointMetrics.BEST_FIRST.compare(worker, worst.peek()) > 0) {
                 worst.add(worker);
                 left = worst.size() > most ? worst.poll() : null;
             }
@@ -44,15 +45,15 @@
                 inFlight += left.inFlight;
                 attempts += left.attempts;
                 failures += left.failures;
-                queue += WorkerFigures.orZero(left.queue);
+                queue += EndpointMetrics.orZero(left.queue);
             }
         }
-        List<WorkerFigures> shown = new ArrayList<>(worst.size());
+        List<EndpointMetrics> shown = new ArrayList<>(worst.size());
         while (!worst.isEmpty()) {
             shown.add(worst.poll().copy());
         }
         Collections.reverse(shown);
-        return new FleetFigures(
+        return new FleetMetrics(
                 ready, workers.size() - ready, shown, rest, inFlight, attempts, failures, queue);
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/operator/Limits.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/Limits.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.operator;
+package trailthread.daemon.admin;
 
 /**
  * What a client of the endpoint may take of the node, whoever it is.
--- a/daemon/src/main/java/trailthread/daemon/operator/Bodies.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/MetricsBodies.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.operator;
+package trailthread.daemon.admin;
 
 import io.prometheus.metrics.expositionformats.ExpositionFormatWriter;
 import io.prometheus.metrics.expositionformats.OpenMetricsTextFormatWriter;
@@ -12,15 +12,15 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.EventLoop;
 
 /**
  * What the endpoint answers. The loop only takes the snapshot; it is rendered beside the loop, and
  * then goes to all who ask within a while, so that the loop's time does not depend on how often
  * they do.
  */
-final class Bodies {
-    private static final Logger LOG = LoggerFactory.getLogger(Bodies.class);
+final class MetricsBodies {
+    private static final Logger LOG = LoggerFactory.getLogger(MetricsBodies.class);
 
     /** In what form figures are told. */
     enum Form {
@@ -52,14 +52,19 @@
         private final List<Consumer<byte[]>> waiting = new ArrayList<>();
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final String name;
     private final String version;
     private final long freshNs;
     private final Supplier<Snapshot> snapshots;
     private final Map<Form, Slot> slots = new EnumMap<>(Form.class);
 
-    Bodies(Loop loop, String name, String version, long freshNs, Supplier<Snapshot> snapshots) {
+    MetricsBodies(
+            EventLoop loop,
+            String name,
+            String version,
+            long freshNs,
+            Supplier<Snapshot> snapshots) {
         this.loop = loop;
         this.name = name;
         this.version = version;
@@ -94,7 +99,7 @@
 
     private byte[] render(Form form, Snapshot snapshot) {
         try {
-            ProcessFigures process = ProcessFigures.read();
+            ProcessMetrics process = ProcessMetrics.read();
             return form.writer == null
                     ? StatusJson.render(snapshot, process, name, version)
                     : Exposition.render(snapshot, process, name, version, form.writer);
--- a/daemon/src/main/java/trailthread/daemon/operator/NodeMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/NodeMetrics.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.operator;
+package trailthread.daemon.admin;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -9,20 +9,20 @@
 import trailthread.api.ListKind;
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
-import trailthread.engine.meter.Answer;
-import trailthread.engine.meter.Meter;
-import trailthread.engine.meter.NodeView;
-import trailthread.engine.meter.Rejection;
+import trailthread.engine.metrics.MetricsRecorder;
+import trailthread.engine.metrics.NodeStatus;
+import trailthread.engine.metrics.RejectionReason;
+import trailthread.engine.metrics.RequestResult;
 
 /** Counts what happens in one node. Plain figures, as all of it happens on the loop's thread. */
-final class NodeMetrics implements Meter {
+final class NodeMetrics implements MetricsRecorder {
     /** Past these, workers are told of by their sum. */
     static final int MOST_WORKERS_SHOWN = 1_024;
 
-    private final Map<String, ClassFigures> classes = new LinkedHashMap<>();
-    private final Map<String, WorkerFigures> workers = new HashMap<>();
+    private final Map<String, ClassMetrics> classes = new LinkedHashMap<>();
+    private final Map<String, EndpointMetrics> workers = new HashMap<>();
     private final Map<String, Long> levelChanges = new LinkedHashMap<>();
-    private final long[] rejections = new long[Rejection.values().length];
+    private final long[] rejections = new long[RejectionReason.values().length];
     private final long[] attempts = new long[Outcome.values().length];
     private final long[] probes = new long[Outcome.values().length];
     private final Durations lateness = new Durations();
@@ -45,8 +45,8 @@
         of(requestClass);
     }
 
-    private ClassFigures of(String requestClass) {
-        return classes.computeIfAbsent(requestClass, name -> new ClassFigures());
+    private ClassMetrics of(String requestClass) {
+        return classes.computeIfAbsent(requestClass, name -> new ClassMetrics());
     }
 
     @Override
@@ -55,8 +55,8 @@
     }
 
     @Override
-    public void answered(String requestClass, Answer answer, long afterNs, long waitedNs) {
-        ClassFigures figures = of(requestClass);
+    public void answered(String requestClass, RequestResult answer, long afterNs, long waitedNs) {
+        ClassMetrics figures = of(requestClass);
         figures.answers[answer.ordinal()]++;
         figures.durations.add(afterNs);
     }
@@ -67,14 +67,14 @@
     }
 
     @Override
-    public void rejected(Rejection why) {
+    public void rejected(RejectionReason why) {
         rejections[why.ordinal()]++;
     }
 
     @Override
     public void attemptBegun(String worker) {
         attemptsAtWork++;
-        WorkerFigures figures = workers.get(worker);
+        EndpointMetrics figures = workers.get(worker);
         if (figures != null) {
             figures.inFlight++;
         }
@@ -89,7 +89,7 @@
     public void attemptEnded(String worker, Outcome outcome, long latencyNs, LoadReport load) {
         attemptsAtWork--;
         attempts[outcome.ordinal()]++;
-        WorkerFigures figures = workers.get(worker);
+        EndpointMetrics figures = workers.get(worker);
         if (figures != null) {
             figures.ended(outcome, latencyNs, load);
         }
@@ -98,7 +98,7 @@
     @Override
     public void healthChecked(String worker, Outcome outcome, LoadReport load) {
         probes[outcome.ordinal()]++;
-        WorkerFigures figures = workers.get(worker);
+        EndpointMetrics figures = workers.get(worker);
         if (figures != null) {
             figures.told(load);
         }
@@ -106,18 +106,18 @@
 
     @Override
     public void listed(ListKind kind, List<EndpointEntry> entries) {
-        Map<String, WorkerFigures> before = Map.of();
+        Map<String, EndpointMetrics> before = Map.of();
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
             before = new HashMap<>(workers);
             workers.clear();
         }
         for (EndpointEntry entry : entries) {
             String id = entry.endpoint();
-            WorkerFigures figures = workers.getOrDefault(id, before.get(id));
+            EndpointMetrics figures = workers.getOrDefault(id, before.get(id));
             if (entry.state() == EndpointState.GONE) {
                 workers.remove(id);
             } else if (figures == null) {
-                workers.put(id, new WorkerFigures(id, entry.state()));
+                workers.put(id, new EndpointMetrics(id, entry.state()));
             } else {
                 figures.state = entry.state();
                 workers.put(id, figures);
@@ -153,11 +153,12 @@
      * explains them. By hand, as Prometheus' writers would add an ending to each counter's name,
      * and so that none is older than the answer.
      */
-    String figures(NodeView view) {
-        StringBuilder out = new StringBuilder(64 * (classes.size() + 1) * Answer.values().length);
+    String figures(NodeStatus view) {
+        StringBuilder out =
+                new StringBuilder(64 * (classes.size() + 1) * RequestResult.values().length);
         long current = 0;
-        for (Answer answer : Answer.values()) {
-            for (Map.Entry<String, ClassFigures> e : classes.entrySet()) {
+        for (RequestResult answer : RequestResult.values()) {
+            for (Map.Entry<String, ClassMetrics> e : classes.entrySet()) {
                 out.append("app_")
                         .append(wordFor(answer))
                         .append("{group=\"")
@@ -167,7 +168,7 @@
                         .append('\n');
             }
         }
-        for (ClassFigures figures : classes.values()) {
+        for (ClassMetrics figures : classes.values()) {
             current += figures.atWork();
         }
         figure(out, "sends", attemptsSent);
@@ -179,7 +180,7 @@
         return out.toString();
     }
 
-    private static String wordFor(Answer answer) {
+    private static String wordFor(RequestResult answer) {
         return switch (answer) {
             case SERVED -> "answered";
             case REFUSED -> "deferred";
@@ -195,14 +196,14 @@
         out.append("app_").append(name).append(' ').append(value).append('\n');
     }
 
-    Snapshot snapshot(NodeView view) {
+    Snapshot snapshot(NodeStatus view) {
         Map<String, Long> changes = new LinkedHashMap<>();
         view.levels().forEach(name -> changes.put(name, 0L));
         if (level != null) {
             changes.putIfAbsent(level, 0L);
         }
         changes.putAll(levelChanges);
-        Map<String, ClassFigures> copies = new LinkedHashMap<>();
+        Map<String, ClassMetrics> copies = new LinkedHashMap<>();
         classes.forEach((name, figures) -> copies.put(name, figures.copy()));
         return new Snapshot(
                 view.isReady(),
@@ -219,6 +220,6 @@
                 new LinkedHashMap<>(view.clientConnections()),
                 new LinkedHashMap<>(view.workerConnections()),
                 view.descriptorLimit(),
-                FleetFigures.of(workers.values(), MOST_WORKERS_SHOWN));
+                FleetMetrics.of(workers.values(), MOST_WORKERS_SHOWN));
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/operator/ProcessFigures.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/ProcessMetrics.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.operator;
+package trailthread.daemon.admin;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -10,7 +10,7 @@
  * What the process holds, as the kernel tells it; NaN where it does not. Read from /proc (proc(5)),
  * as the virtual machine's own management classes cost megabytes.
  */
-record ProcessFigures(
+record ProcessMetrics(
         double openDescriptors,
         double residentBytes,
         double cpuSeconds,
@@ -22,11 +22,11 @@
     private static final String RESIDENT = "VmRSS:";
 
     /** Reads files: not for the loop's thread. */
-    static ProcessFigures read() {
+    static ProcessMetrics read() {
         Runtime runtime = Runtime.getRuntime();
         ProcessHandle.Info info = ProcessHandle.current().info();
         String[] open = Path.of("/proc/self/fd").toFile().list();
-        return new ProcessFigures(
+        return new ProcessMetrics(
                 open == null ? Double.NaN : open.length - 1, // one is there to read the list
                 resident(),
                 info.totalCpuDuration()
--- a/daemon/src/main/java/trailthread/daemon/operator/Snapshot.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/Snapshot.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.operator;
+package trailthread.daemon.admin;
 
 import java.util.Map;
 
@@ -8,7 +8,7 @@
  * @param level or null if the node has told of none
  * @param levelSince Unix time in nanoseconds
  * @param levelChanges how often each level was entered from another one, in the order of levels
- * @param rejections by the ordinal of {@link trailthread.engine.meter.Rejection}
+ * @param rejections by the ordinal of {@link trailthread.engine.metrics.Rejection}
  * @param attempts those ended, by the ordinal of {@link trailthread.Outcome}; so are probes
  */
 record Snapshot(
@@ -17,7 +17,7 @@
         long levelSince,
         Map<String, Long> levelChanges,
         Map<String, Double> readings,
-        Map<String, ClassFigures> classes,
+        Map<String, ClassMetrics> classes,
         long[] rejections,
         long[] attempts,
         long attemptsAtWork,
@@ -26,4 +26,4 @@
         Map<String, Integer> clientConnections,
         Map<String, Integer> workerConnections,
         int descriptorLimit,
-        FleetFigures fleet) {}
+        FleetMetrics fleet) {}
--- a/daemon/src/main/java/trailthread/daemon/operator/StatusJson.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/StatusJson.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.operator;
+package trailthread.daemon.admin;
 
 import com.google.gson.stream.JsonWriter;
 import java.io.IOException;
@@ -7,8 +7,8 @@
 import java.time.Instant;
 import java.util.Map;
 import trailthread.api.Outcome;
-import trailthread.engine.meter.Answer;
-import trailthread.engine.meter.Rejection;
+import trailthread.engine.metrics.RejectionReason;
+import trailthread.engine.metrics.RequestResult;
 
 /** Tells a snapshot as one JSON object, for people and scripts; what is not known is left out. */
 final class StatusJson {
@@ -21,7 +21,7 @@
         this.out = out;
     }
 
-    static byte[] render(Snapshot s, ProcessFigures process, String name, String version)
+    static byte[] render(Snapshot s, ProcessMetrics process, String name, String version)
             throws IOException {
         StringWriter text = new StringWriter();
         try (JsonWriter writer = new JsonWriter(text)) {
@@ -32,7 +32,7 @@
         return text.append('\n').toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private void write(Snapshot s, ProcessFigures process, String name, String version)
+    private void write(Snapshot s, ProcessMetrics process, String name, String version)
             throws IOException {
         out.beginObject();
         out.name("name").value(name);
@@ -47,7 +47,7 @@
         object("level_changes", s.levelChanges());
         object("readings", s.readings());
         calls(s);
-        counts("rejected", Rejection.values(), s.rejections());
+        counts("rejected", RejectionReason.values(), s.rejections());
         counts("attempts", Outcome.values(), s.attempts());
         out.name("attempts_at_work").value(s.attemptsAtWork());
         counts("probes", Outcome.values(), s.probes());
@@ -67,11 +67,11 @@
 
     private void calls(Snapshot s) throws IOException {
         out.name("calls").beginObject();
-        for (Map.Entry<String, ClassFigures> e : s.classes().entrySet()) {
-            ClassFigures figures = e.getValue();
+        for (Map.Entry<String, ClassMetrics> e : s.classes().entrySet()) {
+            ClassMetrics figures = e.getValue();
             out.name(e.getKey()).beginObject();
             out.name("taken").value(figures.taken);
-            for (Answer answer : Answer.values()) {
+            for (RequestResult answer : RequestResult.values()) {
                 out.name(MetricLabels.of(answer)).value(figures.answers[answer.ordinal()]);
             }
             out.name("gone").value(figures.gone);
@@ -82,12 +82,12 @@
         out.endObject();
     }
 
-    private void workers(FleetFigures fleet) throws IOException {
+    private void workers(FleetMetrics fleet) throws IOException {
         out.name("workers").beginObject();
         out.name("ready").value(fleet.ready());
         out.name("draining").value(fleet.draining());
         out.name("worst").beginArray();
-        for (WorkerFigures worker : fleet.worst()) {
+        for (EndpointMetrics worker : fleet.worst()) {
             out.beginObject();
             out.name("id").value(worker.id);
             out.name("state").value(MetricLabels.of(worker.state));
--- a/daemon/src/main/java/trailthread/daemon/acceptor/BadCallException.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/BadRequestException.java
@@ -1,10 +1,10 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 /** A client's call is not one; the message says why. */
-final class BadCallException extends Exception {
+final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    BadCallException(String message) {
+    BadRequestException(String message) {
         super(message);
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/acceptor/BodyRoom.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/BodyMemoryLimit.java
@@ -1,17 +1,17 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 /**
  * The memory that long bodies of calls may take together, from their first byte to the call's end.
  * Short ones are bounded by the connections there may be.
  */
-final class BodyRoom {
+final class BodyMemoryLimit {
     /** What is longer than this takes room. */
     static final int SHORT_BYTES = 64 * 1024;
 
     private final long most;
     private long taken;
 
-    BodyRoom(long most) {
+    BodyMemoryLimit(long most) {
         this.most = most;
     }
 
--- a/daemon/src/main/java/trailthread/daemon/acceptor/BodyReader.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/BodyReader.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 import io.undertow.io.IoCallback;
 import io.undertow.io.Sender;
@@ -13,7 +13,7 @@
 import org.xnio.channels.StreamSourceChannel;
 import trailthread.engine.http.ByteSink;
 import trailthread.engine.http.ByteSource;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.EventLoop;
 
 /**
  * Reads a request's body to its end, so that whatever is answered then reaches the client. Guards
@@ -42,11 +42,11 @@
 
     private static final long PAUSE_LOOKED_AT_NS = 1_000_000_000L;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final HttpServerExchange exchange;
     private final StreamSourceChannel channel;
     private final boolean keep;
-    private final BodyRoom room;
+    private final BodyMemoryLimit room;
     private final Consumer<byte[]> whole;
     private final Runnable broken;
     private byte[] body = NONE;
@@ -87,11 +87,11 @@
      * @param broken runs instead if it never comes whole
      */
     BodyReader(
-            Loop loop,
+            EventLoop loop,
             HttpServerExchange exchange,
             long owedBy,
             boolean keep,
-            BodyRoom room,
+            BodyMemoryLimit room,
             Consumer<byte[]> whole,
             Consumer<BodyReader> passes,
             Runnable broken) {
@@ -126,7 +126,7 @@
 
     /** Bytes of room that are taken for a body of this size. */
     static long roomFor(long size) {
-        return size > BodyRoom.SHORT_BYTES ? size : 0;
+        return size > BodyMemoryLimit.SHORT_BYTES ? size : 0;
     }
 
     /** Reads, and says first that it will where the client waits to be told (RFC 9110, 10.1.1). */
@@ -153,7 +153,7 @@
     private void readOn() {
         try (var pooled = loop.buffers().allocate()) {
             ByteBuffer buffer = pooled.getBuffer();
-            for (long had = 0; had < Loop.MOST_IN_TURN_BYTES; had += buffer.capacity()) {
+            for (long had = 0; had < EventLoop.MOST_IN_TURN_BYTES; had += buffer.capacity()) {
                 buffer.clear();
                 int count = channel.read(buffer);
                 if (count < 0) {
--- a/daemon/src/main/java/trailthread/daemon/acceptor/ClientConnection.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ClientConnection.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 import io.undertow.server.AbstractServerConnection;
 import io.undertow.server.HttpServerExchange;
@@ -10,7 +10,7 @@
 import org.xnio.conduits.AbstractStreamSourceConduit;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 import org.xnio.conduits.StreamSourceConduit;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.EventLoop;
 
 /**
  * A connection from a client, and what is known of what came on it: it sees every byte that is
@@ -18,7 +18,7 @@
  */
 final class ClientConnection extends AbstractStreamSourceConduit<StreamSourceConduit> {
     private final StreamConnection connection;
-    private final Loop loop;
+    private final EventLoop loop;
 
     /** When it was opened or has idled from. */
     private long since;
@@ -30,7 +30,7 @@
     private long speaksSince;
 
     /** Puts itself between the connection and whoever reads it. */
-    ClientConnection(StreamConnection connection, Loop loop) {
+    ClientConnection(StreamConnection connection, EventLoop loop) {
         super(connection.getSourceChannel().getConduit());
         this.connection = connection;
         this.loop = loop;
--- a/daemon/src/main/java/trailthread/daemon/acceptor/ClientConnections.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ClientConnections.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 import java.util.ArrayList;
 import java.util.IdentityHashMap;
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.xnio.StreamConnection;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.EventLoop;
 
 /**
  * The connections from clients, bounded, and how each ends. Guards against clients that take
@@ -63,7 +63,7 @@
     private static final long CROWDED_NS = 100_000_000L;
     private static final long LOOKED_AT_EVERY_NS = 50_000_000L;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final int mayHold;
 
     /** Those that have yet to bring their first head, the oldest first. */
@@ -90,7 +90,7 @@
      * @param mayHold how many connections clients with calls may hold; past it they find no further
      *     one
      */
-    ClientConnections(Loop loop, int mayHold) {
+    ClientConnections(EventLoop loop, int mayHold) {
         this.loop = loop;
         this.mayHold = mayHold;
         loop.execute(this::lookAgain);
--- a/daemon/src/main/java/trailthread/daemon/acceptor/Acceptor.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 import io.undertow.UndertowOptions;
 import io.undertow.server.Connectors;
@@ -18,15 +18,15 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 import org.xnio.channels.AcceptingChannel;
-import org.xnio.nio.GivenTcpServer;
-import trailthread.daemon.acceptor.Front.Incoming;
-import trailthread.engine.call.ClientCall;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.Meter;
-import trailthread.engine.meter.Rejection;
+import org.xnio.nio.InheritedTcpServer;
+import trailthread.daemon.listener.RequestFrontend.Incoming;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
+import trailthread.engine.metrics.RejectionReason;
+import trailthread.engine.request.ClientRequest;
 
 /** The clients' side: HTTP connections in, calls out to who takes them, its replies back. */
-public final class Acceptor {
+public final class HttpListener {
     private static final int MOST_HEADER_BYTES = 16 * 1024;
     private static final int BACKLOG = 1024;
 
@@ -39,13 +39,13 @@
     private static final long ACCEPTED_WITHIN_NS = 100_000_000L;
     private static final long HANDED_OVER_WITHIN_NS = 20_000_000L;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final ClientConnections connections;
-    private final BodyRoom bodies =
-            new BodyRoom((long) (BODIES_SHARE * Runtime.getRuntime().maxMemory()));
+    private final BodyMemoryLimit bodies =
+            new BodyMemoryLimit((long) (BODIES_SHARE * Runtime.getRuntime().maxMemory()));
     private final int mostConnections;
-    private final Meter meter;
-    private Front front;
+    private final MetricsRecorder meter;
+    private RequestFrontend front;
     private AcceptingChannel<StreamConnection> server;
 
     /** Other processes hold the listening socket, too. */
@@ -59,7 +59,12 @@
      * @param clientsMayHold how many clients with calls may hold; idle ones make room by shares of
      *     it
      */
-    public Acceptor(Loop loop, int mostConnections, int clientsMayHold, Front front, Meter meter) {
+    public HttpListener(
+            EventLoop loop,
+            int mostConnections,
+            int clientsMayHold,
+            RequestFrontend front,
+            MetricsRecorder meter) {
         this.meter = meter;
         this.loop = loop;
         this.mostConnections = mostConnections;
@@ -81,7 +86,7 @@
      */
     public void share(ServerSocketChannel given) throws IOException {
         IoUtils.safeClose(server);
-        server = GivenTcpServer.on(given, loop.worker(), accept(), options());
+        server = InheritedTcpServer.on(given, loop.worker(), accept(), options());
         shared = true;
         server.resumeAccepts();
     }
@@ -132,7 +137,7 @@
     }
 
     /** Who reads what comes from now on; what was read before is taken as it was meant then. */
-    public void setFront(Front front) {
+    public void setFront(RequestFrontend front) {
         this.front = front;
     }
 
@@ -200,12 +205,12 @@
             exchange.setPersistent(exchange.isPersistent() && !isLast(exchange));
             return;
         }
-        Front readBy = front;
+        RequestFrontend readBy = front;
         Incoming incoming = front.read(exchange);
         if (exchange.getRequestContentLength()
                 > BodyReader.MOST_BYTES) { // nothing says that it is to be sent
             Connectors.terminateRequest(exchange); // too much to read past
-            reject(exchange, Rejection.TOO_LARGE);
+            reject(exchange, RejectionReason.TOO_LARGE);
             return;
         }
         long kept = incoming.call() == null ? -1 : keptFor(exchange, incoming.taker());
@@ -251,10 +256,10 @@
             body.stop();
             giveUp(incoming, kept);
             Connectors.terminateRequest(exchange);
-            reject(exchange, Rejection.CONFLICT);
+            reject(exchange, RejectionReason.CONFLICT);
             return;
         }
-        HttpReply reply = reply(exchange, incoming, 0, body::stop);
+        HttpResponseWriter reply = reply(exchange, incoming, 0, body::stop);
         Runnable gone =
                 incoming.taker()
                         .take(
@@ -265,11 +270,11 @@
         body.passOn(() -> reply.watchClient(gone), gone);
     }
 
-    private HttpReply reply(
+    private HttpResponseWriter reply(
             HttpServerExchange exchange, Incoming incoming, long room, Runnable unread) {
         ClientConnection client = ClientConnection.of(exchange);
         client.setOwner(incoming.taker().owner());
-        return new HttpReply(
+        return new HttpResponseWriter(
                 loop,
                 exchange,
                 incoming.plain(),
@@ -280,14 +285,14 @@
     }
 
     private void whole(HttpServerExchange exchange, Incoming incoming, byte[] body, long kept) {
-        Rejection why =
+        RejectionReason why =
                 incoming.call() == null
                         ? incoming.why()
                         : body == null
-                                ? Rejection.TOO_LARGE
+                                ? RejectionReason.TOO_LARGE
                                 // the worker would take it for a copy
                                 : incoming.taker().isOpen(incoming.call().id())
-                                        ? Rejection.CONFLICT
+                                        ? RejectionReason.CONFLICT
                                         : null;
         if (why == null) {
             take(exchange, incoming, incoming.call().withBody(body), kept);
@@ -307,11 +312,11 @@
     }
 
     /** How many bytes are kept for a body that is still to come; -1: there is no room for it. */
-    private static long keptFor(HttpServerExchange exchange, Front.Taker taker) {
+    private static long keptFor(HttpServerExchange exchange, RequestFrontend.Taker taker) {
         long length = exchange.getRequestContentLength();
         boolean bare =
                 length < 0 && !exchange.getRequestHeaders().contains(Headers.TRANSFER_ENCODING);
-        long bytes = bare ? 0 : length < 0 ? BodyRoom.SHORT_BYTES : length;
+        long bytes = bare ? 0 : length < 0 ? BodyMemoryLimit.SHORT_BYTES : length;
         return taker.takeBody(bytes) ? bytes : -1;
     }
 
@@ -333,8 +338,9 @@
         return owedBy;
     }
 
-    private void take(HttpServerExchange exchange, Incoming incoming, ClientCall call, long kept) {
-        HttpReply reply =
+    private void take(
+            HttpServerExchange exchange, Incoming incoming, ClientRequest call, long kept) {
+        HttpResponseWriter reply =
                 reply(exchange, incoming, BodyReader.roomFor(call.body().length), () -> {});
         // The client waits from its last byte on, however long it took to send the rest, and this
         // loop to read it.
@@ -346,7 +352,7 @@
      * Answers what is no call; but for one that only has no route, the connection ends, as what
      * follows on it can't be trusted.
      */
-    private void reject(HttpServerExchange exchange, Rejection why) {
+    private void reject(HttpServerExchange exchange, RejectionReason why) {
         meter.rejected(why);
         int status =
                 switch (why) {
@@ -356,7 +362,7 @@
                     case NO_ROUTE -> StatusCodes.NOT_FOUND;
                 };
         exchange.setStatusCode(status);
-        if (why != Rejection.NO_ROUTE || isLast(exchange)) {
+        if (why != RejectionReason.NO_ROUTE || isLast(exchange)) {
             exchange.setPersistent(false);
         }
         exchange.endExchange();
--- a/daemon/src/main/java/trailthread/daemon/acceptor/HttpReply.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 import io.undertow.server.AbstractServerConnection;
 import io.undertow.server.Connectors;
@@ -10,15 +10,15 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import org.xnio.IoUtils;
-import trailthread.engine.call.Reply;
+import trailthread.engine.endpoint.EndpointResponse;
 import trailthread.engine.http.ByteSink;
-import trailthread.engine.http.EndToEnd;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.http.EndToEndHeaders;
+import trailthread.engine.loop.EventLoop;
 import trailthread.engine.loop.Seconds;
-import trailthread.engine.worker.Made;
+import trailthread.engine.request.ClientResponse;
 
 /** Answers one call over HTTP, and notices when its client goes away. */
-final class HttpReply implements Reply {
+final class HttpResponseWriter implements ClientResponse {
     /** A worker's word to the node alone. */
     private static final Set<String> LEFT_OUT = Set.of("x-backend-load", "x-unprocessed");
 
@@ -28,11 +28,11 @@
     /** A client that does not read its answer for so long loses it, and its connection. */
     private static final long READ_WITHIN_NS = 10_000_000_000L;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final HttpServerExchange exchange;
     private final boolean plain;
     private final BooleanSupplier closing;
-    private final BodyRoom room;
+    private final BodyMemoryLimit room;
     private final Runnable released;
     private final Runnable unread;
     private boolean answered;
@@ -41,7 +41,7 @@
     private Runnable gone;
 
     /** The answer, if it is passed on as it comes; else null. */
-    private LongAnswer longAnswer;
+    private StreamedResponse longAnswer;
 
     /**
      * @param plain whether a worker's status and headers are passed on
@@ -50,12 +50,12 @@
      * @param released runs once nothing of the call is kept
      * @param unread runs before an answer that goes out while the body has not come whole
      */
-    HttpReply(
-            Loop loop,
+    HttpResponseWriter(
+            EventLoop loop,
             HttpServerExchange exchange,
             boolean plain,
             BooleanSupplier closing,
-            BodyRoom room,
+            BodyMemoryLimit room,
             Runnable released,
             Runnable unread) {
         this.loop = loop;
@@ -68,27 +68,27 @@
     }
 
     @Override
-    public void served(Made made) {
+    public void served(EndpointResponse made) {
         passHeaders(made);
         answer(made.status(), made.body());
     }
 
     @Override
-    public ByteSink begin(Made head, long length, Runnable more, Runnable gone) {
+    public ByteSink begin(EndpointResponse head, long length, Runnable more, Runnable gone) {
         passHeaders(head);
         head(head.status());
         if (length >= 0) {
             exchange.setResponseContentLength(length);
         }
-        longAnswer = new LongAnswer(loop, exchange, more, gone);
+        longAnswer = new StreamedResponse(loop, exchange, more, gone);
         return longAnswer;
     }
 
-    private void passHeaders(Made made) {
+    private void passHeaders(EndpointResponse made) {
         if (made.headers() != null && plain) {
             // Where they can't be told apart from another answer's beginning, they are left out:
             // never seen here.
-            EndToEnd.pass(made.headers(), LEFT_OUT, exchange.getResponseHeaders()::add);
+            EndToEndHeaders.pass(made.headers(), LEFT_OUT, exchange.getResponseHeaders()::add);
             exchange.getResponseHeaders().add(Headers.VIA, "1.1 trailthread");
             String length = made.headers().getFirst(Headers.CONTENT_LENGTH);
             if (exchange.getRequestMethod().equals(Methods.HEAD) && length != null) {
--- a/daemon/src/main/java/trailthread/daemon/acceptor/PlainDecoder.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PlainRequestDecoder.java
@@ -1,24 +1,24 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 import io.undertow.util.HeaderMap;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Supplier;
-import trailthread.engine.call.ClientCall;
-import trailthread.engine.http.EndToEnd;
+import trailthread.engine.endpoint.ForwardedHeaders;
+import trailthread.engine.http.EndToEndHeaders;
 import trailthread.engine.loop.Seconds;
 import trailthread.engine.pool.PoolConfig;
 import trailthread.engine.pool.PoolConfig.ClassConfig;
 import trailthread.engine.pool.PoolConfig.Repeats;
+import trailthread.engine.request.ClientRequest;
 import trailthread.engine.routes.Target;
-import trailthread.engine.worker.Passing;
 
 /**
  * Reads a call out of any HTTP client's request; pure. What the client does not say is made: the
  * class by the method (RFC 9110, 9.2), the id anew, the deadline by the class.
  */
-final class PlainDecoder {
+final class PlainRequestDecoder {
     /** What the node tells workers itself. */
     private static final Set<String> OWN =
             Set.of("x-correlation-id", "x-time-left", "x-service-class");
@@ -33,7 +33,7 @@
      *
      * @param ids makes ids that no other call has
      */
-    PlainDecoder(PoolConfig pool, Supplier<String> ids) {
+    PlainRequestDecoder(PoolConfig pool, Supplier<String> ids) {
         this.pool = pool;
         this.ids = ids;
     }
@@ -43,24 +43,24 @@
      *
      * @param assigned the class that the route gives it, or null
      */
-    ClientCall decode(String method, Target target, HeaderMap headers, String assigned)
-            throws BadCallException {
+    ClientRequest decode(String method, Target target, HeaderMap headers, String assigned)
+            throws BadRequestException {
         String key = once(headers, "Idempotency-Key");
         Repeats repeats = repeats(method, key);
         ClassConfig called = assigned == null ? called(headers, repeats) : named(assigned);
         if (called.repeats() == Repeats.KEYED && key == null) {
-            throw new BadCallException(
+            throw new BadRequestException(
                     "class " + called.rules().name() + " needs an Idempotency-Key");
         }
         String id = once(headers, "X-Correlation-Id");
         String timeLeft = once(headers, "X-Time-Left");
         long leftNs = timeLeft == null ? called.rules().deadlineNs() : Seconds.parse(timeLeft);
         if (leftNs < 0) {
-            throw new BadCallException("X-Time-Left must be seconds");
+            throw new BadRequestException("X-Time-Left must be seconds");
         }
         List<String> passed = new ArrayList<>(2 * headers.size());
         boolean whole =
-                EndToEnd.pass(
+                EndToEndHeaders.pass(
                         headers,
                         OWN,
                         (name, value) -> {
@@ -68,10 +68,10 @@
                             passed.add(value);
                         });
         if (!whole) {
-            throw new BadCallException("a header that can't be passed on");
+            throw new BadRequestException("a header that can't be passed on");
         }
         String host = headers.getFirst("Host");
-        return new ClientCall(
+        return new ClientRequest(
                 id == null || id.isEmpty() ? ids.get() : id,
                 called.rules().name(),
                 once(headers, "X-Account"),
@@ -83,7 +83,7 @@
                 target.origin(),
                 key,
                 null,
-                new Passing(host == null ? "" : host, passed));
+                new ForwardedHeaders(host == null ? "" : host, passed));
     }
 
     /** RFC 9110, 9.2.1 and 9.2.2; what it does not name may do anything. */
@@ -96,7 +96,7 @@
     }
 
     /** The class that the client names, if it may, or the method's. */
-    private ClassConfig called(HeaderMap headers, Repeats repeats) throws BadCallException {
+    private ClassConfig called(HeaderMap headers, Repeats repeats) throws BadRequestException {
         String name = once(headers, "X-Service-Class");
         if (name == null) {
             return pool.defaultClass(repeats);
@@ -105,22 +105,22 @@
         // Guards work that must not be done twice: a client may ask for less than its method
         // allows, never for more.
         if (named.repeats().compareTo(repeats) < 0) {
-            throw new BadCallException(
+            throw new BadRequestException(
                     "class " + name + " may be repeated, and the method may not");
         }
         return named;
     }
 
-    private ClassConfig named(String name) throws BadCallException {
+    private ClassConfig named(String name) throws BadRequestException {
         for (ClassConfig c : pool.classes()) {
             if (c.rules().name().equals(name)) {
                 return c;
             }
         }
-        throw new BadCallException("no class " + name);
+        throw new BadRequestException("no class " + name);
     }
 
-    private static String once(HeaderMap headers, String name) throws BadCallException {
+    private static String once(HeaderMap headers, String name) throws BadRequestException {
         String value = headers.getFirst(name);
         if (value == null) {
             return null;
@@ -130,7 +130,7 @@
             fit = value.charAt(i) > ' ' && value.charAt(i) <= '~';
         }
         if (!fit) {
-            throw new BadCallException(name + " must be given once, in visible letters");
+            throw new BadRequestException(name + " must be given once, in visible letters");
         }
         return value;
     }
--- a/daemon/src/main/java/trailthread/daemon/acceptor/PlatformFront.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PlatformFrontend.java
@@ -1,23 +1,23 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 import io.undertow.server.HttpServerExchange;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import trailthread.api.RequestClass;
-import trailthread.engine.call.CallTaker;
-import trailthread.engine.meter.Rejection;
+import trailthread.engine.metrics.RejectionReason;
+import trailthread.engine.request.RequestHandler;
 
 /** The platform's clients: one service, its classes and deadlines in headers of its own. */
-public final class PlatformFront implements Front {
-    private static final Logger LOG = LoggerFactory.getLogger(PlatformFront.class);
+public final class PlatformFrontend implements RequestFrontend {
+    private static final Logger LOG = LoggerFactory.getLogger(PlatformFrontend.class);
 
-    private CallDecoder decoder;
+    private PlatformRequestDecoder decoder;
     private final Taker taker;
 
     /** Makes one for these classes. */
-    public PlatformFront(List<RequestClass> classes, CallTaker calls) {
-        decoder = new CallDecoder(classes);
+    public PlatformFrontend(List<RequestClass> classes, RequestHandler calls) {
+        decoder = new PlatformRequestDecoder(classes);
         taker = Taker.of(calls);
     }
 
@@ -26,7 +26,7 @@
      * are.
      */
     public void retune(List<RequestClass> classes) {
-        decoder = new CallDecoder(classes);
+        decoder = new PlatformRequestDecoder(classes);
     }
 
     @Override
@@ -46,9 +46,9 @@
                     taker,
                     false,
                     null);
-        } catch (BadCallException e) {
+        } catch (BadRequestException e) {
             LOG.debug("no call: {}", e.getMessage());
-            return Incoming.none(Rejection.BAD_REQUEST);
+            return Incoming.none(RejectionReason.BAD_REQUEST);
         }
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/acceptor/CallDecoder.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PlatformRequestDecoder.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 import io.undertow.util.HeaderMap;
 import io.undertow.util.HttpString;
@@ -7,11 +7,11 @@
 import java.util.Map;
 import trailthread.api.Idempotency;
 import trailthread.api.RequestClass;
-import trailthread.engine.call.ClientCall;
 import trailthread.engine.loop.Seconds;
+import trailthread.engine.request.ClientRequest;
 
 /** Reads a client's call out of its HTTP form; pure. */
-final class CallDecoder {
+final class PlatformRequestDecoder {
     static final HttpString CORRELATION_ID = new HttpString("X-Correlation-Id");
     static final HttpString SERVICE_CLASS = new HttpString("X-Service-Class");
     static final HttpString ACCOUNT = new HttpString("X-Account");
@@ -27,37 +27,37 @@
 
     private final Map<String, RequestClass> classes = new HashMap<>();
 
-    CallDecoder(List<RequestClass> classes) {
+    PlatformRequestDecoder(List<RequestClass> classes) {
         for (RequestClass c : classes) {
             this.classes.put(c.name(), c);
         }
     }
 
     /** The call; its body is as yet to come. */
-    ClientCall decode(String method, String path, String query, HeaderMap headers)
-            throws BadCallException {
+    ClientRequest decode(String method, String path, String query, HeaderMap headers)
+            throws BadRequestException {
         String name = required(headers, SERVICE_CLASS);
         RequestClass requestClass = classes.get(name);
         if (requestClass == null || !firstPart(path).equals(name)) {
-            throw new BadCallException("no such class at this path");
+            throw new BadRequestException("no such class at this path");
         }
         String key = optional(headers, IDEMPOTENCY_KEY);
         boolean keyed = requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY;
         boolean safe = requestClass.idempotency() == Idempotency.IDEMPOTENT;
         if (!method.equals(safe ? "GET" : "POST") || keyed != (key != null)) {
-            throw new BadCallException("method or Idempotency-Key do not suit the class");
+            throw new BadRequestException("method or Idempotency-Key do not suit the class");
         }
         String target = query.isEmpty() ? path : path + "?" + query;
         if (!isVisible(target)) {
-            throw new BadCallException("the path can't be passed on");
+            throw new BadRequestException("the path can't be passed on");
         }
         String facts = optional(headers, FACTS);
         long workNs = fact(facts, "expected_ns", 10);
         if (workNs < 0 || workNs > MOST_WORK_NS) {
-            throw new BadCallException("no call takes so much work");
+            throw new BadRequestException("no call takes so much work");
         }
         long timeLeftNs = nanoseconds(required(headers, TIME_LEFT), TIME_LEFT);
-        return new ClientCall(
+        return new ClientRequest(
                 required(headers, CORRELATION_ID),
                 name,
                 optional(headers, ACCOUNT),
@@ -73,7 +73,7 @@
     }
 
     /** A figure of the form name=value,name=value; 0 if it is absent or none. */
-    private static long fact(String facts, String name, int radix) throws BadCallException {
+    private static long fact(String facts, String name, int radix) throws BadRequestException {
         for (int from = 0; facts != null && from < facts.length(); ) {
             int comma = facts.indexOf(',', from);
             int to = comma < 0 ? facts.length() : comma;
@@ -82,7 +82,7 @@
                     return Long.parseUnsignedLong(
                             facts.substring(from + name.length() + 1, to), radix);
                 } catch (NumberFormatException e) {
-                    throw new BadCallException(FACTS + ": " + name + " is no number");
+                    throw new BadRequestException(FACTS + ": " + name + " is no number");
                 }
             }
             from = to + 1;
@@ -95,10 +95,10 @@
         return path.substring(Math.min(1, path.length()), end < 0 ? path.length() : end);
     }
 
-    private static String required(HeaderMap headers, HttpString name) throws BadCallException {
+    private static String required(HeaderMap headers, HttpString name) throws BadRequestException {
         String value = optional(headers, name);
         if (value == null || value.isEmpty()) {
-            throw new BadCallException(name + " must be given");
+            throw new BadRequestException(name + " must be given");
         }
         return value;
     }
@@ -107,11 +107,11 @@
      * Guards workers, too: what they can't read would end their connection, and count as their
      * failure.
      */
-    private static String optional(HeaderMap headers, HttpString name) throws BadCallException {
+    private static String optional(HeaderMap headers, HttpString name) throws BadRequestException {
         String value = headers.getFirst(name);
         boolean once = headers.count(name) <= 1;
         if (value != null && !(once && value.length() <= MOST_LETTERS && isVisible(value))) {
-            throw new BadCallException(name + " must be given once, in visible letters");
+            throw new BadRequestException(name + " must be given once, in visible letters");
         }
         return value;
     }
@@ -125,10 +125,10 @@
         return true;
     }
 
-    private static long nanoseconds(String seconds, HttpString name) throws BadCallException {
+    private static long nanoseconds(String seconds, HttpString name) throws BadRequestException {
         long ns = Seconds.parse(seconds);
         if (ns < 0) {
-            throw new BadCallException(name + " must be seconds");
+            throw new BadRequestException(name + " must be seconds");
         }
         return ns;
     }
--- a/daemon/src/main/java/trailthread/daemon/acceptor/Front.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/RequestFrontend.java
@@ -1,13 +1,13 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 import io.undertow.server.HttpServerExchange;
-import trailthread.engine.call.CallTaker;
-import trailthread.engine.call.ClientCall;
-import trailthread.engine.call.Reply;
-import trailthread.engine.meter.Rejection;
+import trailthread.engine.metrics.RejectionReason;
+import trailthread.engine.request.ClientRequest;
+import trailthread.engine.request.ClientResponse;
+import trailthread.engine.request.RequestHandler;
 
 /** Makes calls of what clients send: reads heads, and says who takes the calls. */
-public interface Front {
+public interface RequestFrontend {
     /** The path at which the front before the node asks whether it is ready. */
     String readyPath();
 
@@ -21,9 +21,9 @@
      * @param taker who takes it
      * @param plain whether the worker's status and headers are passed on
      */
-    record Incoming(ClientCall call, Taker taker, boolean plain, Rejection why) {
+    record Incoming(ClientRequest call, Taker taker, boolean plain, RejectionReason why) {
         /** A request that is no call. */
-        static Incoming none(Rejection why) {
+        static Incoming none(RejectionReason why) {
             return new Incoming(null, null, false, why);
         }
     }
@@ -59,10 +59,10 @@
          *     was not kept
          * @return what to run if the client goes away before it is answered
          */
-        Runnable take(ClientCall call, long deadline, Reply reply, long kept);
+        Runnable take(ClientRequest call, long deadline, ClientResponse reply, long kept);
 
         /** One that keeps every body. */
-        static Taker of(CallTaker calls) {
+        static Taker of(RequestHandler calls) {
             return new Taker() {
                 @Override
                 public boolean isOpen(String id) {
@@ -70,7 +70,8 @@
                 }
 
                 @Override
-                public Runnable take(ClientCall call, long deadline, Reply reply, long kept) {
+                public Runnable take(
+                        ClientRequest call, long deadline, ClientResponse reply, long kept) {
                     return calls.take(call, deadline, reply);
                 }
             };
--- a/daemon/src/main/java/trailthread/daemon/acceptor/SentAhead.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/SentAhead.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 import io.undertow.connector.PooledByteBuffer;
 import io.undertow.server.AbstractServerConnection;
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import org.xnio.conduits.StreamSourceConduit;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.EventLoop;
 
 /**
  * What a client has sent ahead of an answer, past what a buffer of the pool holds: the next calls
@@ -16,10 +16,10 @@
     /** Of one connection no more is held: the rest waits in its socket. */
     private static final int MOST_BYTES = 256 * 1024;
 
-    private final BodyRoom room;
+    private final BodyMemoryLimit room;
     private ByteBuffer bytes;
 
-    private SentAhead(BodyRoom room, ByteBuffer bytes) {
+    private SentAhead(BodyMemoryLimit room, ByteBuffer bytes) {
         this.room = room;
         this.bytes = bytes;
     }
@@ -30,7 +30,7 @@
      * them. A loop that runs late has not read them, so the socket is read first, unless it still
      * holds the request's own body.
      */
-    static boolean isBehind(HttpServerExchange exchange, BodyRoom room) {
+    static boolean isBehind(HttpServerExchange exchange, BodyMemoryLimit room) {
         if (!(exchange.getConnection() instanceof AbstractServerConnection connection)) {
             return false;
         }
@@ -50,11 +50,12 @@
      *
      * @return whether the client has not ended its sending, as far as that was read
      */
-    static boolean read(AbstractServerConnection connection, BodyRoom room) throws IOException {
+    static boolean read(AbstractServerConnection connection, BodyMemoryLimit room)
+            throws IOException {
         StreamSourceConduit source = connection.getOriginalSourceConduit();
         try (PooledByteBuffer pooled = connection.getByteBufferPool().allocate()) {
             ByteBuffer piece = pooled.getBuffer();
-            int most = Loop.MOST_IN_TURN_BYTES;
+            int most = EventLoop.MOST_IN_TURN_BYTES;
             int count;
             do {
                 int free = freeAhead(connection, room);
@@ -74,7 +75,7 @@
     }
 
     /** How much more may be kept. */
-    private static int freeAhead(AbstractServerConnection connection, BodyRoom room) {
+    private static int freeAhead(AbstractServerConnection connection, BodyMemoryLimit room) {
         PooledByteBuffer kept = connection.getExtraBytes();
         if (kept == null) {
             return Integer
@@ -101,7 +102,7 @@
     }
 
     /** Twice the room for what is kept, which moves; null, and all stays, if there is none. */
-    private static SentAhead twice(PooledByteBuffer kept, BodyRoom room) {
+    private static SentAhead twice(PooledByteBuffer kept, BodyMemoryLimit room) {
         int capacity = 2 * kept.getBuffer().capacity();
         if (capacity > MOST_BYTES || !room.take(capacity)) {
             return null;
--- a/daemon/src/main/java/trailthread/daemon/acceptor/ServiceFront.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ServiceFrontend.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.HeaderMap;
@@ -10,14 +10,14 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import trailthread.engine.call.ClientCall;
-import trailthread.engine.call.Reply;
-import trailthread.engine.meter.Rejection;
+import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.pool.Pool;
 import trailthread.engine.pool.PoolConfig.Profile;
-import trailthread.engine.routes.Asked;
+import trailthread.engine.request.ClientRequest;
+import trailthread.engine.request.ClientResponse;
 import trailthread.engine.routes.BadTargetException;
 import trailthread.engine.routes.Route;
+import trailthread.engine.routes.RouteQuery;
 import trailthread.engine.routes.RouteTable;
 import trailthread.engine.routes.Target;
 
@@ -25,23 +25,23 @@
  * Several services behind one address: a request's route says which pool takes it. Never changed
  * once it is made.
  */
-public final class ServiceFront implements Front {
-    private static final Logger LOG = LoggerFactory.getLogger(ServiceFront.class);
+public final class ServiceFrontend implements RequestFrontend {
+    private static final Logger LOG = LoggerFactory.getLogger(ServiceFrontend.class);
 
     /** One pool, and how its clients are read. */
     private static final class Service implements Taker {
         private final Pool pool;
-        private final PlainDecoder plain;
-        private final CallDecoder platform;
+        private final PlainRequestDecoder plain;
+        private final PlatformRequestDecoder platform;
 
         Service(Pool pool, Supplier<String> ids) {
             this.pool = pool;
             boolean isPlain = pool.config().profile() == Profile.PLAIN;
-            plain = isPlain ? new PlainDecoder(pool.config(), ids) : null;
+            plain = isPlain ? new PlainRequestDecoder(pool.config(), ids) : null;
             platform =
                     isPlain
                             ? null
-                            : new CallDecoder(
+                            : new PlatformRequestDecoder(
                                     pool.config().classes().stream().map(c -> c.rules()).toList());
         }
 
@@ -66,7 +66,7 @@
         }
 
         @Override
-        public Runnable take(ClientCall call, long deadline, Reply reply, long kept) {
+        public Runnable take(ClientRequest call, long deadline, ClientResponse reply, long kept) {
             return pool.take(call, deadline, reply, kept);
         }
     }
@@ -80,7 +80,7 @@
      * @param pools all that the routes name
      * @param ids makes ids for calls that bring none
      */
-    public ServiceFront(RouteTable routes, Map<String, Pool> pools, Supplier<String> ids) {
+    public ServiceFrontend(RouteTable routes, Map<String, Pool> pools, Supplier<String> ids) {
         this.routes = routes;
         pools.forEach((name, pool) -> services.put(name, new Service(pool, ids)));
     }
@@ -107,7 +107,7 @@
                             exchange.getProtocol().equals(Protocols.HTTP_1_1));
             Route route =
                     routes.match(
-                            new Asked(
+                            new RouteQuery(
                                     target.host(),
                                     target.segments(),
                                     method,
@@ -115,19 +115,19 @@
                                             headers.count(name) == 1
                                                     ? headers.getFirst(name)
                                                     : null,
-                                    headers.getFirst(CallDecoder.SERVICE_CLASS)));
+                                    headers.getFirst(PlatformRequestDecoder.SERVICE_CLASS)));
             if (route == null) {
-                return Incoming.none(Rejection.NO_ROUTE);
+                return Incoming.none(RejectionReason.NO_ROUTE);
             }
             Service service = services.get(route.pool());
-            ClientCall call =
+            ClientRequest call =
                     service.plain != null
                             ? service.plain.decode(method, target, headers, route.assigns())
                             : service.platform.decode(method, path(target), query, headers);
             return new Incoming(call, service, service.plain != null, null);
-        } catch (BadTargetException | BadCallException e) {
+        } catch (BadTargetException | BadRequestException e) {
             LOG.debug("no call: {}", e.getMessage());
-            return Incoming.none(Rejection.BAD_REQUEST);
+            return Incoming.none(RejectionReason.BAD_REQUEST);
         }
     }
 
--- a/daemon/src/main/java/trailthread/daemon/acceptor/LongAnswer.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/StreamedResponse.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 import io.undertow.server.HttpServerExchange;
 import java.io.IOException;
@@ -7,17 +7,17 @@
 import org.xnio.XnioExecutor;
 import org.xnio.channels.StreamSinkChannel;
 import trailthread.engine.http.ByteSink;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.EventLoop;
 
 /**
  * A long answer on its way to a client, piece by piece. What the client has not taken of one piece
  * is kept until it does, and no other is wanted meanwhile.
  */
-final class LongAnswer implements ByteSink {
+final class StreamedResponse implements ByteSink {
     /** A client that takes nothing for so long loses the rest, and its connection. */
     private static final long TAKES_WITHIN_NS = 10_000_000_000L;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final HttpServerExchange exchange;
     private final StreamSinkChannel channel;
     private final Runnable more;
@@ -35,7 +35,7 @@
 
     private long takenBefore = -1;
 
-    LongAnswer(Loop loop, HttpServerExchange exchange, Runnable more, Runnable gone) {
+    StreamedResponse(EventLoop loop, HttpServerExchange exchange, Runnable more, Runnable gone) {
         this.loop = loop;
         this.exchange = exchange;
         this.more = more;
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -17,23 +17,23 @@
 import trailthread.configuration.OperatorFileReader;
 import trailthread.daemon.Drain;
 import trailthread.daemon.GracefulShutdown;
-import trailthread.daemon.acceptor.Acceptor;
-import trailthread.daemon.acceptor.ServiceFront;
-import trailthread.daemon.operator.OperatorEndpoint;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.Meter;
-import trailthread.engine.meter.NodeView;
+import trailthread.daemon.admin.AdminServer;
+import trailthread.daemon.listener.HttpListener;
+import trailthread.daemon.listener.ServiceFrontend;
+import trailthread.engine.endpoint.EndpointPool;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
+import trailthread.engine.metrics.NodeStatus;
 import trailthread.engine.pool.Pool;
 import trailthread.engine.pool.PoolConfig;
 import trailthread.engine.pool.ServicesConfig;
 import trailthread.engine.pool.Shares;
 import trailthread.engine.routes.RouteTable;
-import trailthread.engine.worker.Workers;
 
 /**
  * A node with several services, by an operator's file: its pools, the routes to them, their reload.
  */
-public final class ServiceNode implements NodeView {
+public final class ServiceNode implements NodeStatus {
     private static final Logger LOG = LoggerFactory.getLogger(ServiceNode.class);
     private static final int OWN_DESCRIPTORS = 48;
     private static final double CLIENTS_SHARE = 0.6;
@@ -50,12 +50,12 @@
     /** As it was read last and is in force. */
     private volatile OperatorFile file;
 
-    private final Loop loop;
-    private final OperatorEndpoint operator;
-    private final Meter meter;
+    private final EventLoop loop;
+    private final AdminServer operator;
+    private final MetricsRecorder meter;
     private final Shares shares;
     private final SplittableRandom random;
-    private final Acceptor acceptor;
+    private final HttpListener acceptor;
     private final Drain drain;
     private final GracefulShutdown shutdown;
     private final Map<String, Pool> pools = new LinkedHashMap<>();
@@ -69,7 +69,7 @@
     public ServiceNode(Path path, OperatorFile file) throws IOException {
         this.path = path;
         this.file = file;
-        loop = new Loop(file.name());
+        loop = new EventLoop(file.name());
         random =
                 new SplittableRandom(
                         file.seed() == null ? new SecureRandom().nextLong() : file.seed());
@@ -77,8 +77,8 @@
         operator =
                 file.operatorListen() == null
                         ? null
-                        : new OperatorEndpoint(loop, file.name(), classes(file.services()), this);
-        meter = operator == null ? Meter.OFF : operator.meter();
+                        : new AdminServer(loop, file.name(), classes(file.services()), this);
+        meter = operator == null ? MetricsRecorder.OFF : operator.meter();
         ServicesConfig services = file.services();
         shares = new Shares(loop, services.calls(), services.connections(), services.bodyBytes());
         int forClients =
@@ -86,15 +86,13 @@
                         (CLIENTS_SHARE
                                 * (file.descriptors()
                                         - OWN_DESCRIPTORS
-                                        - (operator == null
-                                                ? 0
-                                                : OperatorEndpoint.MOST_DESCRIPTORS)));
+                                        - (operator == null ? 0 : AdminServer.MOST_DESCRIPTORS)));
         acceptor =
-                new Acceptor(
+                new HttpListener(
                         loop,
                         forClients,
                         (int) (forClients / FULL_SHARE),
-                        new ServiceFront(new RouteTable(List.of()), Map.of(), this::newId),
+                        new ServiceFrontend(new RouteTable(List.of()), Map.of(), this::newId),
                         meter);
         drain = new Drain(loop, acceptor);
         shutdown =
@@ -141,7 +139,7 @@
     }
 
     private static InetSocketAddress address(String hostPort) {
-        return Workers.address(hostPort);
+        return EndpointPool.address(hostPort);
     }
 
     /** Reads the file again, beside the loop, and puts it in force as a whole, or not at all. */
@@ -234,8 +232,8 @@
                 .orElse(0);
     }
 
-    private ServiceFront front() {
-        return new ServiceFront(new RouteTable(file.services().routes()), pools, this::newId);
+    private ServiceFrontend front() {
+        return new ServiceFrontend(new RouteTable(file.services().routes()), pools, this::newId);
     }
 
     private String newId() {
--- a/daemon/src/test/java/trailthread/daemon/OperatorOffTest.java
+++ b/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
@@ -14,10 +14,10 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
-import trailthread.daemon.operator.OperatorEndpoint;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.Meter;
-import trailthread.engine.meter.NodeView;
+import trailthread.daemon.admin.AdminServer;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
+import trailthread.engine.metrics.NodeStatus;
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
@@ -25,18 +25,18 @@
  * A node whose operators want nothing, and without levels, pays nothing: no class, thread or
  * descriptor.
  */
-public class OperatorOffTest {
+public class AdminServerOffTest {
     /** Joins the parts as the node does; an argument is the address to tell operators on. */
     @SuppressWarnings("StreamResourceLeak") // closed at once
     public static void main(String[] args) throws IOException {
         InetSocketAddress listen = args.length == 0 ? null : new InetSocketAddress(args[0], 0);
-        Loop loop = new Loop("n0");
+        EventLoop loop = new EventLoop("n0");
         Files.list(Path.of("/proc/self/fd"))
                 .close(); // so that no class of this loads between the counts
         String before = held();
-        OperatorEndpoint operator =
-                listen == null ? null : new OperatorEndpoint(loop, "n0", List.of(), new Nothing());
-        Meter meter = operator == null ? Meter.OFF : operator.meter();
+        AdminServer operator =
+                listen == null ? null : new AdminServer(loop, "n0", List.of(), new Nothing());
+        MetricsRecorder meter = operator == null ? MetricsRecorder.OFF : operator.meter();
         meter.taken("read");
         if (operator != null) {
             operator.listen(listen, null);
@@ -53,7 +53,7 @@
     }
 
     /** A node that has nothing to say. */
-    private static final class Nothing implements NodeView {
+    private static final class Nothing implements NodeStatus {
         @Override
         public boolean isReady() {
             return false;
@@ -124,12 +124,12 @@
     }
 
     private static boolean loads(String log) {
-        return log.contains("trailthread.daemon.operator.") || log.contains("io.prometheus.");
+        return log.contains("trailthread.daemon.admin.") || log.contains("io.prometheus.");
     }
 
     @Test
     public void switchedOffItIsNotLoaded() throws Exception {
-        String main = OperatorOffTest.class.getName();
+        String main = AdminServerOffTest.class.getName();
         String off = run("held ", Map.of(), main);
         assertFalse("a class is loaded", loads(off));
         String[] held =
@@ -155,12 +155,13 @@
                             Map.of("LB_CONFIG", config.toString()),
                             Main.class.getName(),
                             "serve");
-            assertTrue("what this test looks for", log.contains("trailthread.engine.loop.Loop "));
+            assertTrue(
+                    "what this test looks for", log.contains("trailthread.engine.loop.EventLoop "));
             assertFalse("a class is loaded", loads(log));
             assertFalse(
                     "a class of the levels is loaded",
-                    log.contains("trailthread.levels.")
-                            || log.contains("trailthread.engine.service."));
+                    log.contains("trailthread.degradation.")
+                            || log.contains("trailthread.engine.degradation."));
         } finally {
             Files.delete(config);
             stage.end();
--- a/daemon/src/test/java/trailthread/daemon/ArchitectureTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ArchitectureTest.java
@@ -29,9 +29,9 @@
                 new String[] {
                     "trailthread.Balancer",
                     "trailthread.api.BalancerEvents",
-                    "trailthread.levels.Levels",
+                    "trailthread.degradation.DegradationController",
                     "trailthread.adapter.Adapter",
-                    "trailthread.engine.call.Call",
+                    "trailthread.engine.request.ActiveRequest",
                     "trailthread.engine.routes.Route",
                     "trailthread.daemon.services.ServiceNode",
                     "trailthread.daemon.Main"
@@ -48,7 +48,7 @@
                 .definedBy(
                         "trailthread",
                         "trailthread.api..",
-                        "trailthread.levels..",
+                        "trailthread.degradation..",
                         "trailthread.settings..")
                 .layer("adapter")
                 .definedBy("trailthread.adapter..")
@@ -76,14 +76,14 @@
                 .resideInAnyPackage(
                         "trailthread",
                         "trailthread.api..",
-                        "trailthread.levels..",
+                        "trailthread.degradation..",
                         "trailthread.settings..")
                 .should()
                 .onlyDependOnClassesThat(
                         resideInAnyPackage(
                                         "trailthread",
                                         "trailthread.api..",
-                                        "trailthread.levels..",
+                                        "trailthread.degradation..",
                                         "trailthread.settings..",
                                         "java.lang..",
                                         "java.util")
--- a/daemon/src/test/java/trailthread/daemon/LevelsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DegradationControllerTest.java
@@ -16,7 +16,7 @@
 /**
  * The levels of service in the real program: polls are shed, what may not run twice is served on.
  */
-public class LevelsTest {
+public class DegradationControllerTest {
     private static final Pattern TOLD_ON = Pattern.compile("operators are told on .*:(\\d+)");
     private static final Pattern LATENESS =
             Pattern.compile("\\{reading=\"lateness_seconds\"} ([0-9.E-]+)");
@@ -28,7 +28,7 @@
 
     private final Stage stage;
 
-    public LevelsTest() throws Exception {
+    public DegradationControllerTest() throws Exception {
         stage = new Stage();
     }
 
--- a/daemon/src/test/java/trailthread/daemon/DrainTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTest.java
@@ -14,7 +14,7 @@
 /**
  * A node that its operators drain leads its clients away, loses no call, and takes clients again.
  */
-public class DrainTest extends WithDoor {
+public class DrainTest extends WithAdminServer {
     private Message ready() throws IOException {
         Socket front = stage.connect();
         Message.send(front, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
--- a/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
@@ -12,13 +12,13 @@
 import java.util.function.Supplier;
 import org.junit.After;
 import org.junit.Test;
-import trailthread.daemon.acceptor.Acceptor;
-import trailthread.daemon.acceptor.PlatformFront;
-import trailthread.engine.call.CallTaker;
-import trailthread.engine.call.ClientCall;
-import trailthread.engine.call.Reply;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.Meter;
+import trailthread.daemon.listener.HttpListener;
+import trailthread.daemon.listener.PlatformFrontend;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
+import trailthread.engine.request.ClientRequest;
+import trailthread.engine.request.ClientResponse;
+import trailthread.engine.request.RequestHandler;
 import trailthread.testkit.Message;
 import trailthread.testkit.Peer;
 
@@ -49,10 +49,10 @@
         {"drain resume end resume", "++-0", true, false},
     };
 
-    private final Loop loop;
+    private final EventLoop loop;
 
     public DrainTransitionsTest() throws IOException {
-        loop = new Loop("drain");
+        loop = new EventLoop("drain");
     }
 
     @After
@@ -78,9 +78,13 @@
     public void eachEventInEachState() throws Exception {
         for (Object[] row : TABLE) {
             String events = (String) row[0];
-            Acceptor acceptor =
-                    new Acceptor(
-                            loop, 8, 8, new PlatformFront(List.of(), new NoCalls()), Meter.OFF);
+            HttpListener acceptor =
+                    new HttpListener(
+                            loop,
+                            8,
+                            8,
+                            new PlatformFrontend(List.of(), new NoCalls()),
+                            MetricsRecorder.OFF);
             InetSocketAddress at =
                     acceptor.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             Drain drain = new Drain(loop, acceptor);
@@ -111,9 +115,9 @@
         }
     }
 
-    private static final class NoCalls implements CallTaker {
+    private static final class NoCalls implements RequestHandler {
         @Override
-        public Runnable take(ClientCall call, long deadline, Reply reply) {
+        public Runnable take(ClientRequest call, long deadline, ClientResponse reply) {
             throw new AssertionError("no call is made");
         }
 
--- a/daemon/src/test/java/trailthread/daemon/WorkerSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
@@ -19,10 +19,10 @@
 import trailthread.testkit.Stage;
 
 /** What workers may rely on, and what the node makes of their answers, over real sockets. */
-public class WorkerSideTest {
+public class EndpointSideTest {
     private final Stage stage;
 
-    public WorkerSideTest() throws Exception {
+    public EndpointSideTest() throws Exception {
         stage = new Stage();
     }
 
--- a/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
@@ -29,7 +29,7 @@
  * Long answers and bodies: more at once than memory holds, in all forms, by peers that take their
  * time.
  */
-public class LongMessagesTest extends WithDoor {
+public class LongMessagesTest extends WithAdminServer {
     private static final int LONG = 4_000_000;
     private static final String OK = "HTTP/1.1 200 OK\r\n";
 
--- a/daemon/src/test/java/trailthread/daemon/NewsDueTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewsDueTest.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.After;
 import org.junit.Test;
-import trailthread.engine.discovery.Discovery;
+import trailthread.engine.discovery.DiscoveryClient;
 import trailthread.engine.discovery.DiscoveryListener;
 import trailthread.engine.discovery.DiscoveryUpdate;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.EventLoop;
 import trailthread.testkit.Message;
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
@@ -29,8 +29,8 @@
     private static final long MS = 1_000_000L;
     private static final long NEWS_DUE_MS = 6_000;
     private final Peer peer;
-    private final Loop loop;
-    private final Discovery discovery;
+    private final EventLoop loop;
+    private final DiscoveryClient discovery;
     private final BlockingQueue<Long> knownSince = new LinkedBlockingQueue<>();
     private final BlockingQueue<DiscoveryUpdate> updates = new LinkedBlockingQueue<>();
     private final BlockingQueue<Long> failures = new LinkedBlockingQueue<>();
@@ -42,10 +42,10 @@
                             Stage.watch(request);
                             Stage.line(request, Stage.list(1, true, "active"));
                         });
-        loop = new Loop("news");
+        loop = new EventLoop("news");
         String[] hostPort = peer.hostPort().split(":");
         discovery =
-                new Discovery(
+                new DiscoveryClient(
                         loop,
                         new InetSocketAddress(
                                 InetAddress.getLoopbackAddress(), Integer.parseInt(hostPort[1])),
--- a/daemon/src/test/java/trailthread/daemon/NodeConfigTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NodeConfigTest.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 import org.junit.Test;
 import trailthread.api.Idempotency;
-import trailthread.engine.service.LevelsConfig;
-import trailthread.levels.Reading;
+import trailthread.degradation.Reading;
+import trailthread.engine.degradation.DegradationConfig;
 import trailthread.testkit.Stage;
 
 /** What a node is told, right and wrong. */
@@ -74,7 +74,7 @@
     public void levelsAreOffUnlessTheyAreOn() throws ConfigException {
         assertNull(parse(GOOD, Map.of()).levels());
         assertNull(parse(levels("\"on\":false"), Map.of()).levels());
-        LevelsConfig told =
+        DegradationConfig told =
                 parse(
                                 levels(
                                         "\"on\":true,\"shed_first\":[\"use\"],"
--- a/daemon/src/test/java/trailthread/daemon/RetuneTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RetuneTest.java
@@ -11,7 +11,7 @@
 import trailthread.testkit.Stage;
 
 /** Settings that a file brings at SIGHUP: taken as a whole or not at all. */
-public class RetuneTest extends WithDoor {
+public class RetuneTest extends WithAdminServer {
     private static final String OTHERS =
             Stage.SETTINGS
                     .replace("\"name\":\"use\"", "\"name\":\"study\"")
--- a/daemon/src/test/java/trailthread/daemon/UnreadNewsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UnreadNewsTest.java
@@ -12,15 +12,15 @@
 import org.junit.After;
 import org.junit.Test;
 import trailthread.api.Outcome;
-import trailthread.engine.discovery.Discovery;
+import trailthread.engine.discovery.DiscoveryClient;
 import trailthread.engine.discovery.DiscoveryListener;
 import trailthread.engine.discovery.DiscoveryUpdate;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.worker.ConnectionRoom;
-import trailthread.engine.worker.Ending;
-import trailthread.engine.worker.WorkerRequest;
-import trailthread.engine.worker.Workers;
+import trailthread.engine.endpoint.AttemptResult;
+import trailthread.engine.endpoint.ConnectionLimit;
+import trailthread.engine.endpoint.EndpointPool;
+import trailthread.engine.endpoint.EndpointRequest;
+import trailthread.engine.loop.CpuAccount;
+import trailthread.engine.loop.EventLoop;
 import trailthread.testkit.Message;
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
@@ -37,7 +37,7 @@
     private static final long GRACE_NS = 200 * MS;
 
     private static final long HELD_MS = 400;
-    private final Loop loop = new Loop("unread");
+    private final EventLoop loop = new EventLoop("unread");
     private final Peer server = Peer.serving("made");
     private final Peer peer =
             new Peer(
@@ -46,13 +46,19 @@
                         Stage.line(request, Stage.list(1, true, "active", server));
                     });
     private final BlockingQueue<DiscoveryUpdate> told = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Ending> endings = new LinkedBlockingQueue<>();
+    private final BlockingQueue<AttemptResult> endings = new LinkedBlockingQueue<>();
     private final AtomicInteger failures = new AtomicInteger();
-    private final Workers workers =
-            new Workers(
-                    loop, WITHIN_NS, WITHIN_NS, GRACE_NS, ConnectionRoom.of(16), MS, Account.NONE);
-    private final Discovery discovery =
-            new Discovery(
+    private final EndpointPool workers =
+            new EndpointPool(
+                    loop,
+                    WITHIN_NS,
+                    WITHIN_NS,
+                    GRACE_NS,
+                    ConnectionLimit.of(16),
+                    MS,
+                    CpuAccount.NONE);
+    private final DiscoveryClient discovery =
+            new DiscoveryClient(
                     loop,
                     address(peer),
                     new DiscoveryListener() {
@@ -82,19 +88,19 @@
     }
 
     private static InetSocketAddress address(Peer of) {
-        return Workers.address(of.hostPort());
+        return EndpointPool.address(of.hostPort());
     }
 
     private void attempt() {
         workers.attempt(
                 "w0",
-                new WorkerRequest("1", "use", "POST", "/use", null, new byte[4], null),
+                new EndpointRequest("1", "use", "POST", "/use", null, new byte[4], null),
                 WITHIN_NS,
                 endings::add);
     }
 
     private Outcome ended() throws InterruptedException {
-        Ending ending = endings.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+        AttemptResult ending = endings.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
         assertNotNull("the attempt was to end", ending);
         return ending.outcome();
     }
--- a/daemon/src/test/java/trailthread/daemon/WithDoor.java
+++ b/daemon/src/test/java/trailthread/daemon/WithAdminServer.java
@@ -5,7 +5,7 @@
 import trailthread.testkit.Stage;
 
 /** A node with a door for its operators, which each test starts with settings of its own. */
-abstract class WithDoor {
+abstract class WithAdminServer {
     Stage stage;
 
     @Before
--- a/daemon/src/test/java/trailthread/daemon/operator/OperatorEndpointTest.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/AdminServerTest.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.operator;
+package trailthread.daemon.admin;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertThrows;
@@ -27,13 +27,13 @@
 import trailthread.api.Idempotency;
 import trailthread.api.ListKind;
 import trailthread.api.RequestClass;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.Answer;
-import trailthread.engine.meter.Meter;
-import trailthread.engine.meter.NodeControl;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
+import trailthread.engine.metrics.NodeControl;
+import trailthread.engine.metrics.RequestResult;
 
 /** The endpoint over real sockets: what it answers, and what no client of it can do. */
-public class OperatorEndpointTest {
+public class AdminServerTest {
     private static final int LONGEST_WAIT_S = 30;
     private static final int LONG_MS = 1000 * LONGEST_WAIT_S;
     private static final long LONG_NS = 1_000_000L * LONG_MS;
@@ -59,14 +59,14 @@
                 }
             };
     private final List<Closeable> open = new ArrayList<>();
-    private final Loop loop = new Loop("test");
-    private OperatorEndpoint endpoint;
+    private final EventLoop loop = new EventLoop("test");
+    private AdminServer endpoint;
     private InetSocketAddress address;
 
-    public OperatorEndpointTest() throws IOException {}
+    public AdminServerTest() throws IOException {}
 
     private void listen(Limits limits) throws IOException {
-        endpoint = new OperatorEndpoint(loop, "n0", List.of(READ), view, limits);
+        endpoint = new AdminServer(loop, "n0", List.of(READ), view, limits);
         address =
                 endpoint.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), control);
@@ -140,7 +140,7 @@
     public void prometheusScrapesItAndCountersGoUp() throws Exception {
         listen(most(8));
         Socket client = connect();
-        Meter meter = endpoint.meter();
+        MetricsRecorder meter = endpoint.meter();
         for (int calls = 0; calls < 3; calls++) {
             String answer = get(client, "/metrics");
             assertStatus(200, answer);
@@ -208,7 +208,7 @@
     @Test
     public void figuresAreAsOldAsTheAnswer() throws Exception {
         listen(most(8));
-        Meter meter = endpoint.meter();
+        MetricsRecorder meter = endpoint.meter();
         loop.execute(
                 () -> {
                     meter.listed(
@@ -218,9 +218,9 @@
                         meter.taken("read");
                     }
                     meter.attemptSent();
-                    meter.answered("read", Answer.SERVED, 1, 1);
-                    meter.answered("read", Answer.REFUSED, 1, 1);
-                    meter.answered("read", Answer.FAILED, 1, 1);
+                    meter.answered("read", RequestResult.SERVED, 1, 1);
+                    meter.answered("read", RequestResult.REFUSED, 1, 1);
+                    meter.answered("read", RequestResult.FAILED, 1, 1);
                     meter.reloaded(true);
                 });
         String first = own("GET", "/-/metrics", "\r\n");
@@ -361,7 +361,7 @@
                 assertThrows(
                         BindException.class,
                         () ->
-                                new OperatorEndpoint(loop, "n1", List.of(READ), view)
+                                new AdminServer(loop, "n1", List.of(READ), view)
                                         .listen(address, control));
         assertTrue(e.getMessage(), e.getMessage().startsWith("management: "));
     }
--- a/daemon/src/test/java/trailthread/daemon/operator/FiguresTest.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/FiguresTest.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.operator;
+package trailthread.daemon.admin;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -23,8 +23,8 @@
 import trailthread.api.ListKind;
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
-import trailthread.engine.meter.Answer;
-import trailthread.engine.meter.Rejection;
+import trailthread.engine.metrics.RejectionReason;
+import trailthread.engine.metrics.RequestResult;
 
 /** What is counted, and how it is told. */
 public class FiguresTest {
@@ -62,7 +62,7 @@
         byte[] text =
                 Exposition.render(
                         metrics.snapshot(new View()),
-                        ProcessFigures.read(),
+                        ProcessMetrics.read(),
                         "n\"3",
                         "0.1",
                         PrometheusTextFormatWriter.create());
@@ -71,7 +71,7 @@
 
     private JsonObject json() throws IOException {
         byte[] json =
-                StatusJson.render(metrics.snapshot(new View()), ProcessFigures.read(), "n3", "0.1");
+                StatusJson.render(metrics.snapshot(new View()), ProcessMetrics.read(), "n3", "0.1");
         return JsonParser.parseString(new String(json, StandardCharsets.UTF_8)).getAsJsonObject();
     }
 
@@ -96,9 +96,9 @@
         for (int i = 0; i < 3; i++) {
             metrics.taken("read");
         }
-        metrics.answered("read", Answer.SERVED, 20_000_000L, 0);
+        metrics.answered("read", RequestResult.SERVED, 20_000_000L, 0);
         metrics.gone("read");
-        metrics.rejected(Rejection.CONFLICT);
+        metrics.rejected(RejectionReason.CONFLICT);
         attempt(odd, Outcome.OK, 7);
         metrics.attemptBegun("w1");
         metrics.healthChecked("w1", Outcome.TIMEOUT, null);
@@ -179,7 +179,7 @@
         attempt("w4321", Outcome.RESET, 1);
         metrics.attemptBegun("w9");
         attempt("unlisted", Outcome.RESET, 0);
-        FleetFigures fleet = metrics.snapshot(new View()).fleet();
+        FleetMetrics fleet = metrics.snapshot(new View()).fleet();
         assertEquals(10_000, fleet.ready());
         assertEquals(
                 List.of("w4321", "w77", "w9"),
--- a/daemon/src/test/java/trailthread/daemon/operator/View.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/View.java
@@ -1,12 +1,12 @@
-package trailthread.daemon.operator;
+package trailthread.daemon.admin;
 
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Semaphore;
-import trailthread.engine.meter.NodeView;
+import trailthread.engine.metrics.NodeStatus;
 
 /** A node that always says the same of itself, and counts how often a snapshot was taken. */
-final class View implements NodeView {
+final class View implements NodeStatus {
     final Semaphore snapshots = new Semaphore(0);
     volatile boolean ready = true;
 
--- a/daemon/src/test/java/trailthread/daemon/acceptor/EndByMomentTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/EndByMomentTest.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
@@ -21,13 +21,13 @@
 import trailthread.api.DeduplicationScope;
 import trailthread.api.Idempotency;
 import trailthread.api.RequestClass;
-import trailthread.engine.call.CallTaker;
-import trailthread.engine.call.ClientCall;
-import trailthread.engine.call.Reply;
+import trailthread.engine.endpoint.EndpointResponse;
 import trailthread.engine.http.ByteSink;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.Meter;
-import trailthread.engine.worker.Made;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
+import trailthread.engine.request.ClientRequest;
+import trailthread.engine.request.ClientResponse;
+import trailthread.engine.request.RequestHandler;
 
 /**
  * What a client sees by what its connection carries when its end comes: for a graceful shutdown,
@@ -39,16 +39,16 @@
 
     private static final String LAST = "Connection: close\r\n";
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final List<Socket> clients = new ArrayList<>();
-    private final BlockingQueue<Reply> replies = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ClientResponse> replies = new LinkedBlockingQueue<>();
     private final CountDownLatch none = new CountDownLatch(1);
-    private Acceptor acceptor;
+    private HttpListener acceptor;
     private InetSocketAddress address;
     private int lastId;
 
     public EndByMomentTest() throws IOException {
-        loop = new Loop("ends");
+        loop = new EventLoop("ends");
     }
 
     @After
@@ -72,16 +72,18 @@
                         1,
                         0);
         acceptor =
-                new Acceptor(
+                new HttpListener(
                         loop,
                         32,
                         32,
-                        new PlatformFront(
+                        new PlatformFrontend(
                                 List.of(use),
-                                new CallTaker() {
+                                new RequestHandler() {
                                     @Override
                                     public Runnable take(
-                                            ClientCall call, long deadline, Reply reply) {
+                                            ClientRequest call,
+                                            long deadline,
+                                            ClientResponse reply) {
                                         replies.add(reply);
                                         return () -> {};
                                     }
@@ -91,7 +93,7 @@
                                         return false;
                                     }
                                 }),
-                        Meter.OFF);
+                        MetricsRecorder.OFF);
         address = acceptor.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
@@ -113,12 +115,12 @@
                 + "\r\nX-Service-Class: use\r\nX-Time-Left: 20\r\nContent-Length: 4\r\n\r\npour";
     }
 
-    private Reply taken() throws InterruptedException {
+    private ClientResponse taken() throws InterruptedException {
         return replies.poll(30, TimeUnit.SECONDS);
     }
 
-    private static Made made() {
-        return Made.of("made".getBytes(StandardCharsets.US_ASCII));
+    private static EndpointResponse made() {
+        return EndpointResponse.of("made".getBytes(StandardCharsets.US_ASCII));
     }
 
     /** All that comes up to the connection's end. */
@@ -155,12 +157,12 @@
         Socket idle = served();
         Socket whole = served();
         Socket unread = connect(call());
-        Reply written = taken();
+        ClientResponse written = taken();
         loop.execute(() -> written.served(made()));
         Socket atWorker = connect(call());
-        final Reply waits = taken();
+        final ClientResponse waits = taken();
         Socket halfAnswered = connect(call());
-        Reply streams = taken();
+        ClientResponse streams = taken();
         BlockingQueue<ByteSink> sinks = new LinkedBlockingQueue<>();
         CountDownLatch more = new CountDownLatch(1);
         loop.execute(
@@ -186,7 +188,7 @@
         begun.await(30, TimeUnit.SECONDS);
         send(halfBody, "ur");
         for (int i = 0; i < 2; i++) { // that one, and the one with half a body
-            Reply reply = taken();
+            ClientResponse reply = taken();
             loop.execute(() -> reply.served(made()));
         }
         assertLastAnswer("with half a body", rest(halfBody));
@@ -226,7 +228,7 @@
     /** A connection that idles after a call. */
     private Socket served() throws Exception {
         Socket client = connect(call());
-        Reply reply = taken();
+        ClientResponse reply = taken();
         loop.execute(() -> reply.served(made()));
         StringBuilder text = new StringBuilder();
         while (!text.toString().endsWith("\r\n\r\nmade")) {
--- a/daemon/src/test/java/trailthread/daemon/acceptor/LateLoopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LateLoopTest.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -25,12 +25,12 @@
 import trailthread.api.DeduplicationScope;
 import trailthread.api.Idempotency;
 import trailthread.api.RequestClass;
-import trailthread.engine.call.CallTaker;
-import trailthread.engine.call.ClientCall;
-import trailthread.engine.call.Reply;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.Meter;
-import trailthread.engine.worker.Made;
+import trailthread.engine.endpoint.EndpointResponse;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
+import trailthread.engine.request.ClientRequest;
+import trailthread.engine.request.ClientResponse;
+import trailthread.engine.request.RequestHandler;
 
 /**
  * No call that has come whole is lost because the loop runs late: its timers are due before it has
@@ -49,11 +49,12 @@
                     0,
                     1,
                     0);
-    private static final Made MADE = Made.of("made".getBytes(StandardCharsets.US_ASCII));
+    private static final EndpointResponse MADE =
+            EndpointResponse.of("made".getBytes(StandardCharsets.US_ASCII));
     private static final long IDLE_LONG_ENOUGH_MS = 2_300;
-    private final Loop loop;
+    private final EventLoop loop;
     private final List<Socket> clients = new ArrayList<>();
-    private Acceptor acceptor;
+    private HttpListener acceptor;
     private InetSocketAddress address;
     private final AtomicInteger lastId = new AtomicInteger();
 
@@ -63,25 +64,27 @@
     private final List<Long> deadlines = new CopyOnWriteArrayList<>();
 
     /** Takes the next call's reply, which is not made then; null: all are made at once. */
-    private volatile CompletableFuture<Reply> heldBack;
+    private volatile CompletableFuture<ClientResponse> heldBack;
 
     public LateLoopTest() throws IOException {
-        loop = new Loop("late");
+        loop = new EventLoop("late");
     }
 
     @Before
     public void listen() throws Exception {
         acceptor =
-                new Acceptor(
+                new HttpListener(
                         loop,
                         MOST,
                         MOST,
-                        new PlatformFront(
+                        new PlatformFrontend(
                                 List.of(USE),
-                                new CallTaker() {
+                                new RequestHandler() {
                                     @Override
                                     public Runnable take(
-                                            ClientCall call, long deadline, Reply reply) {
+                                            ClientRequest call,
+                                            long deadline,
+                                            ClientResponse reply) {
                                         taken.add(call.body().length);
                                         deadlines.add(deadline);
                                         if (heldBack == null || !heldBack.complete(reply)) {
@@ -95,7 +98,7 @@
                                         return false;
                                     }
                                 }),
-                        Meter.OFF);
+                        MetricsRecorder.OFF);
         address = acceptor.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
@@ -173,7 +176,7 @@
         loop.execute(() -> acceptor.endWithAnswers(true));
         Socket client = connect();
         send(client);
-        Reply reply = heldBack.get(30, TimeUnit.SECONDS);
+        ClientResponse reply = heldBack.get(30, TimeUnit.SECONDS);
         whileHeldUp(
                 0,
                 () -> {
--- a/daemon/src/test/java/trailthread/daemon/acceptor/LeavingClientTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNull;
@@ -22,15 +22,15 @@
 import trailthread.api.ListKind;
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
-import trailthread.engine.call.Calls;
-import trailthread.engine.discovery.DiscoveryEntry;
+import trailthread.engine.discovery.DiscoveredEndpoint;
 import trailthread.engine.discovery.DiscoveryUpdate;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.Meter;
-import trailthread.engine.meter.Rejection;
-import trailthread.engine.worker.ConnectionRoom;
-import trailthread.engine.worker.Workers;
+import trailthread.engine.endpoint.ConnectionLimit;
+import trailthread.engine.endpoint.EndpointPool;
+import trailthread.engine.loop.CpuAccount;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
+import trailthread.engine.metrics.RejectionReason;
+import trailthread.engine.request.RequestDispatcher;
 import trailthread.testkit.Message;
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
@@ -38,16 +38,16 @@
 /** Clients that leave at each moment at which their call waits: it reaches no worker any more. */
 public class LeavingClientTest {
     private static final long LONG_NS = 20_000_000_000L;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Peer worker;
     private final Settings settings = new Settings();
-    private Calls calls;
-    private Workers workers;
-    private Acceptor acceptor;
+    private RequestDispatcher calls;
+    private EndpointPool workers;
+    private HttpListener acceptor;
     private InetSocketAddress address;
 
     public LeavingClientTest() throws IOException {
-        loop = new Loop("leaving");
+        loop = new EventLoop("leaving");
         worker = Peer.serving("made");
     }
 
@@ -64,10 +64,17 @@
                         0,
                         1,
                         0));
-        workers = new Workers(loop, LONG_NS, LONG_NS, 0, ConnectionRoom.of(8), 0, Account.NONE);
-        calls = new Calls(loop, workers, settings, 1, Meter.OFF);
+        workers =
+                new EndpointPool(
+                        loop, LONG_NS, LONG_NS, 0, ConnectionLimit.of(8), 0, CpuAccount.NONE);
+        calls = new RequestDispatcher(loop, workers, settings, 1, MetricsRecorder.OFF);
         acceptor =
-                new Acceptor(loop, 28, 28, new PlatformFront(settings.classes, calls), Meter.OFF);
+                new HttpListener(
+                        loop,
+                        28,
+                        28,
+                        new PlatformFrontend(settings.classes, calls),
+                        MetricsRecorder.OFF);
         address = acceptor.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         loop.execute(
                 () ->
@@ -76,7 +83,7 @@
                                         1,
                                         true,
                                         List.of(
-                                                new DiscoveryEntry(
+                                                new DiscoveredEndpoint(
                                                         "w",
                                                         worker.hostPort(),
                                                         "a",
@@ -335,9 +342,9 @@
      */
     @Test
     public void theLastAnswerIsTheLastCallsBehindWhatIsNoCall() throws Exception {
-        Front calls = new PlatformFront(settings.classes, this.calls);
+        RequestFrontend calls = new PlatformFrontend(settings.classes, this.calls);
         acceptor.setFront(
-                new Front() {
+                new RequestFrontend() {
                     @Override
                     public String readyPath() {
                         return calls.readyPath();
@@ -346,7 +353,7 @@
                     @Override
                     public Incoming read(HttpServerExchange exchange) {
                         return exchange.getRequestURI().equals("/nowhere")
-                                ? Incoming.none(Rejection.NO_ROUTE)
+                                ? Incoming.none(RejectionReason.NO_ROUTE)
                                 : calls.read(exchange);
                     }
                 });
--- a/daemon/src/test/java/trailthread/daemon/acceptor/CallDecoderTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/PlatformRequestDecoderTest.java
@@ -1,4 +1,4 @@
-package trailthread.daemon.acceptor;
+package trailthread.daemon.listener;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertThrows;
@@ -10,12 +10,12 @@
 import trailthread.api.DeduplicationScope;
 import trailthread.api.Idempotency;
 import trailthread.api.RequestClass;
-import trailthread.engine.call.ClientCall;
+import trailthread.engine.request.ClientRequest;
 
 /** Clients' calls, right and wrong. */
-public class CallDecoderTest {
-    private final CallDecoder decoder =
-            new CallDecoder(
+public class PlatformRequestDecoderTest {
+    private final PlatformRequestDecoder decoder =
+            new PlatformRequestDecoder(
                     List.of(
                             of("state", Idempotency.IDEMPOTENT),
                             of("action", Idempotency.IDEMPOTENCY_KEY),
@@ -27,7 +27,7 @@
     }
 
     /** Decodes a request of one line a header, the first one its method, path and query. */
-    private ClientCall decode(String request) throws BadCallException {
+    private ClientRequest decode(String request) throws BadRequestException {
         String[] lines = request.split("\n");
         String[] start = lines[0].split(" ", 3);
         HeaderMap headers = new HeaderMap();
@@ -41,13 +41,13 @@
 
     @Test
     public void whatACallHoldsIsRead() throws Exception {
-        ClientCall call =
+        ClientRequest call =
                 decode(
                         "POST /action/7 a=%20b\nX-Correlation-Id:9b1f\nX-Service-Class:action\n"
                                 + "X-Account:acme\nX-Time-Left:0.480\nX-Repeat:1\nIdempotency-Key:5c0f\n"
                                 + "X-Facts:other=x,expected_ns=12000000,entity=ff00ff00ff00ff00");
         assertEquals(
-                new ClientCall(
+                new ClientRequest(
                         "9b1f",
                         "action",
                         "acme",
@@ -65,10 +65,10 @@
 
     @Test
     public void whatMayBeMissingMay() throws Exception {
-        ClientCall call =
+        ClientRequest call =
                 decode("GET /state\nX-Correlation-Id:1\nX-Service-Class:state\nX-Time-Left:1");
         assertEquals(
-                new ClientCall(
+                new ClientRequest(
                         "1",
                         "state",
                         null,
@@ -87,7 +87,7 @@
     /** Nobody waits past the class's deadline, whatever he says; a timer would. */
     @Test
     public void aLongWaitEndsWithTheClassesDeadline() throws Exception {
-        ClientCall call =
+        ClientRequest call =
                 decode("GET /state\nX-Correlation-Id:1\nX-Service-Class:state\nX-Time-Left:3000");
         assertEquals(2_000_000_000L, call.timeLeftNs());
     }
@@ -126,7 +126,7 @@
             good + "\nX-Account:a\nX-Account:b",
         };
         for (String call : bad) {
-            assertThrows(call, BadCallException.class, () -> decode(call));
+            assertThrows(call, BadRequestException.class, () -> decode(call));
         }
     }
 }
--- a/decisions/src/main/java/trailthread/levels/Condition.java
+++ b/decisions/src/main/java/trailthread/degradation/Condition.java
@@ -1,4 +1,4 @@
-package trailthread.levels;
+package trailthread.degradation;
 
 /**
  * When a level is entered by one reading, and when that reading no longer holds it.
@@ -12,9 +12,10 @@
 public record Condition(Reading reading, double enter, double leave, long holdNs) {
     /** Throws an IllegalArgumentException that names the first field out of its range. */
     void check(String at) {
-        double most = reading.isShare() ? 1 : Plan.LONGEST_NS;
-        Plan.require(enter > 0 && enter <= most, at + ".enter: not in (0, " + (long) most + "]");
-        Plan.require(leave > 0 && leave < enter, at + ".leave: not in (0, enter)");
-        Plan.requireNs(holdNs, 0, at + ".holdNs");
+        double most = reading.isShare() ? 1 : DegradationPlan.LONGEST_NS;
+        DegradationPlan.require(
+                enter > 0 && enter <= most, at + ".enter: not in (0, " + (long) most + "]");
+        DegradationPlan.require(leave > 0 && leave < enter, at + ".leave: not in (0, enter)");
+        DegradationPlan.requireNs(holdNs, 0, at + ".holdNs");
     }
 }
--- a/decisions/src/main/java/trailthread/levels/Lately.java
+++ b/decisions/src/main/java/trailthread/degradation/DecayingShare.java
@@ -1,10 +1,10 @@
-package trailthread.levels;
+package trailthread.degradation;
 
 /**
  * A share of late: of what was counted, how much had some trait; what is older weighs less, by
  * exponential decay. Some that had not are assumed, as a share of three calls proves nothing.
  */
-public final class Lately {
+public final class DecayingShare {
     private static final double ASSUMED = 50;
 
     private final double spanNs;
@@ -13,7 +13,7 @@
     private long at;
 
     /** Makes one that forgets all but 1/e in a span, ns, above 0. */
-    public Lately(double spanNs, long now) {
+    public DecayingShare(double spanNs, long now) {
         this.spanNs = spanNs;
         at = now;
     }
--- a/decisions/src/main/java/trailthread/levels/Levels.java
+++ b/decisions/src/main/java/trailthread/degradation/DegradationController.java
@@ -1,4 +1,4 @@
-package trailthread.levels;
+package trailthread.degradation;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -14,12 +14,12 @@
  * since the last change is over.
  *
  * <p>Thinning: while a reading that shedding relieves is at or over the level's enter bound, what
- * is not yet shed of the level's reach falls by the factor 1/e in {@link Plan#riseNs}; while all
- * are under their leave bounds, the depth falls by one class in {@link Plan#overloadWindowNs}; in
- * between it stands. So the depth settles at what the workers bear, and the level need not be left
- * and entered in search of it. What is taken grows by addition and is cut by multiplication: nodes
- * that share workers then end at like depths, where otherwise one sheds all and another nothing
- * (Chiu and Jain, 1989).
+ * is not yet shed of the level's reach falls by the factor 1/e in {@link DegradationPlan#riseNs};
+ * while all are under their leave bounds, the depth falls by one class in {@link
+ * DegradationPlan#overloadWindowNs}; in between it stands. So the depth settles at what the workers
+ * bear, and the level need not be left and entered in search of it. What is taken grows by addition
+ * and is cut by multiplication: nodes that share workers then end at like depths, where otherwise
+ * one sheds all and another nothing (Chiu and Jain, 1989).
  *
  * <p>Flapping, after RFC 2439 (penalty, half-life, ceiling): each level has a penalty p. Entered
  * for the first time, p = 1; entered again after a time t for which neither it nor a deeper level
@@ -27,14 +27,14 @@
  * leastStay p at least: up to twice as long as the time before if it was left just now, as long if
  * a half-life ago, and in the end as at first.
  *
- * <p>Time between two readings counts only if it is no longer than {@link Plan#gapNs}, and does not
- * run backwards. A value that is unknown (see {@link Reading#of}) neither enters nor leaves: that
- * time does not count. After {@link Plan#trustNs} without a known value, as before the first, a
- * reading takes no part.
+ * <p>Time between two readings counts only if it is no longer than {@link DegradationPlan#gapNs},
+ * and does not run backwards. A value that is unknown (see {@link Reading#of}) neither enters nor
+ * leaves: that time does not count. After {@link DegradationPlan#trustNs} without a known value, as
+ * before the first, a reading takes no part.
  */
-public final class Levels {
-    private final Plan plan;
-    private final ShedOrder order;
+public final class DegradationController {
+    private final DegradationPlan plan;
+    private final SheddingOrder order;
     private final List<Stage> stages = new ArrayList<>();
     private boolean begun;
     private long lastAt;
@@ -49,7 +49,7 @@
     /** For how long no more is shed than the level above may. */
     private long settled;
 
-    private Allowance allowance;
+    private SheddingPolicy allowance;
 
     /**
      * Makes one at full service.
@@ -57,23 +57,23 @@
      * @throws IllegalArgumentException naming the field of the plan that makes no sense, and its
      *     range
      */
-    public Levels(Plan plan, ShedOrder order) {
+    public DegradationController(DegradationPlan plan, SheddingOrder order) {
         plan.check();
         this.plan = plan;
         this.order = order;
-        for (Level l : plan.levels) {
+        for (DegradationLevel l : plan.levels) {
             stages.add(new Stage(l, order.count(l.reach())));
         }
         allow();
     }
 
     /** The level in force. */
-    public Level level() {
+    public DegradationLevel level() {
         return stages.get(current).level;
     }
 
     /** What the node does at present; a new one after every change of it. */
-    public Allowance allowance() {
+    public SheddingPolicy allowance() {
         return allowance;
     }
 
@@ -102,7 +102,7 @@
     }
 
     private void allow() {
-        allowance = new Allowance(order, level(), depth, plan.keep);
+        allowance = new SheddingPolicy(order, level(), depth, plan.keep);
     }
 
     private int deepestDue() {
@@ -247,7 +247,7 @@
 
     /** One level, and how it stands. */
     private final class Stage {
-        final Level level;
+        final DegradationLevel level;
         final int reach;
         final List<Watch> watches;
 
@@ -263,7 +263,7 @@
 
         long leftAt;
 
-        Stage(Level level, int reach) {
+        Stage(DegradationLevel level, int reach) {
             this.level = level;
             this.reach = reach;
             watches = level.conditions().stream().map(Watch::new).toList();
--- a/decisions/src/main/java/trailthread/levels/Level.java
+++ b/decisions/src/main/java/trailthread/degradation/DegradationLevel.java
@@ -1,4 +1,4 @@
-package trailthread.levels;
+package trailthread.degradation;
 
 import java.util.EnumSet;
 import java.util.List;
@@ -15,7 +15,7 @@
  *     0 to 1; more as trouble goes on
  * @param probeFactor probing periods are multiplied by this
  */
-public record Level(
+public record DegradationLevel(
         String name,
         List<Condition> conditions,
         long leaveNs,
@@ -38,7 +38,7 @@
     }
 
     /** Copies the list. */
-    public Level {
+    public DegradationLevel {
         conditions = List.copyOf(conditions);
     }
 
@@ -48,13 +48,13 @@
         Set<Reading> seen = EnumSet.noneOf(Reading.class);
         for (Condition c : conditions) {
             String of = at + "." + c.reading().word();
-            Plan.require(seen.add(c.reading()), of + ": more than one condition");
+            DegradationPlan.require(seen.add(c.reading()), of + ": more than one condition");
             c.check(of);
         }
-        Plan.requireNs(leaveNs, 0, at + ".leaveNs");
-        Plan.requireNs(leastStayNs, 1, at + ".leastStayNs");
-        Plan.require(leastShed >= 0 && leastShed <= 1, at + ".leastShed: not in [0, 1]");
-        Plan.require(
+        DegradationPlan.requireNs(leaveNs, 0, at + ".leaveNs");
+        DegradationPlan.requireNs(leastStayNs, 1, at + ".leastStayNs");
+        DegradationPlan.require(leastShed >= 0 && leastShed <= 1, at + ".leastShed: not in [0, 1]");
+        DegradationPlan.require(
                 probeFactor >= 1 && probeFactor <= MOST_PROBE_FACTOR,
                 at + ".probeFactor: not in [1, " + (int) MOST_PROBE_FACTOR + "]");
     }
--- a/decisions/src/main/java/trailthread/levels/Plan.java
+++ b/decisions/src/main/java/trailthread/degradation/DegradationPlan.java
@@ -1,16 +1,16 @@
-package trailthread.levels;
+package trailthread.degradation;
 
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import trailthread.levels.Level.Reach;
+import trailthread.degradation.DegradationLevel.Reach;
 
 /**
  * The levels and the figures that they share, each with its default. Not to be changed once {@link
  * Levels} has them.
  */
-public final class Plan {
+public final class DegradationPlan {
     /** The longest time that any figure may be, ns: an hour. */
     static final long LONGEST_NS = 3_600_000_000_000L;
 
@@ -18,7 +18,7 @@
     private static final double MS = 1e6;
 
     /** From full service to the least; the first has no conditions. */
-    public final List<Level> levels = new ArrayList<>(defaults());
+    public final List<DegradationLevel> levels = new ArrayList<>(defaults());
 
     /** Readings further apart say nothing of the time between them, ns: the process was stopped. */
     public long gapNs = 2 * S;
@@ -54,12 +54,12 @@
     public double keep = 0.05;
 
     /** The default levels; docs/levels.md gives them as a table. */
-    public static List<Level> defaults() {
-        Level normal = new Level("normal", List.of(), 0, 1, Reach.NONE, 0, 1);
+    public static List<DegradationLevel> defaults() {
+        DegradationLevel normal = new DegradationLevel("normal", List.of(), 0, 1, Reach.NONE, 0, 1);
         // Probing is widened only where reports cannot be what holds the level: it makes them
         // older.
-        Level lean =
-                new Level(
+        DegradationLevel lean =
+                new DegradationLevel(
                         "lean",
                         List.of(
                                 new Condition(Reading.LATENESS, 50 * MS, 20 * MS, 2 * S),
@@ -71,8 +71,8 @@
                         Reach.NONE,
                         0,
                         2);
-        Level reduced =
-                new Level(
+        DegradationLevel reduced =
+                new DegradationLevel(
                         "reduced",
                         List.of(
                                 new Condition(Reading.FAILING, 0.15, 0.11, S),
@@ -87,8 +87,8 @@
                         Reach.SAFE,
                         0,
                         1);
-        Level essential =
-                new Level(
+        DegradationLevel essential =
+                new DegradationLevel(
                         "essential",
                         List.of(
                                 new Condition(Reading.FAILING, 0.5, 0.35, 2 * S),
@@ -110,7 +110,7 @@
     public void check() {
         require(!levels.isEmpty(), "levels: at least one is needed");
         Set<String> names = new HashSet<>();
-        for (Level l : levels) {
+        for (DegradationLevel l : levels) {
             boolean first = l == levels.get(0);
             require(
                     !l.name().isBlank() && names.add(l.name()),
--- a/decisions/src/main/java/trailthread/levels/Reading.java
+++ b/decisions/src/main/java/trailthread/degradation/Reading.java
@@ -1,4 +1,4 @@
-package trailthread.levels;
+package trailthread.degradation;
 
 import java.util.Locale;
 
--- a/decisions/src/main/java/trailthread/levels/ShedOrder.java
+++ b/decisions/src/main/java/trailthread/degradation/SheddingOrder.java
@@ -1,4 +1,4 @@
-package trailthread.levels;
+package trailthread.degradation;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,14 +8,14 @@
 import java.util.Map;
 import trailthread.api.Idempotency;
 import trailthread.api.RequestClass;
-import trailthread.levels.Level.Reach;
+import trailthread.degradation.DegradationLevel.Reach;
 
 /**
  * Which classes are shed first. The default: what is safe to repeat before what repeats are dropped
  * of, before what must not run twice; in these, the least worth first; in that, as the settings
  * list them. The last of the order is never shed.
  */
-public final class ShedOrder {
+public final class SheddingOrder {
     private final List<String> names = new ArrayList<>();
     private final Map<String, Integer> places = new HashMap<>();
     private final int safe;
@@ -26,12 +26,12 @@
      * @param first names that go before all others, in order; may be empty
      * @throws IllegalArgumentException for a name that no class has, or that is given twice
      */
-    public ShedOrder(List<RequestClass> classes, List<String> first) {
-        Plan.require(!classes.isEmpty(), "classes: at least one is needed");
-        Plan.require(
+    public SheddingOrder(List<RequestClass> classes, List<String> first) {
+        DegradationPlan.require(!classes.isEmpty(), "classes: at least one is needed");
+        DegradationPlan.require(
                 new HashSet<>(first).size() == first.size(), "shed order: a name is twice there");
         for (String name : first) {
-            Plan.require(
+            DegradationPlan.require(
                     classes.stream().anyMatch(c -> c.name().equals(name)),
                     "shed order: no class is named " + name);
         }
--- a/decisions/src/main/java/trailthread/levels/Allowance.java
+++ b/decisions/src/main/java/trailthread/degradation/SheddingPolicy.java
@@ -1,4 +1,4 @@
-package trailthread.levels;
+package trailthread.degradation;
 
 /**
  * What a node does at present: which calls it takes before the decision module sees them, and what
@@ -10,13 +10,13 @@
  * entered: they have had their part. In the classes past the reach, and so in the last, they are
  * left to the decision module, which serves them after those within.
  */
-public final class Allowance {
-    private final ShedOrder order;
-    private final Level level;
+public final class SheddingPolicy {
+    private final SheddingOrder order;
+    private final DegradationLevel level;
     private final double depth;
     private final double keep;
 
-    Allowance(ShedOrder order, Level level, double depth, double keep) {
+    SheddingPolicy(SheddingOrder order, DegradationLevel level, double depth, double keep) {
         this.order = order;
         this.level = level;
         this.depth = depth;
@@ -24,7 +24,7 @@
     }
 
     /** The level in force. */
-    public Level level() {
+    public DegradationLevel level() {
         return level;
     }
 
--- a/decisions/src/test/java/trailthread/levels/AnyReadingsTest.java
+++ b/decisions/src/test/java/trailthread/degradation/AnyReadingsTest.java
@@ -1,4 +1,4 @@
-package trailthread.levels;
+package trailthread.degradation;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
@@ -41,7 +41,7 @@
         long lived = 0;
         long changedAt = 0;
         int seen = 0;
-        List<Level> order = Plan.defaults();
+        List<DegradationLevel> order = DegradationPlan.defaults();
         for (Spell s : spells) {
             f.set(s.reading(), s.value()).jump(s.jumpNs());
             lived += s.jumpNs() > 0 && s.jumpNs() <= Feed.STEP ? s.jumpNs() : 0;
@@ -85,7 +85,7 @@
         assertEquals(1, f.share("bench-state"), 0);
     }
 
-    private static Level named(List<Level> levels, String name) {
+    private static DegradationLevel named(List<DegradationLevel> levels, String name) {
         return levels.stream().filter(l -> l.name().equals(name)).findFirst().orElseThrow();
     }
 }
--- a/decisions/src/test/java/trailthread/levels/LevelsTest.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationControllerTest.java
@@ -1,23 +1,23 @@
-package trailthread.levels;
+package trailthread.degradation;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
-import static trailthread.levels.Reading.FAILING;
-import static trailthread.levels.Reading.LATENESS;
-import static trailthread.levels.Reading.REPORT_AGE;
-import static trailthread.levels.Reading.STARVED;
+import static trailthread.degradation.Reading.FAILING;
+import static trailthread.degradation.Reading.LATENESS;
+import static trailthread.degradation.Reading.REPORT_AGE;
+import static trailthread.degradation.Reading.STARVED;
 
 import java.util.List;
 import org.junit.Test;
 
 /** When levels change, and when they must not. */
-public class LevelsTest {
-    private static final List<Level> LEVELS = Plan.defaults();
+public class DegradationControllerTest {
+    private static final List<DegradationLevel> LEVELS = DegradationPlan.defaults();
     private static final double LATE = 0.5e9;
 
     @Test
     public void eachConditionEntersItsLevelAfterItsTimeAndHoldsItUntilUnderItsLowerBound() {
-        for (Level l : LEVELS) {
+        for (DegradationLevel l : LEVELS) {
             for (Condition c : l.conditions()) {
                 String what = l.name() + " by " + c.reading();
                 Feed under = new Feed().set(c.reading(), Math.nextDown(c.enter())).run(60);
@@ -189,7 +189,7 @@
                 f.set(STARVED, 0.06).run(60).share("bench-state"),
                 1e-3);
         assertEquals(1, f.share("bench-action"), 0);
-        Allowance before = f.levels.allowance();
+        SheddingPolicy before = f.levels.allowance();
         double more = f.set(STARVED, 0).run(6).share("bench-state");
         assertEquals("a tenth comes back in a tenth of the time", 0.05 + 0.1 * 0.95, more, 0.01);
         assertEquals(
--- a/decisions/src/test/java/trailthread/levels/PlanTest.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationPlanTest.java
@@ -1,4 +1,4 @@
-package trailthread.levels;
+package trailthread.degradation;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertThrows;
@@ -12,19 +12,19 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.junit.Test;
-import trailthread.levels.Level.Reach;
+import trailthread.degradation.DegradationLevel.Reach;
 
 /** What is wrong with a plan is named; the defaults are what the operators' page says. */
-public class PlanTest {
-    private static Level level(
+public class DegradationPlanTest {
+    private static DegradationLevel level(
             String name, double enter, double leave, long holdNs, double leastShed) {
         List<Condition> failing = List.of(new Condition(Reading.FAILING, enter, leave, holdNs));
-        return new Level(name, failing, 1, 1, Reach.SAFE, leastShed, 1);
+        return new DegradationLevel(name, failing, 1, 1, Reach.SAFE, leastShed, 1);
     }
 
     @Test
     public void whatMakesNoSenseIsNamedWithItsRange() {
-        Map<String, Consumer<Plan>> table = new LinkedHashMap<>();
+        Map<String, Consumer<DegradationPlan>> table = new LinkedHashMap<>();
         table.put("gapNs: not in [1, 3600000000000] ns", p -> p.gapNs = 0);
         table.put("mostStayNs: not in [1, 3600000000000] ns", p -> p.mostStayNs = Long.MAX_VALUE);
         table.put(
@@ -48,10 +48,10 @@
         table.put(
                 "levels.x.leastShed: not in [0, 1]",
                 p -> p.levels.add(level("x", 0.2, 0.1, 0, Double.NaN)));
-        new Plan().check();
+        new DegradationPlan().check();
         table.forEach(
                 (message, spoil) -> {
-                    Plan p = new Plan();
+                    DegradationPlan p = new DegradationPlan();
                     spoil.accept(p);
                     assertEquals(
                             message,
@@ -62,7 +62,7 @@
     @Test
     public void thePageForOperatorsHoldsTheDefaults() throws IOException {
         List<String> expected = new ArrayList<>();
-        for (Level l : Plan.defaults()) {
+        for (DegradationLevel l : DegradationPlan.defaults()) {
             for (Condition c : l.conditions()) {
                 double unit = c.reading().isShare() ? 1 : 1e9;
                 expected.add(
--- a/decisions/src/test/java/trailthread/levels/Feed.java
+++ b/decisions/src/test/java/trailthread/degradation/Feed.java
@@ -1,4 +1,4 @@
-package trailthread.levels;
+package trailthread.degradation;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -17,17 +17,17 @@
                     kind("bench-action", Idempotency.IDEMPOTENCY_KEY, 10),
                     kind("bench-state", Idempotency.IDEMPOTENT, 1));
 
-    final Levels levels;
+    final DegradationController levels;
     final List<Change> changes = new ArrayList<>();
     private final Map<Reading, Double> values = new EnumMap<>(Reading.class);
     private long now = -17;
 
     Feed() {
-        this(new Plan());
+        this(new DegradationPlan());
     }
 
-    Feed(Plan plan) {
-        levels = new Levels(plan, new ShedOrder(CLASSES, List.of()));
+    Feed(DegradationPlan plan) {
+        levels = new DegradationController(plan, new SheddingOrder(CLASSES, List.of()));
     }
 
     static RequestClass kind(String name, Idempotency idempotency, double worth) {
--- a/decisions/src/test/java/trailthread/levels/Fleet.java
+++ b/decisions/src/test/java/trailthread/degradation/Fleet.java
@@ -1,4 +1,4 @@
-package trailthread.levels;
+package trailthread.degradation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -246,10 +246,11 @@
     /** A node: the decision module, with or without an allowance before it. */
     private final class Node implements BalancerActions {
         private final Balancer balancer;
-        private final ShedOrder order = new ShedOrder(settings.classes, List.of());
-        private final Levels levels = new Levels(new Plan(), order);
+        private final SheddingOrder order = new SheddingOrder(settings.classes, List.of());
+        private final DegradationController levels =
+                new DegradationController(new DegradationPlan(), order);
         private final List<Call> calls = new ArrayList<>();
-        private final Lately starved = new Lately(10 * S, 0);
+        private final DecayingShare starved = new DecayingShare(10 * S, 0);
 
         /** Of each worker, the share of errors among its last outcomes. */
         private final double[] errors = new double[WORKERS];
--- a/decisions/src/test/java/trailthread/levels/FleetTest.java
+++ b/decisions/src/test/java/trailthread/degradation/FleetTest.java
@@ -1,9 +1,9 @@
-package trailthread.levels;
+package trailthread.degradation;
 
 import static org.junit.Assert.assertTrue;
 
 import org.junit.Test;
-import trailthread.levels.Fleet.Day;
+import trailthread.degradation.Fleet.Day;
 
 /**
  * Levels before the real decision module, ten virtual minutes, with and without. The shares are of
--- a/decisions/src/test/java/trailthread/levels/ReportsTest.java
+++ b/decisions/src/test/java/trailthread/degradation/ReportsTest.java
@@ -1,12 +1,12 @@
-package trailthread.levels;
+package trailthread.degradation;
 
 import static org.junit.Assert.assertTrue;
 
 import java.util.Arrays;
 import org.junit.Test;
 import trailthread.api.LoadReport;
-import trailthread.levels.Fleet.Day;
-import trailthread.levels.Fleet.Told;
+import trailthread.degradation.Fleet.Day;
+import trailthread.degradation.Fleet.Told;
 
 /** Guards against a module that believes load reports more than its own eyes, in virtual time. */
 public class ReportsTest {
--- a/decisions/src/test/java/trailthread/levels/AllowanceTest.java
+++ b/decisions/src/test/java/trailthread/degradation/SheddingPolicyTest.java
@@ -1,4 +1,4 @@
-package trailthread.levels;
+package trailthread.degradation;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -9,10 +9,10 @@
 import org.junit.Test;
 import trailthread.api.Idempotency;
 import trailthread.api.RequestClass;
-import trailthread.levels.Level.Reach;
+import trailthread.degradation.DegradationLevel.Reach;
 
 /** Which calls are taken, in which order they are shed, and whose are over. */
-public class AllowanceTest {
+public class SheddingPolicyTest {
     private static final List<RequestClass> CLASSES =
             List.of(
                     Feed.kind("u", Idempotency.NOT_IDEMPOTENT, 1),
@@ -23,28 +23,35 @@
 
     @Test
     public void theOrderIsBySemanticsThenWorthUnlessNamesAreGiven() {
-        ShedOrder order = new ShedOrder(CLASSES, List.of());
+        SheddingOrder order = new SheddingOrder(CLASSES, List.of());
         assertEquals(List.of("s1", "s0", "s2", "k", "u"), order.names());
         assertEquals(3, order.count(Reach.SAFE));
         assertEquals(4, order.count(Reach.ALL_BUT_LAST));
         assertFalse(order.isGuarded("s2"));
         assertTrue(order.isGuarded("k"));
-        ShedOrder named = new ShedOrder(CLASSES, List.of("k", "s2"));
+        SheddingOrder named = new SheddingOrder(CLASSES, List.of("k", "s2"));
         assertEquals(List.of("k", "s2", "s1", "s0", "u"), named.names());
         assertEquals("to the last that is safe", 4, named.count(Reach.SAFE));
-        ShedOrder safe = new ShedOrder(CLASSES.subList(2, 5), List.of());
+        SheddingOrder safe = new SheddingOrder(CLASSES.subList(2, 5), List.of());
         assertEquals("the last is in no reach", 2, safe.count(Reach.SAFE));
         assertTrue(safe.isGuarded("s2"));
-        assertEquals(0, new ShedOrder(CLASSES.subList(0, 1), List.of()).count(Reach.ALL_BUT_LAST));
-        assertThrows(IllegalArgumentException.class, () -> new ShedOrder(CLASSES, List.of("x")));
+        assertEquals(
+                0, new SheddingOrder(CLASSES.subList(0, 1), List.of()).count(Reach.ALL_BUT_LAST));
         assertThrows(
-                IllegalArgumentException.class, () -> new ShedOrder(CLASSES, List.of("k", "k")));
+                IllegalArgumentException.class, () -> new SheddingOrder(CLASSES, List.of("x")));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new SheddingOrder(CLASSES, List.of("k", "k")));
     }
 
     @Test
     public void oneClassAfterTheOtherAndThoseOverTheirQuotaFirst() {
-        Allowance a =
-                new Allowance(new ShedOrder(CLASSES, List.of()), Plan.defaults().get(2), 1.5, 0.1);
+        SheddingPolicy a =
+                new SheddingPolicy(
+                        new SheddingOrder(CLASSES, List.of()),
+                        DegradationPlan.defaults().get(2),
+                        1.5,
+                        0.1);
         double[] within = {0.1, 0.55, 1, 1, 1};
         double[] over = {0.1, 0.1, 0.1, 1, 1};
         String[] names = {"s1", "s0", "s2", "k", "u"};
@@ -59,7 +66,7 @@
 
     @Test
     public void aShareOfLateForgetsAndFewCallsProveNothing() {
-        Lately l = new Lately(10e9, 0);
+        DecayingShare l = new DecayingShare(10e9, 0);
         l.count(0, true);
         assertTrue("one of one: " + l.share(0), l.share(0) < 0.05);
         for (int i = 0; i < 4000; i++) {
--- a/engine/src/main/java/trailthread/engine/service/CpuWithheld.java
+++ b/engine/src/main/java/trailthread/engine/degradation/CpuThrottling.java
@@ -1,4 +1,4 @@
-package trailthread.engine.service;
+package trailthread.engine.degradation;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -13,7 +13,7 @@
  * the one that started the virtual machine, which waits for good. The kernel makes the file from
  * memory: a read of it waits for no disk.
  */
-final class CpuWithheld {
+final class CpuThrottling {
     private static final int MOST_BYTES = 128;
 
     private final FileChannel file;
@@ -21,20 +21,20 @@
     private long lastWaited = -1;
     private long lastAt;
 
-    private CpuWithheld(FileChannel file) {
+    private CpuThrottling(FileChannel file) {
         this.file = file;
     }
 
     /** Of the calling thread; it holds a descriptor from now on, where there is such a file. */
-    static CpuWithheld open() {
+    static CpuThrottling open() {
         return open(Path.of("/proc/thread-self/schedstat"));
     }
 
-    static CpuWithheld open(Path path) {
+    static CpuThrottling open(Path path) {
         try {
-            return new CpuWithheld(FileChannel.open(path));
+            return new CpuThrottling(FileChannel.open(path));
         } catch (IOException e) {
-            return new CpuWithheld(null);
+            return new CpuThrottling(null);
         }
     }
 
--- a/engine/src/main/java/trailthread/engine/service/LevelsConfig.java
+++ b/engine/src/main/java/trailthread/engine/degradation/DegradationConfig.java
@@ -1,4 +1,4 @@
-package trailthread.engine.service;
+package trailthread.engine.degradation;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -9,14 +9,14 @@
 import java.util.Set;
 import java.util.TreeSet;
 import trailthread.api.RequestClass;
-import trailthread.levels.Condition;
-import trailthread.levels.Level;
-import trailthread.levels.Plan;
-import trailthread.levels.Reading;
-import trailthread.levels.ShedOrder;
+import trailthread.degradation.Condition;
+import trailthread.degradation.DegradationLevel;
+import trailthread.degradation.DegradationPlan;
+import trailthread.degradation.Reading;
+import trailthread.degradation.SheddingOrder;
 
 /** What a node is told of its levels of service; docs/levels.md names the keys. */
-public record LevelsConfig(Plan plan, ShedOrder order) {
+public record DegradationConfig(DegradationPlan plan, SheddingOrder order) {
     private static final String KEY = "levels";
     private static final String SHED_FIRST = "shed_first";
     private static final String ON = "on";
@@ -60,7 +60,7 @@
      * @return null where levels are off
      * @throws IllegalArgumentException naming the key that is unknown or out of its range
      */
-    public static LevelsConfig parse(Map<String, String> values, List<RequestClass> classes) {
+    public static DegradationConfig parse(Map<String, String> values, List<RequestClass> classes) {
         Keys keys = new Keys(values);
         String on = keys.text(ON, "");
         if (!on.equals("true") && !on.equals("false")) {
@@ -69,7 +69,7 @@
         }
         String first = keys.text(SHED_FIRST, "");
         keys.left.remove(SHED_FIRST + ".count");
-        Plan plan = plan(keys);
+        DegradationPlan plan = plan(keys);
         if (!keys.left.isEmpty()) {
             throw new IllegalArgumentException(
                     KEY + "." + new TreeSet<>(keys.left.keySet()).first() + ": no such key");
@@ -79,13 +79,15 @@
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(named(e.getMessage()), e);
         }
-        ShedOrder order;
+        SheddingOrder order;
         try {
-            order = new ShedOrder(classes, first.isEmpty() ? List.of() : List.of(first.split(",")));
+            order =
+                    new SheddingOrder(
+                            classes, first.isEmpty() ? List.of() : List.of(first.split(",")));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(KEY + "." + SHED_FIRST + ": " + e.getMessage(), e);
         }
-        return on.equals("true") ? new LevelsConfig(plan, order) : null;
+        return on.equals("true") ? new DegradationConfig(plan, order) : null;
     }
 
     /** Every key, with the defaults' levels and readings in it. */
@@ -97,8 +99,8 @@
         return keys.known;
     }
 
-    private static Plan plan(Keys keys) {
-        Plan plan = new Plan();
+    private static DegradationPlan plan(Keys keys) {
+        DegradationPlan plan = new DegradationPlan();
         plan.gapNs = keys.ns("gap_s", plan.gapNs);
         plan.trustNs = keys.ns("trust_s", plan.trustNs);
         plan.halfLifeNs = keys.ns("half_life_s", plan.halfLifeNs);
@@ -114,7 +116,7 @@
         return plan;
     }
 
-    private static Level level(Keys keys, Level l) {
+    private static DegradationLevel level(Keys keys, DegradationLevel l) {
         Map<Reading, Condition> byReading = new EnumMap<>(Reading.class);
         l.conditions().forEach(c -> byReading.put(c.reading(), c));
         List<Condition> conditions = new ArrayList<>();
@@ -126,7 +128,7 @@
             }
         }
         String at = l.name() + ".";
-        return new Level(
+        return new DegradationLevel(
                 l.name(),
                 conditions,
                 keys.ns(at + "leave_s", l.leaveNs()),
--- a/engine/src/main/java/trailthread/engine/service/Service.java
+++ b/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
@@ -1,4 +1,4 @@
-package trailthread.engine.service;
+package trailthread.engine.degradation;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -17,37 +17,37 @@
 import trailthread.api.Outcome;
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.Answer;
-import trailthread.engine.meter.Meter;
-import trailthread.engine.meter.Rejection;
-import trailthread.levels.Change;
-import trailthread.levels.Change.Cause;
-import trailthread.levels.Level;
-import trailthread.levels.Levels;
-import trailthread.levels.Reading;
-import trailthread.levels.Readings;
+import trailthread.degradation.Change;
+import trailthread.degradation.Change.Cause;
+import trailthread.degradation.DegradationController;
+import trailthread.degradation.DegradationLevel;
+import trailthread.degradation.Reading;
+import trailthread.degradation.Readings;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
+import trailthread.engine.metrics.RejectionReason;
+import trailthread.engine.metrics.RequestResult;
 
 /**
  * The node's level of service: gathers the readings, four times a second, and does what the level
  * says. It hears the node's events as a meter before the operators'. A node without levels makes
  * none, and then loads no class of this package.
  */
-public final class Service implements Meter {
-    private static final Logger LOG = LoggerFactory.getLogger(Service.class);
+public final class DegradationService implements MetricsRecorder {
+    private static final Logger LOG = LoggerFactory.getLogger(DegradationService.class);
     private static final long EVERY_NS = 250_000_000L;
 
-    private final Loop loop;
-    private final LevelsConfig config;
-    private final Meter next;
+    private final EventLoop loop;
+    private final DegradationConfig config;
+    private final MetricsRecorder next;
     private final LoadReportSource reports;
-    private final Levels levels;
-    private final Failing failing;
-    private final ReportAge reportAge;
-    private final Starved starved;
+    private final DegradationController levels;
+    private final FailingEndpointRate failing;
+    private final LoadReportAge reportAge;
+    private final StarvationRate starved;
     private final MemoryInUse memory = new MemoryInUse();
-    private final ProbeThinning probes = new ProbeThinning();
-    private CpuWithheld cpu;
+    private final HealthCheckThinning probes = new HealthCheckThinning();
+    private CpuThrottling cpu;
     private DoubleSupplier descriptors;
     private Consumer<Admission> admit;
     private Readings readings;
@@ -60,20 +60,21 @@
      *
      * @param next hears all that this one hears, and of the levels
      */
-    public Service(Loop loop, LevelsConfig config, Settings settings, Meter next) {
+    public DegradationService(
+            EventLoop loop, DegradationConfig config, Settings settings, MetricsRecorder next) {
         this.loop = loop;
         this.config = config;
         this.next = next;
         reports = settings.reports;
-        levels = new Levels(config.plan(), config.order());
+        levels = new DegradationController(config.plan(), config.order());
         failing =
-                new Failing(
+                new FailingEndpointRate(
                         settings.classes.stream()
                                 .mapToLong(RequestClass::latencyObjectiveNs)
                                 .min()
                                 .orElseThrow());
-        reportAge = new ReportAge(loop.now());
-        starved = new Starved(settings.classes, config.order(), loop.now());
+        reportAge = new LoadReportAge(loop.now());
+        starved = new StarvationRate(settings.classes, config.order(), loop.now());
     }
 
     /**
@@ -85,7 +86,7 @@
     public void start(DoubleSupplier descriptors, Consumer<Admission> admit) {
         this.descriptors = descriptors;
         this.admit = admit;
-        cpu = CpuWithheld.open();
+        cpu = CpuThrottling.open();
         next.levelEntered(loop.now(), levels.level().name());
         dueAt = loop.now();
         read();
@@ -93,7 +94,7 @@
 
     /** Every level, from full service to the least. */
     public List<String> levels() {
-        return config.plan().levels.stream().map(Level::name).toList();
+        return config.plan().levels.stream().map(DegradationLevel::name).toList();
     }
 
     /** The last readings, by names that end in their unit; NaN where one is not known. */
@@ -145,7 +146,7 @@
                 .log(change.toString());
         next.levelEntered(loop.now(), change.to());
         // Without one, the module draws no number for each call.
-        admit.accept(levels.level().reach() == Level.Reach.NONE ? null : this::takes);
+        admit.accept(levels.level().reach() == DegradationLevel.Reach.NONE ? null : this::takes);
     }
 
     private static String joined(Change change, Function<Cause, String> part) {
@@ -173,7 +174,7 @@
     }
 
     @Override
-    public void answered(String requestClass, Answer answer, long afterNs, long waitedNs) {
+    public void answered(String requestClass, RequestResult answer, long afterNs, long waitedNs) {
         starved.answered(requestClass, answer, waitedNs, loop.now());
         next.answered(requestClass, answer, afterNs, waitedNs);
     }
@@ -184,7 +185,7 @@
     }
 
     @Override
-    public void rejected(Rejection why) {
+    public void rejected(RejectionReason why) {
         next.rejected(why);
     }
 
--- a/engine/src/main/java/trailthread/engine/service/Failing.java
+++ b/engine/src/main/java/trailthread/engine/degradation/FailingEndpointRate.java
@@ -1,4 +1,4 @@
-package trailthread.engine.service;
+package trailthread.engine.degradation;
 
 import java.util.HashMap;
 import java.util.List;
@@ -17,7 +17,7 @@
  * ones; nor is a worker that turns calls away because it is full. A worker without any attempt for
  * a minute no longer counts as failing.
  */
-final class Failing {
+final class FailingEndpointRate {
     private static final int ATTEMPTS = 9;
     private static final int LEAST_FAILED = 2;
     private static final long FORGOTTEN_NS = 60_000_000_000L;
@@ -39,7 +39,7 @@
     /**
      * @param quickNs what takes longer has not failed quickly
      */
-    Failing(long quickNs) {
+    FailingEndpointRate(long quickNs) {
         this.quickNs = quickNs;
     }
 
--- a/engine/src/main/java/trailthread/engine/service/ProbeThinning.java
+++ b/engine/src/main/java/trailthread/engine/degradation/HealthCheckThinning.java
@@ -1,4 +1,4 @@
-package trailthread.engine.service;
+package trailthread.engine.degradation;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -7,7 +7,7 @@
  * Lets one probe in so many through, worker by worker: the module takes them in turn, so that one
  * in two of all would leave out the same half of the workers for ever. Pure.
  */
-final class ProbeThinning {
+final class HealthCheckThinning {
     private final Map<String, Double> saved = new HashMap<>();
 
     /** Whether a probe is made, where their period is to be multiplied by this. */
--- a/engine/src/main/java/trailthread/engine/service/ReportAge.java
+++ b/engine/src/main/java/trailthread/engine/degradation/LoadReportAge.java
@@ -1,15 +1,15 @@
-package trailthread.engine.service;
+package trailthread.engine.degradation;
 
 /**
  * How old the youngest load report of any worker was when one was last owed and did not come; pure.
  * Time in which none is owed does not count, or a node without calls would see its reports grow
  * old.
  */
-final class ReportAge {
+final class LoadReportAge {
     private long reportedAt;
     private long missedAt;
 
-    ReportAge(long now) {
+    LoadReportAge(long now) {
         reportedAt = now;
         missedAt = now;
     }
--- a/engine/src/main/java/trailthread/engine/service/MemoryInUse.java
+++ b/engine/src/main/java/trailthread/engine/degradation/MemoryInUse.java
@@ -1,4 +1,4 @@
-package trailthread.engine.service;
+package trailthread.engine.degradation;
 
 /**
  * How much memory was in use after the last collection, as far as samples tell: use falls at no
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryEntry.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveredEndpoint.java
@@ -11,7 +11,7 @@
  * @param cell -1: none
  * @param startedAtMs Unix time; 0: long ago
  */
-public record DiscoveryEntry(
+public record DiscoveredEndpoint(
         String instanceId,
         String hostPort,
         String zone,
--- a/engine/src/main/java/trailthread/engine/discovery/Discovery.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
@@ -12,15 +12,15 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioExecutor;
 import trailthread.ListLease;
-import trailthread.engine.http.AnswerListener;
 import trailthread.engine.http.HttpConnection;
 import trailthread.engine.http.RequestEncoder;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.http.ResponseListener;
+import trailthread.engine.loop.CpuAccount;
+import trailthread.engine.loop.EventLoop;
 
 /** The side of discovery: fetches the list and watches it, as the module asks. */
-public final class Discovery implements WorkerList {
-    private static final Logger LOG = LoggerFactory.getLogger(Discovery.class);
+public final class DiscoveryClient implements EndpointListSource {
+    private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
     private static final String PATH = "/v1/endpoints";
 
     /** No queue is in the way of a connect, so one that takes longer meets a cut link. */
@@ -51,7 +51,7 @@
     /** Sockets that were looked at so lately need no look before a request is sent. */
     private static final long LOOKED_AT_NS = 20_000_000L;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private InetSocketAddress address;
     private final DiscoveryListener listener;
 
@@ -80,7 +80,7 @@
      */
     private long livedAt;
 
-    public Discovery(Loop loop, InetSocketAddress address, DiscoveryListener listener) {
+    public DiscoveryClient(EventLoop loop, InetSocketAddress address, DiscoveryListener listener) {
         this.loop = loop;
         this.address = address;
         this.listener = listener;
@@ -176,10 +176,10 @@
     }
 
     /** One call to discovery: a watch goes on until it breaks, a fetch ends with its one object. */
-    private final class Exchange implements AnswerListener {
+    private final class Exchange implements ResponseListener {
         private final boolean watches;
         private final String target;
-        private final DiscoveryObjects objects = new DiscoveryObjects();
+        private final JsonObjectSplitter objects = new JsonObjectSplitter();
 
         /** Takes back a connect that has not come up, or null. */
         private Runnable connecting;
@@ -219,7 +219,7 @@
                     HttpConnection.open(
                             loop,
                             address,
-                            Account.NONE,
+                            CpuAccount.NONE,
                             () -> {},
                             opened -> {
                                 connecting = null;
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryParser.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryParser.java
@@ -45,7 +45,7 @@
     public static DiscoveryUpdate read(JsonReader in) throws IOException {
         long generation = -1;
         boolean reset = false;
-        List<DiscoveryEntry> instances = null;
+        List<DiscoveredEndpoint> instances = null;
         try {
             in.beginObject();
             while (in.hasNext()) {
@@ -66,8 +66,8 @@
         return new DiscoveryUpdate(generation, reset, instances);
     }
 
-    private static List<DiscoveryEntry> entries(JsonReader in) throws IOException {
-        List<DiscoveryEntry> entries = new ArrayList<>();
+    private static List<DiscoveredEndpoint> entries(JsonReader in) throws IOException {
+        List<DiscoveredEndpoint> entries = new ArrayList<>();
         in.beginArray();
         while (in.hasNext()) {
             entries.add(entry(in));
@@ -76,7 +76,7 @@
         return entries;
     }
 
-    private static DiscoveryEntry entry(JsonReader in) throws IOException {
+    private static DiscoveredEndpoint entry(JsonReader in) throws IOException {
         String instanceId = null;
         String hostPort = null;
         String zone = "";
@@ -113,7 +113,8 @@
                             + " and "
                             + startedAtMs);
         }
-        return new DiscoveryEntry(instanceId, hostPort, zone, cell, lifecycle, weight, startedAtMs);
+        return new DiscoveredEndpoint(
+                instanceId, hostPort, zone, cell, lifecycle, weight, startedAtMs);
     }
 
     private static boolean isHostPort(String text) {
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryUpdate.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryUpdate.java
@@ -10,14 +10,14 @@
  *
  * @param reset whether it is the whole list, or only what changed
  */
-public record DiscoveryUpdate(long generation, boolean reset, List<DiscoveryEntry> instances) {
+public record DiscoveryUpdate(long generation, boolean reset, List<DiscoveredEndpoint> instances) {
     /** The whole list that comes of this one after another whole one. */
     public DiscoveryUpdate onto(DiscoveryUpdate before) {
-        Map<String, DiscoveryEntry> all = new LinkedHashMap<>();
+        Map<String, DiscoveredEndpoint> all = new LinkedHashMap<>();
         if (!reset) {
             before.instances.forEach(entry -> all.put(entry.instanceId(), entry));
         }
-        for (DiscoveryEntry entry : instances) {
+        for (DiscoveredEndpoint entry : instances) {
             if (entry.lifecycle() == EndpointState.GONE) {
                 all.remove(entry.instanceId());
             } else {
--- a/engine/src/main/java/trailthread/engine/discovery/ListFile.java
+++ b/engine/src/main/java/trailthread/engine/discovery/EndpointListFile.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.EventLoop;
 
 /**
  * A list of workers in a file, in the form in which discovery sends a whole one. It is looked at
@@ -16,8 +16,8 @@
  * at any moment: what can't be read, as a half-written one can't, is told of in one line, and the
  * list before stays.
  */
-public final class ListFile implements WorkerList {
-    private static final Logger LOG = LoggerFactory.getLogger(ListFile.class);
+public final class EndpointListFile implements EndpointListSource {
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointListFile.class);
     private static final long EVERY_NS = 500_000_000L;
 
     /** More than ten thousand workers need. */
@@ -26,7 +26,7 @@
     /** What tells one state of the file from the next. */
     private record Look(long modified, long size, Object inode) {}
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Path path;
     private final DiscoveryListener listener;
     private Look last;
@@ -34,7 +34,7 @@
     private boolean closed;
 
     /** Makes one that has not looked yet. */
-    public ListFile(Loop loop, Path path, DiscoveryListener listener) {
+    public EndpointListFile(EventLoop loop, Path path, DiscoveryListener listener) {
         this.loop = loop;
         this.path = path;
         this.listener = listener;
--- a/engine/src/main/java/trailthread/engine/discovery/WorkerList.java
+++ b/engine/src/main/java/trailthread/engine/discovery/EndpointListSource.java
@@ -1,7 +1,7 @@
 package trailthread.engine.discovery;
 
 /** Where a list of workers comes from. Tells its {@link DiscoveryListener} on the loop's thread. */
-public interface WorkerList {
+public interface EndpointListSource {
     /** Begins to tell. */
     void start();
 
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryObjects.java
+++ b/engine/src/main/java/trailthread/engine/discovery/JsonObjectSplitter.java
@@ -11,7 +11,7 @@
  * Splits what a watch sends into its objects, however it comes in pieces and however it is
  * indented; pure.
  */
-final class DiscoveryObjects {
+final class JsonObjectSplitter {
     private static final int MOST_BYTES = 4 * 1024 * 1024;
 
     /** What came of an object in earlier pieces. */
--- a/engine/src/main/java/trailthread/engine/discovery/FixedList.java
+++ b/engine/src/main/java/trailthread/engine/discovery/StaticEndpointList.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 import trailthread.api.EndpointState;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.EventLoop;
 
 /** Workers that are given once and for all: always ready, as far as a list can tell. */
-public final class FixedList implements WorkerList {
-    private final Loop loop;
+public final class StaticEndpointList implements EndpointListSource {
+    private final EventLoop loop;
     private final DiscoveryUpdate update;
     private final DiscoveryListener listener;
     private boolean closed;
@@ -16,7 +16,7 @@
      *
      * @param hostPorts each address:port; a worker's id is its address
      */
-    public FixedList(Loop loop, List<String> hostPorts, DiscoveryListener listener) {
+    public StaticEndpointList(EventLoop loop, List<String> hostPorts, DiscoveryListener listener) {
         this.loop = loop;
         this.listener = listener;
         update =
@@ -26,7 +26,7 @@
                         hostPorts.stream()
                                 .map(
                                         hostPort ->
-                                                new DiscoveryEntry(
+                                                new DiscoveredEndpoint(
                                                         hostPort,
                                                         hostPort,
                                                         "",
