--- a/engine/src/main/java/trailthread/engine/worker/Attempt.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/Attempt.java
@@ -1,4 +1,4 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import io.undertow.util.HeaderMap;
 import io.undertow.util.Headers;
@@ -9,11 +9,11 @@
 import org.xnio.XnioExecutor;
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
-import trailthread.engine.http.AnswerListener;
 import trailthread.engine.http.ByteSink;
 import trailthread.engine.http.HttpConnection;
 import trailthread.engine.http.RequestEncoder;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.http.ResponseListener;
+import trailthread.engine.loop.EventLoop;
 import trailthread.engine.loop.Seconds;
 
 /**
@@ -21,7 +21,7 @@
  * connection closed, before anyone hears of its ending, so that no second copy can be out beside
  * it.
  */
-public final class Attempt implements AnswerListener {
+public final class Attempt implements ResponseListener {
     /** What is longer is passed on as it comes. */
     private static final int MOST_HELD_BYTES = 64 * 1024;
 
@@ -40,10 +40,10 @@
      */
     private static final long SILENT_NS = 10_000_000_000L;
 
-    private final Loop loop;
-    private final Connections connections;
-    private final Worker worker;
-    private final WorkerRequest request;
+    private final EventLoop loop;
+    private final ConnectionPool connections;
+    private final Endpoint worker;
+    private final EndpointRequest request;
     private final AttemptListener listener;
     private final long startedAt;
     private final long endsAt;
@@ -65,7 +65,7 @@
     private long sentAt;
 
     private boolean over;
-    private WorkerAnswer answer;
+    private ResponseHead answer;
 
     /** Its length as its head told it, or -1. */
     private long length = -1;
@@ -82,10 +82,10 @@
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(512);
 
     Attempt(
-            Loop loop,
-            Connections connections,
-            Worker worker,
-            WorkerRequest request,
+            EventLoop loop,
+            ConnectionPool connections,
+            Endpoint worker,
+            EndpointRequest request,
             long timeoutNs,
             long writtenBy,
             AttemptListener listener) {
@@ -146,7 +146,7 @@
         connection = to;
         sentAt = now;
         long waitsNs = request.source() == null ? endsAt - now : request.afterBodyNs();
-        Passing passing = request.passing();
+        ForwardedHeaders passing = request.passing();
         RequestEncoder head =
                 new RequestEncoder(
                         request.method(),
@@ -235,7 +235,7 @@
 
     @Override
     public void head(int status, HeaderMap headers) {
-        answer = WorkerAnswer.decode(status, headers);
+        answer = ResponseHead.decode(status, headers);
         passed = request.passing() == null ? null : headers;
         String told = headers.getFirst(Headers.CONTENT_LENGTH);
         length = told == null ? -1 : Long.parseLong(told);
@@ -267,7 +267,7 @@
     /** Passes on what is held, and all that comes from now on as it comes. */
     private boolean begins() {
         heldEnough = removed(heldEnough);
-        Made head = new Made(answer.status(), passed, new byte[0]);
+        EndpointResponse head = new EndpointResponse(answer.status(), passed, new byte[0]);
         sink = listener.begins(head, length, answer.load(), this::goOn);
         if (sink == null) {
             end(Outcome.CANCELLED);
@@ -317,7 +317,7 @@
         // What probes take says nothing of what is usual for calls.
         endedAfter(
                 sink != null
-                        ? AnswerTime.UNKNOWN
+                        ? LatencySample.UNKNOWN
                         : request.isProbe()
                                 ? atMostNs
                                 : worker.answerTime.told(atLeastNs, atMostNs),
@@ -365,12 +365,12 @@
         if (connection != null) {
             connection.close();
         }
-        Made made =
+        EndpointResponse made =
                 outcome != Outcome.OK
                         ? null
                         : passed == null
-                                ? Made.of(body.toByteArray())
-                                : new Made(answer.status(), passed, body.toByteArray());
+                                ? EndpointResponse.of(body.toByteArray())
+                                : new EndpointResponse(answer.status(), passed, body.toByteArray());
         LoadReport load =
                 answer == null || sink != null
                         ? null
@@ -378,6 +378,6 @@
         if (load == null && made != null && request.isProbe()) {
             load = LoadReportParser.parse(new String(made.body(), StandardCharsets.UTF_8));
         }
-        listener.ended(new Ending(outcome, latencyNs, load, made));
+        listener.ended(new AttemptResult(outcome, latencyNs, load, made));
     }
 }
--- a/engine/src/main/java/trailthread/engine/worker/AttemptListener.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptListener.java
@@ -1,4 +1,4 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import trailthread.api.LoadReport;
 import trailthread.engine.http.ByteSink;
@@ -24,10 +24,10 @@
      *     there was none
      * @return where it goes, or null: nobody waits for it any more
      */
-    default ByteSink begins(Made head, long length, LoadReport told, Runnable more) {
+    default ByteSink begins(EndpointResponse head, long length, LoadReport told, Runnable more) {
         return null;
     }
 
     /** It is over; told once, never from within the call that began it. */
-    void ended(Ending ending);
+    void ended(AttemptResult ending);
 }
--- a/engine/src/main/java/trailthread/engine/worker/Ending.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptResult.java
@@ -1,4 +1,4 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
@@ -9,4 +9,5 @@
  * @param load or null
  * @param made what the worker made, if the outcome is OK
  */
-public record Ending(Outcome outcome, long latencyNs, LoadReport load, Made made) {}
+public record AttemptResult(
+        Outcome outcome, long latencyNs, LoadReport load, EndpointResponse made) {}
--- a/engine/src/main/java/trailthread/engine/worker/ConnectionRoom.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionLimit.java
@@ -1,10 +1,10 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 /**
  * How many connections to workers there may be. Each {@link #take} that is granted is followed by
  * one give.
  */
-public interface ConnectionRoom {
+public interface ConnectionLimit {
     /** Whether another one may be opened. */
     boolean take();
 
@@ -15,8 +15,8 @@
     boolean keepsIdle();
 
     /** Room for so many. */
-    static ConnectionRoom of(int most) {
-        return new ConnectionRoom() {
+    static ConnectionLimit of(int most) {
+        return new ConnectionLimit() {
             private int open;
 
             @Override
--- a/engine/src/main/java/trailthread/engine/worker/Connections.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
@@ -1,4 +1,4 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import java.util.Iterator;
 import java.util.LinkedHashSet;
@@ -7,11 +7,11 @@
 import java.util.function.Consumer;
 import trailthread.ListLease;
 import trailthread.engine.http.HttpConnection;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.CpuAccount;
+import trailthread.engine.loop.EventLoop;
 
 /** The connections to the workers: opened when needed, kept while idle, bounded over all. */
-final class Connections {
+final class ConnectionPool {
     /**
      * An idle connection is dropped after this share of the time that the worker leaves it open.
      */
@@ -27,16 +27,16 @@
 
     /** A connection with no request on it. */
     static final class Idle {
-        private final Worker worker;
+        private final Endpoint worker;
         private final HttpConnection connection;
 
-        Idle(Worker worker, HttpConnection connection) {
+        Idle(Endpoint worker, HttpConnection connection) {
             this.worker = worker;
             this.connection = connection;
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     long connectTimeoutNs;
     private long drainGraceNs;
 
@@ -45,8 +45,8 @@
 
     private Runnable readNews = () -> {};
     private long idleNs;
-    private final ConnectionRoom room;
-    private final Account account;
+    private final ConnectionLimit room;
+    private final CpuAccount account;
 
     /** Those idle at any worker, the longest idle first. */
     private final Set<Idle> idle = new LinkedHashSet<>();
@@ -56,13 +56,13 @@
 
     private boolean sweeps;
 
-    Connections(
-            Loop loop,
+    ConnectionPool(
+            EventLoop loop,
             long connectTimeoutNs,
             long idleNs,
             long drainGraceNs,
-            ConnectionRoom room,
-            Account account) {
+            ConnectionLimit room,
+            CpuAccount account) {
         this.loop = loop;
         this.room = room;
         this.account = account;
@@ -76,7 +76,7 @@
         drainGraceNs = ListLease.usableGraceNs(graceNs);
     }
 
-    /** The list may be acted on until this time, by {@link Loop#now}. */
+    /** The list may be acted on until this time, by {@link EventLoop#now}. */
     void listLeaseUntil(long until) {
         listUsableUntil = until;
     }
@@ -90,7 +90,7 @@
      * Whether a request may be begun at a worker now, by all that discovery has told; a probe needs
      * no fresh list.
      */
-    boolean mayBegin(Worker worker, boolean isProbe) {
+    boolean mayBegin(Endpoint worker, boolean isProbe) {
         // A loop that runs late, or is in the midst of a long list, has news unread that counts as
         // told.
         readNews.run();
@@ -99,7 +99,7 @@
     }
 
     /** An idle connection to the worker, or null. */
-    HttpConnection takeIdle(Worker worker) {
+    HttpConnection takeIdle(Endpoint worker) {
         for (Idle next = preferred(worker); next != null; next = preferred(worker)) {
             forget(next);
             if (isOld(
@@ -117,7 +117,7 @@
      * The last one used, or null. Guards against a second answer to the call before, which would
      * pass for the next one's: where others have settled for longer, one of these.
      */
-    private Idle preferred(Worker worker) {
+    private Idle preferred(Endpoint worker) {
         long settled = loop.now() - SETTLES_NS;
         for (Iterator<Idle> lastFirst = worker.idle.descendingIterator(); lastFirst.hasNext(); ) {
             Idle next = lastFirst.next();
@@ -134,7 +134,7 @@
      *
      * @return takes the connect back
      */
-    Runnable connect(Worker worker, Consumer<HttpConnection> opened) {
+    Runnable connect(Endpoint worker, Consumer<HttpConnection> opened) {
         boolean free = room.take();
         if (!free && !idle.isEmpty()) {
             drop(idle.iterator().next()); // room for one that is needed
@@ -169,7 +169,7 @@
     }
 
     /** Keeps a connection for later, if it can serve again. */
-    void keep(Worker worker, HttpConnection connection) {
+    void keep(Endpoint worker, HttpConnection connection) {
         if (!worker.listed || !room.keepsIdle()) {
             connection.close();
         }
@@ -207,7 +207,7 @@
         }
     }
 
-    void closeIdle(Worker worker) {
+    void closeIdle(Endpoint worker) {
         while (!worker.idle.isEmpty()) {
             drop(worker.idle.peekLast());
         }
--- a/engine/src/main/java/trailthread/engine/worker/Worker.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/Endpoint.java
@@ -1,19 +1,19 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import trailthread.api.EndpointState;
 
 /** One worker, and the idle connections to it. */
-final class Worker {
+final class Endpoint {
     final String instanceId;
     final String hostPort;
     final InetSocketAddress address;
 
     /** The last one used last. */
-    final ArrayDeque<Connections.Idle> idle = new ArrayDeque<>();
+    final ArrayDeque<ConnectionPool.Idle> idle = new ArrayDeque<>();
 
-    final AnswerTime answerTime;
+    final LatencySample answerTime;
     boolean listed = true;
 
     /** When the node was told that it drains or is gone; 0: it is neither. */
@@ -22,11 +22,11 @@
     /**
      * @param fineNs differences of time that matter to nobody, in nanoseconds
      */
-    Worker(String instanceId, String hostPort, long fineNs) {
-        answerTime = new AnswerTime(fineNs);
+    Endpoint(String instanceId, String hostPort, long fineNs) {
+        answerTime = new LatencySample(fineNs);
         this.instanceId = instanceId;
         this.hostPort = hostPort;
-        this.address = Workers.address(hostPort);
+        this.address = EndpointPool.address(hostPort);
     }
 
     void tell(EndpointState state, long now) {
--- a/engine/src/main/java/trailthread/engine/worker/Workers.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointPool.java
@@ -1,4 +1,4 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import java.net.InetSocketAddress;
 import java.util.HashMap;
@@ -6,18 +6,18 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import trailthread.api.EndpointState;
-import trailthread.engine.discovery.DiscoveryEntry;
+import trailthread.engine.discovery.DiscoveredEndpoint;
 import trailthread.engine.discovery.DiscoveryUpdate;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.CpuAccount;
+import trailthread.engine.loop.EventLoop;
 
 /** The workers that discovery has named, by instance, and the connections to them. */
-public final class Workers {
-    private final Map<String, Worker> workers = new HashMap<>();
-    private final Connections connections;
-    private final Loop loop;
+public final class EndpointPool {
+    private final Map<String, Endpoint> workers = new HashMap<>();
+    private final ConnectionPool connections;
+    private final EventLoop loop;
     private final long fineNs;
-    private final Account account;
+    private final CpuAccount account;
 
     /**
      * @param idleNs how long a worker leaves an idle connection open
@@ -25,19 +25,19 @@
      * @param fineNs differences in the time of answers that matter to nobody
      * @param account what the thread does for these workers is put down to
      */
-    public Workers(
-            Loop loop,
+    public EndpointPool(
+            EventLoop loop,
             long connectTimeoutNs,
             long idleNs,
             long drainGraceNs,
-            ConnectionRoom room,
+            ConnectionLimit room,
             long fineNs,
-            Account account) {
+            CpuAccount account) {
         this.loop = loop;
         this.fineNs = fineNs;
         this.account = account;
         this.connections =
-                new Connections(loop, connectTimeoutNs, idleNs, drainGraceNs, room, account);
+                new ConnectionPool(loop, connectTimeoutNs, idleNs, drainGraceNs, room, account);
     }
 
     /** Other times hold from now on, as in the constructor. */
@@ -59,25 +59,25 @@
     /** Takes in discovery's news. */
     public void update(DiscoveryUpdate update, long now) {
         if (update.reset()) {
-            for (Worker worker : workers.values()) {
+            for (Endpoint worker : workers.values()) {
                 worker.listed = false;
             }
         }
-        for (DiscoveryEntry entry : update.instances()) {
-            Worker worker = workers.get(entry.instanceId());
+        for (DiscoveredEndpoint entry : update.instances()) {
+            Endpoint worker = workers.get(entry.instanceId());
             if (worker == null || !worker.hostPort.equals(entry.hostPort())) {
                 if (worker != null) {
                     worker.listed = false;
                     connections.closeIdle(worker);
                 }
-                worker = new Worker(entry.instanceId(), entry.hostPort(), fineNs);
+                worker = new Endpoint(entry.instanceId(), entry.hostPort(), fineNs);
                 workers.put(entry.instanceId(), worker);
             }
             worker.listed = entry.lifecycle() != EndpointState.GONE;
             worker.tell(entry.lifecycle(), now);
         }
-        for (Iterator<Worker> i = workers.values().iterator(); i.hasNext(); ) {
-            Worker worker = i.next();
+        for (Iterator<Endpoint> i = workers.values().iterator(); i.hasNext(); ) {
+            Endpoint worker = i.next();
             if (!worker.listed) {
                 worker.tell(EndpointState.GONE, now);
                 connections.closeIdle(worker);
@@ -86,7 +86,10 @@
         }
     }
 
-    /** The list may be acted on until this time, by {@link Loop#now}: no request is begun later. */
+    /**
+     * The list may be acted on until this time, by {@link EventLoop#now}: no request is begun
+     * later.
+     */
     public void listLeaseUntil(long until) {
         connections.listLeaseUntil(until);
     }
@@ -103,7 +106,7 @@
 
     /** Starts an attempt that may be written for as long as its answer is waited for. */
     public Attempt attempt(
-            String instanceId, WorkerRequest request, long timeoutNs, AttemptListener listener) {
+            String instanceId, EndpointRequest request, long timeoutNs, AttemptListener listener) {
         return attempt(instanceId, request, timeoutNs, Long.MAX_VALUE, listener);
     }
 
@@ -111,16 +114,16 @@
      * Starts an attempt.
      *
      * @param timeoutNs how long its answer is waited for
-     * @param writtenBy no byte is written then or later, by {@link Loop#now}
+     * @param writtenBy no byte is written then or later, by {@link EventLoop#now}
      * @param listener hears of it, never from within this call
      */
     public Attempt attempt(
             String instanceId,
-            WorkerRequest request,
+            EndpointRequest request,
             long timeoutNs,
             long writtenBy,
             AttemptListener listener) {
-        Worker worker = workers.get(instanceId);
+        Endpoint worker = workers.get(instanceId);
         Attempt attempt =
                 new Attempt(loop, connections, worker, request, timeoutNs, writtenBy, listener);
         loop.execute(() -> account.charge(attempt::start));
@@ -128,8 +131,8 @@
     }
 
     /** Asks a worker for its load; its ending holds what it told. */
-    public void probe(String instanceId, long timeoutNs, Consumer<Ending> ended) {
-        attempt(instanceId, WorkerRequest.PROBE, timeoutNs, ended::accept);
+    public void probe(String instanceId, long timeoutNs, Consumer<AttemptResult> ended) {
+        attempt(instanceId, EndpointRequest.PROBE, timeoutNs, ended::accept);
     }
 
     /** Closes as many idle connections, to whichever worker. */
@@ -139,7 +142,7 @@
 
     /** Closes the idle connections to a worker. */
     public void closeIdle(String instanceId) {
-        Worker worker = workers.get(instanceId);
+        Endpoint worker = workers.get(instanceId);
         if (worker != null) {
             connections.closeIdle(worker);
         }
--- a/engine/src/main/java/trailthread/engine/worker/WorkerRequest.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointRequest.java
@@ -1,4 +1,4 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import trailthread.engine.http.ByteSource;
 
@@ -12,28 +12,28 @@
  * @param source where the body comes from, if it is not held; else null
  * @param afterBodyNs how long the answer is waited for after such a body's last byte
  */
-public record WorkerRequest(
+public record EndpointRequest(
         String id,
         String requestClass,
         String method,
         String target,
         String idempotencyKey,
         byte[] body,
-        Passing passing,
+        ForwardedHeaders passing,
         ByteSource source,
         long afterBodyNs) {
-    static final WorkerRequest PROBE =
-            new WorkerRequest(null, null, "GET", "/status/load", null, new byte[0], null);
+    static final EndpointRequest PROBE =
+            new EndpointRequest(null, null, "GET", "/status/load", null, new byte[0], null);
 
     /** A request whose body is held. */
-    public WorkerRequest(
+    public EndpointRequest(
             String id,
             String requestClass,
             String method,
             String target,
             String idempotencyKey,
             byte[] body,
-            Passing passing) {
+            ForwardedHeaders passing) {
         this(id, requestClass, method, target, idempotencyKey, body, passing, null, 0);
     }
 
--- a/engine/src/main/java/trailthread/engine/worker/Made.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointResponse.java
@@ -1,4 +1,4 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import io.undertow.util.HeaderMap;
 
@@ -7,11 +7,11 @@
  *
  * @param headers those of its answer, as they came; null where only the body is passed on
  */
-public record Made(int status, HeaderMap headers, byte[] body) {
+public record EndpointResponse(int status, HeaderMap headers, byte[] body) {
     private static final int OK = 200;
 
     /** An answer of which only the body is passed on. */
-    public static Made of(byte[] body) {
-        return new Made(OK, null, body);
+    public static EndpointResponse of(byte[] body) {
+        return new EndpointResponse(OK, null, body);
     }
 }
--- a/engine/src/main/java/trailthread/engine/worker/Passing.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ForwardedHeaders.java
@@ -1,4 +1,4 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import java.util.List;
 
@@ -9,4 +9,4 @@
  * @param headers names and values in turn, as they came; no hop-by-hop ones, and none that the node
  *     sets
  */
-public record Passing(String host, List<String> headers) {}
+public record ForwardedHeaders(String host, List<String> headers) {}
--- a/engine/src/main/java/trailthread/engine/worker/AnswerTime.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/LatencySample.java
@@ -1,4 +1,4 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 /**
  * What is to be told of how long a worker took, where the node knows only that it was at least and
@@ -11,7 +11,7 @@
  * would be learnt. One exception: a worker that was surely many times as slow as usual is told of,
  * by the lower bound.
  */
-final class AnswerTime {
+final class LatencySample {
     static final long UNKNOWN = -1;
 
     /** About ten answers of memory. */
@@ -34,7 +34,7 @@
     /**
      * @param fineNs differences of time that matter to nobody, in nanoseconds
      */
-    AnswerTime(long fineNs) {
+    LatencySample(long fineNs) {
         this.fineNs = fineNs;
     }
 
--- a/engine/src/main/java/trailthread/engine/worker/LoadReportParser.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/LoadReportParser.java
@@ -1,4 +1,4 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import com.google.gson.Strictness;
 import com.google.gson.stream.JsonReader;
--- a/engine/src/main/java/trailthread/engine/worker/WorkerAnswer.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ResponseHead.java
@@ -1,4 +1,4 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import io.undertow.util.HeaderMap;
 import io.undertow.util.HttpString;
@@ -6,13 +6,13 @@
 import trailthread.api.Outcome;
 
 /** The head of a worker's answer, decoded. */
-record WorkerAnswer(int status, boolean unprocessed, LoadReport load) {
+record ResponseHead(int status, boolean unprocessed, LoadReport load) {
     private static final HttpString UNPROCESSED = new HttpString("X-Unprocessed");
     private static final HttpString LOAD = new HttpString("X-Backend-Load");
 
-    static WorkerAnswer decode(int status, HeaderMap headers) {
+    static ResponseHead decode(int status, HeaderMap headers) {
         boolean told = headers.count(UNPROCESSED) == 1 && "1".equals(headers.getFirst(UNPROCESSED));
-        return new WorkerAnswer(status, told, load(headers));
+        return new ResponseHead(status, told, load(headers));
     }
 
     /**
--- a/engine/src/main/java/trailthread/engine/http/EndToEnd.java
+++ b/engine/src/main/java/trailthread/engine/http/EndToEndHeaders.java
@@ -14,7 +14,7 @@
  * RFC 9110, 7.6.1, with what Connection names; RFC 9112, 6 and 7, for the framing, which each
  * connection makes anew; pure.
  */
-public final class EndToEnd {
+public final class EndToEndHeaders {
     private static final Set<String> NEXT_HOP_ONLY =
             Set.of(
                     "connection",
@@ -31,7 +31,7 @@
                     "content-length",
                     "host");
 
-    private EndToEnd() {}
+    private EndToEndHeaders() {}
 
     /**
      * Hands out names and values that go on, in the order of the message.
--- a/engine/src/main/java/trailthread/engine/http/HttpConnection.java
+++ b/engine/src/main/java/trailthread/engine/http/HttpConnection.java
@@ -13,8 +13,8 @@
 import org.xnio.StreamConnection;
 import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.CpuAccount;
+import trailthread.engine.loop.EventLoop;
 
 /**
  * A connection to an HTTP server that carries one request at a time. It reads all the time: what
@@ -26,7 +26,7 @@
 public final class HttpConnection {
     private static final OptionMap TCP = OptionMap.create(Options.TCP_NODELAY, true);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final StreamConnection connection;
     private final ConduitStreamSourceChannel source;
     private final ConduitStreamSinkChannel sink;
@@ -45,8 +45,8 @@
     /** The same, where it comes from elsewhere, or null. */
     private OutgoingBody outgoing;
 
-    private AnswerListener listener;
-    private AnswerDecoder answer;
+    private ResponseListener listener;
+    private ResponseDecoder answer;
     private boolean open = true;
 
     /** When it came up, or its last answer was whole. */
@@ -56,7 +56,7 @@
     private boolean paused;
 
     private HttpConnection(
-            Loop loop, StreamConnection connection, Account account, Runnable closed) {
+            EventLoop loop, StreamConnection connection, CpuAccount account, Runnable closed) {
         this.loop = loop;
         this.connection = connection;
         this.closed = closed;
@@ -66,7 +66,7 @@
         source.setReadListener(
                 readable -> {
                     loop.servesSocket();
-                    account.charge(() -> read(Loop.MOST_IN_TURN_BYTES));
+                    account.charge(() -> read(EventLoop.MOST_IN_TURN_BYTES));
                 });
         source.resumeReads();
         sink.setWriteListener(writable -> write());
@@ -82,9 +82,9 @@
      * @return takes the connect back, descriptor and all; {@code opened} is not told then
      */
     public static Runnable open(
-            Loop loop,
+            EventLoop loop,
             InetSocketAddress server,
-            Account account,
+            CpuAccount account,
             Runnable closed,
             Consumer<HttpConnection> opened) {
         if (server.isUnresolved()) {
@@ -125,7 +125,7 @@
     }
 
     /** Sends a request; not to be called before the answer to the one before is whole. */
-    public void send(ByteBuffer request, long mostBodyBytes, AnswerListener hears) {
+    public void send(ByteBuffer request, long mostBodyBytes, ResponseListener hears) {
         send(request, mostBodyBytes, false, hears);
     }
 
@@ -134,7 +134,8 @@
      *
      * @param isHead whether it is a HEAD request, whose answer has no body
      */
-    public void send(ByteBuffer request, long mostBodyBytes, boolean isHead, AnswerListener hears) {
+    public void send(
+            ByteBuffer request, long mostBodyBytes, boolean isHead, ResponseListener hears) {
         send(request, null, mostBodyBytes, isHead, hears);
     }
 
@@ -148,17 +149,17 @@
             ByteBuffer body,
             long mostBodyBytes,
             boolean isHead,
-            AnswerListener hears) {
+            ResponseListener hears) {
         unsent = request;
         unsentBody = body;
         listener = hears;
-        answer = new AnswerDecoder(hears, mostBodyBytes, isHead);
+        answer = new ResponseDecoder(hears, mostBodyBytes, isHead);
         write();
     }
 
     /** The same with a body that comes from elsewhere. */
     public void send(
-            ByteBuffer request, ByteSource body, long mostBodyBytes, AnswerListener hears) {
+            ByteBuffer request, ByteSource body, long mostBodyBytes, ResponseListener hears) {
         outgoing = new OutgoingBody(body);
         send(request, (ByteBuffer) null, mostBodyBytes, false, hears);
     }
@@ -197,7 +198,8 @@
     }
 
     /**
-     * Since when it has carried no request, by {@link Loop#now}; of use only while it carries none.
+     * Since when it has carried no request, by {@link EventLoop#now}; of use only while it carries
+     * none.
      */
     public long idleSince() {
         return idleSince;
@@ -342,7 +344,7 @@
 
     /** Writes one turn's part of it; whether all of it has been written. */
     private boolean write(ByteBuffer bytes) throws IOException {
-        int end = bytes == null ? 0 : bytes.position() + Loop.MOST_IN_TURN_BYTES;
+        int end = bytes == null ? 0 : bytes.position() + EventLoop.MOST_IN_TURN_BYTES;
         while (bytes != null && bytes.hasRemaining()) {
             if (bytes.position() >= end) {
                 return false;
@@ -398,10 +400,10 @@
     }
 
     private void take(ByteBuffer bytes) {
-        AnswerDecoder decoder = answer;
+        ResponseDecoder decoder = answer;
         try {
             decoder.decode(bytes);
-        } catch (MalformedAnswerException e) {
+        } catch (MalformedResponseException e) {
             fail("brings " + e.getMessage());
             return;
         }
@@ -410,7 +412,7 @@
             if (!decoder.isLasting() || !isDone || bytes.hasRemaining()) {
                 whole();
             } else {
-                AnswerListener hears = listener;
+                ResponseListener hears = listener;
                 listener = null;
                 answer = null;
                 outgoing = null;
@@ -423,13 +425,13 @@
 
     /** The answer is whole, and the last one here. */
     private void whole() {
-        AnswerListener hears = listener;
+        ResponseListener hears = listener;
         close();
         hears.whole();
     }
 
     private void fail(String how) {
-        AnswerListener hears = listener;
+        ResponseListener hears = listener;
         close();
         if (hears != null) {
             hears.broken(how);
--- a/engine/src/main/java/trailthread/engine/http/MalformedAnswerException.java
+++ b/engine/src/main/java/trailthread/engine/http/MalformedResponseException.java
@@ -1,10 +1,10 @@
 package trailthread.engine.http;
 
 /** What has come is no answer; the message says why. */
-final class MalformedAnswerException extends Exception {
+final class MalformedResponseException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    MalformedAnswerException(String message) {
+    MalformedResponseException(String message) {
         super(message);
     }
 }
--- a/engine/src/main/java/trailthread/engine/http/AnswerDecoder.java
+++ b/engine/src/main/java/trailthread/engine/http/ResponseDecoder.java
@@ -13,7 +13,7 @@
  * one, and an interim answer for the final one, and serves what no worker made; it also waits for a
  * head that never ends.
  */
-final class AnswerDecoder {
+final class ResponseDecoder {
     private static final String VERSION = "HTTP/1.";
     private static final int STATUS_AT = "HTTP/1.1 ".length();
     private static final int LEAST_LINE = "HTTP/1.1 200".length();
@@ -36,7 +36,7 @@
         WHOLE
     }
 
-    private final AnswerListener out;
+    private final ResponseListener out;
     private final long mostBodyBytes;
     private final boolean bodiless;
     private State state = State.STATUS;
@@ -56,7 +56,7 @@
     /**
      * @param mostBodyBytes what promises or brings more is malformed
      */
-    AnswerDecoder(AnswerListener out, long mostBodyBytes) {
+    ResponseDecoder(ResponseListener out, long mostBodyBytes) {
         this(out, mostBodyBytes, false);
     }
 
@@ -66,7 +66,7 @@
      * @param bodiless whether the answer has no body whatever its head says: it is one to HEAD (RFC
      *     9112, 6.3)
      */
-    AnswerDecoder(AnswerListener out, long mostBodyBytes, boolean bodiless) {
+    ResponseDecoder(ResponseListener out, long mostBodyBytes, boolean bodiless) {
         this.out = out;
         this.mostBodyBytes = mostBodyBytes;
         this.bodiless = bodiless;
@@ -82,7 +82,7 @@
     }
 
     /** Takes in what has come, as far as it belongs to the answer. */
-    void decode(ByteBuffer in) throws MalformedAnswerException {
+    void decode(ByteBuffer in) throws MalformedResponseException {
         while (in.hasRemaining() && state != State.WHOLE) {
             switch (state) {
                 case BODY, CHUNK -> piece(in);
@@ -124,15 +124,15 @@
     }
 
     /** A chunk is to come; what promises more than the most is no answer. */
-    private void grow(long count) throws MalformedAnswerException {
+    private void grow(long count) throws MalformedResponseException {
         bodyBytes += count;
         if (bodyBytes > mostBodyBytes) {
-            throw new MalformedAnswerException("a body of more than " + mostBodyBytes + " bytes");
+            throw new MalformedResponseException("a body of more than " + mostBodyBytes + " bytes");
         }
     }
 
     /** Takes letters up to the end of the line, or of what has come; whether the line is whole. */
-    private boolean completesLine(ByteBuffer in) throws MalformedAnswerException {
+    private boolean completesLine(ByteBuffer in) throws MalformedResponseException {
         int from = in.position();
         int to = from;
         while (to < in.limit() && in.get(to) != '\n') {
@@ -141,7 +141,7 @@
         boolean ends = to < in.limit();
         lineBytes += to - from + (ends ? 1 : 0);
         if (lineBytes > MOST_LINE_BYTES) {
-            throw new MalformedAnswerException("a head without end");
+            throw new MalformedResponseException("a head without end");
         }
         if (lineLength + to - from > line.length) {
             line = Arrays.copyOf(line, Math.max(2 * line.length, lineLength + to - from));
@@ -153,7 +153,7 @@
             if (line[i]
                     != VERSION.charAt(
                             i)) { // noise is told at once: it may never bring a line's end
-                throw new MalformedAnswerException("no HTTP");
+                throw new MalformedResponseException("no HTTP");
             }
         }
         if (ends) {
@@ -170,7 +170,7 @@
         return new String(line, 0, length, StandardCharsets.ISO_8859_1);
     }
 
-    private void take(String whole) throws MalformedAnswerException {
+    private void take(String whole) throws MalformedResponseException {
         switch (state) {
             case STATUS -> {
                 status = status(whole);
@@ -191,7 +191,7 @@
             }
             case CHUNK_END -> {
                 if (!whole.isEmpty()) {
-                    throw new MalformedAnswerException("a chunk longer than its size");
+                    throw new MalformedResponseException("a chunk longer than its size");
                 }
                 lineBytes = 0; // a watch has no end of chunks
                 state = State.CHUNK_SIZE;
@@ -204,7 +204,7 @@
         }
     }
 
-    private static int status(String line) throws MalformedAnswerException {
+    private static int status(String line) throws MalformedResponseException {
         boolean shaped =
                 line.length() >= LEAST_LINE
                         && line.startsWith(VERSION)
@@ -212,12 +212,12 @@
                         && (line.length() == LEAST_LINE || line.charAt(LEAST_LINE) == ' ');
         long status = shaped ? whole(line.substring(STATUS_AT, LEAST_LINE), 10) : -1;
         if (status < 100) {
-            throw new MalformedAnswerException("no status");
+            throw new MalformedResponseException("no status");
         }
         return (int) status;
     }
 
-    private void header(String line) throws MalformedAnswerException {
+    private void header(String line) throws MalformedResponseException {
         int colon = line.indexOf(':');
         for (int i = 0; i < colon; i++) {
             char c = line.charAt(i);
@@ -226,19 +226,19 @@
             }
         }
         if (++headerCount > MOST_HEADERS) {
-            throw new MalformedAnswerException("headers without end");
+            throw new MalformedResponseException("headers without end");
         }
         if (colon <= 0) {
-            throw new MalformedAnswerException("a header without a name");
+            throw new MalformedResponseException("a header without a name");
         }
         headers.add(
                 new HttpString(line.substring(0, colon).getBytes(StandardCharsets.ISO_8859_1)),
                 line.substring(colon + 1).strip());
     }
 
-    private void headEnds() throws MalformedAnswerException {
+    private void headEnds() throws MalformedResponseException {
         if (status == 101) {
-            throw new MalformedAnswerException("another protocol, unasked");
+            throw new MalformedResponseException("another protocol, unasked");
         }
         if (status < 200) {
             state = State.STATUS;
@@ -256,14 +256,14 @@
                                 || !"chunked"
                                         .equalsIgnoreCase(
                                                 headers.getFirst(Headers.TRANSFER_ENCODING))))) {
-            throw new MalformedAnswerException("an unclear length");
+            throw new MalformedResponseException("an unclear length");
         }
         boolean bare = bodiless || status == 204 || status == 304;
         boolean ends = lengths == 0 && !chunked && !bare; // with its connection: RFC 9112, 6.3
         lasting &= !ends;
         left = lengths == 1 ? whole(headers.getFirst(Headers.CONTENT_LENGTH), 10) : 0;
         if (left < 0 || (left > mostBodyBytes && !bare)) {
-            throw new MalformedAnswerException("a length that can't be");
+            throw new MalformedResponseException("a length that can't be");
         }
         state =
                 ends
@@ -274,11 +274,11 @@
         out.head(status, headers);
     }
 
-    private long chunkSize(String line) throws MalformedAnswerException {
+    private long chunkSize(String line) throws MalformedResponseException {
         int extension = line.indexOf(';');
         long size = whole((extension < 0 ? line : line.substring(0, extension)).strip(), 16);
         if (size < 0) {
-            throw new MalformedAnswerException("a chunk without a size");
+            throw new MalformedResponseException("a chunk without a size");
         }
         grow(size);
         return size;
--- a/engine/src/main/java/trailthread/engine/http/AnswerListener.java
+++ b/engine/src/main/java/trailthread/engine/http/ResponseListener.java
@@ -7,7 +7,7 @@
  * Hears one answer as it comes: its head, its body in pieces, and its end or that there will be
  * none.
  */
-public interface AnswerListener {
+public interface ResponseListener {
     /**
      * Asked before each part of the request is written; a no ends the connection, and {@link
      * #broken} follows.
--- a/engine/src/main/java/trailthread/engine/loop/Account.java
+++ b/engine/src/main/java/trailthread/engine/loop/CpuAccount.java
@@ -1,10 +1,10 @@
 package trailthread.engine.loop;
 
 /** Whom the thread works for: hears how long, where somebody wants to know. */
-public interface Account {
+public interface CpuAccount {
     /** Nobody wants to know. */
-    Account NONE =
-            new Account() {
+    CpuAccount NONE =
+            new CpuAccount() {
                 @Override
                 public void spent(long ns) {
                     // nobody wants to know
--- a/engine/src/main/java/trailthread/engine/loop/Loop.java
+++ b/engine/src/main/java/trailthread/engine/loop/EventLoop.java
@@ -17,14 +17,14 @@
  * The one thread that runs the node: its sockets, its timers, its clock and its buffers. Everything
  * in the node but the start and the signal handler runs here, so nothing needs a lock.
  */
-public final class Loop {
+public final class EventLoop {
     /**
      * Of one long message, so much is read or written at most before all other sockets that are
      * ready are served. More than any message that is held whole, so that these are read in one go.
      */
     public static final int MOST_IN_TURN_BYTES = 128 * 1024;
 
-    private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+    private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
     private static final int BUFFER_BYTES = 16 * 1024;
 
     /** Buffers kept for use again; more are made when needed and let go afterwards. */
@@ -35,8 +35,8 @@
 
     private final XnioWorker worker;
     private final XnioIoThread thread;
-    private final Turns turns = new Turns(System.nanoTime());
-    private final Wheel wheel = new Wheel(System.nanoTime());
+    private final LoopLatency turns = new LoopLatency(System.nanoTime());
+    private final TimerWheel wheel = new TimerWheel(System.nanoTime());
     private XnioExecutor.Key wake;
     private long wakesAt;
     private SocketPass sockets;
@@ -50,7 +50,7 @@
     private final long offset = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
 
     /** Starts the thread. */
-    public Loop(String name) throws IOException {
+    public EventLoop(String name) throws IOException {
         // Named, as a look for it would open every jar, and each would stay a descriptor of the
         // node.
         worker =
@@ -99,8 +99,8 @@
         if (Thread.currentThread() != thread) {
             throw new IllegalStateException("a timer is set from another thread");
         }
-        Wheel.Timer timer = wheel.set(System.nanoTime() + Math.max(0, delayNs), task);
-        wakeAt(Wheel.tickOf(timer.dueAt) << Wheel.TICK_BITS);
+        TimerWheel.Timer timer = wheel.set(System.nanoTime() + Math.max(0, delayNs), task);
+        wakeAt(TimerWheel.tickOf(timer.dueAt) << TimerWheel.TICK_BITS);
         return timer;
     }
 
@@ -121,7 +121,7 @@
 
     private void runTimers() {
         wake = null;
-        for (Wheel.Timer timer : wheel.due(System.nanoTime())) {
+        for (TimerWheel.Timer timer : wheel.due(System.nanoTime())) {
             Runnable task = timer.take();
             if (task != null) {
                 turns.timer(timer.dueAt, System.nanoTime());
@@ -175,7 +175,7 @@
     }
 
     /** What the thread knows of its own lateness. */
-    public Turns turns() {
+    public LoopLatency turns() {
         return turns;
     }
 
--- a/engine/src/main/java/trailthread/engine/loop/Turns.java
+++ b/engine/src/main/java/trailthread/engine/loop/LoopLatency.java
@@ -10,7 +10,7 @@
  * thread slept in its look, what it then finds is what woke it. So each piece that is read has two
  * bounds on when it came, and what lies between them is the node's own, not the peer's.
  */
-public final class Turns {
+public final class LoopLatency {
     /**
      * A look that takes longer, and longer than the turn before, has slept. Guards against a thread
      * that is put off its core between its turn and its look: what passes for a sleep then hides no
@@ -29,7 +29,7 @@
     private double worst;
     private long worstAt;
 
-    Turns(long now) {
+    LoopLatency(long now) {
         lookedAt = now;
         ranUntil = now;
     }
--- a/engine/src/main/java/trailthread/engine/loop/Wheel.java
+++ b/engine/src/main/java/trailthread/engine/loop/TimerWheel.java
@@ -12,7 +12,7 @@
  * time. Time is handed in, in nanoseconds of the monotonic clock. No timer runs early; one runs up
  * to a tick late.
  */
-final class Wheel {
+final class TimerWheel {
     static final int TICK_BITS = 20; // a millisecond
     private static final int SLOTS = 2048;
 
@@ -90,7 +90,7 @@
     /** All ticks up to this one have been looked at. */
     private long tick;
 
-    Wheel(long now) {
+    TimerWheel(long now) {
         tick = now >> TICK_BITS;
         for (int i = 0; i < SLOTS; i++) {
             slots[i] = new Slot();
--- a/engine/src/main/java/trailthread/engine/meter/Meter.java
+++ b/engine/src/main/java/trailthread/engine/metrics/MetricsRecorder.java
@@ -1,4 +1,4 @@
-package trailthread.engine.meter;
+package trailthread.engine.metrics;
 
 import java.util.List;
 import trailthread.api.EndpointEntry;
@@ -7,9 +7,9 @@
 import trailthread.api.Outcome;
 
 /** Hears what happens in the node, on the loop's thread, and returns at once. */
-public interface Meter {
+public interface MetricsRecorder {
     /** Where nobody wants to know. */
-    Meter OFF = new NoMeter();
+    MetricsRecorder OFF = new NoopMetricsRecorder();
 
     /**
      * A call was taken: it has come whole or, where its body is passed on, its body has begun to
@@ -24,13 +24,13 @@
      * @param afterNs from its taking to the answer
      * @param waitedNs from its taking to its first attempt; -1: there was none
      */
-    void answered(String requestClass, Answer answer, long afterNs, long waitedNs);
+    void answered(String requestClass, RequestResult answer, long afterNs, long waitedNs);
 
     /** The client of a call that was taken has gone before its answer. */
     void gone(String requestClass);
 
     /** A request was answered without being taken as a call. */
-    void rejected(Rejection why);
+    void rejected(RejectionReason why);
 
     /** An attempt is to be made at a worker; its end follows, once. */
     void attemptBegun(String worker);
--- a/engine/src/main/java/trailthread/engine/meter/NodeControl.java
+++ b/engine/src/main/java/trailthread/engine/metrics/NodeControl.java
@@ -1,4 +1,4 @@
-package trailthread.engine.meter;
+package trailthread.engine.metrics;
 
 /** What operators may do to the node, on the loop's thread. */
 public interface NodeControl {
--- a/engine/src/main/java/trailthread/engine/meter/NodeView.java
+++ b/engine/src/main/java/trailthread/engine/metrics/NodeStatus.java
@@ -1,10 +1,10 @@
-package trailthread.engine.meter;
+package trailthread.engine.metrics;
 
 import java.util.List;
 import java.util.Map;
 
 /** What the node says of itself when asked, on the loop's thread and at once. */
-public interface NodeView {
+public interface NodeStatus {
     /** Whether the front may send clients here. */
     boolean isReady();
 
--- a/engine/src/main/java/trailthread/engine/meter/NoMeter.java
+++ b/engine/src/main/java/trailthread/engine/metrics/NoopMetricsRecorder.java
@@ -1,4 +1,4 @@
-package trailthread.engine.meter;
+package trailthread.engine.metrics;
 
 import java.util.List;
 import trailthread.api.EndpointEntry;
@@ -7,18 +7,18 @@
 import trailthread.api.Outcome;
 
 /** Keeps nothing. */
-final class NoMeter implements Meter {
+final class NoopMetricsRecorder implements MetricsRecorder {
     @Override
     public void taken(String requestClass) {}
 
     @Override
-    public void answered(String requestClass, Answer answer, long afterNs, long waitedNs) {}
+    public void answered(String requestClass, RequestResult answer, long afterNs, long waitedNs) {}
 
     @Override
     public void gone(String requestClass) {}
 
     @Override
-    public void rejected(Rejection why) {}
+    public void rejected(RejectionReason why) {}
 
     @Override
     public void attemptBegun(String worker) {}
--- a/engine/src/main/java/trailthread/engine/meter/Rejection.java
+++ b/engine/src/main/java/trailthread/engine/metrics/RejectionReason.java
@@ -1,7 +1,7 @@
-package trailthread.engine.meter;
+package trailthread.engine.metrics;
 
 /** Why a client's request was answered without being taken as a call. */
-public enum Rejection {
+public enum RejectionReason {
     /** It is no call of the protocol. */
     BAD_REQUEST,
     /** Its body is larger than any call's. */
--- a/engine/src/main/java/trailthread/engine/meter/Answer.java
+++ b/engine/src/main/java/trailthread/engine/metrics/RequestResult.java
@@ -1,7 +1,7 @@
-package trailthread.engine.meter;
+package trailthread.engine.metrics;
 
 /** How a call that was taken was answered. */
-public enum Answer {
+public enum RequestResult {
     /** With what a worker made. */
     SERVED,
     /** With a refusal: trying again is harmless. */
--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -9,43 +9,43 @@
 import org.slf4j.LoggerFactory;
 import trailthread.api.EndpointEntry;
 import trailthread.api.ListKind;
-import trailthread.engine.call.CallTaker;
-import trailthread.engine.call.Calls;
-import trailthread.engine.call.ClientCall;
-import trailthread.engine.call.Reply;
-import trailthread.engine.discovery.Discovery;
+import trailthread.engine.discovery.DiscoveryClient;
 import trailthread.engine.discovery.DiscoveryListener;
 import trailthread.engine.discovery.DiscoveryUpdate;
-import trailthread.engine.discovery.FixedList;
-import trailthread.engine.discovery.ListFile;
-import trailthread.engine.discovery.WorkerList;
+import trailthread.engine.discovery.EndpointListFile;
+import trailthread.engine.discovery.EndpointListSource;
+import trailthread.engine.discovery.StaticEndpointList;
+import trailthread.engine.endpoint.ConnectionLimit;
+import trailthread.engine.endpoint.EndpointPool;
+import trailthread.engine.endpoint.EndpointResponse;
 import trailthread.engine.http.ByteSink;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.Meter;
+import trailthread.engine.loop.CpuAccount;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
 import trailthread.engine.quota.Quota;
 import trailthread.engine.quota.TimeShare;
-import trailthread.engine.worker.ConnectionRoom;
-import trailthread.engine.worker.Made;
-import trailthread.engine.worker.Workers;
+import trailthread.engine.request.ClientRequest;
+import trailthread.engine.request.ClientResponse;
+import trailthread.engine.request.RequestDispatcher;
+import trailthread.engine.request.RequestHandler;
 
 /**
  * One service: its decision module, its workers, its calls, and its part of what the process has.
  */
-public final class Pool implements CallTaker, DiscoveryListener, Account {
+public final class Pool implements RequestHandler, DiscoveryListener, CpuAccount {
     private static final Logger LOG = LoggerFactory.getLogger(Pool.class);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final PoolConfig config;
     private final Shares shares;
     private final Quota.Party calls;
     private final Quota.Party connections;
     private final Quota.Party bodyBytes;
     private final TimeShare.Party time;
-    private final Workers workers;
-    private final Calls atWork;
-    private final WorkerList list;
-    private final PoolMeter meter;
+    private final EndpointPool workers;
+    private final RequestDispatcher atWork;
+    private final EndpointListSource list;
+    private final PoolMetrics meter;
 
     /** Whether the call that the module hears of now is within this pool's part. */
     private boolean roomForThis;
@@ -59,7 +59,12 @@
      * @throws IllegalArgumentException if its guarantees are more than there is, or its settings
      *     make no sense
      */
-    public Pool(Loop loop, PoolConfig config, long seed, Shares shares, Meter operators) {
+    public Pool(
+            EventLoop loop,
+            PoolConfig config,
+            long seed,
+            Shares shares,
+            MetricsRecorder operators) {
         this.loop = loop;
         this.config = config;
         this.shares = shares;
@@ -77,7 +82,7 @@
         time = shares.time.join(config.limits().loopWeight());
         var settings = config.settings();
         workers =
-                new Workers(
+                new EndpointPool(
                         loop,
                         settings.connectTimeoutNs,
                         config.rules().idleCloseNs(),
@@ -85,22 +90,22 @@
                         new Room(),
                         settings.latencyResolutionNs(),
                         this);
-        meter = new PoolMeter(config.name(), operators);
-        atWork = new Calls(loop, workers, settings, seed, meter);
+        meter = new PoolMetrics(config.name(), operators);
+        atWork = new RequestDispatcher(loop, workers, settings, seed, meter);
         atWork.admit((requestClass, overQuota, random) -> roomForThis);
         list = list(config.source());
         atWork.setDiscovery(list);
         shares.joined(this);
     }
 
-    private WorkerList list(PoolConfig.Source source) {
+    private EndpointListSource list(PoolConfig.Source source) {
         if (source instanceof PoolConfig.Source.Roster roster) {
-            return new Discovery(loop, Workers.address(roster.hostPort()), this);
+            return new DiscoveryClient(loop, EndpointPool.address(roster.hostPort()), this);
         }
         if (source instanceof PoolConfig.Source.ListFile file) {
-            return new ListFile(loop, Path.of(file.path()), this);
+            return new EndpointListFile(loop, Path.of(file.path()), this);
         }
-        return new FixedList(loop, ((PoolConfig.Source.Fixed) source).hostPorts(), this);
+        return new StaticEndpointList(loop, ((PoolConfig.Source.Fixed) source).hostPorts(), this);
     }
 
     /**
@@ -191,7 +196,7 @@
     // -------------------------------------------------------------------------------------
 
     @Override
-    public Runnable take(ClientCall call, long deadline, Reply reply) {
+    public Runnable take(ClientRequest call, long deadline, ClientResponse reply) {
         return take(call, deadline, reply, 0);
     }
 
@@ -201,7 +206,7 @@
      * @param kept how many bytes were taken for its body, which are given back with its end; -1:
      *     there was no room
      */
-    public Runnable take(ClientCall call, long deadline, Reply reply, long kept) {
+    public Runnable take(ClientRequest call, long deadline, ClientResponse reply, long kept) {
         Place place = new Place(reply, Math.max(0, kept));
         charge(
                 () -> {
@@ -260,14 +265,14 @@
     /**
      * A call's place among those that the pool may have open, until its answer or its client's end.
      */
-    private final class Place implements Reply, Runnable {
-        private final Reply reply;
+    private final class Place implements ClientResponse, Runnable {
+        private final ClientResponse reply;
         private final long bytes;
         private boolean counted;
         private Runnable gone;
         private boolean given;
 
-        Place(Reply reply, long bytes) {
+        Place(ClientResponse reply, long bytes) {
             this.reply = reply;
             this.bytes = bytes;
         }
@@ -283,13 +288,14 @@
         }
 
         @Override
-        public void served(Made made) {
+        public void served(EndpointResponse made) {
             give();
             reply.served(made);
         }
 
         @Override
-        public ByteSink begin(Made head, long length, Runnable more, Runnable clientGone) {
+        public ByteSink begin(
+                EndpointResponse head, long length, Runnable more, Runnable clientGone) {
             ByteSink sink = reply.begin(head, length, more, clientGone);
             return new ByteSink() {
                 @Override
@@ -337,7 +343,7 @@
     }
 
     /** The connections that it may have. */
-    private final class Room implements ConnectionRoom {
+    private final class Room implements ConnectionLimit {
         @Override
         public boolean take() {
             boolean taken = connections.take(1, loop.now());
--- a/engine/src/main/java/trailthread/engine/pool/PoolMeter.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
@@ -9,17 +9,17 @@
 import trailthread.api.ListKind;
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
-import trailthread.engine.meter.Answer;
-import trailthread.engine.meter.Meter;
-import trailthread.engine.meter.Rejection;
+import trailthread.engine.metrics.MetricsRecorder;
+import trailthread.engine.metrics.RejectionReason;
+import trailthread.engine.metrics.RequestResult;
 
 /** Tells the operators' meter of one pool: classes and workers are called pool/name there. */
-final class PoolMeter implements Meter {
+final class PoolMetrics implements MetricsRecorder {
     private final String prefix;
-    private final Meter operators;
+    private final MetricsRecorder operators;
     private final Map<String, EndpointEntry> listed = new HashMap<>();
 
-    PoolMeter(String pool, Meter operators) {
+    PoolMetrics(String pool, MetricsRecorder operators) {
         this.prefix = pool + "/";
         this.operators = operators;
     }
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public void answered(String requestClass, Answer answer, long afterNs, long waitedNs) {
+    public void answered(String requestClass, RequestResult answer, long afterNs, long waitedNs) {
         operators.answered(prefix + requestClass, answer, afterNs, waitedNs);
     }
 
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void rejected(Rejection why) {
+    public void rejected(RejectionReason why) {
         operators.rejected(why);
     }
 
--- a/engine/src/main/java/trailthread/engine/pool/Shares.java
+++ b/engine/src/main/java/trailthread/engine/pool/Shares.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.EventLoop;
 import trailthread.engine.quota.Quota;
 import trailthread.engine.quota.TimeShare;
 
@@ -14,7 +14,7 @@
     /** Time on the thread counts back so far: long against a turn, short against a deadline. */
     private static final long TIME_SPAN_NS = 200_000_000L;
 
-    private final Loop loop;
+    private final EventLoop loop;
     final Quota calls;
     final Quota connections;
     final Quota bodyBytes;
@@ -28,7 +28,7 @@
      * @param connections to workers
      * @param bodyBytes of bodies kept
      */
-    public Shares(Loop loop, long calls, long connections, long bodyBytes) {
+    public Shares(EventLoop loop, long calls, long connections, long bodyBytes) {
         this.loop = loop;
         this.calls = new Quota(calls, WANTED_NS);
         this.connections = new Quota(connections, WANTED_NS);
--- a/engine/src/main/java/trailthread/engine/call/Call.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -1,4 +1,4 @@
-package trailthread.engine.call;
+package trailthread.engine.request;
 
 import java.util.function.Supplier;
 import org.slf4j.Logger;
@@ -6,25 +6,25 @@
 import org.xnio.XnioExecutor;
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
+import trailthread.engine.endpoint.Attempt;
+import trailthread.engine.endpoint.AttemptListener;
+import trailthread.engine.endpoint.AttemptResult;
+import trailthread.engine.endpoint.EndpointRequest;
+import trailthread.engine.endpoint.EndpointResponse;
 import trailthread.engine.http.ByteSink;
-import trailthread.engine.meter.Answer;
-import trailthread.engine.worker.Attempt;
-import trailthread.engine.worker.AttemptListener;
-import trailthread.engine.worker.Ending;
-import trailthread.engine.worker.Made;
-import trailthread.engine.worker.WorkerRequest;
+import trailthread.engine.metrics.RequestResult;
 
 /** The life of one call, from top to bottom: taken, choice, attempt, outcome, answer. */
-final class Call {
-    private static final Logger LOG = LoggerFactory.getLogger(Call.class);
+final class ActiveRequest {
+    private static final Logger LOG = LoggerFactory.getLogger(ActiveRequest.class);
 
-    private final Calls calls;
+    private final RequestDispatcher calls;
     private final long id;
-    private final ClientCall client;
+    private final ClientRequest client;
     private final long deadline;
     private final long takenAt;
-    private final Reply reply;
-    private final WorkerRequest request;
+    private final ClientResponse reply;
+    private final EndpointRequest request;
     private XnioExecutor.Key overdue;
     private int attempts;
 
@@ -40,7 +40,12 @@
     /** A long answer is on its way to the client. */
     private boolean streams;
 
-    Call(Calls calls, long id, ClientCall client, long deadline, Reply reply) {
+    ActiveRequest(
+            RequestDispatcher calls,
+            long id,
+            ClientRequest client,
+            long deadline,
+            ClientResponse reply) {
         this.calls = calls;
         this.id = id;
         this.client = client;
@@ -48,7 +53,7 @@
         takenAt = calls.now();
         this.reply = reply;
         this.request =
-                new WorkerRequest(
+                new EndpointRequest(
                         client.id(),
                         client.requestClass(),
                         client.method(),
@@ -95,7 +100,7 @@
                 client.source() != null
                         && client.source().hasBegun(); // such a body can't be sent again
         if (finished || out != null || left <= 0 || spent) {
-            outcome(worker, attempt, new Ending(Outcome.NOT_SENT, 0, null, null));
+            outcome(worker, attempt, new AttemptResult(Outcome.NOT_SENT, 0, null, null));
             return;
         }
         long wait = timeoutNs == 0 ? left : Math.min(timeoutNs, left);
@@ -126,7 +131,7 @@
 
                                     @Override
                                     public ByteSink begins(
-                                            Made head,
+                                            EndpointResponse head,
                                             long length,
                                             LoadReport told,
                                             Runnable more) {
@@ -139,11 +144,11 @@
                                                                 head,
                                                                 length,
                                                                 more,
-                                                                Call.this::gone));
+                                                                ActiveRequest.this::gone));
                                     }
 
                                     @Override
-                                    public void ended(Ending ending) {
+                                    public void ended(AttemptResult ending) {
                                         out = null;
                                         outcome(worker, attempt, ending);
                                     }
@@ -191,14 +196,14 @@
      * The outcome: an answer goes to the client at once, then the module hears, and may choose
      * again.
      */
-    private void outcome(String worker, int attempt, Ending ending) {
+    private void outcome(String worker, int attempt, AttemptResult ending) {
         calls.meter().attemptEnded(worker, ending.outcome(), ending.latencyNs(), ending.load());
         if (streams) {
-            answered(ending.outcome() == Outcome.OK ? Answer.SERVED : Answer.FAILED);
+            answered(ending.outcome() == Outcome.OK ? RequestResult.SERVED : RequestResult.FAILED);
         }
         if (ending.outcome() == Outcome.OK && !finished) {
             finish();
-            answered(Answer.SERVED);
+            answered(RequestResult.SERVED);
             reply.served(ending.made());
         }
         boolean closed = finished;
@@ -221,7 +226,7 @@
     void refuse(long retryAfterNs) {
         if (!finished) {
             finish();
-            answered(Answer.REFUSED);
+            answered(RequestResult.REFUSED);
             reply.refused(retryAfterNs);
             forgetIfDone();
         }
@@ -231,7 +236,7 @@
     void fail() {
         if (!finished) {
             finish();
-            answered(Answer.FAILED);
+            answered(RequestResult.FAILED);
             reply.failed();
             forgetIfDone();
         }
@@ -282,7 +287,7 @@
         }
     }
 
-    private void answered(Answer answer) {
+    private void answered(RequestResult answer) {
         calls.meter().answered(client.requestClass(), answer, calls.now() - takenAt, waitedNs);
     }
 
--- a/engine/src/main/java/trailthread/engine/call/Decisions.java
+++ b/engine/src/main/java/trailthread/engine/request/BalancerDriver.java
@@ -1,4 +1,4 @@
-package trailthread.engine.call;
+package trailthread.engine.request;
 
 import java.util.ArrayDeque;
 import java.util.function.LongSupplier;
@@ -11,8 +11,8 @@
  * Brings events to the module. What it asks for while it handles one is queued and done after it,
  * in order: the module must never be entered again from within an event.
  */
-final class Decisions {
-    private static final Logger LOG = LoggerFactory.getLogger(Decisions.class);
+final class BalancerDriver {
+    private static final Logger LOG = LoggerFactory.getLogger(BalancerDriver.class);
 
     /** One event, told at this time. */
     interface Telling {
@@ -30,7 +30,7 @@
     /**
      * @param clock the time of events, in ns
      */
-    Decisions(LongSupplier clock) {
+    BalancerDriver(LongSupplier clock) {
         this.clock = clock;
         eventAt = clock.getAsLong();
     }
@@ -40,7 +40,7 @@
     }
 
     /** Tells the module something; {@code call}, if not null, fails should the module throw. */
-    void event(Call call, Telling event) {
+    void event(ActiveRequest call, Telling event) {
         eventAt = clock.getAsLong();
         try {
             event.tell(module, eventAt);
--- a/engine/src/main/java/trailthread/engine/call/ClientCall.java
+++ b/engine/src/main/java/trailthread/engine/request/ClientRequest.java
@@ -1,7 +1,7 @@
-package trailthread.engine.call;
+package trailthread.engine.request;
 
+import trailthread.engine.endpoint.ForwardedHeaders;
 import trailthread.engine.http.ByteSource;
-import trailthread.engine.worker.Passing;
 
 /**
  * A client's call, decoded.
@@ -17,7 +17,7 @@
  * @param passing what else goes to the worker, which may then answer with any status; null: nothing
  * @param source where the body comes from, if it is not held; else null
  */
-public record ClientCall(
+public record ClientRequest(
         String id,
         String requestClass,
         String account,
@@ -29,10 +29,10 @@
         String target,
         String idempotencyKey,
         byte[] body,
-        Passing passing,
+        ForwardedHeaders passing,
         ByteSource source) {
     /** A call whose body is held, or as yet to come. */
-    public ClientCall(
+    public ClientRequest(
             String id,
             String requestClass,
             String account,
@@ -44,7 +44,7 @@
             String target,
             String idempotencyKey,
             byte[] body,
-            Passing passing) {
+            ForwardedHeaders passing) {
         this(
                 id,
                 requestClass,
@@ -62,8 +62,8 @@
     }
 
     /** The call with its body, which has come. */
-    public ClientCall withBody(byte[] whole) {
-        return new ClientCall(
+    public ClientRequest withBody(byte[] whole) {
+        return new ClientRequest(
                 id,
                 requestClass,
                 account,
@@ -79,8 +79,8 @@
     }
 
     /** The call with a body that comes as it is sent on. */
-    public ClientCall withSource(ByteSource comes) {
-        return new ClientCall(
+    public ClientRequest withSource(ByteSource comes) {
+        return new ClientRequest(
                 id,
                 requestClass,
                 account,
--- a/engine/src/main/java/trailthread/engine/call/Reply.java
+++ b/engine/src/main/java/trailthread/engine/request/ClientResponse.java
@@ -1,12 +1,12 @@
-package trailthread.engine.call;
+package trailthread.engine.request;
 
+import trailthread.engine.endpoint.EndpointResponse;
 import trailthread.engine.http.ByteSink;
-import trailthread.engine.worker.Made;
 
 /** How one call is answered: by exactly one of these. */
-public interface Reply {
+public interface ClientResponse {
     /** What a worker made. */
-    void served(Made made);
+    void served(EndpointResponse made);
 
     /**
      * A long answer begins that a worker makes; the call has its answer then, whatever becomes of
@@ -17,7 +17,7 @@
      * @param more to be run when there is room for more after there was none
      * @param gone to be run if the client goes away before the end
      */
-    ByteSink begin(Made head, long length, Runnable more, Runnable gone);
+    ByteSink begin(EndpointResponse head, long length, Runnable more, Runnable gone);
 
     /**
      * Looks whether the client is still there; what was to run if it goes away has run when this
--- a/engine/src/main/java/trailthread/engine/call/Calls.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
@@ -1,4 +1,4 @@
-package trailthread.engine.call;
+package trailthread.engine.request;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -15,21 +15,21 @@
 import trailthread.api.ListKind;
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
-import trailthread.engine.discovery.WorkerList;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.Meter;
-import trailthread.engine.worker.Workers;
+import trailthread.engine.discovery.EndpointListSource;
+import trailthread.engine.endpoint.EndpointPool;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
 
 /** The calls at work, between the module that decides on them and the sockets that carry them. */
-public final class Calls implements BalancerActions, CallTaker {
-    private static final Logger LOG = LoggerFactory.getLogger(Calls.class);
+public final class RequestDispatcher implements BalancerActions, RequestHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(RequestDispatcher.class);
 
-    private final Loop loop;
-    private final Workers workers;
-    private final Meter meter;
-    private final Decisions decisions;
+    private final EventLoop loop;
+    private final EndpointPool workers;
+    private final MetricsRecorder meter;
+    private final BalancerDriver decisions;
     private final Balancer module;
-    private final Map<Long, Call> calls = new HashMap<>();
+    private final Map<Long, ActiveRequest> calls = new HashMap<>();
 
     /** The clients' ids of these. Workers tell copies of a call by its id. */
     private final Set<String> openIds = new HashSet<>();
@@ -39,7 +39,7 @@
     /** What takes longer to tell its load than the tightest aim is fit for nothing just now. */
     private long probeWithinNs;
 
-    private WorkerList list;
+    private EndpointListSource list;
 
     /** Runs when the last call has ended, and nothing more is done after that; null: it goes on. */
     private Runnable whenOver;
@@ -48,15 +48,20 @@
     private Predicate<String> mayCheckHealth = endpoint -> true;
     private long lastId;
 
-    /** No call waits for its answer longer, by {@link Loop#now}. */
+    /** No call waits for its answer longer, by {@link EventLoop#now}. */
     private long answeredBy = Long.MAX_VALUE;
 
-    public Calls(Loop loop, Workers workers, Settings settings, long seed, Meter meter) {
+    public RequestDispatcher(
+            EventLoop loop,
+            EndpointPool workers,
+            Settings settings,
+            long seed,
+            MetricsRecorder meter) {
         this.meter = meter;
         this.loop = loop;
         this.workers = workers;
         apply(settings);
-        decisions = new Decisions(loop::now);
+        decisions = new BalancerDriver(loop::now);
         module = new Balancer(settings, seed, loop.now(), decisions.queueing(this));
         decisions.setModule(module);
     }
@@ -77,7 +82,7 @@
     }
 
     /** Where the module's wishes about the list go; without one they are let be. */
-    public void setDiscovery(WorkerList list) {
+    public void setDiscovery(EndpointListSource list) {
         this.list = list;
     }
 
@@ -92,7 +97,7 @@
 
     /**
      * The process may be killed soon: calls taken from now on have their answers by the first time,
-     * and the module plans for that; all have them by the second. By {@link Loop#now}, in
+     * and the module plans for that; all have them by the second. By {@link EventLoop#now}, in
      * nanoseconds.
      */
     public void answerBy(long newOnes, long all) {
@@ -104,7 +109,7 @@
                         LOG.warn(
                                 "{} calls are given up: the process may be killed before they have their time",
                                 calls.size());
-                        List.copyOf(calls.values()).forEach(Call::giveUp);
+                        List.copyOf(calls.values()).forEach(ActiveRequest::giveUp);
                     }
                 });
     }
@@ -142,9 +147,10 @@
     }
 
     @Override
-    public Runnable take(ClientCall client, long deadline, Reply reply) {
+    public Runnable take(ClientRequest client, long deadline, ClientResponse reply) {
         openIds.add(client.id());
-        Call call = new Call(this, ++lastId, client, Math.min(deadline, answeredBy), reply);
+        ActiveRequest call =
+                new ActiveRequest(this, ++lastId, client, Math.min(deadline, answeredBy), reply);
         calls.put(lastId, call);
         meter.taken(client.requestClass());
         call.taken();
@@ -163,19 +169,19 @@
         return loop.now();
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return loop;
     }
 
-    Decisions decisions() {
+    BalancerDriver decisions() {
         return decisions;
     }
 
-    Meter meter() {
+    MetricsRecorder meter() {
         return meter;
     }
 
-    Workers workers() {
+    EndpointPool workers() {
         return workers;
     }
 
@@ -183,7 +189,7 @@
         return responseSlackNs;
     }
 
-    void forget(Call call, long id, String clientsId) {
+    void forget(ActiveRequest call, long id, String clientsId) {
         if (calls.remove(id, call)) { // a call that has ended may end in a second way
             openIds.remove(clientsId);
             call.released();
@@ -196,7 +202,7 @@
 
     @Override
     public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
-        Call call = calls.get(id);
+        ActiveRequest call = calls.get(id);
         if (call != null) {
             call.attempt(endpoint, timeoutNs, writtenBy);
         }
@@ -204,7 +210,7 @@
 
     @Override
     public void refuse(long id, long retryAfterNs) {
-        Call call = calls.get(id);
+        ActiveRequest call = calls.get(id);
         if (call != null) {
             call.refuse(retryAfterNs);
         }
@@ -212,7 +218,7 @@
 
     @Override
     public void fail(long id) {
-        Call call = calls.get(id);
+        ActiveRequest call = calls.get(id);
         if (call != null) {
             call.fail();
         }
@@ -220,7 +226,7 @@
 
     @Override
     public void cancel(long id, int attempt) {
-        Call call = calls.get(id);
+        ActiveRequest call = calls.get(id);
         if (call != null) {
             call.cancel(attempt);
         }
--- a/engine/src/main/java/trailthread/engine/call/CallTaker.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestHandler.java
@@ -1,14 +1,14 @@
-package trailthread.engine.call;
+package trailthread.engine.request;
 
 /** Takes the calls that clients make. */
-public interface CallTaker {
+public interface RequestHandler {
     /**
      * A call has come whole; {@code reply} must answer it by its deadline.
      *
      * @param deadline when the client goes away, by the node's clock
      * @return what to run if the client goes away before it is answered
      */
-    Runnable take(ClientCall call, long deadline, Reply reply);
+    Runnable take(ClientRequest call, long deadline, ClientResponse reply);
 
     /** Whether a call with this id is at work; another one may not be taken beside it. */
     boolean isOpen(String id);
--- a/engine/src/main/java/trailthread/engine/routes/HostPattern.java
+++ b/engine/src/main/java/trailthread/engine/routes/HostPattern.java
@@ -30,7 +30,7 @@
         }
         boolean wildcard = text.startsWith("*.");
         String name = (wildcard ? text.substring(2) : text).toLowerCase(Locale.ROOT);
-        if (!Hosts.isName(name) && (wildcard || !Hosts.isAddress(name))) {
+        if (!HostSyntax.isName(name) && (wildcard || !HostSyntax.isAddress(name))) {
             throw new IllegalArgumentException(
                     "a host, *.domain or *, without port or trailing dot");
         }
--- a/engine/src/main/java/trailthread/engine/routes/Hosts.java
+++ b/engine/src/main/java/trailthread/engine/routes/HostSyntax.java
@@ -4,11 +4,11 @@
  * What a host may look like: a name of RFC 1123 letters (an underscore too, as it is in use), or an
  * address.
  */
-final class Hosts {
+final class HostSyntax {
     private static final int LONGEST_NAME = 253;
     private static final int LONGEST_LABEL = 63;
 
-    private Hosts() {}
+    private HostSyntax() {}
 
     /** A name in small letters, without a trailing dot. Dotted numbers are names, too. */
     static boolean isName(String text) {
--- a/engine/src/main/java/trailthread/engine/routes/Route.java
+++ b/engine/src/main/java/trailthread/engine/routes/Route.java
@@ -56,12 +56,12 @@
     }
 
     /** Whether it takes the request. */
-    boolean takes(Asked asked) {
+    boolean takes(RouteQuery asked) {
         return refusal(asked) == null;
     }
 
     /** Whether it takes the request, if host and path suit. */
-    boolean takesConditions(Asked asked) {
+    boolean takesConditions(RouteQuery asked) {
         if ((!methods.isEmpty() && !methods.contains(asked.method()))
                 || (requestClass != null && !requestClass.equals(asked.requestClass()))) {
             return false;
@@ -77,7 +77,7 @@
     }
 
     /** Why it does not take the request, for people; null: it does. */
-    public String refusal(Asked asked) {
+    public String refusal(RouteQuery asked) {
         if (!host.takes(asked.host())) {
             return "host is not " + host;
         }
--- a/engine/src/main/java/trailthread/engine/routes/Conflict.java
+++ b/engine/src/main/java/trailthread/engine/routes/RouteConflict.java
@@ -12,12 +12,12 @@
  *
  * @param example such a request, as {@code METHOD host/path} and its headers
  */
-public record Conflict(Route first, Route second, String example) {
+public record RouteConflict(Route first, Route second, String example) {
     /**
      * The conflict between two routes of one host and path, or null if no request suits both or one
      * goes first.
      */
-    static Conflict between(Route a, Route b) {
+    static RouteConflict between(Route a, Route b) {
         if (Route.compareConditions(a, b) != 0) {
             return null;
         }
@@ -55,7 +55,7 @@
                                                         ? "x"
                                                         : h.getValue()))
                         .collect(Collectors.joining());
-        return new Conflict(
+        return new RouteConflict(
                 a,
                 b,
                 (methods.isEmpty() ? "GET" : methods.iterator().next())
--- a/engine/src/main/java/trailthread/engine/routes/Asked.java
+++ b/engine/src/main/java/trailthread/engine/routes/RouteQuery.java
@@ -11,7 +11,7 @@
  * @param header a header's only value by its name in small letters, or null
  * @param requestClass the class that the client named, or null
  */
-public record Asked(
+public record RouteQuery(
         String host,
         List<String> path,
         String method,
--- a/engine/src/main/java/trailthread/engine/routes/RouteTable.java
+++ b/engine/src/main/java/trailthread/engine/routes/RouteTable.java
@@ -36,7 +36,7 @@
         }
 
         /** The first that takes the request, in the order of {@link PathPattern#compare}. */
-        Route match(Asked asked, int depth) {
+        Route match(RouteQuery asked, int depth) {
             if (depth == asked.path().size()) {
                 Route end = first(ends, asked);
                 return end != null ? end : first(prefixes, asked);
@@ -50,7 +50,7 @@
             return found != null ? found : first(prefixes, asked);
         }
 
-        private static Route first(List<Route> routes, Asked asked) {
+        private static Route first(List<Route> routes, RouteQuery asked) {
             for (int i = 0; i < routes.size(); i++) {
                 if (routes.get(i).takesConditions(asked)) {
                     return routes.get(i);
@@ -64,7 +64,7 @@
     private final Map<String, Node> exact = new HashMap<>();
     private final Map<String, Node> wildcards = new HashMap<>();
     private final Node anyHost = new Node();
-    private final List<Conflict> conflicts = new ArrayList<>();
+    private final List<RouteConflict> conflicts = new ArrayList<>();
 
     /** Makes a table; whether it is of use, {@link #conflicts} says. */
     public RouteTable(List<Route> routes) {
@@ -92,7 +92,7 @@
         for (int i = same.size() - 1;
                 i >= 0 && Route.compareConditions(same.get(i), route) == 0;
                 i--) {
-            Conflict conflict = Conflict.between(same.get(i), route);
+            RouteConflict conflict = RouteConflict.between(same.get(i), route);
             if (conflict != null) {
                 conflicts.add(conflict);
             }
@@ -104,7 +104,7 @@
      * All pairs of routes of which neither goes before the other; a table with any is not to be
      * used.
      */
-    public List<Conflict> conflicts() {
+    public List<RouteConflict> conflicts() {
         return List.copyOf(conflicts);
     }
 
@@ -114,7 +114,7 @@
     }
 
     /** The most specific route that takes the request, or null. */
-    public Route match(Asked asked) {
+    public Route match(RouteQuery asked) {
         Node node = exact.get(asked.host());
         Route found = node == null ? null : node.match(asked, 0);
         if (found == null && !wildcards.isEmpty()) {
@@ -131,7 +131,7 @@
 
     /** Why each route has the request or not, for people, in the order in which they are asked. */
     @SuppressWarnings("ReferenceEquality") // routes are compared as entries of this table
-    public List<String> explain(Asked asked) {
+    public List<String> explain(RouteQuery asked) {
         Route winner = match(asked);
         List<String> lines = new ArrayList<>();
         for (Route route : routes) {
--- a/engine/src/main/java/trailthread/engine/routes/Target.java
+++ b/engine/src/main/java/trailthread/engine/routes/Target.java
@@ -106,7 +106,7 @@
         if (host.endsWith(".")) {
             host = host.substring(0, host.length() - 1);
         }
-        if (!Hosts.isName(host) && !Hosts.isAddress(host)) {
+        if (!HostSyntax.isName(host) && !HostSyntax.isAddress(host)) {
             throw new BadTargetException("a host that is none");
         }
         return host;
--- a/engine/src/test/java/trailthread/engine/service/LevelsConfigTest.java
+++ b/engine/src/test/java/trailthread/engine/degradation/DegradationConfigTest.java
@@ -1,4 +1,4 @@
-package trailthread.engine.service;
+package trailthread.engine.degradation;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
@@ -16,10 +16,10 @@
 import trailthread.api.DeduplicationScope;
 import trailthread.api.Idempotency;
 import trailthread.api.RequestClass;
-import trailthread.levels.Plan;
+import trailthread.degradation.DegradationPlan;
 
 /** The keys of the levels, and the operators' page that names them. */
-public class LevelsConfigTest {
+public class DegradationConfigTest {
     private static final List<RequestClass> CLASSES =
             List.of(
                     new RequestClass(
@@ -36,7 +36,7 @@
     @Test
     public void thePageForOperatorsNamesEveryKeyAndNoOther() throws Exception {
         Set<String> known = new TreeSet<>();
-        for (String key : LevelsConfig.known()) {
+        for (String key : DegradationConfig.known()) {
             known.add(
                     key.replaceFirst("^(lean|reduced|essential)\\.", "LEVEL.")
                             .replaceFirst("\\.[a-z_]+\\.", ".READING."));
@@ -53,9 +53,10 @@
 
     @Test
     public void whatIsNotGivenIsTheDefault() {
-        LevelsConfig config = LevelsConfig.parse(Map.of("on", "true", "keep", "0.5"), CLASSES);
-        assertEquals(Plan.defaults(), config.plan().levels);
-        assertEquals(new Plan().riseNs, config.plan().riseNs);
+        DegradationConfig config =
+                DegradationConfig.parse(Map.of("on", "true", "keep", "0.5"), CLASSES);
+        assertEquals(DegradationPlan.defaults(), config.plan().levels);
+        assertEquals(new DegradationPlan().riseNs, config.plan().riseNs);
         assertEquals(0.5, config.plan().keep, 0);
     }
 }
--- a/engine/src/test/java/trailthread/engine/service/ReadingsTest.java
+++ b/engine/src/test/java/trailthread/engine/degradation/ReadingsTest.java
@@ -1,4 +1,4 @@
-package trailthread.engine.service;
+package trailthread.engine.degradation;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
@@ -15,8 +15,8 @@
 import trailthread.api.ListKind;
 import trailthread.api.Outcome;
 import trailthread.api.RequestClass;
-import trailthread.engine.meter.Answer;
-import trailthread.levels.ShedOrder;
+import trailthread.degradation.SheddingOrder;
+import trailthread.engine.metrics.RequestResult;
 
 /** How each reading is made of what the node sees. */
 public class ReadingsTest {
@@ -50,7 +50,7 @@
             {"ooooooooooooooooeeee", 0.5},
         };
         for (Object[] c : cases) {
-            Failing failing = new Failing(100 * MS);
+            FailingEndpointRate failing = new FailingEndpointRate(100 * MS);
             failing.listed(ListKind.FULL, entries(EndpointState.READY, "w0", "w1"));
             failing.listed(ListKind.DELTA, entries(EndpointState.DRAINING, "w2"));
             for (char how : ((String) c[0]).toCharArray()) {
@@ -76,7 +76,7 @@
 
     @Test
     public void whereNoWorkerIsReadyTheShareIsUnknown() {
-        Failing failing = new Failing(MS);
+        FailingEndpointRate failing = new FailingEndpointRate(MS);
         assertTrue(Double.isNaN(failing.share(0)));
         failing.listed(ListKind.FULL, entries(EndpointState.READY, "w0"));
         assertEquals(0, failing.share(0), NONE);
@@ -86,7 +86,7 @@
 
     @Test
     public void reportsGrowOldOnlyWhileTheyAreOwed() {
-        ReportAge age = new ReportAge(5);
+        LoadReportAge age = new LoadReportAge(5);
         assertEquals(0, age.ns());
         age.missed(9);
         assertEquals(4, age.ns());
@@ -120,19 +120,22 @@
                                 0,
                                 1,
                                 0));
-        Starved starved = new Starved(classes, new ShedOrder(classes, List.of()), 0);
-        starved.answered("poll", Answer.FAILED, 0, 0);
-        starved.answered("other", Answer.FAILED, 0, 0);
-        starved.answered("use", Answer.SERVED, 10 * MS, 0);
+        StarvationRate starved =
+                new StarvationRate(classes, new SheddingOrder(classes, List.of()), 0);
+        starved.answered("poll", RequestResult.FAILED, 0, 0);
+        starved.answered("other", RequestResult.FAILED, 0, 0);
+        starved.answered("use", RequestResult.SERVED, 10 * MS, 0);
         starved.shed("use");
-        starved.answered("use", Answer.REFUSED, -1, 0);
+        starved.answered("use", RequestResult.REFUSED, -1, 0);
         assertEquals(0, starved.share(0), NONE);
         double before = 0;
         Object[][] cases = {
-            {Answer.REFUSED, -1L}, {Answer.FAILED, 0L}, {Answer.SERVED, 10 * MS + 1}
+            {RequestResult.REFUSED, -1L},
+            {RequestResult.FAILED, 0L},
+            {RequestResult.SERVED, 10 * MS + 1}
         };
         for (Object[] c : cases) {
-            starved.answered("use", (Answer) c[0], (long) c[1], 0);
+            starved.answered("use", (RequestResult) c[0], (long) c[1], 0);
             assertTrue(c[0] + " counts", starved.share(0) > before);
             before = starved.share(0);
         }
@@ -161,7 +164,7 @@
                 {"9 x 3\n", "NaN"},
                 {"", "NaN"},
             };
-            CpuWithheld cpu = CpuWithheld.open(file);
+            CpuThrottling cpu = CpuThrottling.open(file);
             long now = 0;
             for (String[] c : cases) {
                 Files.writeString(file, c[0]);
@@ -171,12 +174,12 @@
         } finally {
             Files.delete(file);
         }
-        assertTrue(Double.isNaN(CpuWithheld.open(Path.of("/nowhere/at/all")).share(1)));
+        assertTrue(Double.isNaN(CpuThrottling.open(Path.of("/nowhere/at/all")).share(1)));
     }
 
     @Test
     public void thinnedProbesReachEveryWorker() {
-        ProbeThinning thinning = new ProbeThinning();
+        HealthCheckThinning thinning = new HealthCheckThinning();
         for (double factor : new double[] {1, 2, 4}) {
             for (String worker : List.of("w0", "w1")) {
                 int made = 0;
--- a/engine/src/test/java/trailthread/engine/discovery/DiscoveryParserTest.java
+++ b/engine/src/test/java/trailthread/engine/discovery/DiscoveryParserTest.java
@@ -28,7 +28,7 @@
                         41,
                         true,
                         List.of(
-                                new DiscoveryEntry(
+                                new DiscoveredEndpoint(
                                         "s-5b",
                                         "10.1.0.18:8080",
                                         "a",
@@ -55,7 +55,7 @@
                         0,
                         false,
                         List.of(
-                                new DiscoveryEntry(
+                                new DiscoveredEndpoint(
                                         "s", "[::1]:80", "", -1, EndpointState.READY, 1, 0))),
                 DiscoveryParser.parse(few));
     }
@@ -99,7 +99,7 @@
                 (three.get(0) + "\n\n" + three.get(1) + "\r\n \n" + three.get(2) + "\n{\"c")
                         .getBytes(StandardCharsets.UTF_8);
         for (int piece = 1; piece <= text.length; piece++) {
-            DiscoveryObjects objects = new DiscoveryObjects();
+            JsonObjectSplitter objects = new JsonObjectSplitter();
             List<String> all = new ArrayList<>();
             for (int at = 0; at < text.length; at += piece) {
                 all.addAll(
@@ -124,7 +124,7 @@
     }
 
     private static boolean lives(String bytes) throws IOException {
-        DiscoveryObjects objects = new DiscoveryObjects();
+        JsonObjectSplitter objects = new JsonObjectSplitter();
         objects.add(ByteBuffer.wrap(bytes.getBytes(StandardCharsets.UTF_8)));
         return objects.lives();
     }
--- a/engine/src/test/java/trailthread/engine/worker/LateLoopTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
@@ -1,4 +1,4 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNotNull;
@@ -23,23 +23,23 @@
 import trailthread.api.EndpointState;
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
-import trailthread.engine.discovery.DiscoveryEntry;
+import trailthread.engine.discovery.DiscoveredEndpoint;
 import trailthread.engine.discovery.DiscoveryUpdate;
 import trailthread.engine.http.ByteSink;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.CpuAccount;
+import trailthread.engine.loop.EventLoop;
 
 /** What a worker has done in time is not held against it because the loop runs late. */
 public class LateLoopTest {
     private static final long MS = 1_000_000L;
     private static final long LONG_NS = 60_000 * MS;
     private static final int ROUNDS = 24;
-    private final Loop loop;
+    private final EventLoop loop;
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final BlockingQueue<Ending> endings = new LinkedBlockingQueue<>();
+    private final BlockingQueue<AttemptResult> endings = new LinkedBlockingQueue<>();
 
     public LateLoopTest() throws IOException {
-        loop = new Loop("late");
+        loop = new EventLoop("late");
     }
 
     @After
@@ -48,16 +48,16 @@
         server.close();
     }
 
-    private Workers workers(long connectTimeoutNs) {
-        Workers workers =
-                new Workers(
+    private EndpointPool workers(long connectTimeoutNs) {
+        EndpointPool workers =
+                new EndpointPool(
                         loop,
                         connectTimeoutNs,
                         LONG_NS,
                         0,
-                        ConnectionRoom.of(16),
+                        ConnectionLimit.of(16),
                         500 * MS,
-                        Account.NONE);
+                        CpuAccount.NONE);
         loop.execute(
                 () ->
                         workers.update(
@@ -65,7 +65,7 @@
                                         1,
                                         true,
                                         List.of(
-                                                new DiscoveryEntry(
+                                                new DiscoveredEndpoint(
                                                         "w",
                                                         "127.0.0.1:" + server.getLocalPort(),
                                                         "a",
@@ -77,21 +77,22 @@
         return workers;
     }
 
-    private void attempt(Workers workers, long timeoutNs) {
+    private void attempt(EndpointPool workers, long timeoutNs) {
         attempt(workers, timeoutNs, Long.MAX_VALUE, "1", 4);
     }
 
-    private void attempt(Workers workers, long timeoutNs, long writtenBy, String id, int length) {
+    private void attempt(
+            EndpointPool workers, long timeoutNs, long writtenBy, String id, int length) {
         workers.attempt(
                 "w",
-                new WorkerRequest(id, "use", "POST", "/use", null, new byte[length], null),
+                new EndpointRequest(id, "use", "POST", "/use", null, new byte[length], null),
                 timeoutNs,
                 writtenBy,
                 endings::add);
     }
 
-    private Ending ending() throws InterruptedException {
-        Ending ending = endings.poll(30, TimeUnit.SECONDS);
+    private AttemptResult ending() throws InterruptedException {
+        AttemptResult ending = endings.poll(30, TimeUnit.SECONDS);
         assertNotNull("the attempt ends", ending);
         return ending;
     }
@@ -129,7 +130,7 @@
     /** Up to four attempts in a row at one worker ended so while their answers lay unread. */
     @Test
     public void anAnswerThatHasComeIsNoTimeOut() throws Exception {
-        Workers workers = workers(LONG_NS);
+        EndpointPool workers = workers(LONG_NS);
         loop.execute(() -> attempt(workers, 400 * MS));
         try (Socket connection = server.accept()) {
             readRequest(connection);
@@ -156,15 +157,15 @@
      */
     @Test
     public void aConnectionThatWasNotUsedAfterAllIdlesOn() throws Exception {
-        Workers workers =
-                new Workers(
+        EndpointPool workers =
+                new EndpointPool(
                         loop,
                         LONG_NS,
                         1_000 * MS,
                         0,
-                        ConnectionRoom.of(16),
+                        ConnectionLimit.of(16),
                         500 * MS,
-                        Account.NONE);
+                        CpuAccount.NONE);
         loop.execute(
                 () ->
                         workers.update(
@@ -172,7 +173,7 @@
                                         1,
                                         true,
                                         List.of(
-                                                new DiscoveryEntry(
+                                                new DiscoveredEndpoint(
                                                         "w",
                                                         "127.0.0.1:" + server.getLocalPort(),
                                                         "a",
@@ -217,15 +218,15 @@
      */
     @Test
     public void aConnectionThatHasIdledPastItsTimeIsNotUsed() throws Exception {
-        Workers workers =
-                new Workers(
+        EndpointPool workers =
+                new EndpointPool(
                         loop,
                         LONG_NS,
                         1_000 * MS,
                         0,
-                        ConnectionRoom.of(16),
+                        ConnectionLimit.of(16),
                         500 * MS,
-                        Account.NONE);
+                        CpuAccount.NONE);
         loop.execute(
                 () ->
                         workers.update(
@@ -233,7 +234,7 @@
                                         1,
                                         true,
                                         List.of(
-                                                new DiscoveryEntry(
+                                                new DiscoveredEndpoint(
                                                         "w",
                                                         "127.0.0.1:" + server.getLocalPort(),
                                                         "a",
@@ -265,7 +266,7 @@
      */
     @Test
     public void aConnectionThatHasSettledIsPreferred() throws Exception {
-        Workers workers = workers(LONG_NS);
+        EndpointPool workers = workers(LONG_NS);
         loop.execute(
                 () -> {
                     attempt(workers, LONG_NS);
@@ -308,19 +309,22 @@
     @Test
     public void aLongAnswerThatHasBegunIsNoTimeOut() throws Exception {
         int length = 100_000;
-        Workers workers = workers(LONG_NS);
+        EndpointPool workers = workers(LONG_NS);
         AtomicInteger passed = new AtomicInteger();
         loop.execute(
                 () ->
                         workers.attempt(
                                 "w",
-                                new WorkerRequest(
+                                new EndpointRequest(
                                         "1", "use", "POST", "/use", null, new byte[4], null),
                                 400 * MS,
                                 new AttemptListener() {
                                     @Override
                                     public ByteSink begins(
-                                            Made head, long told, LoadReport load, Runnable more) {
+                                            EndpointResponse head,
+                                            long told,
+                                            LoadReport load,
+                                            Runnable more) {
                                         return new ByteSink() {
                                             @Override
                                             public boolean piece(ByteBuffer piece) {
@@ -341,7 +345,7 @@
                                     }
 
                                     @Override
-                                    public void ended(Ending ending) {
+                                    public void ended(AttemptResult ending) {
                                         endings.add(ending);
                                     }
                                 }));
@@ -379,7 +383,7 @@
 
     @Test
     public void aConnectionThatHasComeUpIsNoFailure() throws Exception {
-        Workers workers = workers(100 * MS);
+        EndpointPool workers = workers(100 * MS);
         loop.execute(
                 () -> {
                     attempt(workers, LONG_NS);
@@ -394,7 +398,7 @@
     /** A repeat was judged when it was decided, and written whenever its connection was up. */
     @Test
     public void whatMayNoLongerBeWrittenOnceItsConnectionIsUpIsNot() throws Exception {
-        Workers workers = workers(LONG_NS);
+        EndpointPool workers = workers(LONG_NS);
         loop.execute(
                 () -> {
                     attempt(workers, LONG_NS, loop.now() + 100 * MS, "late", 4);
@@ -410,7 +414,7 @@
     /** The same on a connection that was there, and for an attempt whose own time has passed. */
     @Test
     public void whatMayNoLongerBeWrittenWhenItsTurnComesIsNot() throws Exception {
-        Workers workers = workers(LONG_NS);
+        EndpointPool workers = workers(LONG_NS);
         loop.execute(() -> attempt(workers, LONG_NS));
         try (Socket connection = server.accept()) {
             readRequest(connection);
@@ -438,7 +442,7 @@
     @Test
     public void theRestOfWhatMayNoLongerBeWrittenIsNot() throws Exception {
         int length = 32 * 1024 * 1024; // more than the system holds for a connection
-        Workers workers = workers(LONG_NS);
+        EndpointPool workers = workers(LONG_NS);
         loop.execute(() -> attempt(workers, LONG_NS, loop.now() + 500 * MS, "late", length));
         try (Socket connection = server.accept()) {
             sleep(700);
@@ -450,7 +454,7 @@
     /** Learnt as the worker's, it passed for jammed, and calls were held while it idled. */
     @Test
     public void theLoopsOwnTimeIsNotTheWorkers() throws Exception {
-        Workers workers = workers(LONG_NS);
+        EndpointPool workers = workers(LONG_NS);
         loop.execute(() -> attempt(workers, LONG_NS));
         try (Socket connection = server.accept()) {
             for (int i = 0; i < 2; i++) {
@@ -469,7 +473,7 @@
                             }
                             sleep(late ? 1000 : 0);
                         });
-                Ending ending = ending();
+                AttemptResult ending = ending();
                 assertEquals(Outcome.OK, ending.outcome());
                 assertTrue("took " + ending.latencyNs(), ending.latencyNs() < 900 * MS);
                 assertTrue("the first is known", late || ending.latencyNs() > 0);
--- a/engine/src/test/java/trailthread/engine/worker/AnswerTimeTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LatencySampleTest.java
@@ -1,17 +1,17 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import static org.junit.Assert.assertEquals;
 
 import org.junit.Test;
 
 /** What is told of an answer that came at some time between two looks at the sockets. */
-public class AnswerTimeTest {
+public class LatencySampleTest {
     private static final long MS = 1_000_000L;
-    private final AnswerTime worker = new AnswerTime(4 * MS);
+    private final LatencySample worker = new LatencySample(4 * MS);
 
     private long told(long leastMs, long mostMs) {
         long told = worker.told(leastMs * MS, mostMs * MS);
-        return told == AnswerTime.UNKNOWN ? told : Math.round(told / (double) MS);
+        return told == LatencySample.UNKNOWN ? told : Math.round(told / (double) MS);
     }
 
     @Test
@@ -28,7 +28,7 @@
     @Test
     public void aNodeThatIsLateFromTheStartTellsNothing() {
         for (int i = 0; i < 100; i++) {
-            assertEquals(AnswerTime.UNKNOWN, told(0, 15 + i));
+            assertEquals(LatencySample.UNKNOWN, told(0, 15 + i));
         }
     }
 
@@ -36,8 +36,8 @@
     @Test
     public void shortAnswersAreKnownNoSoonerThanLongOnes() {
         told(20, 20);
-        assertEquals(AnswerTime.UNKNOWN, told(0, 9));
-        assertEquals(AnswerTime.UNKNOWN, told(50, 59));
+        assertEquals(LatencySample.UNKNOWN, told(0, 9));
+        assertEquals(LatencySample.UNKNOWN, told(50, 59));
         assertEquals(3, told(0, 6));
         assertEquals(53, told(50, 56));
     }
@@ -45,8 +45,8 @@
     @Test
     public void whatWasSurelyManyTimesAsSlowIsTold() {
         told(20, 20);
-        assertEquals(AnswerTime.UNKNOWN, told(2, 150));
-        assertEquals(AnswerTime.UNKNOWN, told(50, 150));
+        assertEquals(LatencySample.UNKNOWN, told(2, 150));
+        assertEquals(LatencySample.UNKNOWN, told(50, 150));
         assertEquals(70, told(70, 200));
     }
 
@@ -62,7 +62,8 @@
         for (int i = 0; i < 100; i++) {
             told(100, 300);
         }
-        assertEquals("it has been told until it was a third", AnswerTime.UNKNOWN, told(100, 300));
+        assertEquals(
+                "it has been told until it was a third", LatencySample.UNKNOWN, told(100, 300));
         assertEquals(34, told(30, 38));
     }
 }
--- a/engine/src/test/java/trailthread/engine/worker/LatencyTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LatencyTest.java
@@ -1,4 +1,4 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNotNull;
@@ -16,10 +16,10 @@
 import org.junit.Test;
 import trailthread.api.EndpointState;
 import trailthread.api.Outcome;
-import trailthread.engine.discovery.DiscoveryEntry;
+import trailthread.engine.discovery.DiscoveredEndpoint;
 import trailthread.engine.discovery.DiscoveryUpdate;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.CpuAccount;
+import trailthread.engine.loop.EventLoop;
 
 /** What is told of how long a worker took. */
 public class LatencyTest {
@@ -28,10 +28,11 @@
     /** A rarely asked worker passed for slow by its handshakes, and so was asked ever less. */
     @Test
     public void theOpeningOfAConnectionIsNoSignOfLoad() throws Exception {
-        Loop loop = new Loop("test");
-        Workers workers =
-                new Workers(loop, LONG_NS, LONG_NS, 0, ConnectionRoom.of(16), 0, Account.NONE);
-        BlockingQueue<Ending> endings = new LinkedBlockingQueue<>();
+        EventLoop loop = new EventLoop("test");
+        EndpointPool workers =
+                new EndpointPool(
+                        loop, LONG_NS, LONG_NS, 0, ConnectionLimit.of(16), 0, CpuAccount.NONE);
+        BlockingQueue<AttemptResult> endings = new LinkedBlockingQueue<>();
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket first = new Socket(server.getInetAddress(), server.getLocalPort());
                 Socket second = new Socket(server.getInetAddress(), server.getLocalPort())) {
@@ -42,7 +43,7 @@
                                         1,
                                         true,
                                         List.of(
-                                                new DiscoveryEntry(
+                                                new DiscoveredEndpoint(
                                                         "w",
                                                         "127.0.0.1:" + server.getLocalPort(),
                                                         "a",
@@ -53,7 +54,7 @@
                                 loop.now());
                         workers.attempt(
                                 "w",
-                                new WorkerRequest(
+                                new EndpointRequest(
                                         "1", "use", "POST", "/use", null, new byte[4], null),
                                 LONG_NS,
                                 endings::add);
@@ -68,7 +69,7 @@
                 OutputStream out = late.getOutputStream();
                 String answer = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
                 out.write(answer.getBytes(StandardCharsets.US_ASCII));
-                Ending ending = endings.poll(30, TimeUnit.SECONDS);
+                AttemptResult ending = endings.poll(30, TimeUnit.SECONDS);
                 assertNotNull("the attempt ends", ending);
                 assertEquals(Outcome.OK, ending.outcome());
                 assertTrue(ending.latencyNs() <= loop.now() - hungUntil);
--- a/engine/src/test/java/trailthread/engine/worker/LoadReportParserTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LoadReportParserTest.java
@@ -1,4 +1,4 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNull;
--- a/engine/src/test/java/trailthread/engine/worker/OutcomeByMomentTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/OutcomeByMomentTest.java
@@ -1,4 +1,4 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNotNull;
@@ -16,10 +16,10 @@
 import org.junit.Test;
 import trailthread.api.EndpointState;
 import trailthread.api.Outcome;
-import trailthread.engine.discovery.DiscoveryEntry;
+import trailthread.engine.discovery.DiscoveredEndpoint;
 import trailthread.engine.discovery.DiscoveryUpdate;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.CpuAccount;
+import trailthread.engine.loop.EventLoop;
 
 /**
  * How an attempt ends, by the moment at which it does; whether it may have run follows from that
@@ -33,11 +33,11 @@
     /** More than the system holds for a connection whose worker does not read. */
     private static final int LONG = 32 * 1024 * 1024;
 
-    private final Loop loop;
-    private final BlockingQueue<Ending> endings = new LinkedBlockingQueue<>();
+    private final EventLoop loop;
+    private final BlockingQueue<AttemptResult> endings = new LinkedBlockingQueue<>();
 
     public OutcomeByMomentTest() throws IOException {
-        loop = new Loop("moments");
+        loop = new EventLoop("moments");
     }
 
     @After
@@ -83,9 +83,10 @@
         }
     }
 
-    private Workers attempt(int port, int length, long timeoutNs, long connectNs) {
-        Workers workers =
-                new Workers(loop, connectNs, LONG_NS, 0, ConnectionRoom.of(4), 0, Account.NONE);
+    private EndpointPool attempt(int port, int length, long timeoutNs, long connectNs) {
+        EndpointPool workers =
+                new EndpointPool(
+                        loop, connectNs, LONG_NS, 0, ConnectionLimit.of(4), 0, CpuAccount.NONE);
         loop.execute(
                 () -> {
                     workers.update(
@@ -93,7 +94,7 @@
                                     1,
                                     true,
                                     List.of(
-                                            new DiscoveryEntry(
+                                            new DiscoveredEndpoint(
                                                     "w",
                                                     "127.0.0.1:" + port,
                                                     "a",
@@ -104,7 +105,7 @@
                             loop.now());
                     workers.attempt(
                             "w",
-                            new WorkerRequest(
+                            new EndpointRequest(
                                     "1", "use", "POST", "/use", null, new byte[length], null),
                             timeoutNs,
                             endings::add);
@@ -113,7 +114,7 @@
     }
 
     private void ends(String moment, Outcome expected) throws InterruptedException {
-        Ending ending = endings.poll(30, TimeUnit.SECONDS);
+        AttemptResult ending = endings.poll(30, TimeUnit.SECONDS);
         assertNotNull(moment, ending);
         assertEquals(moment, expected, ending.outcome());
     }
--- a/engine/src/test/java/trailthread/engine/worker/WorkerAnswerTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/ResponseHeadTest.java
@@ -1,4 +1,4 @@
-package trailthread.engine.worker;
+package trailthread.engine.endpoint;
 
 import static org.junit.Assert.assertEquals;
 
@@ -8,7 +8,7 @@
 import trailthread.api.Outcome;
 
 /** The protocol's table of what comes back. */
-public class WorkerAnswerTest {
+public class ResponseHeadTest {
     @Test
     public void whatAnAnswerMeans() {
         Object[][] cases = {
@@ -31,7 +31,7 @@
                 headers.put(new HttpString("X-Unprocessed"), (String) c[1]);
             }
             headers.put(new HttpString("X-Backend-Load"), "{\"queue\":2}");
-            WorkerAnswer answer = WorkerAnswer.decode((Integer) c[0], headers);
+            ResponseHead answer = ResponseHead.decode((Integer) c[0], headers);
             assertEquals(c[0] + " " + c[1], c[2], answer.outcome(false));
             assertEquals(2, answer.load().queue(), 0);
         }
@@ -56,7 +56,7 @@
             assertEquals(
                     c[0].toString(),
                     c[1],
-                    WorkerAnswer.decode((Integer) c[0], new HeaderMap()).outcome(true));
+                    ResponseHead.decode((Integer) c[0], new HeaderMap()).outcome(true));
         }
     }
 }
--- a/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
+++ b/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
@@ -20,8 +20,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.After;
 import org.junit.Test;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
+import trailthread.engine.loop.CpuAccount;
+import trailthread.engine.loop.EventLoop;
 
 /**
  * What is on its way on one connection holds up no other, and what was not written is not said to
@@ -31,12 +31,12 @@
     private static final int LONG = 1024 * 1024;
     private static final int SHORT_ONES = 9;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
 
     public HttpConnectionTest() throws IOException {
-        loop = new Loop("connections");
+        loop = new EventLoop("connections");
     }
 
     @After
@@ -45,8 +45,8 @@
         server.close();
     }
 
-    private AnswerListener hears(String name) {
-        return new AnswerListener() {
+    private ResponseListener hears(String name) {
+        return new ResponseListener() {
             @Override
             public void sent() {
                 heard.add(name + " sent");
@@ -78,7 +78,7 @@
                                 loop,
                                 new InetSocketAddress(
                                         server.getInetAddress(), server.getLocalPort()),
-                                Account.NONE,
+                                CpuAccount.NONE,
                                 () -> {},
                                 opened::add));
         return opened.poll(30, TimeUnit.SECONDS);
--- a/engine/src/test/java/trailthread/engine/http/AnswerDecoderTest.java
+++ b/engine/src/test/java/trailthread/engine/http/ResponseDecoderTest.java
@@ -10,11 +10,11 @@
 import org.junit.Test;
 
 /** Answers, right and wrong, whole and in pieces. */
-public class AnswerDecoderTest {
+public class ResponseDecoderTest {
     private static final String OK = "HTTP/1.1 200 OK\r\n";
 
     /** What was heard, as text. */
-    private static final class Heard implements AnswerListener {
+    private static final class Heard implements ResponseListener {
         private final StringBuilder text = new StringBuilder();
 
         @Override
@@ -40,9 +40,10 @@
 
     private final Heard heard = new Heard();
 
-    private AnswerDecoder decode(String answer, int pieceBytes) throws MalformedAnswerException {
+    private ResponseDecoder decode(String answer, int pieceBytes)
+            throws MalformedResponseException {
         heard.text.setLength(0);
-        AnswerDecoder decoder = new AnswerDecoder(heard, 10);
+        ResponseDecoder decoder = new ResponseDecoder(heard, 10);
         byte[] bytes = answer.getBytes(StandardCharsets.ISO_8859_1);
         for (int from = 0; from < bytes.length; from += pieceBytes) {
             decoder.decode(ByteBuffer.wrap(bytes, from, Math.min(pieceBytes, bytes.length - from)));
@@ -72,7 +73,7 @@
         };
         for (String[] c : cases) {
             for (int pieceBytes : new int[] {1, 3, 1000}) {
-                AnswerDecoder decoder = decode(c[0], pieceBytes);
+                ResponseDecoder decoder = decode(c[0], pieceBytes);
                 assertTrue(c[0], decoder.isWhole() && decoder.isLasting());
                 assertEquals(c[0], c[1], heard.text.toString());
             }
@@ -82,12 +83,12 @@
     @Test
     public void anAnswerWithoutALengthEndsWithItsConnection() throws Exception {
         for (int pieceBytes : new int[] {1, 1000}) {
-            AnswerDecoder decoder = decode(OK + "\r\nmade", pieceBytes);
+            ResponseDecoder decoder = decode(OK + "\r\nmade", pieceBytes);
             assertTrue(!decoder.isWhole() && !decoder.isLasting());
             assertTrue(decoder.endsWithConnection() && decoder.isWhole());
             assertEquals("200 null made", heard.text.toString());
             assertThrows(
-                    MalformedAnswerException.class,
+                    MalformedResponseException.class,
                     () -> decode(OK + "\r\nmore than ten", pieceBytes));
             assertTrue(
                     !decode(OK + "Content-Length: 4\r\n\r\nmad", pieceBytes).endsWithConnection());
@@ -96,7 +97,7 @@
 
     @Test
     public void whatFollowsAnAnswerIsLeft() throws Exception {
-        AnswerDecoder decoder = new AnswerDecoder(heard, 10);
+        ResponseDecoder decoder = new ResponseDecoder(heard, 10);
         String answer = OK + "Content-Length: 1\r\n\r\nxHTTP";
         ByteBuffer bytes = ByteBuffer.wrap(answer.getBytes(StandardCharsets.US_ASCII));
         decoder.decode(bytes);
@@ -111,7 +112,7 @@
                     "HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n",
                     OK + "Connection: Close\r\nContent-Length: 0\r\n\r\n"
                 }) {
-            AnswerDecoder decoder = decode(last, 1000);
+            ResponseDecoder decoder = decode(last, 1000);
             assertTrue(last, decoder.isWhole() && !decoder.isLasting());
         }
     }
@@ -157,7 +158,7 @@
             for (int pieceBytes : new int[] {1, 100_000}) {
                 assertThrows(
                         answer,
-                        MalformedAnswerException.class,
+                        MalformedResponseException.class,
                         () -> {
                             if (!decode(answer, pieceBytes).isWhole()) {
                                 decode(answer + "\r\n", pieceBytes);
--- a/engine/src/test/java/trailthread/engine/loop/TurnsTest.java
+++ b/engine/src/test/java/trailthread/engine/loop/LoopLatencyTest.java
@@ -7,9 +7,9 @@
 import org.junit.Test;
 
 /** What a thread can know of when something came that it has read. */
-public class TurnsTest {
+public class LoopLatencyTest {
     private static final long MS = 1_000_000L;
-    private final Turns turns = new Turns(0);
+    private final LoopLatency turns = new LoopLatency(0);
 
     private void turn(long from, long until) {
         assertTrue(turns.serves(from));
--- a/engine/src/test/java/trailthread/engine/loop/MeterCost.java
+++ b/engine/src/test/java/trailthread/engine/loop/MeterCost.java
@@ -14,7 +14,7 @@
     /** Prints nanoseconds for each turn, a few times, as the first ones warm up. */
     public static void main(String[] args) {
         for (int round = 0; round < 5; round++) {
-            Turns turns = new Turns(System.nanoTime());
+            LoopLatency turns = new LoopLatency(System.nanoTime());
             long began = System.nanoTime();
             for (int i = 0; i < TURNS; i++) {
                 if (turns.serves(System.nanoTime())) {
--- a/engine/src/test/java/trailthread/engine/loop/WheelTest.java
+++ b/engine/src/test/java/trailthread/engine/loop/TimerWheelTest.java
@@ -10,17 +10,17 @@
 import org.junit.Test;
 
 /** The wheel against a plain list of timers, for many histories. */
-public class WheelTest {
+public class TimerWheelTest {
     private static final long MS = 1_000_000L;
 
-    private record Set(Wheel.Timer timer, int number) {}
+    private record Set(TimerWheel.Timer timer, int number) {}
 
     @Test
     public void eachRunsOnceInItsTickAndNeverEarly() {
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             long now = random.nextLong(1L << 50);
-            Wheel wheel = new Wheel(now);
+            TimerWheel wheel = new TimerWheel(now);
             List<Set> pending = new ArrayList<>();
             for (int step = 0; step < 300; step++) {
                 for (int i = random.nextInt(4); i > 0; i--) {
@@ -36,34 +36,34 @@
                                 .allMatch(
                                         s ->
                                                 wheel.nextAt()
-                                                        <= Wheel.tickOf(s.timer.dueAt)
-                                                                << Wheel.TICK_BITS));
+                                                        <= TimerWheel.tickOf(s.timer.dueAt)
+                                                                << TimerWheel.TICK_BITS));
                 now +=
                         random.nextInt(50) == 0
                                 ? random.nextLong(10_000 * MS)
                                 : random.nextLong(3 * MS);
-                long tick = now >> Wheel.TICK_BITS;
-                List<Wheel.Timer> due = wheel.due(now);
+                long tick = now >> TimerWheel.TICK_BITS;
+                List<TimerWheel.Timer> due = wheel.due(now);
                 long last = 0;
-                for (Wheel.Timer timer : due) {
+                for (TimerWheel.Timer timer : due) {
                     assertTrue(timer.dueAt <= now);
-                    assertTrue("in the order of ticks", Wheel.tickOf(timer.dueAt) >= last);
-                    last = Wheel.tickOf(timer.dueAt);
+                    assertTrue("in the order of ticks", TimerWheel.tickOf(timer.dueAt) >= last);
+                    last = TimerWheel.tickOf(timer.dueAt);
                     assertTrue(pending.removeIf(s -> s.timer == timer));
                 }
                 assertTrue(
                         "none is left",
-                        pending.stream().allMatch(s -> Wheel.tickOf(s.timer.dueAt) > tick));
+                        pending.stream().allMatch(s -> TimerWheel.tickOf(s.timer.dueAt) > tick));
             }
         }
     }
 
     @Test
     public void oneThatIsDueCanStillBeTakenBack() {
-        Wheel wheel = new Wheel(0);
+        TimerWheel wheel = new TimerWheel(0);
         wheel.set(MS, () -> {});
-        Wheel.Timer second = wheel.set(MS, () -> {});
-        List<Wheel.Timer> due = wheel.due(2 * MS);
+        TimerWheel.Timer second = wheel.set(MS, () -> {});
+        List<TimerWheel.Timer> due = wheel.due(2 * MS);
         assertEquals(2, due.size());
         assertTrue(due.get(0).take() != null);
         assertTrue("before it has run", second.remove());
@@ -73,7 +73,7 @@
 
     @Test
     public void oneThatIsOverdueWhenItIsSetRunsNext() {
-        Wheel wheel = new Wheel(500 * MS);
+        TimerWheel wheel = new TimerWheel(500 * MS);
         wheel.set(100 * MS, () -> {});
         assertTrue(wheel.nextAt() <= 501 * MS);
         assertEquals(1, wheel.due(501 * MS).size());
--- a/engine/src/test/java/trailthread/engine/call/DecisionsTest.java
+++ b/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
@@ -1,4 +1,4 @@
-package trailthread.engine.call;
+package trailthread.engine.request;
 
 import static org.junit.Assert.assertEquals;
 
@@ -10,10 +10,10 @@
 import trailthread.api.BalancerEvents;
 
 /** The module is never entered again from within an event, and its failure is one event's. */
-public class DecisionsTest {
+public class BalancerDriverTest {
     private final List<String> log = new ArrayList<>();
     private long now;
-    private final Decisions decisions = new Decisions(() -> now);
+    private final BalancerDriver decisions = new BalancerDriver(() -> now);
 
     /** Something of this type whose every call is logged by name, and then done. */
     private <T> T logged(Class<T> type, Runnable then) {
--- a/engine/src/test/java/trailthread/engine/call/GoneClientTest.java
+++ b/engine/src/test/java/trailthread/engine/request/DisconnectedClientTest.java
@@ -1,4 +1,4 @@
-package trailthread.engine.call;
+package trailthread.engine.request;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -21,22 +21,22 @@
 import trailthread.api.ListKind;
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
-import trailthread.engine.discovery.DiscoveryEntry;
+import trailthread.engine.discovery.DiscoveredEndpoint;
 import trailthread.engine.discovery.DiscoveryUpdate;
-import trailthread.engine.loop.Account;
-import trailthread.engine.loop.Loop;
-import trailthread.engine.meter.Meter;
-import trailthread.engine.worker.ConnectionRoom;
-import trailthread.engine.worker.Workers;
+import trailthread.engine.endpoint.ConnectionLimit;
+import trailthread.engine.endpoint.EndpointPool;
+import trailthread.engine.loop.CpuAccount;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
 
 /** What becomes of a call whose client goes away. */
-public class GoneClientTest {
+public class DisconnectedClientTest {
     private static final long LONG_NS = 60_000_000_000L;
-    private final Loop loop;
+    private final EventLoop loop;
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
-    public GoneClientTest() throws IOException {
-        loop = new Loop("gone");
+    public DisconnectedClientTest() throws IOException {
+        loop = new EventLoop("gone");
     }
 
     @After
@@ -45,16 +45,16 @@
         server.close();
     }
 
-    private static ClientCall call(String id) {
-        return new ClientCall(
+    private static ClientRequest call(String id) {
+        return new ClientRequest(
                 id, "use", null, LONG_NS, false, 0, 0, "POST", "/use", null, new byte[4], null);
     }
 
-    private static Reply anyReply() {
-        return (Reply)
+    private static ClientResponse anyReply() {
+        return (ClientResponse)
                 Proxy.newProxyInstance(
-                        Reply.class.getClassLoader(),
-                        new Class<?>[] {Reply.class},
+                        ClientResponse.class.getClassLoader(),
+                        new Class<?>[] {ClientResponse.class},
                         (proxy, method, args) -> null);
     }
 
@@ -73,9 +73,11 @@
                         0,
                         1,
                         0));
-        Workers workers =
-                new Workers(loop, LONG_NS, LONG_NS, 0, ConnectionRoom.of(4), 0, Account.NONE);
-        Calls calls = new Calls(loop, workers, settings, 1, Meter.OFF);
+        EndpointPool workers =
+                new EndpointPool(
+                        loop, LONG_NS, LONG_NS, 0, ConnectionLimit.of(4), 0, CpuAccount.NONE);
+        RequestDispatcher calls =
+                new RequestDispatcher(loop, workers, settings, 1, MetricsRecorder.OFF);
         loop.execute(
                 () -> {
                     workers.update(
@@ -83,7 +85,7 @@
                                     1,
                                     true,
                                     List.of(
-                                            new DiscoveryEntry(
+                                            new DiscoveredEndpoint(
                                                     "w",
                                                     "127.0.0.1:" + server.getLocalPort(),
                                                     "a",
--- a/engine/src/test/java/trailthread/engine/routes/AnyRoutesTest.java
+++ b/engine/src/test/java/trailthread/engine/routes/AnyRoutesTest.java
@@ -48,7 +48,7 @@
     @Property(tries = 2000)
     @SuppressWarnings("ReferenceEquality") // which entry of the table, not one equal to it
     void theTableAgreesWithALinearMatcher(
-            @ForAll("tables") List<Route> routes, @ForAll("requests") Asked asked) {
+            @ForAll("tables") List<Route> routes, @ForAll("requests") RouteQuery asked) {
         RouteTable table = new RouteTable(routes);
         List<Route> sorted = new ArrayList<>(routes);
         sorted.sort(Comparator.comparing(AnyRoutesTest::rank));
@@ -72,7 +72,7 @@
 
     @Property(tries = 2000)
     void aTableWithoutConflictsHasOneFirstRouteForAnyRequest(
-            @ForAll("tables") List<Route> routes, @ForAll("requests") Asked asked) {
+            @ForAll("tables") List<Route> routes, @ForAll("requests") RouteQuery asked) {
         RouteTable table = new RouteTable(routes);
         Route found = table.match(asked);
         long equals =
@@ -116,7 +116,7 @@
     }
 
     @Provide
-    Arbitrary<Asked> requests() {
+    Arbitrary<RouteQuery> requests() {
         return Combinators.combine(
                         Arbitraries.of("x", "a.x", "b.a.x", "c.a.x", "d.c.x", "y", ""),
                         Arbitraries.of(SEGMENTS).list().ofMinSize(1).ofMaxSize(5),
@@ -126,6 +126,6 @@
                         Arbitraries.of("p", "q").injectNull(0.5))
                 .as(
                         (host, path, method, headers, c) ->
-                                new Asked(host, path, method, headers::get, c));
+                                new RouteQuery(host, path, method, headers::get, c));
     }
 }
--- a/engine/src/test/java/trailthread/engine/routes/RouteTableTest.java
+++ b/engine/src/test/java/trailthread/engine/routes/RouteTableTest.java
@@ -36,9 +36,10 @@
                 null);
     }
 
-    private static Asked get(String host, String path, Map<String, String> headers)
+    private static RouteQuery get(String host, String path, Map<String, String> headers)
             throws BadTargetException {
-        return new Asked(host, Target.segments(path), "GET", headers::get, headers.get("class"));
+        return new RouteQuery(
+                host, Target.segments(path), "GET", headers::get, headers.get("class"));
     }
 
     private static String taker(
@@ -147,7 +148,7 @@
                         Set.of("PUT", "POST"),
                         Map.of("h", "1"),
                         null);
-        List<Conflict> conflicts = new RouteTable(List.of(a, b)).conflicts();
+        List<RouteConflict> conflicts = new RouteTable(List.of(a, b)).conflicts();
         assertEquals(1, conflicts.size());
         assertEquals(
                 "routes a and b both take PUT a.example/x/x, h: 1, and neither is more specific",
