--- a/command/src/test/java/trailthread/command/ServicesTest.java
+++ b/command/src/test/java/trailthread/command/ServicesTest.java
@@ -52,7 +52,7 @@
         return "[[routes]]\nname = \"" + name + "\"\n" + keys + "\n";
     }
 
-    private static String workers(Peer... peers) {
+    private static String endpoints(Peer... peers) {
         StringBuilder list = new StringBuilder("workers = [");
         for (Peer peer : peers) {
             list.append('"').append(peer.hostPort()).append("\",");
@@ -69,7 +69,7 @@
     }
 
     private void serve() throws Exception {
-        stage.serve(file(workers(sim), workers(marks)));
+        stage.serve(file(endpoints(sim), endpoints(marks)));
     }
 
     private static String request(String method, String path, String host, String headers) {
@@ -147,7 +147,7 @@
                                 asked.start().startsWith("HEAD")
                                         ? "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"
                                         : "HTTP/1.1 204 No Content\r\n\r\n"));
-        for (int i = 0; i < 3; i++) { // on one connection to the worker, as nothing is left on it
+        for (int i = 0; i < 3; i++) { // on one connection to the endpoint, as nothing is left on it
             Message head = ask("HEAD", "/x", "sim.example.org", "");
             assertEquals(200, head.status());
             assertEquals("7", head.header("Content-Length"));
@@ -202,7 +202,7 @@
     }
 
     @Test
-    public void aWorkersFaultIsNoAnswer() throws Exception {
+    public void aEndpointsFaultIsNoAnswer() throws Exception {
         serve();
         sim.setScript(asked -> asked.answer("429 Too Many Requests", "", ""));
         assertEquals(
@@ -220,7 +220,7 @@
         ask("GET", "/1", "marks.example.org", "");
         Socket toSim = sim.asked().connection();
         Socket toMarks = marks.asked().connection();
-        stage.reload(file(workers(sim), "attempts = 2\n" + workers(marks)));
+        stage.reload(file(endpoints(sim), "attempts = 2\n" + endpoints(marks)));
         stage.logged("1 pools kept, 1 begun, 1 ending");
         Thread.sleep(20); // as above
         ask("GET", "/2", "sim.example.org", "");
@@ -256,7 +256,7 @@
         // Its route has lost its pool meanwhile.
         stage.reload(
                 "[node]\nlisten = \"127.0.0.1:0\"\ndescriptors = 256\n"
-                        + pool("sim", workers(sim))
+                        + pool("sim", endpoints(sim))
                         + route("all", "pool = \"sim\""));
         stage.logged("1 pools kept, 0 begun, 1 ending");
         assertEquals("sim", ask("GET", "/x", "marks.example.org", "").body());
@@ -270,7 +270,7 @@
     @Test
     public void aFileWithFaultsChangesNothing() throws Exception {
         serve();
-        stage.reload(file(workers(sim), "deadlin = \"1s\"\n" + workers(marks)));
+        stage.reload(file(endpoints(sim), "deadlin = \"1s\"\n" + endpoints(marks)));
         stage.logged("pools.marks.deadlin: expected a key that is known, such as deadline");
         stage.logged("is not taken over: 1 faults");
         assertEquals("marks", ask("GET", "/x", "marks.example.org", "").body());
@@ -282,7 +282,7 @@
         Path next = Files.createTempFile("workers", ".json");
         try {
             Files.writeString(list, Stage.list(1, true, "active", sim));
-            stage.serve(file("file = \"" + list + "\"", workers(marks)));
+            stage.serve(file("file = \"" + list + "\"", endpoints(marks)));
             Message answer = ask("GET", "/x", "sim.example.org", "");
             assertEquals(stage.log.toString(), "sim", answer.body());
             String whole = Stage.list(2, true, "active", marks);
@@ -306,7 +306,7 @@
             Files.writeString(list, Stage.list(1, true, "active"));
             String keys = "file = \"" + list + "\"\n";
             stage.serve(
-                    file(keys, workers(marks))
+                    file(keys, endpoints(marks))
                             .replace(
                                     "aim = \"10s\"\ndeadline = \"20s\"",
                                     "aim = \"300ms\"\ndeadline = \"600ms\""));
@@ -327,8 +327,8 @@
         }
     }
 
-    private String overloaded(String marksWorkers) {
-        return file(workers(sim), "attempts = 2\n" + marksWorkers)
+    private String overloaded(String marksEndpoints) {
+        return file(endpoints(sim), "attempts = 2\n" + marksEndpoints)
                 .replace(
                         "[pools.marks]\naim = \"10s\"\ndeadline = \"20s\"\nconnect_within = \"10s\"",
                         "[pools.marks]\naim = \"1s\"\ndeadline = \"3s\"\nconnect_within = \"300ms\"");
@@ -358,7 +358,7 @@
         assertEquals("attempts", before + 80, sim.requests.size());
     }
 
-    /** Its workers take what they get and never answer. */
+    /** Its endpoints take what they get and never answer. */
     @Test
     public void aPoolThatHangsTakesNothingOfTheOthers() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
@@ -370,13 +370,13 @@
                         throw new AssertionError(e);
                     }
                 });
-        stage.serve(overloaded(workers(marks)));
+        stage.serve(overloaded(endpoints(marks)));
         crowdMarks();
         simIsServedAsIfAlone();
         never.countDown();
     }
 
-    /** Connects to its workers never come up. */
+    /** Connects to its endpoints never come up. */
     @Test
     public void aPoolThatHangsOnConnectTakesNothingOfTheOthers() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -389,7 +389,7 @@
         }
     }
 
-    /** Its workers answer a byte a second. */
+    /** Its endpoints answer a byte a second. */
     @Test
     public void aPoolThatDripsTakesNothingOfTheOthers() throws Exception {
         marks.setScript(
@@ -405,7 +405,7 @@
                         }
                     }
                 });
-        stage.serve(overloaded(workers(marks)));
+        stage.serve(overloaded(endpoints(marks)));
         crowdMarks();
         simIsServedAsIfAlone();
     }
@@ -460,8 +460,8 @@
                 });
         stage.serve(
                 file(
-                        workers(sim),
-                        workers(marks)
+                        endpoints(sim),
+                        endpoints(marks)
                                 + "[pools.marks.limits]\nbody_memory_guaranteed = \"64KiB\"\n"
                                 + "body_memory_most = \"100KiB\"\n"));
         String body = "x".repeat(50 * 1024);
@@ -500,9 +500,9 @@
     public void manyReloadsUnderLoad() throws Exception {
         serve();
         String[] files = {
-            file(workers(sim), workers(marks)),
-            file(workers(sim), "attempts = 2\n" + workers(marks)),
-            file("attempts = 2\n" + workers(sim), workers(marks)),
+            file(endpoints(sim), endpoints(marks)),
+            file(endpoints(sim), "attempts = 2\n" + endpoints(marks)),
+            file("attempts = 2\n" + endpoints(sim), endpoints(marks)),
             "[node\n"
         };
         ask("GET", "/warm", "sim.example.org", "");
--- a/configuration/src/main/java/trailthread/configuration/Key.java
+++ b/configuration/src/main/java/trailthread/configuration/Key.java
@@ -12,7 +12,7 @@
     NODE_BODY_MEMORY(Part.NODE, "body_memory", "size", "16MiB"),
     OPERATOR_LISTEN(Part.OPERATOR, "listen", "address:port", "off"),
     POOL_PROFILE(Part.POOL, "profile", "plain or platform", "plain"),
-    POOL_WORKERS(Part.POOL, "workers", "list of address:port", "one of three"),
+    POOL_ENDPOINTS(Part.POOL, "workers", "list of address:port", "one of three"),
     POOL_FILE(Part.POOL, "file", "path", "one of three"),
     POOL_ROSTER(Part.POOL, "roster", "address:port", "one of three"),
     POOL_ZONE(Part.POOL, "zone", "text", "none"),
--- a/configuration/src/main/java/trailthread/configuration/OperatorFileReader.java
+++ b/configuration/src/main/java/trailthread/configuration/OperatorFileReader.java
@@ -319,7 +319,7 @@
 
     private static Source source(Section pool) {
         int given = 0;
-        for (Key key : new Key[] {Key.POOL_WORKERS, Key.POOL_FILE, Key.POOL_ROSTER}) {
+        for (Key key : new Key[] {Key.POOL_ENDPOINTS, Key.POOL_FILE, Key.POOL_ROSTER}) {
             given += pool.has(key) ? 1 : 0;
         }
         if (given != 1) {
@@ -334,11 +334,12 @@
         if (pool.has(Key.POOL_FILE)) {
             return new Source.ListFile(pool.text(Key.POOL_FILE, ""));
         }
-        List<String> workers = pool.list(Key.POOL_WORKERS, text -> Section.checkedAddress(text, 1));
-        if (new HashSet<>(workers).size() < workers.size()) {
-            pool.fault(Key.POOL_WORKERS, "each worker once");
+        List<String> endpoints =
+                pool.list(Key.POOL_ENDPOINTS, text -> Section.checkedAddress(text, 1));
+        if (new HashSet<>(endpoints).size() < endpoints.size()) {
+            pool.fault(Key.POOL_ENDPOINTS, "each worker once");
         }
-        return new Source.Fixed(workers);
+        return new Source.Fixed(endpoints);
     }
 
     private static List<ClassConfig> classes(Section pool, Profile profile) {
--- a/daemon/src/main/java/trailthread/daemon/ModuleDrill.java
+++ b/daemon/src/main/java/trailthread/daemon/ModuleDrill.java
@@ -16,15 +16,17 @@
 
 /**
  * Plays a crowd of requests to a module of its own, in time of its own, so that the decisions of a
- * start are not the first ones ever taken: a cold decision among ten workers takes longer than all
- * the rest of a call, and the crowd that a restart brings takes hundreds. No socket and no clock;
- * what it decides is dropped.
+ * start are not the first ones ever taken: a cold decision among ten endpoints takes longer than
+ * all the rest of a call, and the crowd that a restart brings takes hundreds. No socket and no
+ * clock; what it decides is dropped.
  */
 class ModuleDrill implements BalancerActions {
-    private static final int WORKERS = 10;
+    private static final int ENDPOINTS = 10;
     private static final long STEP_NS = 1_000_000;
 
-    /** So many requests a step, more than the workers can take: some are held, and turned away. */
+    /**
+     * So many requests a step, more than the endpoints can take: some are held, and turned away.
+     */
     private static final int REQUESTS_A_STEP = 2;
 
     private static final long ANSWER_NS = 25 * STEP_NS;
@@ -45,7 +47,7 @@
         this.settings = settings;
         module = new Balancer(settings, seed, now, this);
         List<EndpointEntry> entries = new ArrayList<>();
-        for (int i = 0; i < WORKERS; i++) {
+        for (int i = 0; i < ENDPOINTS; i++) {
             entries.add(new EndpointEntry("w" + i, 1, EndpointState.READY, settings.zone, 0, i));
         }
         module.list(now, ListKind.FULL, entries);
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -48,7 +48,7 @@
     private static final double CALLERS_SHARE = 1.0 / 3;
 
     /**
-     * At its start a node asks so many workers for their load: by chance, one alone may be idle.
+     * At its start a node asks so many endpoints for their load: by chance, one alone may be idle.
      */
     private static final int ASKED_AT_START = 4;
 
@@ -63,7 +63,7 @@
 
     private volatile NodeConfig config;
     private final EventLoop loop;
-    private final EndpointPool workers;
+    private final EndpointPool endpoints;
     private final RequestDispatcher calls;
     private final WarmUp warmUp;
     private final PlatformFrontend front;
@@ -101,7 +101,7 @@
         meter = service == null ? operators : service;
         int forOthers = config.sockets() - ownDescriptors();
         int forClients = (int) (CLIENTS_SHARE * forOthers);
-        workers =
+        endpoints =
                 new EndpointPool(
                         loop,
                         config.settings().connectTimeoutNs,
@@ -110,10 +110,10 @@
                         ConnectionLimit.of(forOthers - forClients),
                         config.settings().latencyResolutionNs(),
                         CpuAccount.NONE);
-        calls = new RequestDispatcher(loop, workers, config.settings(), config.seed(), meter);
+        calls = new RequestDispatcher(loop, endpoints, config.settings(), config.seed(), meter);
         discovery = new DiscoveryClient(loop, config.discovery(), this);
         calls.setDiscovery(discovery);
-        workers.setNews(discovery::readNews);
+        endpoints.setNews(discovery::readNews);
         lease = new ListLease(config.drainGraceNs(), !config.settings().listIsPolled);
         warmUp = new WarmUp(loop, config, calls);
         front = new PlatformFrontend(config.settings().classes, warmUp);
@@ -139,7 +139,7 @@
         if (operator != null) {
             operator.listen(config.management(), drain);
         }
-        // On a shared socket the node's calls to itself could reach another process, and workers
+        // On a shared socket the node's calls to itself could reach another process, and endpoints
         // through it.
         InetSocketAddress self =
                 acceptor.listen(
@@ -214,11 +214,11 @@
         }
     }
 
-    /** Asks some workers for their load, if it may; whether it does. */
+    /** Asks some endpoints for their load, if it may; whether it does. */
     private boolean askAround() {
         List<String> some =
                 config.known().instances().stream()
-                        .filter(worker -> worker.lifecycle() == EndpointState.READY)
+                        .filter(endpoint -> endpoint.lifecycle() == EndpointState.READY)
                         .limit(ASKED_AT_START)
                         .map(DiscoveredEndpoint::instanceId)
                         .toList();
@@ -227,9 +227,11 @@
                         && config.settings().reports != LoadReportSource.NONE;
         if (may) {
             some.forEach(
-                    worker ->
-                            workers.probe(
-                                    worker, ASKED_WITHIN_NS, ending -> warmUp.told(ending.load())));
+                    endpoint ->
+                            endpoints.probe(
+                                    endpoint,
+                                    ASKED_WITHIN_NS,
+                                    ending -> warmUp.told(ending.load())));
         }
         return may && !some.isEmpty();
     }
@@ -263,7 +265,7 @@
         calls.retune(now.settings());
         lease.retune(now.drainGraceNs(), !now.settings().listIsPolled);
         leased();
-        workers.retune(now.settings().connectTimeoutNs, now.idleCloseNs(), now.drainGraceNs());
+        endpoints.retune(now.settings().connectTimeoutNs, now.idleCloseNs(), now.drainGraceNs());
         front.retune(now.settings().classes);
         if (operator != null) {
             operator.serves(now.settings().classes);
@@ -310,13 +312,13 @@
     }
 
     @Override
-    public Map<String, Integer> workerConnections() {
-        return workers.connections();
+    public Map<String, Integer> endpointConnections() {
+        return endpoints.connections();
     }
 
     @Override
-    public int avoidedWorkers() {
-        return calls.avoidedWorkers();
+    public int avoidedEndpoints() {
+        return calls.avoidedEndpoints();
     }
 
     @Override
@@ -336,7 +338,7 @@
         for (int connections : acceptor.connections().values()) {
             held += connections;
         }
-        for (int connections : workers.connections().values()) {
+        for (int connections : endpoints.connections().values()) {
             held += connections;
         }
         return Math.min(1, (double) held / config.sockets());
@@ -366,7 +368,7 @@
 
     /** Brings the lease to all that act on the list. */
     private void leased() {
-        workers.listLeaseUntil(lease.until());
+        endpoints.listLeaseUntil(lease.until());
         calls.listLeaseUntil(lease.until());
         if (lease.isHeld(loop.now())) {
             listed();
@@ -374,7 +376,7 @@
     }
 
     private void list(ListKind kind, DiscoveryUpdate update, long knownSince) {
-        workers.update(update, knownSince);
+        endpoints.update(update, knownSince);
         List<EndpointEntry> entries = new ArrayList<>();
         for (DiscoveredEndpoint e : update.instances()) {
             entries.add(e.entry());
--- a/daemon/src/main/java/trailthread/daemon/NodeConfig.java
+++ b/daemon/src/main/java/trailthread/daemon/NodeConfig.java
@@ -24,8 +24,8 @@
  *
  * @param told discovery as the file names it; {@code discovery} is the one to use
  * @param sockets how many file descriptors the node may hold
- * @param known the list of workers as this node had it last, perhaps old
- * @param idleCloseNs how long a worker leaves an idle connection open
+ * @param known the list of endpoints as this node had it last, perhaps old
+ * @param idleCloseNs how long an endpoint leaves an idle connection open
  * @param drainGraceNs how long after the news of a drain something new may still be sent
  * @param management where operators ask and steer the node, or null: nowhere
  * @param levels levels of service, or null: none
--- a/daemon/src/main/java/trailthread/daemon/WarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/WarmUp.java
@@ -31,8 +31,8 @@
 
 /**
  * Takes calls of the node's own through the whole path before clients come, so that their first
- * calls do not wait for classes to load and code to be compiled. The node is client and worker of
- * these calls, over its own address; a module of their own decides on them, and no real worker
+ * calls do not wait for classes to load and code to be compiled. The node is client and endpoint of
+ * these calls, over its own address; a module of their own decides on them, and no real endpoint
  * hears of them: one that was given up may lie unread until long after the last, so each call that
  * is read is looked at, for as long as the node runs.
  */
@@ -82,7 +82,7 @@
     /** What takes the calls that are a client's. */
     private final RequestHandler real;
 
-    private final EndpointPool workers;
+    private final EndpointPool endpoints;
     private final RequestDispatcher calls;
 
     /** Ids of the node's own calls begin so; no client's does. */
@@ -102,7 +102,7 @@
         this.config = config;
         this.real = real;
         prefix = "warm-up-" + Long.toHexString(config.seed()) + "-";
-        workers =
+        endpoints =
                 new EndpointPool(
                         loop,
                         config.settings().connectTimeoutNs,
@@ -113,13 +113,13 @@
                         CpuAccount.NONE);
         calls =
                 new RequestDispatcher(
-                        loop, workers, config.settings(), config.seed(), MetricsRecorder.OFF);
+                        loop, endpoints, config.settings(), config.seed(), MetricsRecorder.OFF);
     }
 
     /**
      * Makes calls to the node's own address for a while.
      *
-     * @param asked whether workers are asked for their load meanwhile, see {@link #told}
+     * @param asked whether endpoints are asked for their load meanwhile, see {@link #told}
      * @param patient whether another process of this node serves its clients meanwhile: nothing is
      *     in a hurry then
      */
@@ -129,7 +129,7 @@
         startedAt = loop.now();
         endsAt = startedAt + (asked || patient ? LONGEST_NS : UNKNOWING_NS);
         String hostPort = self.getAddress().getHostAddress() + ":" + self.getPort();
-        workers.update(
+        endpoints.update(
                 new DiscoveryUpdate(
                         0,
                         true,
@@ -153,8 +153,8 @@
     }
 
     /**
-     * A worker has told its load, or none (null): one that holds requests says that the fleet is at
-     * work.
+     * An endpoint has told its load, or none (null): one that holds requests says that the fleet is
+     * at work.
      */
     void told(LoadReport load) {
         if (patient) {
@@ -168,7 +168,7 @@
         }
     }
 
-    /** As the node calls itself alone, decisions among many workers are practised apart. */
+    /** As the node calls itself alone, decisions among many endpoints are practised apart. */
     private void drill() {
         ModuleDrill drill = new ModuleDrill(config.settings(), config.seed());
         long until = loop.now() + DRILL_NS;
@@ -191,19 +191,19 @@
                     count,
                     hurried ? ", as workers are busy" : "",
                     works ? "" : ", the last one not served");
-            workers.update(new DiscoveryUpdate(0, true, List.of()), loop.now());
+            endpoints.update(new DiscoveryUpdate(0, true, List.of()), loop.now());
             over = true;
             done.run();
             return;
         }
         if (count % CALLS_A_CONNECTION == 0) {
-            workers.closeIdle(SELF);
+            endpoints.closeIdle(SELF);
         }
         List<RequestClass> classes = config.settings().classes;
         RequestClass c = classes.get(count++ % classes.size());
         boolean safe = c.idempotency() == Idempotency.IDEMPOTENT;
         String id = prefix + count;
-        workers.attempt(
+        endpoints.attempt(
                 SELF,
                 new EndpointRequest(
                         id,
@@ -222,7 +222,7 @@
         return real.isOpen(id);
     }
 
-    /** The node's own calls come twice: as a client's, and then as they reach the worker. */
+    /** The node's own calls come twice: as a client's, and then as they reach the endpoint. */
     @Override
     public Runnable take(ClientRequest call, long deadline, ClientResponse reply) {
         if (!call.id().startsWith(prefix)) {
--- a/daemon/src/main/java/trailthread/daemon/admin/EndpointMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/EndpointMetrics.java
@@ -5,7 +5,7 @@
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
 
-/** What this node has seen of one worker. */
+/** What this node has seen of one endpoint. */
 final class EndpointMetrics {
     /** The best first: those that fail less, then those with less to do, then the faster. */
     static final Comparator<EndpointMetrics> BEST_FIRST =
@@ -28,7 +28,7 @@
     /** Smoothed time of those served; NaN: there were none. */
     double latencyS = Double.NaN;
 
-    /** The queue that the worker told of last; NaN: it told of none. */
+    /** The queue that the endpoint told of last; NaN: it told of none. */
     double queue = Double.NaN;
 
     EndpointMetrics(String id, EndpointState state) {
@@ -54,10 +54,11 @@
     void ended(Outcome outcome, long latencyNs, LoadReport load) {
         inFlight =
                 Math.max(
-                        0, inFlight - 1); // one begun before the worker left the list and came back
+                        0,
+                        inFlight - 1); // one begun before the endpoint left the list and came back
         told(load);
         if (outcome == Outcome.NOT_SENT || outcome == Outcome.CANCELLED) {
-            return; // says nothing of the worker
+            return; // says nothing of the endpoint
         }
         boolean failed = outcome != Outcome.OK && outcome != Outcome.REJECTED;
         attempts++;
--- a/daemon/src/main/java/trailthread/daemon/admin/Exposition.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/Exposition.java
@@ -56,7 +56,7 @@
         e.attempts(s);
         e.connections(s);
         e.process(process);
-        e.workers(s.fleet());
+        e.endpoints(s.fleet());
         ByteArrayOutputStream out = new ByteArrayOutputStream(USUAL_BYTES);
         writer.write(out, new MetricSnapshots(e.all));
         return out.toByteArray();
@@ -163,7 +163,7 @@
                 "trailthread_worker_connections",
                 "Connections to workers.",
                 "state",
-                s.workerConnections());
+                s.endpointConnections());
         gauge(
                 "trailthread_descriptors_limit",
                 "File descriptors that the node may hold.",
@@ -200,7 +200,7 @@
                 Map.of("heap", process.heapMostBytes()));
     }
 
-    private void workers(FleetMetrics fleet) {
+    private void endpoints(FleetMetrics fleet) {
         gauges(
                 "trailthread_workers",
                 "Workers listed.",
@@ -246,11 +246,11 @@
             FleetMetrics fleet,
             ToDoubleFunction<EndpointMetrics> figure) {
         GaugeSnapshot.Builder gauge = GaugeSnapshot.builder().name(name).help(help);
-        for (EndpointMetrics worker : fleet.worst()) {
-            double value = figure.applyAsDouble(worker);
+        for (EndpointMetrics endpoint : fleet.worst()) {
+            double value = figure.applyAsDouble(endpoint);
             if (!Double.isNaN(value)) {
                 gauge.dataPoint(
-                        new GaugeDataPointSnapshot(value, Labels.of("worker", worker.id), null));
+                        new GaugeDataPointSnapshot(value, Labels.of("worker", endpoint.id), null));
             }
         }
         all.add(gauge.build());
--- a/daemon/src/main/java/trailthread/daemon/admin/FleetMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/FleetMetrics.java
@@ -8,7 +8,7 @@
 import trailthread.api.EndpointState;
 
 /**
- * All workers, told in a bounded space.
+ * All endpoints, told in a bounded space.
  *
  * @param worst the worst of them, the worst first
  * @param rest how many more there are; what follows is their sum
@@ -23,7 +23,7 @@
         long restFailures,
         double restQueue) {
 
-    static FleetMetrics of(Collection<EndpointMetrics> workers, int most) {
+    static FleetMetrics of(Collection<EndpointMetrics> endpoints, int most) {
         PriorityQueue<EndpointMetrics> worst =
                 new PriorityQueue<>(most + 1, EndpointMetrics.BEST_FIRST);
         int ready = 0;
@@ -32,12 +32,12 @@
         long attempts = 0;
         long failures = 0;
         double queue = 0;
-        for (EndpointMetrics worker : workers) {
-            ready += worker.state == EndpointState.READY ? 1 : 0;
-            EndpointMetrics left = worker;
+        for (EndpointMetrics endpoint : endpoints) {
+            ready += endpoint.state == EndpointState.READY ? 1 : 0;
+            EndpointMetrics left = endpoint;
             if (worst.size() < most
-                    || EndpointMetrics.BEST_FIRST.compare(worker, worst.peek()) > 0) {
-                worst.add(worker);
+                    || EndpointMetrics.BEST_FIRST.compare(endpoint, worst.peek()) > 0) {
+                worst.add(endpoint);
                 left = worst.size() > most ? worst.poll() : null;
             }
             if (left != null) {
@@ -54,6 +54,6 @@
         }
         Collections.reverse(shown);
         return new FleetMetrics(
-                ready, workers.size() - ready, shown, rest, inFlight, attempts, failures, queue);
+                ready, endpoints.size() - ready, shown, rest, inFlight, attempts, failures, queue);
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/admin/NodeMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/NodeMetrics.java
@@ -16,11 +16,11 @@
 
 /** Counts what happens in one node. Plain figures, as all of it happens on the loop's thread. */
 final class NodeMetrics implements MetricsRecorder {
-    /** Past these, workers are told of by their sum. */
-    static final int MOST_WORKERS_SHOWN = 1_024;
+    /** Past these, endpoints are told of by their sum. */
+    static final int MOST_ENDPOINTS_SHOWN = 1_024;
 
     private final Map<String, ClassMetrics> classes = new LinkedHashMap<>();
-    private final Map<String, EndpointMetrics> workers = new HashMap<>();
+    private final Map<String, EndpointMetrics> endpoints = new HashMap<>();
     private final Map<String, Long> levelChanges = new LinkedHashMap<>();
     private final long[] rejections = new long[RejectionReason.values().length];
     private final long[] attempts = new long[Outcome.values().length];
@@ -72,9 +72,9 @@
     }
 
     @Override
-    public void attemptBegun(String worker) {
+    public void attemptBegun(String endpoint) {
         attemptsAtWork++;
-        EndpointMetrics figures = workers.get(worker);
+        EndpointMetrics figures = endpoints.get(endpoint);
         if (figures != null) {
             figures.inFlight++;
         }
@@ -86,19 +86,19 @@
     }
 
     @Override
-    public void attemptEnded(String worker, Outcome outcome, long latencyNs, LoadReport load) {
+    public void attemptEnded(String endpoint, Outcome outcome, long latencyNs, LoadReport load) {
         attemptsAtWork--;
         attempts[outcome.ordinal()]++;
-        EndpointMetrics figures = workers.get(worker);
+        EndpointMetrics figures = endpoints.get(endpoint);
         if (figures != null) {
             figures.ended(outcome, latencyNs, load);
         }
     }
 
     @Override
-    public void healthChecked(String worker, Outcome outcome, LoadReport load) {
+    public void healthChecked(String endpoint, Outcome outcome, LoadReport load) {
         probes[outcome.ordinal()]++;
-        EndpointMetrics figures = workers.get(worker);
+        EndpointMetrics figures = endpoints.get(endpoint);
         if (figures != null) {
             figures.told(load);
         }
@@ -108,19 +108,19 @@
     public void listed(ListKind kind, List<EndpointEntry> entries) {
         Map<String, EndpointMetrics> before = Map.of();
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
-            before = new HashMap<>(workers);
-            workers.clear();
+            before = new HashMap<>(endpoints);
+            endpoints.clear();
         }
         for (EndpointEntry entry : entries) {
             String id = entry.endpoint();
-            EndpointMetrics figures = workers.getOrDefault(id, before.get(id));
+            EndpointMetrics figures = endpoints.getOrDefault(id, before.get(id));
             if (entry.state() == EndpointState.GONE) {
-                workers.remove(id);
+                endpoints.remove(id);
             } else if (figures == null) {
-                workers.put(id, new EndpointMetrics(id, entry.state()));
+                endpoints.put(id, new EndpointMetrics(id, entry.state()));
             } else {
                 figures.state = entry.state();
-                workers.put(id, figures);
+                endpoints.put(id, figures);
             }
         }
     }
@@ -173,8 +173,8 @@
         }
         figure(out, "sends", attemptsSent);
         figure(out, "current", current);
-        figure(out, "cluster_size", workers.size());
-        figure(out, "cluster_unhealthy", view.avoidedWorkers());
+        figure(out, "cluster_size", endpoints.size());
+        figure(out, "cluster_unhealthy", view.avoidedEndpoints());
         figure(out, "conf_loaded", reloadsTaken);
         figure(out, "conf_invalid", reloadsTurnedDown);
         return out.toString();
@@ -218,8 +218,8 @@
                 probes.clone(),
                 lateness.copy(),
                 new LinkedHashMap<>(view.clientConnections()),
-                new LinkedHashMap<>(view.workerConnections()),
+                new LinkedHashMap<>(view.endpointConnections()),
                 view.descriptorLimit(),
-                FleetMetrics.of(workers.values(), MOST_WORKERS_SHOWN));
+                FleetMetrics.of(endpoints.values(), MOST_ENDPOINTS_SHOWN));
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/admin/Snapshot.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/Snapshot.java
@@ -24,6 +24,6 @@
         long[] probes,
         Durations lateness,
         Map<String, Integer> clientConnections,
-        Map<String, Integer> workerConnections,
+        Map<String, Integer> endpointConnections,
         int descriptorLimit,
         FleetMetrics fleet) {}
--- a/daemon/src/main/java/trailthread/daemon/admin/StatusJson.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/StatusJson.java
@@ -52,7 +52,7 @@
         out.name("attempts_at_work").value(s.attemptsAtWork());
         counts("probes", Outcome.values(), s.probes());
         object("client_connections", s.clientConnections());
-        object("worker_connections", s.workerConnections());
+        object("worker_connections", s.endpointConnections());
         out.name("process").beginObject();
         figure("open_descriptors", process.openDescriptors());
         figure("descriptors_limit", s.descriptorLimit());
@@ -61,7 +61,7 @@
         figure("heap_max_bytes", process.heapMostBytes());
         figure("cpu_seconds", process.cpuSeconds());
         out.endObject();
-        workers(s.fleet());
+        endpoints(s.fleet());
         out.endObject();
     }
 
@@ -82,21 +82,21 @@
         out.endObject();
     }
 
-    private void workers(FleetMetrics fleet) throws IOException {
+    private void endpoints(FleetMetrics fleet) throws IOException {
         out.name("workers").beginObject();
         out.name("ready").value(fleet.ready());
         out.name("draining").value(fleet.draining());
         out.name("worst").beginArray();
-        for (EndpointMetrics worker : fleet.worst()) {
+        for (EndpointMetrics endpoint : fleet.worst()) {
             out.beginObject();
-            out.name("id").value(worker.id);
-            out.name("state").value(MetricLabels.of(worker.state));
-            out.name("in_flight").value(worker.inFlight);
-            figure("queue", worker.queue);
-            figure("latency_seconds", worker.latencyS);
-            figure("failure_ratio", worker.failureRatio);
-            out.name("attempts").value(worker.attempts);
-            out.name("failures").value(worker.failures);
+            out.name("id").value(endpoint.id);
+            out.name("state").value(MetricLabels.of(endpoint.state));
+            out.name("in_flight").value(endpoint.inFlight);
+            figure("queue", endpoint.queue);
+            figure("latency_seconds", endpoint.latencyS);
+            figure("failure_ratio", endpoint.failureRatio);
+            out.name("attempts").value(endpoint.attempts);
+            out.name("failures").value(endpoint.failures);
             out.endObject();
         }
         out.endArray();
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
@@ -290,7 +290,7 @@
                         ? incoming.why()
                         : body == null
                                 ? RejectionReason.TOO_LARGE
-                                // the worker would take it for a copy
+                                // the endpoint would take it for a copy
                                 : incoming.taker().isOpen(incoming.call().id())
                                         ? RejectionReason.CONFLICT
                                         : null;
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
@@ -19,7 +19,7 @@
 
 /** Answers one call over HTTP, and notices when its client goes away. */
 final class HttpResponseWriter implements ClientResponse {
-    /** A worker's word to the node alone. */
+    /** An endpoint's word to the node alone. */
     private static final Set<String> LEFT_OUT = Set.of("x-backend-load", "x-unprocessed");
 
     private static final int REFUSED = 503;
@@ -44,7 +44,7 @@
     private StreamedResponse longAnswer;
 
     /**
-     * @param plain whether a worker's status and headers are passed on
+     * @param plain whether an endpoint's status and headers are passed on
      * @param closing whether the connection is to end with the answer
      * @param room what is sent ahead takes of it, past a buffer
      * @param released runs once nothing of the call is kept
--- a/daemon/src/main/java/trailthread/daemon/listener/PlainRequestDecoder.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PlainRequestDecoder.java
@@ -19,7 +19,7 @@
  * class by the method (RFC 9110, 9.2), the id anew, the deadline by the class.
  */
 final class PlainRequestDecoder {
-    /** What the node tells workers itself. */
+    /** What the node tells endpoints itself. */
     private static final Set<String> OWN =
             Set.of("x-correlation-id", "x-time-left", "x-service-class");
 
--- a/daemon/src/main/java/trailthread/daemon/listener/PlatformRequestDecoder.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PlatformRequestDecoder.java
@@ -104,7 +104,7 @@
     }
 
     /**
-     * Guards workers, too: what they can't read would end their connection, and count as their
+     * Guards endpoints, too: what they can't read would end their connection, and count as their
      * failure.
      */
     private static String optional(HeaderMap headers, HttpString name) throws BadRequestException {
--- a/daemon/src/main/java/trailthread/daemon/listener/RequestFrontend.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/RequestFrontend.java
@@ -19,7 +19,7 @@
      *
      * @param call but for its body, or null: it is none, and is answered as {@code why} says
      * @param taker who takes it
-     * @param plain whether the worker's status and headers are passed on
+     * @param plain whether the endpoint's status and headers are passed on
      */
     record Incoming(ClientRequest call, Taker taker, boolean plain, RejectionReason why) {
         /** A request that is no call. */
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -274,7 +274,7 @@
     }
 
     @Override
-    public Map<String, Integer> workerConnections() {
+    public Map<String, Integer> endpointConnections() {
         Map<String, Integer> sums = new LinkedHashMap<>();
         sums.put("idle", 0);
         sums.put("busy", 0);
@@ -287,8 +287,8 @@
     }
 
     @Override
-    public int avoidedWorkers() {
-        return pools.values().stream().mapToInt(Pool::avoidedWorkers).sum();
+    public int avoidedEndpoints() {
+        return pools.values().stream().mapToInt(Pool::avoidedEndpoints).sum();
     }
 
     @Override
--- a/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
+++ b/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
@@ -75,12 +75,12 @@
         }
 
         @Override
-        public Map<String, Integer> workerConnections() {
+        public Map<String, Integer> endpointConnections() {
             return Map.of();
         }
 
         @Override
-        public int avoidedWorkers() {
+        public int avoidedEndpoints() {
             return 0;
         }
 
--- a/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
@@ -27,13 +27,13 @@
     @Test
     public void aCallAndItsAnswerPassUnchanged() throws Exception {
         String body = "bench \u00ff\u0000 and readings";
-        Peer worker = stage.add(Peer.serving(body));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(Peer.serving(body));
+        stage.start(Stage.SETTINGS, endpoint);
         Socket client = stage.connect();
         String query = "/a%2Fb;c=1//d?x=%20&&y=+%3D";
 
         String call = Stage.request("action", query, "X-Other: 1\r\n");
-        for (int i = 0; i < 2; i++) { // the connection stays, and so does the one to the worker
+        for (int i = 0; i < 2; i++) { // the connection stays, and so does the one to the endpoint
             Message.send(client, call);
             Message answer = Message.read(client);
             assertEquals(200, answer.status());
@@ -43,20 +43,20 @@
             // come
         }
 
-        Message asked = worker.asked();
+        Message asked = endpoint.asked();
         assertEquals("POST /action" + query + " HTTP/1.1", asked.start());
         assertEquals("pour", asked.body());
         assertTrue(call.contains("X-Correlation-Id: " + asked.header("X-Correlation-Id") + "\r\n"));
         assertEquals("5c0f6e1a2b3d4c59", asked.header("Idempotency-Key"));
         double left = Double.parseDouble(asked.header("X-Time-Left"));
         assertTrue("time left: " + left, left > 0 && left <= 20);
-        assertEquals(asked.connection(), worker.asked().connection());
+        assertEquals(asked.connection(), endpoint.asked().connection());
     }
 
     @Test
-    public void whatIsNoCallIsRejectedAndReachesNoWorker() throws Exception {
-        Peer worker = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, worker);
+    public void whatIsNoCallIsRejectedAndReachesNoEndpoint() throws Exception {
+        Peer endpoint = stage.add(Peer.serving("made"));
+        stage.start(Stage.SETTINGS, endpoint);
         String good = Stage.request("use", "", "");
         String[] bad = {
             good.replace("X-Service-Class: use", "X-Service-Class: other"),
@@ -84,13 +84,13 @@
             Message.send(client, call);
             assertEquals(413, Message.read(client).status());
         }
-        worker.wasNotAsked();
+        endpoint.wasNotAsked();
 
         assertEquals("the node survives", "made", stage.call("use").body());
     }
 
     @Test
-    public void aCallThatFindsNoWorkerIsRefusedWithAdviceOnWhenToReturn() throws Exception {
+    public void aCallThatFindsNoEndpointIsRefusedWithAdviceOnWhenToReturn() throws Exception {
         stage.start(Stage.SETTINGS.replace("\"aim_ns\":10000000000", "\"aim_ns\":100000000"));
         Message answer = stage.call("use");
         assertEquals(503, answer.status());
@@ -101,7 +101,7 @@
     /** Undertow reads nothing during a call, so a close would go unnoticed until the answer. */
     @Test
     public void aClientThatClosesIsNotServedAnyMore() throws Exception {
-        Peer worker = stage.add(Peer.serving("made"));
+        Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS);
         Message watch = stage.discovery.asked();
         Socket gone = stage.connect();
@@ -109,33 +109,33 @@
         stage.call("other"); // answered after the first was taken
         gone.close();
         Thread.sleep(100); // a close that came after the list would prove nothing
-        Stage.line(watch, Stage.list(2, true, "active", worker));
+        Stage.line(watch, Stage.list(2, true, "active", endpoint));
         Socket client = stage.connect();
         Message.send(client, Stage.request("use", "?second", ""));
         assertEquals("made", Message.read(client).body());
-        assertEquals("POST /use?second HTTP/1.1", worker.asked().start());
-        worker.wasNotAsked();
+        assertEquals("POST /use?second HTTP/1.1", endpoint.asked().start());
+        endpoint.wasNotAsked();
     }
 
     /**
-     * A worker tells copies by the id: a stranger's call would pass for a second copy of the first
-     * one.
+     * An endpoint tells copies by the id: a stranger's call would pass for a second copy of the
+     * first one.
      */
     @Test
     public void anIdThatIsAtWorkIsNotTakenAgain() throws Exception {
-        Peer worker = stage.add(new Peer(request -> {}));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(new Peer(request -> {}));
+        stage.start(Stage.SETTINGS, endpoint);
         Socket first = stage.connect();
         String call = Stage.request("use", "", "");
         Message.send(first, call);
-        Message asked = worker.asked();
+        Message asked = endpoint.asked();
         Socket second = stage.connect();
         Message.send(second, call);
         assertEquals(409, Message.read(second).status());
-        worker.wasNotAsked();
+        endpoint.wasNotAsked();
         asked.answer("200 OK", "", "made");
         assertEquals("made", Message.read(first).body());
-        worker.setScript(request -> request.answer("200 OK", "", "again"));
+        endpoint.setScript(request -> request.answer("200 OK", "", "again"));
         assertEquals("again", stage.call("use").body());
     }
 
@@ -170,7 +170,7 @@
 
     @Test
     public void whatAClientSendsAheadIsTheNextCall() throws Exception {
-        Peer worker =
+        Peer endpoint =
                 stage.add(
                         new Peer(
                                 request -> {
@@ -180,7 +180,7 @@
                                     // answered
                                     request.answer("200 OK", "", request.start());
                                 }));
-        stage.start(Stage.SETTINGS, worker);
+        stage.start(Stage.SETTINGS, endpoint);
         Socket client = stage.connect();
         Message.send(client, Stage.request("use", "?1", "") + Stage.request("use", "?2", ""));
         assertEquals("POST /use?1 HTTP/1.1", Message.read(client).body());
--- a/daemon/src/test/java/trailthread/daemon/DegradationControllerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DegradationControllerTest.java
@@ -47,7 +47,9 @@
         return Message.read(operator).body();
     }
 
-    /** A single call that an erring worker fails is enough, by bounds that are low for the test. */
+    /**
+     * A single call that an erring endpoint fails is enough, by bounds that are low for the test.
+     */
     @Test
     public void aPollIsRefusedWhereCallsFailAndUsesAreServed() throws Exception {
         stage.more =
@@ -57,8 +59,8 @@
                  "reduced":{"least_shed":1,"least_stay_s":300,
                   "starved":{"enter":0.01,"leave":0.0001,"hold_s":0},SLOW}},"""
                         .replace("SLOW", SLOW);
-        Peer worker = stage.add(new Peer(request -> request.answer("500 Error", "", "")));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(new Peer(request -> request.answer("500 Error", "", "")));
+        stage.start(Stage.SETTINGS, endpoint);
         int node = stage.port;
         assertTrue(metrics().contains("trailthread_level{trailthread_level=\"normal\"} 1"));
         stage.port = node;
@@ -68,15 +70,15 @@
                 new String[] {"from=", "to=", "reading=", "value=", "bound=", "starved"}) {
             assertTrue(change, change.contains(part));
         }
-        worker.setScript(request -> request.answer("200 OK", "", "made"));
-        worker.asked();
+        endpoint.setScript(request -> request.answer("200 OK", "", "made"));
+        endpoint.asked();
         for (int i = 0; i < 3; i++) {
             Message shed = stage.call("state");
             assertEquals(503, shed.status());
             assertNotNull(shed.header("Retry-After"));
-            worker.wasNotAsked();
+            endpoint.wasNotAsked();
             assertEquals("made", stage.call("use").body());
-            worker.asked();
+            endpoint.asked();
         }
         String metrics = metrics();
         for (String line :
--- a/daemon/src/test/java/trailthread/daemon/DrainTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTest.java
@@ -24,12 +24,12 @@
     @Test
     public void callsGoOnAndConnectionsEndWithTheirAnswersOrIdle() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        Peer worker = stage.add(Peer.servingAfter(answer, "made"));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(Peer.servingAfter(answer, "made"));
+        stage.start(Stage.SETTINGS, endpoint);
         assertEquals(200, ready().status());
         Socket busy = stage.connect();
         Message.send(busy, Stage.request("use", "", ""));
-        worker.asked();
+        endpoint.asked();
         Socket idle = stage.connect();
         Message.send(idle, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals(200, Message.read(idle).status());
@@ -39,7 +39,7 @@
         assertEquals("what idles is closed in time", -1, idle.getInputStream().read());
         Socket late = stage.connect();
         Message.send(late, Stage.request("use", "", ""));
-        worker.asked();
+        endpoint.asked();
         answer.countDown();
         for (Socket client : new Socket[] {busy, late}) {
             Message served = Message.read(client);
--- a/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
@@ -18,7 +18,7 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** What workers may rely on, and what the node makes of their answers, over real sockets. */
+/** What endpoints may rely on, and what the node makes of their answers, over real sockets. */
 public class EndpointSideTest {
     private final Stage stage;
 
@@ -31,7 +31,9 @@
         stage.end();
     }
 
-    /** Starts with two workers: whichever is asked first does this, and from then on they serve. */
+    /**
+     * Starts with two endpoints: whichever is asked first does this, and from then on they serve.
+     */
     private Peer[] startWhereTheFirst(Peer.Script act) throws Exception {
         AtomicInteger asked = new AtomicInteger();
         Peer.Script script =
@@ -42,29 +44,29 @@
                         request.answer("200 OK", "", "made");
                     }
                 };
-        Peer[] workers = {stage.add(new Peer(script)), stage.add(new Peer(script))};
-        stage.start(Stage.SETTINGS, workers);
-        return workers;
+        Peer[] endpoints = {stage.add(new Peer(script)), stage.add(new Peer(script))};
+        stage.start(Stage.SETTINGS, endpoints);
+        return endpoints;
     }
 
-    private static int asked(Peer... workers) {
-        return workers[0].requests.size() + workers[1].requests.size();
+    private static int asked(Peer... endpoints) {
+        return endpoints[0].requests.size() + endpoints[1].requests.size();
     }
 
     @Test
     public void anUnsafeCallThatNeverRanGoesElsewhere() throws Exception {
-        Peer[] workers =
+        Peer[] endpoints =
                 startWhereTheFirst(
                         request -> request.answer("503 Full", "X-Unprocessed: 1\r\n", ""));
         assertEquals("made", stage.call("use").body());
-        assertEquals(2, asked(workers));
+        assertEquals(2, asked(endpoints));
     }
 
     @Test
     public void aCallWhoseConnectionIsRefusedGoesElsewhere() throws Exception {
         Peer gone = new Peer(request -> {});
-        Peer worker = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, gone, worker);
+        Peer endpoint = stage.add(Peer.serving("made"));
+        stage.start(Stage.SETTINGS, gone, endpoint);
         gone.close();
         for (int i = 0; i < 5; i++) {
             assertEquals("made", stage.call("use").body());
@@ -73,13 +75,13 @@
 
     @Test
     public void aSafeCallThatFailedIsMadeAgain() throws Exception {
-        Peer[] workers = startWhereTheFirst(request -> request.connection().close());
+        Peer[] endpoints = startWhereTheFirst(request -> request.connection().close());
         assertEquals("made", stage.call("state").body());
-        assertEquals(2, asked(workers));
+        assertEquals(2, asked(endpoints));
     }
 
     /**
-     * A worker's own 503 must not pass for the module's refusal, nor nonsense for a served call.
+     * An endpoint's own 503 must not pass for the module's refusal, nor nonsense for a served call.
      */
     @Test
     public void anUnsafeCallThatMayHaveRunFailsAndIsNotRepeated() throws Exception {
@@ -103,11 +105,12 @@
                     });
         }
         AtomicInteger turn = new AtomicInteger();
-        Peer worker = stage.add(new Peer(request -> ways.get(turn.getAndIncrement()).act(request)));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint =
+                stage.add(new Peer(request -> ways.get(turn.getAndIncrement()).act(request)));
+        stage.start(Stage.SETTINGS, endpoint);
         for (int i = 0; i < ways.size(); i++) {
             assertEquals("way " + i, 502, stage.call("use").status());
-            assertEquals("way " + i, i + 1, worker.requests.size());
+            assertEquals("way " + i, i + 1, endpoint.requests.size());
         }
     }
 
@@ -117,18 +120,18 @@
      */
     @Test
     public void aTimedOutAttemptIsClosedBeforeTheNextIsSent() throws Exception {
-        Peer[] workers = startWhereTheFirst(request -> request.answer("200 OK", "", "made"));
+        Peer[] endpoints = startWhereTheFirst(request -> request.answer("200 OK", "", "made"));
         assertEquals(
                 "made", stage.call("state").body()); // the module knows a latency, and has patience
         Peer.Script silent = request -> {};
         List<Integer> closedBefore = new ArrayList<>();
-        for (Peer worker : workers) {
-            worker.setScript(
+        for (Peer endpoint : endpoints) {
+            endpoint.setScript(
                     request -> {
-                        for (Peer other : workers) {
+                        for (Peer other : endpoints) {
                             other.setScript(
                                     second -> {
-                                        closedBefore.add(closed(workers));
+                                        closedBefore.add(closed(endpoints));
                                         second.answer("200 OK", "", "made");
                                     });
                         }
@@ -143,37 +146,37 @@
      * How many connections have ended; a peer notes an end on a thread of its own, so it gets some
      * time.
      */
-    private static int closed(Peer... workers) throws IOException {
+    private static int closed(Peer... endpoints) throws IOException {
         try {
             for (int i = 0;
-                    i < 500 && workers[0].closed.size() + workers[1].closed.size() == 0;
+                    i < 500 && endpoints[0].closed.size() + endpoints[1].closed.size() == 0;
                     i++) {
                 Thread.sleep(10);
             }
         } catch (InterruptedException e) {
             throw new IOException(e);
         }
-        return workers[0].closed.size() + workers[1].closed.size();
+        return endpoints[0].closed.size() + endpoints[1].closed.size();
     }
 
     @Test
-    public void idleConnectionsAreDroppedBeforeTheWorkerDropsThem() throws Exception {
-        Peer worker = stage.add(Peer.serving("made"));
+    public void idleConnectionsAreDroppedBeforeTheEndpointDropsThem() throws Exception {
+        Peer endpoint = stage.add(Peer.serving("made"));
         String settings = Stage.SETTINGS.replace("idle_close_ns\":60", "idle_close_ns\":1");
-        stage.start(settings, worker);
+        stage.start(settings, endpoint);
         assertEquals("made", stage.call("use").body());
-        Socket idle = worker.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
-        assertEquals(worker.asked().connection(), idle);
+        Socket idle = endpoint.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+        assertEquals(endpoint.asked().connection(), idle);
         assertEquals("made", stage.call("use").body());
-        assertNotEquals(idle, worker.asked().connection());
+        assertNotEquals(idle, endpoint.asked().connection());
     }
 
-    /** The descriptors of a node are few: what idles at one worker makes room for another. */
+    /** The descriptors of a node are few: what idles at one endpoint makes room for another. */
     @Test
-    public void moreWorkersThanConnectionsAreAllReached() throws Exception {
-        Peer[] workers = new Peer[20];
-        for (int i = 0; i < workers.length; i++) {
-            workers[i] =
+    public void moreEndpointsThanConnectionsAreAllReached() throws Exception {
+        Peer[] endpoints = new Peer[20];
+        for (int i = 0; i < endpoints.length; i++) {
+            endpoints[i] =
                     stage.add(
                             new Peer(
                                     request -> {
@@ -183,21 +186,21 @@
                                         request.answer("200 OK", "", "made");
                                     }));
         }
-        stage.sockets = 96; // 16 connections to workers
-        stage.start(Stage.SETTINGS, workers);
+        stage.sockets = 96; // 16 connections to endpoints
+        stage.start(Stage.SETTINGS, endpoints);
         Socket client = stage.connect();
         for (int i = 0; i < 500; i++) {
             Message.send(client, Stage.request("use", "", ""));
             assertEquals("made", Message.read(client).body());
         }
-        for (Peer worker : workers) {
-            worker.asked();
+        for (Peer endpoint : endpoints) {
+            endpoint.asked();
         }
     }
 
     /** The drain becomes known while a connect hangs; what counts is the request's first byte. */
     @Test
-    public void nothingIsSentToAWorkerThatDrainsMeanwhile() throws Exception {
+    public void nothingIsSentToAEndpointThatDrainsMeanwhile() throws Exception {
         Peer serving = stage.add(Peer.serving("made"));
         try (ServerSocket hanging = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> fill = new ArrayList<>(); // its backlog is full: a connect gets no reply
--- a/daemon/src/test/java/trailthread/daemon/FiguresOverSocketsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/FiguresOverSocketsTest.java
@@ -15,8 +15,8 @@
     @Test
     public void eachCallIsCountedOnceHoweverItEnds() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
-        Peer worker = stage.add(Peer.serving("made"));
-        worker.setScript(
+        Peer endpoint = stage.add(Peer.serving("made"));
+        endpoint.setScript(
                 request -> {
                     switch (request.start().replaceAll(".*how=(\\w+) .*", "$1")) {
                         case "reset" -> request.connection().close();
@@ -32,7 +32,7 @@
                         default -> request.answer("200 OK", "", "made");
                     }
                 });
-        stage.start(Stage.SETTINGS, worker);
+        stage.start(Stage.SETTINGS, endpoint);
         stage.awaitFigure("app_answered{group=\"use\"} 0");
         int sends = 0;
         for (String how : new String[] {"reset", "error", "served"}) {
@@ -57,7 +57,7 @@
         stage.awaitFigure("app_deferred{group=\"use\"} 0");
         stage.awaitFigure("app_errored{group=\"use\"} 4");
         stage.awaitFigure("app_sends " + sends);
-        assertEquals("what the worker saw", sends, worker.requests.size());
+        assertEquals("what the worker saw", sends, endpoint.requests.size());
         over.countDown();
     }
 
--- a/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
+++ b/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
@@ -22,7 +22,7 @@
 
 /**
  * Each request that a node has taken has one whole answer before a kill at the earliest moment that
- * the platform allows, though workers hang, and clients send on every connection that stays open.
+ * the platform allows, though endpoints hang, and clients send on every connection that stays open.
  */
 public class GracefulShutdownTest {
     /** One of them sends every so often, from SIGTERM until after the last connection has ended. */
@@ -59,7 +59,7 @@
                 .replace("\"window_ns\":20000000000", "\"window_ns\":" + deadlineMs * 1_000_000L);
     }
 
-    private Peer worker() throws IOException {
+    private Peer endpoint() throws IOException {
         return stage.add(
                 new Peer(
                         request -> {
@@ -188,7 +188,7 @@
     private void withDeadlinesOf(int ms, int pausedMs) throws Exception {
         plays(
                 () -> {
-                    stage.start(settings(ms), worker(), worker());
+                    stage.start(settings(ms), endpoint(), endpoint());
                     ends(ms, pausedMs);
                 });
     }
@@ -223,9 +223,9 @@
     public void afterSighupHasShortenedDeadlines() throws Exception {
         plays(
                 () -> {
-                    Peer worker = worker();
-                    stage.start(settings(4_000), worker);
-                    stage.reload(stage.config(settings(300), worker));
+                    Peer endpoint = endpoint();
+                    stage.start(settings(4_000), endpoint);
+                    stage.reload(stage.config(settings(300), endpoint));
                     stage.logged("configuration taken over");
                     ends(300, 0);
                 });
--- a/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
@@ -113,25 +113,25 @@
                             request.connection().getOutputStream().write(made);
                             request.connection().shutdownOutput();
                         });
-        Peer worker = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(Peer.serving("made"));
+        stage.start(Stage.SETTINGS, endpoint);
         for (Peer.Script form : forms) {
-            worker.setScript(form);
+            endpoint.setScript(form);
             Socket client = stage.connect();
             Message.send(client, Stage.request("use", "", ""));
-            worker.asked();
+            endpoint.asked();
             assertArrayEquals(made, read(client));
-            worker.setScript(request -> request.answer("200 OK", "", "next"));
+            endpoint.setScript(request -> request.answer("200 OK", "", "next"));
             Message.send(client, Stage.request("use", "", ""));
             assertEquals("the connection goes on", "next", Message.read(client).body());
-            worker.asked();
+            endpoint.asked();
         }
     }
 
     @Test
     public void moreAtOnceThanMemoryHoldsForClientsThatReadLate() throws Exception {
         byte[] made = bytes(8 * LONG);
-        Peer worker =
+        Peer endpoint =
                 stage.add(
                         new Peer(
                                 request -> {
@@ -144,12 +144,12 @@
                                         request.connection().getOutputStream().write(made);
                                     }
                                 }));
-        stage.start(Stage.SETTINGS, worker);
+        stage.start(Stage.SETTINGS, endpoint);
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 6; i++) { // 192 MB, where the program has 64
             clients.add(stage.connect());
             Message.send(clients.get(i), Stage.request("use", "", ""));
-            worker.asked();
+            endpoint.asked();
         }
         assertEquals("others are served meanwhile", "short", stage.call("state").body());
         clients.get(0).close();
@@ -162,14 +162,14 @@
     @Test
     public void whatBreaksOffIsNoWholeAnswer() throws Exception {
         byte[] made = bytes(LONG);
-        Peer worker = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(Peer.serving("made"));
+        stage.start(Stage.SETTINGS, endpoint);
         for (String framing :
                 List.of(
                         "Content-Length: " + 2 * LONG + "\r\n",
                         "Transfer-Encoding: chunked\r\n",
                         "")) {
-            worker.setScript(
+            endpoint.setScript(
                     request -> {
                         Message.send(request.connection(), OK + framing + "\r\n");
                         if (framing.startsWith("T")) {
@@ -184,7 +184,7 @@
                     });
             Socket client = stage.connect();
             Message.send(client, Stage.request("use", "", ""));
-            worker.asked();
+            endpoint.asked();
             try {
                 read(client);
             } catch (IOException | AssertionError e) {
@@ -198,7 +198,7 @@
     public void longBodiesAreSentAgainAndBodiesInChunksGetALength() throws Exception {
         String body = new String(bytes(LONG), StandardCharsets.ISO_8859_1);
         AtomicInteger asked = new AtomicInteger();
-        Peer worker =
+        Peer endpoint =
                 stage.add(
                         new Peer(
                                 request -> {
@@ -208,15 +208,15 @@
                                             first ? "X-Unprocessed: 1\r\n" : "",
                                             first ? "" : "made");
                                 }));
-        stage.start(Stage.SETTINGS, worker);
+        stage.start(Stage.SETTINGS, endpoint);
         String head =
                 Stage.request("use", "", "").replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "");
         Socket told = stage.connect();
         Message.send(told, head + "Expect: 100-continue\r\nContent-Length: " + LONG + "\r\n\r\n");
         assertEquals("HTTP/1.1 100 Continue", Message.read(told).start());
         Message.send(told, body);
-        assertEquals(body, worker.asked().body());
-        assertEquals("sent again whole", body, worker.asked().body());
+        assertEquals(body, endpoint.asked().body());
+        assertEquals("sent again whole", body, endpoint.asked().body());
         assertEquals("made", Message.read(told).body());
         Socket chunked = stage.connect();
         Message.send(
@@ -228,7 +228,7 @@
         chunks(chunked.getOutputStream(), body.getBytes(StandardCharsets.ISO_8859_1), 70_000);
         Message.send(chunked, "0\r\n\r\n");
         assertEquals("made", Message.read(chunked).body());
-        assertEquals(body, worker.asked().body());
+        assertEquals(body, endpoint.asked().body());
     }
 
     /** A call whose body is yet to come, with what tells its length. */
@@ -246,7 +246,7 @@
     public void theRoomOfClientsThatLeaveIsGivenBack() throws Exception {
         Semaphore answers = new Semaphore(0);
         Semaphore answered = new Semaphore(0);
-        Peer worker =
+        Peer endpoint =
                 stage.add(
                         new Peer(
                                 request -> {
@@ -254,13 +254,13 @@
                                     request.answer("200 OK", "", "made");
                                     answered.release();
                                 }));
-        stage.start(Stage.SETTINGS, worker);
+        stage.start(Stage.SETTINGS, endpoint);
         String body =
                 new String(bytes(3 * LONG), StandardCharsets.ISO_8859_1); // there is room for one
         for (int i = 0; i < 5; i++) {
             Socket leaves = stage.connect();
             Message.send(leaves, head("Content-Length: " + body.length()) + body);
-            worker.asked();
+            endpoint.asked();
             leaves.close();
             stage.awaitFigure("app_current 0");
             answers.release();
@@ -269,11 +269,11 @@
             assertEquals(
                     "made",
                     stage.call("state").body()); // by then, the node has read the answer before
-            worker.asked();
+            endpoint.asked();
             answered.acquireUninterruptibly();
         }
         AtomicInteger asked = new AtomicInteger();
-        worker.setScript(
+        endpoint.setScript(
                 request -> {
                     boolean first = asked.incrementAndGet() == 1;
                     request.answer(
@@ -289,8 +289,8 @@
 
     @Test
     public void bodiesPastTheRoomGoOnAsTheyCome() throws Exception {
-        Peer worker = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(Peer.serving("made"));
+        stage.start(Stage.SETTINGS, endpoint);
         byte[] most =
                 bytes(30 * 1024 * 1024); // under what a body may have, over what there is room for
         String body = new String(most, StandardCharsets.ISO_8859_1);
@@ -305,10 +305,10 @@
                 Message.send(client, body);
             }
             assertEquals(framing, "made", Message.read(client).body());
-            assertEquals(body, worker.asked().body());
+            assertEquals(body, endpoint.asked().body());
             Message.send(client, Stage.request("use", "", ""));
             assertEquals("the connection goes on", "made", Message.read(client).body());
-            worker.asked();
+            endpoint.asked();
         }
         stage.awaitFigure("app_sends 4");
     }
@@ -353,24 +353,24 @@
 
     @Test
     public void aBodyThatBreaksOffIsNoRequest() throws Exception {
-        Peer worker = stage.add(new Peer(request -> request.answer("200 OK", "", "made")));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(new Peer(request -> request.answer("200 OK", "", "made")));
+        stage.start(Stage.SETTINGS, endpoint);
         Socket client = stage.connect();
         Message.send(client, head("Content-Length: " + 30 * 1024 * 1024));
         Message.send(client, "x".repeat(2_000_000));
         client.close();
         assertTrue(
                 "the worker's connection ends",
-                worker.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS) != null);
-        worker.wasNotAsked();
+                endpoint.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS) != null);
+        endpoint.wasNotAsked();
         stage.awaitFigure("app_current 0");
         assertEquals("made", stage.call("use").body());
     }
 
     @Test
     public void whatIsNoCallIsNotKept() throws Exception {
-        Peer worker = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(Peer.serving("made"));
+        stage.start(Stage.SETTINGS, endpoint);
         Socket noCall = stage.connect();
         Message.send(
                 noCall,
--- a/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
@@ -52,7 +52,7 @@
     @Test
     public void theOldOneEndsItsCallsAndTheNewOneTakesAllFurtherOnes() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        Peer worker =
+        Peer endpoint =
                 stage.add(
                         new Peer(
                                 request -> {
@@ -61,7 +61,7 @@
                                     }
                                     request.answer("200 OK", "", "made");
                                 }));
-        Files.writeString(config, stage.config(Stage.SETTINGS, worker));
+        Files.writeString(config, stage.config(Stage.SETTINGS, endpoint));
         long old = start();
         holder.logged(SERVES, 1);
         Socket atWork = stage.connect();
@@ -90,7 +90,7 @@
         assertEquals("close", served.header("Connection"));
         ended.get(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
         assertEquals("made", stage.call("state").body());
-        assertEquals("workers heard of clients' calls alone", CALLS + 3, worker.requests.size());
+        assertEquals("workers heard of clients' calls alone", CALLS + 3, endpoint.requests.size());
     }
 
     private int door(int process) throws Exception {
@@ -99,8 +99,8 @@
 
     @Test
     public void aNewProcessThatDiesChangesNothing() throws Exception {
-        Peer worker = stage.add(Peer.serving("made"));
-        Files.writeString(config, stage.config(Stage.SETTINGS, worker));
+        Peer endpoint = stage.add(Peer.serving("made"));
+        Files.writeString(config, stage.config(Stage.SETTINGS, endpoint));
         start();
         holder.logged(SERVES, 1);
         for (int i = 2; i < 4; i++) {
@@ -120,8 +120,8 @@
 
     @Test
     public void versionsFollowOneAnotherAlsoWhileOneIsDrained() throws Exception {
-        Peer worker = stage.add(Peer.serving("made"));
-        Files.writeString(config, stage.config(Stage.SETTINGS, worker));
+        Peer endpoint = stage.add(Peer.serving("made"));
+        Files.writeString(config, stage.config(Stage.SETTINGS, endpoint));
         long old = start();
         holder.logged(SERVES, 1);
         for (int i = 2; i < 5; i++) {
--- a/daemon/src/test/java/trailthread/daemon/PauseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/PauseTest.java
@@ -16,13 +16,13 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** Guards against calls that are lost or run twice where the node or workers stand still. */
+/** Guards against calls that are lost or run twice where the node or endpoints stand still. */
 public class PauseTest {
     private static final int OUT = 6;
     private static final int KEPT = 8;
     private static final int NEW = 20;
 
-    /** The longer the aims and deadlines, the longer the module leaves a silent worker alone. */
+    /** The longer the aims and deadlines, the longer the module leaves a silent endpoint alone. */
     private static final String QUICK =
             Stage.SETTINGS
                     .replace("\"aim_ns\":10000000000", "\"aim_ns\":500000000")
@@ -52,11 +52,11 @@
         }
     }
 
-    /** How many requests workers were sent; none of them twice. */
-    private static int ranOnce(Peer... workers) {
+    /** How many requests endpoints were sent; none of them twice. */
+    private static int ranOnce(Peer... endpoints) {
         Set<String> ids = new HashSet<>();
-        for (Peer worker : workers) {
-            for (Message request : worker.requests) {
+        for (Peer endpoint : endpoints) {
+            for (Message request : endpoint.requests) {
                 assertTrue("ran twice: " + request, ids.add(request.header("X-Correlation-Id")));
             }
         }
@@ -66,8 +66,8 @@
     @Test
     public void whatComesWhileTheNodeIsStoppedIsServedAndRunsOnce() throws Exception {
         stage.sockets = 96; // 28 connections to clients: fewer than come
-        Peer[] workers = {stage.add(Peer.serving("made")), stage.add(Peer.serving("made"))};
-        stage.start(Stage.SETTINGS, workers);
+        Peer[] endpoints = {stage.add(Peer.serving("made")), stage.add(Peer.serving("made"))};
+        stage.start(Stage.SETTINGS, endpoints);
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < KEPT; i++) {
             clients.add(send(stage.connect(), i));
@@ -75,8 +75,8 @@
         }
         CountDownLatch goOn = new CountDownLatch(1);
         CountDownLatch out = new CountDownLatch(OUT);
-        for (Peer worker : workers) {
-            worker.setScript(
+        for (Peer endpoint : endpoints) {
+            endpoint.setScript(
                     request -> {
                         out.countDown();
                         try {
@@ -104,30 +104,30 @@
         stage.signal("CONT");
 
         assertServed(clients);
-        assertEquals(KEPT + OUT + KEPT + NEW, ranOnce(workers));
+        assertEquals(KEPT + OUT + KEPT + NEW, ranOnce(endpoints));
         assertEquals("made", stage.call("use").body());
         assertEquals("made", stage.call("state").body());
     }
 
     @Test
-    public void silentWorkersKeepNothingBackAndAreUsedAgainOnceTheySpeak() throws Exception {
+    public void silentEndpointsKeepNothingBackAndAreUsedAgainOnceTheySpeak() throws Exception {
         Peer.Script serves = request -> request.answer("200 OK", "", "made");
-        Peer[] workers = {
+        Peer[] endpoints = {
             stage.add(new Peer(serves)),
             stage.add(new Peer(serves)),
             stage.add(new Peer(serves)),
             stage.add(new Peer(serves))
         };
-        stage.start(QUICK, workers);
+        stage.start(QUICK, endpoints);
         for (int i = 0; i < 200; i++) {
             assertEquals(200, stage.call("state").status());
         }
-        for (Peer worker : workers) {
-            worker.requests.clear();
+        for (Peer endpoint : endpoints) {
+            endpoint.requests.clear();
         }
-        Peer[] silent = {workers[0], workers[1]};
-        for (Peer worker : silent) {
-            worker.setScript(request -> {});
+        Peer[] silent = {endpoints[0], endpoints[1]};
+        for (Peer endpoint : silent) {
+            endpoint.setScript(request -> {});
         }
         List<Socket> users = new ArrayList<>();
         while (silent[0].requests.isEmpty() && silent[1].requests.isEmpty()) {
@@ -140,14 +140,14 @@
             int status = Message.read(user).status();
             assertTrue("status " + status, status == 200 || status == 502);
         }
-        assertEquals(users.size(), ranOnce(workers));
+        assertEquals(users.size(), ranOnce(endpoints));
 
         for (int i = 0; i < 20; i++) {
             assertEquals("made", stage.call("state").body());
         }
-        for (Peer worker : silent) {
-            worker.setScript(serves);
-            worker.requests.clear();
+        for (Peer endpoint : silent) {
+            endpoint.setScript(serves);
+            endpoint.requests.clear();
         }
         long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * Peer.LONGEST_WAIT_S);
         while (silent[0].requests.isEmpty() || silent[1].requests.isEmpty()) {
--- a/daemon/src/test/java/trailthread/daemon/RetuneTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RetuneTest.java
@@ -20,22 +20,22 @@
     @Test
     public void classesComeAndGoAndCallsUnderWayKeepTheirs() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        Peer worker = stage.add(Peer.servingAfter(answer, "made"));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(Peer.servingAfter(answer, "made"));
+        stage.start(Stage.SETTINGS, endpoint);
         assertEquals(400, stage.call("study").status());
         Socket atWork = stage.connect();
         Message.send(atWork, Stage.request("use", "", ""));
-        worker.asked();
+        endpoint.asked();
         Socket half = stage.connect();
         String request = Stage.request("use", "", "");
         Message.send(half, request.substring(0, request.length() - 2));
         stage.call("none"); // the node has read what was sent before
-        stage.reload(stage.config(OTHERS, worker));
+        stage.reload(stage.config(OTHERS, endpoint));
         stage.awaitFigure("app_conf_loaded 1");
         stage.awaitFigure("app_answered{group=\"study\"} 0");
         assertEquals(400, stage.call("use").status());
         Message.send(half, request.substring(request.length() - 2));
-        worker.asked();
+        endpoint.asked();
         answer.countDown();
         assertEquals("made", Message.read(atWork).body());
         assertEquals("made", Message.read(half).body());
@@ -45,31 +45,31 @@
 
     @Test
     public void fewerAttemptsHoldAtOnce() throws Exception {
-        Peer worker = stage.add(new Peer(request -> request.answer("500 Error", "", "")));
+        Peer endpoint = stage.add(new Peer(request -> request.answer("500 Error", "", "")));
         Peer other = stage.add(new Peer(request -> request.answer("500 Error", "", "")));
-        stage.start(Stage.SETTINGS, worker, other);
+        stage.start(Stage.SETTINGS, endpoint, other);
         assertTrue(
                 "more than one attempt",
                 stage.call("state").status() >= 500
-                        && worker.requests.size() + other.requests.size() > 1);
-        stage.reload(stage.config(OTHERS, worker, other));
+                        && endpoint.requests.size() + other.requests.size() > 1);
+        stage.reload(stage.config(OTHERS, endpoint, other));
         stage.awaitFigure("app_conf_loaded 1");
-        int before = worker.requests.size() + other.requests.size();
+        int before = endpoint.requests.size() + other.requests.size();
         stage.call("state");
-        assertTrue(worker.requests.size() + other.requests.size() - before <= 1);
+        assertTrue(endpoint.requests.size() + other.requests.size() - before <= 1);
     }
 
     @Test
     public void filesInQuickSuccessionEndInTheNewest() throws Exception {
-        Peer worker = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(Peer.serving("made"));
+        stage.start(Stage.SETTINGS, endpoint);
         for (int i = 0; i < 20; i++) {
-            stage.reload(stage.config(i % 2 == 0 ? OTHERS : Stage.SETTINGS, worker));
+            stage.reload(stage.config(i % 2 == 0 ? OTHERS : Stage.SETTINGS, endpoint));
         }
         stage.reload(
                 stage.config(
                         OTHERS.replace("\"study\"", "\"newest\""),
-                        worker)); // no other file has that class
+                        endpoint)); // no other file has that class
         boolean newest = false;
         for (int i = 0; !newest && i < 10 * Peer.LONGEST_WAIT_S; i++) {
             newest = stage.call("newest").status() == 200;
@@ -86,9 +86,9 @@
 
     @Test
     public void nothingIsTakenFromABrokenFile() throws Exception {
-        Peer worker = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, worker);
-        String good = stage.config(OTHERS, worker);
+        Peer endpoint = stage.add(Peer.serving("made"));
+        stage.start(Stage.SETTINGS, endpoint);
+        String good = stage.config(OTHERS, endpoint);
         String[] broken = {
             "",
             "{",
--- a/daemon/src/test/java/trailthread/daemon/RollingRestartTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RollingRestartTest.java
@@ -35,7 +35,7 @@
     private static final Pattern ID = Pattern.compile("X-Correlation-Id: (\\w+)");
     private final Stage[] nodes = new Stage[2];
 
-    /** How often each id ran at the workers. */
+    /** How often each id ran at the endpoints. */
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
 
     private final Map<Integer, Integer> answers = new ConcurrentHashMap<>();
@@ -44,7 +44,7 @@
     private volatile boolean over;
 
     /**
-     * The nodes end on a machine that stops them again and again; workers and clients take their
+     * The nodes end on a machine that stops them again and again; endpoints and clients take their
      * time.
      */
     private boolean slowed;
@@ -179,10 +179,10 @@
     }
 
     private void restarts() throws Exception {
-        Peer[] workers = new Peer[2];
+        Peer[] endpoints = new Peer[2];
         for (int i = 0; i < 2; i++) {
             nodes[i] = new Stage();
-            workers[i] =
+            endpoints[i] =
                     nodes[i].add(
                             new Peer(
                                     request -> {
@@ -195,7 +195,7 @@
                                     }));
         }
         for (Stage node : nodes) {
-            node.start(Stage.SETTINGS, workers);
+            node.start(Stage.SETTINGS, endpoints);
         }
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
@@ -208,7 +208,7 @@
             node.terminate();
             assertEquals(0, node.exitStatus());
             slows.join();
-            node.start(Stage.SETTINGS, workers);
+            node.start(Stage.SETTINGS, endpoints);
         }
         Thread.sleep(500);
         over = true;
--- a/daemon/src/test/java/trailthread/daemon/SpoiltAnswerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/SpoiltAnswerTest.java
@@ -29,7 +29,7 @@
         stage.end();
     }
 
-    /** The worker's connection stays open throughout, so that only the node can end the call. */
+    /** The endpoint's connection stays open throughout, so that only the node can end the call. */
     @Test
     public void aSpoiltAnswerFailsTheCallAndItsConnectionIsClosed() throws Exception {
         String[] spoilt = {
@@ -43,16 +43,16 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfour\r\nmade\r\n0\r\n\r\n",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nb2d05e00\r\nmade",
         };
-        Peer worker = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(Peer.serving("made"));
+        stage.start(Stage.SETTINGS, endpoint);
         for (String answer : spoilt) {
-            worker.setScript(request -> Message.send(request.connection(), answer));
+            endpoint.setScript(request -> Message.send(request.connection(), answer));
             assertEquals(answer, 502, stage.call("use").status());
-            Socket closed = worker.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
-            assertEquals(answer, worker.asked().connection(), closed);
-            worker.setScript(request -> request.answer("200 OK", "", "made"));
+            Socket closed = endpoint.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+            assertEquals(answer, endpoint.asked().connection(), closed);
+            endpoint.setScript(request -> request.answer("200 OK", "", "made"));
             assertEquals("made", stage.call("state").body());
-            worker.asked();
+            endpoint.asked();
         }
     }
 
@@ -60,29 +60,29 @@
     @Test
     public void whatFollowsAnAnswerNeverReachesTheNextCall() throws Exception {
         String[] more = {MADE.replace("made", "copy"), "noise", "\r\n"};
-        Peer worker = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(Peer.serving("made"));
+        stage.start(Stage.SETTINGS, endpoint);
         for (String rest : more) {
-            worker.setScript(request -> Message.send(request.connection(), MADE + rest));
+            endpoint.setScript(request -> Message.send(request.connection(), MADE + rest));
             assertEquals("made", stage.call("use").body());
-            Socket spoilt = worker.asked().connection();
-            worker.setScript(request -> request.answer("200 OK", "", "next"));
+            Socket spoilt = endpoint.asked().connection();
+            endpoint.setScript(request -> request.answer("200 OK", "", "next"));
             assertEquals("next", stage.call("use").body());
-            assertNotEquals(spoilt, worker.asked().connection());
+            assertNotEquals(spoilt, endpoint.asked().connection());
         }
     }
 
     /** The same, when it comes after the connection was put away. */
     @Test
     public void aConnectionThatSpeaksUnaskedIsClosed() throws Exception {
-        Peer worker = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(Peer.serving("made"));
+        stage.start(Stage.SETTINGS, endpoint);
         assertEquals("made", stage.call("use").body());
-        Socket idle = worker.asked().connection();
+        Socket idle = endpoint.asked().connection();
         Message.send(idle, MADE.replace("made", "copy"));
-        assertEquals(idle, worker.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertEquals(idle, endpoint.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
         assertEquals("made", stage.call("use").body());
-        assertNotEquals(idle, worker.asked().connection());
+        assertNotEquals(idle, endpoint.asked().connection());
     }
 
     @Test
@@ -94,13 +94,13 @@
             MADE.replace("\r\n\r\n", "\r\nX-Backend-Load: {{{{\u0001\u00ff\r\n\r\n"),
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x\r\nma\r\n2\r\nde\r\n0\r\nA: b\r\n\r\n",
         };
-        Peer worker = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(Peer.serving("made"));
+        stage.start(Stage.SETTINGS, endpoint);
         for (String answer : good) {
-            worker.setScript(request -> sendInPieces(request.connection(), answer));
+            endpoint.setScript(request -> sendInPieces(request.connection(), answer));
             assertEquals(answer, "made", stage.call("use").body());
         }
-        assertNotNull(worker.asked());
+        assertNotNull(endpoint.asked());
     }
 
     private static void sendInPieces(Socket connection, String text) throws IOException {
--- a/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
@@ -28,23 +28,23 @@
     }
 
     @Test
-    public void itIsReadyOnceItServesAndNoWorkerHasHeardOfIt() throws Exception {
-        Peer worker = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, worker);
+    public void itIsReadyOnceItServesAndNoEndpointHasHeardOfIt() throws Exception {
+        Peer endpoint = stage.add(Peer.serving("made"));
+        stage.start(Stage.SETTINGS, endpoint);
         Socket front = stage.connect();
         Message.send(front, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals(200, Message.read(front).status());
-        worker.wasNotAsked();
+        endpoint.wasNotAsked();
     }
 
     /**
      * On a machine that was put off its cores, a warm-up call was given up and lay unread until the
-     * node had begun to serve; it then went to a worker, which knows no such call.
+     * node had begun to serve; it then went to an endpoint, which knows no such call.
      */
     @Test
-    public void aWarmUpCallThatIsReadTooLateReachesNoWorker() throws Exception {
-        Peer worker = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, worker);
+    public void aWarmUpCallThatIsReadTooLateReachesNoEndpoint() throws Exception {
+        Peer endpoint = stage.add(Peer.serving("made"));
+        stage.start(Stage.SETTINGS, endpoint);
         Socket late = stage.connect();
         Message.send(
                 late,
@@ -53,7 +53,7 @@
                                 "X-Correlation-Id: .*",
                                 "X-Correlation-Id: warm-up-8c1f30d27a5be964-1"));
         assertEquals(502, Message.read(late).status());
-        worker.wasNotAsked();
+        endpoint.wasNotAsked();
         assertEquals("made", stage.call("use").body());
     }
 
@@ -62,12 +62,12 @@
      * time.
      */
     @Test
-    public void aStartIsShorterWhereWorkersAreBusy() throws Exception {
+    public void aStartIsShorterWhereEndpointsAreBusy() throws Exception {
         String probes = Stage.SETTINGS.replace("\"limits\":{", "\"limits\":{\"probes\":true,");
         for (int inflight : new int[] {3, 0}) {
-            Peer worker = stage.add(Peer.serving("{\"inflight\":" + inflight + ",\"queue\":0}"));
-            stage.start(probes, worker);
-            assertEquals("GET /status/load HTTP/1.1", worker.asked().start());
+            Peer endpoint = stage.add(Peer.serving("{\"inflight\":" + inflight + ",\"queue\":0}"));
+            stage.start(probes, endpoint);
+            assertEquals("GET /status/load HTTP/1.1", endpoint.asked().start());
             String line = stage.logged("warmed up");
             assertEquals(line, inflight > 0, line.contains("busy"));
             stage.terminate();
@@ -99,16 +99,16 @@
     @Test
     public void callsTakenUnderLongerDeadlinesAreWaitedFor() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        Peer worker = stage.add(Peer.servingAfter(answer, "made"));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(Peer.servingAfter(answer, "made"));
+        stage.start(Stage.SETTINGS, endpoint);
         Socket client = stage.connect();
         Message.send(client, Stage.request("use", "", ""));
-        worker.asked();
+        endpoint.asked();
         stage.reload(
                 stage.config(
                         Stage.SETTINGS.replace(
                                 "\"deadline_ns\":20000000000", "\"deadline_ns\":100000000"),
-                        worker));
+                        endpoint));
         stage.logged("configuration taken over");
         stage.terminate();
         stage.logged("stops");
@@ -121,16 +121,16 @@
     @Test
     public void onSigtermItServesOnThenFinishesWhatItHasTakenAndEndsWell() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        Peer worker = stage.add(Peer.servingAfter(answer, "made"));
-        stage.start(Stage.SETTINGS, worker);
+        Peer endpoint = stage.add(Peer.servingAfter(answer, "made"));
+        stage.start(Stage.SETTINGS, endpoint);
         Socket before = stage.connect();
         Message.send(before, Stage.request("use", "", ""));
-        worker.asked();
+        endpoint.asked();
         stage.terminate();
         stage.logged("stops");
         Socket after = stage.connect();
         Message.send(after, Stage.request("use", "", ""));
-        worker.asked();
+        endpoint.asked();
         Socket idle = stage.connect();
         Message.send(idle, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals("the front is to go elsewhere", 503, Message.read(idle).status());
--- a/daemon/src/test/java/trailthread/daemon/UnreadNewsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UnreadNewsTest.java
@@ -48,7 +48,7 @@
     private final BlockingQueue<DiscoveryUpdate> told = new LinkedBlockingQueue<>();
     private final BlockingQueue<AttemptResult> endings = new LinkedBlockingQueue<>();
     private final AtomicInteger failures = new AtomicInteger();
-    private final EndpointPool workers =
+    private final EndpointPool endpoints =
             new EndpointPool(
                     loop,
                     WITHIN_NS,
@@ -64,7 +64,7 @@
                     new DiscoveryListener() {
                         @Override
                         public void told(DiscoveryUpdate update, long knownSince) {
-                            workers.update(update, knownSince);
+                            endpoints.update(update, knownSince);
                             told.add(update);
                         }
 
@@ -75,7 +75,7 @@
                     });
 
     public UnreadNewsTest() throws Exception {
-        workers.setNews(discovery::readNews);
+        endpoints.setNews(discovery::readNews);
         loop.execute(() -> discovery.watch(true));
         assertNotNull(told.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
     }
@@ -92,7 +92,7 @@
     }
 
     private void attempt() {
-        workers.attempt(
+        endpoints.attempt(
                 "w0",
                 new EndpointRequest("1", "use", "POST", "/use", null, new byte[4], null),
                 WITHIN_NS,
--- a/daemon/src/test/java/trailthread/daemon/admin/FiguresTest.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/FiguresTest.java
@@ -75,17 +75,17 @@
         return JsonParser.parseString(new String(json, StandardCharsets.UTF_8)).getAsJsonObject();
     }
 
-    private void list(ListKind kind, EndpointState state, String... workers) {
+    private void list(ListKind kind, EndpointState state, String... endpoints) {
         List<EndpointEntry> entries = new ArrayList<>();
-        for (String worker : workers) {
-            entries.add(new EndpointEntry(worker, 1, state, "a", 0, 0));
+        for (String endpoint : endpoints) {
+            entries.add(new EndpointEntry(endpoint, 1, state, "a", 0, 0));
         }
         metrics.listed(kind, entries);
     }
 
-    private void attempt(String worker, Outcome outcome, double queue) {
-        metrics.attemptBegun(worker);
-        metrics.attemptEnded(worker, outcome, 20_000_000L, new LoadReport(1, queue, 0, 0, 0, 0));
+    private void attempt(String endpoint, Outcome outcome, double queue) {
+        metrics.attemptBegun(endpoint);
+        metrics.attemptEnded(endpoint, outcome, 20_000_000L, new LoadReport(1, queue, 0, 0, 0, 0));
     }
 
     @Test
@@ -166,7 +166,7 @@
     }
 
     @Test
-    public void ofManyWorkersTheWorstAreToldAndTheOthersSummed() {
+    public void ofManyEndpointsTheWorstAreToldAndTheOthersSummed() {
         String[] ids = new String[10_000];
         for (int i = 0; i < ids.length; i++) {
             ids[i] = "w" + i;
@@ -184,7 +184,7 @@
         assertEquals(
                 List.of("w4321", "w77", "w9"),
                 fleet.worst().subList(0, 3).stream().map(w -> w.id).toList());
-        assertEquals(NodeMetrics.MOST_WORKERS_SHOWN, fleet.worst().size());
+        assertEquals(NodeMetrics.MOST_ENDPOINTS_SHOWN, fleet.worst().size());
         assertEquals(8_976, fleet.rest());
         assertEquals(8_976, fleet.restAttempts());
         assertEquals(0, fleet.restInFlight() + fleet.restFailures());
--- a/daemon/src/test/java/trailthread/daemon/admin/View.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/View.java
@@ -32,12 +32,12 @@
     }
 
     @Override
-    public Map<String, Integer> workerConnections() {
+    public Map<String, Integer> endpointConnections() {
         return Map.of("idle", 1);
     }
 
     @Override
-    public int avoidedWorkers() {
+    public int avoidedEndpoints() {
         return 7;
     }
 
--- a/daemon/src/test/java/trailthread/daemon/listener/EndByMomentTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/EndByMomentTest.java
@@ -159,7 +159,7 @@
         Socket unread = connect(call());
         ClientResponse written = taken();
         loop.execute(() -> written.served(made()));
-        Socket atWorker = connect(call());
+        Socket atEndpoint = connect(call());
         final ClientResponse waits = taken();
         Socket halfAnswered = connect(call());
         ClientResponse streams = taken();
@@ -196,7 +196,7 @@
         assertEquals("accepted and silent", "", rest(silent));
         assertEquals("idle", "", rest(idle));
         loop.execute(() -> waits.served(made()));
-        assertLastAnswer("at a worker", rest(atWorker));
+        assertLastAnswer("at a worker", rest(atEndpoint));
         assertTrue("with its answer written, not read", rest(unread).endsWith("made"));
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         Thread reads =
--- a/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
@@ -35,20 +35,20 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** Clients that leave at each moment at which their call waits: it reaches no worker any more. */
+/** Clients that leave at each moment at which their call waits: it reaches no endpoint any more. */
 public class LeavingClientTest {
     private static final long LONG_NS = 20_000_000_000L;
     private final EventLoop loop;
-    private final Peer worker;
+    private final Peer endpoint;
     private final Settings settings = new Settings();
     private RequestDispatcher calls;
-    private EndpointPool workers;
+    private EndpointPool endpoints;
     private HttpListener acceptor;
     private InetSocketAddress address;
 
     public LeavingClientTest() throws IOException {
         loop = new EventLoop("leaving");
-        worker = Peer.serving("made");
+        endpoint = Peer.serving("made");
     }
 
     @Before
@@ -64,10 +64,10 @@
                         0,
                         1,
                         0));
-        workers =
+        endpoints =
                 new EndpointPool(
                         loop, LONG_NS, LONG_NS, 0, ConnectionLimit.of(8), 0, CpuAccount.NONE);
-        calls = new RequestDispatcher(loop, workers, settings, 1, MetricsRecorder.OFF);
+        calls = new RequestDispatcher(loop, endpoints, settings, 1, MetricsRecorder.OFF);
         acceptor =
                 new HttpListener(
                         loop,
@@ -78,14 +78,14 @@
         address = acceptor.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         loop.execute(
                 () ->
-                        workers.update(
+                        endpoints.update(
                                 new DiscoveryUpdate(
                                         1,
                                         true,
                                         List.of(
                                                 new DiscoveredEndpoint(
                                                         "w",
-                                                        worker.hostPort(),
+                                                        endpoint.hostPort(),
                                                         "a",
                                                         0,
                                                         EndpointState.READY,
@@ -93,14 +93,15 @@
                                                         0))),
                                 loop.now()));
         loop.execute(this::list);
-        onlyOneWhoStaysIsServed(); // a connection to the worker is open from now on: the next call
+        onlyOneWhoStaysIsServed(); // a connection to the endpoint is open from now on: the next
+        // call
         // is written at once
         loop.execute(this::listNone);
     }
 
     @After
     public void end() throws IOException {
-        worker.close();
+        endpoint.close();
         loop.worker().shutdownNow();
     }
 
@@ -110,13 +111,13 @@
         return client;
     }
 
-    /** The module knows the worker, which what is held waits for. To be called on the loop. */
+    /** The module knows the endpoint, which what is held waits for. To be called on the loop. */
     private void list() {
         calls.list(
                 ListKind.FULL, List.of(new EndpointEntry("w", 1, EndpointState.READY, "a", 0, 0)));
     }
 
-    /** The module knows no worker: what comes is held. To be called on the loop. */
+    /** The module knows no endpoint: what comes is held. To be called on the loop. */
     private void listNone() {
         calls.list(ListKind.FULL, List.of());
     }
@@ -142,16 +143,16 @@
         return request.split("X-Correlation-Id: ")[1].split("\r\n")[0];
     }
 
-    /** Another client's call is served, and was the first that the worker saw. */
+    /** Another client's call is served, and was the first that the endpoint saw. */
     private void onlyOneWhoStaysIsServed() throws Exception {
         try (Socket stays = connect()) {
             String request = Stage.request("use", "?stays", "");
             Message.send(stays, request);
             assertEquals("made", Message.read(stays).body());
-            assertEquals(id(request), worker.asked().header("X-Correlation-Id"));
-            worker.wasNotAsked();
+            assertEquals(id(request), endpoint.asked().header("X-Correlation-Id"));
+            endpoint.wasNotAsked();
         }
-        Thread.sleep(20); // the connection to the worker is not used before it has settled
+        Thread.sleep(20); // the connection to the endpoint is not used before it has settled
     }
 
     /** It was found with the call, and the call was sent on all the same. */
@@ -210,17 +211,17 @@
     @Test
     public void whoLeavesBetweenAttemptsIsNotServedAgain() throws Exception {
         CountDownLatch turnedAway = new CountDownLatch(1);
-        worker.setScript(
+        endpoint.setScript(
                 request -> {
                     Peer.await(turnedAway);
-                    worker.setScript(next -> next.answer("200 OK", "", "made"));
+                    endpoint.setScript(next -> next.answer("200 OK", "", "made"));
                     request.answer("503 Busy", "X-Unprocessed: 1\r\n", "");
                 });
         Socket client = connect();
         String request = Stage.request("use", "", "");
         loop.execute(this::list);
         Message.send(client, request);
-        assertEquals(id(request), worker.asked().header("X-Correlation-Id"));
+        assertEquals(id(request), endpoint.asked().header("X-Correlation-Id"));
         CountDownLatch goOn = new CountDownLatch(1);
         loop.execute(() -> Peer.await(goOn));
         client.close();
@@ -229,7 +230,7 @@
         onlyOneWhoStaysIsServed();
     }
 
-    /** Its connection to the worker came up after it had left. */
+    /** Its connection to the endpoint came up after it had left. */
     @Test
     public void whoLeavesDuringAConnectIsNotServed() throws Exception {
         CountDownLatch goOn = new CountDownLatch(1);
@@ -239,7 +240,7 @@
         awaitTaken(id(request));
         loop.execute(
                 () -> {
-                    workers.closeIdle(1);
+                    endpoints.closeIdle(1);
                     list(); // it is decided on, and connects
                     loop.execute(() -> Peer.await(goOn)); // the connect comes up meanwhile
                 });
@@ -273,8 +274,8 @@
             loop.execute(this::list);
             assertEquals("made", Message.read(client).body());
             assertEquals("made", Message.read(client).body());
-            assertEquals(id(first), worker.asked().header("X-Correlation-Id"));
-            assertEquals(id(ahead), worker.asked().header("X-Correlation-Id"));
+            assertEquals(id(first), endpoint.asked().header("X-Correlation-Id"));
+            assertEquals(id(ahead), endpoint.asked().header("X-Correlation-Id"));
         }
     }
 
@@ -297,7 +298,7 @@
                 loop.execute(() -> loop.after(100_000_000L, this::list));
                 for (String call : calls) {
                     assertEquals("made", Message.read(client).body());
-                    assertEquals(id(call), worker.asked().header("X-Correlation-Id"));
+                    assertEquals(id(call), endpoint.asked().header("X-Correlation-Id"));
                 }
                 sends.join();
             }
--- a/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
+++ b/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
@@ -112,8 +112,8 @@
     }
 
     /** Whether a probe that the module asks for is made. */
-    public boolean probes(String worker) {
-        return probes.passes(worker, levels.allowance().probeFactor());
+    public boolean probes(String endpoint) {
+        return probes.passes(endpoint, levels.allowance().probeFactor());
     }
 
     private void read() {
@@ -190,8 +190,8 @@
     }
 
     @Override
-    public void attemptBegun(String worker) {
-        next.attemptBegun(worker);
+    public void attemptBegun(String endpoint) {
+        next.attemptBegun(endpoint);
     }
 
     @Override
@@ -200,16 +200,16 @@
     }
 
     @Override
-    public void attemptEnded(String worker, Outcome outcome, long latencyNs, LoadReport load) {
-        failing.ended(worker, outcome, latencyNs, loop.now());
+    public void attemptEnded(String endpoint, Outcome outcome, long latencyNs, LoadReport load) {
+        failing.ended(endpoint, outcome, latencyNs, loop.now());
         told(load, reports == LoadReportSource.ANSWERS && outcome == Outcome.OK);
-        next.attemptEnded(worker, outcome, latencyNs, load);
+        next.attemptEnded(endpoint, outcome, latencyNs, load);
     }
 
     @Override
-    public void healthChecked(String worker, Outcome outcome, LoadReport load) {
+    public void healthChecked(String endpoint, Outcome outcome, LoadReport load) {
         told(load, reports == LoadReportSource.PROBES);
-        next.healthChecked(worker, outcome, load);
+        next.healthChecked(endpoint, outcome, load);
     }
 
     @Override
--- a/engine/src/main/java/trailthread/engine/degradation/FailingEndpointRate.java
+++ b/engine/src/main/java/trailthread/engine/degradation/FailingEndpointRate.java
@@ -9,13 +9,13 @@
 import trailthread.api.Outcome;
 
 /**
- * Which share of the ready workers fails; pure.
+ * Which share of the ready endpoints fails; pure.
  *
- * <p>The rule: of a worker's last nine attempts that told of it, more than a third failed, and at
- * least two. An attempt has failed if it ended in an error, a refused or a broken connection, and
- * quickly: within the tightest aim. Time-outs are no such sign, as slow workers are not failing
- * ones; nor is a worker that turns calls away because it is full. A worker without any attempt for
- * a minute no longer counts as failing.
+ * <p>The rule: of an endpoint's last nine attempts that told of it, more than a third failed, and
+ * at least two. An attempt has failed if it ended in an error, a refused or a broken connection,
+ * and quickly: within the tightest aim. Time-outs are no such sign, as slow endpoints are not
+ * failing ones; nor is an endpoint that turns calls away because it is full. An endpoint without
+ * any attempt for a minute no longer counts as failing.
  */
 final class FailingEndpointRate {
     private static final int ATTEMPTS = 9;
@@ -23,9 +23,9 @@
     private static final long FORGOTTEN_NS = 60_000_000_000L;
 
     private final long quickNs;
-    private final Map<String, AttemptHistory> workers = new HashMap<>();
+    private final Map<String, AttemptHistory> endpoints = new HashMap<>();
 
-    /** The last attempts at one worker. */
+    /** The last attempts at one endpoint. */
     private static final class AttemptHistory {
         EndpointState state;
 
@@ -43,16 +43,16 @@
         this.quickNs = quickNs;
     }
 
-    /** News of the workers. */
+    /** News of the endpoints. */
     void listed(ListKind kind, List<EndpointEntry> entries) {
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
-            workers.values().forEach(record -> record.state = EndpointState.GONE);
+            endpoints.values().forEach(record -> record.state = EndpointState.GONE);
         }
         for (EndpointEntry entry : entries) {
-            workers.computeIfAbsent(entry.endpoint(), name -> new AttemptHistory()).state =
+            endpoints.computeIfAbsent(entry.endpoint(), name -> new AttemptHistory()).state =
                     entry.state();
         }
-        workers.values().removeIf(record -> record.state == EndpointState.GONE);
+        endpoints.values().removeIf(record -> record.state == EndpointState.GONE);
     }
 
     /**
@@ -60,8 +60,8 @@
      *
      * @param latencyNs -1 where it is not known: that was no time-out, and passes for quick
      */
-    void ended(String worker, Outcome outcome, long latencyNs, long now) {
-        AttemptHistory record = workers.get(worker);
+    void ended(String endpoint, Outcome outcome, long latencyNs, long now) {
+        AttemptHistory record = endpoints.get(endpoint);
         boolean failed =
                 outcome == Outcome.ERROR
                         || outcome == Outcome.CONNECT_FAILED
@@ -74,11 +74,11 @@
         }
     }
 
-    /** The share of ready workers that fail, 0 to 1; NaN where none is ready. */
+    /** The share of ready endpoints that fail, 0 to 1; NaN where none is ready. */
     double share(long now) {
         int ready = 0;
         int failing = 0;
-        for (AttemptHistory record : workers.values()) {
+        for (AttemptHistory record : endpoints.values()) {
             if (record.state == EndpointState.READY) {
                 ready++;
                 int failed = Integer.bitCount(record.failed);
--- a/engine/src/main/java/trailthread/engine/degradation/LoadReportAge.java
+++ b/engine/src/main/java/trailthread/engine/degradation/LoadReportAge.java
@@ -1,9 +1,9 @@
 package trailthread.engine.degradation;
 
 /**
- * How old the youngest load report of any worker was when one was last owed and did not come; pure.
- * Time in which none is owed does not count, or a node without calls would see its reports grow
- * old.
+ * How old the youngest load report of any endpoint was when one was last owed and did not come;
+ * pure. Time in which none is owed does not count, or a node without calls would see its reports
+ * grow old.
  */
 final class LoadReportAge {
     private long reportedAt;
@@ -14,12 +14,12 @@
         missedAt = now;
     }
 
-    /** A worker has told of its load. */
+    /** An endpoint has told of its load. */
     void reported(long now) {
         reportedAt = now;
     }
 
-    /** A worker should have told of its load, and did not. */
+    /** An endpoint should have told of its load, and did not. */
     void missed(long now) {
         missedAt = now;
     }
--- a/engine/src/main/java/trailthread/engine/degradation/StarvationRate.java
+++ b/engine/src/main/java/trailthread/engine/degradation/StarvationRate.java
@@ -9,9 +9,9 @@
 import trailthread.engine.metrics.RequestResult;
 
 /**
- * Which share of guarded calls lacked a worker of late: not served, or first sent to one later than
- * a tenth of their aim after they came; pure. Those that a level has shed are left out, or it would
- * hold itself.
+ * Which share of guarded calls lacked an endpoint of late: not served, or first sent to one later
+ * than a tenth of their aim after they came; pure. Those that a level has shed are left out, or it
+ * would hold itself.
  */
 final class StarvationRate {
     private static final double SPAN_NS = 10e9;
@@ -19,7 +19,7 @@
 
     private final DecayingShare lately;
 
-    /** The longest that a call of a guarded class may wait for a worker, ns. */
+    /** The longest that a call of a guarded class may wait for an endpoint, ns. */
     private final Map<String, Long> mostWaitNs = new HashMap<>();
 
     /** Guarded calls that were shed and have not had their answer. */
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveredEndpoint.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveredEndpoint.java
@@ -4,7 +4,7 @@
 import trailthread.api.EndpointState;
 
 /**
- * One worker as discovery names it.
+ * One endpoint as discovery names it.
  *
  * @param instanceId the same at every node
  * @param hostPort where this node reaches it
@@ -19,7 +19,7 @@
         EndpointState lifecycle,
         double weight,
         long startedAtMs) {
-    /** The worker as the decision module has it. */
+    /** The endpoint as the decision module has it. */
     public EndpointEntry entry() {
         return new EndpointEntry(
                 instanceId, weight, lifecycle, zone, startedAtMs * 1_000_000, cell);
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryParser.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryParser.java
@@ -29,7 +29,8 @@
     /**
      * Reads one whole object.
      *
-     * @throws IOException if it is not one, or lacks what a worker must have; the message says what
+     * @throws IOException if it is not one, or lacks what an endpoint must have; the message says
+     *     what
      */
     public static DiscoveryUpdate parse(String json) throws IOException {
         JsonReader in = new JsonReader(new StringReader(json));
--- a/engine/src/main/java/trailthread/engine/discovery/EndpointListFile.java
+++ b/engine/src/main/java/trailthread/engine/discovery/EndpointListFile.java
@@ -11,7 +11,7 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * A list of workers in a file, in the form in which discovery sends a whole one. It is looked at
+ * A list of endpoints in a file, in the form in which discovery sends a whole one. It is looked at
  * twice a second by its time, size and inode, beside the loop, and may be replaced or written anew
  * at any moment: what can't be read, as a half-written one can't, is told of in one line, and the
  * list before stays.
@@ -20,7 +20,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListFile.class);
     private static final long EVERY_NS = 500_000_000L;
 
-    /** More than ten thousand workers need. */
+    /** More than ten thousand endpoints need. */
     private static final long MOST_BYTES = 8 * 1024 * 1024;
 
     /** What tells one state of the file from the next. */
--- a/engine/src/main/java/trailthread/engine/discovery/EndpointListSource.java
+++ b/engine/src/main/java/trailthread/engine/discovery/EndpointListSource.java
@@ -1,6 +1,8 @@
 package trailthread.engine.discovery;
 
-/** Where a list of workers comes from. Tells its {@link DiscoveryListener} on the loop's thread. */
+/**
+ * Where a list of endpoints comes from. Tells its {@link DiscoveryListener} on the loop's thread.
+ */
 public interface EndpointListSource {
     /** Begins to tell. */
     void start();
--- a/engine/src/main/java/trailthread/engine/discovery/StaticEndpointList.java
+++ b/engine/src/main/java/trailthread/engine/discovery/StaticEndpointList.java
@@ -4,7 +4,7 @@
 import trailthread.api.EndpointState;
 import trailthread.engine.loop.EventLoop;
 
-/** Workers that are given once and for all: always ready, as far as a list can tell. */
+/** Endpoints that are given once and for all: always ready, as far as a list can tell. */
 public final class StaticEndpointList implements EndpointListSource {
     private final EventLoop loop;
     private final DiscoveryUpdate update;
@@ -14,7 +14,7 @@
     /**
      * Makes one.
      *
-     * @param hostPorts each address:port; a worker's id is its address
+     * @param hostPorts each address:port; an endpoint's id is its address
      */
     public StaticEndpointList(EventLoop loop, List<String> hostPorts, DiscoveryListener listener) {
         this.loop = loop;
--- a/engine/src/main/java/trailthread/engine/endpoint/Attempt.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/Attempt.java
@@ -17,9 +17,9 @@
 import trailthread.engine.loop.Seconds;
 
 /**
- * One attempt at a worker: a connection, the request, the answer, the ending. It is over, and its
- * connection closed, before anyone hears of its ending, so that no second copy can be out beside
- * it.
+ * One attempt at an endpoint: a connection, the request, the answer, the ending. It is over, and
+ * its connection closed, before anyone hears of its ending, so that no second copy can be out
+ * beside it.
  */
 public final class Attempt implements ResponseListener {
     /** What is longer is passed on as it comes. */
@@ -27,7 +27,7 @@
 
     /**
      * An answer of untold length is held for so long from its first bytes on. Past 64 KiB its time
-     * is that of its first bytes, and a worker that brings them slowly would use it up.
+     * is that of its first bytes, and an endpoint that brings them slowly would use it up.
      */
     private static final long HELD_NS = 100_000_000L;
 
@@ -42,7 +42,7 @@
 
     private final EventLoop loop;
     private final ConnectionPool connections;
-    private final Endpoint worker;
+    private final Endpoint endpoint;
     private final EndpointRequest request;
     private final AttemptListener listener;
     private final long startedAt;
@@ -84,14 +84,14 @@
     Attempt(
             EventLoop loop,
             ConnectionPool connections,
-            Endpoint worker,
+            Endpoint endpoint,
             EndpointRequest request,
             long timeoutNs,
             long writtenBy,
             AttemptListener listener) {
         this.loop = loop;
         this.connections = connections;
-        this.worker = worker;
+        this.endpoint = endpoint;
         this.request = request;
         this.listener = listener;
         startedAt = loop.now();
@@ -103,19 +103,19 @@
         if (over) {
             return;
         }
-        if (worker == null) {
+        if (endpoint == null) {
             end(Outcome.CONNECT_FAILED);
             return;
         }
         timeout = loop.after(endsAt - loop.now(), this::late);
-        HttpConnection idle = connections.takeIdle(worker);
+        HttpConnection idle = connections.takeIdle(endpoint);
         if (idle != null) {
             send(idle);
             return;
         }
         connectTimeout =
                 loop.afterReading(connections.connectTimeoutNs, () -> end(Outcome.CONNECT_FAILED));
-        connecting = connections.connect(worker, this::connected);
+        connecting = connections.connect(endpoint, this::connected);
     }
 
     private void connected(HttpConnection opened) {
@@ -132,14 +132,14 @@
     }
 
     private void send(HttpConnection to) {
-        boolean mayBegin = connections.mayBegin(worker, request.isProbe());
+        boolean mayBegin = connections.mayBegin(endpoint, request.isProbe());
         long now = loop.now();
         if (!mayBegin || now >= endsAt || !mayBeWritten() || !listener.isWanted()) {
             // What was right when it was decided may not be so any more: a drain has become known,
-            // a worker no longer
+            // an endpoint no longer
             // drops this as a repeat, or nobody waits for it. The rules count from when it is
             // written.
-            connections.keep(worker, to);
+            connections.keep(endpoint, to);
             end(Outcome.NOT_SENT);
             return;
         }
@@ -152,7 +152,7 @@
                         request.method(),
                         request.target(),
                         passing == null || passing.host().isEmpty()
-                                ? worker.hostPort
+                                ? endpoint.hostPort
                                 : passing.host());
         if (passing != null) {
             List<String> headers = passing.headers();
@@ -210,13 +210,13 @@
         end(isSent() ? Outcome.TIMEOUT : unsent());
     }
 
-    /** Whether the worker may run it: the request's last byte has been written. */
+    /** Whether the endpoint may run it: the request's last byte has been written. */
     public boolean isSent() {
         return connection != null && connection.isSent();
     }
 
     /**
-     * What has become of it that was not written whole: the worker is not to blame for what came
+     * What has become of it that was not written whole: the endpoint is not to blame for what came
      * too late to it.
      */
     private Outcome unsent() {
@@ -225,7 +225,7 @@
 
     @Override
     public void sent() {
-        sentAt = loop.now(); // a long body's own way is not the worker's time
+        sentAt = loop.now(); // a long body's own way is not the endpoint's time
         if (request.source() != null && sink == null && !over) {
             timeout = removed(timeout);
             timeout = loop.after(request.afterBodyNs(), this::late);
@@ -310,7 +310,7 @@
 
     @Override
     public void whole() {
-        connections.keep(worker, connection);
+        connections.keep(endpoint, connection);
         connection = null;
         long atLeastNs = loop.cameNotBefore() - sentAt;
         long atMostNs = loop.cameBy() - sentAt;
@@ -320,7 +320,7 @@
                         ? LatencySample.UNKNOWN
                         : request.isProbe()
                                 ? atMostNs
-                                : worker.answerTime.told(atLeastNs, atMostNs),
+                                : endpoint.answerTime.told(atLeastNs, atMostNs),
                 answer.outcome(passed != null));
     }
 
@@ -340,8 +340,8 @@
     }
 
     /**
-     * The latency of an answer is told without the opening of the connection. Guards against a
-     * worker that is rarely asked, so that its connections idle out: each call there would open
+     * The latency of an answer is told without the opening of the connection. Guards against an
+     * endpoint that is rarely asked, so that its connections idle out: each call there would open
      * one, pass for slow with it, and keep the module from asking more, also when the others are
      * full.
      */
--- a/engine/src/main/java/trailthread/engine/endpoint/ConnectionLimit.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionLimit.java
@@ -1,7 +1,7 @@
 package trailthread.engine.endpoint;
 
 /**
- * How many connections to workers there may be. Each {@link #take} that is granted is followed by
+ * How many connections to endpoints there may be. Each {@link #take} that is granted is followed by
  * one give.
  */
 public interface ConnectionLimit {
--- a/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
@@ -10,10 +10,10 @@
 import trailthread.engine.loop.CpuAccount;
 import trailthread.engine.loop.EventLoop;
 
-/** The connections to the workers: opened when needed, kept while idle, bounded over all. */
+/** The connections to the endpoints: opened when needed, kept while idle, bounded over all. */
 final class ConnectionPool {
     /**
-     * An idle connection is dropped after this share of the time that the worker leaves it open.
+     * An idle connection is dropped after this share of the time that the endpoint leaves it open.
      */
     private static final double KEPT_SHARE = 0.8;
 
@@ -27,11 +27,11 @@
 
     /** A connection with no request on it. */
     static final class Idle {
-        private final Endpoint worker;
+        private final Endpoint endpoint;
         private final HttpConnection connection;
 
-        Idle(Endpoint worker, HttpConnection connection) {
-            this.worker = worker;
+        Idle(Endpoint endpoint, HttpConnection connection) {
+            this.endpoint = endpoint;
             this.connection = connection;
         }
     }
@@ -40,7 +40,7 @@
     long connectTimeoutNs;
     private long drainGraceNs;
 
-    /** No request is begun then or later, whatever the worker: the list is too old. */
+    /** No request is begun then or later, whatever the endpoint: the list is too old. */
     private long listUsableUntil = Long.MAX_VALUE;
 
     private Runnable readNews = () -> {};
@@ -48,7 +48,7 @@
     private final ConnectionLimit room;
     private final CpuAccount account;
 
-    /** Those idle at any worker, the longest idle first. */
+    /** Those idle at any endpoint, the longest idle first. */
     private final Set<Idle> idle = new LinkedHashSet<>();
 
     /** Connections, and connects that have not come up. */
@@ -70,9 +70,9 @@
     }
 
     /** Other times hold from now on, as in the constructor. */
-    void retune(long connectWithinNs, long workersKeepNs, long graceNs) {
+    void retune(long connectWithinNs, long endpointsKeepNs, long graceNs) {
         connectTimeoutNs = connectWithinNs;
-        idleNs = (long) (KEPT_SHARE * workersKeepNs);
+        idleNs = (long) (KEPT_SHARE * endpointsKeepNs);
         drainGraceNs = ListLease.usableGraceNs(graceNs);
     }
 
@@ -87,23 +87,24 @@
     }
 
     /**
-     * Whether a request may be begun at a worker now, by all that discovery has told; a probe needs
-     * no fresh list.
+     * Whether a request may be begun at an endpoint now, by all that discovery has told; a probe
+     * needs no fresh list.
      */
-    boolean mayBegin(Endpoint worker, boolean isProbe) {
+    boolean mayBegin(Endpoint endpoint, boolean isProbe) {
         // A loop that runs late, or is in the midst of a long list, has news unread that counts as
         // told.
         readNews.run();
         long now = loop.now();
-        return worker.takesNew(now, drainGraceNs) && (isProbe || now < listUsableUntil);
+        return endpoint.takesNew(now, drainGraceNs) && (isProbe || now < listUsableUntil);
     }
 
-    /** An idle connection to the worker, or null. */
-    HttpConnection takeIdle(Endpoint worker) {
-        for (Idle next = preferred(worker); next != null; next = preferred(worker)) {
+    /** An idle connection to the endpoint, or null. */
+    HttpConnection takeIdle(Endpoint endpoint) {
+        for (Idle next = preferred(endpoint); next != null; next = preferred(endpoint)) {
             forget(next);
             if (isOld(
-                    next)) { // left by a late sweep: its worker may have closed it, and its word be
+                    next)) { // left by a late sweep: its endpoint may have closed it, and its word
+                // be
                 // on the way
                 next.connection.close();
             } else if (next.connection.isUsable()) {
@@ -117,15 +118,15 @@
      * The last one used, or null. Guards against a second answer to the call before, which would
      * pass for the next one's: where others have settled for longer, one of these.
      */
-    private Idle preferred(Endpoint worker) {
+    private Idle preferred(Endpoint endpoint) {
         long settled = loop.now() - SETTLES_NS;
-        for (Iterator<Idle> lastFirst = worker.idle.descendingIterator(); lastFirst.hasNext(); ) {
+        for (Iterator<Idle> lastFirst = endpoint.idle.descendingIterator(); lastFirst.hasNext(); ) {
             Idle next = lastFirst.next();
             if (next.connection.idleSince() <= settled) {
                 return next;
             }
         }
-        return worker.idle.peekFirst();
+        return endpoint.idle.peekFirst();
     }
 
     /**
@@ -134,7 +135,7 @@
      *
      * @return takes the connect back
      */
-    Runnable connect(Endpoint worker, Consumer<HttpConnection> opened) {
+    Runnable connect(Endpoint endpoint, Consumer<HttpConnection> opened) {
         boolean free = room.take();
         if (!free && !idle.isEmpty()) {
             drop(idle.iterator().next()); // room for one that is needed
@@ -148,7 +149,7 @@
         Runnable connect =
                 HttpConnection.open(
                         loop,
-                        worker.address,
+                        endpoint.address,
                         account,
                         this::closed,
                         connection -> {
@@ -169,15 +170,15 @@
     }
 
     /** Keeps a connection for later, if it can serve again. */
-    void keep(Endpoint worker, HttpConnection connection) {
-        if (!worker.listed || !room.keepsIdle()) {
+    void keep(Endpoint endpoint, HttpConnection connection) {
+        if (!endpoint.listed || !room.keepsIdle()) {
             connection.close();
         }
         if (!connection.isFree()) {
             return; // before it is used again, it is looked at
         }
-        Idle kept = new Idle(worker, connection);
-        worker.idle.addLast(kept);
+        Idle kept = new Idle(endpoint, connection);
+        endpoint.idle.addLast(kept);
         idle.add(kept);
         if (!sweeps) {
             sweeps = true;
@@ -200,16 +201,16 @@
         return loop.now() - kept.connection.idleSince() >= idleNs;
     }
 
-    /** Closes as many that idle at any worker, the longest idle first. */
+    /** Closes as many that idle at any endpoint, the longest idle first. */
     void closeIdle(int count) {
         for (int i = 0; i < count && !idle.isEmpty(); i++) {
             drop(idle.iterator().next());
         }
     }
 
-    void closeIdle(Endpoint worker) {
-        while (!worker.idle.isEmpty()) {
-            drop(worker.idle.peekLast());
+    void closeIdle(Endpoint endpoint) {
+        while (!endpoint.idle.isEmpty()) {
+            drop(endpoint.idle.peekLast());
         }
     }
 
@@ -223,10 +224,10 @@
     }
 
     private void forget(Idle taken) {
-        if (taken.worker.idle.peekLast() == taken) {
-            taken.worker.idle.pollLast(); // the usual case, and searched for last
+        if (taken.endpoint.idle.peekLast() == taken) {
+            taken.endpoint.idle.pollLast(); // the usual case, and searched for last
         } else {
-            taken.worker.idle.remove(taken);
+            taken.endpoint.idle.remove(taken);
         }
         idle.remove(taken);
     }
--- a/engine/src/main/java/trailthread/engine/endpoint/Endpoint.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/Endpoint.java
@@ -4,7 +4,7 @@
 import java.util.ArrayDeque;
 import trailthread.api.EndpointState;
 
-/** One worker, and the idle connections to it. */
+/** One endpoint, and the idle connections to it. */
 final class Endpoint {
     final String instanceId;
     final String hostPort;
--- a/engine/src/main/java/trailthread/engine/endpoint/EndpointPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointPool.java
@@ -11,19 +11,19 @@
 import trailthread.engine.loop.CpuAccount;
 import trailthread.engine.loop.EventLoop;
 
-/** The workers that discovery has named, by instance, and the connections to them. */
+/** The endpoints that discovery has named, by instance, and the connections to them. */
 public final class EndpointPool {
-    private final Map<String, Endpoint> workers = new HashMap<>();
+    private final Map<String, Endpoint> endpoints = new HashMap<>();
     private final ConnectionPool connections;
     private final EventLoop loop;
     private final long fineNs;
     private final CpuAccount account;
 
     /**
-     * @param idleNs how long a worker leaves an idle connection open
-     * @param room for connections over all workers
+     * @param idleNs how long an endpoint leaves an idle connection open
+     * @param room for connections over all endpoints
      * @param fineNs differences in the time of answers that matter to nobody
-     * @param account what the thread does for these workers is put down to
+     * @param account what the thread does for these endpoints is put down to
      */
     public EndpointPool(
             EventLoop loop,
@@ -46,7 +46,7 @@
     }
 
     /**
-     * Where a worker is, as it is told as address:port.
+     * Where an endpoint is, as it is told as address:port.
      *
      * @throws IllegalArgumentException if it is not
      */
@@ -59,28 +59,28 @@
     /** Takes in discovery's news. */
     public void update(DiscoveryUpdate update, long now) {
         if (update.reset()) {
-            for (Endpoint worker : workers.values()) {
-                worker.listed = false;
+            for (Endpoint endpoint : endpoints.values()) {
+                endpoint.listed = false;
             }
         }
         for (DiscoveredEndpoint entry : update.instances()) {
-            Endpoint worker = workers.get(entry.instanceId());
-            if (worker == null || !worker.hostPort.equals(entry.hostPort())) {
-                if (worker != null) {
-                    worker.listed = false;
-                    connections.closeIdle(worker);
+            Endpoint endpoint = endpoints.get(entry.instanceId());
+            if (endpoint == null || !endpoint.hostPort.equals(entry.hostPort())) {
+                if (endpoint != null) {
+                    endpoint.listed = false;
+                    connections.closeIdle(endpoint);
                 }
-                worker = new Endpoint(entry.instanceId(), entry.hostPort(), fineNs);
-                workers.put(entry.instanceId(), worker);
+                endpoint = new Endpoint(entry.instanceId(), entry.hostPort(), fineNs);
+                endpoints.put(entry.instanceId(), endpoint);
             }
-            worker.listed = entry.lifecycle() != EndpointState.GONE;
-            worker.tell(entry.lifecycle(), now);
+            endpoint.listed = entry.lifecycle() != EndpointState.GONE;
+            endpoint.tell(entry.lifecycle(), now);
         }
-        for (Iterator<Endpoint> i = workers.values().iterator(); i.hasNext(); ) {
-            Endpoint worker = i.next();
-            if (!worker.listed) {
-                worker.tell(EndpointState.GONE, now);
-                connections.closeIdle(worker);
+        for (Iterator<Endpoint> i = endpoints.values().iterator(); i.hasNext(); ) {
+            Endpoint endpoint = i.next();
+            if (!endpoint.listed) {
+                endpoint.tell(EndpointState.GONE, now);
+                connections.closeIdle(endpoint);
                 i.remove();
             }
         }
@@ -123,28 +123,28 @@
             long timeoutNs,
             long writtenBy,
             AttemptListener listener) {
-        Endpoint worker = workers.get(instanceId);
+        Endpoint endpoint = endpoints.get(instanceId);
         Attempt attempt =
-                new Attempt(loop, connections, worker, request, timeoutNs, writtenBy, listener);
+                new Attempt(loop, connections, endpoint, request, timeoutNs, writtenBy, listener);
         loop.execute(() -> account.charge(attempt::start));
         return attempt;
     }
 
-    /** Asks a worker for its load; its ending holds what it told. */
+    /** Asks an endpoint for its load; its ending holds what it told. */
     public void probe(String instanceId, long timeoutNs, Consumer<AttemptResult> ended) {
         attempt(instanceId, EndpointRequest.PROBE, timeoutNs, ended::accept);
     }
 
-    /** Closes as many idle connections, to whichever worker. */
+    /** Closes as many idle connections, to whichever endpoint. */
     public void closeIdle(int count) {
         connections.closeIdle(count);
     }
 
-    /** Closes the idle connections to a worker. */
+    /** Closes the idle connections to an endpoint. */
     public void closeIdle(String instanceId) {
-        Endpoint worker = workers.get(instanceId);
-        if (worker != null) {
-            connections.closeIdle(worker);
+        Endpoint endpoint = endpoints.get(instanceId);
+        if (endpoint != null) {
+            connections.closeIdle(endpoint);
         }
     }
 }
--- a/engine/src/main/java/trailthread/engine/endpoint/EndpointRequest.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointRequest.java
@@ -3,7 +3,7 @@
 import trailthread.engine.http.ByteSource;
 
 /**
- * What a worker is to be asked.
+ * What an endpoint is to be asked.
  *
  * @param id the client's, passed on; null: this is a probe
  * @param target path and query as the client sent them
--- a/engine/src/main/java/trailthread/engine/endpoint/EndpointResponse.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointResponse.java
@@ -3,7 +3,7 @@
 import io.undertow.util.HeaderMap;
 
 /**
- * What a worker made of a call.
+ * What an endpoint made of a call.
  *
  * @param headers those of its answer, as they came; null where only the body is passed on
  */
--- a/engine/src/main/java/trailthread/engine/endpoint/LatencySample.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/LatencySample.java
@@ -1,15 +1,15 @@
 package trailthread.engine.endpoint;
 
 /**
- * What is to be told of how long a worker took, where the node knows only that it was at least and
- * at most so long; pure.
+ * What is to be told of how long an endpoint took, where the node knows only that it was at least
+ * and at most so long; pure.
  *
- * <p>What lies between the two bounds is the node's own lateness. Told with it, a worker passes for
- * slow when the node is; told without, for quicker than it ever is, and for jammed ever after. So
- * an answer whose bounds lie far apart tells of no time at all. How far must not depend on the
+ * <p>What lies between the two bounds is the node's own lateness. Told with it, an endpoint passes
+ * for slow when the node is; told without, for quicker than it ever is, and for jammed ever after.
+ * So an answer whose bounds lie far apart tells of no time at all. How far must not depend on the
  * answer: were short ones known as short through bounds that leave long ones unknown, only they
- * would be learnt. One exception: a worker that was surely many times as slow as usual is told of,
- * by the lower bound.
+ * would be learnt. One exception: an endpoint that was surely many times as slow as usual is told
+ * of, by the lower bound.
  */
 final class LatencySample {
     static final long UNKNOWN = -1;
--- a/engine/src/main/java/trailthread/engine/endpoint/LoadReportParser.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/LoadReportParser.java
@@ -7,9 +7,9 @@
 import java.io.StringReader;
 import trailthread.api.LoadReport;
 
-/** Reads a worker's load report; pure. */
+/** Reads an endpoint's load report; pure. */
 final class LoadReportParser {
-    /** No worker holds, serves or takes more; whoever tells of it tells nonsense. */
+    /** No endpoint holds, serves or takes more; whoever tells of it tells nonsense. */
     private static final double MOST = 1e6;
 
     private LoadReportParser() {}
--- a/engine/src/main/java/trailthread/engine/endpoint/ResponseHead.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ResponseHead.java
@@ -5,7 +5,7 @@
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
 
-/** The head of a worker's answer, decoded. */
+/** The head of an endpoint's answer, decoded. */
 record ResponseHead(int status, boolean unprocessed, LoadReport load) {
     private static final HttpString UNPROCESSED = new HttpString("X-Unprocessed");
     private static final HttpString LOAD = new HttpString("X-Backend-Load");
@@ -30,8 +30,8 @@
     /**
      * What a whole answer means; what the protocol does not know claims least: it may have run.
      *
-     * @param plain whether a worker may answer with any status. What says that the worker is at
-     *     fault has failed, and 429 too, as only the node's own module refuses
+     * @param plain whether an endpoint may answer with any status. What says that the endpoint is
+     *     at fault has failed, and 429 too, as only the node's own module refuses
      */
     Outcome outcome(boolean plain) {
         if (status == 200 || (plain && status < 500 && status != 429)) {
--- a/engine/src/main/java/trailthread/engine/http/ResponseDecoder.java
+++ b/engine/src/main/java/trailthread/engine/http/ResponseDecoder.java
@@ -10,8 +10,8 @@
 /**
  * Reads one HTTP/1.1 answer, however it comes in pieces; pure. Strict where two readers could
  * differ on where an answer ends: Undertow's own client takes the first of two lengths, a negative
- * one, and an interim answer for the final one, and serves what no worker made; it also waits for a
- * head that never ends.
+ * one, and an interim answer for the final one, and serves what no endpoint made; it also waits for
+ * a head that never ends.
  */
 final class ResponseDecoder {
     private static final String VERSION = "HTTP/1.";
--- a/engine/src/main/java/trailthread/engine/metrics/MetricsRecorder.java
+++ b/engine/src/main/java/trailthread/engine/metrics/MetricsRecorder.java
@@ -14,7 +14,7 @@
     /**
      * A call was taken: it has come whole or, where its body is passed on, its body has begun to
      * find no room. It ends with {@link #answered} or {@link #gone}, once; a long answer ends with
-     * its last byte from the worker.
+     * its last byte from the endpoint.
      */
     void taken(String requestClass);
 
@@ -32,28 +32,28 @@
     /** A request was answered without being taken as a call. */
     void rejected(RejectionReason why);
 
-    /** An attempt is to be made at a worker; its end follows, once. */
-    void attemptBegun(String worker);
+    /** An attempt is to be made at an endpoint; its end follows, once. */
+    void attemptBegun(String endpoint);
 
-    /** An attempt's last byte has been written to its worker. */
+    /** An attempt's last byte has been written to its endpoint. */
     void attemptSent();
 
     /**
      * An attempt has ended.
      *
      * @param latencyNs -1 where the node can't tell its own lateness from it
-     * @param load what the worker told of itself with it, or null
+     * @param load what the endpoint told of itself with it, or null
      */
-    void attemptEnded(String worker, Outcome outcome, long latencyNs, LoadReport load);
+    void attemptEnded(String endpoint, Outcome outcome, long latencyNs, LoadReport load);
 
     /**
      * A probe has ended.
      *
-     * @param load what the worker told of itself, or null
+     * @param load what the endpoint told of itself, or null
      */
-    void healthChecked(String worker, Outcome outcome, LoadReport load);
+    void healthChecked(String endpoint, Outcome outcome, LoadReport load);
 
-    /** News of the workers, as the decision module gets it. */
+    /** News of the endpoints, as the decision module gets it. */
     void listed(ListKind kind, List<EndpointEntry> entries);
 
     /** A configuration was read at a reload, and was taken over or not. */
--- a/engine/src/main/java/trailthread/engine/metrics/NodeStatus.java
+++ b/engine/src/main/java/trailthread/engine/metrics/NodeStatus.java
@@ -19,11 +19,11 @@
     /** How many connections to clients there are in each state; each is in one. */
     Map<String, Integer> clientConnections();
 
-    /** How many connections to workers there are in each state; each is in one. */
-    Map<String, Integer> workerConnections();
+    /** How many connections to endpoints there are in each state; each is in one. */
+    Map<String, Integer> endpointConnections();
 
-    /** How many of the listed workers the node avoids just now. */
-    int avoidedWorkers();
+    /** How many of the listed endpoints the node avoids just now. */
+    int avoidedEndpoints();
 
     /** How many file descriptors the node may hold. */
     int descriptorLimit();
--- a/engine/src/main/java/trailthread/engine/metrics/NoopMetricsRecorder.java
+++ b/engine/src/main/java/trailthread/engine/metrics/NoopMetricsRecorder.java
@@ -21,16 +21,16 @@
     public void rejected(RejectionReason why) {}
 
     @Override
-    public void attemptBegun(String worker) {}
+    public void attemptBegun(String endpoint) {}
 
     @Override
     public void attemptSent() {}
 
     @Override
-    public void attemptEnded(String worker, Outcome outcome, long latencyNs, LoadReport load) {}
+    public void attemptEnded(String endpoint, Outcome outcome, long latencyNs, LoadReport load) {}
 
     @Override
-    public void healthChecked(String worker, Outcome outcome, LoadReport load) {}
+    public void healthChecked(String endpoint, Outcome outcome, LoadReport load) {}
 
     @Override
     public void listed(ListKind kind, List<EndpointEntry> entries) {}
--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -30,7 +30,7 @@
 import trailthread.engine.request.RequestHandler;
 
 /**
- * One service: its decision module, its workers, its calls, and its part of what the process has.
+ * One service: its decision module, its endpoints, its calls, and its part of what the process has.
  */
 public final class Pool implements RequestHandler, DiscoveryListener, CpuAccount {
     private static final Logger LOG = LoggerFactory.getLogger(Pool.class);
@@ -42,7 +42,7 @@
     private final Quota.Party connections;
     private final Quota.Party bodyBytes;
     private final TimeShare.Party time;
-    private final EndpointPool workers;
+    private final EndpointPool endpoints;
     private final RequestDispatcher atWork;
     private final EndpointListSource list;
     private final PoolMetrics meter;
@@ -81,7 +81,7 @@
                         config.limits().bodyBytes().most());
         time = shares.time.join(config.limits().loopWeight());
         var settings = config.settings();
-        workers =
+        endpoints =
                 new EndpointPool(
                         loop,
                         settings.connectTimeoutNs,
@@ -91,7 +91,7 @@
                         settings.latencyResolutionNs(),
                         this);
         meter = new PoolMetrics(config.name(), operators);
-        atWork = new RequestDispatcher(loop, workers, settings, seed, meter);
+        atWork = new RequestDispatcher(loop, endpoints, settings, seed, meter);
         atWork.admit((requestClass, overQuota, random) -> roomForThis);
         list = list(config.source());
         atWork.setDiscovery(list);
@@ -139,7 +139,7 @@
         bodyBytes.change(0, config.limits().bodyBytes().most());
         atWork.retire(
                 () -> {
-                    workers.update(new DiscoveryUpdate(0, true, List.of()), loop.now());
+                    endpoints.update(new DiscoveryUpdate(0, true, List.of()), loop.now());
                     calls.leave();
                     connections.leave();
                     bodyBytes.leave();
@@ -155,19 +155,19 @@
         return config;
     }
 
-    /** Its workers, as it knows them. */
+    /** Its endpoints, as it knows them. */
     public DiscoveryUpdate known() {
         return known;
     }
 
-    /** How many connections to its workers there are in each state. */
+    /** How many connections to its endpoints there are in each state. */
     public Map<String, Integer> connections() {
-        return workers.connections();
+        return endpoints.connections();
     }
 
-    /** How many of its workers are avoided just now. */
-    public int avoidedWorkers() {
-        return atWork.avoidedWorkers();
+    /** How many of its endpoints are avoided just now. */
+    public int avoidedEndpoints() {
+        return atWork.avoidedEndpoints();
     }
 
     /** How many calls it has open. */
@@ -228,7 +228,7 @@
         time.used(ns, loop.now());
     }
 
-    // ---- workers
+    // ---- endpoints
     // -----------------------------------------------------------------------------------
 
     @Override
@@ -247,9 +247,9 @@
 
     private void listed(ListKind kind, DiscoveryUpdate update, long knownSince) {
         known = update.onto(known);
-        workers.update(update, knownSince);
+        endpoints.update(update, knownSince);
         List<EndpointEntry> entries = new ArrayList<>();
-        update.instances().forEach(worker -> entries.add(worker.entry()));
+        update.instances().forEach(endpoint -> entries.add(endpoint.entry()));
         meter.listed(kind, entries);
         atWork.list(kind, entries);
     }
@@ -258,7 +258,7 @@
     void giveBackIdle() {
         long owed = connections.owes(loop.now());
         if (owed > 0) {
-            workers.closeIdle((int) owed);
+            endpoints.closeIdle((int) owed);
         }
     }
 
--- a/engine/src/main/java/trailthread/engine/pool/PoolConfig.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolConfig.java
@@ -13,9 +13,9 @@
  * configuration is equal to the one before.
  *
  * @param name unique in the process
- * @param profile how its clients and workers speak
- * @param source where its list of workers comes from
- * @param place where this node stands among those that share the workers
+ * @param profile how its clients and endpoints speak
+ * @param source where its list of endpoints comes from
+ * @param place where this node stands among those that share the endpoints
  * @param classes its classes of calls; for each {@link Repeats} the first one is the default of
  *     plain calls
  * @param tenants those with a quota
@@ -31,10 +31,10 @@
         List<Tenant> tenants,
         Rules rules,
         Limits limits) {
-    /** How clients and workers speak. */
+    /** How clients and endpoints speak. */
     public enum Profile {
         /**
-         * Any HTTP/1.1: methods tell what may be repeated, headers pass, workers may answer with
+         * Any HTTP/1.1: methods tell what may be repeated, headers pass, endpoints may answer with
          * any status.
          */
         PLAIN,
@@ -42,12 +42,12 @@
         PLATFORM
     }
 
-    /** Where a list of workers comes from. */
+    /** Where a list of endpoints comes from. */
     public sealed interface Source {
         /** A roster, watched, at address:port. */
         record Roster(String hostPort) implements Source {}
 
-        /** These workers, at address:port, for good. */
+        /** These endpoints, at address:port, for good. */
         record Fixed(List<String> hostPorts) implements Source {
             public Fixed {
                 hostPorts = List.copyOf(hostPorts);
@@ -61,9 +61,9 @@
     /**
      * Where this node stands.
      *
-     * @param zone its own; workers of other zones cost more by {@link Rules#crossZonePrice}
+     * @param zone its own; endpoints of other zones cost more by {@link Rules#crossZonePrice}
      * @param number from 0 on
-     * @param nodes how many share the workers, 1 or more
+     * @param nodes how many share the endpoints, 1 or more
      */
     public record Place(String zone, int number, int nodes) {}
 
@@ -90,7 +90,7 @@
     /**
      * What holds for attempts and refusals; times in ns.
      *
-     * @param idleCloseNs how long a worker leaves an idle connection open
+     * @param idleCloseNs how long an endpoint leaves an idle connection open
      * @param drainGraceNs how long after the news of a drain something new may still be sent
      * @param responseSlackNs how far past a client's deadline an answer still counts
      * @param maxRetryAfterNs the longest advice on when to return; 0: none is given
@@ -115,7 +115,7 @@
      * Its part of what the process has.
      *
      * @param calls open at a time
-     * @param connections to its workers
+     * @param connections to its endpoints
      * @param bodyBytes of bodies that clients have sent and that are kept for their attempts
      * @param loopWeight its weight in the division of the one thread's time, above 0
      */
--- a/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
@@ -13,7 +13,7 @@
 import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.metrics.RequestResult;
 
-/** Tells the operators' meter of one pool: classes and workers are called pool/name there. */
+/** Tells the operators' meter of one pool: classes and endpoints are called pool/name there. */
 final class PoolMetrics implements MetricsRecorder {
     private final String prefix;
     private final MetricsRecorder operators;
@@ -45,8 +45,8 @@
     }
 
     @Override
-    public void attemptBegun(String worker) {
-        operators.attemptBegun(prefix + worker);
+    public void attemptBegun(String endpoint) {
+        operators.attemptBegun(prefix + endpoint);
     }
 
     @Override
@@ -55,16 +55,18 @@
     }
 
     @Override
-    public void attemptEnded(String worker, Outcome outcome, long latencyNs, LoadReport load) {
-        operators.attemptEnded(prefix + worker, outcome, latencyNs, load);
+    public void attemptEnded(String endpoint, Outcome outcome, long latencyNs, LoadReport load) {
+        operators.attemptEnded(prefix + endpoint, outcome, latencyNs, load);
     }
 
     @Override
-    public void healthChecked(String worker, Outcome outcome, LoadReport load) {
-        operators.healthChecked(prefix + worker, outcome, load);
+    public void healthChecked(String endpoint, Outcome outcome, LoadReport load) {
+        operators.healthChecked(prefix + endpoint, outcome, load);
     }
 
-    /** The meter holds the workers of all pools, so a whole list of one is told as what changed. */
+    /**
+     * The meter holds the endpoints of all pools, so a whole list of one is told as what changed.
+     */
     @Override
     public void listed(ListKind kind, List<EndpointEntry> entries) {
         List<EndpointEntry> changes = new ArrayList<>();
@@ -85,7 +87,7 @@
         operators.listed(ListKind.DELTA, changes);
     }
 
-    /** The pool is no more, nor are its workers. */
+    /** The pool is no more, nor are its endpoints. */
     void ended() {
         listed(ListKind.FULL, List.of());
     }
--- a/engine/src/main/java/trailthread/engine/pool/ServicesConfig.java
+++ b/engine/src/main/java/trailthread/engine/pool/ServicesConfig.java
@@ -7,7 +7,7 @@
  * The services of a process.
  *
  * @param calls that all pools together may have open
- * @param connections to workers
+ * @param connections to endpoints
  * @param bodyBytes of clients' bodies kept for their attempts
  * @param pools their guarantees are no more than these
  * @param routes each to one of the pools; no two of them tie
--- a/engine/src/main/java/trailthread/engine/pool/Shares.java
+++ b/engine/src/main/java/trailthread/engine/pool/Shares.java
@@ -25,7 +25,7 @@
      * Makes shares that no pool has any of yet.
      *
      * @param calls open at a time, over all pools
-     * @param connections to workers
+     * @param connections to endpoints
      * @param bodyBytes of bodies kept
      */
     public Shares(EventLoop loop, long calls, long connections, long bodyBytes) {
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -31,7 +31,7 @@
     /** From its taking to its first attempt; -1: there was none. */
     private long waitedNs = -1;
 
-    /** What is out at a worker, or null. */
+    /** What is out at an endpoint, or null. */
     private Attempt out;
 
     /** It has its answer, or its client has gone: no answer is owed. */
@@ -87,12 +87,12 @@
     }
 
     /**
-     * The choice: a worker, how long to wait for it (0: as long as the client does), and until when
-     * it is written.
+     * The choice: an endpoint, how long to wait for it (0: as long as the client does), and until
+     * when it is written.
      */
-    void attempt(String worker, long timeoutNs, long writtenBy) {
+    void attempt(String endpoint, long timeoutNs, long writtenBy) {
         int attempt = attempts++;
-        calls.meter().attemptBegun(worker);
+        calls.meter().attemptBegun(endpoint);
         long now = calls.now();
         waitedNs = attempt == 0 ? now - takenAt : waitedNs;
         long left = deadline - now;
@@ -100,14 +100,14 @@
                 client.source() != null
                         && client.source().hasBegun(); // such a body can't be sent again
         if (finished || out != null || left <= 0 || spent) {
-            outcome(worker, attempt, new AttemptResult(Outcome.NOT_SENT, 0, null, null));
+            outcome(endpoint, attempt, new AttemptResult(Outcome.NOT_SENT, 0, null, null));
             return;
         }
         long wait = timeoutNs == 0 ? left : Math.min(timeoutNs, left);
         out =
-                calls.workers()
+                calls.endpoints()
                         .attempt(
-                                worker,
+                                endpoint,
                                 request,
                                 wait,
                                 writtenBy,
@@ -136,7 +136,7 @@
                                             LoadReport told,
                                             Runnable more) {
                                         return begun(
-                                                worker,
+                                                endpoint,
                                                 attempt,
                                                 told,
                                                 () ->
@@ -150,14 +150,14 @@
                                     @Override
                                     public void ended(AttemptResult ending) {
                                         out = null;
-                                        outcome(worker, attempt, ending);
+                                        outcome(endpoint, attempt, ending);
                                     }
                                 });
     }
 
     /**
      * The client's time counts from the last byte of its body, which has only now gone to the
-     * worker.
+     * endpoint.
      */
     private void bodySent() {
         if (!finished) {
@@ -174,7 +174,8 @@
      * A long answer begins: the client has it from here on, and the module makes no further
      * attempt.
      */
-    private ByteSink begun(String worker, int attempt, LoadReport told, Supplier<ByteSink> begin) {
+    private ByteSink begun(
+            String endpoint, int attempt, LoadReport told, Supplier<ByteSink> begin) {
         if (finished) {
             return null; // the client has gone
         }
@@ -187,7 +188,7 @@
                     .event(
                             null,
                             (module, now) ->
-                                    module.healthChecked(now, worker, Outcome.OK, -1, told));
+                                    module.healthChecked(now, endpoint, Outcome.OK, -1, told));
         }
         return sink;
     }
@@ -196,8 +197,8 @@
      * The outcome: an answer goes to the client at once, then the module hears, and may choose
      * again.
      */
-    private void outcome(String worker, int attempt, AttemptResult ending) {
-        calls.meter().attemptEnded(worker, ending.outcome(), ending.latencyNs(), ending.load());
+    private void outcome(String endpoint, int attempt, AttemptResult ending) {
+        calls.meter().attemptEnded(endpoint, ending.outcome(), ending.latencyNs(), ending.load());
         if (streams) {
             answered(ending.outcome() == Outcome.OK ? RequestResult.SERVED : RequestResult.FAILED);
         }
@@ -222,7 +223,7 @@
         forgetIfDone();
     }
 
-    /** The answer, where no worker made one: a refusal. */
+    /** The answer, where no endpoint made one: a refusal. */
     void refuse(long retryAfterNs) {
         if (!finished) {
             finish();
@@ -232,7 +233,7 @@
         }
     }
 
-    /** The answer, where no worker made one: a failure. */
+    /** The answer, where no endpoint made one: a failure. */
     void fail() {
         if (!finished) {
             finish();
@@ -243,8 +244,8 @@
     }
 
     /**
-     * No answer: the client has gone. What has been written to a worker comes to its own end, all
-     * else is not.
+     * No answer: the client has gone. What has been written to an endpoint comes to its own end,
+     * all else is not.
      */
     void gone() {
         if (!finished) {
--- a/engine/src/main/java/trailthread/engine/request/ClientRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ClientRequest.java
@@ -14,7 +14,8 @@
  * @param entity what the call concerns; 0: not told
  * @param target path and query as they came
  * @param idempotencyKey or null
- * @param passing what else goes to the worker, which may then answer with any status; null: nothing
+ * @param passing what else goes to the endpoint, which may then answer with any status; null:
+ *     nothing
  * @param source where the body comes from, if it is not held; else null
  */
 public record ClientRequest(
--- a/engine/src/main/java/trailthread/engine/request/ClientResponse.java
+++ b/engine/src/main/java/trailthread/engine/request/ClientResponse.java
@@ -5,12 +5,12 @@
 
 /** How one call is answered: by exactly one of these. */
 public interface ClientResponse {
-    /** What a worker made. */
+    /** What an endpoint made. */
     void served(EndpointResponse made);
 
     /**
-     * A long answer begins that a worker makes; the call has its answer then, whatever becomes of
-     * it.
+     * A long answer begins that an endpoint makes; the call has its answer then, whatever becomes
+     * of it.
      *
      * @param head without a body
      * @param length of the body, in bytes; -1: its end will tell
--- a/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
@@ -25,13 +25,13 @@
     private static final Logger LOG = LoggerFactory.getLogger(RequestDispatcher.class);
 
     private final EventLoop loop;
-    private final EndpointPool workers;
+    private final EndpointPool endpoints;
     private final MetricsRecorder meter;
     private final BalancerDriver decisions;
     private final Balancer module;
     private final Map<Long, ActiveRequest> calls = new HashMap<>();
 
-    /** The clients' ids of these. Workers tell copies of a call by its id. */
+    /** The clients' ids of these. Endpoints tell copies of a call by its id. */
     private final Set<String> openIds = new HashSet<>();
 
     private long responseSlackNs;
@@ -53,13 +53,13 @@
 
     public RequestDispatcher(
             EventLoop loop,
-            EndpointPool workers,
+            EndpointPool endpoints,
             Settings settings,
             long seed,
             MetricsRecorder meter) {
         this.meter = meter;
         this.loop = loop;
-        this.workers = workers;
+        this.endpoints = endpoints;
         apply(settings);
         decisions = new BalancerDriver(loop::now);
         module = new Balancer(settings, seed, loop.now(), decisions.queueing(this));
@@ -131,12 +131,12 @@
         decisions.event(null, (module, now) -> module.admit(admission));
     }
 
-    /** How many of the listed workers the module avoids just now. */
-    public int avoidedWorkers() {
+    /** How many of the listed endpoints the module avoids just now. */
+    public int avoidedEndpoints() {
         return module.avoided(now());
     }
 
-    /** Brings the module news of the workers. */
+    /** Brings the module news of the endpoints. */
     public void list(ListKind kind, List<EndpointEntry> entries) {
         decisions.event(null, (module, now) -> module.list(now, kind, entries));
     }
@@ -181,8 +181,8 @@
         return meter;
     }
 
-    EndpointPool workers() {
-        return workers;
+    EndpointPool endpoints() {
+        return endpoints;
     }
 
     long responseSlackNs() {
@@ -248,7 +248,7 @@
         if (!mayCheckHealth.test(endpoint)) {
             return;
         }
-        workers.probe(
+        endpoints.probe(
                 endpoint,
                 probeWithinNs,
                 ending -> {
@@ -267,7 +267,7 @@
 
     @Override
     public void closeIdle(String endpoint) {
-        workers.closeIdle(endpoint);
+        endpoints.closeIdle(endpoint);
     }
 
     @Override
--- a/engine/src/main/java/trailthread/engine/routes/Target.java
+++ b/engine/src/main/java/trailthread/engine/routes/Target.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 
 /**
- * What a request asks for: the host, and the path and query as they go to the worker, letter for
- * letter. Routed on is exactly what the worker will read, so whatever two readers could see
+ * What a request asks for: the host, and the path and query as they go to the endpoint, letter for
+ * letter. Routed on is exactly what the endpoint will read, so whatever two readers could see
  * differently is refused: dot segments (also encoded), empty segments but for the last, {@code ;}
  * parameters, encoded {@code /} and {@code \}, control letters. Of RFC 9112 (3.2), RFC 9110 (4.2,
  * 7.2) and RFC 3986 (3.3, 6.2.2); docs/routes.md has the table.
@@ -53,7 +53,8 @@
             if (named.isEmpty()) {
                 throw new BadTargetException("an absolute target without a host");
             }
-            // RFC 9112, 3.2: a client MUST name the same; the worker is sent the one and is routed
+            // RFC 9112, 3.2: a client MUST name the same; the endpoint is sent the one and is
+            // routed
             // to by the other.
             if (!hosts.isEmpty() && !named.equals(host)) {
                 throw new BadTargetException("a target and a Host that differ");
--- a/engine/src/test/java/trailthread/engine/degradation/ReadingsTest.java
+++ b/engine/src/test/java/trailthread/engine/degradation/ReadingsTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    public void aWorkerFailsIfMoreThanAThirdOfItsLastAttemptsFailedQuickly() {
+    public void aEndpointFailsIfMoreThanAThirdOfItsLastAttemptsFailedQuickly() {
         Object[][] cases = {
             {"", 0.0},
             {"e", 0.0},
@@ -75,7 +75,7 @@
     }
 
     @Test
-    public void whereNoWorkerIsReadyTheShareIsUnknown() {
+    public void whereNoEndpointIsReadyTheShareIsUnknown() {
         FailingEndpointRate failing = new FailingEndpointRate(MS);
         assertTrue(Double.isNaN(failing.share(0)));
         failing.listed(ListKind.FULL, entries(EndpointState.READY, "w0"));
@@ -97,7 +97,7 @@
     }
 
     @Test
-    public void guardedCallsThatLackAWorkerAreStarvedUnlessTheyWereShed() {
+    public void guardedCallsThatLackAEndpointAreStarvedUnlessTheyWereShed() {
         List<RequestClass> classes =
                 List.of(
                         new RequestClass(
@@ -178,13 +178,13 @@
     }
 
     @Test
-    public void thinnedProbesReachEveryWorker() {
+    public void thinnedProbesReachEveryEndpoint() {
         HealthCheckThinning thinning = new HealthCheckThinning();
         for (double factor : new double[] {1, 2, 4}) {
-            for (String worker : List.of("w0", "w1")) {
+            for (String endpoint : List.of("w0", "w1")) {
                 int made = 0;
                 for (int i = 0; i < 8; i++) {
-                    made += thinning.passes(worker, factor) ? 1 : 0;
+                    made += thinning.passes(endpoint, factor) ? 1 : 0;
                 }
                 assertEquals(8 / factor, made, NONE);
             }
--- a/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
@@ -29,7 +29,7 @@
 import trailthread.engine.loop.CpuAccount;
 import trailthread.engine.loop.EventLoop;
 
-/** What a worker has done in time is not held against it because the loop runs late. */
+/** What an endpoint has done in time is not held against it because the loop runs late. */
 public class LateLoopTest {
     private static final long MS = 1_000_000L;
     private static final long LONG_NS = 60_000 * MS;
@@ -48,8 +48,8 @@
         server.close();
     }
 
-    private EndpointPool workers(long connectTimeoutNs) {
-        EndpointPool workers =
+    private EndpointPool endpoints(long connectTimeoutNs) {
+        EndpointPool endpoints =
                 new EndpointPool(
                         loop,
                         connectTimeoutNs,
@@ -60,7 +60,7 @@
                         CpuAccount.NONE);
         loop.execute(
                 () ->
-                        workers.update(
+                        endpoints.update(
                                 new DiscoveryUpdate(
                                         1,
                                         true,
@@ -74,16 +74,16 @@
                                                         1,
                                                         0))),
                                 loop.now()));
-        return workers;
+        return endpoints;
     }
 
-    private void attempt(EndpointPool workers, long timeoutNs) {
-        attempt(workers, timeoutNs, Long.MAX_VALUE, "1", 4);
+    private void attempt(EndpointPool endpoints, long timeoutNs) {
+        attempt(endpoints, timeoutNs, Long.MAX_VALUE, "1", 4);
     }
 
     private void attempt(
-            EndpointPool workers, long timeoutNs, long writtenBy, String id, int length) {
-        workers.attempt(
+            EndpointPool endpoints, long timeoutNs, long writtenBy, String id, int length) {
+        endpoints.attempt(
                 "w",
                 new EndpointRequest(id, "use", "POST", "/use", null, new byte[length], null),
                 timeoutNs,
@@ -127,11 +127,11 @@
         }
     }
 
-    /** Up to four attempts in a row at one worker ended so while their answers lay unread. */
+    /** Up to four attempts in a row at one endpoint ended so while their answers lay unread. */
     @Test
     public void anAnswerThatHasComeIsNoTimeOut() throws Exception {
-        EndpointPool workers = workers(LONG_NS);
-        loop.execute(() -> attempt(workers, 400 * MS));
+        EndpointPool endpoints = endpoints(LONG_NS);
+        loop.execute(() -> attempt(endpoints, 400 * MS));
         try (Socket connection = server.accept()) {
             readRequest(connection);
             loop.execute(
@@ -152,12 +152,12 @@
     }
 
     /**
-     * Its time began anew when an attempt came too late for it, and its worker closes it by its
+     * Its time began anew when an attempt came too late for it, and its endpoint closes it by its
      * own.
      */
     @Test
     public void aConnectionThatWasNotUsedAfterAllIdlesOn() throws Exception {
-        EndpointPool workers =
+        EndpointPool endpoints =
                 new EndpointPool(
                         loop,
                         LONG_NS,
@@ -168,7 +168,7 @@
                         CpuAccount.NONE);
         loop.execute(
                 () ->
-                        workers.update(
+                        endpoints.update(
                                 new DiscoveryUpdate(
                                         1,
                                         true,
@@ -182,7 +182,7 @@
                                                         1,
                                                         0))),
                                 loop.now()));
-        loop.execute(() -> attempt(workers, LONG_NS));
+        loop.execute(() -> attempt(endpoints, LONG_NS));
         server.setSoTimeout(10_000);
         try (Socket first = server.accept()) {
             readRequest(first);
@@ -191,14 +191,14 @@
             loop.execute(
                     () -> {
                         sleep(500);
-                        attempt(workers, LONG_NS, 1, "late", 4);
+                        attempt(endpoints, LONG_NS, 1, "late", 4);
                         loop.execute(
                                 () ->
                                         loop.execute(
                                                 () -> { // after the late one's turn
                                                     sleep(500);
                                                     attempt(
-                                                            workers,
+                                                            endpoints,
                                                             LONG_NS,
                                                             Long.MAX_VALUE,
                                                             "2",
@@ -213,12 +213,12 @@
     }
 
     /**
-     * It was used on, as the sweep that drops it is a timer, and its worker may just have closed
+     * It was used on, as the sweep that drops it is a timer, and its endpoint may just have closed
      * it.
      */
     @Test
     public void aConnectionThatHasIdledPastItsTimeIsNotUsed() throws Exception {
-        EndpointPool workers =
+        EndpointPool endpoints =
                 new EndpointPool(
                         loop,
                         LONG_NS,
@@ -229,7 +229,7 @@
                         CpuAccount.NONE);
         loop.execute(
                 () ->
-                        workers.update(
+                        endpoints.update(
                                 new DiscoveryUpdate(
                                         1,
                                         true,
@@ -243,7 +243,7 @@
                                                         1,
                                                         0))),
                                 loop.now()));
-        loop.execute(() -> attempt(workers, LONG_NS));
+        loop.execute(() -> attempt(endpoints, LONG_NS));
         server.setSoTimeout(10_000);
         try (Socket first = server.accept()) {
             readRequest(first);
@@ -252,7 +252,7 @@
             loop.execute(
                     () -> {
                         sleep(1_000);
-                        attempt(workers, LONG_NS, Long.MAX_VALUE, "2", 4);
+                        attempt(endpoints, LONG_NS, Long.MAX_VALUE, "2", 4);
                     });
             try (Socket second = server.accept()) {
                 assertTrue(readRequest(second).contains("X-Correlation-Id: 2\r\n"));
@@ -266,11 +266,11 @@
      */
     @Test
     public void aConnectionThatHasSettledIsPreferred() throws Exception {
-        EndpointPool workers = workers(LONG_NS);
+        EndpointPool endpoints = endpoints(LONG_NS);
         loop.execute(
                 () -> {
-                    attempt(workers, LONG_NS);
-                    attempt(workers, LONG_NS, Long.MAX_VALUE, "2", 4);
+                    attempt(endpoints, LONG_NS);
+                    attempt(endpoints, LONG_NS, Long.MAX_VALUE, "2", 4);
                 });
         try (Socket one = server.accept();
                 Socket other = server.accept()) {
@@ -283,7 +283,7 @@
             Socket last = null;
             for (int i = 0; i < ROUNDS; i++) {
                 Thread.sleep(last == null ? 30 : 1); // both have settled, or the last one has not
-                loop.execute(() -> attempt(workers, LONG_NS));
+                loop.execute(() -> attempt(endpoints, LONG_NS));
                 Socket used = null;
                 while (used == null) {
                     used =
@@ -309,11 +309,11 @@
     @Test
     public void aLongAnswerThatHasBegunIsNoTimeOut() throws Exception {
         int length = 100_000;
-        EndpointPool workers = workers(LONG_NS);
+        EndpointPool endpoints = endpoints(LONG_NS);
         AtomicInteger passed = new AtomicInteger();
         loop.execute(
                 () ->
-                        workers.attempt(
+                        endpoints.attempt(
                                 "w",
                                 new EndpointRequest(
                                         "1", "use", "POST", "/use", null, new byte[4], null),
@@ -383,10 +383,10 @@
 
     @Test
     public void aConnectionThatHasComeUpIsNoFailure() throws Exception {
-        EndpointPool workers = workers(100 * MS);
+        EndpointPool endpoints = endpoints(100 * MS);
         loop.execute(
                 () -> {
-                    attempt(workers, LONG_NS);
+                    attempt(endpoints, LONG_NS);
                     loop.execute(() -> sleep(300));
                 });
         try (Socket connection = server.accept()) {
@@ -398,14 +398,14 @@
     /** A repeat was judged when it was decided, and written whenever its connection was up. */
     @Test
     public void whatMayNoLongerBeWrittenOnceItsConnectionIsUpIsNot() throws Exception {
-        EndpointPool workers = workers(LONG_NS);
+        EndpointPool endpoints = endpoints(LONG_NS);
         loop.execute(
                 () -> {
-                    attempt(workers, LONG_NS, loop.now() + 100 * MS, "late", 4);
+                    attempt(endpoints, LONG_NS, loop.now() + 100 * MS, "late", 4);
                     loop.execute(() -> sleep(300));
                 });
         assertEquals(Outcome.NOT_SENT, ending().outcome());
-        loop.execute(() -> attempt(workers, LONG_NS, Long.MAX_VALUE, "next", 4));
+        loop.execute(() -> attempt(endpoints, LONG_NS, Long.MAX_VALUE, "next", 4));
         try (Socket connection = server.accept()) {
             assertTrue("its connection serves the next", readRequest(connection).contains("next"));
         }
@@ -414,8 +414,8 @@
     /** The same on a connection that was there, and for an attempt whose own time has passed. */
     @Test
     public void whatMayNoLongerBeWrittenWhenItsTurnComesIsNot() throws Exception {
-        EndpointPool workers = workers(LONG_NS);
-        loop.execute(() -> attempt(workers, LONG_NS));
+        EndpointPool endpoints = endpoints(LONG_NS);
+        loop.execute(() -> attempt(endpoints, LONG_NS));
         try (Socket connection = server.accept()) {
             readRequest(connection);
             answer(connection);
@@ -424,7 +424,7 @@
                 loop.execute(
                         () -> {
                             attempt(
-                                    workers,
+                                    endpoints,
                                     ofItsTime ? 100 * MS : LONG_NS,
                                     ofItsTime ? Long.MAX_VALUE : loop.now() + 100 * MS,
                                     "late",
@@ -433,17 +433,17 @@
                         });
                 assertEquals(Outcome.NOT_SENT, ending().outcome());
             }
-            loop.execute(() -> attempt(workers, LONG_NS, Long.MAX_VALUE, "next", 4));
+            loop.execute(() -> attempt(endpoints, LONG_NS, Long.MAX_VALUE, "next", 4));
             assertTrue(readRequest(connection).contains("next"));
         }
     }
 
-    /** A long request is written as its worker takes it, so that its last byte may come late. */
+    /** A long request is written as its endpoint takes it, so that its last byte may come late. */
     @Test
     public void theRestOfWhatMayNoLongerBeWrittenIsNot() throws Exception {
         int length = 32 * 1024 * 1024; // more than the system holds for a connection
-        EndpointPool workers = workers(LONG_NS);
-        loop.execute(() -> attempt(workers, LONG_NS, loop.now() + 500 * MS, "late", length));
+        EndpointPool endpoints = endpoints(LONG_NS);
+        loop.execute(() -> attempt(endpoints, LONG_NS, loop.now() + 500 * MS, "late", length));
         try (Socket connection = server.accept()) {
             sleep(700);
             assertTrue(connection.getInputStream().readAllBytes().length < length);
@@ -451,11 +451,11 @@
         }
     }
 
-    /** Learnt as the worker's, it passed for jammed, and calls were held while it idled. */
+    /** Learnt as the endpoint's, it passed for jammed, and calls were held while it idled. */
     @Test
-    public void theLoopsOwnTimeIsNotTheWorkers() throws Exception {
-        EndpointPool workers = workers(LONG_NS);
-        loop.execute(() -> attempt(workers, LONG_NS));
+    public void theLoopsOwnTimeIsNotTheEndpoints() throws Exception {
+        EndpointPool endpoints = endpoints(LONG_NS);
+        loop.execute(() -> attempt(endpoints, LONG_NS));
         try (Socket connection = server.accept()) {
             for (int i = 0; i < 2; i++) {
                 readRequest(connection);
@@ -478,7 +478,7 @@
                 assertTrue("took " + ending.latencyNs(), ending.latencyNs() < 900 * MS);
                 assertTrue("the first is known", late || ending.latencyNs() > 0);
                 sleep(20); // the connection is not used before it has settled
-                loop.execute(() -> attempt(workers, LONG_NS));
+                loop.execute(() -> attempt(endpoints, LONG_NS));
             }
         }
     }
--- a/engine/src/test/java/trailthread/engine/endpoint/LatencySampleTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LatencySampleTest.java
@@ -7,10 +7,10 @@
 /** What is told of an answer that came at some time between two looks at the sockets. */
 public class LatencySampleTest {
     private static final long MS = 1_000_000L;
-    private final LatencySample worker = new LatencySample(4 * MS);
+    private final LatencySample endpoint = new LatencySample(4 * MS);
 
     private long told(long leastMs, long mostMs) {
-        long told = worker.told(leastMs * MS, mostMs * MS);
+        long told = endpoint.told(leastMs * MS, mostMs * MS);
         return told == LatencySample.UNKNOWN ? told : Math.round(told / (double) MS);
     }
 
@@ -22,7 +22,7 @@
     }
 
     /**
-     * The middle of such bounds was told: 7 ms of workers that take 20, which then passed for
+     * The middle of such bounds was told: 7 ms of endpoints that take 20, which then passed for
      * jammed.
      */
     @Test
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Told of, they were all that was learnt of a worker while the node was late. */
+    /** Told of, they were all that was learnt of an endpoint while the node was late. */
     @Test
     public void shortAnswersAreKnownNoSoonerThanLongOnes() {
         told(20, 20);
--- a/engine/src/test/java/trailthread/engine/endpoint/LatencyTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LatencyTest.java
@@ -21,15 +21,15 @@
 import trailthread.engine.loop.CpuAccount;
 import trailthread.engine.loop.EventLoop;
 
-/** What is told of how long a worker took. */
+/** What is told of how long an endpoint took. */
 public class LatencyTest {
     private static final long LONG_NS = 60_000_000_000L;
 
-    /** A rarely asked worker passed for slow by its handshakes, and so was asked ever less. */
+    /** A rarely asked endpoint passed for slow by its handshakes, and so was asked ever less. */
     @Test
     public void theOpeningOfAConnectionIsNoSignOfLoad() throws Exception {
         EventLoop loop = new EventLoop("test");
-        EndpointPool workers =
+        EndpointPool endpoints =
                 new EndpointPool(
                         loop, LONG_NS, LONG_NS, 0, ConnectionLimit.of(16), 0, CpuAccount.NONE);
         BlockingQueue<AttemptResult> endings = new LinkedBlockingQueue<>();
@@ -38,7 +38,7 @@
                 Socket second = new Socket(server.getInetAddress(), server.getLocalPort())) {
             loop.execute(
                     () -> {
-                        workers.update(
+                        endpoints.update(
                                 new DiscoveryUpdate(
                                         1,
                                         true,
@@ -52,7 +52,7 @@
                                                         1,
                                                         0))),
                                 loop.now());
-                        workers.attempt(
+                        endpoints.attempt(
                                 "w",
                                 new EndpointRequest(
                                         "1", "use", "POST", "/use", null, new byte[4], null),
--- a/engine/src/test/java/trailthread/engine/endpoint/OutcomeByMomentTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/OutcomeByMomentTest.java
@@ -30,7 +30,7 @@
     private static final long LONG_NS = 60_000 * MS;
     private static final int SHORT = 4;
 
-    /** More than the system holds for a connection whose worker does not read. */
+    /** More than the system holds for a connection whose endpoint does not read. */
     private static final int LONG = 32 * 1024 * 1024;
 
     private final EventLoop loop;
@@ -45,7 +45,9 @@
         loop.worker().shutdownNow();
     }
 
-    /** What a worker does once a connection is there; it ends the connection, or leaves it open. */
+    /**
+     * What an endpoint does once a connection is there; it ends the connection, or leaves it open.
+     */
     private interface Act {
         void on(Socket connection) throws IOException;
     }
@@ -84,12 +86,12 @@
     }
 
     private EndpointPool attempt(int port, int length, long timeoutNs, long connectNs) {
-        EndpointPool workers =
+        EndpointPool endpoints =
                 new EndpointPool(
                         loop, connectNs, LONG_NS, 0, ConnectionLimit.of(4), 0, CpuAccount.NONE);
         loop.execute(
                 () -> {
-                    workers.update(
+                    endpoints.update(
                             new DiscoveryUpdate(
                                     1,
                                     true,
@@ -103,14 +105,14 @@
                                                     1,
                                                     0))),
                             loop.now());
-                    workers.attempt(
+                    endpoints.attempt(
                             "w",
                             new EndpointRequest(
                                     "1", "use", "POST", "/use", null, new byte[length], null),
                             timeoutNs,
                             endings::add);
                 });
-        return workers;
+        return endpoints;
     }
 
     private void ends(String moment, Outcome expected) throws InterruptedException {
--- a/engine/src/test/java/trailthread/engine/endpoint/ResponseHeadTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/ResponseHeadTest.java
@@ -37,7 +37,7 @@
         }
     }
 
-    /** What a plain worker may answer, and what says that it is at fault. */
+    /** What a plain endpoint may answer, and what says that it is at fault. */
     @Test
     public void plainAnswers() {
         Object[][] cases = {
--- a/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
+++ b/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
@@ -98,11 +98,11 @@
      */
     @Test
     public void shortAnswersDoNotWaitForALongOne() throws Exception {
-        List<Socket> workers = new ArrayList<>();
+        List<Socket> endpoints = new ArrayList<>();
         for (int i = 0; i <= SHORT_ONES; i++) {
             String name = i == 0 ? "long" : "short";
             HttpConnection connection = connect();
-            workers.add(server.accept());
+            endpoints.add(server.accept());
             if (i == 0) { // so that the system gives the connection room for the whole of a long
                 // answer
                 loop.execute(
@@ -111,7 +111,7 @@
                                         ascii("GET / HTTP/1.1\r\n\r\n"),
                                         16 * LONG,
                                         hears("first")));
-                answer(workers.get(0), 16 * LONG);
+                answer(endpoints.get(0), 16 * LONG);
                 assertEquals("first sent", next());
                 assertEquals("first whole", next());
             }
@@ -131,28 +131,28 @@
                 new Thread(
                         () -> {
                             try {
-                                answer(workers.get(0), LONG);
+                                answer(endpoints.get(0), LONG);
                             } catch (IOException e) {
                                 throw new AssertionError(e);
                             }
                         });
         filling.start();
         Thread.sleep(200); // by now it lies there, or waits for its reader
-        for (Socket worker : workers.subList(1, workers.size())) {
-            answer(worker, 0);
+        for (Socket endpoint : endpoints.subList(1, endpoints.size())) {
+            answer(endpoint, 0);
         }
         goOn.countDown();
         for (int i = 0; i < SHORT_ONES; i++) {
             assertEquals("short whole", next());
         }
         assertEquals("long whole", next());
-        for (Socket worker : workers) {
-            worker.close();
+        for (Socket endpoint : endpoints) {
+            endpoint.close();
         }
     }
 
-    private static void answer(Socket worker, int length) throws IOException {
-        worker.getOutputStream()
+    private static void answer(Socket endpoint, int length) throws IOException {
+        endpoint.getOutputStream()
                 .write(
                         ascii(
                                         "HTTP/1.1 200 OK\r\nContent-Length: "
@@ -169,7 +169,7 @@
     @Test
     public void aBodyOfAToldLengthIsSentWithItsLastByte() throws Exception {
         HttpConnection connection = connect();
-        Socket worker = server.accept();
+        Socket endpoint = server.accept();
         loop.execute(
                 () ->
                         connection.send(
@@ -206,9 +206,9 @@
         assertEquals(
                 head,
                 new String(
-                        worker.getInputStream().readNBytes(head.length()),
+                        endpoint.getInputStream().readNBytes(head.length()),
                         StandardCharsets.US_ASCII));
-        worker.close();
+        endpoint.close();
         assertEquals("request broken", next());
         BlockingQueue<Boolean> sent = new LinkedBlockingQueue<>();
         loop.execute(() -> sent.add(connection.isSent()));
@@ -219,7 +219,7 @@
     @Test
     public void aBodyWhoseLastWriteBreaksWasNotSent() throws Exception {
         HttpConnection connection = connect();
-        Socket worker = server.accept();
+        Socket endpoint = server.accept();
         BlockingQueue<Boolean> sent = new LinkedBlockingQueue<>();
         loop.execute(
                 () ->
@@ -237,8 +237,8 @@
                                     public void flowTo(ByteSink sink) {
                                         begun = true;
                                         try {
-                                            worker.setSoLinger(true, 0);
-                                            worker.close(); // a reset, which the next write meets
+                                            endpoint.setSoLinger(true, 0);
+                                            endpoint.close(); // a reset, which the next write meets
                                         } catch (IOException e) {
                                             throw new AssertionError(e);
                                         }
--- a/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
+++ b/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
@@ -39,7 +39,7 @@
                                 () -> {
                                     if (log.size()
                                             == 3) { // an action that ends at once, as a send to a
-                                        // worker that is gone
+                                        // endpoint that is gone
                                         decisions.event(null, (module, now) -> module.gone(2, 7));
                                     }
                                 }));
--- a/engine/src/test/java/trailthread/engine/request/DisconnectedClientTest.java
+++ b/engine/src/test/java/trailthread/engine/request/DisconnectedClientTest.java
@@ -73,14 +73,14 @@
                         0,
                         1,
                         0));
-        EndpointPool workers =
+        EndpointPool endpoints =
                 new EndpointPool(
                         loop, LONG_NS, LONG_NS, 0, ConnectionLimit.of(4), 0, CpuAccount.NONE);
         RequestDispatcher calls =
-                new RequestDispatcher(loop, workers, settings, 1, MetricsRecorder.OFF);
+                new RequestDispatcher(loop, endpoints, settings, 1, MetricsRecorder.OFF);
         loop.execute(
                 () -> {
-                    workers.update(
+                    endpoints.update(
                             new DiscoveryUpdate(
                                     1,
                                     true,
--- a/testkit/src/main/java/trailthread/testkit/Stage.java
+++ b/testkit/src/main/java/trailthread/testkit/Stage.java
@@ -23,7 +23,7 @@
 import java.util.regex.Pattern;
 
 /**
- * The real program between scripted workers, a scripted discovery and a client, all on loopback.
+ * The real program between scripted endpoints, a scripted discovery and a client, all on loopback.
  */
 public final class Stage {
     private static final Pattern SERVES = Pattern.compile("serves on .*:(\\d+)");
@@ -67,7 +67,7 @@
     }
 
     /**
-     * Starts the node, once more if it has ended, with these settings and workers known; it then
+     * Starts the node, once more if it has ended, with these settings and endpoints known; it then
      * serves.
      */
     public Stage start(String settings, Peer... known) throws IOException, InterruptedException {
@@ -167,15 +167,15 @@
         throw new AssertionError("nothing logged with '" + part + "' in " + log);
     }
 
-    /** An object of discovery with these workers, the first in cell 0 as w0, and so on. */
-    public static String list(int generation, boolean reset, String lifecycle, Peer... workers) {
+    /** An object of discovery with these endpoints, the first in cell 0 as w0, and so on. */
+    public static String list(int generation, boolean reset, String lifecycle, Peer... endpoints) {
         StringBuilder entries = new StringBuilder();
-        for (int i = 0; i < workers.length; i++) {
+        for (int i = 0; i < endpoints.length; i++) {
             entries.append(i == 0 ? "" : ",")
                     .append("{\"instanceId\":\"w")
                     .append(i)
                     .append("\",\"hostPort\":\"")
-                    .append(workers[i].hostPort())
+                    .append(endpoints[i].hostPort())
                     .append("\",\"zone\":\"a\",\"cell\":0,\"lifecycle\":\"")
                     .append(lifecycle)
                     .append("\",\"weight\":1.0,\"startedAtMs\":0,\"new\":[{}]}");
