--- a/decisions/src/main/java/trailthread/Balancer.java
+++ b/decisions/src/main/java/trailthread/Balancer.java
@@ -246,7 +246,7 @@
      * All answers together; what this node has out, and may have by the sum of rooms, rounded by
      * chance.
      */
-    private final Pace pool = new Pace();
+    private final LatencyStats pool = new LatencyStats();
 
     /** What answers take beyond the service time that endpoints report. */
     private double waits;
@@ -266,7 +266,7 @@
     private final Map<Long, Double> keySeen = new LinkedHashMap<>();
 
     private double keysSeen;
-    private final Rate served, askedWorth;
+    private final DecayingCounter served, askedWorth;
     private long tightestAim, longestDeadline;
     private double retryTokens = RETRY_SAVED;
 
@@ -287,8 +287,8 @@
         retune(now, settings);
         meanAim = tightestAim;
         Arrays.fill(notedAt, now - longestDeadline);
-        askedWorth = new Rate((long) (GOAL_MEMORY * longestDeadline), now);
-        served = new Rate(settings.overloadWindowNs, now);
+        askedWorth = new DecayingCounter((long) (GOAL_MEMORY * longestDeadline), now);
+        served = new DecayingCounter(settings.overloadWindowNs, now);
     }
 
     /**
@@ -535,7 +535,7 @@
                 b.newestAnswered = Math.max(b.newestAnswered, r.sentAt[attempt]);
                 b.unanswered = 0;
                 b.failures = 0;
-                b.trust += Pace.LATENCY_WEIGHT * (1 - b.trust);
+                b.trust += LatencyStats.LATENCY_WEIGHT * (1 - b.trust);
                 if (!r.streaming
                         && latency >= 0) { // a stream's length says nothing; its beginning did
                     learnLatency(b, r, attempt, latency, now);
@@ -547,7 +547,7 @@
                 b.limit = Math.max(leastLimit(), FULL_CUT * Math.min(b.limit, b.outstanding + 1));
             }
             case ERROR, TIMEOUT, RESET, CONNECT_FAILED -> {
-                b.trust -= Pace.LATENCY_WEIGHT * b.trust;
+                b.trust -= LatencyStats.LATENCY_WEIGHT * b.trust;
                 b.failures++;
                 // Dangers: in a jam nothing else comes back; but the first in a row may be one lost
                 // answer.
@@ -575,12 +575,12 @@
     private void learnLatency(Endpoint b, Request r, int attempt, long latency, long now) {
         double size = r.workNs > 0 && meanWork > 0 ? 0.5 + 0.5 * r.workNs / meanWork : 1;
         if (b.reportedAt == now) {
-            waits += (waits == 0 ? 1 : Pace.LATENCY_WEIGHT) * (latency / size - b.reported - waits);
+            waits += (waits == 0 ? 1 : LatencyStats.LATENCY_WEIGHT) * (latency / size - b.reported - waits);
         }
         took(b, r.outAtSend[attempt], latency / size, now);
         meanLatency +=
-                (meanLatency == 0 ? 1 : Pace.LATENCY_WEIGHT / 4) * (latency / size - meanLatency);
-        r.c.latency += (r.c.latency == 0 ? 1 : Pace.LATENCY_WEIGHT / 4) * (latency - r.c.latency);
+                (meanLatency == 0 ? 1 : LatencyStats.LATENCY_WEIGHT / 4) * (latency / size - meanLatency);
+        r.c.latency += (r.c.latency == 0 ? 1 : LatencyStats.LATENCY_WEIGHT / 4) * (latency - r.c.latency);
     }
 
     private void took(Endpoint b, int outAtSend, double latency, long now) {
@@ -632,11 +632,11 @@
      */
     private void steer(Endpoint b, long now) {
         boolean used = out + 2 > roomInAll; // it was in use, rounded down
-        double noise = Math.exp(-Math.sqrt(pool.variance * Pace.LATENCY_WEIGHT));
+        double noise = Math.exp(-Math.sqrt(pool.variance * LatencyStats.LATENCY_WEIGHT));
         for (int i = 0; i < mine.size(); i++) {
             Endpoint other = mine.get(i);
             double excess = noise * latency(other, now) / mostLatency(other) - 1;
-            double borrowed = Pace.BORROWED / (Pace.BORROWED + other.recent(now, meanAim));
+            double borrowed = LatencyStats.BORROWED / (LatencyStats.BORROWED + other.recent(now, meanAim));
             borrowed = other == b ? 0 : borrowed * borrowed;
             if (excess > 0) {
                 other.limit =
@@ -650,7 +650,7 @@
         if (excess > 0) {
             double held = Math.min(b.limit, Math.max(b.outstanding, b.depth) + 1);
             b.limit =
-                    Math.max(leastLimit(), held * (1 - Pace.LATENCY_WEIGHT * Math.min(1, excess)));
+                    Math.max(leastLimit(), held * (1 - LatencyStats.LATENCY_WEIGHT * Math.min(1, excess)));
         } else if (b.outstanding + 2 > b.limit || used) {
             b.limit += GROWTH / (sharers * Math.max(1 / START_TOGETHER, b.limit));
         }
@@ -702,11 +702,11 @@
             return pool.latency; // of thousands, most have told nothing
         }
         double own = b.recent(now, meanAim);
-        double sum = own * b.logLatency + Pace.BORROWED * (pool.logLatency + b.slowness(pool));
-        double count = own + Pace.BORROWED;
+        double sum = own * b.logLatency + LatencyStats.BORROWED * (pool.logLatency + b.slowness(pool));
+        double count = own + LatencyStats.BORROWED;
         if (b.reportedAt > 0) {
-            double age = (now - b.reportedAt) / (Pace.LATENCY_MEMORY_AIMS * meanAim);
-            double told = REPORT_ANSWERS * Math.exp(-age) * Pace.BORROWED / count;
+            double age = (now - b.reportedAt) / (LatencyStats.LATENCY_MEMORY_AIMS * meanAim);
+            double told = REPORT_ANSWERS * Math.exp(-age) * LatencyStats.BORROWED / count;
             sum += told * Math.log(Math.max(1, waits + b.reported));
             count += told;
         }
@@ -1472,15 +1472,15 @@
     private static final class Party {
         final RequestClass rules;
         final Tenant tenant;
-        final Rate asked, served, arrivals;
+        final DecayingCounter asked, served, arrivals;
         double latency;
 
         Party(RequestClass rules, Tenant tenant, long memory, long span, long now) {
             this.rules = rules;
             this.tenant = tenant;
-            asked = new Rate(memory, now);
-            served = new Rate(memory, now);
-            arrivals = new Rate(span, now);
+            asked = new DecayingCounter(memory, now);
+            served = new DecayingCounter(memory, now);
+            arrivals = new DecayingCounter(span, now);
         }
 
         /** Counts an arrival; whether it is within this node's part of the tenant's quota. */
@@ -1500,7 +1500,7 @@
             Party c, Party tenant, boolean over, boolean again, ArrayDeque<Request> requests) {}
 
     /** One endpoint as this node sees it. */
-    private static final class Endpoint extends Pace {
+    private static final class Endpoint extends LatencyStats {
         final String name;
         final long hash;
         String zone;
--- a/decisions/src/main/java/trailthread/Rate.java
+++ b/decisions/src/main/java/trailthread/DecayingCounter.java
@@ -1,12 +1,12 @@
 package trailthread;
 
 /** Counts events in about the last span, by exponential decay; pure. */
-final class Rate {
+final class DecayingCounter {
     final double span;
     private double count;
     private long at;
 
-    Rate(long span, long now) {
+    DecayingCounter(long span, long now) {
         this.span = span;
         at = now;
     }
--- a/decisions/src/main/java/trailthread/Pace.java
+++ b/decisions/src/main/java/trailthread/LatencyStats.java
@@ -1,7 +1,7 @@
 package trailthread;
 
 /** Latency of the answers of one endpoint, or of all together: now, and when idle; pure. */
-class Pace {
+class LatencyStats {
     /** Weight of one answer in an endpoint's latency: about ten answers of memory. */
     static final double LATENCY_WEIGHT = 0.1;
 
@@ -58,7 +58,7 @@
     }
 
     /** How much longer it takes than all together, as a logarithm, as far as it has told. */
-    double slowness(Pace all) {
+    double slowness(LatencyStats all) {
         return (slowLog - all.slowLog) * answers / (answers + BORROWED);
     }
 }
