--- /dev/null
+++ b/decisions/src/main/java/trailthread/AttemptRecorder.java
@@ -0,0 +1,103 @@
+package trailthread;
+
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
+
+/** Brings what is learned from an attempt to the modules that keep it, in their order. */
+final class AttemptRecorder {
+    /** The part of a latency that grows with a request's work; the rest is the same for all. */
+    private static final double WORK_SHARE = 0.5;
+
+    private final WorkloadMeans means;
+    private final LoadEstimator estimator;
+    private final InFlightTracker inFlight;
+    private final SlowStart slowStart;
+    private final OutlierDetector outliers;
+    private final ConcurrencyLimiter limiter;
+
+    AttemptRecorder(
+            WorkloadMeans means,
+            LoadEstimator estimator,
+            InFlightTracker inFlight,
+            SlowStart slowStart,
+            OutlierDetector outliers,
+            ConcurrencyLimiter limiter) {
+        this.means = means;
+        this.estimator = estimator;
+        this.inFlight = inFlight;
+        this.slowStart = slowStart;
+        this.outliers = outliers;
+        this.limiter = limiter;
+    }
+
+    /** The answer to a streamed request has begun. */
+    void firstByte(Request request, Attempt attempt, long now) {
+        inFlight.release(attempt);
+        recordLatency(request, attempt, now - attempt.sentAt, now);
+    }
+
+    /**
+     * The attempt has ended, with its outcome set.
+     *
+     * @param latencyNs or -1: not known
+     * @param load what the endpoint reported with it, or null
+     */
+    void ended(Request request, Attempt attempt, long latencyNs, LoadReport load, long now) {
+        Endpoint endpoint = attempt.endpoint;
+        inFlight.end(attempt, now);
+        if (load != null) {
+            endpoint.load.record(load, now);
+        }
+        switch (attempt.outcome) {
+            case OK -> succeeded(request, attempt, latencyNs, now);
+            case REJECTED -> limiter.recordRejection(endpoint);
+            case ERROR, TIMEOUT, RESET, CONNECT_FAILED -> failed(attempt, latencyNs, now);
+            default -> {
+                // an attempt that was cancelled or never sent tells nothing of the endpoint
+            }
+        }
+        limiter.attemptEnded(endpoint, now);
+    }
+
+    private void succeeded(Request request, Attempt attempt, long latencyNs, long now) {
+        slowStart.recordServed(now);
+        inFlight.answered(attempt);
+        outliers.recordSuccess(attempt.endpoint);
+        // The length of a stream says nothing; its beginning has been recorded.
+        if (!request.streaming && latencyNs >= 0) {
+            recordLatency(request, attempt, latencyNs, now);
+        }
+    }
+
+    private void failed(Attempt attempt, long latencyNs, long now) {
+        Endpoint endpoint = attempt.endpoint;
+        outliers.recordFailure(endpoint);
+        // A jammed endpoint gives no other sign; but the first in a row may be one lost response.
+        boolean showsJam =
+                attempt.outcome == Outcome.TIMEOUT
+                        && endpoint.health.failures() > 1
+                        && attempt.sentAt > endpoint.inFlight.newestAnsweredSentAt();
+        if (showsJam) {
+            recordEndpointLatency(attempt, latencyNs, now);
+        }
+        outliers.ejectIfFailing(endpoint, now);
+    }
+
+    private void recordLatency(Request request, Attempt attempt, long latencyNs, long now) {
+        double size = 1 - WORK_SHARE + WORK_SHARE * means.relativeWork(request.workNs);
+        double scaledNs = latencyNs / size;
+        estimator.recordQueueingDelay(attempt.endpoint, scaledNs, now);
+        recordEndpointLatency(attempt, scaledNs, now);
+        means.recordLatency(scaledNs);
+        request.requestClass.recordLatency(latencyNs);
+    }
+
+    private void recordEndpointLatency(Attempt attempt, double latencyNs, long now) {
+        Endpoint endpoint = attempt.endpoint;
+        estimator.record(attempt, latencyNs, now);
+        limiter.adjust(endpoint, now);
+        if (outliers.restIfJammed(endpoint, now)) {
+            limiter.cutToStart(endpoint);
+        }
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/trailthread/AttemptSender.java
@@ -0,0 +1,58 @@
+package trailthread;
+
+import trailthread.api.BalancerActions;
+
+/** Sends a request's next attempt, if one is permitted and an endpoint is open to it. */
+final class AttemptSender {
+    private final AdmissionController admissions;
+    private final RetryPolicy retries;
+    private final InFlightTracker inFlight;
+    private final SlowStart slowStart;
+    private final OutlierDetector outliers;
+    private final EndpointPicker picker;
+    private final BalancerActions actions;
+
+    AttemptSender(
+            AdmissionController admissions,
+            RetryPolicy retries,
+            InFlightTracker inFlight,
+            SlowStart slowStart,
+            OutlierDetector outliers,
+            EndpointPicker picker,
+            BalancerActions actions) {
+        this.admissions = admissions;
+        this.retries = retries;
+        this.inFlight = inFlight;
+        this.slowStart = slowStart;
+        this.outliers = outliers;
+        this.picker = picker;
+        this.actions = actions;
+    }
+
+    /** Whether an attempt has been sent. */
+    boolean trySend(Request request, long now) {
+        if (!admissions.hasListLease(now)) {
+            return false;
+        }
+        boolean ejectionSuspended = outliers.checkSuspended(now);
+        if (!retries.permitsAttempt(request, now)) {
+            return false;
+        }
+        slowStart.refill(now);
+        inFlight.releaseLost(now);
+        Endpoint endpoint = picker.pick(request, ejectionSuspended, now);
+        if (endpoint == null) {
+            return false;
+        }
+        send(request, endpoint, now);
+        return true;
+    }
+
+    private void send(Request request, Endpoint endpoint, long now) {
+        long writtenBy = retries.writtenBy(request);
+        inFlight.begin(request, endpoint, now);
+        slowStart.spend(endpoint, now);
+        long timeoutNs = retries.timeoutNs(request, endpoint, now);
+        actions.send(request.id, timeoutNs, writtenBy, endpoint.name);
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/trailthread/Candidates.java
@@ -0,0 +1,46 @@
+package trailthread;
+
+import java.util.Arrays;
+
+/**
+ * The predicted time of each endpoint of the subset for one request, by its index; reused for every
+ * request, so that a draw allocates nothing.
+ */
+final class Candidates {
+    private static final double CLOSED = Double.MAX_VALUE;
+    private static final int INITIAL_SIZE = 16;
+
+    private double[] predictedNs = new double[INITIAL_SIZE];
+    private double bestNs;
+
+    /** Forgets the request before; no endpoint is open then. */
+    void reset(int endpoints) {
+        if (predictedNs.length < endpoints) {
+            predictedNs = new double[Math.max(endpoints, 2 * predictedNs.length)];
+        }
+        Arrays.fill(predictedNs, 0, endpoints, CLOSED);
+        bestNs = CLOSED;
+    }
+
+    void open(int index, double endpointNs) {
+        predictedNs[index] = endpointNs;
+        bestNs = Math.min(bestNs, endpointNs);
+    }
+
+    boolean isOpen(int index) {
+        return predictedNs[index] < CLOSED;
+    }
+
+    boolean isNoneOpen() {
+        return bestNs == CLOSED;
+    }
+
+    double predictedNs(int index) {
+        return predictedNs[index];
+    }
+
+    /** The least predicted time of any. */
+    double bestNs() {
+        return bestNs;
+    }
+}
--- a/decisions/src/main/java/trailthread/DecayingCounter.java
+++ b/decisions/src/main/java/trailthread/DecayingCounter.java
@@ -1,24 +1,31 @@
 package trailthread;
 
-/** Counts events in about the last span, by exponential decay; pure. */
+/**
+ * A count of about the last span, by exponential decay: {@code count(t) = sum of amount * e^-((t -
+ * at) / span)}. Pure: time is handed in and never goes back.
+ */
 final class DecayingCounter {
-    final double span;
+    private final double spanNs;
     private double count;
-    private long at;
+    private long updatedAt;
 
-    DecayingCounter(long span, long now) {
-        this.span = span;
-        at = now;
+    DecayingCounter(long spanNs, long now) {
+        this.spanNs = spanNs;
+        updatedAt = now;
     }
 
-    double inSpan(long now) {
-        count *= Math.exp(-(now - at) / span);
-        at = now;
+    double spanNs() {
+        return spanNs;
+    }
+
+    double value(long now) {
+        count *= Math.exp(-(now - updatedAt) / spanNs);
+        updatedAt = now;
         return count;
     }
 
-    void count(long now, double amount) {
-        inSpan(now);
+    void add(long now, double amount) {
+        value(now);
         count += amount;
     }
 }
--- /dev/null
+++ b/decisions/src/main/java/trailthread/EndpointSubset.java
@@ -0,0 +1,30 @@
+package trailthread;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** The listed endpoints that this node sends to: all, or its part; see {@link SubsetSelector}. */
+final class EndpointSubset {
+    private final List<Endpoint> endpoints = new ArrayList<>();
+    private double sharers = 1;
+
+    List<Endpoint> endpoints() {
+        return endpoints;
+    }
+
+    int size() {
+        return endpoints.size();
+    }
+
+    /** How many nodes send to each endpoint, as far as this node can tell; at least 1. */
+    double sharers() {
+        return sharers;
+    }
+
+    /** Replaces the subset. */
+    void replace(List<Endpoint> next, double nextSharers) {
+        endpoints.clear();
+        endpoints.addAll(next);
+        sharers = nextSharers;
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/trailthread/HealthChecker.java
@@ -0,0 +1,62 @@
+package trailthread;
+
+import trailthread.api.BalancerActions;
+import trailthread.api.LoadReportSource;
+import trailthread.api.Settings;
+
+/**
+ * Asks warm endpoints for their load in turn, where reports come only with health checks: each once
+ * in {@link #PERIOD_OBJECTIVES} mean latency objectives.
+ */
+final class HealthChecker {
+    /** The time between two health checks of an endpoint, in mean latency objectives. */
+    private static final double PERIOD_OBJECTIVES = 4;
+
+    private final ActiveSettings settings;
+    private final WorkloadMeans means;
+    private final EndpointList list;
+    private final SlowStart slowStart;
+    private final BalancerActions actions;
+    private final RandomSource random;
+    private boolean running;
+    private int next;
+
+    HealthChecker(
+            ActiveSettings settings,
+            WorkloadMeans means,
+            EndpointList list,
+            SlowStart slowStart,
+            BalancerActions actions,
+            RandomSource random) {
+        this.settings = settings;
+        this.means = means;
+        this.list = list;
+        this.slowStart = slowStart;
+        this.actions = actions;
+        this.random = random;
+    }
+
+    /** Begins, once, where the settings want it. */
+    void startIfWanted(long now) {
+        Settings s = settings.get();
+        if (!running && s.mayCheckHealth && s.reports == LoadReportSource.PROBES) {
+            running = true;
+            checkNext(now);
+        }
+    }
+
+    /** Checks the next endpoint, and sets the timer for the one after it. */
+    void checkNext(long now) {
+        int endpoints = list.size();
+        if (endpoints > 0) {
+            Endpoint endpoint = list.all().get(next % endpoints);
+            next++;
+            if (endpoint.isReady() && slowStart.isWarm(endpoint, now)) {
+                actions.probe(endpoint.name);
+            }
+        }
+        double periodNs = PERIOD_OBJECTIVES * means.objectiveNs() / Math.max(1, endpoints);
+        double delayNs = Math.max(settings.get().tickNs, periodNs);
+        actions.timer(random.jittered(delayNs), TimerKind.HEALTH_CHECK.token(0));
+    }
+}
--- a/decisions/src/main/java/trailthread/LatencyStats.java
+++ b/decisions/src/main/java/trailthread/LatencyStats.java
@@ -1,64 +1,116 @@
 package trailthread;
 
-/** Latency of the answers of one endpoint, or of all together: now, and when idle; pure. */
-class LatencyStats {
-    /** Weight of one answer in an endpoint's latency: about ten answers of memory. */
+/**
+ * Latency of the responses of one endpoint, or of all together: at present and when idle.
+ *
+ * <p>The present latency is an exponential mean of the logarithm of single latencies, as one very
+ * long response says little about its endpoint. The idle latency is the least value of a slower
+ * mean, drifting up slowly, as the minimum round-trip time in TCP Vegas (Brakmo and Peterson,
+ * 1995). Pure: times are handed in, in nanoseconds.
+ */
+final class LatencyStats {
+    /** Weight of one response in the present latency: about ten responses of memory. */
     static final double LATENCY_WEIGHT = 0.1;
 
-    /**
-     * The same for the idle latency: the least of a noisy mean lies low, of fifty answers hardly.
-     */
+    /** Memory of the present latency where responses are rare, in mean latency objectives. */
+    static final double MEMORY_OBJECTIVES = 5;
+
+    /** Weight of all endpoints' responses in the estimate for one, in responses of its own. */
+    static final double PRIOR_RESPONSES = 2;
+
+    /** Weight of one response in the slow mean: the least of a noisy mean would lie too low. */
     private static final double SLOW_WEIGHT = 0.02;
 
-    /** Memory of an endpoint's latency where answers are rare, in mean aims. */
-    static final double LATENCY_MEMORY_AIMS = 5;
+    /** Responses before the slow mean is trusted as an idle latency. */
+    private static final double LEAST_RESPONSES_FOR_IDLE = 1 / SLOW_WEIGHT / 4;
 
-    /** What is borrowed from all endpoints for the estimate of one, in answers of its own. */
-    static final double BORROWED = 2;
+    private double latencyNs;
+    private double logLatency;
+    private double depth;
+    private double idleNs;
+    private double slowLog;
+    private double recentResponses;
+    private int responses;
+    private long recordedAt;
+    private double logVariance;
 
     /**
-     * Smoothed latency of its answers, and the own sends that were out there when each was sent.
+     * Records a response.
+     *
+     * @param inFlightAtSend this node's attempts at the endpoint when it was sent
+     * @param objectiveNs the mean latency objective
+     * @param idleMemoryNs the time in which the idle latency drifts up by its own value
      */
-    double latency, logLatency, depth;
-
-    /** The least smoothed latency seen, drifting up slowly: what it takes when idle. */
-    double floor;
-
-    double slowLog, recent;
-    int answers;
-    long tookAt;
-
-    /** Of the logarithm of single answers. */
-    double variance;
-
-    /** Smooths the logarithm: one giant among the answers says little about the endpoint. */
-    void took(double ns, int outAtSend, double meanAim, double memory, long now) {
-        double log = Math.log(Math.max(1, ns));
-        double rare = 1 - Math.exp(-(now - tookAt) / (LATENCY_MEMORY_AIMS * meanAim));
-        recent = 1 + recent(now, meanAim);
-        double weight = latency == 0 ? 1 : Math.max(LATENCY_WEIGHT, rare);
-        variance += latency == 0 ? 0 : LATENCY_WEIGHT * (Math.pow(log - logLatency, 2) - variance);
+    void record(
+            double responseNs,
+            int inFlightAtSend,
+            double objectiveNs,
+            double idleMemoryNs,
+            long now) {
+        double log = Math.log(Math.max(1, responseNs));
+        double stale = 1 - Math.exp(-(now - recordedAt) / (MEMORY_OBJECTIVES * objectiveNs));
+        recentResponses = 1 + recentResponses(now, objectiveNs);
+        double weight = latencyNs == 0 ? 1 : Math.max(LATENCY_WEIGHT, stale);
+        if (latencyNs != 0) {
+            logVariance += LATENCY_WEIGHT * (Math.pow(log - logLatency, 2) - logVariance);
+        }
         logLatency += weight * (log - logLatency);
-        latency = Math.exp(logLatency);
-        depth += weight * (outAtSend - depth);
-        slowLog += Math.max(SLOW_WEIGHT, 1.0 / ++answers) * (log - slowLog);
-        if (answers >= 1 / SLOW_WEIGHT / 4) {
-            double drifted = floor * (1 + (now - tookAt) / memory);
-            floor = floor == 0 ? Math.exp(slowLog) : Math.min(Math.exp(slowLog), drifted);
+        latencyNs = Math.exp(logLatency);
+        depth += weight * (inFlightAtSend - depth);
+        responses++;
+        slowLog += Math.max(SLOW_WEIGHT, 1.0 / responses) * (log - slowLog);
+        if (responses >= LEAST_RESPONSES_FOR_IDLE) {
+            recordIdle(idleMemoryNs, now);
         }
-        tookAt = now;
+        recordedAt = now;
     }
 
-    /** Answers of late. */
-    double recent(long now, double meanAim) {
-        if (recent == 0) {
+    private void recordIdle(double idleMemoryNs, long now) {
+        double slowNs = Math.exp(slowLog);
+        double drifted = idleNs * (1 + (now - recordedAt) / idleMemoryNs);
+        idleNs = idleNs == 0 ? slowNs : Math.min(slowNs, drifted);
+    }
+
+    /** Responses of late, fading over {@link #MEMORY_OBJECTIVES} objectives. */
+    double recentResponses(long now, double objectiveNs) {
+        if (recentResponses == 0) {
             return 0;
         }
-        return recent * Math.exp(-(now - tookAt) / (LATENCY_MEMORY_AIMS * meanAim));
+        return recentResponses * Math.exp(-(now - recordedAt) / (MEMORY_OBJECTIVES * objectiveNs));
+    }
+
+    /** How much slower it is than all together, as a logarithm, as far as its responses tell. */
+    double relativeSlowness(LatencyStats all) {
+        return (slowLog - all.slowLog) * responses / (responses + PRIOR_RESPONSES);
+    }
+
+    /** The present latency in nanoseconds; 0: no response has come. */
+    double latencyNs() {
+        return latencyNs;
+    }
+
+    /** The natural logarithm of the present latency in nanoseconds. */
+    double logLatency() {
+        return logLatency;
+    }
+
+    /** Mean number of this node's attempts that were in flight when one was sent. */
+    double depth() {
+        return depth;
+    }
+
+    /** The latency when idle, in nanoseconds; 0: not known yet. */
+    double idleNs() {
+        return idleNs;
+    }
+
+    /** Responses recorded so far. */
+    int responses() {
+        return responses;
     }
 
-    /** How much longer it takes than all together, as a logarithm, as far as it has told. */
-    double slowness(LatencyStats all) {
-        return (slowLog - all.slowLog) * answers / (answers + BORROWED);
+    /** Variance of the logarithm of single latencies. */
+    double logVariance() {
+        return logVariance;
     }
 }
--- /dev/null
+++ b/decisions/src/main/java/trailthread/ListPollSchedule.java
@@ -0,0 +1,117 @@
+package trailthread;
+
+import trailthread.api.BalancerActions;
+import trailthread.api.ListKind;
+import trailthread.api.Settings;
+
+/**
+ * When this node asks discovery for the endpoint list.
+ *
+ * <p>Exponential backoff with jitter. Nodes that poll in step would keep the list from most of
+ * them, as polls that wait in vain cost discovery, too. So the polls of all nodes are spread: the
+ * more nodes, the later each polls again.
+ */
+final class ListPollSchedule {
+    /** Polls in a poll interval that all nodes together begin with; halved for each in vain. */
+    private static final double FIRST_POLLS_PER_INTERVAL = 400;
+
+    /** The longest backoff, in poll intervals. */
+    private static final double LONGEST_BACKOFF_INTERVALS = 2;
+
+    private static final int MOST_DOUBLINGS = 16;
+
+    /** The least time before a poll that failed at once is repeated, in nanoseconds. */
+    private static final double LEAST_RETRY_NS = 1e9;
+
+    /** The longest such time; with jitter within {@link ListLease#NEWS_DUE_NS}. */
+    private static final double MOST_RETRY_NS = 5e9;
+
+    /** First polls, of a start or after a broken watch, are spread over this, in nanoseconds. */
+    private static final double FIRST_POLL_NS = 4.4e9;
+
+    /** A poll that brings nothing is repeated after this share of the poll interval. */
+    private static final double REPEAT_SHARE = 0.25;
+
+    /** Retries and first polls are spread over this multiple of what all nodes' polls take. */
+    private static final double SPREAD_MULTIPLE = 4;
+
+    private final ActiveSettings settings;
+    private final BalancerActions actions;
+    private final RandomSource random;
+
+    private boolean watching;
+    private int failedPolls;
+    private long serial;
+
+    /** When the poll under way began; {@link Long#MAX_VALUE}: none is. */
+    private long polledAt = Long.MAX_VALUE;
+
+    ListPollSchedule(ActiveSettings settings, BalancerActions actions, RandomSource random) {
+        this.settings = settings;
+        this.actions = actions;
+        this.random = random;
+    }
+
+    /** The poll or the watch under way has failed; sets the next poll. */
+    void failed(long now) {
+        double waitedNs = polledAt == Long.MAX_VALUE ? 0 : now - polledAt;
+        polledAt = Long.MAX_VALUE;
+        boolean inVain = waitedNs > ListLease.QUEUED_NS;
+        if (inVain && failedPolls > 0) {
+            pollIn((0.5 + random.uniform()) * backoffNs());
+        } else {
+            // At a fixed pace from poll to poll, the first in vain too: whenever discovery comes
+            // back, the polls of all nodes come evenly spread.
+            double share = watching ? random.uniform() : 1;
+            pollIn(Math.max(0, share * retryNs() - waitedNs));
+        }
+        failedPolls += inVain ? 1 : 0;
+        watching = false;
+    }
+
+    private double backoffNs() {
+        double longestNs = LONGEST_BACKOFF_INTERVALS * settings.get().pollIntervalNs;
+        return Math.min(longestNs, spreadNs() * (1 << Math.min(failedPolls, MOST_DOUBLINGS)));
+    }
+
+    private double retryNs() {
+        double mostNs = watching ? FIRST_POLL_NS : MOST_RETRY_NS;
+        return Math.min(Math.max(SPREAD_MULTIPLE * spreadNs(), LEAST_RETRY_NS), mostNs);
+    }
+
+    /** The time in which all nodes poll once. */
+    private double spreadNs() {
+        Settings s = settings.get();
+        double intervalNs = s.pollIntervalNs;
+        return s.nodes / FIRST_POLLS_PER_INTERVAL * intervalNs;
+    }
+
+    /** A list has come; sets the first poll where it must be asked for and none is watched. */
+    void received(ListKind kind) {
+        polledAt = Long.MAX_VALUE;
+        watching = kind != ListKind.CACHED;
+        failedPolls = watching ? 0 : failedPolls;
+        Settings s = settings.get();
+        if (s.listIsPolled && !watching) {
+            // A node alone need not wait for others.
+            double othersNs = SPREAD_MULTIPLE * (spreadNs() - spreadNs() / s.nodes);
+            double longestNs = Math.min(othersNs, FIRST_POLL_NS);
+            pollIn(random.uniform() * longestNs / (1 + RandomSource.JITTER));
+        }
+    }
+
+    /** A poll's timer is due; an earlier schedule's timer, or one under a watch, does nothing. */
+    void timerDue(long timerSerial, long now) {
+        if (timerSerial != serial || watching) {
+            return;
+        }
+        polledAt = Math.min(polledAt, now);
+        actions.watch(true);
+        pollIn(REPEAT_SHARE * settings.get().pollIntervalNs);
+    }
+
+    private void pollIn(double delayNs) {
+        serial++;
+        actions.timer(random.jittered(delayNs), TimerKind.LIST_POLL.token(serial));
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/trailthread/Lottery.java
@@ -0,0 +1,92 @@
+package trailthread;
+
+import java.util.Arrays;
+import java.util.List;
+
+/**
+ * Draws an endpoint by lottery.
+ *
+ * <p>Lottery scheduling (Waldspurger and Weihl, OSDI 1994) as the SNS paper uses it (Fox et al.,
+ * SOSP 1997, 3.1.2): an endpoint holds tickets inversely to the time that it is predicted to take.
+ * Always sending to the best would make all nodes crowd on one. Tickets are also in proportion to
+ * the capacity of an endpoint in slow start, to the square of its success rate (one that fails
+ * answers fast and has a short queue), and to its capacity where that is under one request.
+ */
+final class Lottery {
+    /** An endpoint holds tickets while it takes at most this multiple of the best one's time. */
+    private static final double NEAR_BEST = 2;
+
+    private static final int INITIAL_SIZE = 16;
+
+    private final ActiveSettings settings;
+    private final LoadEstimator estimator;
+    private final ConcurrencyLimiter limiter;
+    private final SlowStart slowStart;
+    private final RandomSource random;
+    private double[] tickets = new double[INITIAL_SIZE];
+
+    Lottery(
+            ActiveSettings settings,
+            LoadEstimator estimator,
+            ConcurrencyLimiter limiter,
+            SlowStart slowStart,
+            RandomSource random) {
+        this.settings = settings;
+        this.estimator = estimator;
+        this.limiter = limiter;
+        this.slowStart = slowStart;
+        this.random = random;
+    }
+
+    /**
+     * Draws one of the open candidates.
+     *
+     * @param home the only one to hold tickets, or {@link KeyAffinity#NONE}
+     */
+    Endpoint draw(List<Endpoint> endpoints, Candidates candidates, int home, long now) {
+        if (tickets.length < endpoints.size()) {
+            tickets = new double[Math.max(endpoints.size(), 2 * tickets.length)];
+        }
+        double total =
+                home == KeyAffinity.NONE
+                        ? issueToNearBest(endpoints, candidates, now)
+                        : issueToHome(endpoints, candidates, home, now);
+        double left = random.uniform() * total;
+        int winner = -1;
+        for (int i = 0; i < endpoints.size() && left >= 0; i++) {
+            winner = tickets[i] > 0 ? i : winner;
+            left -= tickets[i];
+        }
+        return endpoints.get(winner);
+    }
+
+    private double issueToNearBest(List<Endpoint> endpoints, Candidates candidates, long now) {
+        double bestNs = Math.max(candidates.bestNs(), settings.latencyResolutionNs());
+        double mostNs = NEAR_BEST * bestNs;
+        double total = 0;
+        for (int i = 0; i < endpoints.size(); i++) {
+            tickets[i] = 0;
+            double predictedNs = candidates.predictedNs(i);
+            if (predictedNs <= mostNs) {
+                Endpoint endpoint = endpoints.get(i);
+                double paceNs = estimator.paceNs(endpoint, now);
+                double share = Math.min(1, limiter.capacity(endpoint, paceNs));
+                tickets[i] = share * tickets(endpoint, predictedNs, now);
+                total += tickets[i];
+            }
+        }
+        return total;
+    }
+
+    private double issueToHome(
+            List<Endpoint> endpoints, Candidates candidates, int home, long now) {
+        Arrays.fill(tickets, 0, endpoints.size(), 0);
+        tickets[home] = tickets(endpoints.get(home), candidates.predictedNs(home), now);
+        return tickets[home];
+    }
+
+    private double tickets(Endpoint endpoint, double predictedNs, long now) {
+        double successRate = endpoint.health.successRate();
+        return slowStart.capacityShare(endpoint, now) * successRate * successRate / predictedNs;
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/trailthread/OutlierDetector.java
@@ -0,0 +1,200 @@
+package trailthread;
+
+import java.util.List;
+
+/**
+ * Ejects endpoints that fail in a row, and rests those that are jammed.
+ *
+ * <p>Ejection after Envoy's consecutive-failure outlier detection: {@link #FAILURES_TO_EJECT}
+ * failures eject an endpoint for the tightest latency objective, doubled for each further failure;
+ * after that it is half-open and gets one idempotent attempt at a time (Nygard's circuit breaker).
+ *
+ * <p>A server that was overcrowded may stay slow until it has been nearly idle for a while. So one
+ * that is {@link #JAMMED_LATENCIES} times as slow as when idle rests for {@link #REST_DEADLINES}
+ * longest deadlines, doubled for each slow trial after that. A node that is itself cut off sees all
+ * endpoints fail: past {@link #MOST_EJECTED} of them, ejection is suspended.
+ */
+final class OutlierDetector {
+    /** Failures in a row that eject an endpoint; three by chance are rare. */
+    private static final int FAILURES_TO_EJECT = 3;
+
+    /** Longest ejection, in doublings of the tightest latency objective. */
+    private static final int MOST_EJECTION_DOUBLINGS = 5;
+
+    /** The largest share of ready endpoints that may be ejected. */
+    private static final double MOST_EJECTED = 0.5;
+
+    /** Latency, in multiples of the idle one, from which on an endpoint is jammed. */
+    static final double JAMMED_LATENCIES = 2.5;
+
+    /** The first rest, in longest deadlines: what the endpoint holds has ended by then. */
+    private static final double REST_DEADLINES = 1.5;
+
+    private static final int MOST_REST_DOUBLINGS = 2;
+
+    /** What is known of one endpoint's failures. */
+    static final class Health {
+        private int failures;
+        private int rests;
+        private long ejectedUntil;
+        private double successRate = 1;
+
+        /** Share of attempts of late that did not fail, 0 to 1. */
+        double successRate() {
+            return successRate;
+        }
+
+        /** Whether it is or was ejected or resting, and has not yet shown that it is well. */
+        boolean isSuspect() {
+            return failures >= FAILURES_TO_EJECT || rests > 0;
+        }
+
+        /** Whether it fails in a row. */
+        boolean isFailing() {
+            return failures >= FAILURES_TO_EJECT;
+        }
+
+        /** Whether it is jammed. */
+        boolean isJammed() {
+            return rests > 0;
+        }
+
+        /** Failures in a row. */
+        int failures() {
+            return failures;
+        }
+    }
+
+    private final ActiveSettings settings;
+    private final LoadEstimator estimator;
+    private final EndpointSubset subset;
+    private final RandomSource random;
+    private final RateLimitedLog log;
+
+    OutlierDetector(
+            ActiveSettings settings,
+            LoadEstimator estimator,
+            EndpointSubset subset,
+            RandomSource random,
+            RateLimitedLog log) {
+        this.settings = settings;
+        this.estimator = estimator;
+        this.subset = subset;
+        this.random = random;
+        this.log = log;
+    }
+
+    void recordSuccess(Endpoint endpoint) {
+        Health health = endpoint.health;
+        health.failures = 0;
+        health.successRate += LatencyStats.LATENCY_WEIGHT * (1 - health.successRate);
+    }
+
+    void recordFailure(Endpoint endpoint) {
+        Health health = endpoint.health;
+        health.successRate -= LatencyStats.LATENCY_WEIGHT * health.successRate;
+        health.failures++;
+    }
+
+    /** Ejects the endpoint if it has failed often enough in a row. */
+    void ejectIfFailing(Endpoint endpoint, long now) {
+        Health health = endpoint.health;
+        if (!health.isFailing()) {
+            return;
+        }
+        int doublings = Math.min(health.failures - FAILURES_TO_EJECT, MOST_EJECTION_DOUBLINGS);
+        double ejectedNs = (double) settings.tightestObjectiveNs() * (1 << doublings);
+        health.ejectedUntil = now + random.jittered(ejectedNs);
+        if (log.permits(RateLimitedLog.Kind.EJECTED, now)) {
+            log.write("ejected " + endpoint.name + " after failures in a row: " + health.failures);
+        }
+    }
+
+    /**
+     * Rests the endpoint if it is jammed, and ends its rests if it is not.
+     *
+     * @return whether a rest begins now
+     */
+    boolean restIfJammed(Endpoint endpoint, long now) {
+        Health health = endpoint.health;
+        double idleNs = endpoint.latency.idleNs();
+        if (idleNs == 0 || !isJammed(endpoint, idleNs, now)) {
+            health.rests = 0;
+            return false;
+        }
+        boolean mayRest = health.rests > 0 || !isSuspendedWith(1);
+        if (now < health.ejectedUntil || !mayRest) {
+            return false;
+        }
+        int doublings = Math.min(health.rests, MOST_REST_DOUBLINGS);
+        double restNs = REST_DEADLINES * settings.longestDeadlineNs() * (1 << doublings);
+        health.ejectedUntil = now + random.jittered(restNs);
+        health.rests++;
+        if (log.permits(RateLimitedLog.Kind.JAMMED, now)) {
+            long idleLatencies = Math.round(estimator.latencyNs(endpoint, now) / idleNs);
+            log.write(
+                    "resting "
+                            + endpoint.name
+                            + ": jammed, idle latencies per answer "
+                            + idleLatencies);
+        }
+        return true;
+    }
+
+    private boolean isJammed(Endpoint endpoint, double idleNs, long now) {
+        double usualNs = Math.max(idleNs, settings.latencyResolutionNs());
+        return estimator.latencyNs(endpoint, now) > JAMMED_LATENCIES * usualNs;
+    }
+
+    /** Whether the endpoint may be sent this request: not ejected, or half-open and idempotent. */
+    boolean permits(Endpoint endpoint, Request request, long now) {
+        Health health = endpoint.health;
+        if (!health.isSuspect()) {
+            return endpoint.inFlight.unanswered() == 0 || request.isIdempotent();
+        }
+        return now >= health.ejectedUntil
+                && endpoint.inFlight.count() == 0
+                && request.isIdempotent();
+    }
+
+    /** Whether too many of this node's endpoints are suspect, so that none is avoided. */
+    boolean isSuspended() {
+        return isSuspendedWith(0);
+    }
+
+    /** As {@link #isSuspended}, and logs it. */
+    boolean checkSuspended(long now) {
+        boolean suspended = isSuspended();
+        if (suspended && log.permits(RateLimitedLog.Kind.EJECTION_SUSPENDED, now)) {
+            int all = subset.size();
+            log.write("ejecting none: most of " + all + " backends fail; is this node cut off?");
+        }
+        return suspended;
+    }
+
+    private boolean isSuspendedWith(int more) {
+        List<Endpoint> endpoints = subset.endpoints();
+        int ejected = more;
+        int ready = 0;
+        for (int i = 0; i < endpoints.size(); i++) {
+            Endpoint endpoint = endpoints.get(i);
+            if (endpoint.isReady()) {
+                ready++;
+                ejected += endpoint.health.isSuspect() ? 1 : 0;
+            }
+        }
+        return ejected > MOST_EJECTED * ready;
+    }
+
+    /** How many of these are not sent to for now: draining, ejected or resting. */
+    int countAvoided(List<Endpoint> endpoints, long now) {
+        boolean suspended = isSuspended();
+        int avoided = 0;
+        for (Endpoint endpoint : endpoints) {
+            Health health = endpoint.health;
+            boolean ejected = !suspended && now < health.ejectedUntil && health.isSuspect();
+            avoided += !endpoint.isReady() || ejected ? 1 : 0;
+        }
+        return avoided;
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/trailthread/RateLimitedLog.java
@@ -0,0 +1,41 @@
+package trailthread;
+
+import java.util.Arrays;
+import trailthread.api.BalancerActions;
+
+/**
+ * The log for operators: at most one line of a kind in a longest deadline, so no fault floods it.
+ */
+final class RateLimitedLog {
+    /** Kinds of lines. */
+    enum Kind {
+        EJECTED,
+        JAMMED,
+        REJECTING,
+        LIST_FAILED,
+        EJECTION_SUSPENDED
+    }
+
+    private final BalancerActions actions;
+    private final ActiveSettings settings;
+    private final long[] writtenAt = new long[Kind.values().length];
+
+    RateLimitedLog(BalancerActions actions, ActiveSettings settings, long now) {
+        this.actions = actions;
+        this.settings = settings;
+        Arrays.fill(writtenAt, now - settings.longestDeadlineNs());
+    }
+
+    /** Whether a line of this kind may be written now; the caller writes it if so. */
+    boolean permits(Kind kind, long now) {
+        boolean due = now - writtenAt[kind.ordinal()] >= settings.longestDeadlineNs();
+        if (due) {
+            writtenAt[kind.ordinal()] = now;
+        }
+        return due;
+    }
+
+    void write(String line) {
+        actions.log(line);
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/trailthread/Request.java
@@ -0,0 +1,170 @@
+package trailthread;
+
+import trailthread.api.DeduplicationScope;
+import trailthread.api.Idempotency;
+import trailthread.api.Outcome;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
+
+/** One client request with its attempts. Times are by the clock of the events, in nanoseconds. */
+final class Request {
+    final long id;
+
+    /** What it concerns, for key affinity; 0: none. */
+    final long key;
+
+    /** The work that it announces, in nanoseconds on a standard core; 0: not known. */
+    final long workNs;
+
+    final long arrivedAt;
+    final long deadline;
+
+    /** Until when an answer earns the full weight. */
+    final long objectiveAt;
+
+    final RequestClassStats requestClass;
+
+    /** Or null. */
+    final TenantStats tenant;
+
+    private final Attempt[] attempts;
+    private int sent;
+    private int inFlight;
+
+    /** What serving it adds to the goal; set by {@link PriorityPolicy}. */
+    double weight;
+
+    /** Its tenant has used up this node's part of its quota. */
+    boolean overQuota;
+
+    /** Its answer is on the way to the client. */
+    boolean streaming;
+
+    /** It has its final answer, or its client has disconnected. */
+    boolean finished;
+
+    Request(
+            long id,
+            RequestClassStats requestClass,
+            TenantStats tenant,
+            long key,
+            long workNs,
+            long now,
+            long deadline,
+            int maxAttempts) {
+        this.id = id;
+        this.key = key;
+        this.requestClass = requestClass;
+        this.tenant = tenant;
+        this.workNs = workNs;
+        this.arrivedAt = now;
+        this.deadline = deadline;
+        RequestClass rules = requestClass.rules;
+        long objectiveNs =
+                rules.latencyObjectiveNs() + (long) (rules.objectiveWorkMultiple() * workNs);
+        objectiveAt = Math.min(deadline, now + objectiveNs);
+        attempts = new Attempt[maxAttempts];
+    }
+
+    Idempotency idempotency() {
+        return requestClass.rules.idempotency();
+    }
+
+    boolean isIdempotent() {
+        return idempotency() == Idempotency.IDEMPOTENT;
+    }
+
+    /** The attempts that it may have, by the settings in force and those that it came under. */
+    int maxAttempts(Settings settings) {
+        return Math.min(settings.maxAttempts, attempts.length);
+    }
+
+    /** Attempts sent so far. */
+    int sent() {
+        return sent;
+    }
+
+    /** Attempts whose outcome has not come. */
+    int inFlight() {
+        return inFlight;
+    }
+
+    void add(Attempt attempt) {
+        attempts[sent] = attempt;
+        sent++;
+        inFlight++;
+    }
+
+    /** The attempt of this number if it is in flight, else null. */
+    Attempt inFlightAttempt(int number) {
+        Attempt found = attempt(number);
+        return found == null || found.outcome != null ? null : found;
+    }
+
+    /** The attempt of this number, or null. */
+    Attempt attempt(int number) {
+        return number >= 0 && number < sent ? attempts[number] : null;
+    }
+
+    /** The attempt sent last, or null. */
+    Attempt lastAttempt() {
+        return attempt(sent - 1);
+    }
+
+    void end(Attempt attempt, Outcome outcome) {
+        attempt.outcome = outcome;
+        inFlight--;
+    }
+
+    /** The first attempt that may have run, or may still run; null: none. */
+    Attempt firstThatMayHaveRun() {
+        for (int i = 0; i < sent; i++) {
+            if (attempts[i].mayHaveRun()) {
+                return attempts[i];
+            }
+        }
+        return null;
+    }
+
+    /**
+     * Until when one more attempt may be written, given what those before it may have done: at any
+     * time, within the deduplication window, or never.
+     */
+    long retryableUntil() {
+        Attempt first = firstThatMayHaveRun();
+        if (first == null || isIdempotent()) {
+            return Long.MAX_VALUE;
+        }
+        boolean hasKey = idempotency() == Idempotency.IDEMPOTENCY_KEY;
+        return first.sentAt + (hasKey ? requestClass.rules.deduplicationWindowNs() : 0);
+    }
+
+    /**
+     * Whether the endpoint drops a repeat of what may have run; any will do where none needs to.
+     */
+    boolean isDeduplicatedAt(Endpoint endpoint) {
+        if (sent == 0 || idempotency() != Idempotency.IDEMPOTENCY_KEY) {
+            return true;
+        }
+        Attempt first = firstThatMayHaveRun();
+        return first == null || sharesWindow(first.endpoint, endpoint);
+    }
+
+    private boolean sharesWindow(Endpoint first, Endpoint other) {
+        DeduplicationScope scope = requestClass.rules.deduplicationScope();
+        return switch (scope) {
+            case ALL -> true;
+            case ZONE -> first.zone().equals(other.zone());
+            case CELL -> first == other || (first.cell() >= 0 && first.cell() == other.cell());
+        };
+    }
+
+    boolean wasSentTo(Endpoint endpoint) {
+        for (int i = 0; i < sent; i++) {
+            if (attempts[i].endpoint == endpoint) {
+                return true;
+            }
+        }
+        return false;
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/trailthread/RequestClassStats.java
@@ -0,0 +1,23 @@
+package trailthread;
+
+import trailthread.api.RequestClass;
+
+/** A request class with its demand, service and mean latency. */
+final class RequestClassStats extends DemandStats {
+    final RequestClass rules;
+    private double latencyNs;
+
+    RequestClassStats(RequestClass rules, long memoryNs, long now) {
+        super(memoryNs, now);
+        this.rules = rules;
+    }
+
+    void recordLatency(long responseNs) {
+        latencyNs += WorkloadMeans.smoothing(latencyNs) * (responseNs - latencyNs);
+    }
+
+    /** The mean latency of the class's responses; 0: none has come. */
+    double latencyNs() {
+        return latencyNs;
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/trailthread/RetryPolicy.java
@@ -0,0 +1,95 @@
+package trailthread;
+
+import trailthread.api.DeduplicationScope;
+import trailthread.api.Idempotency;
+import trailthread.api.Settings;
+
+/**
+ * Whether a request may have one more attempt, how long to wait for it, and which final answer a
+ * request gets that can't be served.
+ *
+ * <p>A request that may have run is retried only if that is harmless: it is idempotent, or has an
+ * idempotency key, is still within the deduplication window and goes to an endpoint that shares it.
+ */
+final class RetryPolicy {
+    /** An idempotent attempt times out after so many latencies of its endpoint. */
+    private static final double TIMEOUT_LATENCIES = 5;
+
+    /** Latencies that must be left after a time-out, or the attempt is given up for nothing. */
+    private static final double LATENCIES_FOR_RETRY = 2;
+
+    private final ActiveSettings settings;
+    private final WorkloadMeans means;
+    private final RetryBudget budget;
+
+    RetryPolicy(ActiveSettings settings, WorkloadMeans means, RetryBudget budget) {
+        this.settings = settings;
+        this.means = means;
+        this.budget = budget;
+    }
+
+    /** Whether the request may have an attempt now, at any endpoint. */
+    boolean permitsAttempt(Request request, long now) {
+        Settings s = settings.get();
+        return !request.finished
+                && !request.streaming
+                && request.sent() < request.maxAttempts(s)
+                && now < request.deadline
+                && (request.inFlight() == 0 || s.mayHedge)
+                && now + s.connectTimeoutNs < request.retryableUntil();
+    }
+
+    /**
+     * Whether a request whose attempts have all failed may have another, and pays for it from the
+     * budget if they may have run.
+     */
+    boolean tryRetry(Request request, long now) {
+        boolean mayHaveRun = request.firstThatMayHaveRun() != null;
+        if (!permitsAttempt(request, now) || (mayHaveRun && !budget.permitsRetry())) {
+            return false;
+        }
+        if (mayHaveRun) {
+            budget.withdraw();
+        }
+        return true;
+    }
+
+    /** Until when the next attempt may be written, by the clock of the events. */
+    long writtenBy(Request request) {
+        return Math.min(request.deadline, request.retryableUntil());
+    }
+
+    /**
+     * How long to wait for an attempt that has just been sent, in nanoseconds; 0: until the client
+     * gives up. An endpoint that accepts and never answers would hold a request to its end. But
+     * only a request that can be retried then is worth giving up on.
+     */
+    long timeoutNs(Request request, Endpoint endpoint, long now) {
+        boolean canRetry =
+                request.isIdempotent()
+                        && request.sent() < request.maxAttempts(settings.get())
+                        && budget.permitsRetry();
+        double meanNs = means.latencyNs();
+        if (!canRetry || meanNs == 0) {
+            return 0;
+        }
+        double usualNs = Math.max(meanNs, settings.latencyResolutionNs());
+        double latencyNs = Math.max(endpoint.latency.latencyNs(), usualNs);
+        double size = Math.max(1, means.relativeWork(request.workNs));
+        double timeoutNs = TIMEOUT_LATENCIES * latencyNs * size;
+        boolean timeIsLeft = now + timeoutNs + LATENCIES_FOR_RETRY * meanNs < request.deadline;
+        return timeIsLeft ? (long) timeoutNs : 0;
+    }
+
+    /**
+     * Whether the final answer may be a refusal, after which clients may send the request again;
+     * else it is a failure.
+     */
+    static boolean mayRefuse(Request request) {
+        return request.isIdempotent()
+                || request.firstThatMayHaveRun() == null
+                || (request.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && request.requestClass.rules.deduplicationScope()
+                                == DeduplicationScope.ALL);
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/trailthread/SubsetSelector.java
@@ -0,0 +1,122 @@
+package trailthread;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import trailthread.api.Settings;
+
+/**
+ * Chooses the endpoints that this node sends to.
+ *
+ * <p>Deterministic aperture (Finagle; "Deterministic subsetting", Google SRE book, chapter 20):
+ * hundreds of nodes connected to every endpoint would fill the endpoints' connection tables, and
+ * the responses from any one would be too rare to learn from. The endpoints of each zone form a
+ * ring by hash; from its own place on, a node takes as many as hold its part of fully warm, healthy
+ * ones.
+ */
+final class SubsetSelector {
+    /** What open connections may cost of the goal. */
+    private static final double CONNECTION_COST = 0.006;
+
+    /** {@link Settings#connectionPrice} is the price of so many connections an endpoint. */
+    private static final double PRICED_CONNECTIONS = 100;
+
+    /** The least subset, in fully warm endpoints: fewer could not stand in for one that fails. */
+    private static final double LEAST_SIZE = 3;
+
+    /** The fractional part of the golden ratio: its multiples spread evenly over a ring. */
+    private static final double GOLDEN_RATIO = 0.6180339887498949;
+
+    /** A zone's ring ends once less than this is wanted of it, in fully warm endpoints. */
+    private static final double NEGLIGIBLE = 0.5;
+
+    private static final Comparator<Endpoint> BY_ZONE_AND_HASH =
+            Comparator.comparing(Endpoint::zone).thenComparingLong(endpoint -> endpoint.hash);
+
+    private final ActiveSettings settings;
+    private final EndpointList list;
+    private final EndpointSubset subset;
+    private final LoadEstimator estimator;
+    private final SlowStart slowStart;
+    private final RandomSource random;
+    private long selectAgainAt;
+
+    SubsetSelector(
+            ActiveSettings settings,
+            EndpointList list,
+            EndpointSubset subset,
+            LoadEstimator estimator,
+            SlowStart slowStart,
+            RandomSource random) {
+        this.settings = settings;
+        this.list = list;
+        this.subset = subset;
+        this.estimator = estimator;
+        this.slowStart = slowStart;
+        this.random = random;
+    }
+
+    /** Whether the subset is to be chosen anew, as endpoints may have warmed up or failed since. */
+    boolean isDue(long now) {
+        return now >= selectAgainAt;
+    }
+
+    /** Chooses the subset from the list. */
+    void select(long now) {
+        Settings s = settings.get();
+        int listed = list.size();
+        double price = s.connectionPrice;
+        double nodesPerEndpoint =
+                price > 0 ? PRICED_CONNECTIONS * CONNECTION_COST / price : s.nodes;
+        double size = Math.max(LEAST_SIZE, nodesPerEndpoint * listed / s.nodes);
+        List<Endpoint> selected = size >= listed ? list.all() : selectFromRings(size, now);
+        selectAgainAt = now + random.jittered(settings.longestDeadlineNs());
+        double sharers = (double) s.nodes * selected.size() / Math.max(1, listed);
+        subset.replace(selected, Math.max(1, sharers));
+    }
+
+    private List<Endpoint> selectFromRings(double size, long now) {
+        List<Endpoint> selected = new ArrayList<>();
+        List<Endpoint> sorted = new ArrayList<>(list.all());
+        sorted.sort(BY_ZONE_AND_HASH);
+        int from = 0;
+        while (from < sorted.size()) {
+            int to = endOfZone(sorted, from);
+            List<Endpoint> ring = sorted.subList(from, to);
+            double wanted = Math.max(1, size * ring.size() / sorted.size());
+            selectFromRing(ring, wanted, selected, now);
+            from = to;
+        }
+        return selected;
+    }
+
+    private static int endOfZone(List<Endpoint> sorted, int from) {
+        String zone = sorted.get(from).zone();
+        int to = from;
+        while (to < sorted.size() && sorted.get(to).zone().equals(zone)) {
+            to++;
+        }
+        return to;
+    }
+
+    private void selectFromRing(
+            List<Endpoint> ring, double wanted, List<Endpoint> selected, long now) {
+        int count = ring.size();
+        int start = (int) (GOLDEN_RATIO * (settings.get().me + 1) % 1 * count);
+        double left = wanted;
+        for (int i = 0; i < count && left > NEGLIGIBLE; i++) {
+            Endpoint endpoint = ring.get((start + i) % count);
+            selected.add(endpoint);
+            left -= isFit(endpoint, now) ? slowStart.capacityShare(endpoint, now) : 0;
+        }
+    }
+
+    private boolean isFit(Endpoint endpoint, long now) {
+        double usualNs = estimator.allEndpoints().latencyNs();
+        boolean slow =
+                endpoint.health.isJammed()
+                        || estimator.latencyNs(endpoint, now)
+                                > OutlierDetector.JAMMED_LATENCIES * usualNs;
+        return endpoint.isReady() && !endpoint.health.isFailing() && !slow;
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/trailthread/WorkloadMeans.java
@@ -0,0 +1,70 @@
+package trailthread;
+
+/** Exponentially weighted means over all requests of this node. */
+final class WorkloadMeans {
+    /** Weight of one request in the mean work: a hundred requests of memory. */
+    private static final double WORK_WEIGHT = 0.01;
+
+    /** Weight of one response in the mean latency: forty responses of memory. */
+    private static final double LATENCY_WEIGHT = LatencyStats.LATENCY_WEIGHT / 4;
+
+    /** The least weight of one request in the mean objective, however little it is worth. */
+    private static final double LEAST_OBJECTIVE_WEIGHT = 0.001;
+
+    private double workNs;
+    private double latencyNs;
+    private double objectiveNs;
+
+    /**
+     * @param objectiveNs the mean latency objective to start from
+     */
+    WorkloadMeans(double objectiveNs) {
+        this.objectiveNs = objectiveNs;
+    }
+
+    /** Records the work that a request announces; 0: it announces none. */
+    void recordWork(long requestWorkNs) {
+        if (requestWorkNs > 0) {
+            workNs += (workNs == 0 ? 1 : WORK_WEIGHT) * (requestWorkNs - workNs);
+        }
+    }
+
+    /** Records the latency of a response, scaled to a request of mean work. */
+    void recordLatency(double responseNs) {
+        latencyNs += smoothing(latencyNs) * (responseNs - latencyNs);
+    }
+
+    /**
+     * Records a request's latency objective.
+     *
+     * @param share the request's part of all priority weight of late
+     */
+    void recordObjective(long requestObjectiveNs, double share) {
+        objectiveNs += Math.max(LEAST_OBJECTIVE_WEIGHT, share) * (requestObjectiveNs - objectiveNs);
+    }
+
+    /** The weight of the next response in a mean latency that stands at this; 1 for the first. */
+    static double smoothing(double meanNs) {
+        return meanNs == 0 ? 1 : LATENCY_WEIGHT;
+    }
+
+    /** Whether a request's announced work can be compared with that of others. */
+    boolean canCompare(long requestWorkNs) {
+        return requestWorkNs > 0 && workNs > 0;
+    }
+
+    /** A request's work in multiples of the mean; 1 where it is not known. */
+    double relativeWork(long requestWorkNs) {
+        return canCompare(requestWorkNs) ? requestWorkNs / workNs : 1;
+    }
+
+    /** The mean latency of responses, scaled to mean work; 0: none has come. */
+    double latencyNs() {
+        return latencyNs;
+    }
+
+    /** The mean latency objective, by priority weight. */
+    double objectiveNs() {
+        return objectiveNs;
+    }
+}
