--- a/adapter/src/main/java/trailthread/adapter/WireReader.java
+++ b/adapter/src/main/java/trailthread/adapter/WireReader.java
@@ -4,236 +4,262 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import trailthread.settings.WireException;
+import trailthread.adapter.WireException.Problem;
 
 /**
- * Reads tab-separated lines; the parts of the current line are parsed on demand, without copies.
+ * Reads lines of tab-separated fields. Fields of the current line are parsed on demand from the
+ * buffer, without copies; field 0 is the message's word. All methods that parse a field throw a
+ * {@link WireException} that names the line and the field.
  */
 final class WireReader {
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
     private static final int MAX_LINE_BYTES = 1 << 26;
+    private static final int INITIAL_FIELDS = 64;
+
+    /** Digits, with a sign, that may fit a long; the exact bound is checked digit by digit. */
+    private static final int MAX_LONG_CHARACTERS = 19;
+
+    private static final int MAX_HEX_DIGITS = Long.BYTES * 2;
 
     private final InputStream in;
-    private byte[] buffer = new byte[1 << 16];
-    private int filled;
-    private int next;
-    private long line;
-    private int[] starts = new int[64];
-    private int[] ends = new int[64];
-    private int parts;
-    private final Names names = new Names();
+    private final InternedNames names = new InternedNames();
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+
+    /** End of what has been read into the buffer. */
+    private int limit;
+
+    /** Start of the line after the current one. */
+    private int nextLineStart;
+
+    private long lineNumber;
+    private int[] fieldStarts = new int[INITIAL_FIELDS];
+    private int[] fieldEnds = new int[INITIAL_FIELDS];
+    private int fieldCount;
 
     WireReader(InputStream in) {
         this.in = in;
     }
 
     /** Moves to the next line; false at the end of the input. */
-    boolean advance() throws IOException {
-        int scan = next;
+    boolean nextLine() throws IOException {
+        int scanned = nextLineStart;
         while (true) {
-            for (; scan < filled; scan++) {
-                if (buffer[scan] == '\n') {
-                    split(next, scan);
-                    next = scan + 1;
-                    line++;
+            for (; scanned < limit; scanned++) {
+                if (buffer[scanned] == '\n') {
+                    splitFields(nextLineStart, scanned);
+                    nextLineStart = scanned + 1;
+                    lineNumber++;
                     return true;
                 }
             }
-            int kept = filled - next;
-            if (next > 0) {
-                System.arraycopy(buffer, next, buffer, 0, kept);
-                scan -= next;
-                next = 0;
-                filled = kept;
-            }
-            if (filled == buffer.length) {
-                if (filled >= MAX_LINE_BYTES) {
-                    throw new WireException(line + 1, "line", "a shorter line");
-                }
-                buffer = Arrays.copyOf(buffer, buffer.length * 2);
-            }
-            int got = in.read(buffer, filled, buffer.length - filled);
-            if (got < 0) {
-                if (filled > next) {
-                    throw new WireException(
-                            line + 1, "line", "a line break before the end of the input");
-                }
+            scanned -= nextLineStart;
+            makeRoom();
+            int count = in.read(buffer, limit, buffer.length - limit);
+            if (count < 0) {
+                requireNoPartialLine();
                 return false;
             }
-            filled += got;
+            limit += count;
         }
     }
 
-    private void split(int from, int to) {
-        parts = 0;
+    /** Moves the unread bytes to the front of the buffer, and enlarges it if they fill it. */
+    private void makeRoom() {
+        int unread = limit - nextLineStart;
+        if (nextLineStart > 0) {
+            System.arraycopy(buffer, nextLineStart, buffer, 0, unread);
+            nextLineStart = 0;
+            limit = unread;
+        }
+        if (limit < buffer.length) {
+            return;
+        }
+        if (limit >= MAX_LINE_BYTES) {
+            throw new WireException(
+                    Problem.LINE_TOO_LONG, lineNumber + 1, "line", "a shorter line");
+        }
+        buffer = Arrays.copyOf(buffer, buffer.length * 2);
+    }
+
+    private void requireNoPartialLine() {
+        if (limit > nextLineStart) {
+            throw new WireException(
+                    Problem.TRUNCATED_INPUT,
+                    lineNumber + 1,
+                    "line",
+                    "a line break before the end of the input");
+        }
+    }
+
+    private void splitFields(int from, int to) {
+        fieldCount = 0;
         int start = from;
-        for (int i = from; i <= to; i++) {
-            if (i == to || buffer[i] == '\t') {
-                if (parts == starts.length) {
-                    starts = Arrays.copyOf(starts, parts * 2);
-                    ends = Arrays.copyOf(ends, parts * 2);
-                }
-                starts[parts] = start;
-                ends[parts++] = i;
+        for (int i = from; i < to; i++) {
+            if (buffer[i] == '\t') {
+                addField(start, i);
                 start = i + 1;
             }
         }
+        addField(start, to);
+    }
+
+    private void addField(int start, int end) {
+        if (fieldCount == fieldStarts.length) {
+            fieldStarts = Arrays.copyOf(fieldStarts, fieldCount * 2);
+            fieldEnds = Arrays.copyOf(fieldEnds, fieldCount * 2);
+        }
+        fieldStarts[fieldCount] = start;
+        fieldEnds[fieldCount] = end;
+        fieldCount++;
     }
 
-    long line() {
-        return line;
+    /** Number of the current line, from 1. */
+    long lineNumber() {
+        return lineNumber;
     }
 
-    int parts() {
-        return parts;
+    /** How many fields the current line has, with the message's word. */
+    int fieldCount() {
+        return fieldCount;
     }
 
-    void expectParts(int least, int most, String what) {
-        if (parts < least || parts > most) {
-            String range = least == most ? "" + (least - 1) : (least - 1) + " to " + (most - 1);
-            throw new WireException(line, what, range + " values, got " + (parts - 1));
+    /** An error in a field of the current line. */
+    WireException invalid(String field, String expected) {
+        return new WireException(Problem.INVALID_VALUE, lineNumber, field, expected);
+    }
+
+    /** Requires a number of fields, each bound with the message's word. */
+    void requireFieldCount(int min, int max, String message) {
+        if (fieldCount < min || fieldCount > max) {
+            String range = min == max ? "" + (min - 1) : (min - 1) + " to " + (max - 1);
+            throw new WireException(
+                    Problem.WRONG_FIELD_COUNT,
+                    lineNumber,
+                    message,
+                    range + " values, got " + (fieldCount - 1));
         }
     }
 
-    boolean absent(int part) {
-        return part >= parts
-                || ends[part] == starts[part]
-                || (ends[part] - starts[part] == 1 && buffer[starts[part]] == '-');
+    /** Whether a field is missing, empty or a dash. */
+    boolean isAbsent(int index) {
+        if (index >= fieldCount || fieldEnds[index] == fieldStarts[index]) {
+            return true;
+        }
+        return fieldEnds[index] - fieldStarts[index] == 1 && buffer[fieldStarts[index]] == '-';
     }
 
-    /** The part as an interned string, the same object for the same bytes. */
-    String name(int part, String field) {
-        if (absent(part)) {
-            throw new WireException(line, field, "a name");
+    /** A field as a string, for names that come again: mostly the same object each time. */
+    String name(int index, String field) {
+        if (isAbsent(index)) {
+            throw invalid(field, "a name");
         }
-        return names.of(buffer, starts[part], ends[part]);
+        return names.get(buffer, fieldStarts[index], fieldEnds[index]);
     }
 
-    String nameOrNull(int part) {
-        return absent(part) ? null : names.of(buffer, starts[part], ends[part]);
+    /** As {@link #name}; null if absent. */
+    String nameOrNull(int index) {
+        if (isAbsent(index)) {
+            return null;
+        }
+        return names.get(buffer, fieldStarts[index], fieldEnds[index]);
     }
 
-    String text(int part) {
-        return new String(buffer, starts[part], ends[part] - starts[part], StandardCharsets.UTF_8);
+    /** A field as a new string. */
+    String text(int index) {
+        int start = fieldStarts[index];
+        return new String(buffer, start, fieldEnds[index] - start, StandardCharsets.UTF_8);
     }
 
-    long number(int part, String field) {
-        if (absent(part)) {
-            throw new WireException(line, field, "a whole number");
+    /** A field as a whole number. */
+    long number(int index, String field) {
+        if (isAbsent(index)) {
+            throw invalid(field, "a whole number");
         }
-        return parseLong(starts[part], ends[part], field);
+        return parseLong(fieldStarts[index], fieldEnds[index], field);
     }
 
-    long numberOr(int part, String field, long otherwise) {
-        return absent(part) ? otherwise : parseLong(starts[part], ends[part], field);
+    /** As {@link #number}, with a default for an absent field. */
+    long numberOr(int index, String field, long defaultValue) {
+        if (isAbsent(index)) {
+            return defaultValue;
+        }
+        return parseLong(fieldStarts[index], fieldEnds[index], field);
     }
 
     private long parseLong(int from, int to, String field) {
         boolean negative = buffer[from] == '-';
         int i = negative ? from + 1 : from;
-        if (i == to || to - i > 19) {
-            throw new WireException(line, field, "a whole number");
+        if (i == to || to - i > MAX_LONG_CHARACTERS) {
+            throw invalid(field, "a whole number");
         }
         long value = 0;
         for (; i < to; i++) {
             int digit = buffer[i] - '0';
             if (digit < 0 || digit > 9 || value > (Long.MAX_VALUE - digit) / 10) {
-                throw new WireException(line, field, "a whole number");
+                throw invalid(field, "a whole number");
             }
             value = value * 10 + digit;
         }
         return negative ? -value : value;
     }
 
-    double decimal(int part, String field) {
+    /** A field as a decimal number. */
+    double decimal(int index, String field) {
         try {
-            return Double.parseDouble(text(part));
+            return Double.parseDouble(text(index));
         } catch (NumberFormatException e) {
-            throw new WireException(line, field, "a number");
+            throw invalid(field, "a number");
         }
     }
 
-    boolean bool(int part, String field) {
-        long value = number(part, field);
+    /** A field that is 0 or 1. */
+    boolean flag(int index, String field) {
+        long value = number(index, field);
         if (value != 0 && value != 1) {
-            throw new WireException(line, field, "0 or 1");
+            throw invalid(field, "0 or 1");
         }
         return value == 1;
     }
 
-    /** A key of hex digits as a number; 0 if absent. */
-    long hexOrZero(int part, String field) {
-        if (absent(part)) {
+    /** A field of up to 16 hex digits as a number; 0 if absent. */
+    long hexOrZero(int index, String field) {
+        if (isAbsent(index)) {
             return 0;
         }
-        if (ends[part] - starts[part] > 16) {
-            throw new WireException(line, field, "at most 16 hex digits");
+        if (fieldEnds[index] - fieldStarts[index] > MAX_HEX_DIGITS) {
+            throw invalid(field, "at most 16 hex digits");
         }
         long value = 0;
-        for (int i = starts[part]; i < ends[part]; i++) {
+        for (int i = fieldStarts[index]; i < fieldEnds[index]; i++) {
             value = value << 4 | hexDigit(buffer[i], field);
         }
         return value;
     }
 
-    byte[] bytes(int part, String field) {
-        if (absent(part)) {
+    /** A field of hex digits, two a byte; none if absent. */
+    byte[] hexBytes(int index, String field) {
+        if (isAbsent(index)) {
             return new byte[0];
         }
-        int length = ends[part] - starts[part];
-        if (length % 2 != 0) {
-            throw new WireException(line, field, "pairs of hex digits");
+        int start = fieldStarts[index];
+        int digits = fieldEnds[index] - start;
+        if (digits % 2 != 0) {
+            throw invalid(field, "pairs of hex digits");
         }
-        byte[] data = new byte[length / 2];
-        for (int i = 0; i < data.length; i++) {
-            int at = starts[part] + 2 * i;
-            data[i] = (byte) (hexDigit(buffer[at], field) << 4 | hexDigit(buffer[at + 1], field));
+        byte[] bytes = new byte[digits / 2];
+        for (int i = 0; i < bytes.length; i++) {
+            int high = hexDigit(buffer[start + 2 * i], field);
+            int low = hexDigit(buffer[start + 2 * i + 1], field);
+            bytes[i] = (byte) (high << 4 | low);
         }
-        return data;
+        return bytes;
     }
 
-    private int hexDigit(byte b, String field) {
-        int digit = Character.digit(b, 16);
+    private int hexDigit(byte character, String field) {
+        int digit = Character.digit(character, 16);
         if (digit < 0) {
-            throw new WireException(line, field, "hex digits");
+            throw invalid(field, "hex digits");
         }
         return digit;
     }
-
-    /** A small table from bytes to strings, so that repeated names cost no allocation. */
-    private static final class Names {
-        private String[] table = new String[1024];
-        private int used;
-
-        String of(byte[] bytes, int from, int to) {
-            int hash = 1;
-            for (int i = from; i < to; i++) {
-                hash = hash * 31 + bytes[i];
-            }
-            int slot = (hash ^ hash >>> 15) & table.length - 1;
-            while (table[slot] != null) {
-                if (same(table[slot], bytes, from, to)) {
-                    return table[slot];
-                }
-                slot = slot + 1 & table.length - 1;
-            }
-            String name = new String(bytes, from, to - from, StandardCharsets.UTF_8);
-            if (used < table.length / 2) {
-                table[slot] = name;
-                used++;
-            }
-            return name;
-        }
-
-        private static boolean same(String s, byte[] bytes, int from, int to) {
-            if (s.length() != to - from) {
-                return false;
-            }
-            for (int i = 0; i < s.length(); i++) {
-                if (s.charAt(i) != bytes[from + i]) {
-                    return false;
-                }
-            }
-            return true;
-        }
-    }
 }
--- a/adapter/src/main/java/trailthread/adapter/WireWriter.java
+++ b/adapter/src/main/java/trailthread/adapter/WireWriter.java
@@ -4,76 +4,77 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import trailthread.api.BalancerActions;
 
-/** Writes one reply; each instance has its own {@link BalancerActions} face on it. */
+/**
+ * Formats messages as lines of tab-separated fields and writes them a reply at a time. A message is
+ * begun, given its fields in order, and ended.
+ */
 final class WireWriter {
-    private static final long LONGEST_TIMER_NS = 70L * 60 * 1_000_000_000;
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
     private final OutputStream out;
-    private byte[] buffer = new byte[1 << 16];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int size;
-    private String current;
+
+    /** Whose messages are being written; null at the start of a reply. */
+    private String currentInstance;
 
     WireWriter(OutputStream out) {
         this.out = out;
     }
 
-    BalancerActions forInstance(String name) {
-        return new InstanceActions(name);
-    }
-
+    /** Writes the reply out. */
     void endReply() throws IOException {
-        bytes("next\n");
+        ascii(WireMessages.END_OF_REPLY);
+        endMessage();
         out.write(buffer, 0, size);
         out.flush();
         size = 0;
-        current = null;
+        currentInstance = null;
     }
 
+    /** Reports that an instance failed on an event. */
     void internalError(String instance, String message) {
-        begin(instance, "internal_error");
-        text(message);
-        end();
+        beginMessage(instance, WireMessages.INTERNAL_ERROR);
+        textField(message);
+        endMessage();
     }
 
+    /** Begins a message of an instance, after a line that names the instance where it changes. */
     @SuppressWarnings(
             "ReferenceEquality") // identity is enough: each instance hands in its own string
-    private void begin(String instance, String message) {
-        if (instance != current) {
-            bytes("from\t");
-            bytes(instance);
-            put('\n');
-            current = instance;
-        }
-        bytes(message);
+    void beginMessage(String instance, String message) {
+        if (instance != currentInstance) {
+            ascii(WireMessages.ACTIONS_OF);
+            nameField(instance);
+            endMessage();
+            currentInstance = instance;
+        }
+        ascii(message);
     }
 
-    private void end() {
+    /** Ends a message. */
+    void endMessage() {
         put('\n');
     }
 
-    private void put(int b) {
-        if (size == buffer.length) {
-            buffer = Arrays.copyOf(buffer, size * 2);
-        }
-        buffer[size++] = (byte) b;
-    }
-
-    private void bytes(String ascii) {
-        for (int i = 0; i < ascii.length(); i++) {
-            put(ascii.charAt(i));
-        }
+    /** Adds a field of ASCII characters without tabs or line breaks. */
+    void nameField(String name) {
+        put('\t');
+        ascii(name);
     }
 
-    private void text(String text) {
+    /** Adds a field of any text; tabs and line breaks become blanks. */
+    void textField(String text) {
         put('\t');
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
-            put(b == '\n' || b == '\r' || b == '\t' ? ' ' : b);
+            boolean separates = b == '\n' || b == '\r' || b == '\t';
+            put(separates ? ' ' : b);
         }
     }
 
-    private void number(long value) {
+    /** Adds a whole number. */
+    void numberField(long value) {
         put('\t');
         if (value == 0) {
             put('0');
@@ -84,114 +85,41 @@
         }
         int start = size;
         for (long rest = value; rest != 0; rest /= 10) {
-            put('0' + (int) Math.abs(rest % 10));
-        }
-        for (int i = start, j = size - 1; i < j; i++, j--) {
-            byte swap = buffer[i];
-            buffer[i] = buffer[j];
-            buffer[j] = swap;
+            put('0' + (int) Math.abs(rest % 10)); // Absolute here: Long.MIN_VALUE has no negative.
         }
+        reverse(start, size - 1);
     }
 
-    private void name(String name) {
+    /** Adds bytes as hex digits, two a byte; a dash for none. */
+    void hexField(byte[] data) {
         put('\t');
-        bytes(name);
-    }
-
-    private final class InstanceActions implements BalancerActions {
-        private final String instance;
-
-        InstanceActions(String instance) {
-            this.instance = instance;
-        }
-
-        @Override
-        public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
-            begin(instance, "forward");
-            number(id);
-            number(timeoutNs);
-            name(endpoint);
-            end();
-        }
-
-        @Override
-        public void refuse(long id, long retryAfterNs) {
-            begin(instance, "push_back");
-            number(id);
-            number(retryAfterNs);
-            end();
-        }
-
-        @Override
-        public void fail(long id) {
-            begin(instance, "error");
-            number(id);
-            end();
-        }
-
-        @Override
-        public void cancel(long id, int attempt) {
-            begin(instance, "withdraw");
-            number(id);
-            number(attempt);
-            end();
-        }
-
-        @Override
-        public void timer(long delayNs, long token) {
-            begin(instance, "after");
-            number(Math.max(0, Math.min(delayNs, LONGEST_TIMER_NS)));
-            number(token);
-            end();
-        }
-
-        @Override
-        public void probe(String endpoint) {
-            begin(instance, "sample");
-            name(endpoint);
-            end();
+        if (data.length == 0) {
+            put('-');
         }
-
-        @Override
-        public void closeIdle(String endpoint) {
-            begin(instance, "shut_idle");
-            name(endpoint);
-            end();
-        }
-
-        @Override
-        public void tell(int peer, byte[] data) {
-            begin(instance, "signal");
-            number(peer);
-            put('\t');
-            if (data.length == 0) {
-                put('-');
-            }
-            for (byte b : data) {
-                put(Character.forDigit(b >> 4 & 15, 16));
-                put(Character.forDigit(b & 15, 16));
-            }
-            end();
+        for (byte b : data) {
+            put(Character.forDigit(b >> 4 & 15, 16));
+            put(Character.forDigit(b & 15, 16));
         }
+    }
 
-        @Override
-        public void watch(boolean on) {
-            begin(instance, "tail");
-            number(on ? 1 : 0);
-            end();
+    private void reverse(int first, int last) {
+        for (int i = first, j = last; i < j; i++, j--) {
+            byte swap = buffer[i];
+            buffer[i] = buffer[j];
+            buffer[j] = swap;
         }
+    }
 
-        @Override
-        public void fetch() {
-            begin(instance, "get_list");
-            end();
+    private void ascii(String text) {
+        for (int i = 0; i < text.length(); i++) {
+            put(text.charAt(i));
         }
+    }
 
-        @Override
-        public void log(String text) {
-            begin(instance, "trace");
-            text(text);
-            end();
+    private void put(int b) {
+        if (size == buffer.length) {
+            buffer = Arrays.copyOf(buffer, size * 2);
         }
+        buffer[size++] = (byte) b;
     }
 }
--- a/adapter/src/test/java/trailthread/adapter/AdapterTest.java
+++ b/adapter/src/test/java/trailthread/adapter/AdapterTest.java
@@ -11,7 +11,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import trailthread.settings.WireException;
 
 /** Short transcripts through the adapter. */
 class AdapterTest {
--- a/decisions/src/main/java/trailthread/settings/SettingsParser.java
+++ b/decisions/src/main/java/trailthread/settings/SettingsParser.java
@@ -11,93 +11,85 @@
 import trailthread.api.WeightMeaning;
 
 /**
- * Turns path=value pairs into {@link Settings}, for the simulator's wire and for a node's
- * configuration; unknown paths are skipped.
+ * Turns pairs of a path and a value into {@link Settings}, for the simulator's wire and for a
+ * node's configuration. Settings that are not given keep their defaults; unknown paths are skipped.
  */
 public final class SettingsParser {
-    /** Below this, a double holds every whole number. */
-    private static final double MOST_WHOLE = 1L << 53;
+    /** Below this, a double holds every whole number exactly. */
+    private static final double MAX_EXACT_DOUBLE = 1L << 53;
 
     private final Map<String, String> values = new HashMap<>();
-    private final String where;
-
-    /** Makes a parser whose complaints begin with where the pairs stand. */
-    public SettingsParser(String where) {
-        this.where = where;
+    private final String source;
+
+    /**
+     * Makes a parser without pairs.
+     *
+     * @param source where the pairs are read, for error messages
+     */
+    public SettingsParser(String source) {
+        this.source = source;
     }
 
-    /** Adds a pair written as {@code path=value}. */
+    /**
+     * Adds a pair written as {@code path=value}.
+     *
+     * @throws SettingException if it is not written so
+     */
     public void add(String pair) {
-        int at = pair.indexOf('=');
-        if (at <= 0) {
-            throw new WireException(where, "options", "path=value, got '" + pair + "'");
+        int separator = pair.indexOf('=');
+        if (separator <= 0) {
+            throw new SettingException(source, "options", "path=value, got '" + pair + "'");
         }
-        add(pair.substring(0, at), pair.substring(at + 1));
+        add(pair.substring(0, separator), pair.substring(separator + 1));
     }
 
-    /** Takes one pair. */
+    /** Adds a pair; a later value of a path replaces an earlier one. */
     public void add(String path, String value) {
         values.put(path, value);
     }
 
-    /** The settings that the pairs make. */
+    /**
+     * The settings that the pairs make. Ranges are checked by {@link Settings#check}.
+     *
+     * @throws SettingException if a value is missing or cannot be read
+     */
     public Settings parse() {
-        Settings s = new Settings();
-        s.tickNs = whole("tick_ns", s.tickNs);
-        s.me = (int) whole("me", s.me);
-        s.nodes = (int) whole("replicas_of_me", s.nodes);
-        s.zone = values.getOrDefault("zone", s.zone);
-        for (int i = 0; i < whole("categories.count", 0); i++) {
-            s.classes.add(requestClass("categories." + i + "."));
-        }
-        for (int i = 0; i < whole("tenants.count", 0); i++) {
-            String at = "tenants." + i + ".";
-            s.tenants.add(
-                    new Tenant(
-                            required(at + "name"),
-                            decimal(at + "quota_per_s", Double.MAX_VALUE),
-                            decimal(at + "fraction", 1)));
+        Settings settings = new Settings();
+        parseNode(settings);
+        parseClasses(settings);
+        parseTenants(settings);
+        parseGoal(settings);
+        parseLimits(settings);
+        parseSources(settings);
+        parseSafety(settings);
+        return settings;
+    }
+
+    private void parseNode(Settings settings) {
+        settings.tickNs = whole("tick_ns", settings.tickNs);
+        settings.me = (int) whole("me", settings.me);
+        settings.nodes = (int) whole("replicas_of_me", settings.nodes);
+        settings.zone = values.getOrDefault("zone", settings.zone);
+    }
+
+    private void parseClasses(Settings settings) {
+        long count = whole("categories.count", 0);
+        for (int i = 0; i < count; i++) {
+            settings.classes.add(requestClass("categories." + i + "."));
         }
-        s.overQuotaWeight = decimal("over_share_worth", s.overQuotaWeight);
-        s.weightByWork = "work".equals(values.get("worth_by"));
-        s.goalWhole = decimal("objective_mix.whole", s.goalWhole);
-        s.goalWorstWindow = decimal("objective_mix.worst_window", s.goalWorstWindow);
-        s.goalWorstClass = decimal("objective_mix.worst_class", s.goalWorstClass);
-        s.goalWorstTenant = decimal("objective_mix.worst_tenant", s.goalWorstTenant);
-        s.crossZonePrice = decimal("deductions.cross_zone", s.crossZonePrice);
-        s.connectionPrice = decimal("deductions.connection", s.connectionPrice);
-        s.mayCancel = flag("limits.may_cancel", s.mayCancel);
-        s.mayCheckHealth = flag("limits.probes", s.mayCheckHealth);
-        s.mayGossip = flag("limits.peers", s.mayGossip);
-        s.mayHedge = flag("limits.second_copies", s.mayHedge);
-        s.maxAttempts = (int) whole("limits.most_tries", s.maxAttempts);
-        s.retryAfter = flag("limits.retry_after", s.retryAfter);
-        s.maxRetryAfterNs = whole("limits.max_retry_after_ns", s.maxRetryAfterNs);
-        s.connectTimeoutNs = whole("limits.dial_timeout_ns", s.connectTimeoutNs);
-        s.listIsPolled = "on_request".equals(values.get("discovery"));
-        s.weights = weights(values.getOrDefault("weights", "silent"));
-        s.reports = reports(values.getOrDefault("report.how", "silent"));
-        s.keyAffinity = flag("extra.warm_keys", s.keyAffinity);
-        s.responseSlackNs = whole("safety.answer_slack_ns", s.responseSlackNs);
-        s.pollIntervalNs = whole("safety.ask_every_ns", s.pollIntervalNs);
-        s.slowStartInitialShare = decimal("safety.start_capacity", s.slowStartInitialShare);
-        s.slowStartNs = whole("safety.cold_ns", s.slowStartNs);
-        s.overloadMultiple = decimal("safety.fall_multiple", s.overloadMultiple);
-        s.overloadWindowNs = whole("safety.fall_ns", s.overloadWindowNs);
-        return s;
-    }
-
-    private RequestClass requestClass(String at) {
+    }
+
+    private RequestClass requestClass(String prefix) {
         return new RequestClass(
-                required(at + "name"),
-                whole(at + "aim_ns", 0),
-                decimal(at + "aim_stretch", 0),
-                whole(at + "deadline_ns", 0),
-                idempotency(at + "semantics"),
-                group(at + "group"),
-                whole(at + "window_ns", 0),
-                decimal(at + "gain", 1),
-                decimal(at + "late_value", 0));
+                required(prefix + "name"),
+                whole(prefix + "aim_ns", 0),
+                decimal(prefix + "aim_stretch", 0),
+                whole(prefix + "deadline_ns", 0),
+                idempotency(prefix + "semantics"),
+                deduplicationScope(prefix + "group"),
+                whole(prefix + "window_ns", 0),
+                decimal(prefix + "gain", 1),
+                decimal(prefix + "late_value", 0));
     }
 
     private Idempotency idempotency(String path) {
@@ -105,20 +97,61 @@
             case "retryable" -> Idempotency.IDEMPOTENT;
             case "dedup" -> Idempotency.IDEMPOTENCY_KEY;
             case "fragile" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw new WireException(where, path, "retryable, dedup or fragile");
+            default -> throw new SettingException(source, path, "retryable, dedup or fragile");
         };
     }
 
-    private DeduplicationScope group(String path) {
+    private DeduplicationScope deduplicationScope(String path) {
         return switch (values.getOrDefault(path, "all")) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw new WireException(where, path, "all, zone or cell");
+            default -> throw new SettingException(source, path, "all, zone or cell");
         };
     }
 
-    private static WeightMeaning weights(String word) {
+    private void parseTenants(Settings settings) {
+        long count = whole("tenants.count", 0);
+        for (int i = 0; i < count; i++) {
+            String prefix = "tenants." + i + ".";
+            settings.tenants.add(
+                    new Tenant(
+                            required(prefix + "name"),
+                            decimal(prefix + "quota_per_s", Double.MAX_VALUE),
+                            decimal(prefix + "fraction", 1)));
+        }
+    }
+
+    private void parseGoal(Settings settings) {
+        settings.overQuotaWeight = decimal("over_share_worth", settings.overQuotaWeight);
+        settings.weightByWork = "work".equals(values.get("worth_by"));
+        settings.goalWhole = decimal("objective_mix.whole", settings.goalWhole);
+        settings.goalWorstWindow = decimal("objective_mix.worst_window", settings.goalWorstWindow);
+        settings.goalWorstClass = decimal("objective_mix.worst_class", settings.goalWorstClass);
+        settings.goalWorstTenant = decimal("objective_mix.worst_tenant", settings.goalWorstTenant);
+        settings.crossZonePrice = decimal("deductions.cross_zone", settings.crossZonePrice);
+        settings.connectionPrice = decimal("deductions.connection", settings.connectionPrice);
+    }
+
+    private void parseLimits(Settings settings) {
+        settings.mayCancel = flag("limits.may_cancel", settings.mayCancel);
+        settings.mayCheckHealth = flag("limits.probes", settings.mayCheckHealth);
+        settings.mayGossip = flag("limits.peers", settings.mayGossip);
+        settings.mayHedge = flag("limits.second_copies", settings.mayHedge);
+        settings.maxAttempts = (int) whole("limits.most_tries", settings.maxAttempts);
+        settings.retryAfter = flag("limits.retry_after", settings.retryAfter);
+        settings.maxRetryAfterNs = whole("limits.max_retry_after_ns", settings.maxRetryAfterNs);
+        settings.connectTimeoutNs = whole("limits.dial_timeout_ns", settings.connectTimeoutNs);
+    }
+
+    private void parseSources(Settings settings) {
+        settings.listIsPolled = "on_request".equals(values.get("discovery"));
+        settings.weights = weightMeaning(values.getOrDefault("weights", "silent"));
+        settings.reports = loadReportSource(values.getOrDefault("report.how", "silent"));
+        settings.keyAffinity = flag("extra.warm_keys", settings.keyAffinity);
+    }
+
+    private static WeightMeaning weightMeaning(String word) {
         return switch (word) {
             case "nominal" -> WeightMeaning.NOMINAL;
             case "rough" -> WeightMeaning.ROUGH;
@@ -127,7 +160,7 @@
         };
     }
 
-    private static LoadReportSource reports(String word) {
+    private static LoadReportSource loadReportSource(String word) {
         return switch (word) {
             case "piggyback" -> LoadReportSource.ANSWERS;
             case "pull" -> LoadReportSource.PROBES;
@@ -135,48 +168,69 @@
         };
     }
 
+    private void parseSafety(Settings settings) {
+        settings.responseSlackNs = whole("safety.answer_slack_ns", settings.responseSlackNs);
+        settings.pollIntervalNs = whole("safety.ask_every_ns", settings.pollIntervalNs);
+        settings.slowStartInitialShare =
+                decimal("safety.start_capacity", settings.slowStartInitialShare);
+        settings.slowStartNs = whole("safety.cold_ns", settings.slowStartNs);
+        settings.overloadMultiple = decimal("safety.fall_multiple", settings.overloadMultiple);
+        settings.overloadWindowNs = whole("safety.fall_ns", settings.overloadWindowNs);
+    }
+
     private String required(String path) {
         String value = values.get(path);
         if (value == null) {
-            throw new WireException(where, path, "a value");
+            throw new SettingException(source, path, "a value");
         }
         return value;
     }
 
-    /** A whole number of the pairs, for settings that only the host needs. */
-    public long whole(String path, long otherwise) {
+    /**
+     * A whole number among the pairs; also for settings that only the host needs. Decimals such as
+     * {@code 5.0} are accepted, as some writers give every number with decimals.
+     *
+     * @throws SettingException if the value is not a whole number
+     */
+    public long whole(String path, long defaultValue) {
         String value = values.get(path);
+        if (value == null) {
+            return defaultValue;
+        }
         try {
-            if (value != null && value.indexOf('.') >= 0) {
-                double told = Double.parseDouble(value);
-                if (told == Math.rint(told) && Math.abs(told) < MOST_WHOLE) {
-                    return (long) told; // some writers tell every number with decimals
+            if (value.indexOf('.') >= 0) {
+                double decimal = Double.parseDouble(value);
+                if (decimal == Math.rint(decimal) && Math.abs(decimal) < MAX_EXACT_DOUBLE) {
+                    return (long) decimal;
                 }
             }
-            return value == null ? otherwise : Long.parseLong(value);
+            return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new WireException(where, path, "a whole number");
+            throw new SettingException(source, path, "a whole number");
         }
     }
 
-    private double decimal(String path, double otherwise) {
+    private double decimal(String path, double defaultValue) {
         String value = values.get(path);
+        if (value == null) {
+            return defaultValue;
+        }
         try {
-            return value == null ? otherwise : Double.parseDouble(value);
+            return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new WireException(where, path, "a number");
+            throw new SettingException(source, path, "a number");
         }
     }
 
-    private boolean flag(String path, boolean otherwise) {
+    private boolean flag(String path, boolean defaultValue) {
         String value = values.get(path);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         return switch (value) {
             case "true", "1" -> true;
             case "false", "0" -> false;
-            default -> throw new WireException(where, path, "true or false");
+            default -> throw new SettingException(source, path, "true or false");
         };
     }
 }
