--- /dev/null
+++ b/adapter/src/test/java/trailthread/adapter/WireActionsTest.java
@@ -0,0 +1,77 @@
+package trailthread.adapter;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.Test;
+
+/** Each action as the wire writes it. */
+class WireActionsTest {
+    private final ByteArrayOutputStream out = new ByteArrayOutputStream();
+    private final WireWriter writer = new WireWriter(out);
+
+    private String reply() throws IOException {
+        writer.endReply();
+        return out.toString(StandardCharsets.UTF_8);
+    }
+
+    @Test
+    void everyActionIsALineOfItsInstance() throws IOException {
+        WireActions actions = new WireActions("a", writer);
+        actions.send(7, 30, 99, "h:1");
+        actions.refuse(7, 5);
+        actions.fail(8);
+        actions.cancel(7, 1);
+        actions.probe("h:2");
+        actions.closeIdle("h:3");
+        actions.tell(-1, new byte[] {0, (byte) 0xaf});
+        actions.tell(2, new byte[0]);
+        actions.watch(true);
+        actions.watch(false);
+        actions.fetch();
+        actions.log("a\tb\nc");
+        assertEquals(
+                String.join(
+                        "\n",
+                        "from\ta",
+                        "forward\t7\t30\th:1",
+                        "push_back\t7\t5",
+                        "error\t8",
+                        "withdraw\t7\t1",
+                        "sample\th:2",
+                        "shut_idle\th:3",
+                        "signal\t-1\t00af",
+                        "signal\t2\t-",
+                        "tail\t1",
+                        "tail\t0",
+                        "get_list",
+                        "trace\ta b c",
+                        "next\n"),
+                reply());
+    }
+
+    @Test
+    void timersAreNeitherNegativeNorLongerThanSeventyMinutes() throws IOException {
+        WireActions actions = new WireActions("a", writer);
+        actions.timer(-1, 0);
+        actions.timer(Long.MAX_VALUE, Long.MIN_VALUE);
+        assertEquals(
+                "from\ta\nafter\t0\t0\nafter\t4200000000000\t-9223372036854775808\nnext\n",
+                reply());
+    }
+
+    @Test
+    void anInstanceIsNamedWhereItChanges() throws IOException {
+        WireActions first = new WireActions("a", writer);
+        WireActions second = new WireActions("b", writer);
+        first.fail(1);
+        first.fail(2);
+        second.fail(3);
+        first.fail(4);
+        assertEquals(
+                "from\ta\nerror\t1\nerror\t2\nfrom\tb\nerror\t3\nfrom\ta\nerror\t4\nnext\n",
+                reply());
+    }
+}
