--- /dev/null
+++ b/decisions/src/main/java/trailthread/degradation/ConditionTracker.java
@@ -0,0 +1,115 @@
+package trailthread.degradation;
+
+/**
+ * Tracks one condition of a level: where its reading stands between the two bounds, and for how
+ * long it has been at or over the enter bound. Times are counted time, see {@link
+ * DegradationController}, in ns.
+ */
+final class ConditionTracker {
+    private final Condition condition;
+    private final DegradationPlan plan;
+
+    /** The last known value. */
+    private double value;
+
+    /** Where the last known value stands. */
+    private Zone zone = Zone.BELOW_LEAVE;
+
+    /** Whether the latest readings held a value. */
+    private boolean known;
+
+    /**
+     * Whether a value was known within {@link DegradationPlan#trustNs}. A reading that no longer is
+     * must not hold a level for ever.
+     */
+    private boolean measured;
+
+    private long knownAt;
+    private long atEnterForNs;
+
+    /** Where a value stands by the bounds of the condition. */
+    private enum Zone {
+        BELOW_LEAVE,
+        BETWEEN,
+        AT_ENTER
+    }
+
+    ConditionTracker(Condition condition, DegradationPlan plan) {
+        this.condition = condition;
+        this.plan = plan;
+    }
+
+    /**
+     * Takes in the latest readings.
+     *
+     * @param now counted time
+     * @param step counted time since the readings before
+     */
+    void update(Readings readings, long now, long step) {
+        double latest = condition.reading().of(readings);
+        known = !Double.isNaN(latest);
+        if (known) {
+            updateKnown(latest, now, step);
+        } else if (now - knownAt > plan.trustNs) {
+            measured = false;
+            zone = Zone.BELOW_LEAVE;
+            atEnterForNs = 0;
+        }
+    }
+
+    private void updateKnown(double latest, long now, long step) {
+        Zone before = zone;
+        value = latest;
+        zone = zoneOf(latest);
+        measured = true;
+        knownAt = now;
+        if (zone == Zone.BELOW_LEAVE) {
+            atEnterForNs = 0;
+        } else if (zone == Zone.AT_ENTER && before == Zone.AT_ENTER) {
+            atEnterForNs += step;
+        }
+    }
+
+    private Zone zoneOf(double latest) {
+        if (latest >= condition.enter()) {
+            return Zone.AT_ENTER;
+        }
+        return latest < condition.leave() ? Zone.BELOW_LEAVE : Zone.BETWEEN;
+    }
+
+    /** Whether the reading has been at or over the enter bound for the condition's time. */
+    boolean isDue() {
+        return isAtEnter() && atEnterForNs >= condition.holdNs();
+    }
+
+    /** Whether the reading is known to be at or over the enter bound now. */
+    boolean isAtEnter() {
+        return known && zone == Zone.AT_ENTER;
+    }
+
+    /** Whether the reading was last known under the leave bound, or is not measured. */
+    boolean isBelowLeave() {
+        return zone == Zone.BELOW_LEAVE;
+    }
+
+    /** Whether the reading is measured, but has no value in the latest readings. */
+    boolean isUncertain() {
+        return measured && !known;
+    }
+
+    /** Whether shedding load lowers the reading. */
+    boolean isRelieved() {
+        return condition.reading().isRelieved();
+    }
+
+    /** This condition as the cause of entering its level. */
+    Change.Cause enterCause() {
+        return new Change.Cause(condition.reading(), value, condition.enter());
+    }
+
+    /** This condition as the cause of having held its level until now. */
+    Change.Cause leaveCause() {
+        double shown = measured ? value : Double.NaN;
+        return new Change.Cause(condition.reading(), shown, condition.leave());
+    }
+}
--- a/decisions/src/main/java/trailthread/degradation/DecayingShare.java
+++ b/decisions/src/main/java/trailthread/degradation/DecayingShare.java
@@ -1,40 +1,46 @@
 package trailthread.degradation;
 
 /**
- * A share of late: of what was counted, how much had some trait; what is older weighs less, by
- * exponential decay. Some that had not are assumed, as a share of three calls proves nothing.
+ * The recent share of events that had some trait; older events weigh less, by exponential decay. A
+ * number of events without the trait is assumed, as a share of three events proves nothing.
  */
 public final class DecayingShare {
-    private static final double ASSUMED = 50;
+    /** Events without the trait that are assumed. */
+    private static final double PRIOR_EVENTS = 50;
 
     private final double spanNs;
     private double all;
-    private double with;
-    private long at;
+    private double withTrait;
+    private long updatedAt;
 
-    /** Makes one that forgets all but 1/e in a span, ns, above 0. */
+    /**
+     * Makes a share of no events.
+     *
+     * @param spanNs the weight of an event falls to 1/e in this time, ns, above 0
+     * @param now time, ns of the caller's clock
+     */
     public DecayingShare(double spanNs, long now) {
         this.spanNs = spanNs;
-        at = now;
+        updatedAt = now;
     }
 
-    /** Counts one. */
+    /** Counts an event at a time, ns. */
     public void count(long now, boolean hasTrait) {
         decay(now);
         all++;
-        with += hasTrait ? 1 : 0;
+        withTrait += hasTrait ? 1 : 0;
     }
 
-    /** The share, 0 to below 1. */
+    /** The share at a time, ns: 0 to below 1. */
     public double share(long now) {
         decay(now);
-        return with / (all + ASSUMED);
+        return withTrait / (all + PRIOR_EVENTS);
     }
 
     private void decay(long now) {
-        double kept = Math.exp(-Math.max(0, now - at) / spanNs);
-        all *= kept;
-        with *= kept;
-        at = now;
+        double remaining = Math.exp(-Math.max(0, now - updatedAt) / spanNs);
+        all *= remaining;
+        withTrait *= remaining;
+        updatedAt = now;
     }
 }
--- a/decisions/src/main/java/trailthread/degradation/DegradationLevel.java
+++ b/decisions/src/main/java/trailthread/degradation/DegradationLevel.java
@@ -7,13 +7,14 @@
 /**
  * A level of service: when it is entered and left, and what it does.
  *
- * @param conditions any of them enters; all must be under their leave bounds to leave
- * @param leaveNs for how long they must
- * @param leastStayNs it is left no sooner than this after the last change, and later where it flaps
- * @param reach which classes it may shed
- * @param leastShed share of its reach that it sheds at once and while any of its conditions holds,
- *     0 to 1; more as trouble goes on
- * @param probeFactor probing periods are multiplied by this
+ * @param conditions any of them enters the level; all must be under their leave bounds to leave it
+ * @param leaveNs for how long they must be, ns
+ * @param leastStayNs the level is left no sooner than this after the last change, ns, and later
+ *     where it flaps
+ * @param reach which classes the level may shed
+ * @param leastShed share of its reach that the level sheds at once and while any of its conditions
+ *     holds, 0 to 1; more is shed while a reading that shedding relieves stays too high
+ * @param probeFactor the periods of health checks are multiplied by this, 1 to 100
  */
 public record DegradationLevel(
         String name,
@@ -23,7 +24,7 @@
         Reach reach,
         double leastShed,
         double probeFactor) {
-    private static final double MOST_PROBE_FACTOR = 100;
+    private static final double MAX_PROBE_FACTOR = 100;
 
     /**
      * How far along the order of shedding a level goes; the last class of the order is in no reach.
@@ -31,7 +32,7 @@
     public enum Reach {
         /** Nothing is shed. */
         NONE,
-        /** From the first class to the last that is safe to repeat. */
+        /** From the first class to the last that is idempotent. */
         SAFE,
         /** All but the last class. */
         ALL_BUT_LAST
@@ -46,16 +47,17 @@
     void check() {
         String at = "levels." + name;
         Set<Reading> seen = EnumSet.noneOf(Reading.class);
-        for (Condition c : conditions) {
-            String of = at + "." + c.reading().word();
-            DegradationPlan.require(seen.add(c.reading()), of + ": more than one condition");
-            c.check(of);
+        for (Condition condition : conditions) {
+            Reading reading = condition.reading();
+            String conditionAt = at + "." + reading.word();
+            DegradationPlan.require(seen.add(reading), conditionAt + ": more than one condition");
+            condition.check(conditionAt);
         }
         DegradationPlan.requireNs(leaveNs, 0, at + ".leaveNs");
         DegradationPlan.requireNs(leastStayNs, 1, at + ".leastStayNs");
         DegradationPlan.require(leastShed >= 0 && leastShed <= 1, at + ".leastShed: not in [0, 1]");
         DegradationPlan.require(
-                probeFactor >= 1 && probeFactor <= MOST_PROBE_FACTOR,
-                at + ".probeFactor: not in [1, " + (int) MOST_PROBE_FACTOR + "]");
+                probeFactor >= 1 && probeFactor <= MAX_PROBE_FACTOR,
+                at + ".probeFactor: not in [1, " + (int) MAX_PROBE_FACTOR + "]");
     }
 }
--- /dev/null
+++ b/decisions/src/main/java/trailthread/degradation/LevelTracker.java
@@ -0,0 +1,139 @@
+package trailthread.degradation;
+
+import java.util.List;
+
+/**
+ * Tracks one level: its conditions, for how long none has held it, and its least stay. Times are
+ * counted time, see {@link DegradationController}, in ns.
+ */
+final class LevelTracker {
+    private final DegradationLevel level;
+
+    /** How many classes the level may shed at most. */
+    private final int maxDepth;
+
+    private final List<ConditionTracker> conditions;
+    private final FlapDamping damping;
+
+    /** The conditions that held the level last. */
+    private List<ConditionTracker> holders = List.of();
+
+    private boolean clear = true;
+    private long clearForNs;
+
+    /** What the readings that shedding relieves say of the load. */
+    enum Pressure {
+        /** One is at or over its enter bound: shed more. */
+        HIGH,
+        /** Some are between their bounds. */
+        STEADY,
+        /** All are under their leave bounds: shed less. */
+        LOW
+    }
+
+    LevelTracker(DegradationLevel level, int maxDepth, DegradationPlan plan) {
+        this.level = level;
+        this.maxDepth = maxDepth;
+        conditions = level.conditions().stream().map(c -> new ConditionTracker(c, plan)).toList();
+        damping = new FlapDamping(level.leastStayNs(), plan);
+    }
+
+    DegradationLevel level() {
+        return level;
+    }
+
+    /**
+     * Takes in the latest readings.
+     *
+     * @param now counted time
+     * @param step counted time since the readings before
+     */
+    void update(Readings readings, long now, long step) {
+        boolean certain = true;
+        for (ConditionTracker condition : conditions) {
+            condition.update(readings, now, step);
+            certain &= !condition.isUncertain();
+        }
+        List<ConditionTracker> holding =
+                conditions.stream().filter(c -> !c.isBelowLeave()).toList();
+        if (!holding.isEmpty()) {
+            clear = false;
+            clearForNs = 0;
+            holders = holding;
+        } else if (certain) {
+            clearForNs += clear ? step : 0;
+            clear = true;
+        }
+    }
+
+    /** Whether any condition enters the level. */
+    boolean isDue() {
+        return conditions.stream().anyMatch(ConditionTracker::isDue);
+    }
+
+    /** Whether all conditions have been under their leave bounds for the level's time. */
+    boolean isClearLongEnough() {
+        return clear && clearForNs >= level.leaveNs();
+    }
+
+    /** What the readings that shedding relieves say of the load. */
+    Pressure pressure() {
+        boolean allLow = true;
+        for (ConditionTracker condition : conditions) {
+            if (!condition.isRelieved()) {
+                continue;
+            }
+            if (condition.isAtEnter()) {
+                return Pressure.HIGH;
+            }
+            allLow &= condition.isBelowLeave();
+        }
+        return allLow ? Pressure.LOW : Pressure.STEADY;
+    }
+
+    /** How many classes the level may shed at most. */
+    int maxDepth() {
+        return maxDepth;
+    }
+
+    /** How many classes the level sheds as soon as it is entered. */
+    double entryDepth() {
+        return level.leastShed() * maxDepth;
+    }
+
+    /**
+     * How many classes it sheds at least at present: once no condition holds it, no more than the
+     * level above may, as else it could not be left.
+     */
+    double minDepth(int maxDepthAbove) {
+        return clear ? Math.min(maxDepthAbove, entryDepth()) : entryDepth();
+    }
+
+    /** The level is entered, or passed on the way to a deeper one. */
+    void enter(long now) {
+        damping.enter(now);
+    }
+
+    /** The level is left for the one above. */
+    void leave(long now) {
+        damping.leave(now);
+    }
+
+    /** How long the level stays in force at least, ns. */
+    long leastStayNs() {
+        return damping.leastStayNs();
+    }
+
+    /** The conditions that enter the level now. */
+    List<Change.Cause> enterCauses() {
+        return conditions.stream()
+                .filter(ConditionTracker::isDue)
+                .map(ConditionTracker::enterCause)
+                .toList();
+    }
+
+    /** The conditions that held the level last. */
+    List<Change.Cause> leaveCauses() {
+        return holders.stream().map(ConditionTracker::leaveCause).toList();
+    }
+}
--- a/decisions/src/main/java/trailthread/degradation/Reading.java
+++ b/decisions/src/main/java/trailthread/degradation/Reading.java
@@ -2,24 +2,24 @@
 
 import java.util.Locale;
 
-/** What a level can be entered and left by; {@link Readings} says how each is measured. */
+/** A quantity that a level can be entered and left by; {@link Readings} defines each. */
 public enum Reading {
-    /** Share of ready workers that fail. */
+    /** Share of ready endpoints that fail. */
     FAILING(true, false),
     /** Age of load reports, ns. */
     REPORT_AGE(false, false),
-    /** How late the loop runs, ns. */
+    /** How late the I/O thread runs its timers, ns. */
     LATENESS(false, true),
     /** Share of descriptors in use. */
     DESCRIPTORS(true, true),
     /** Share of memory in use. */
     MEMORY(true, true),
-    /** Share of guarded calls that lacked a worker of late. */
+    /** Recent share of guarded requests that lacked an endpoint. */
     STARVED(true, true),
-    /** Share of CPU withheld. */
+    /** Share of the time in which the node wanted CPU and got none. */
     CPU_WITHHELD(true, true);
 
-    private static final double NS = 1e9;
+    private static final double NS_PER_SECOND = 1e9;
 
     private final boolean share;
     private final boolean relieved;
@@ -34,33 +34,34 @@
         return share;
     }
 
-    /**
-     * Whether shedding calls brings it down; it does not mend workers that fail, or late reports.
-     */
+    /** Whether shedding lowers it; failing endpoints and late reports are not mended by that. */
     public boolean isRelieved() {
         return relieved;
     }
 
     /**
-     * Its value in these readings, or NaN if that is absurd: not a number, infinite, negative, a
+     * Its value in these readings, or NaN if that is unusable: not a number, infinite, negative, a
      * share above 1. Where no reports are expected (age NaN or -1) their age is 0.
      */
-    public double of(Readings r) {
+    public double of(Readings readings) {
         double value =
                 switch (this) {
-                    case FAILING -> r.failing();
-                    case REPORT_AGE ->
-                            Double.isNaN(r.reportAgeNs()) || r.reportAgeNs() == -1
-                                    ? 0
-                                    : r.reportAgeNs();
-                    case LATENESS -> r.latenessNs();
-                    case DESCRIPTORS -> r.descriptors();
-                    case MEMORY -> r.memory();
-                    case STARVED -> r.starved();
-                    case CPU_WITHHELD -> r.cpuWithheld();
+                    case FAILING -> readings.failing();
+                    case REPORT_AGE -> reportAgeNs(readings);
+                    case LATENESS -> readings.latenessNs();
+                    case DESCRIPTORS -> readings.descriptors();
+                    case MEMORY -> readings.memory();
+                    case STARVED -> readings.starved();
+                    case CPU_WITHHELD -> readings.cpuWithheld();
                 };
-        boolean sane = value >= 0 && value <= (share ? 1 : Double.MAX_VALUE);
-        return sane ? value : Double.NaN;
+        double max = share ? 1 : Double.MAX_VALUE;
+        return value >= 0 && value <= max ? value : Double.NaN;
+    }
+
+    private static double reportAgeNs(Readings readings) {
+        double age = readings.reportAgeNs();
+        boolean noneExpected = Double.isNaN(age) || age == -1;
+        return noneExpected ? 0 : age;
     }
 
     /** Its name in settings and in the log: {@code report_age}. */
@@ -68,13 +69,14 @@
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** A value of it, for people: {@code 0.200}, {@code 5.000 s}, or {@code unknown}. */
+    /** A value of it as text: {@code 0.200}, {@code 5.000 s}, or {@code unknown}. */
     String show(double value) {
         if (Double.isNaN(value)) {
             return "unknown";
         }
-        return share
-                ? String.format(Locale.ROOT, "%.3f", value)
-                : String.format(Locale.ROOT, "%.3f s", value / NS);
+        if (share) {
+            return String.format(Locale.ROOT, "%.3f", value);
+        }
+        return String.format(Locale.ROOT, "%.3f s", value / NS_PER_SECOND);
     }
 }
--- a/decisions/src/main/java/trailthread/degradation/Readings.java
+++ b/decisions/src/main/java/trailthread/degradation/Readings.java
@@ -1,23 +1,24 @@
 package trailthread.degradation;
 
 /**
- * How a node and its workers fare at one time. Wanted every 0.1 to 0.5 s; {@link
- * DegradationPlan#gapNs} says what is too rare. Values that are NaN or absurd count as unknown, see
- * {@link DegradationController}.
+ * The state of a node and its endpoints at one time. To be taken every 0.1 to 0.5 s; {@link
+ * DegradationPlan#gapNs} says what is too rare. Values that are NaN or out of their range count as
+ * unknown, see {@link DegradationController}.
  *
- * @param now ns, monotonic, may start anywhere
- * @param failing share of ready workers that fail at present, 0 to 1; NaN where none is ready
+ * @param now time, ns of a monotonic clock that may start anywhere
+ * @param failing share of ready endpoints that fail at present, 0 to 1; NaN where none is ready
  * @param reportAgeNs how old the load reports are that decisions rest on, ns: the median over the
- *     workers that were sent something of late; NaN or -1 where none are expected
- * @param latenessNs by how much the loop ran later than asked, ns: the most since the last readings
+ *     endpoints that were sent a request recently; NaN or -1 where none are expected
+ * @param latenessNs the most by which a timer of the I/O thread ran late since the last readings,
+ *     ns
  * @param descriptors share of the descriptors that the node may hold, 0 to 1
- * @param memory share of the memory that it may use, 0 to 1: what was in use after the last
- *     collection, as a heap fills up between two on any good day
- * @param starved share of guarded calls ({@link SheddingOrder#isGuarded}) that lacked a worker of
- *     late, 0 to 1 ({@link DecayingShare} over 10 s): refused, failed, not answered by their
- *     deadline, or first sent to a worker later than a tenth of their aim after they came. Dangers:
- *     calls that an {@link SheddingPolicy} sheds must not be counted, or a level would hold itself;
- *     were answers past their aim counted, slow workers would look like too many calls
+ * @param memory share of the memory that the node may use, 0 to 1: what was in use after the last
+ *     garbage collection, as a heap always fills up between two
+ * @param starved recent share of guarded requests ({@link SheddingOrder#isGuarded}) that lacked an
+ *     endpoint, 0 to 1 ({@link DecayingShare} over 10 s): rejected, failed, not answered by their
+ *     deadline, or first sent to an endpoint later than a tenth of their latency objective after
+ *     they arrived. Requests that a {@link SheddingPolicy} sheds must not be counted, or a level
+ *     would hold itself; nor late responses, or slow endpoints would look like too many requests
  * @param cpuWithheld share of the time in which the node wanted CPU and got none, 0 to 1
  */
 public record Readings(
--- a/decisions/src/main/java/trailthread/degradation/SheddingOrder.java
+++ b/decisions/src/main/java/trailthread/degradation/SheddingOrder.java
@@ -11,19 +11,21 @@
 import trailthread.degradation.DegradationLevel.Reach;
 
 /**
- * Which classes are shed first. The default: what is safe to repeat before what repeats are dropped
- * of, before what must not run twice; in these, the least worth first; in that, as the settings
- * list them. The last of the order is never shed.
+ * The order in which classes of requests are shed. By default: idempotent classes, then those with
+ * an idempotency key, then those that must not run twice; among these by priority weight, the
+ * lowest first; then as the settings list them. The last class of the order is never shed.
  */
 public final class SheddingOrder {
     private final List<String> names = new ArrayList<>();
-    private final Map<String, Integer> places = new HashMap<>();
-    private final int safe;
+    private final Map<String, Integer> positions = new HashMap<>();
+
+    /** How many classes a level may shed whose reach ends with the last idempotent class. */
+    private final int idempotentReach;
 
     /**
      * Makes an order.
      *
-     * @param first names that go before all others, in order; may be empty
+     * @param first names of the classes that are shed before all others, in order; may be empty
      * @throws IllegalArgumentException for a name that no class has, or that is given twice
      */
     public SheddingOrder(List<RequestClass> classes, List<String> first) {
@@ -37,43 +39,45 @@
         }
         List<RequestClass> order = new ArrayList<>(classes);
         order.sort(
-                Comparator.comparingInt((RequestClass c) -> place(first, c.name()))
+                Comparator.comparingInt((RequestClass c) -> position(first, c.name()))
                         .thenComparing(RequestClass::idempotency)
                         .thenComparingDouble(RequestClass::priorityWeight));
-        int lastSafe = -1;
-        for (RequestClass c : order) {
-            places.put(c.name(), names.size());
-            lastSafe = c.idempotency() == Idempotency.IDEMPOTENT ? names.size() : lastSafe;
-            names.add(c.name());
+        int idempotentEnd = 0;
+        for (RequestClass requestClass : order) {
+            positions.put(requestClass.name(), names.size());
+            names.add(requestClass.name());
+            if (requestClass.idempotency() == Idempotency.IDEMPOTENT) {
+                idempotentEnd = names.size();
+            }
         }
-        safe = Math.min(lastSafe + 1, names.size() - 1);
+        idempotentReach = Math.min(idempotentEnd, names.size() - 1);
     }
 
-    private static int place(List<String> first, String name) {
-        int place = first.indexOf(name);
-        return place < 0 ? first.size() : place;
+    private static int position(List<String> first, String name) {
+        int position = first.indexOf(name);
+        return position < 0 ? first.size() : position;
     }
 
-    /** The classes' names, the first to be shed first. */
+    /** The names of the classes in the order in which they are shed. */
     public List<String> names() {
         return List.copyOf(names);
     }
 
-    /** Whether a class is past the reach {@link Reach#SAFE}: what the others are shed for. */
+    /** Whether a class is past {@link Reach#SAFE}: others are shed so that it is served. */
     public boolean isGuarded(String name) {
-        return place(name) >= safe;
+        return position(name) >= idempotentReach;
     }
 
-    /** Its place, or -1 for a name that no class has. */
-    int place(String name) {
-        return places.getOrDefault(name, -1);
+    /** The position of a class in the order, from 0; -1 for a name that no class has. */
+    int position(String name) {
+        return positions.getOrDefault(name, -1);
     }
 
     /** How many classes a level of this reach may shed. */
     int count(Reach reach) {
         return switch (reach) {
             case NONE -> 0;
-            case SAFE -> safe;
+            case SAFE -> idempotentReach;
             case ALL_BUT_LAST -> names.size() - 1;
         };
     }
