--- a/decisions/src/test/java/trailthread/degradation/FleetTest.java
+++ b/decisions/src/test/java/trailthread/degradation/FleetTest.java
@@ -1,57 +1,59 @@
 package trailthread.degradation;
 
 import static org.junit.Assert.assertTrue;
+import static trailthread.degradation.VirtualClock.S;
 
 import org.junit.Test;
-import trailthread.degradation.Fleet.Day;
 
 /**
- * Levels before the real decision module, ten virtual minutes, with and without. The shares are of
- * calls answered within their aim; the measured ones stand in docs/design/levels.md.
+ * Levels of service before the real balancer, ten virtual minutes, with and without. The shares are
+ * of requests answered within their latency objective; docs/design/levels.md has the measured ones.
  */
 public class FleetTest {
-    private static final int ATTEMPTS = 2;
+    private static final long TEN_MINUTES = 600 * S;
 
-    private static double swing(long now) {
-        return now / Fleet.S % 2 == 0 ? 0.8 : 1.6;
+    private static double swingEverySecond(long now) {
+        return now / S % 2 == 0 ? 0.8 : 1.6;
     }
 
-    private static void compare(String name, Day day, double mostWithout) {
-        Fleet without = new Fleet(day, false).play(600 * Fleet.S);
-        Fleet with = new Fleet(day, true).play(600 * Fleet.S);
-        String what =
+    private static void compare(String name, Scenario scenario, double maxWithout) {
+        FleetResults without = new Fleet(scenario, false).play(TEN_MINUTES).results();
+        FleetResults with = new Fleet(scenario, true).play(TEN_MINUTES).results();
+        String summary =
                 String.format(
                         "%s, without and with: attempts %.4f %.4f, polls %.4f %.4f, changes %d",
                         name,
-                        without.servedShare(ATTEMPTS),
-                        with.servedShare(ATTEMPTS),
-                        without.servedShare(0),
-                        with.servedShare(0),
+                        without.servedShare(Fleet.ATTEMPTS),
+                        with.servedShare(Fleet.ATTEMPTS),
+                        without.servedShare(Fleet.POLLS),
+                        with.servedShare(Fleet.POLLS),
                         with.changes.size());
-        assertTrue(what, without.servedShare(ATTEMPTS) < mostWithout);
-        assertTrue(what, with.servedShare(ATTEMPTS) > 0.99);
-        assertTrue(what, with.changes.size() >= 1 && with.changes.size() <= 2 * Fleet.NODES);
+        assertTrue(summary, without.servedShare(Fleet.ATTEMPTS) < maxWithout);
+        assertTrue(summary, with.servedShare(Fleet.ATTEMPTS) > 0.99);
+        assertTrue(summary, with.changes.size() >= 1 && with.changes.size() <= 2 * Fleet.NODES);
     }
 
     @Test
     public void loadThatSwingsEverySecond() {
-        compare("swing", new Day(FleetTest::swing, 0, 0), 0.96);
+        compare("swing", new Scenario(FleetTest::swingEverySecond, 0, 0), 0.96);
     }
 
     @Test
     public void aFifthFailsQuicklyWhileReportsAreFiveSecondsLate() {
-        compare("fifth", new Day(now -> 0.9, 0.2, 5 * Fleet.S), 0.97);
+        compare("fifth", new Scenario(now -> 0.9, 0.2, 5 * S), 0.97);
     }
 
     @Test
     public void bothAtOnce() {
-        compare("both", new Day(FleetTest::swing, 0.2, 5 * Fleet.S), 0.93);
+        compare("both", new Scenario(FleetTest::swingEverySecond, 0.2, 5 * S), 0.93);
     }
 
     @Test
-    public void aFleetWithRoomKeepsFullService() {
-        Fleet fleet = new Fleet(new Day(now -> 0.7, 0, 0), true).play(600 * Fleet.S);
-        assertTrue("no change: " + fleet.changes, fleet.changes.isEmpty());
-        assertTrue("polls: " + fleet.servedShare(0), fleet.servedShare(0) > 0.99);
+    public void aFleetWithSpareCapacityKeepsFullService() {
+        Fleet fleet = new Fleet(new Scenario(now -> 0.7, 0, 0), true).play(TEN_MINUTES);
+        FleetResults results = fleet.results();
+        assertTrue("no change: " + results.changes, results.changes.isEmpty());
+        double polls = results.servedShare(Fleet.POLLS);
+        assertTrue("polls: " + polls, polls > 0.99);
     }
 }
--- a/decisions/src/test/java/trailthread/degradation/ReportsTest.java
+++ b/decisions/src/test/java/trailthread/degradation/ReportsTest.java
@@ -1,50 +1,56 @@
 package trailthread.degradation;
 
 import static org.junit.Assert.assertTrue;
+import static trailthread.degradation.VirtualClock.S;
 
-import java.util.Arrays;
 import org.junit.Test;
 import trailthread.api.LoadReport;
-import trailthread.degradation.Fleet.Day;
-import trailthread.degradation.Fleet.Told;
+import trailthread.degradation.Scenario.Reporter;
 
-/** Guards against a module that believes load reports more than its own eyes, in virtual time. */
+/**
+ * A balancer must trust its own outcomes more than load reports that are missing or false; in
+ * virtual time.
+ */
 public class ReportsTest {
     private static final double UNKNOWN = Double.NaN;
+    private static final LoadReport NO_LOAD =
+            new LoadReport(0, 0, UNKNOWN, UNKNOWN, UNKNOWN, UNKNOWN);
+    private static final int FALSE_REPORTER = 0;
 
-    private static Fleet play(int others, Told told) {
-        Fleet fleet = new Fleet(new Day(now -> 0.7, 0, 0, others, told), false).play(120 * Fleet.S);
-        for (int kind = 0; kind < 3; kind++) {
-            double share = fleet.servedShare(kind);
-            assertTrue(
-                    "class " + kind + ": " + share, share > 0.97); // 0.991 to 0.999 in five minutes
+    private static FleetResults play(int foreignRequests, Reporter reporter) {
+        Scenario scenario = new Scenario(now -> 0.7, 0, 0, foreignRequests, reporter);
+        FleetResults results = new Fleet(scenario, false).play(120 * S).results();
+        for (int requestClass = 0; requestClass < Fleet.CLASSES; requestClass++) {
+            double share = results.servedShare(requestClass);
+            // 0.991 to 0.999 in five minutes
+            assertTrue("class " + requestClass + ": " + share, share > 0.97);
         }
-        return fleet;
+        return results;
+    }
+
+    private static LoadReport alwaysIdle(int endpoint, long now, LoadReport truth) {
+        return endpoint == FALSE_REPORTER ? NO_LOAD : truth;
     }
 
     @Test
     public void aFleetWhoseReportsStopIsServedOn() {
-        play(0, (worker, now, truth) -> now < 30 * Fleet.S ? truth : null);
+        play(0, (endpoint, now, truth) -> now < 30 * S ? truth : null);
     }
 
     /**
-     * Its queue is full of others' calls all the time: 0.004 of all sends went there; its part is
-     * 0.1.
+     * Its queue is always full of others' requests: 0.004 of all attempts went there, where an
+     * equal share is 0.1.
      */
     @Test
-    public void aFullWorkerThatTellsOfNoLoadIsNotBelieved() {
-        LoadReport none = new LoadReport(0, 0, UNKNOWN, UNKNOWN, UNKNOWN, UNKNOWN);
-        Fleet fleet = play(15, (worker, now, truth) -> worker == 0 ? none : truth);
-        double share = (double) fleet.sent[0] / Arrays.stream(fleet.sent).sum();
-        assertTrue("sent to the liar: " + share, share < 0.03);
+    public void aFullEndpointThatReportsNoLoadIsNotBelieved() {
+        double share = play(15, ReportsTest::alwaysIdle).sentShare(FALSE_REPORTER);
+        assertTrue("sent to the false reporter: " + share, share < 0.03);
     }
 
-    /** 0.12 of all sends went there. */
+    /** 0.12 of all attempts went there. */
     @Test
-    public void aWorkerThatAlwaysTellsOfNoLoadIsNotCrowded() {
-        LoadReport none = new LoadReport(0, 0, UNKNOWN, UNKNOWN, UNKNOWN, UNKNOWN);
-        Fleet fleet = play(0, (worker, now, truth) -> worker == 0 ? none : truth);
-        double share = (double) fleet.sent[0] / Arrays.stream(fleet.sent).sum();
-        assertTrue("sent to the liar: " + share, share < 0.2);
+    public void anEndpointThatAlwaysReportsNoLoadIsNotOverloaded() {
+        double share = play(0, ReportsTest::alwaysIdle).sentShare(FALSE_REPORTER);
+        assertTrue("sent to the false reporter: " + share, share < 0.2);
     }
 }
