--- a/decisions/src/test/java/trailthread/degradation/AnyReadingsTest.java
+++ b/decisions/src/test/java/trailthread/degradation/AnyReadingsTest.java
@@ -27,7 +27,8 @@
                         Tuple.of(
                                 1,
                                 Arbitraries.of(Double.NaN, -1.0, 7.0, Double.POSITIVE_INFINITY)));
-        Arbitrary<Long> jumps = Arbitraries.of(1L, Feed.STEP, 20_000_000_000L, -5_000_000_000L);
+        Arbitrary<Long> jumps =
+                Arbitraries.of(1L, ControllerDriver.STEP, 20_000_000_000L, -5_000_000_000L);
         Arbitrary<Double> seconds = Arbitraries.doubles().between(0, 45);
         return Combinators.combine(Arbitraries.of(Reading.class), values, seconds, jumps)
                 .as(Spell::new)
@@ -37,18 +38,18 @@
 
     @Property(tries = 300, seed = "42")
     void changesKeepTheirDistanceAndTheLastClassIsNeverShed(@ForAll("spells") List<Spell> spells) {
-        Feed f = new Feed();
+        ControllerDriver f = new ControllerDriver();
         long lived = 0;
         long changedAt = 0;
         int seen = 0;
         List<DegradationLevel> order = DegradationPlan.defaults();
         for (Spell s : spells) {
             f.set(s.reading(), s.value()).jump(s.jumpNs());
-            lived += s.jumpNs() > 0 && s.jumpNs() <= Feed.STEP ? s.jumpNs() : 0;
+            lived += s.jumpNs() > 0 && s.jumpNs() <= ControllerDriver.STEP ? s.jumpNs() : 0;
             for (double t = 0; t < s.seconds(); t += 0.25) {
                 if (t > 0) {
-                    f.jump(Feed.STEP);
-                    lived += Feed.STEP;
+                    f.jump(ControllerDriver.STEP);
+                    lived += ControllerDriver.STEP;
                 }
                 for (; seen < f.changes.size(); seen++) {
                     Change c = f.changes.get(seen);
@@ -73,7 +74,7 @@
 
     @Property(tries = 300, seed = "43")
     void onceAllIsWellEveryLevelIsLeft(@ForAll("spells") List<Spell> spells) {
-        Feed f = new Feed();
+        ControllerDriver f = new ControllerDriver();
         for (Spell s : spells) {
             f.set(s.reading(), s.value()).jump(s.jumpNs()).run(s.seconds());
         }
--- a/decisions/src/test/java/trailthread/degradation/Feed.java
+++ b/decisions/src/test/java/trailthread/degradation/ControllerDriver.java
@@ -9,7 +9,7 @@
 import trailthread.api.RequestClass;
 
 /** Levels under readings four times a second. */
-final class Feed {
+final class ControllerDriver {
     static final long STEP = 250_000_000;
     static final List<RequestClass> CLASSES =
             List.of(
@@ -22,11 +22,11 @@
     private final Map<Reading, Double> values = new EnumMap<>(Reading.class);
     private long now = -17;
 
-    Feed() {
+    ControllerDriver() {
         this(new DegradationPlan());
     }
 
-    Feed(DegradationPlan plan) {
+    ControllerDriver(DegradationPlan plan) {
         levels = new DegradationController(plan, new SheddingOrder(CLASSES, List.of()));
     }
 
@@ -34,12 +34,12 @@
         return new RequestClass(name, 1, 0, 1, idempotency, DeduplicationScope.ALL, 0, worth, 0);
     }
 
-    Feed set(Reading reading, double value) {
+    ControllerDriver set(Reading reading, double value) {
         values.put(reading, value);
         return this;
     }
 
-    Feed run(double seconds) {
+    ControllerDriver run(double seconds) {
         for (int i = 0; i < seconds * 1e9 / STEP; i++) {
             jump(STEP);
         }
@@ -47,7 +47,7 @@
     }
 
     /** One reading after this long. */
-    Feed jump(long ns) {
+    ControllerDriver jump(long ns) {
         now += ns;
         levels.read(
                         new Readings(
--- a/decisions/src/test/java/trailthread/degradation/DegradationControllerTest.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationControllerTest.java
@@ -20,9 +20,11 @@
         for (DegradationLevel l : LEVELS) {
             for (Condition c : l.conditions()) {
                 String what = l.name() + " by " + c.reading();
-                Feed under = new Feed().set(c.reading(), Math.nextDown(c.enter())).run(60);
+                ControllerDriver under =
+                        new ControllerDriver().set(c.reading(), Math.nextDown(c.enter())).run(60);
                 assertTrue(what, LEVELS.indexOf(under.levels.level()) < LEVELS.indexOf(l));
-                Feed f = new Feed().set(c.reading(), c.enter()).run(c.holdNs() / 1e9);
+                ControllerDriver f =
+                        new ControllerDriver().set(c.reading(), c.enter()).run(c.holdNs() / 1e9);
                 assertTrue(what, LEVELS.indexOf(f.levels.level()) < LEVELS.indexOf(l));
                 assertEquals(what, l.name(), f.run(0.25).level());
                 Change.Cause cause = f.changes.get(f.changes.size() - 1).causes().get(0);
@@ -39,7 +41,8 @@
 
     @Test
     public void downSeveralAtOnceAndUpOneAtATime() {
-        Feed f = new Feed().set(FAILING, 0.6).run(3).set(FAILING, 0).run(300);
+        ControllerDriver f =
+                new ControllerDriver().set(FAILING, 0.6).run(3).set(FAILING, 0).run(300);
         assertEquals(
                 List.of(
                         "level normal -> reduced: failing 0.600 >= 0.150, stays 20 s or longer",
@@ -62,8 +65,8 @@
         assertEquals("changes in ten minutes of the worst swings", 15, most);
     }
 
-    private static Feed swing(double bad, double well) {
-        Feed f = new Feed();
+    private static ControllerDriver swing(double bad, double well) {
+        ControllerDriver f = new ControllerDriver();
         for (double t = 0; t < 600; t += bad + well) {
             f.set(FAILING, 0.2).run(bad).set(FAILING, 0).run(well);
         }
@@ -72,8 +75,8 @@
 
     @Test
     public void faultsThatOverlapKeepTheLevelUntilBothAreOver() {
-        Feed f =
-                new Feed()
+        ControllerDriver f =
+                new ControllerDriver()
                         .set(FAILING, 0.3)
                         .run(40)
                         .set(REPORT_AGE, 5e9)
@@ -90,7 +93,7 @@
 
     @Test
     public void aFaultThatEndsWhileItsLevelIsBeingEnteredEntersNothing() {
-        Feed f = new Feed();
+        ControllerDriver f = new ControllerDriver();
         for (int i = 0; i < 100; i++) {
             f.set(LATENESS, LATE).run(2).set(LATENESS, 0).run(0.25);
         }
@@ -104,7 +107,12 @@
 
     @Test
     public void aGapCountsForNothing() {
-        Feed f = new Feed().run(1).set(LATENESS, LATE).jump(Feed.STEP).jump(20_000_000_000L);
+        ControllerDriver f =
+                new ControllerDriver()
+                        .run(1)
+                        .set(LATENESS, LATE)
+                        .jump(ControllerDriver.STEP)
+                        .jump(20_000_000_000L);
         assertTrue(f.changes.isEmpty());
         assertEquals("reduced", f.run(2).level());
         f.set(LATENESS, 0).run(19);
@@ -131,33 +139,33 @@
                     continue; // no reports expected; 1.5 ns
                 }
                 String what = r + " " + absurd;
-                assertTrue(what, new Feed().set(r, absurd).run(600).changes.isEmpty());
+                assertTrue(what, new ControllerDriver().set(r, absurd).run(600).changes.isEmpty());
                 Condition c =
                         LEVELS.get(2).conditions().stream()
                                 .filter(x -> x.reading() == r)
                                 .findFirst()
                                 .orElseThrow();
-                Feed f = new Feed().set(r, c.enter()).run(3);
+                ControllerDriver f = new ControllerDriver().set(r, c.enter()).run(3);
                 assertEquals(what, "reduced", f.level());
                 double share = f.share("bench-state");
                 assertEquals(what, "reduced", f.set(r, absurd).run(59).level());
                 assertEquals(what, share, f.share("bench-state"), 0);
                 assertEquals(what, "reduced", f.set(r, 0).run(0.25).set(r, absurd).run(59).level());
                 assertEquals(what + ", not measured", "normal", f.run(120).level());
-                f = new Feed();
+                f = new ControllerDriver();
                 for (int i = 0; i < 100; i++) { // every other one absurd
                     f.set(r, c.enter()).run(0.25).set(r, absurd).run(0.25);
                 }
                 assertEquals(what, "reduced", f.level());
             }
         }
-        Feed f = new Feed().set(REPORT_AGE, 5e9).run(30);
+        ControllerDriver f = new ControllerDriver().set(REPORT_AGE, 5e9).run(30);
         assertEquals("none expected", "lean", f.set(REPORT_AGE, -1).run(11).level());
     }
 
     @Test
     public void aLevelThatFlapsStaysLongerUpToAMostAndAfterACalmTimeNoLonger() {
-        Feed f = new Feed();
+        ControllerDriver f = new ControllerDriver();
         double stay = 20;
         for (int i = 0; i < 8; i++) {
             f.set(FAILING, 0.2).run(1.25).set(FAILING, 0);
@@ -173,7 +181,7 @@
 
     @Test
     public void theShareThatIsShedFollowsTheTroubleThatSheddingRelieves() {
-        Feed f = new Feed().set(FAILING, 0.2).run(60);
+        ControllerDriver f = new ControllerDriver().set(FAILING, 0.2).run(60);
         assertEquals("reduced", f.level());
         assertEquals("shedding does not mend workers", 1, f.share("bench-state"), 0);
         double some = f.set(STARVED, 0.06).run(2).share("bench-state");
@@ -204,7 +212,7 @@
 
     @Test
     public void essentialShedsAllButTheLast() {
-        Feed f = new Feed().set(STARVED, 0.4).run(60);
+        ControllerDriver f = new ControllerDriver().set(STARVED, 0.4).run(60);
         assertEquals("essential", f.level());
         assertEquals(0.05, f.share("bench-state"), 1e-9);
         assertEquals(0.05, f.share("bench-action"), 1e-3);
--- a/decisions/src/test/java/trailthread/degradation/SheddingPolicyTest.java
+++ b/decisions/src/test/java/trailthread/degradation/SheddingPolicyTest.java
@@ -15,11 +15,11 @@
 public class SheddingPolicyTest {
     private static final List<RequestClass> CLASSES =
             List.of(
-                    Feed.kind("u", Idempotency.NOT_IDEMPOTENT, 1),
-                    Feed.kind("k", Idempotency.IDEMPOTENCY_KEY, 9),
-                    Feed.kind("s2", Idempotency.IDEMPOTENT, 2),
-                    Feed.kind("s1", Idempotency.IDEMPOTENT, 1),
-                    Feed.kind("s0", Idempotency.IDEMPOTENT, 1));
+                    ControllerDriver.kind("u", Idempotency.NOT_IDEMPOTENT, 1),
+                    ControllerDriver.kind("k", Idempotency.IDEMPOTENCY_KEY, 9),
+                    ControllerDriver.kind("s2", Idempotency.IDEMPOTENT, 2),
+                    ControllerDriver.kind("s1", Idempotency.IDEMPOTENT, 1),
+                    ControllerDriver.kind("s0", Idempotency.IDEMPOTENT, 1));
 
     @Test
     public void theOrderIsBySemanticsThenWorthUnlessNamesAreGiven() {
