--- a/decisions/src/main/java/trailthread/api/Admission.java
+++ b/decisions/src/main/java/trailthread/api/Admission.java
@@ -1,11 +1,11 @@
 package trailthread.api;
 
-/** Which requests the host allows for now. */
+/** Which requests the host admits at present, before the balancer looks at them. */
 public interface Admission {
     /**
-     * Whether a request is taken; one that is not is turned away at once.
+     * Whether a request is admitted; one that is not is rejected at once.
      *
-     * @param overQuota its tenant has had this node's part of its quota
+     * @param overQuota its tenant has used up this node's part of its quota
      * @param random uniform in [0, 1), drawn for this request
      */
     boolean takes(String requestClass, boolean overQuota, double random);
--- a/decisions/src/main/java/trailthread/api/BalancerActions.java
+++ b/decisions/src/main/java/trailthread/api/BalancerActions.java
@@ -1,21 +1,25 @@
 package trailthread.api;
 
-/** What the balancer asks of its host, in order, within the event being handled. */
+/** What the balancer asks of its host, in order, within the event that is being handled. */
 public interface BalancerActions {
     /**
-     * Start an attempt; they are numbered from 0 by request.
+     * Start an attempt. The attempts of a request are numbered from 0.
      *
      * @param timeoutNs how long to wait for its end; 0: until the client gives up
-     * @param writtenBy by the clock of the events: what has not been written by then never is. A
-     *     host that writes later than it was asked to looks at its clock first, and tells {@link
-     *     Outcome#NOT_SENT} where it is too late
+     * @param writtenBy by the clock of the events: bytes not written by then must never be. A host
+     *     that writes late looks at its clock first, and reports {@link Outcome#NOT_SENT} where it
+     *     is too late
      */
     void send(long id, long timeoutNs, long writtenBy, String endpoint);
 
-    /** Final answer: turned away, harmless to try again; {@code retryAfterNs} 0: no advice. */
+    /**
+     * Final answer: rejected, and harmless to send again.
+     *
+     * @param retryAfterNs the client's advice on when; 0: none
+     */
     void refuse(long id, long retryAfterNs);
 
-    /** Final answer: failed. */
+    /** Final answer: failed; it may have had its effect. */
     void fail(long id);
 
     /** Stop waiting for an attempt; its outcome still comes. */
@@ -24,21 +28,21 @@
     /** Call {@link BalancerEvents#timer} after this delay. */
     void timer(long delayNs, long token);
 
-    /** Probe an endpoint. */
+    /** Check an endpoint's health; {@link BalancerEvents#healthChecked} brings the result. */
     void probe(String endpoint);
 
     /** Close idle connections to an endpoint. */
     void closeIdle(String endpoint);
 
-    /** Message another node, or all (-1). */
+    /** Send a message to another node, or to all (-1). */
     void tell(int peer, byte[] data);
 
-    /** Watch the list, or stop watching. */
+    /** Watch the endpoint list, or stop watching. */
     void watch(boolean on);
 
-    /** Fetch the whole list once. */
+    /** Fetch the complete endpoint list once. */
     void fetch();
 
-    /** A line for the staff. */
+    /** Log a line for operators. */
     void log(String text);
 }
--- a/decisions/src/main/java/trailthread/api/BalancerEvents.java
+++ b/decisions/src/main/java/trailthread/api/BalancerEvents.java
@@ -2,18 +2,20 @@
 
 import java.util.List;
 
-/** What the host tells the balancer. Times never go back. */
+/** What the host reports to the balancer. Times never go back. */
 public interface BalancerEvents {
-    /** News of the endpoints. */
+    /** A list event: the endpoint list, or what changed of it. */
     void list(long now, ListKind kind, List<EndpointEntry> entries);
 
     /**
-     * A client's request. It gets one final answer: an {@link Outcome#OK} outcome that closes it,
-     * {@link BalancerActions#refuse} or {@link BalancerActions#fail}.
+     * A client's request has arrived. It gets one final answer: an {@link Outcome#OK} outcome that
+     * closes it, {@link BalancerActions#refuse} or {@link BalancerActions#fail}.
      *
      * @param workNs expected work on a standard core; 0: not known
+     * @param deadline when the client gives up, by the clock of the events
      * @param tenant or null
-     * @param key what it concerns; 0: none
+     * @param repeat the client says that it sent the request before
+     * @param key what the request concerns, for key affinity; 0: none
      * @throws IllegalArgumentException if the settings hold no such class
      */
     void request(
@@ -30,11 +32,11 @@
     void firstByte(long now, long id, int attempt);
 
     /**
-     * How an attempt ended.
+     * An attempt has ended.
      *
      * @param latency in nanoseconds; -1 where the host can't tell its own lateness from it
      * @param closed the client has its answer
-     * @param load or null
+     * @param load what the endpoint reported with it, or null
      */
     void outcome(
             long now,
@@ -45,24 +47,28 @@
             boolean closed,
             LoadReport load);
 
-    /** The client went away; no answer is owed. */
+    /** The client has disconnected; no answer is owed. */
     void gone(long now, long id);
 
-    /** A timer asked for by {@link BalancerActions#timer} is due. */
+    /** A timer set by {@link BalancerActions#timer} is due. */
     void timer(long now, long token);
 
-    /** How a probe ended; {@code load} may be null. */
+    /**
+     * A health check has ended.
+     *
+     * @param load what the endpoint reported, or null
+     */
     void healthChecked(long now, String endpoint, Outcome outcome, long latency, LoadReport load);
 
     /**
-     * The list may be acted on until this time, by the clock of the events: after it, nothing is
-     * sent. A host that says nothing of it has a list that is good for ever.
+     * The lease on the endpoint list has been renewed or lost: from this time on, by the clock of
+     * the events, nothing is sent. A host that never calls this has a list that is valid for ever.
      */
     default void listLeaseUntil(long now, long until) {}
 
-    /** What the host allows for now, until it says otherwise; null: everything. */
+    /** Which requests the host admits from now on; null: all. */
     default void admit(Admission admission) {}
 
-    /** A message from another node; one that decides alone asks nothing of its peers. */
+    /** A message from another node; a balancer that decides alone ignores it. */
     default void peer(long now, int from, byte[] data) {}
 }
--- a/decisions/src/main/java/trailthread/api/DeduplicationScope.java
+++ b/decisions/src/main/java/trailthread/api/DeduplicationScope.java
@@ -1,8 +1,11 @@
 package trailthread.api;
 
-/** Which endpoints drop a repeat of a {@link Idempotency#IDEMPOTENCY_KEY} request. */
+/** Which endpoints drop a repeat of a request with an {@link Idempotency#IDEMPOTENCY_KEY}. */
 public enum DeduplicationScope {
+    /** All endpoints. */
     ALL,
+    /** Those in the zone of the endpoint that had the request first. */
     ZONE,
+    /** Those in the cell of the endpoint that had the request first. */
     CELL
 }
--- a/decisions/src/main/java/trailthread/api/EndpointEntry.java
+++ b/decisions/src/main/java/trailthread/api/EndpointEntry.java
@@ -3,8 +3,10 @@
 /**
  * One endpoint as the list names it.
  *
- * @param readyAtNs when it last started; 0: long ago
- * @param cell its cell number, or -1
+ * @param endpoint its name, the same at every node
+ * @param weight see {@link WeightMeaning}
+ * @param readyAtNs when it last started, in nanoseconds of the host's clock; 0: long ago
+ * @param cell the number of its cell, or -1
  */
 public record EndpointEntry(
         String endpoint,
--- a/decisions/src/main/java/trailthread/api/Idempotency.java
+++ b/decisions/src/main/java/trailthread/api/Idempotency.java
@@ -4,8 +4,8 @@
 public enum Idempotency {
     /** Repeats are harmless. */
     IDEMPOTENT,
-    /** Repeats are dropped by the endpoints of one group, for a window. */
+    /** Repeats are dropped by the endpoints of one {@link DeduplicationScope}, for a time. */
     IDEMPOTENCY_KEY,
-    /** Must never run twice. */
+    /** It must never run twice. */
     NOT_IDEMPOTENT
 }
--- a/decisions/src/main/java/trailthread/api/ListKind.java
+++ b/decisions/src/main/java/trailthread/api/ListKind.java
@@ -2,12 +2,12 @@
 
 /** What a list event holds. */
 public enum ListKind {
-    /** Only entries that changed. */
+    /** Only the entries that changed. */
     DELTA,
-    /** The whole list. */
+    /** The complete list. */
     FULL,
-    /** The whole list as this node last had it, perhaps old. */
+    /** The complete list as this node had it last, of unknown age. */
     CACHED,
-    /** A watch or a fetch failed; no entries. */
+    /** Nothing: a watch or a fetch has failed. */
     FAILED
 }
--- a/decisions/src/main/java/trailthread/api/Outcome.java
+++ b/decisions/src/main/java/trailthread/api/Outcome.java
@@ -1,22 +1,22 @@
 package trailthread.api;
 
-/** How one attempt or probe ended. */
+/** How one attempt or health check ended. */
 public enum Outcome {
-    /** Served. */
+    /** Answered with success. */
     OK(true),
-    /** The endpoint answered with an error. */
+    /** Answered with an error. */
     ERROR(true),
-    /** Rejected without being looked at. */
+    /** Rejected by the endpoint, unprocessed. */
     REJECTED(false),
-    /** No reply in time. */
+    /** Not answered in time. */
     TIMEOUT(true),
     /** No connection could be made. */
     CONNECT_FAILED(false),
-    /** The connection dropped with the attempt in flight. */
+    /** The connection broke with the attempt in flight. */
     RESET(true),
-    /** Called off by this node. */
+    /** Cancelled by this node. */
     CANCELLED(true),
-    /** Never sent, or not to its last byte: the request was over, or out of time or attempts. */
+    /** Not sent, or not to its last byte: the request was over, or out of time or attempts. */
     NOT_SENT(false);
 
     private final boolean mayHaveRun;
@@ -25,10 +25,7 @@
         this.mayHaveRun = mayHaveRun;
     }
 
-    /**
-     * Whether an attempt that ended so may have had its effect. This is the only place that says
-     * so.
-     */
+    /** Whether an attempt that ended so may have had its effect. Only this method decides that. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
--- a/decisions/src/main/java/trailthread/api/Settings.java
+++ b/decisions/src/main/java/trailthread/api/Settings.java
@@ -3,83 +3,117 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Settings, each with its default. A balancer reads them when it is made or retuned. */
+/**
+ * The settings of a balancer, each with its default. They are read when the balancer is made or
+ * retuned. Prices and weights are shares of the goal, which is at most 1.
+ */
 public final class Settings {
-    /** The least time between two events with different clocks. */
+    private static final int OBJECTIVE_PARTS = 50;
+
+    /** The resolution of the host's clock: the least difference between two times of events. */
     public long tickNs = 1_000_000;
 
-    /** This node's number, and how many nodes there are. */
+    /** This node's number, from 0. */
     public int me;
 
+    /** How many nodes there are. */
     public int nodes = 1;
+
+    /** The zone of this node. */
     public String zone = "";
+
     public final List<RequestClass> classes = new ArrayList<>();
     public final List<Tenant> tenants = new ArrayList<>();
 
-    /** Worth of a request past its tenant's quota, as a share. */
+    /** The share of its weight that a request past its tenant's quota keeps. */
     public double overQuotaWeight = 1;
 
-    /** Worth is counted per unit of work, not per request. */
+    /** Priority weight is counted for each unit of work, not for each request. */
     public boolean weightByWork;
 
-    /** WeightMeaning of the goal's parts. */
+    /** Weight in the goal of the share served over all time. */
     public double goalWhole = 1;
 
+    /** Weight in the goal of the share served in the worst window of time. */
     public double goalWorstWindow;
+
+    /** Weight in the goal of the share served to the worst-served class. */
     public double goalWorstClass;
+
+    /** Weight in the goal of the share served to the worst-served tenant. */
     public double goalWorstTenant;
 
     /** Price of one attempt to another zone, as a share of the goal. */
     public double crossZonePrice;
 
-    /** What the goal loses for a hundred open connections an endpoint, over all nodes. */
+    /** Price of a hundred open connections to each endpoint, over all nodes. */
     public double connectionPrice;
 
+    /** Attempts may be cancelled. */
     public boolean mayCancel;
+
+    /** Endpoints may be sent health checks. */
     public boolean mayCheckHealth;
+
+    /** Nodes may send each other messages. */
     public boolean mayGossip;
+
+    /** A request may have several attempts in flight. */
     public boolean mayHedge;
+
+    /** Attempts for each request, the first one included. */
     public int maxAttempts = 3;
 
-    /** Whether clients hear advice on when to return, and the longest that they heed. */
+    /** Whether refusals carry a Retry-After. */
     public boolean retryAfter;
 
+    /** The longest Retry-After that clients heed. */
     public long maxRetryAfterNs;
+
+    /** How long a connection may take to come up. */
     public long connectTimeoutNs = 200_000_000;
 
-    /** The list must be asked for. */
+    /** The endpoint list must be polled; else it is pushed. */
     public boolean listIsPolled;
 
+    /** What the weights in the endpoint list mean. */
     public WeightMeaning weights = WeightMeaning.NONE;
+
+    /** How load reports reach the node. */
     public LoadReportSource reports = LoadReportSource.NONE;
 
-    /** An endpoint that served a key lately serves it for less work. */
+    /** An endpoint that served a key of late serves it for less work. */
     public boolean keyAffinity;
 
-    /** How far past the client's deadline a final answer still counts. */
+    /** How long after the client's deadline a final answer still counts. */
     public long responseSlackNs = 10_000_000;
 
-    /** Without a watch, ask for the list at least this often. */
+    /** Without a watch, the list is polled at least this often. */
     public long pollIntervalNs = 10_000_000_000L;
 
-    /** A cold endpoint can do at least this share, and all after {@link #slowStartNs}. */
+    /** The share of its capacity that an endpoint has when it starts, in (0, 1]. */
     public double slowStartInitialShare = 0.1;
 
+    /** How long after its start an endpoint has all its capacity. */
     public long slowStartNs = 30_000_000_000L;
 
     /**
-     * Sent this multiple of what it can do for {@link #overloadWindowNs}, a cold endpoint falls
-     * over.
+     * An endpoint in slow start that is sent this multiple of its capacity for {@link
+     * #overloadWindowNs} collapses.
      */
     public double overloadMultiple = 2;
 
+    /** See {@link #overloadMultiple}. */
     public long overloadWindowNs = 1_000_000_000;
 
     /**
-     * Differences in the latency of answers that matter to nobody: a fiftieth of the tightest aim.
+     * Differences in latency below this are treated as none: a fiftieth of the tightest latency
+     * objective, in nanoseconds.
      */
     public long latencyResolutionNs() {
-        return classes.stream().mapToLong(RequestClass::latencyObjectiveNs).min().orElse(0) / 50;
+        long tightestNs =
+                classes.stream().mapToLong(RequestClass::latencyObjectiveNs).min().orElse(0);
+        return tightestNs / OBJECTIVE_PARTS;
     }
 
     /** Throws an IllegalArgumentException that names the first setting that makes no sense. */
--- a/decisions/src/main/java/trailthread/api/Tenant.java
+++ b/decisions/src/main/java/trailthread/api/Tenant.java
@@ -1,4 +1,9 @@
 package trailthread.api;
 
-/** A tenant and what it may send, over all nodes, before its requests lose their worth. */
+/**
+ * A tenant and what it may send.
+ *
+ * @param quotaPerSecond requests a second, over all nodes, that count with their full weight
+ * @param share the tenant's expected share of all requests, 0 to 1
+ */
 public record Tenant(String name, double quotaPerSecond, double share) {}
