--- a/lab/src/main/java/trailthread/lab/peers/Truth.java
+++ b/lab/src/main/java/trailthread/lab/baseline/FleetView.java
@@ -1,7 +1,7 @@
-package trailthread.lab.peers;
+package trailthread.lab.baseline;
 
-/** What no real node can see: the workers as they are now. Only {@link Oracle} looks. */
-public interface Truth {
+/** What no real node can see: the workers as they are now. Only {@link OraclePolicy} looks. */
+public interface FleetView {
     /** What a request of mean size is, in ns of work on a standard core. */
     double meanWorkNs();
 
--- a/lab/src/main/java/trailthread/lab/peers/Oracle.java
+++ b/lab/src/main/java/trailthread/lab/baseline/OraclePolicy.java
@@ -1,4 +1,4 @@
-package trailthread.lab.peers;
+package trailthread.lab.baseline;
 
 import java.util.List;
 import trailthread.api.BalancerActions;
@@ -10,10 +10,10 @@
  * is on its way; none, where that would be past the aim. It holds nothing back and foresees no
  * fault, so a policy may still pass it.
  */
-final class Oracle extends PlainPolicy {
-    private final Truth truth;
+final class OraclePolicy extends PlainPolicy {
+    private final FleetView truth;
 
-    Oracle(Settings settings, long seed, BalancerActions actions, Truth truth) {
+    OraclePolicy(Settings settings, long seed, BalancerActions actions, FleetView truth) {
         super(settings, seed, actions);
         this.truth = truth;
     }
--- a/lab/src/main/java/trailthread/lab/peers/PlainPolicy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
@@ -1,4 +1,4 @@
-package trailthread.lab.peers;
+package trailthread.lab.baseline;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/lab/src/main/java/trailthread/lab/peers/Policies.java
+++ b/lab/src/main/java/trailthread/lab/baseline/Policies.java
@@ -1,4 +1,4 @@
-package trailthread.lab.peers;
+package trailthread.lab.baseline;
 
 import java.util.List;
 import trailthread.Balancer;
@@ -11,13 +11,13 @@
     /** Makes the decisions of a policy. */
     private interface Maker {
         BalancerEvents make(
-                Settings settings, long seed, long now, BalancerActions actions, Truth truth);
+                Settings settings, long seed, long now, BalancerActions actions, FleetView truth);
     }
 
     private record Named(String name, String about, Maker maker) implements Policy {
         @Override
         public BalancerEvents make(
-                Settings settings, long seed, long now, BalancerActions actions, Truth truth) {
+                Settings settings, long seed, long now, BalancerActions actions, FleetView truth) {
             return maker.make(settings, seed, now, actions, truth);
         }
     }
@@ -36,7 +36,7 @@
                     "oracle",
                     "the worker that is best by the true state of all; refuses what would miss its aim",
                     (settings, seed, now, actions, truth) ->
-                            new Oracle(settings, seed, actions, truth));
+                            new OraclePolicy(settings, seed, actions, truth));
 
     private static final List<Policy> ALL =
             List.of(
--- a/lab/src/main/java/trailthread/lab/peers/Policy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/Policy.java
@@ -1,4 +1,4 @@
-package trailthread.lab.peers;
+package trailthread.lab.baseline;
 
 import trailthread.api.BalancerActions;
 import trailthread.api.BalancerEvents;
@@ -14,5 +14,5 @@
 
     /** Makes the decisions of one node, which share nothing with those of others. */
     BalancerEvents make(
-            Settings settings, long seed, long now, BalancerActions actions, Truth truth);
+            Settings settings, long seed, long now, BalancerActions actions, FleetView truth);
 }
--- a/lab/src/main/java/trailthread/lab/clients/Clients.java
+++ b/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
@@ -2,9 +2,9 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 import trailthread.api.Tenant;
-import trailthread.lab.agenda.Agenda;
-import trailthread.lab.figures.Figures;
-import trailthread.lab.random.Streams;
+import trailthread.lab.event.EventQueue;
+import trailthread.lab.metrics.RunMetrics;
+import trailthread.lab.random.RandomStreams;
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.Scenario.ClassLaw;
 import trailthread.lab.scenario.Scenario.Draw;
@@ -14,13 +14,13 @@
  * The clients of a day: an open loop of Poisson arrivals. Times come from an agenda, virtual or
  * real; a request counts from when it was due, also where this machine brought it late.
  */
-public final class Clients {
+public final class ClientPopulation {
     private static final int MOST_DOUBLINGS = 10;
 
-    private final Agenda agenda;
+    private final EventQueue agenda;
     private final Scenario scenario;
-    private final Figures figures;
-    private final Front front;
+    private final RunMetrics figures;
+    private final RequestSink front;
     private final UniformRandomProvider arrivals;
     private final UniformRandomProvider asks;
     private final UniformRandomProvider tails;
@@ -32,8 +32,12 @@
     private int open;
 
     /** Those of a day that begins now. */
-    public Clients(
-            Agenda agenda, Streams streams, Scenario scenario, Figures figures, Front front) {
+    public ClientPopulation(
+            EventQueue agenda,
+            RandomStreams streams,
+            Scenario scenario,
+            RunMetrics figures,
+            RequestSink front) {
         this.agenda = agenda;
         this.scenario = scenario;
         this.figures = figures;
@@ -65,11 +69,11 @@
         return agenda.now();
     }
 
-    Figures figures() {
+    RunMetrics figures() {
         return figures;
     }
 
-    Front front() {
+    RequestSink front() {
         return front;
     }
 
@@ -113,7 +117,7 @@
     private void arrive(double most, long end) {
         long at = agenda.now();
         do {
-            at += (long) Streams.exponential(arrivals, 1e9 / most);
+            at += (long) RandomStreams.exponential(arrivals, 1e9 / most);
         } while (at < end && arrivals.nextDouble() * most >= rate(at));
         if (at < end) {
             agenda.at(
@@ -126,7 +130,7 @@
         }
     }
 
-    private Ask ask() {
+    private ClientRequest ask() {
         var law = scenario.clients();
         ClassLaw of = scenario.classes().get(drawn(classShares, asks.nextDouble()));
         String tenant =
@@ -146,13 +150,15 @@
         long key = law.keys() > 0 ? 1 + asks.nextLong(law.keys()) : 0;
         int zone = asks.nextInt(scenario.zones().size());
         int tries = law.retries() + 1;
-        Ask.Draws draws = new Ask.Draws(new double[tries], new double[tries], new double[tries]);
+        ClientRequest.Draws draws =
+                new ClientRequest.Draws(new double[tries], new double[tries], new double[tries]);
         for (int i = 0; i < tries; i++) {
-            draws.patience()[i] = Streams.uniform(asks, law.patienceLow(), law.patienceHigh());
-            draws.backoff()[i] = Streams.uniform(asks, 0.5, 1);
+            draws.patience()[i] =
+                    RandomStreams.uniform(asks, law.patienceLow(), law.patienceHigh());
+            draws.backoff()[i] = RandomStreams.uniform(asks, 0.5, 1);
             draws.front()[i] = asks.nextDouble();
         }
-        return new Ask(this, of, tenant, Math.max(1, work), key, zone, draws);
+        return new ClientRequest(this, of, tenant, Math.max(1, work), key, zone, draws);
     }
 
     private static int drawn(double[] shares, double draw) {
--- a/lab/src/main/java/trailthread/lab/clients/Ask.java
+++ b/lab/src/main/java/trailthread/lab/clients/ClientRequest.java
@@ -7,7 +7,7 @@
  * What a client wants, over all its tries. All that is drawn is drawn at its beginning, whatever
  * becomes of it.
  */
-public final class Ask {
+public final class ClientRequest {
     /** What a try came to, as its client sees it. */
     public enum Seen {
         SERVED,
@@ -24,7 +24,7 @@
      */
     record Draws(double[] patience, double[] backoff, double[] front) {}
 
-    private final Clients clients;
+    private final ClientPopulation clients;
     private final ClassLaw law;
     private final String tenant;
     private final double work;
@@ -36,8 +36,8 @@
     private boolean done;
     private boolean mayHaveRun;
 
-    Ask(
-            Clients clients,
+    ClientRequest(
+            ClientPopulation clients,
             ClassLaw law,
             String tenant,
             double work,
--- a/lab/src/main/java/trailthread/lab/command/CompareCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/CompareCommand.java
@@ -14,11 +14,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import trailthread.lab.baseline.Policies;
+import trailthread.lab.baseline.Policy;
 import trailthread.lab.experiment.Comparison;
 import trailthread.lab.experiment.Result;
 import trailthread.lab.experiment.Runs;
-import trailthread.lab.peers.Policies;
-import trailthread.lab.peers.Policy;
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
 
--- a/lab/src/main/java/trailthread/lab/command/EmulateCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/EmulateCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import trailthread.lab.real.RealDay;
+import trailthread.lab.emulation.Emulation;
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
 
@@ -35,7 +35,7 @@
     public Integer call() throws Exception {
         PrintWriter print = spec.commandLine().getOut();
         Scenario scenario = ScenarioReader.read(file);
-        try (RealDay day = new RealDay(scenario, seed, 1)) {
+        try (Emulation day = new Emulation(scenario, seed, 1)) {
             print.println("roster " + day.rosterAt(0));
             print.println("workers " + String.join(" ", day.workersAt(0)));
             print.flush();
--- a/lab/src/main/java/trailthread/lab/command/RealRun.java
+++ b/lab/src/main/java/trailthread/lab/command/EmulationRun.java
@@ -3,19 +3,19 @@
 import java.io.PrintWriter;
 import java.util.List;
 import java.util.Locale;
-import trailthread.lab.figures.Figures;
-import trailthread.lab.real.RealDay;
+import trailthread.lab.emulation.Emulation;
+import trailthread.lab.metrics.RunMetrics;
 
 /** What the commands that run in real time print. */
-final class RealRun {
-    private RealRun() {}
+final class EmulationRun {
+    private EmulationRun() {}
 
     /**
      * A line of progress: the second before the last, whose requests have mostly come to their
      * ends.
      */
-    static void progress(RealDay day, PrintWriter print) {
-        List<Figures.Second> seconds = day.figures().seconds();
+    static void progress(Emulation day, PrintWriter print) {
+        List<RunMetrics.Second> seconds = day.figures().seconds();
         int at = seconds.size() - 2;
         if (at < 0) {
             return;
@@ -37,7 +37,7 @@
     }
 
     /** Whether the run counts; if not, why, in a line. */
-    static boolean counts(RealDay day, PrintWriter print) {
+    static boolean counts(Emulation day, PrintWriter print) {
         double p99 = day.loop().lateUs().getValueAtPercentile(99) / 1e3;
         if (day.loop().wasLate()) {
             print.printf(
--- a/lab/src/main/java/trailthread/lab/command/Lab.java
+++ b/lab/src/main/java/trailthread/lab/command/Lab.java
@@ -52,7 +52,7 @@
                                                     + (e.getMessage() == null
                                                             ? e
                                                             : e.getMessage()));
-                            if (e instanceof trailthread.lab.world.ModuleFault) {
+                            if (e instanceof trailthread.lab.simulation.BalancerFailureException) {
                                 return BROKEN;
                             }
                             if (!(e instanceof java.io.IOException
--- a/lab/src/main/java/trailthread/lab/command/LoadCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/LoadCommand.java
@@ -9,9 +9,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import trailthread.lab.emulation.Emulation;
 import trailthread.lab.experiment.Result;
-import trailthread.lab.real.RealDay;
-import trailthread.lab.referee.Violation;
+import trailthread.lab.invariant.Violation;
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
 
@@ -52,13 +52,13 @@
     public Integer call() throws Exception {
         PrintWriter print = spec.commandLine().getOut();
         Scenario scenario = ScenarioReader.read(file).withoutWorkers();
-        try (RealDay day = new RealDay(scenario, seed, 1)) {
+        try (Emulation day = new Emulation(scenario, seed, 1)) {
             day.sendTo(ports);
             if (connections > 0) {
                 day.openAhead(connections);
             }
             long begun = System.nanoTime();
-            day.play(false, d -> RealRun.progress(d, print));
+            day.play(false, d -> EmulationRun.progress(d, print));
             Result result =
                     Result.of(
                             scenario,
@@ -75,7 +75,7 @@
                     .limit(3)
                     .map(Violation::told)
                     .forEach(print::println);
-            return !RealRun.counts(day, print)
+            return !EmulationRun.counts(day, print)
                     ? Lab.LATE
                     : result.broken().isEmpty() ? Lab.DONE : Lab.BROKEN;
         }
--- a/lab/src/main/java/trailthread/lab/command/PoliciesCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/PoliciesCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
-import trailthread.lab.peers.Policies;
+import trailthread.lab.baseline.Policies;
 
 /** Lists the policies. */
 @Command(
--- a/lab/src/main/java/trailthread/lab/command/RunCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/RunCommand.java
@@ -11,9 +11,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import trailthread.lab.emulation.Emulation;
 import trailthread.lab.experiment.Result;
-import trailthread.lab.real.RealDay;
-import trailthread.lab.referee.Violation;
+import trailthread.lab.invariant.Violation;
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
 
@@ -63,8 +63,8 @@
         PrintWriter print = spec.commandLine().getOut();
         Scenario scenario = ScenarioReader.read(file);
         Path directory = logs != null ? logs : Files.createTempDirectory("trailthread-lab");
-        try (RealDay day = new RealDay(scenario, seed, scenario.nodes())) {
-            day.startNodes(RealDay.Program.ofCheckout(root.toAbsolutePath()), directory);
+        try (Emulation day = new Emulation(scenario, seed, scenario.nodes())) {
+            day.startNodes(Emulation.Program.ofCheckout(root.toAbsolutePath()), directory);
             print.println(
                     scenario.name()
                             + ": "
@@ -79,7 +79,7 @@
                     true,
                     d -> {
                         if (!quiet) {
-                            RealRun.progress(d, print);
+                            EmulationRun.progress(d, print);
                         }
                     });
             Result result =
@@ -97,7 +97,7 @@
                     .limit(3)
                     .map(Violation::told)
                     .forEach(print::println);
-            boolean counts = RealRun.counts(day, print);
+            boolean counts = EmulationRun.counts(day, print);
             if (counts && out != null) {
                 Files.writeString(
                         out,
--- a/lab/src/main/java/trailthread/lab/command/SimulateCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/SimulateCommand.java
@@ -15,13 +15,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import trailthread.lab.baseline.Policies;
 import trailthread.lab.experiment.Result;
 import trailthread.lab.experiment.Runs;
-import trailthread.lab.peers.Policies;
-import trailthread.lab.referee.Violation;
+import trailthread.lab.invariant.Violation;
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
-import trailthread.lab.world.World;
+import trailthread.lab.simulation.Simulation;
 
 /** Plays scenarios in virtual time. */
 @Command(
@@ -97,7 +97,7 @@
      * broken.
      */
     private static void tell(Runs.Order order, PrintWriter print) {
-        World.Day day = World.play(order.scenario(), order.policy(), order.seed());
+        Simulation.Day day = Simulation.play(order.scenario(), order.policy(), order.seed());
         day.referee().violations().stream().limit(3).map(Violation::told).forEach(print::println);
     }
 }
--- a/lab/src/main/java/trailthread/lab/real/EmulatedRoster.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulatedDiscovery.java
@@ -1,4 +1,4 @@
-package trailthread.lab.real;
+package trailthread.lab.emulation;
 
 import java.io.IOException;
 import java.nio.channels.SocketChannel;
@@ -11,32 +11,32 @@
 import java.util.regex.Pattern;
 import org.apache.commons.rng.UniformRandomProvider;
 import trailthread.api.EndpointState;
-import trailthread.lab.agenda.Agenda;
-import trailthread.lab.random.Streams;
+import trailthread.lab.event.EventQueue;
+import trailthread.lab.random.RandomStreams;
 
 /**
  * Discovery on sockets, in the platform's protocol: a list, and watches on its changes; late, in
  * order, or down.
  */
-final class EmulatedRoster {
+final class EmulatedDiscovery {
     private static final Pattern INDEX = Pattern.compile("[?&]index=([0-9]{1,18})\\b");
     private static final long IDLE_NS = 2_000_000_000L;
 
-    private final RealDay day;
+    private final Emulation day;
     private final UniformRandomProvider random;
-    private final List<EmulatedWorker> listed = new ArrayList<>();
-    private final List<Listening> listeners = new ArrayList<>();
+    private final List<EmulatedServer> listed = new ArrayList<>();
+    private final List<RestartableListener> listeners = new ArrayList<>();
     private final Set<Watch> watches = new HashSet<>();
     private final Set<Watch> lines = new HashSet<>();
     private long generation = 1;
     private boolean down;
 
-    EmulatedRoster(RealDay day, int nodes) throws IOException {
+    EmulatedDiscovery(Emulation day, int nodes) throws IOException {
         this.day = day;
         random = day.streams().of("roster");
         for (int i = 0; i < Math.max(1, nodes); i++) {
             int node = i;
-            listeners.add(new Listening(day.loop(), 0, channel -> accept(node, channel)));
+            listeners.add(new RestartableListener(day.loop(), 0, channel -> accept(node, channel)));
         }
     }
 
@@ -52,20 +52,20 @@
                 return;
             }
             Watch line = new Watch(node);
-            line.wire = Wire.accepted(day.loop(), channel, line);
+            line.wire = HttpMessageConnection.accepted(day.loop(), channel, line);
             lines.add(line);
         } catch (IOException e) {
             // the client has gone already
         }
     }
 
-    void add(EmulatedWorker worker) {
+    void add(EmulatedServer worker) {
         listed.add(worker);
         changed(worker, worker.state);
     }
 
     /** A worker's state is this now. */
-    void changed(EmulatedWorker worker, EndpointState state) {
+    void changed(EmulatedServer worker, EndpointState state) {
         worker.state = state;
         generation++;
         if (state == EndpointState.GONE) {
@@ -74,7 +74,7 @@
         long of = generation;
         for (Watch watch : List.copyOf(watches)) {
             var law = day.scenario().list();
-            long at = day.now() + (long) Streams.uniform(random, law.lowNs(), law.highNs());
+            long at = day.now() + (long) RandomStreams.uniform(random, law.lowNs(), law.highNs());
             watch.toldAt = Math.max(at, watch.toldAt);
             String line = object(of, false, entry(worker, watch.node, state));
             day.agenda()
@@ -125,7 +125,7 @@
                 + "]}";
     }
 
-    private String entry(EmulatedWorker worker, int node, EndpointState state) {
+    private String entry(EmulatedServer worker, int node, EndpointState state) {
         String lifecycle =
                 state == EndpointState.READY
                         ? "active"
@@ -154,11 +154,11 @@
     }
 
     /** A connection of a node's. */
-    private final class Watch implements Wire.Listener {
+    private final class Watch implements HttpMessageConnection.Listener {
         private final int node;
-        private Wire wire;
+        private HttpMessageConnection wire;
         private long toldAt;
-        private Agenda.Entry idle;
+        private EventQueue.Entry idle;
 
         Watch(int node) {
             this.node = node;
--- a/lab/src/main/java/trailthread/lab/real/EmulatedWorker.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulatedServer.java
@@ -1,4 +1,4 @@
-package trailthread.lab.real;
+package trailthread.lab.emulation;
 
 import java.io.IOException;
 import java.nio.channels.SocketChannel;
@@ -12,18 +12,18 @@
 import trailthread.api.EndpointState;
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
-import trailthread.lab.process.Incoming;
-import trailthread.lab.process.WorkerProcess;
-import trailthread.lab.referee.Referee;
-import trailthread.lab.troubles.Stricken;
-import trailthread.lab.worker.WorkerLaw;
+import trailthread.lab.fault.FaultTarget;
+import trailthread.lab.invariant.InvariantChecker;
+import trailthread.lab.model.ServerLimits;
+import trailthread.lab.server.IncomingRequest;
+import trailthread.lab.server.ServerProcess;
 
 /**
  * A worker on sockets: the model of virtual time, driven by the real clock, behind the workers'
  * side of the platform's protocol. Each node has an address of its own for it, so that the referee
  * knows who sends.
  */
-final class EmulatedWorker implements Stricken.Worker {
+final class EmulatedServer implements FaultTarget.Worker {
     private static final Pattern WORK = Pattern.compile("[?&]work=([0-9]{1,15})\\b");
     private static final String GARBAGE =
             "HTTP/9 \u0001\u0002 wor\u00ffk\r\n\u0000\u0003: ;;\r\n\r\n\u00fe";
@@ -32,21 +32,22 @@
     final String name;
     final String zone;
     final int cell;
-    private final RealDay day;
-    private final WorkerProcess process;
-    private final List<Listening> listeners = new ArrayList<>();
+    private final Emulation day;
+    private final ServerProcess process;
+    private final List<RestartableListener> listeners = new ArrayList<>();
     private final Set<Line> lines = new HashSet<>();
     EndpointState state = EndpointState.READY;
     private boolean wasCut;
 
-    EmulatedWorker(RealDay day, String name, String zone, int cell, WorkerLaw law, boolean cold)
+    EmulatedServer(
+            Emulation day, String name, String zone, int cell, ServerLimits law, boolean cold)
             throws IOException {
         this.day = day;
         this.name = name;
         this.zone = zone;
         this.cell = cell;
         process =
-                new WorkerProcess(
+                new ServerProcess(
                         day.agenda(),
                         day.streams(),
                         day.scenario().fleet(),
@@ -59,7 +60,7 @@
                         });
         for (int i = 0; i < Math.max(1, day.nodeCount()); i++) {
             String node = "n" + i;
-            listeners.add(new Listening(day.loop(), 0, channel -> accept(node, channel)));
+            listeners.add(new RestartableListener(day.loop(), 0, channel -> accept(node, channel)));
         }
     }
 
@@ -76,7 +77,7 @@
             }
             process.works(day.scenario().network().openWorkNs());
             Line line = new Line(node);
-            line.wire = Wire.accepted(day.loop(), channel, line);
+            line.wire = HttpMessageConnection.accepted(day.loop(), channel, line);
             line.wire.mute(process.ills.cut);
             lines.add(line);
         } catch (IOException e) {
@@ -122,7 +123,7 @@
     }
 
     @Override
-    public WorkerProcess process() {
+    public ServerProcess process() {
         return process;
     }
 
@@ -133,7 +134,7 @@
 
     @Override
     public void goesDown() {
-        for (Listening listener : listeners) {
+        for (RestartableListener listener : listeners) {
             try {
                 listener.close();
             } catch (IOException e) {
@@ -150,7 +151,7 @@
     @Override
     public void comesBack() {
         try {
-            for (Listening listener : listeners) {
+            for (RestartableListener listener : listeners) {
                 listener.again();
             }
         } catch (IOException e) {
@@ -184,9 +185,9 @@
     }
 
     /** A connection from a node. */
-    private final class Line implements Wire.Listener {
+    private final class Line implements HttpMessageConnection.Listener {
         private final String node;
-        private Wire wire;
+        private HttpMessageConnection wire;
         private Served served;
 
         Line(String node) {
@@ -212,7 +213,7 @@
                 wire.send(answer("404 Not Found", null, "", ""));
                 return;
             }
-            int attempt = day.nextAttempt(id, EmulatedWorker.this);
+            int attempt = day.nextAttempt(id, EmulatedServer.this);
             served = new Served(this, id, attempt, Math.max(1, Double.parseDouble(work.group(1))));
             day.judged(
                     r ->
@@ -221,8 +222,8 @@
                                     id,
                                     attempt,
                                     node,
-                                    new Referee.Place(name, zone, cell)));
-            day.figures().sends(day.workers().indexOf(EmulatedWorker.this));
+                                    new InvariantChecker.Place(name, zone, cell)));
+            day.figures().sends(day.workers().indexOf(EmulatedServer.this));
             process.arrived(served);
         }
 
@@ -258,7 +259,7 @@
     }
 
     /** A request that is here. */
-    private final class Served implements Incoming {
+    private final class Served implements IncomingRequest {
         private final Line line;
         private final String call;
         private final int attempt;
--- a/lab/src/main/java/trailthread/lab/real/RealDay.java
+++ b/lab/src/main/java/trailthread/lab/emulation/Emulation.java
@@ -1,4 +1,4 @@
-package trailthread.lab.real;
+package trailthread.lab.emulation;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -13,22 +13,22 @@
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.tomlj.Toml;
-import trailthread.lab.agenda.Agenda;
-import trailthread.lab.clients.Clients;
-import trailthread.lab.figures.Figures;
-import trailthread.lab.random.Streams;
-import trailthread.lab.referee.Referee;
+import trailthread.lab.clients.ClientPopulation;
+import trailthread.lab.event.EventQueue;
+import trailthread.lab.fault.FaultInjector;
+import trailthread.lab.fault.FaultTarget;
+import trailthread.lab.invariant.InvariantChecker;
+import trailthread.lab.metrics.RunMetrics;
+import trailthread.lab.model.ServerLimits;
+import trailthread.lab.random.RandomStreams;
 import trailthread.lab.scenario.Scenario;
-import trailthread.lab.troubles.Stricken;
-import trailthread.lab.troubles.Troubles;
-import trailthread.lab.worker.WorkerLaw;
 
 /**
  * A day on sockets: the scenario's workers and roster as stand-ins on loopback, and, where asked
  * for, its clients and real nodes. All but the nodes runs on one thread. Only loopback is spoken
  * to.
  */
-public final class RealDay implements Stricken, Closeable {
+public final class Emulation implements FaultTarget, Closeable {
     private static final long SECOND = 1_000_000_000L;
     private static final long STARTS_WITHIN_NS = 30 * SECOND;
     private static final int CALLS_REMEMBERED = 200_000;
@@ -36,7 +36,7 @@
     /** Attempts of one call so far, and where the last one went. */
     private static final class Attempts {
         private int count;
-        private EmulatedWorker last;
+        private EmulatedServer last;
     }
 
     /**
@@ -66,12 +66,12 @@
     public record NodeSecond(double[] rssMb, int[] descriptors, double[] cpuSeconds) {}
 
     private final Scenario scenario;
-    private final RealLoop loop = new RealLoop();
-    private final Streams streams;
-    private final List<EmulatedWorker> workers = new ArrayList<>();
+    private final EmulationLoop loop = new EmulationLoop();
+    private final RandomStreams streams;
+    private final List<EmulatedServer> workers = new ArrayList<>();
     private final List<NodeProcess> nodes = new ArrayList<>();
     private final List<NodeSecond> nodeSeconds = new ArrayList<>();
-    private final EmulatedRoster roster;
+    private final EmulatedDiscovery roster;
     private final UniformRandomProvider speeds;
     private final int nodeCount;
     private final long unixOffsetNs = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
@@ -84,10 +84,10 @@
                     return size() > CALLS_REMEMBERED;
                 }
             };
-    private Referee referee;
-    private Figures figures;
-    private HttpFront front;
-    private Clients clients;
+    private InvariantChecker referee;
+    private RunMetrics figures;
+    private HttpClients front;
+    private ClientPopulation clients;
     private long lastId = System.nanoTime() << 8 & 0xfffffffffffffL;
 
     /**
@@ -95,13 +95,13 @@
      *
      * @param nodeCount how many nodes there will be; each has addresses of its own
      */
-    public RealDay(Scenario scenario, long seed, int nodeCount) throws IOException {
+    public Emulation(Scenario scenario, long seed, int nodeCount) throws IOException {
         this.scenario = scenario;
         this.nodeCount = nodeCount;
-        streams = new Streams(seed);
+        streams = new RandomStreams(seed);
         speeds = streams.of("speeds");
-        figures = new Figures(loop.agenda().now(), Long.MAX_VALUE);
-        roster = new EmulatedRoster(this, nodeCount);
+        figures = new RunMetrics(loop.agenda().now(), Long.MAX_VALUE);
+        roster = new EmulatedDiscovery(this, nodeCount);
         for (int i = 0; i < scenario.fleet().workers(); i++) {
             addWorker(scenario.zones().get(i % scenario.zones().size()), i, false);
         }
@@ -118,18 +118,18 @@
     }
 
     /** How late this machine did what was due. */
-    public RealLoop loop() {
+    public EmulationLoop loop() {
         return loop;
     }
 
     /** What came of it. */
-    public Figures figures() {
+    public RunMetrics figures() {
         figures.at(now());
         return figures;
     }
 
     /** How it was judged. */
-    public Referee referee() {
+    public InvariantChecker referee() {
         return referee;
     }
 
@@ -146,7 +146,7 @@
     /** Starts real nodes with this command; what they say goes to files in the directory. */
     public void startNodes(Program program, Path directory) throws IOException {
         referee =
-                new Referee(
+                new InvariantChecker(
                         scenario.rules().responseSlackNs() + 50_000_000L,
                         scenario.rules().drainGraceNs() + 50_000_000L);
         Files.createDirectories(directory);
@@ -156,7 +156,7 @@
             try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
                 port = free.getLocalPort();
             }
-            HttpFront.Target target =
+            HttpClients.Target target =
                     front.add(scenario.zones().get(i % scenario.zones().size()), port);
             target.admitted = false;
             NodeProcess node = new NodeProcess(this, i, target.zone, directory, program, target);
@@ -174,7 +174,7 @@
 
     private void front() {
         front =
-                new HttpFront(
+                new HttpClients(
                         loop,
                         referee,
                         scenario.rules().responseSlackNs(),
@@ -187,7 +187,9 @@
      * answers is judged.
      */
     public void sendTo(List<Integer> ports) {
-        referee = new Referee(scenario.rules().responseSlackNs() + 50_000_000L, Long.MAX_VALUE / 4);
+        referee =
+                new InvariantChecker(
+                        scenario.rules().responseSlackNs() + 50_000_000L, Long.MAX_VALUE / 4);
         front();
         for (int i = 0; i < ports.size(); i++) {
             front.add(scenario.zones().get(i % scenario.zones().size()), ports.get(i));
@@ -206,16 +208,16 @@
      * @param withTroubles whether its faults happen
      * @param everySecond hears of its progress
      */
-    public void play(boolean withTroubles, Consumer<RealDay> everySecond) throws IOException {
+    public void play(boolean withTroubles, Consumer<Emulation> everySecond) throws IOException {
         long begin = now();
-        figures = new Figures(begin, begin + scenario.warmUpNs());
+        figures = new RunMetrics(begin, begin + scenario.warmUpNs());
         loop.lateUs().reset();
         if (front != null) {
-            clients = new Clients(agenda(), streams, scenario, figures, front);
+            clients = new ClientPopulation(agenda(), streams, scenario, figures, front);
             clients.begin(begin + scenario.lengthNs());
         }
         if (withTroubles) {
-            Troubles.arrange(agenda(), streams, scenario.faults(), this);
+            FaultInjector.arrange(agenda(), streams, scenario.faults(), this);
         }
         sample(begin, begin + scenario.lengthNs(), everySecond);
         cuts(begin + scenario.lengthNs());
@@ -231,7 +233,7 @@
         }
     }
 
-    private void sample(long begin, long end, Consumer<RealDay> everySecond) {
+    private void sample(long begin, long end, Consumer<Emulation> everySecond) {
         agenda().in(
                         SECOND,
                         () -> {
@@ -260,7 +262,7 @@
 
     /** Machines that are cut off fall silent within a moment. */
     private void cuts(long end) {
-        workers.forEach(EmulatedWorker::arrangeCut);
+        workers.forEach(EmulatedServer::arrangeCut);
         if (now() < end) {
             agenda().in(SECOND / 100, () -> cuts(end));
         }
@@ -269,7 +271,7 @@
     // ---- what the parts need
     // -----------------------------------------------------------------------
 
-    void judged(Consumer<Referee> told) {
+    void judged(Consumer<InvariantChecker> told) {
         if (referee != null) {
             told.accept(referee);
         }
@@ -283,11 +285,11 @@
         return at == 0 ? 0 : (at + unixOffsetNs) / 1_000_000;
     }
 
-    Agenda agenda() {
+    EventQueue agenda() {
         return loop.agenda();
     }
 
-    Streams streams() {
+    RandomStreams streams() {
         return streams;
     }
 
@@ -295,7 +297,7 @@
         return scenario;
     }
 
-    EmulatedRoster roster() {
+    EmulatedDiscovery roster() {
         return roster;
     }
 
@@ -307,7 +309,7 @@
      * The number of an attempt that has come; an earlier one's connection that has ended by now is
      * looked at first.
      */
-    int nextAttempt(String call, EmulatedWorker worker) {
+    int nextAttempt(String call, EmulatedServer worker) {
         Attempts of = attempts.computeIfAbsent(call, c -> new Attempts());
         if (of.last != null) {
             of.last.look(call);
@@ -319,11 +321,11 @@
     /** A worker under a new name. */
     void addWorker(String zone, int place, boolean cold) {
         var fleet = scenario.fleet();
-        WorkerLaw own =
-                fleet.law().at(Streams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
+        ServerLimits own =
+                fleet.law().at(RandomStreams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
         try {
-            EmulatedWorker worker =
-                    new EmulatedWorker(
+            EmulatedServer worker =
+                    new EmulatedServer(
                             this,
                             "w" + workers.size(),
                             zone,
@@ -338,7 +340,7 @@
     }
 
     @Override
-    public List<EmulatedWorker> workers() {
+    public List<EmulatedServer> workers() {
         return workers;
     }
 
@@ -354,7 +356,7 @@
 
     @Override
     public void cutZone(String zone) {
-        for (EmulatedWorker worker :
+        for (EmulatedServer worker :
                 workers) { // nodes of the zone still reach it: they are on this machine
             worker.process().ills.cut = zone != null && worker.zone.equals(zone);
         }
--- a/lab/src/main/java/trailthread/lab/real/RealLoop.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulationLoop.java
@@ -1,4 +1,4 @@
-package trailthread.lab.real;
+package trailthread.lab.emulation;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -7,7 +7,7 @@
 import java.nio.channels.Selector;
 import java.util.concurrent.locks.LockSupport;
 import org.HdrHistogram.Histogram;
-import trailthread.lab.agenda.Agenda;
+import trailthread.lab.event.EventQueue;
 
 /**
  * One thread that drives an agenda by the real clock, and sockets. All of a day on sockets but the
@@ -17,7 +17,7 @@
  * <p>Hand-made on NIO's selector: the stand-ins must reset, drip, spoil and fall silent byte by
  * byte, which no server's library lets them do.
  */
-public final class RealLoop implements Closeable {
+public final class EmulationLoop implements Closeable {
     /** What is due sooner is waited for awake: a selector knows milliseconds. */
     private static final long AWAKE_NS = 1_500_000L;
 
@@ -36,16 +36,16 @@
     }
 
     private final Selector selector = Selector.open();
-    private final Agenda agenda = new Agenda(System.nanoTime());
+    private final EventQueue agenda = new EventQueue(System.nanoTime());
     private final Histogram lateUs = new Histogram(600_000_000L, 2);
 
     /** Begins now. */
-    public RealLoop() throws IOException {
+    public EmulationLoop() throws IOException {
         // the selector is open by now
     }
 
     /** Its agenda; times are those of {@link System#nanoTime}. */
-    public Agenda agenda() {
+    public EventQueue agenda() {
         return agenda;
     }
 
--- a/lab/src/main/java/trailthread/lab/real/HttpFront.java
+++ b/lab/src/main/java/trailthread/lab/emulation/HttpClients.java
@@ -1,4 +1,4 @@
-package trailthread.lab.real;
+package trailthread.lab.emulation;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -11,17 +11,17 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 import trailthread.api.Idempotency;
-import trailthread.lab.agenda.Agenda;
-import trailthread.lab.clients.Ask;
-import trailthread.lab.clients.Front;
-import trailthread.lab.referee.CallTerms;
-import trailthread.lab.referee.Referee;
+import trailthread.lab.clients.ClientRequest;
+import trailthread.lab.clients.RequestSink;
+import trailthread.lab.event.EventQueue;
+import trailthread.lab.invariant.InvariantChecker;
+import trailthread.lab.invariant.RequestTerms;
 
 /**
  * Clients on sockets, in the platform's protocol: connections are kept, carry one request at a
  * time, and further ones are opened when all are busy. The nodes of a zone share its clients.
  */
-final class HttpFront implements Front {
+final class HttpClients implements RequestSink {
     /** A node that clients send to. */
     static final class Target {
         final String name;
@@ -56,9 +56,9 @@
      */
     private static final long GRACE_NS = 50_000_000L;
 
-    private final RealLoop loop;
-    private final Agenda agenda;
-    private final Referee referee;
+    private final EmulationLoop loop;
+    private final EventQueue agenda;
+    private final InvariantChecker referee;
     private final long slackNs;
     private final List<String> zones;
     private final List<Target> targets = new ArrayList<>();
@@ -71,7 +71,12 @@
      * @param zones of clients, by number
      * @param ids new at each call
      */
-    HttpFront(RealLoop loop, Referee referee, long slackNs, List<String> zones, LongSupplier ids) {
+    HttpClients(
+            EmulationLoop loop,
+            InvariantChecker referee,
+            long slackNs,
+            List<String> zones,
+            LongSupplier ids) {
         this.loop = loop;
         this.agenda = loop.agenda();
         this.referee = referee;
@@ -115,10 +120,10 @@
     }
 
     @Override
-    public void take(Ask ask, int zone, double draw, long until) {
+    public void take(ClientRequest ask, int zone, double draw, long until) {
         Target target = chosen(zones.get(zone), draw);
         if (target == null) {
-            ask.saw(Ask.Seen.UNREACHABLE, 0);
+            ask.saw(ClientRequest.Seen.UNREACHABLE, 0);
             return;
         }
         send(target, new Try(ask, Long.toHexString(ids.getAsLong()), until, false));
@@ -138,7 +143,7 @@
     }
 
     /** One try of a client's. */
-    private record Try(Ask ask, String id, long until, boolean again) {
+    private record Try(ClientRequest ask, String id, long until, boolean again) {
         String request(long now) {
             var rules = ask.law().rules();
             boolean safe = rules.idempotency() == Idempotency.IDEMPOTENT;
@@ -161,9 +166,9 @@
     }
 
     /** A client's connection. */
-    private final class Client implements Wire.Listener {
+    private final class Client implements HttpMessageConnection.Listener {
         private final Target target;
-        private Wire wire;
+        private HttpMessageConnection wire;
         private Try call;
         private boolean reused;
         private boolean taken;
@@ -171,7 +176,7 @@
         /** It came while the node was stopped, which learns too late when. */
         private boolean excused;
 
-        private Agenda.Entry overdue;
+        private EventQueue.Entry overdue;
 
         Client(Target target) {
             this.target = target;
@@ -179,10 +184,10 @@
 
         void begin(Try first) {
             try {
-                wire = Wire.open(loop, target.address, this);
+                wire = HttpMessageConnection.open(loop, target.address, this);
             } catch (IOException e) {
                 if (first != null) {
-                    first.ask.saw(Ask.Seen.UNREACHABLE, 0);
+                    first.ask.saw(ClientRequest.Seen.UNREACHABLE, 0);
                 }
                 return;
             }
@@ -219,7 +224,7 @@
                     agenda.now(),
                     call.id,
                     target.name,
-                    new CallTerms(
+                    new RequestTerms(
                             rules.name(),
                             rules.idempotency(),
                             rules.deduplicationScope(),
@@ -261,7 +266,9 @@
                 forget();
             }
             of.ask.saw(
-                    status == 200 ? Ask.Seen.SERVED : refused ? Ask.Seen.REFUSED : Ask.Seen.FAILED,
+                    status == 200
+                            ? ClientRequest.Seen.SERVED
+                            : refused ? ClientRequest.Seen.REFUSED : ClientRequest.Seen.FAILED,
                     advice(message.header("retry-after")));
         }
 
@@ -294,17 +301,17 @@
             }
             Try of = end();
             if (!taken) {
-                of.ask.saw(Ask.Seen.UNREACHABLE, 0);
+                of.ask.saw(ClientRequest.Seen.UNREACHABLE, 0);
             } else if (excused || target.excused) {
                 referee.gone(agenda.now(), of.id);
-                of.ask.saw(Ask.Seen.NOTHING, 0);
+                of.ask.saw(ClientRequest.Seen.NOTHING, 0);
             } else if (reused && !of.again && (how.equals("ended") || how.equals("reset"))) {
                 // The close has crossed the request, which is sent once more, on a new connection.
                 referee.forget(of.id);
                 new Client(target).begin(new Try(of.ask, of.id, of.until, true));
             } else {
                 referee.lost(agenda.now(), of.id, "the connection " + how + " without an answer");
-                of.ask.saw(Ask.Seen.NOTHING, 0);
+                of.ask.saw(ClientRequest.Seen.NOTHING, 0);
             }
         }
 
@@ -315,7 +322,7 @@
             wire.close();
             forget();
             if (!taken) {
-                of.ask.saw(Ask.Seen.UNREACHABLE, 0);
+                of.ask.saw(ClientRequest.Seen.UNREACHABLE, 0);
                 return;
             }
             if (excused || target.excused) {
@@ -323,7 +330,7 @@
             } else {
                 referee.overdue(agenda.now(), of.id);
             }
-            of.ask.saw(Ask.Seen.NOTHING, 0);
+            of.ask.saw(ClientRequest.Seen.NOTHING, 0);
         }
     }
 }
--- a/lab/src/main/java/trailthread/lab/real/HttpMessage.java
+++ b/lab/src/main/java/trailthread/lab/emulation/HttpMessage.java
@@ -1,4 +1,4 @@
-package trailthread.lab.real;
+package trailthread.lab.emulation;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
--- a/lab/src/main/java/trailthread/lab/real/Wire.java
+++ b/lab/src/main/java/trailthread/lab/emulation/HttpMessageConnection.java
@@ -1,4 +1,4 @@
-package trailthread.lab.real;
+package trailthread.lab.emulation;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -10,7 +10,7 @@
 import java.util.ArrayDeque;
 
 /** A connection with HTTP messages on it. */
-final class Wire implements RealLoop.Ready {
+final class HttpMessageConnection implements EmulationLoop.Ready {
     /** Hears what comes. */
     interface Listener {
         /** It has come up. */
@@ -20,7 +20,8 @@
         void message(HttpMessage message);
 
         /**
-         * It has ended, by the other side or by what can't be read; not after {@link Wire#close}.
+         * It has ended, by the other side or by what can't be read; not after {@link
+         * HttpMessageConnection#close}.
          */
         void closed(String how);
     }
@@ -42,9 +43,10 @@
     /** When the first byte of the message came that is being read. */
     private long beganAt;
 
-    private final RealLoop loop;
+    private final EmulationLoop loop;
 
-    private Wire(RealLoop loop, SocketChannel channel, boolean connected, Listener listener)
+    private HttpMessageConnection(
+            EmulationLoop loop, SocketChannel channel, boolean connected, Listener listener)
             throws IOException {
         this.loop = loop;
         this.channel = channel;
@@ -57,17 +59,18 @@
     }
 
     /** One that was accepted. */
-    static Wire accepted(RealLoop loop, SocketChannel channel, Listener listener)
-            throws IOException {
-        return new Wire(loop, channel, true, listener);
+    static HttpMessageConnection accepted(
+            EmulationLoop loop, SocketChannel channel, Listener listener) throws IOException {
+        return new HttpMessageConnection(loop, channel, true, listener);
     }
 
     /** One that is being opened; the listener hears whether it comes up. */
-    static Wire open(RealLoop loop, InetSocketAddress to, Listener listener) throws IOException {
+    static HttpMessageConnection open(EmulationLoop loop, InetSocketAddress to, Listener listener)
+            throws IOException {
         SocketChannel channel = SocketChannel.open();
         channel.configureBlocking(false);
         channel.connect(to);
-        return new Wire(loop, channel, false, listener);
+        return new HttpMessageConnection(loop, channel, false, listener);
     }
 
     boolean isOpen() {
--- a/lab/src/main/java/trailthread/lab/real/MessageDecoder.java
+++ b/lab/src/main/java/trailthread/lab/emulation/MessageDecoder.java
@@ -1,4 +1,4 @@
-package trailthread.lab.real;
+package trailthread.lab.emulation;
 
 import java.io.ByteArrayOutputStream;
 import java.net.ProtocolException;
--- a/lab/src/main/java/trailthread/lab/real/NodeProcess.java
+++ b/lab/src/main/java/trailthread/lab/emulation/NodeProcess.java
@@ -1,4 +1,4 @@
-package trailthread.lab.real;
+package trailthread.lab.emulation;
 
 import com.google.gson.Gson;
 import java.io.File;
@@ -12,37 +12,37 @@
 import java.util.Locale;
 import java.util.Map;
 import trailthread.api.Idempotency;
+import trailthread.lab.fault.FaultTarget;
 import trailthread.lab.scenario.Scenario;
-import trailthread.lab.troubles.Stricken;
 
 /**
  * A real node: a child process by the platform's own command, its configuration, and signals to it.
  */
-final class NodeProcess implements Stricken.Node {
+final class NodeProcess implements FaultTarget.Node {
     private static final long LOOK_NS = 50_000_000L;
     private static final long SOON_NS = 200_000_000L;
 
     /** What the system tells of a node: resident memory, descriptors, processor time. */
     record Sample(double rssMb, int descriptors, double cpuSeconds) {}
 
-    private final RealDay day;
+    private final Emulation day;
     private final int number;
     private final String zone;
     private final Path config;
     private final File log;
     private final List<String> command;
     private final File root;
-    private final HttpFront.Target target;
+    private final HttpClients.Target target;
     private Process process;
     private boolean serving;
 
     NodeProcess(
-            RealDay day,
+            Emulation day,
             int number,
             String zone,
             Path directory,
-            RealDay.Program program,
-            HttpFront.Target target)
+            Emulation.Program program,
+            HttpClients.Target target)
             throws IOException {
         this.day = day;
         this.number = number;
@@ -191,12 +191,12 @@
     private void look() {
         Process of = process;
         try {
-            Wire[] wire = new Wire[1];
+            HttpMessageConnection[] wire = new HttpMessageConnection[1];
             wire[0] =
-                    Wire.open(
+                    HttpMessageConnection.open(
                             day.loop(),
                             target.address,
-                            new Wire.Listener() {
+                            new HttpMessageConnection.Listener() {
                                 @Override
                                 public void opened() {
                                     wire[0].send(
--- a/lab/src/main/java/trailthread/lab/real/Listening.java
+++ b/lab/src/main/java/trailthread/lab/emulation/RestartableListener.java
@@ -1,4 +1,4 @@
-package trailthread.lab.real;
+package trailthread.lab.emulation;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -11,17 +11,18 @@
 import java.util.function.Consumer;
 
 /** A listener on loopback that can be closed and come back at its port. */
-final class Listening implements RealLoop.Ready, Closeable {
+final class RestartableListener implements EmulationLoop.Ready, Closeable {
     private static final int BACKLOG = 1024;
     private static final int MOST_AT_ONCE = 64;
 
-    private final RealLoop loop;
+    private final EmulationLoop loop;
     private final Consumer<SocketChannel> accepted;
     private final int port;
     private ServerSocketChannel channel;
 
     /** With port 0, at a free one. */
-    Listening(RealLoop loop, int port, Consumer<SocketChannel> accepted) throws IOException {
+    RestartableListener(EmulationLoop loop, int port, Consumer<SocketChannel> accepted)
+            throws IOException {
         this.loop = loop;
         this.accepted = accepted;
         listen(port);
--- a/lab/src/main/java/trailthread/lab/agenda/Agenda.java
+++ b/lab/src/main/java/trailthread/lab/event/EventQueue.java
@@ -1,4 +1,4 @@
-package trailthread.lab.agenda;
+package trailthread.lab.event;
 
 import java.util.PriorityQueue;
 
@@ -8,7 +8,7 @@
  * (discrete-event simulation with a future event list: Law, "Simulation Modeling and Analysis",
  * 1.3).
  */
-public final class Agenda {
+public final class EventQueue {
     /** Something that is to happen; {@link #cancel} takes it back. */
     public static final class Entry implements Comparable<Entry> {
         private final long at;
@@ -38,7 +38,7 @@
     private long done;
 
     /** Begins at this time, in ns. */
-    public Agenda(long begin) {
+    public EventQueue(long begin) {
         now = begin;
     }
 
--- a/lab/src/main/java/trailthread/lab/experiment/Bootstrap.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Bootstrap.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 import org.apache.commons.rng.UniformRandomProvider;
-import trailthread.lab.random.Streams;
+import trailthread.lab.random.RandomStreams;
 
 /**
  * The mean of paired differences, with an interval by resampling them (percentile bootstrap: Efron
@@ -41,7 +41,7 @@
             throw new IllegalArgumentException("no pairs");
         }
         double mean = Arrays.stream(differences).average().orElseThrow();
-        UniformRandomProvider random = new Streams(differences.length).of("bootstrap");
+        UniformRandomProvider random = new RandomStreams(differences.length).of("bootstrap");
         double[] means = new double[SAMPLES];
         for (int i = 0; i < SAMPLES; i++) {
             double sum = 0;
--- a/lab/src/main/java/trailthread/lab/experiment/Result.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Result.java
@@ -6,10 +6,10 @@
 import java.util.Locale;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import trailthread.lab.figures.Figures;
-import trailthread.lab.referee.Referee;
+import trailthread.lab.invariant.InvariantChecker;
+import trailthread.lab.metrics.RunMetrics;
 import trailthread.lab.scenario.Scenario;
-import trailthread.lab.world.World;
+import trailthread.lab.simulation.Simulation;
 
 /**
  * What came of one run, as one line of JSON tells it.
@@ -46,7 +46,7 @@
     private static final Gson GSON = new GsonBuilder().disableHtmlEscaping().create();
 
     /** Of a day in virtual time. */
-    public static Result of(Scenario scenario, String policy, long seed, World.Day day) {
+    public static Result of(Scenario scenario, String policy, long seed, Simulation.Day day) {
         return of(scenario, policy, seed, day.figures(), day.referee(), day.events(), day.wallNs());
     }
 
@@ -55,8 +55,8 @@
             Scenario scenario,
             String policy,
             long seed,
-            Figures figures,
-            Referee referee,
+            RunMetrics figures,
+            InvariantChecker referee,
             long events,
             long wallNs) {
         Map<String, long[]> classes = new LinkedHashMap<>();
--- a/lab/src/main/java/trailthread/lab/experiment/Runs.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Runs.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.function.Consumer;
-import trailthread.lab.peers.Policy;
+import trailthread.lab.baseline.Policy;
 import trailthread.lab.scenario.Scenario;
-import trailthread.lab.world.ModuleFault;
-import trailthread.lab.world.World;
+import trailthread.lab.simulation.BalancerFailureException;
+import trailthread.lab.simulation.Simulation;
 
 /** Runs in virtual time, many at once; what they come to does not depend on how many. */
 public final class Runs {
@@ -23,7 +23,7 @@
      * Makes these runs on so many threads; their results in the order of the orders.
      *
      * @param finished hears of each as it comes, from whichever thread
-     * @throws ModuleFault if the decisions of one have asked for what nobody can do
+     * @throws BalancerFailureException if the decisions of one have asked for what nobody can do
      */
     public static List<Result> make(List<Order> orders, int threads, Consumer<Result> finished)
             throws InterruptedException {
@@ -39,7 +39,7 @@
                                                     order.scenario(),
                                                     order.policy().name(),
                                                     order.seed(),
-                                                    World.play(
+                                                    Simulation.play(
                                                             order.scenario(),
                                                             order.policy(),
                                                             order.seed()));
@@ -53,7 +53,7 @@
             }
             return results;
         } catch (ExecutionException e) {
-            if (e.getCause() instanceof ModuleFault fault) {
+            if (e.getCause() instanceof BalancerFailureException fault) {
                 throw fault;
             }
             throw new IllegalStateException(e.getCause());
--- a/lab/src/main/java/trailthread/lab/troubles/Troubles.java
+++ b/lab/src/main/java/trailthread/lab/fault/FaultInjector.java
@@ -1,17 +1,17 @@
-package trailthread.lab.troubles;
+package trailthread.lab.fault;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
-import trailthread.lab.agenda.Agenda;
-import trailthread.lab.process.Ills;
-import trailthread.lab.random.Streams;
+import trailthread.lab.event.EventQueue;
+import trailthread.lab.random.RandomStreams;
 import trailthread.lab.scenario.Scenario.Fault;
 import trailthread.lab.scenario.Scenario.Trouble;
+import trailthread.lab.server.ServerFaults;
 
 /** Makes go wrong, when it is to, what a scenario lists. */
-public final class Troubles {
+public final class FaultInjector {
     /** How long a worker that drains goes on before it ends, and how long its next start takes. */
     private static final long DRAINS_NS = 2_000_000_000L;
 
@@ -23,17 +23,18 @@
     /** How often it is looked whether all nodes serve. */
     private static final long LOOK_NS = 20_000_000L;
 
-    private final Agenda agenda;
-    private final Stricken day;
+    private final EventQueue agenda;
+    private final FaultTarget day;
 
-    private Troubles(Agenda agenda, Stricken day) {
+    private FaultInjector(EventQueue agenda, FaultTarget day) {
         this.agenda = agenda;
         this.day = day;
     }
 
     /** Arranges all of these for a day that begins now. */
-    public static void arrange(Agenda agenda, Streams streams, List<Fault> faults, Stricken day) {
-        Troubles troubles = new Troubles(agenda, day);
+    public static void arrange(
+            EventQueue agenda, RandomStreams streams, List<Fault> faults, FaultTarget day) {
+        FaultInjector troubles = new FaultInjector(agenda, day);
         for (int i = 0; i < faults.size(); i++) {
             Fault fault = faults.get(i);
             UniformRandomProvider random = streams.of("fault " + i);
@@ -54,9 +55,9 @@
         return struck;
     }
 
-    private List<Stricken.Worker> workers(Fault fault, UniformRandomProvider random) {
-        List<Stricken.Worker> fit = new ArrayList<>();
-        for (Stricken.Worker worker : day.workers()) {
+    private List<FaultTarget.Worker> workers(Fault fault, UniformRandomProvider random) {
+        List<FaultTarget.Worker> fit = new ArrayList<>();
+        for (FaultTarget.Worker worker : day.workers()) {
             if (worker.isReady() && (fault.zone() == null || worker.zone().equals(fault.zone()))) {
                 fit.add(worker);
             }
@@ -102,9 +103,9 @@
                 agenda.in(fault.forNs(), () -> day.cutZone(null));
             }
             case RESTART, REPLACE -> {
-                List<Stricken.Worker> all = workers(fault, random);
+                List<FaultTarget.Worker> all = workers(fault, random);
                 for (int i = 0; i < all.size(); i++) {
-                    Stricken.Worker worker = all.get(i);
+                    FaultTarget.Worker worker = all.get(i);
                     agenda.in(
                             fault.forNs() * i / all.size(),
                             () -> leaves(worker, fault.trouble() == Trouble.REPLACE));
@@ -129,11 +130,11 @@
                                         agenda.in(fault.forNs(), node::start);
                                     });
             case NODE_RESTART -> {
-                List<Stricken.Node> all = struck(List.copyOf(day.nodes()), fault.part(), random);
+                List<FaultTarget.Node> all = struck(List.copyOf(day.nodes()), fault.part(), random);
                 roll(all, fault.forNs() / Math.max(1, all.size()));
             }
             case NODE_RELOAD ->
-                    struck(day.nodes(), fault.part(), random).forEach(Stricken.Node::reload);
+                    struck(day.nodes(), fault.part(), random).forEach(FaultTarget.Node::reload);
             case NODE_PAUSE ->
                     struck(day.nodes(), fault.part(), random)
                             .forEach(node -> node.pause(fault.forNs()));
@@ -142,7 +143,10 @@
     }
 
     private void ills(
-            Fault fault, UniformRandomProvider random, Consumer<Ills> on, Consumer<Ills> off) {
+            Fault fault,
+            UniformRandomProvider random,
+            Consumer<ServerFaults> on,
+            Consumer<ServerFaults> off) {
         forAWhile(
                 fault,
                 workers(fault, random),
@@ -152,9 +156,9 @@
 
     private void forAWhile(
             Fault fault,
-            List<Stricken.Worker> struck,
-            Consumer<Stricken.Worker> on,
-            Consumer<Stricken.Worker> off) {
+            List<FaultTarget.Worker> struck,
+            Consumer<FaultTarget.Worker> on,
+            Consumer<FaultTarget.Worker> off) {
         struck.forEach(on);
         agenda.in(fault.forNs(), () -> struck.forEach(off));
     }
@@ -164,11 +168,11 @@
      * restarted while a node is out of service, however long this machine takes to start one. A day
      * must not depend on that.
      */
-    private void roll(List<Stricken.Node> left, long eachNs) {
+    private void roll(List<FaultTarget.Node> left, long eachNs) {
         if (left.isEmpty()) {
             return;
         }
-        if (!day.nodes().stream().allMatch(Stricken.Node::isServing)) {
+        if (!day.nodes().stream().allMatch(FaultTarget.Node::isServing)) {
             agenda.in(LOOK_NS, () -> roll(left, eachNs));
             return;
         }
@@ -176,7 +180,7 @@
         agenda.in(eachNs, () -> roll(left.subList(1, left.size()), eachNs));
     }
 
-    private void leaves(Stricken.Worker worker, boolean forGood) {
+    private void leaves(FaultTarget.Worker worker, boolean forGood) {
         worker.drains();
         agenda.in(
                 DRAINS_NS,
--- a/lab/src/main/java/trailthread/lab/troubles/Stricken.java
+++ b/lab/src/main/java/trailthread/lab/fault/FaultTarget.java
@@ -1,10 +1,10 @@
-package trailthread.lab.troubles;
+package trailthread.lab.fault;
 
 import java.util.List;
-import trailthread.lab.process.WorkerProcess;
+import trailthread.lab.server.ServerProcess;
 
 /** What things can go wrong with: a day in virtual time or on sockets. */
-public interface Stricken {
+public interface FaultTarget {
     /** A worker of it. */
     interface Worker {
         /** Its zone. */
@@ -14,7 +14,7 @@
         boolean isReady();
 
         /** Its process. */
-        WorkerProcess process();
+        ServerProcess process();
 
         /** The roster names it as one that wants nothing new. */
         void drains();
--- a/lab/src/main/java/trailthread/lab/referee/Moment.java
+++ b/lab/src/main/java/trailthread/lab/invariant/HistoryEntry.java
@@ -1,4 +1,4 @@
-package trailthread.lab.referee;
+package trailthread.lab.invariant;
 
 /**
  * One thing in the life of a call.
@@ -9,7 +9,7 @@
  * @param worker its name, or null
  * @param detail what else there is to say, or null
  */
-public record Moment(long at, What what, int attempt, String worker, Object detail) {
+public record HistoryEntry(long at, What what, int attempt, String worker, Object detail) {
     /** What can happen to a call. */
     public enum What {
         TAKEN,
--- a/lab/src/main/java/trailthread/lab/referee/Rule.java
+++ b/lab/src/main/java/trailthread/lab/invariant/Invariant.java
@@ -1,7 +1,7 @@
-package trailthread.lab.referee;
+package trailthread.lab.invariant;
 
 /** What holds on every day, whatever fails. */
-public enum Rule {
+public enum Invariant {
     /** Every call that a node has taken gets one final answer, and no second one. */
     ONE_ANSWER("one final answer a call"),
     /** The answer comes before the client's time is over, with the slack of the settings. */
@@ -22,7 +22,7 @@
 
     private final String words;
 
-    Rule(String words) {
+    Invariant(String words) {
         this.words = words;
     }
 
--- a/lab/src/main/java/trailthread/lab/referee/Referee.java
+++ b/lab/src/main/java/trailthread/lab/invariant/InvariantChecker.java
@@ -1,4 +1,4 @@
-package trailthread.lab.referee;
+package trailthread.lab.invariant;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -15,7 +15,7 @@
  * happened, in order, and asks nothing of those it judges: an attempt counts as one that may have
  * run from its last byte on, whatever its node makes of its end.
  */
-public final class Referee {
+public final class InvariantChecker {
     /** Violations that are kept with their histories; more are counted. */
     private static final int MOST_KEPT = 20;
 
@@ -25,8 +25,8 @@
     public record Place(String worker, String zone, int cell) {}
 
     private static final class Watched {
-        final CallTerms terms;
-        final List<Moment> history = new ArrayList<>(6);
+        final RequestTerms terms;
+        final List<HistoryEntry> history = new ArrayList<>(6);
 
         /**
          * The place and time of the first attempt that reached a worker and was not turned away by
@@ -42,7 +42,7 @@
         /** The attempts, by number, that are out. */
         final Map<Integer, Sent> sent = new HashMap<>(2);
 
-        Watched(CallTerms terms) {
+        Watched(RequestTerms terms) {
             this.terms = terms;
         }
     }
@@ -62,7 +62,7 @@
     /** When each node was told that a worker wants nothing new. */
     private final Map<String, Long> drainTold = new HashMap<>();
 
-    private final Map<Rule, Integer> broken = new EnumMap<>(Rule.class);
+    private final Map<Invariant, Integer> broken = new EnumMap<>(Invariant.class);
     private final List<Violation> kept = new ArrayList<>();
     private long judged;
 
@@ -70,13 +70,13 @@
      * @param responseSlackNs how far past its deadline an answer still counts
      * @param drainGraceNs how long after the news of a drain something new may still be sent
      */
-    public Referee(long responseSlackNs, long drainGraceNs) {
+    public InvariantChecker(long responseSlackNs, long drainGraceNs) {
         this.responseSlackNs = responseSlackNs;
         this.drainGraceNs = drainGraceNs;
     }
 
     /** How often each rule was broken; without those that were kept. */
-    public Map<Rule, Integer> broken() {
+    public Map<Invariant, Integer> broken() {
         return new EnumMap<>(broken);
     }
 
@@ -95,7 +95,8 @@
         return calls.size();
     }
 
-    private void violated(Rule rule, long at, String who, String what, List<Moment> history) {
+    private void violated(
+            Invariant rule, long at, String who, String what, List<HistoryEntry> history) {
         broken.merge(rule, 1, Integer::sum);
         if (kept.size() < MOST_KEPT) {
             kept.add(new Violation(rule, at, who, what, List.copyOf(history)));
@@ -103,10 +104,11 @@
     }
 
     /** A node has taken a call, under a name that no other call has. */
-    public void taken(long at, String call, String node, CallTerms terms) {
+    public void taken(long at, String call, String node, RequestTerms terms) {
         Watched watched = new Watched(terms);
         calls.put(call, watched);
-        watched.history.add(new Moment(at, Moment.What.TAKEN, -1, node, terms.requestClass()));
+        watched.history.add(
+                new HistoryEntry(at, HistoryEntry.What.TAKEN, -1, node, terms.requestClass()));
     }
 
     /** An attempt leaves its node; its last byte need not have. */
@@ -114,7 +116,7 @@
         Watched watched = watched(call);
         if (watched == null) {
             violated(
-                    Rule.REPEATS,
+                    Invariant.REPEATS,
                     at,
                     call,
                     "an attempt of "
@@ -125,16 +127,22 @@
                     List.of());
             return;
         }
-        watched.history.add(new Moment(at, Moment.What.SENT, attempt, place.worker(), null));
+        watched.history.add(
+                new HistoryEntry(at, HistoryEntry.What.SENT, attempt, place.worker(), null));
         if (watched.out > 0) {
-            violated(Rule.ONE_ATTEMPT, at, call, "another attempt is still out", watched.history);
+            violated(
+                    Invariant.ONE_ATTEMPT,
+                    at,
+                    call,
+                    "another attempt is still out",
+                    watched.history);
         }
         watched.out++;
         watched.sent.put(attempt, new Sent(place, at));
         Long told = drainTold.get(node + " " + place.worker());
         if (told != null && at > told + drainGraceNs) {
             violated(
-                    Rule.DRAINS,
+                    Invariant.DRAINS,
                     at,
                     call,
                     String.format(
@@ -157,13 +165,14 @@
             return; // its client and its node have forgotten it
         }
         Sent sent = watched.sent.get(attempt);
-        watched.history.add(new Moment(at, Moment.What.BEGUN, attempt, sent.place.worker(), null));
+        watched.history.add(
+                new HistoryEntry(at, HistoryEntry.What.BEGUN, attempt, sent.place.worker(), null));
         if (watched.firstRan == null) {
             watched.firstRan = sent.place;
             watched.firstRanSent = sent.at;
         } else if (!mayRepeat(watched, sent.place, at)) {
             violated(
-                    Rule.REPEATS,
+                    Invariant.REPEATS,
                     at,
                     call,
                     "it may have run at " + watched.firstRan.worker() + " before",
@@ -172,7 +181,7 @@
     }
 
     private static boolean mayRepeat(Watched watched, Place place, long at) {
-        CallTerms terms = watched.terms;
+        RequestTerms terms = watched.terms;
         if (terms.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
@@ -193,7 +202,8 @@
     public void ended(long at, String call, int attempt, Outcome outcome) {
         Watched watched = watched(call);
         if (watched != null) {
-            watched.history.add(new Moment(at, Moment.What.ENDED, attempt, null, outcome));
+            watched.history.add(
+                    new HistoryEntry(at, HistoryEntry.What.ENDED, attempt, null, outcome));
             watched.out--;
             release(call, watched);
         }
@@ -206,15 +216,20 @@
             return; // nobody hears it any more
         }
         if (watched == null) {
-            violated(Rule.ONE_ANSWER, at, call, "answered (" + how + ") after its end", List.of());
+            violated(
+                    Invariant.ONE_ANSWER,
+                    at,
+                    call,
+                    "answered (" + how + ") after its end",
+                    List.of());
             return;
         }
-        watched.history.add(new Moment(at, Moment.What.ANSWERED, -1, null, how));
+        watched.history.add(new HistoryEntry(at, HistoryEntry.What.ANSWERED, -1, null, how));
         if (watched.answered) {
-            violated(Rule.ONE_ANSWER, at, call, "a second answer", watched.history);
+            violated(Invariant.ONE_ANSWER, at, call, "a second answer", watched.history);
         } else if (at > watched.terms.deadline() + responseSlackNs) {
             violated(
-                    Rule.IN_TIME,
+                    Invariant.IN_TIME,
                     at,
                     call,
                     String.format(
@@ -231,7 +246,7 @@
     public void foreign(long at, String call, String what) {
         Watched watched = calls.get(call);
         violated(
-                Rule.OWN_ANSWER,
+                Invariant.OWN_ANSWER,
                 at,
                 call,
                 "served with: " + what,
@@ -242,7 +257,7 @@
     public void lost(long at, String call, String how) {
         Watched watched = calls.get(call);
         if (watched != null) {
-            violated(Rule.ONE_ANSWER, at, call, how, watched.history);
+            violated(Invariant.ONE_ANSWER, at, call, how, watched.history);
             watched.released = true;
             release(call, watched);
         }
@@ -252,7 +267,8 @@
     public void gone(long at, String call) {
         Watched watched = calls.get(call);
         if (watched != null) {
-            watched.history.add(new Moment(at, Moment.What.CLIENT_GONE, -1, null, null));
+            watched.history.add(
+                    new HistoryEntry(at, HistoryEntry.What.CLIENT_GONE, -1, null, null));
             watched.released = true;
             release(call, watched);
         }
@@ -262,8 +278,8 @@
     public void overdue(long at, String call) {
         Watched watched = calls.get(call);
         if (watched != null && !watched.answered && !watched.released) {
-            watched.history.add(new Moment(at, Moment.What.OVERDUE, -1, null, null));
-            violated(Rule.IN_TIME, at, call, "no answer", watched.history);
+            watched.history.add(new HistoryEntry(at, HistoryEntry.What.OVERDUE, -1, null, null));
+            violated(Invariant.IN_TIME, at, call, "no answer", watched.history);
             watched.released = true;
             release(call, watched);
         }
@@ -307,7 +323,7 @@
     /** A cold worker has fallen over. */
     public void fell(long at, String worker) {
         violated(
-                Rule.COLD_STARTS,
+                Invariant.COLD_STARTS,
                 at,
                 worker,
                 "it was sent more than a cold worker bears",
--- a/lab/src/main/java/trailthread/lab/referee/CallTerms.java
+++ b/lab/src/main/java/trailthread/lab/invariant/RequestTerms.java
@@ -1,4 +1,4 @@
-package trailthread.lab.referee;
+package trailthread.lab.invariant;
 
 import trailthread.api.DeduplicationScope;
 import trailthread.api.Idempotency;
@@ -11,7 +11,7 @@
  * @param deduplicationWindowNs for keyed calls: for how long after the first attempt that may have
  *     run was sent
  */
-public record CallTerms(
+public record RequestTerms(
         String requestClass,
         Idempotency idempotency,
         DeduplicationScope group,
--- a/lab/src/main/java/trailthread/lab/referee/Violation.java
+++ b/lab/src/main/java/trailthread/lab/invariant/Violation.java
@@ -1,4 +1,4 @@
-package trailthread.lab.referee;
+package trailthread.lab.invariant;
 
 import java.util.List;
 
@@ -11,7 +11,8 @@
  * @param what what was seen
  * @param history the whole life of the call so far, in order; empty where it is no call's
  */
-public record Violation(Rule rule, long at, String who, String what, List<Moment> history) {
+public record Violation(
+        Invariant rule, long at, String who, String what, List<HistoryEntry> history) {
     /** Over several lines, for people. */
     public String told() {
         StringBuilder text =
--- a/lab/src/main/java/trailthread/lab/figures/Figures.java
+++ b/lab/src/main/java/trailthread/lab/metrics/RunMetrics.java
@@ -1,4 +1,4 @@
-package trailthread.lab.figures;
+package trailthread.lab.metrics;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -11,7 +11,7 @@
  * What came of a run, counted as it goes. What clients first asked for before the end of the
  * warm-up does not count in the totals; it stands in the series by seconds.
  */
-public final class Figures {
+public final class RunMetrics {
     private static final long MOST_US = 600_000_000L;
     private static final int DIGITS = 3;
 
@@ -79,7 +79,7 @@
     private long decisionNs;
 
     /** The day begins at {@code begin} and counts from {@code from} on, in ns. */
-    public Figures(long begin, long from) {
+    public RunMetrics(long begin, long from) {
         this.begin = begin;
         this.from = from;
     }
--- a/lab/src/main/java/trailthread/lab/worker/WorkerLaw.java
+++ b/lab/src/main/java/trailthread/lab/model/ServerLimits.java
@@ -1,4 +1,4 @@
-package trailthread.lab.worker;
+package trailthread.lab.model;
 
 /**
  * What a worker is able to do. Times in ns; work in ns on a standard core.
@@ -16,7 +16,7 @@
  * @param cancelStops a call that its node gives up stops at once also while it is in work; else
  *     only while it waits
  */
-public record WorkerLaw(
+public record ServerLimits(
         double speed,
         int cores,
         int slots,
@@ -47,7 +47,7 @@
     }
 
     /** Throws IllegalArgumentException at figures that make no sense. */
-    public WorkerLaw {
+    public ServerLimits {
         if (!(speed > 0) || cores < 1 || slots < 1 || room < 0 || !(crowding >= 0)) {
             throw new IllegalArgumentException(
                     "a worker needs speed, cores and slots, and no negative figures");
@@ -61,13 +61,14 @@
     }
 
     /** A worker that neither jams nor starts cold. */
-    public static WorkerLaw plain(double speed, int cores, int slots, int room) {
-        return new WorkerLaw(speed, cores, slots, room, 0, Jam.NEVER, Cold.NEVER, false);
+    public static ServerLimits plain(double speed, int cores, int slots, int room) {
+        return new ServerLimits(speed, cores, slots, room, 0, Jam.NEVER, Cold.NEVER, false);
     }
 
     /** The same of another speed: so many times this one's. */
-    public WorkerLaw at(double times) {
-        return new WorkerLaw(speed * times, cores, slots, room, crowding, jam, cold, cancelStops);
+    public ServerLimits at(double times) {
+        return new ServerLimits(
+                speed * times, cores, slots, room, crowding, jam, cold, cancelStops);
     }
 
     /** Work that it can do in a second when warm and not crowded, in ns on a standard core. */
--- a/lab/src/main/java/trailthread/lab/worker/WorkerModel.java
+++ b/lab/src/main/java/trailthread/lab/model/ServerModel.java
@@ -1,19 +1,19 @@
-package trailthread.lab.worker;
+package trailthread.lab.model;
 
 import java.util.ArrayDeque;
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 
 /**
- * A worker's work, by {@link WorkerLaw}: requests share its cores, wait for slots, are turned away.
- * Time is handed in and may be virtual or real; nothing here draws a random number.
+ * A worker's work, by {@link ServerLimits}: requests share its cores, wait for slots, are turned
+ * away. Time is handed in and may be virtual or real; nothing here draws a random number.
  *
  * <p>All requests in work go on at one rate, so the work that one of them has had since the
  * worker's start, {@code served}, is the same for all; each is done when that reaches what it was
  * when the request began plus the request's own work. Every step costs the logarithm of what is in
  * work.
  */
-public final class WorkerModel {
+public final class ServerModel {
     /** A cold worker's capacity rises in so many steps. */
     private static final int COLD_STEPS = 64;
 
@@ -52,7 +52,7 @@
         }
     }
 
-    private final WorkerLaw law;
+    private final ServerLimits law;
     private final PriorityQueue<Job> working = new PriorityQueue<>();
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final ArrayDeque<double[]> sentWhileCold = new ArrayDeque<>();
@@ -75,14 +75,14 @@
     private double busy;
 
     /** One that starts now; with {@code cold}, as the law says, else warm. */
-    public WorkerModel(WorkerLaw law, long now, boolean cold) {
+    public ServerModel(ServerLimits law, long now, boolean cold) {
         this.law = law;
         this.at = now;
         this.startedAt = cold ? now : now - law.cold().warmNs();
     }
 
     /** What it is able to do. */
-    public WorkerLaw law() {
+    public ServerLimits law() {
         return law;
     }
 
@@ -118,7 +118,7 @@
 
     /** The share of its capacity that it has at a time, by its start alone. */
     public double warmth(long now) {
-        WorkerLaw.Cold cold = law.cold();
+        ServerLimits.Cold cold = law.cold();
         long age = now - startedAt;
         if (age >= cold.warmNs()) {
             return 1;
@@ -165,7 +165,7 @@
      * A cold worker's budget: all work sent within the window, against what it can do in it now.
      */
     private void weigh(long now, Job job) {
-        WorkerLaw.Cold cold = law.cold();
+        ServerLimits.Cold cold = law.cold();
         double warmth = warmth(now);
         if (warmth >= 1) {
             sentWhileCold.clear();
@@ -323,7 +323,7 @@
     }
 
     private void watchForJam(long now) {
-        WorkerLaw.Jam jam = law.jam();
+        ServerLimits.Jam jam = law.jam();
         boolean tips =
                 jammed
                         ? inflight() <= jam.idle() * law.cores()
--- a/lab/src/main/java/trailthread/lab/random/Streams.java
+++ b/lab/src/main/java/trailthread/lab/random/RandomStreams.java
@@ -9,11 +9,11 @@
  * that two policies meet the same clients, work and faults (common random numbers: Law, "Simulation
  * Modeling and Analysis", 11.2).
  */
-public final class Streams {
+public final class RandomStreams {
     private final long seed;
 
     /** All streams come from this seed. */
-    public Streams(long seed) {
+    public RandomStreams(long seed) {
         this.seed = seed;
     }
 
--- a/lab/src/main/java/trailthread/lab/scenario/Scenario.java
+++ b/lab/src/main/java/trailthread/lab/scenario/Scenario.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import trailthread.api.RequestClass;
 import trailthread.api.Tenant;
-import trailthread.lab.worker.WorkerLaw;
+import trailthread.lab.model.ServerLimits;
 
 /**
  * A day: who asks for what, who serves, what lies between, and what goes wrong when. Times in ns
@@ -121,7 +121,7 @@
      */
     public record FleetLaw(
             int workers,
-            WorkerLaw law,
+            ServerLimits law,
             double speedLow,
             double speedHigh,
             int cells,
--- a/lab/src/main/java/trailthread/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/trailthread/lab/scenario/ScenarioReader.java
@@ -13,6 +13,7 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Tenant;
 import trailthread.configuration.Fault;
+import trailthread.lab.model.ServerLimits;
 import trailthread.lab.scenario.Scenario.ClassLaw;
 import trailthread.lab.scenario.Scenario.ClientLaw;
 import trailthread.lab.scenario.Scenario.Draw;
@@ -22,7 +23,6 @@
 import trailthread.lab.scenario.Scenario.RuleLaw;
 import trailthread.lab.scenario.Scenario.Surge;
 import trailthread.lab.scenario.Scenario.Trouble;
-import trailthread.lab.worker.WorkerLaw;
 
 /** Reads scenarios; docs/lab-scenarios.md lists the keys. */
 public final class ScenarioReader {
@@ -79,7 +79,7 @@
                                                 e.getMessage())));
         Scenario scenario =
                 reader.faults.isEmpty()
-                        ? reader.scenario(new Part(name, reader.faults, toml, null, ""))
+                        ? reader.scenario(new ScenarioTable(name, reader.faults, toml, null, ""))
                         : null;
         if (!reader.faults.isEmpty()) {
             throw new BadScenario(reader.faults);
@@ -87,7 +87,7 @@
         return scenario;
     }
 
-    private Scenario scenario(Part top) {
+    private Scenario scenario(ScenarioTable top) {
         String name = top.text("name", null);
         String about = top.text("about", "");
         long length = top.time("length", null);
@@ -100,7 +100,7 @@
             top.fault("classes", "at least one, begun with [[classes]]");
         }
         List<Tenant> tenants = new ArrayList<>();
-        for (Part part : top.parts("tenants")) {
+        for (ScenarioTable part : top.parts("tenants")) {
             tenants.add(
                     new Tenant(
                             part.text("name", null),
@@ -111,7 +111,7 @@
         ClientLaw clients = clients(top.part("clients"));
         NetworkLaw network = network(top.part("network"));
         FleetLaw fleet = fleet(top.part("fleet"));
-        Part list = top.part("list");
+        ScenarioTable list = top.part("list");
         long[] delay = list.times("delay", "500ms");
         list.end();
         RuleLaw rules = rules(top.part("rules"));
@@ -150,7 +150,7 @@
         }
     }
 
-    private static ClassLaw requestClass(Part part) {
+    private static ClassLaw requestClass(ScenarioTable part) {
         long[] work = part.times("work", null);
         Draw draw = part.word("draw", work[0] == work[1] ? Draw.FIXED : Draw.UNIFORM, Draw.class);
         RequestClass rules =
@@ -170,9 +170,9 @@
         return law;
     }
 
-    private static ClientLaw clients(Part part) {
+    private static ClientLaw clients(ScenarioTable part) {
         List<Surge> surges = new ArrayList<>();
-        for (Part surge : part.parts("surges")) {
+        for (ScenarioTable surge : part.parts("surges")) {
             surges.add(
                     new Surge(
                             surge.time("at", null),
@@ -197,7 +197,7 @@
         return law;
     }
 
-    private static NetworkLaw network(Part part) {
+    private static NetworkLaw network(ScenarioTable part) {
         NetworkLaw law =
                 new NetworkLaw(
                         part.time("near", "200us"),
@@ -211,10 +211,10 @@
         return law;
     }
 
-    private static FleetLaw fleet(Part part) {
-        Part jam = part.part("jam");
-        WorkerLaw.Jam jamLaw =
-                new WorkerLaw.Jam(
+    private static FleetLaw fleet(ScenarioTable part) {
+        ScenarioTable jam = part.part("jam");
+        ServerLimits.Jam jamLaw =
+                new ServerLimits.Jam(
                         jam.number(
                                 "waiting_per_core",
                                 Double.POSITIVE_INFINITY,
@@ -225,9 +225,9 @@
                         jam.number("idle", 0.5, 0, 1000),
                         jam.time("calm", "1s"));
         jam.end();
-        Part cold = part.part("cold");
-        WorkerLaw.Cold coldLaw =
-                new WorkerLaw.Cold(
+        ScenarioTable cold = part.part("cold");
+        ServerLimits.Cold coldLaw =
+                new ServerLimits.Cold(
                         cold.number("share", 1.0, 0.001, 1),
                         cold.time("warm", "0s"),
                         cold.number(
@@ -236,8 +236,8 @@
         cold.end();
         int cores = part.whole("cores", 1, 1, 10_000);
         int slots = part.whole("slots", 1_000_000, 1, 1_000_000);
-        WorkerLaw law =
-                new WorkerLaw(
+        ServerLimits law =
+                new ServerLimits(
                         1,
                         cores,
                         slots,
@@ -265,7 +265,7 @@
         return fleet;
     }
 
-    private static RuleLaw rules(Part part) {
+    private static RuleLaw rules(ScenarioTable part) {
         RuleLaw law =
                 new RuleLaw(
                         part.whole("attempts", 3, 1, 100),
@@ -278,7 +278,7 @@
         return law;
     }
 
-    private static Scenario.Fault trouble(Part part, List<String> zones) {
+    private static Scenario.Fault trouble(ScenarioTable part, List<String> zones) {
         Trouble trouble = part.word("trouble", null, Trouble.class);
         String zone = part.text("zone", "");
         if (!zone.isEmpty() && !zones.contains(zone)) {
--- a/lab/src/main/java/trailthread/lab/scenario/Part.java
+++ b/lab/src/main/java/trailthread/lab/scenario/ScenarioTable.java
@@ -17,7 +17,7 @@
  * must be, and at its end what nobody asked for. A value with a fault is handed out as if it were
  * not given.
  */
-final class Part {
+final class ScenarioTable {
     private final String file;
     private final List<Fault> faults;
     private final TomlTable table;
@@ -26,7 +26,8 @@
     private final TreeSet<String> asked = new TreeSet<>();
 
     /** With no table, all values are as if they were not given. */
-    Part(String file, List<Fault> faults, TomlTable table, TomlPosition position, String path) {
+    ScenarioTable(
+            String file, List<Fault> faults, TomlTable table, TomlPosition position, String path) {
         this.file = file;
         this.faults = faults;
         this.table = table;
@@ -221,14 +222,14 @@
     }
 
     /** A table within; without one, all its values are as if they were not given. */
-    Part part(String key) {
+    ScenarioTable part(String key) {
         asked.add(key);
         Object value = table == null ? null : table.get(List.of(key));
         if (value != null && !(value instanceof TomlTable)) {
             fault(key, "a table");
         }
         boolean there = value instanceof TomlTable;
-        return new Part(
+        return new ScenarioTable(
                 file,
                 faults,
                 there ? (TomlTable) value : null,
@@ -237,17 +238,17 @@
     }
 
     /** A list of tables. */
-    List<Part> parts(String key) {
+    List<ScenarioTable> parts(String key) {
         asked.add(key);
         Object value = table == null ? null : table.get(List.of(key));
-        List<Part> parts = new ArrayList<>();
+        List<ScenarioTable> parts = new ArrayList<>();
         boolean fit = value == null || value instanceof TomlArray;
         for (int i = 0; fit && value != null && i < ((TomlArray) value).size(); i++) {
             TomlArray array = (TomlArray) value;
             fit = array.get(i) instanceof TomlTable;
             if (fit) {
                 parts.add(
-                        new Part(
+                        new ScenarioTable(
                                 file,
                                 faults,
                                 array.getTable(i),
--- a/lab/src/main/java/trailthread/lab/process/Incoming.java
+++ b/lab/src/main/java/trailthread/lab/server/IncomingRequest.java
@@ -1,7 +1,7 @@
-package trailthread.lab.process;
+package trailthread.lab.server;
 
 /** A request at a worker's process, whoever brought it. */
-public interface Incoming {
+public interface IncomingRequest {
     /** What a worker says in the end. */
     enum Answer {
         /** Served. */
--- a/lab/src/main/java/trailthread/lab/process/Ills.java
+++ b/lab/src/main/java/trailthread/lab/server/ServerFaults.java
@@ -1,7 +1,7 @@
-package trailthread.lab.process;
+package trailthread.lab.server;
 
 /** What is wrong with a worker just now: shares of its requests, 0 to 1; all 0 at first. */
-public final class Ills {
+public final class ServerFaults {
     /** Failed at once. */
     public double failing;
 
--- a/lab/src/main/java/trailthread/lab/process/WorkerProcess.java
+++ b/lab/src/main/java/trailthread/lab/server/ServerProcess.java
@@ -1,4 +1,4 @@
-package trailthread.lab.process;
+package trailthread.lab.server;
 
 import java.util.ArrayDeque;
 import java.util.LinkedHashMap;
@@ -6,18 +6,18 @@
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
 import trailthread.api.LoadReport;
-import trailthread.lab.agenda.Agenda;
-import trailthread.lab.process.Incoming.Answer;
-import trailthread.lab.random.Streams;
+import trailthread.lab.event.EventQueue;
+import trailthread.lab.model.ServerLimits;
+import trailthread.lab.model.ServerModel;
+import trailthread.lab.random.RandomStreams;
 import trailthread.lab.scenario.Scenario.FleetLaw;
-import trailthread.lab.worker.WorkerLaw;
-import trailthread.lab.worker.WorkerModel;
+import trailthread.lab.server.IncomingRequest.Answer;
 
 /**
  * A worker's process: its model, its reports, and what is wrong with it. Driven by an agenda, whose
  * time may be virtual or real.
  */
-public final class WorkerProcess {
+public final class ServerProcess {
     /** How long a worker that fails at once takes for it. */
     private static final long FAST_ERROR_NS = 1_000_000L;
 
@@ -30,21 +30,21 @@
     private record Report(long at, double inflight, double queue) {}
 
     /** What is wrong with it. */
-    public final Ills ills = new Ills();
+    public final ServerFaults ills = new ServerFaults();
 
-    private final Agenda agenda;
+    private final EventQueue agenda;
     private final FleetLaw fleet;
-    private final WorkerLaw law;
+    private final ServerLimits law;
     private final Runnable fell;
     private final UniformRandomProvider reportRandom;
     private final UniformRandomProvider illRandom;
     private final ArrayDeque<Report> reports = new ArrayDeque<>();
 
     /** What is here, in the order in which it came. */
-    private final Map<Incoming, WorkerModel.Job> here = new LinkedHashMap<>();
+    private final Map<IncomingRequest, ServerModel.Job> here = new LinkedHashMap<>();
 
-    private WorkerModel model;
-    private Agenda.Entry wake;
+    private ServerModel model;
+    private EventQueue.Entry wake;
     private long wakesAt = Long.MAX_VALUE;
     private boolean up = true;
     private int life;
@@ -61,12 +61,12 @@
      * @param cold whether it has just started
      * @param fell is run when it is pushed over while cold; the process is down then
      */
-    public WorkerProcess(
-            Agenda agenda,
-            Streams streams,
+    public ServerProcess(
+            EventQueue agenda,
+            RandomStreams streams,
             FleetLaw fleet,
             String name,
-            WorkerLaw law,
+            ServerLimits law,
             boolean cold,
             Runnable fell) {
         this.agenda = agenda;
@@ -75,7 +75,7 @@
         this.fell = fell;
         reportRandom = streams.of("reports of " + name);
         illRandom = streams.of("ills of " + name);
-        model = new WorkerModel(law, agenda.now(), cold);
+        model = new ServerModel(law, agenda.now(), cold);
         startedAt = cold ? agenda.now() : 0;
         if (fleet.reports()) {
             refresh();
@@ -92,7 +92,7 @@
             reports.poll();
         }
         agenda.in(
-                (long) Streams.uniform(reportRandom, fleet.everyLowNs(), fleet.everyHighNs()),
+                (long) RandomStreams.uniform(reportRandom, fleet.everyLowNs(), fleet.everyHighNs()),
                 this::refresh);
     }
 
@@ -140,7 +140,7 @@
     }
 
     /** Its work, by the law. */
-    public WorkerModel model() {
+    public ServerModel model() {
         return model;
     }
 
@@ -165,7 +165,7 @@
     }
 
     /** A request's last byte has come. */
-    public void arrived(Incoming incoming) {
+    public void arrived(IncomingRequest incoming) {
         if (draws(ills.failing)) {
             incoming.begins();
             agenda.in(FAST_ERROR_NS, () -> incoming.answers(Answer.ERROR, 0));
@@ -190,8 +190,8 @@
     }
 
     /** Its node has closed the connection of a request that may be here. */
-    public void givenUp(Incoming incoming) {
-        WorkerModel.Job job = here.remove(incoming);
+    public void givenUp(IncomingRequest incoming) {
+        ServerModel.Job job = here.remove(incoming);
         if (job != null) {
             advance();
             model.drop(agenda.now(), job);
@@ -231,7 +231,7 @@
         return share > 0 && illRandom.nextDouble() < share;
     }
 
-    private void done(WorkerModel.Job job) {
+    private void done(ServerModel.Job job) {
         Served served = (Served) job;
         if (served.after != null) {
             served.after.run();
@@ -282,10 +282,10 @@
         if (up) {
             up = false;
             life++;
-            List<Incoming> broken = List.copyOf(here.keySet());
+            List<IncomingRequest> broken = List.copyOf(here.keySet());
             here.clear();
             model.clear();
-            broken.forEach(Incoming::breaks);
+            broken.forEach(IncomingRequest::breaks);
         }
     }
 
@@ -293,20 +293,20 @@
     public void comeUp() {
         up = true;
         startedAt = agenda.now();
-        model = new WorkerModel(law, agenda.now(), true);
+        model = new ServerModel(law, agenda.now(), true);
         if (slower != 1) {
             model.slow(agenda.now(), slower, job -> {});
         }
     }
 
     /** A request of a node's, or work with something to do after it. */
-    private static final class Served extends WorkerModel.Job {
-        private final Incoming incoming;
+    private static final class Served extends ServerModel.Job {
+        private final IncomingRequest incoming;
         private final Runnable after;
         private final long at;
         private int depth;
 
-        Served(double work, Incoming incoming, Runnable after, long at) {
+        Served(double work, IncomingRequest incoming, Runnable after, long at) {
             super(work);
             this.incoming = incoming;
             this.after = after;
--- a/lab/src/main/java/trailthread/lab/world/SimAttempt.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
@@ -1,19 +1,19 @@
-package trailthread.lab.world;
+package trailthread.lab.simulation;
 
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
-import trailthread.lab.agenda.Agenda;
-import trailthread.lab.process.Incoming;
+import trailthread.lab.event.EventQueue;
+import trailthread.lab.server.IncomingRequest;
 
 /** One attempt of a call, from its node to a worker and back, in virtual time. */
-final class SimAttempt implements Incoming {
-    final SimCall call;
+final class SimulatedAttempt implements IncomingRequest {
+    final SimulatedRequest call;
     final int number;
-    final SimWorker worker;
-    private final World world;
-    private final SimNode node;
+    final SimulatedServer worker;
+    private final Simulation world;
+    private final SimulatedNode node;
     private final long sentAt;
-    private Agenda.Entry timeout;
+    private EventQueue.Entry timeout;
     private boolean over;
 
     /** It has a connection, of this life of its worker. */
@@ -25,7 +25,12 @@
     /** It counts among those that are on their way. */
     private boolean coming = true;
 
-    SimAttempt(World world, SimNode node, SimCall call, int number, SimWorker worker) {
+    SimulatedAttempt(
+            Simulation world,
+            SimulatedNode node,
+            SimulatedRequest call,
+            int number,
+            SimulatedServer worker) {
         this.world = world;
         this.node = node;
         this.call = call;
--- a/lab/src/main/java/trailthread/lab/world/SimRoster.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedDiscovery.java
@@ -1,4 +1,4 @@
-package trailthread.lab.world;
+package trailthread.lab.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,23 +8,23 @@
 import trailthread.api.EndpointEntry;
 import trailthread.api.EndpointState;
 import trailthread.api.ListKind;
-import trailthread.lab.random.Streams;
+import trailthread.lab.random.RandomStreams;
 
 /**
  * The list of workers in virtual time: told to those who watch, late, in order, or not at all while
  * it is down.
  */
-final class SimRoster {
-    private final World world;
+final class SimulatedDiscovery {
+    private final Simulation world;
     private final UniformRandomProvider random;
 
     /** In the order in which workers were first named. */
-    private final List<SimWorker> listed = new ArrayList<>();
+    private final List<SimulatedServer> listed = new ArrayList<>();
 
-    private final Map<SimNode, Long> lastTold = new HashMap<>();
+    private final Map<SimulatedNode, Long> lastTold = new HashMap<>();
     private boolean down;
 
-    SimRoster(World world) {
+    SimulatedDiscovery(Simulation world) {
         this.world = world;
         random = world.streams().of("roster");
     }
@@ -36,19 +36,19 @@
         return entries;
     }
 
-    void add(SimWorker worker) {
+    void add(SimulatedServer worker) {
         listed.add(worker);
         changed(worker, worker.state);
     }
 
     /** A worker's state is this now. */
-    void changed(SimWorker worker, EndpointState state) {
+    void changed(SimulatedServer worker, EndpointState state) {
         worker.state = state;
         EndpointEntry entry = worker.entry();
         if (state == EndpointState.GONE) {
             listed.remove(worker);
         }
-        for (SimNode node : world.nodes()) {
+        for (SimulatedNode node : world.nodes()) {
             if (node.watches && !down) {
                 tell(node, () -> node.list(ListKind.DELTA, List.of(entry)));
             }
@@ -56,15 +56,15 @@
     }
 
     /** After the usual delay, and after all that was to be told before. */
-    private void tell(SimNode node, Runnable news) {
+    private void tell(SimulatedNode node, Runnable news) {
         var law = world.scenario().list();
-        long at = world.now() + (long) Streams.uniform(random, law.lowNs(), law.highNs());
+        long at = world.now() + (long) RandomStreams.uniform(random, law.lowNs(), law.highNs());
         at = Math.max(at, lastTold.getOrDefault(node, 0L));
         lastTold.put(node, at);
         world.agenda().at(at, () -> node.input(news));
     }
 
-    void watch(SimNode node, boolean on) {
+    void watch(SimulatedNode node, boolean on) {
         if (!on || down) {
             node.watches = false;
             if (on) {
@@ -76,7 +76,7 @@
         whole(node);
     }
 
-    void fetch(SimNode node) {
+    void fetch(SimulatedNode node) {
         if (down) {
             failed(node);
         } else {
@@ -84,7 +84,7 @@
         }
     }
 
-    private void whole(SimNode node) {
+    private void whole(SimulatedNode node) {
         List<EndpointEntry> entries = whole();
         long at =
                 Math.max(
@@ -94,7 +94,7 @@
         world.agenda().at(at, () -> node.input(() -> node.list(ListKind.FULL, entries)));
     }
 
-    private void failed(SimNode node) {
+    private void failed(SimulatedNode node) {
         world.agenda()
                 .in(
                         world.scenario().list().lowNs(),
@@ -105,7 +105,7 @@
     void down(boolean on) {
         down = on;
         if (on) {
-            for (SimNode node : world.nodes()) {
+            for (SimulatedNode node : world.nodes()) {
                 if (node.watches) {
                     node.watches = false;
                     failed(node);
--- a/lab/src/main/java/trailthread/lab/world/SimNode.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
@@ -1,4 +1,4 @@
-package trailthread.lab.world;
+package trailthread.lab.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,16 +13,16 @@
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
 import trailthread.api.Settings;
-import trailthread.lab.clients.Ask;
-import trailthread.lab.referee.CallTerms;
-import trailthread.lab.referee.Referee;
-import trailthread.lab.troubles.Stricken;
+import trailthread.lab.clients.ClientRequest;
+import trailthread.lab.fault.FaultTarget;
+import trailthread.lab.invariant.InvariantChecker;
+import trailthread.lab.invariant.RequestTerms;
 
 /**
  * A node in virtual time: hosts one instance of the decisions under test, which learns and acts by
  * it alone.
  */
-final class SimNode implements BalancerActions, Stricken.Node {
+final class SimulatedNode implements BalancerActions, FaultTarget.Node {
     /**
      * What one event may ask for, and what a node may have set as timers: past it the decisions run
      * wild.
@@ -41,9 +41,9 @@
     final int number;
     final String name;
     final String zone;
-    private final World world;
-    private final Map<Long, SimCall> calls = new LinkedHashMap<>();
-    private final Map<SimWorker, ArrayDeque<Idle>> idle = new LinkedHashMap<>();
+    private final Simulation world;
+    private final Map<Long, SimulatedRequest> calls = new LinkedHashMap<>();
+    private final Map<SimulatedServer, ArrayDeque<Idle>> idle = new LinkedHashMap<>();
     private final ArrayDeque<Runnable> asked = new ArrayDeque<>();
     private BalancerEvents module;
     private boolean busy;
@@ -57,7 +57,7 @@
     private long lastAt;
     boolean watches;
 
-    SimNode(World world, int number, String zone) {
+    SimulatedNode(Simulation world, int number, String zone) {
         this.world = world;
         this.number = number;
         this.name = "n" + number;
@@ -156,7 +156,7 @@
         diedAt = world.now();
         watches = false;
         life++;
-        List<SimCall> had = new ArrayList<>(calls.values());
+        List<SimulatedRequest> had = new ArrayList<>(calls.values());
         calls.clear();
         asked.clear();
         timers = 0;
@@ -169,13 +169,13 @@
                                     }
                                 }));
         idle.clear();
-        for (SimCall call : had) {
+        for (SimulatedRequest call : had) {
             if (call.out != null) {
                 call.out.dies();
             }
             world.referee().forget(call.name);
             if (!call.finished) {
-                call.ask.saw(Ask.Seen.NOTHING, 0);
+                call.ask.saw(ClientRequest.Seen.NOTHING, 0);
             }
         }
     }
@@ -188,14 +188,14 @@
         atOnce = now == lastAt ? atOnce + 1 : 0;
         lastAt = now;
         if (atOnce > MOST_ACTIONS) {
-            throw new ModuleFault(
+            throw new BalancerFailureException(
                     now, number, "more than " + MOST_ACTIONS + " events without time passing");
         }
         long begun = System.nanoTime();
         telling.tell(module, now);
         world.figures().decided(System.nanoTime() - begun);
         if (asked.size() > MOST_ACTIONS) {
-            throw new ModuleFault(
+            throw new BalancerFailureException(
                     now, number, "one event asked for more than " + MOST_ACTIONS + " actions");
         }
         if (busy) {
@@ -212,8 +212,9 @@
     }
 
     /** Takes a call whose client waits until this time. */
-    void take(Ask ask, long until) {
-        SimCall call = new SimCall(world.nextId(), world.nextSerial(), ask, world.now(), until);
+    void take(ClientRequest ask, long until) {
+        SimulatedRequest call =
+                new SimulatedRequest(world.nextId(), world.nextSerial(), ask, world.now(), until);
         calls.put(call.id, call);
         var rules = ask.law().rules();
         world.referee()
@@ -221,7 +222,7 @@
                         world.now(),
                         call.name,
                         name,
-                        new CallTerms(
+                        new RequestTerms(
                                 rules.name(),
                                 rules.idempotency(),
                                 rules.deduplicationScope(),
@@ -243,7 +244,7 @@
     }
 
     /** The client's time is over. */
-    private void clientLeaves(SimCall call) {
+    private void clientLeaves(SimulatedRequest call) {
         if (call.finished || !calls.containsKey(call.id)) {
             return;
         }
@@ -256,20 +257,20 @@
             world.referee().overdue(world.now(), call.name);
         }
         call.finished = true;
-        call.ask.saw(Ask.Seen.NOTHING, 0);
+        call.ask.saw(ClientRequest.Seen.NOTHING, 0);
         input(() -> event((m, now) -> m.gone(now, call.id)));
         forgetIfDone(call);
     }
 
     /** An attempt has ended; what that came to is told to the client first. */
-    void ended(SimAttempt attempt, Outcome outcome, long latencyNs, LoadReport load) {
-        SimCall call = attempt.call;
+    void ended(SimulatedAttempt attempt, Outcome outcome, long latencyNs, LoadReport load) {
+        SimulatedRequest call = attempt.call;
         call.out = null;
         world.referee().ended(world.now(), call.name, attempt.number, outcome);
         input(
                 () -> {
                     if (outcome == Outcome.OK && !call.finished) {
-                        answer(call, Ask.Seen.SERVED, 0, "served");
+                        answer(call, ClientRequest.Seen.SERVED, 0, "served");
                     }
                     boolean closed = call.finished;
                     event(
@@ -286,7 +287,8 @@
                 });
     }
 
-    private void answer(SimCall call, Ask.Seen seen, long retryAfterNs, String how) {
+    private void answer(
+            SimulatedRequest call, ClientRequest.Seen seen, long retryAfterNs, String how) {
         world.referee().answered(world.now(), call.name, how);
         if (!call.finished) {
             call.finished = true;
@@ -295,7 +297,7 @@
         forgetIfDone(call);
     }
 
-    private void forgetIfDone(SimCall call) {
+    private void forgetIfDone(SimulatedRequest call) {
         if (call.finished && call.out == null) {
             calls.remove(call.id);
         }
@@ -321,7 +323,7 @@
      * Takes the idle connection that was used last, if there is one that the worker has not closed
      * yet.
      */
-    boolean takesIdle(SimWorker worker) {
+    boolean takesIdle(SimulatedServer worker) {
         ArrayDeque<Idle> connections = idle.get(worker);
         if (connections == null) {
             return false;
@@ -338,7 +340,7 @@
         return connections.pollLast() != null;
     }
 
-    void keepsIdle(SimWorker worker, int of) {
+    void keepsIdle(SimulatedServer worker, int of) {
         if (worker.process().life() == of) {
             idle.computeIfAbsent(worker, w -> new ArrayDeque<>())
                     .addLast(new Idle(of, world.now()));
@@ -348,10 +350,10 @@
     // ---- actions
     // -----------------------------------------------------------------------------------
 
-    private SimWorker worker(String endpoint) {
-        SimWorker worker = world.worker(endpoint);
+    private SimulatedServer worker(String endpoint) {
+        SimulatedServer worker = world.worker(endpoint);
         if (worker == null) {
-            throw new ModuleFault(
+            throw new BalancerFailureException(
                     world.now(), number, "a worker that no list has named: " + endpoint);
         }
         return worker;
@@ -361,8 +363,8 @@
     public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
         asked.add(
                 () -> {
-                    SimWorker worker = worker(endpoint);
-                    SimCall call = calls.get(id);
+                    SimulatedServer worker = worker(endpoint);
+                    SimulatedRequest call = calls.get(id);
                     if (call == null) {
                         return; // it ended a moment ago
                     }
@@ -384,7 +386,7 @@
                                                 null));
                         return;
                     }
-                    call.out = new SimAttempt(world, this, call, attempt, worker);
+                    call.out = new SimulatedAttempt(world, this, call, attempt, worker);
                     world.figures().sends(worker.index);
                     world.referee()
                             .sent(
@@ -392,7 +394,8 @@
                                     call.name,
                                     attempt,
                                     name,
-                                    new Referee.Place(worker.name, worker.zone, worker.cell));
+                                    new InvariantChecker.Place(
+                                            worker.name, worker.zone, worker.cell));
                     call.out.send(timeoutNs == 0 ? left : Math.min(timeoutNs, left));
                 });
     }
@@ -401,10 +404,10 @@
     public void refuse(long id, long retryAfterNs) {
         asked.add(
                 () -> {
-                    SimCall call = calls.get(id);
+                    SimulatedRequest call = calls.get(id);
                     if (call != null) {
                         world.figures().refuses();
-                        answer(call, Ask.Seen.REFUSED, retryAfterNs, "refused");
+                        answer(call, ClientRequest.Seen.REFUSED, retryAfterNs, "refused");
                     }
                 });
     }
@@ -413,9 +416,9 @@
     public void fail(long id) {
         asked.add(
                 () -> {
-                    SimCall call = calls.get(id);
+                    SimulatedRequest call = calls.get(id);
                     if (call != null) {
-                        answer(call, Ask.Seen.FAILED, 0, "failed");
+                        answer(call, ClientRequest.Seen.FAILED, 0, "failed");
                     }
                 });
     }
@@ -424,7 +427,7 @@
     public void cancel(long id, int attempt) {
         asked.add(
                 () -> {
-                    SimCall call = calls.get(id);
+                    SimulatedRequest call = calls.get(id);
                     if (call != null && call.out != null && call.out.number == attempt) {
                         call.out.giveUp(Outcome.CANCELLED);
                     }
@@ -435,7 +438,8 @@
     public void timer(long delayNs, long token) {
         int of = life;
         if (++timers > MOST_TIMERS) {
-            throw new ModuleFault(world.now(), number, "more than " + MOST_TIMERS + " timers");
+            throw new BalancerFailureException(
+                    world.now(), number, "more than " + MOST_TIMERS + " timers");
         }
         world.agenda()
                 .in(
@@ -452,7 +456,7 @@
     public void probe(String endpoint) {
         asked.add(
                 () -> {
-                    SimWorker worker = worker(endpoint);
+                    SimulatedServer worker = worker(endpoint);
                     world.figures().probes();
                     long begun = world.now();
                     boolean[] over = new boolean[1];
@@ -501,7 +505,11 @@
     }
 
     private void healthChecked(
-            SimWorker worker, Outcome outcome, long latencyNs, LoadReport load, boolean[] over) {
+            SimulatedServer worker,
+            Outcome outcome,
+            long latencyNs,
+            LoadReport load,
+            boolean[] over) {
         if (!over[0] && up) {
             over[0] = true;
             input(
@@ -517,7 +525,7 @@
     public void closeIdle(String endpoint) {
         asked.add(
                 () -> {
-                    SimWorker worker = worker(endpoint);
+                    SimulatedServer worker = worker(endpoint);
                     ArrayDeque<Idle> connections = idle.remove(worker);
                     if (connections != null) {
                         worker.connections -=
@@ -531,7 +539,8 @@
 
     @Override
     public void tell(int peer, byte[] data) {
-        throw new ModuleFault(world.now(), number, "a message to a peer: nodes share nothing here");
+        throw new BalancerFailureException(
+                world.now(), number, "a message to a peer: nodes share nothing here");
     }
 
     @Override
--- a/lab/src/main/java/trailthread/lab/world/SimCall.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedRequest.java
@@ -1,23 +1,23 @@
-package trailthread.lab.world;
+package trailthread.lab.simulation;
 
-import trailthread.lab.clients.Ask;
+import trailthread.lab.clients.ClientRequest;
 
 /** A call at a node. */
-final class SimCall {
+final class SimulatedRequest {
     final long id;
 
     /** Over all nodes, in the order of the calls. */
     final long serial;
 
     final String name;
-    final Ask ask;
+    final ClientRequest ask;
     final long deadline;
     final long takenAt;
     int attempts;
-    SimAttempt out;
+    SimulatedAttempt out;
     boolean finished;
 
-    SimCall(long id, long serial, Ask ask, long takenAt, long deadline) {
+    SimulatedRequest(long id, long serial, ClientRequest ask, long takenAt, long deadline) {
         this.id = id;
         this.serial = serial;
         this.name = Long.toString(serial);
--- a/lab/src/main/java/trailthread/lab/world/SimWorker.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedServer.java
@@ -1,32 +1,32 @@
-package trailthread.lab.world;
+package trailthread.lab.simulation;
 
 import trailthread.api.EndpointEntry;
 import trailthread.api.EndpointState;
-import trailthread.lab.process.WorkerProcess;
-import trailthread.lab.troubles.Stricken;
-import trailthread.lab.worker.WorkerLaw;
+import trailthread.lab.fault.FaultTarget;
+import trailthread.lab.model.ServerLimits;
+import trailthread.lab.server.ServerProcess;
 
 /** A worker in virtual time: its process, its connections, and what its roster says of it. */
-final class SimWorker implements Stricken.Worker {
+final class SimulatedServer implements FaultTarget.Worker {
     final String name;
     final int index;
     final String zone;
     final int cell;
-    private final World world;
-    private final WorkerProcess process;
+    private final Simulation world;
+    private final ServerProcess process;
     EndpointState state = EndpointState.READY;
     int connections;
 
     /** Attempts that are on their way to it. */
     int coming;
 
-    SimWorker(
-            World world,
+    SimulatedServer(
+            Simulation world,
             String name,
             int index,
             String zone,
             int cell,
-            WorkerLaw law,
+            ServerLimits law,
             boolean cold) {
         this.world = world;
         this.name = name;
@@ -34,7 +34,7 @@
         this.zone = zone;
         this.cell = cell;
         process =
-                new WorkerProcess(
+                new ServerProcess(
                         world.agenda(),
                         world.streams(),
                         world.scenario().fleet(),
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public WorkerProcess process() {
+    public ServerProcess process() {
         return process;
     }
 
--- a/lab/src/main/java/trailthread/lab/world/World.java
+++ b/lab/src/main/java/trailthread/lab/simulation/Simulation.java
@@ -1,4 +1,4 @@
-package trailthread.lab.world;
+package trailthread.lab.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,27 +8,27 @@
 import trailthread.api.EndpointState;
 import trailthread.api.LoadReportSource;
 import trailthread.api.Settings;
-import trailthread.lab.agenda.Agenda;
-import trailthread.lab.clients.Ask;
-import trailthread.lab.clients.Clients;
-import trailthread.lab.clients.Front;
-import trailthread.lab.figures.Figures;
-import trailthread.lab.peers.Policy;
-import trailthread.lab.peers.Truth;
-import trailthread.lab.random.Streams;
-import trailthread.lab.referee.Referee;
+import trailthread.lab.baseline.FleetView;
+import trailthread.lab.baseline.Policy;
+import trailthread.lab.clients.ClientPopulation;
+import trailthread.lab.clients.ClientRequest;
+import trailthread.lab.clients.RequestSink;
+import trailthread.lab.event.EventQueue;
+import trailthread.lab.fault.FaultInjector;
+import trailthread.lab.fault.FaultTarget;
+import trailthread.lab.invariant.InvariantChecker;
+import trailthread.lab.metrics.RunMetrics;
+import trailthread.lab.model.ServerLimits;
+import trailthread.lab.random.RandomStreams;
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.Scenario.NetworkLaw;
-import trailthread.lab.troubles.Stricken;
-import trailthread.lab.troubles.Troubles;
-import trailthread.lab.worker.WorkerLaw;
 
 /**
  * A day in virtual time: clients, nodes with the decisions under test, the network, workers, the
  * roster and what goes wrong. One seed gives one history. Runs on the thread that calls it and
  * shares nothing, so that many can run at once.
  */
-public final class World implements Front, Stricken {
+public final class Simulation implements RequestSink, FaultTarget {
     /** Virtual clocks begin at an odd time, so that nothing rests on zero. */
     private static final long BEGIN = 1_000_000_000_000L;
 
@@ -39,45 +39,51 @@
 
     private final Scenario scenario;
     private final Policy policy;
-    private final Streams streams;
-    private final Agenda agenda = new Agenda(BEGIN);
-    private final Referee referee;
-    private final Figures figures;
-    private final List<SimNode> nodes = new ArrayList<>();
-    private final List<SimWorker> workers = new ArrayList<>();
-    private final Map<String, SimWorker> byName = new HashMap<>();
-    private final SimRoster roster;
-    private final Clients clients;
+    private final RandomStreams streams;
+    private final EventQueue agenda = new EventQueue(BEGIN);
+    private final InvariantChecker referee;
+    private final RunMetrics figures;
+    private final List<SimulatedNode> nodes = new ArrayList<>();
+    private final List<SimulatedServer> workers = new ArrayList<>();
+    private final Map<String, SimulatedServer> byName = new HashMap<>();
+    private final SimulatedDiscovery roster;
+    private final ClientPopulation clients;
     private final UniformRandomProvider network;
     private final UniformRandomProvider speeds;
     private long lastId;
     private long serials;
     private String cutZone;
 
-    private World(Scenario scenario, Policy policy, long seed) {
+    private Simulation(Scenario scenario, Policy policy, long seed) {
         this.scenario = scenario;
         this.policy = policy;
-        streams = new Streams(seed);
-        referee = new Referee(scenario.rules().responseSlackNs(), scenario.rules().drainGraceNs());
-        figures = new Figures(BEGIN, BEGIN + scenario.warmUpNs());
+        streams = new RandomStreams(seed);
+        referee =
+                new InvariantChecker(
+                        scenario.rules().responseSlackNs(), scenario.rules().drainGraceNs());
+        figures = new RunMetrics(BEGIN, BEGIN + scenario.warmUpNs());
         network = streams.of("network");
         speeds = streams.of("speeds");
-        roster = new SimRoster(this);
-        clients = new Clients(agenda, streams, scenario, figures, this);
+        roster = new SimulatedDiscovery(this);
+        clients = new ClientPopulation(agenda, streams, scenario, figures, this);
     }
 
     /** What came of a day, and how it was judged. */
     public record Day(
-            Figures figures, Referee referee, long events, long wallNs, List<String> workers) {}
+            RunMetrics figures,
+            InvariantChecker referee,
+            long events,
+            long wallNs,
+            List<String> workers) {}
 
     /**
      * Plays a day.
      *
-     * @throws ModuleFault if the decisions ask for what nobody can do
+     * @throws BalancerFailureException if the decisions ask for what nobody can do
      */
     public static Day play(Scenario scenario, Policy policy, long seed) {
         long begun = System.nanoTime();
-        World world = new World(scenario, policy, seed);
+        Simulation world = new Simulation(scenario, policy, seed);
         world.run();
         return new Day(
                 world.figures,
@@ -92,10 +98,11 @@
             addWorker(scenario.zones().get(i % scenario.zones().size()), i, false);
         }
         for (int i = 0; i < scenario.nodes(); i++) {
-            nodes.add(new SimNode(this, i, scenario.zones().get(i % scenario.zones().size())));
+            nodes.add(
+                    new SimulatedNode(this, i, scenario.zones().get(i % scenario.zones().size())));
         }
-        nodes.forEach(SimNode::start);
-        Troubles.arrange(agenda, streams, scenario.faults(), this);
+        nodes.forEach(SimulatedNode::start);
+        FaultInjector.arrange(agenda, streams, scenario.faults(), this);
         long end = BEGIN + scenario.lengthNs();
         clients.begin(end);
         sample(end);
@@ -110,11 +117,12 @@
     /** A worker under a new name. */
     void addWorker(String zone, int place, boolean cold) {
         var fleet = scenario.fleet();
-        WorkerLaw own =
-                fleet.law().at(Streams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
+        ServerLimits own =
+                fleet.law().at(RandomStreams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
         int cell = fleet.cells() > 0 ? place % fleet.cells() : -1;
-        SimWorker worker =
-                new SimWorker(this, "w" + workers.size(), workers.size(), zone, cell, own, cold);
+        SimulatedServer worker =
+                new SimulatedServer(
+                        this, "w" + workers.size(), workers.size(), zone, cell, own, cold);
         workers.add(worker);
         byName.put(worker.name, worker);
         roster.add(worker);
@@ -124,10 +132,10 @@
     // ---------------------------------------------------------------------
 
     @Override
-    public void take(Ask ask, int zone, double draw, long until) {
-        SimNode node = chosen(scenario.zones().get(zone), draw);
+    public void take(ClientRequest ask, int zone, double draw, long until) {
+        SimulatedNode node = chosen(scenario.zones().get(zone), draw);
         if (node == null || !node.isUp()) {
-            ask.saw(Ask.Seen.UNREACHABLE, 0);
+            ask.saw(ClientRequest.Seen.UNREACHABLE, 0);
         } else {
             boolean[] heard = new boolean[1];
             node.input(
@@ -143,7 +151,7 @@
                         until + 1,
                         () -> {
                             if (!heard[0]) {
-                                ask.saw(Ask.Seen.NOTHING, 0);
+                                ask.saw(ClientRequest.Seen.NOTHING, 0);
                             }
                         });
             }
@@ -151,17 +159,17 @@
     }
 
     /** One of the zone's, or, if its front knows of none there, of all; null: there is none. */
-    private SimNode chosen(String zone, double draw) {
+    private SimulatedNode chosen(String zone, double draw) {
         int near = 0;
         int all = 0;
-        for (SimNode node : nodes) {
+        for (SimulatedNode node : nodes) {
             if (frontKnows(node)) {
                 all++;
                 near += node.zone.equals(zone) ? 1 : 0;
             }
         }
         int left = (int) (draw * (near > 0 ? near : all));
-        for (SimNode node : nodes) {
+        for (SimulatedNode node : nodes) {
             if (frontKnows(node) && (near == 0 || node.zone.equals(zone)) && left-- == 0) {
                 return node;
             }
@@ -169,7 +177,7 @@
         return null;
     }
 
-    private boolean frontKnows(SimNode node) {
+    private boolean frontKnows(SimulatedNode node) {
         return (node.isUp() && !node.isLeaving())
                 || (!node.isUp() && agenda.now() - node.diedAt() < FRONT_LEARNS_NS);
     }
@@ -181,11 +189,11 @@
         return agenda.now();
     }
 
-    Agenda agenda() {
+    EventQueue agenda() {
         return agenda;
     }
 
-    Streams streams() {
+    RandomStreams streams() {
         return streams;
     }
 
@@ -201,30 +209,30 @@
         return policy;
     }
 
-    Referee referee() {
+    InvariantChecker referee() {
         return referee;
     }
 
-    Figures figures() {
+    RunMetrics figures() {
         figures.at(agenda.now());
         return figures;
     }
 
-    SimRoster roster() {
+    SimulatedDiscovery roster() {
         return roster;
     }
 
     @Override
-    public List<SimNode> nodes() {
+    public List<SimulatedNode> nodes() {
         return nodes;
     }
 
     @Override
-    public List<SimWorker> workers() {
+    public List<SimulatedServer> workers() {
         return workers;
     }
 
-    SimWorker worker(String name) {
+    SimulatedServer worker(String name) {
         return byName.get(name);
     }
 
@@ -266,16 +274,16 @@
                 .orElseThrow();
     }
 
-    void travel(SimNode from, SimWorker to, Runnable task) {
+    void travel(SimulatedNode from, SimulatedServer to, Runnable task) {
         travel(from.zone, to.zone, to, task);
     }
 
-    void travel(SimWorker from, SimNode to, Runnable task) {
+    void travel(SimulatedServer from, SimulatedNode to, Runnable task) {
         travel(from.zone, to.zone, from, () -> to.input(task));
     }
 
     /** One way over the network, if there is one. */
-    private void travel(String from, String to, SimWorker worker, Runnable task) {
+    private void travel(String from, String to, SimulatedServer worker, Runnable task) {
         boolean far = !from.equals(to);
         if (worker.process().ills.cut
                 || (far && cutZone != null && (from.equals(cutZone) || to.equals(cutZone)))) {
@@ -287,7 +295,7 @@
         agenda.in((long) delay, task);
     }
 
-    Settings settings(SimNode node) {
+    Settings settings(SimulatedNode node) {
         Settings s = new Settings();
         var rules = scenario.rules();
         s.tickNs = 1;
@@ -314,8 +322,8 @@
         return s;
     }
 
-    Truth truth() {
-        return new Truth() {
+    FleetView truth() {
+        return new FleetView() {
             private final double meanWork = scenario.meanWorkNs();
 
             @Override
@@ -325,7 +333,7 @@
 
             @Override
             public double stretch(String name) {
-                SimWorker w = byName.get(name);
+                SimulatedServer w = byName.get(name);
                 boolean well =
                         w.process().isUp()
                                 && w.process().ills.none()
--- a/lab/src/test/java/trailthread/lab/LabArchitectureTest.java
+++ b/lab/src/test/java/trailthread/lab/LabArchitectureTest.java
@@ -29,23 +29,23 @@
     public void theModelAndTheRefereeKnowNoClock() {
         classes()
                 .that()
-                .resideInAnyPackage("trailthread.lab.worker..")
+                .resideInAnyPackage("trailthread.lab.model..")
                 .should()
                 .onlyDependOnClassesThat(
                         resideInAnyPackage(
-                                "trailthread.lab.worker..",
+                                "trailthread.lab.model..",
                                 "java.lang..",
                                 "java.util",
                                 "java.util.function"))
                 .check(LAB);
         classes()
                 .that()
-                .resideInAnyPackage("trailthread.lab.referee..")
+                .resideInAnyPackage("trailthread.lab.invariant..")
                 .should()
                 .onlyDependOnClassesThat(
                         resideInAnyPackage(
-                                "trailthread.lab.referee..",
-                                "trailthread",
+                                "trailthread.lab.invariant..",
+                                "trailthread.api",
                                 "java.lang..",
                                 "java.util",
                                 "java.util.function"))
--- a/lab/src/test/java/trailthread/lab/real/EmulatorTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
@@ -1,4 +1,4 @@
-package trailthread.lab.real;
+package trailthread.lab.emulation;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNull;
@@ -22,7 +22,7 @@
 import trailthread.testkit.Peer;
 
 /** The stand-ins do on sockets what the scenario says. */
-public class EmulatorTest {
+public class EmulatedServerTest {
     private static final String SCENARIO =
             """
             name = "test"
@@ -42,7 +42,7 @@
             delay = "10ms"
             """;
     private final List<Socket> open = new ArrayList<>();
-    private RealDay day;
+    private Emulation day;
     private Thread loop;
     private volatile boolean ending;
 
@@ -51,7 +51,7 @@
      * moment on.
      */
     private void start(String faults) throws Exception {
-        day = new RealDay(ScenarioReader.parse("test", SCENARIO + faults), 1, 1);
+        day = new Emulation(ScenarioReader.parse("test", SCENARIO + faults), 1, 1);
         CountDownLatch begun = new CountDownLatch(1);
         loop =
                 new Thread(
--- a/lab/src/test/java/trailthread/lab/real/RealLoopTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulationLoopTest.java
@@ -1,4 +1,4 @@
-package trailthread.lab.real;
+package trailthread.lab.emulation;
 
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
@@ -7,9 +7,9 @@
 import org.junit.Test;
 
 /** A run on a machine that was too busy is no result. */
-public class RealLoopTest {
+public class EmulationLoopTest {
     private static boolean late(long eachBlocksMs) throws IOException {
-        try (RealLoop loop = new RealLoop()) {
+        try (EmulationLoop loop = new EmulationLoop()) {
             for (int i = 0; i < 50; i++) {
                 loop.agenda()
                         .in(
@@ -34,7 +34,7 @@
 
     @Test
     public void oneWithoutAnythingToDoIsNot() throws IOException {
-        try (RealLoop loop = new RealLoop()) {
+        try (EmulationLoop loop = new EmulationLoop()) {
             loop.runUntil(System.nanoTime() + 5_000_000L);
             assertFalse(loop.wasLate());
         }
--- a/lab/src/test/java/trailthread/lab/real/RealDayTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulationTest.java
@@ -1,4 +1,4 @@
-package trailthread.lab.real;
+package trailthread.lab.emulation;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
@@ -15,7 +15,7 @@
  * Real nodes between the stand-ins, through troubles of every kind that sockets know; all times are
  * generous.
  */
-public class RealDayTest {
+public class EmulationTest {
     private static final String SCENARIO =
             """
             name = "test"
@@ -97,8 +97,8 @@
                         "-Xmx64m",
                         "trailthread.daemon.Main",
                         "serve");
-        try (RealDay day = new RealDay(scenario, 7, scenario.nodes())) {
-            day.startNodes(new RealDay.Program(command, Path.of("").toAbsolutePath()), logs);
+        try (Emulation day = new Emulation(scenario, 7, scenario.nodes())) {
+            day.startNodes(new Emulation.Program(command, Path.of("").toAbsolutePath()), logs);
             day.play(true, d -> {});
             assertEquals(day.referee().violations().toString(), Map.of(), day.referee().broken());
             assertTrue("judged " + day.referee().judged(), day.referee().judged() > 500);
--- a/lab/src/test/java/trailthread/lab/real/MessageDecoderTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/MessageDecoderTest.java
@@ -1,4 +1,4 @@
-package trailthread.lab.real;
+package trailthread.lab.emulation;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
--- a/lab/src/test/java/trailthread/lab/agenda/AgendaTest.java
+++ b/lab/src/test/java/trailthread/lab/event/EventQueueTest.java
@@ -1,4 +1,4 @@
-package trailthread.lab.agenda;
+package trailthread.lab.event;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -10,11 +10,11 @@
 /**
  * The order of what happens is defined, and rests on nothing but times and the order of setting.
  */
-public class AgendaTest {
-    private final Agenda agenda = new Agenda(100);
+public class EventQueueTest {
+    private final EventQueue agenda = new EventQueue(100);
     private final List<String> done = new ArrayList<>();
 
-    private Agenda.Entry set(long at, String name) {
+    private EventQueue.Entry set(long at, String name) {
         return agenda.at(at, () -> done.add(name + "@" + agenda.now()));
     }
 
@@ -52,7 +52,7 @@
 
     @Test
     public void whatIsTakenBackDoesNotHappen() {
-        Agenda.Entry a = set(200, "a");
+        EventQueue.Entry a = set(200, "a");
         set(200, "b");
         a.cancel();
         agenda.runUntil(200);
--- a/lab/src/test/java/trailthread/lab/experiment/BootstrapTest.java
+++ b/lab/src/test/java/trailthread/lab/experiment/BootstrapTest.java
@@ -6,7 +6,7 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.junit.Test;
-import trailthread.lab.random.Streams;
+import trailthread.lab.random.RandomStreams;
 
 /** Differences that are there are told, and those that are not, not more often than they may. */
 public class BootstrapTest {
@@ -47,7 +47,7 @@
      */
     @Test
     public void theIntervalHoldsWhatItSays() {
-        UniformRandomProvider random = new Streams(9).of("test");
+        UniformRandomProvider random = new RandomStreams(9).of("test");
         int wrong = 0;
         for (int i = 0; i < 400; i++) {
             wrong +=
--- a/lab/src/test/java/trailthread/lab/troubles/RollingRestartTest.java
+++ b/lab/src/test/java/trailthread/lab/fault/RollingRestartTest.java
@@ -1,12 +1,12 @@
-package trailthread.lab.troubles;
+package trailthread.lab.fault;
 
 import static org.junit.Assert.assertEquals;
 
 import java.util.List;
 import java.util.stream.Stream;
 import org.junit.Test;
-import trailthread.lab.agenda.Agenda;
-import trailthread.lab.random.Streams;
+import trailthread.lab.event.EventQueue;
+import trailthread.lab.random.RandomStreams;
 import trailthread.lab.scenario.Scenario.Fault;
 import trailthread.lab.scenario.Scenario.Trouble;
 
@@ -14,10 +14,10 @@
 public class RollingRestartTest {
     private static final long SECOND = 1_000_000_000L;
 
-    private final Agenda agenda = new Agenda(0);
+    private final EventQueue agenda = new EventQueue(0);
 
     /** A node of which only restarts are asked. */
-    private final class SlowNode implements Stricken.Node {
+    private final class SlowNode implements FaultTarget.Node {
         private final long startsNs;
         private boolean serving = true;
         private int restarts;
@@ -59,7 +59,7 @@
         }
     }
 
-    private record Nodes(List<SlowNode> nodes) implements Stricken {
+    private record Nodes(List<SlowNode> nodes) implements FaultTarget {
         @Override
         public List<? extends Worker> workers() {
             return List.of();
@@ -86,7 +86,7 @@
         List<SlowNode> nodes =
                 Stream.of(5 * SECOND, SECOND / 10, 7 * SECOND).map(SlowNode::new).toList();
         Fault fault = new Fault(Trouble.NODE_RESTART, SECOND, 3 * SECOND, 1, 0, 0, null);
-        Troubles.arrange(agenda, new Streams(3), List.of(fault), new Nodes(nodes));
+        FaultInjector.arrange(agenda, new RandomStreams(3), List.of(fault), new Nodes(nodes));
         nodes.get(0).kill(); // out of service already when the restart is due
         agenda.at(4 * SECOND, nodes.get(0)::start);
         for (int i = 1; i < 300; i++) {
--- a/lab/src/test/java/trailthread/lab/referee/RefereeTest.java
+++ b/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
@@ -1,4 +1,4 @@
-package trailthread.lab.referee;
+package trailthread.lab.invariant;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
@@ -8,17 +8,17 @@
 import trailthread.api.DeduplicationScope;
 import trailthread.api.Idempotency;
 import trailthread.api.Outcome;
-import trailthread.lab.referee.Referee.Place;
+import trailthread.lab.invariant.InvariantChecker.Place;
 
 /** For each rule a violation that must be caught, and a near miss that must pass. */
-public class RefereeTest {
+public class InvariantCheckerTest {
     private static final Place A = new Place("a", "east", 0);
     private static final Place SAME_CELL = new Place("b", "west", 0);
     private static final Place OTHER = new Place("c", "east", 1);
-    private final Referee referee = new Referee(10, 100);
+    private final InvariantChecker referee = new InvariantChecker(10, 100);
 
     private void take(Idempotency idempotency, DeduplicationScope group) {
-        referee.taken(0, "7", "n0", new CallTerms("c", idempotency, group, 500, 1000));
+        referee.taken(0, "7", "n0", new RequestTerms("c", idempotency, group, 500, 1000));
     }
 
     /** One attempt that runs and ends so. */
@@ -30,10 +30,10 @@
         referee.ended(at + 2, "7", number, outcome);
     }
 
-    private void broken(Rule... rules) {
-        Map<Rule, Integer> seen = referee.broken();
+    private void broken(Invariant... rules) {
+        Map<Invariant, Integer> seen = referee.broken();
         assertEquals(referee.violations().toString(), rules.length, seen.size());
-        for (Rule rule : rules) {
+        for (Invariant rule : rules) {
             assertEquals(rule.name(), Integer.valueOf(1), seen.get(rule));
         }
     }
@@ -45,7 +45,7 @@
         referee.answered(5, "7", "refused");
         broken();
         referee.answered(6, "7", "failed");
-        broken(Rule.ONE_ANSWER);
+        broken(Invariant.ONE_ANSWER);
         assertTrue(
                 referee.violations().get(0).told(),
                 referee.violations().get(0).told().contains("refused"));
@@ -56,21 +56,21 @@
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.answered(5, "7", "refused");
         referee.answered(6, "7", "refused");
-        broken(Rule.ONE_ANSWER);
+        broken(Invariant.ONE_ANSWER);
     }
 
     @Test
     public void noAnswer() {
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.overdue(1011, "7");
-        broken(Rule.IN_TIME);
+        broken(Invariant.IN_TIME);
     }
 
     @Test
     public void noAnswerByTheEndOfTheRun() {
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.finish(2000);
-        broken(Rule.IN_TIME);
+        broken(Invariant.IN_TIME);
         assertEquals(0, referee.open());
     }
 
@@ -81,7 +81,7 @@
         broken();
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.answered(1011, "7", "failed");
-        broken(Rule.IN_TIME);
+        broken(Invariant.IN_TIME);
     }
 
     @Test
@@ -98,7 +98,7 @@
         take(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         attempt(1, 0, A, true, Outcome.RESET);
         attempt(10, 1, OTHER, true, Outcome.OK);
-        broken(Rule.REPEATS);
+        broken(Invariant.REPEATS);
     }
 
     @Test
@@ -116,7 +116,7 @@
         take(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         attempt(1, 0, A, true, Outcome.CONNECT_FAILED);
         attempt(10, 1, A, true, Outcome.OK);
-        broken(Rule.REPEATS);
+        broken(Invariant.REPEATS);
     }
 
     @Test
@@ -126,7 +126,7 @@
         attempt(10, 1, SAME_CELL, true, Outcome.RESET);
         broken();
         attempt(20, 2, OTHER, true, Outcome.OK);
-        broken(Rule.REPEATS);
+        broken(Invariant.REPEATS);
     }
 
     @Test
@@ -136,7 +136,7 @@
         attempt(10, 1, OTHER, true, Outcome.RESET);
         broken();
         attempt(20, 2, SAME_CELL, true, Outcome.OK);
-        broken(Rule.REPEATS);
+        broken(Invariant.REPEATS);
     }
 
     @Test
@@ -146,7 +146,7 @@
         attempt(490, 1, OTHER, true, Outcome.RESET);
         broken();
         attempt(501, 2, OTHER, true, Outcome.OK);
-        broken(Rule.REPEATS);
+        broken(Invariant.REPEATS);
     }
 
     @Test
@@ -157,7 +157,7 @@
         referee.sent(5, "7", 1, "n0", OTHER);
         broken();
         referee.sent(6, "7", 2, "n0", SAME_CELL);
-        broken(Rule.ONE_ATTEMPT);
+        broken(Invariant.ONE_ATTEMPT);
     }
 
     /** As by a node that was stopped, and reads what came meanwhile. */
@@ -169,7 +169,7 @@
         referee.answered(610, "7", "failed");
         broken();
         attempt(620, 1, OTHER, true, Outcome.OK);
-        broken(Rule.REPEATS);
+        broken(Invariant.REPEATS);
     }
 
     @Test
@@ -177,7 +177,7 @@
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.answered(5, "7", "refused");
         referee.sent(6, "7", 0, "n0", A);
-        broken(Rule.REPEATS);
+        broken(Invariant.REPEATS);
     }
 
     @Test
@@ -191,7 +191,7 @@
         referee.ended(152, "7", 1, Outcome.RESET);
         broken();
         attempt(153, 2, A, true, Outcome.RESET);
-        broken(Rule.DRAINS);
+        broken(Invariant.DRAINS);
     }
 
     @Test
@@ -210,7 +210,7 @@
         referee.answered(5, "7", "served");
         broken();
         referee.foreign(5, "7", "8 w1");
-        broken(Rule.OWN_ANSWER);
+        broken(Invariant.OWN_ANSWER);
     }
 
     @Test
@@ -218,12 +218,12 @@
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         referee.lost(5, "7", "the connection ended without an answer");
         referee.overdue(1100, "7"); // the call is over: once is enough
-        broken(Rule.ONE_ANSWER);
+        broken(Invariant.ONE_ANSWER);
     }
 
     @Test
     public void aColdWorkerPushedOver() {
         referee.fell(9, "a");
-        broken(Rule.COLD_STARTS);
+        broken(Invariant.COLD_STARTS);
     }
 }
--- a/lab/src/test/java/trailthread/lab/worker/WorkerModelTest.java
+++ b/lab/src/test/java/trailthread/lab/model/ServerModelTest.java
@@ -1,4 +1,4 @@
-package trailthread.lab.worker;
+package trailthread.lab.model;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -7,13 +7,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.Test;
-import trailthread.lab.worker.WorkerModel.Job;
+import trailthread.lab.model.ServerModel.Job;
 
 /** Each law of a worker by itself. */
-public class WorkerModelTest {
+public class ServerModelTest {
     private static final long MS = 1_000_000;
     private final List<String> done = new ArrayList<>();
-    private WorkerModel model;
+    private ServerModel model;
 
     private static final class Named extends Job {
         private final String name;
@@ -24,8 +24,8 @@
         }
     }
 
-    private void start(WorkerLaw law, boolean cold) {
-        model = new WorkerModel(law, 0, cold);
+    private void start(ServerLimits law, boolean cold) {
+        model = new ServerModel(law, 0, cold);
     }
 
     private boolean bring(long at, Job job) {
@@ -44,7 +44,7 @@
 
     @Test
     public void sharesCoresAndKeepsWaitingOnesInOrder() {
-        start(WorkerLaw.plain(1, 2, 2, 2), false);
+        start(ServerLimits.plain(1, 2, 2, 2), false);
         assertTrue(bring(0, new Named("a", 10 * MS)));
         assertTrue(bring(0, new Named("b", 20 * MS)));
         assertTrue(bring(1 * MS, new Named("c", 10 * MS)));
@@ -58,7 +58,7 @@
 
     @Test
     public void threeOnTwoCoresEachGetTwoThirds() {
-        start(WorkerLaw.plain(1, 2, 8, 0), false);
+        start(ServerLimits.plain(1, 2, 8, 0), false);
         bring(0, new Named("a", 10 * MS));
         bring(0, new Named("b", 10 * MS));
         bring(0, new Named("c", 10 * MS));
@@ -69,7 +69,8 @@
     @Test
     public void aCrowdCostsEfficiency() {
         start(
-                new WorkerLaw(1, 1, 8, 0, 0.5, WorkerLaw.Jam.NEVER, WorkerLaw.Cold.NEVER, false),
+                new ServerLimits(
+                        1, 1, 8, 0, 0.5, ServerLimits.Jam.NEVER, ServerLimits.Cold.NEVER, false),
                 false);
         bring(0, new Named("a", 10 * MS));
         bring(0, new Named("b", 10 * MS));
@@ -79,7 +80,7 @@
 
     @Test
     public void workBesideRequestsIsTakenFromThoseInWork() {
-        start(WorkerLaw.plain(1, 1, 8, 0), false);
+        start(ServerLimits.plain(1, 1, 8, 0), false);
         model.takes(100 * MS); // by an idle core
         bring(0, new Named("a", 10 * MS));
         bring(0, new Named("b", 10 * MS));
@@ -91,7 +92,7 @@
 
     @Test
     public void whatWaitsIsDroppedAndWhatWorksGoesOn() {
-        start(WorkerLaw.plain(1, 1, 1, 8), false);
+        start(ServerLimits.plain(1, 1, 1, 8), false);
         Job a = new Named("a", 10 * MS);
         Job b = new Named("b", 10 * MS);
         bring(0, a);
@@ -106,8 +107,8 @@
 
     @Test
     public void aJamKeepsItselfUpUntilItHasBeenNearlyIdle() {
-        WorkerLaw.Jam jam = new WorkerLaw.Jam(2, 100 * MS, 3, 1, 50 * MS);
-        start(new WorkerLaw(1, 1, 1, 100, 0, jam, WorkerLaw.Cold.NEVER, false), false);
+        ServerLimits.Jam jam = new ServerLimits.Jam(2, 100 * MS, 3, 1, 50 * MS);
+        start(new ServerLimits(1, 1, 1, 100, 0, jam, ServerLimits.Cold.NEVER, false), false);
         for (int i = 0; i < 20; i++) {
             bring(0, new Named("j" + i, 10 * MS));
         }
@@ -125,8 +126,8 @@
 
     @Test
     public void aShortCrowdDoesNotJam() {
-        WorkerLaw.Jam jam = new WorkerLaw.Jam(2, 100 * MS, 3, 1, 50 * MS);
-        start(new WorkerLaw(1, 1, 1, 100, 0, jam, WorkerLaw.Cold.NEVER, false), false);
+        ServerLimits.Jam jam = new ServerLimits.Jam(2, 100 * MS, 3, 1, 50 * MS);
+        start(new ServerLimits(1, 1, 1, 100, 0, jam, ServerLimits.Cold.NEVER, false), false);
         for (int i = 0; i < 9; i++) {
             bring(0, new Named("j" + i, 10 * MS));
         }
@@ -137,8 +138,8 @@
 
     @Test
     public void aColdStartRisesEvenly() {
-        WorkerLaw.Cold cold = new WorkerLaw.Cold(0.5, 64 * MS, 100, 1000 * MS);
-        start(new WorkerLaw(1, 1, 1, 10, 0, WorkerLaw.Jam.NEVER, cold, false), true);
+        ServerLimits.Cold cold = new ServerLimits.Cold(0.5, 64 * MS, 100, 1000 * MS);
+        start(new ServerLimits(1, 1, 1, 10, 0, ServerLimits.Jam.NEVER, cold, false), true);
         assertEquals(0.5, model.warmth(0), 0);
         assertEquals(0.75, model.warmth(32 * MS), 0.01);
         assertEquals(1, model.warmth(64 * MS), 0);
@@ -150,8 +151,8 @@
 
     @Test
     public void aColdOneSentTooMuchFallsOverAndOneSentLessDoesNot() {
-        WorkerLaw.Cold cold = new WorkerLaw.Cold(0.25, 10_000 * MS, 2, 1000 * MS);
-        WorkerLaw law = new WorkerLaw(1, 1, 1, 1000, 0, WorkerLaw.Jam.NEVER, cold, false);
+        ServerLimits.Cold cold = new ServerLimits.Cold(0.25, 10_000 * MS, 2, 1000 * MS);
+        ServerLimits law = new ServerLimits(1, 1, 1, 1000, 0, ServerLimits.Jam.NEVER, cold, false);
         start(law, true);
         for (int i = 0; i < 50; i++) { // twice a quarter of a second's work, to the last
             assertTrue(bring(0, new Named("a", 10 * MS)));
@@ -174,7 +175,7 @@
 
     @Test(expected = IllegalStateException.class)
     public void oneRequestIsBroughtOnce() {
-        start(WorkerLaw.plain(1, 1, 1, 8), false);
+        start(ServerLimits.plain(1, 1, 1, 8), false);
         Job a = new Named("a", MS);
         bring(0, a);
         bring(0, a);
--- a/lab/src/test/java/trailthread/lab/worker/WorkerTheoryTest.java
+++ b/lab/src/test/java/trailthread/lab/model/ServerModelTheoryTest.java
@@ -1,4 +1,4 @@
-package trailthread.lab.worker;
+package trailthread.lab.model;
 
 import static org.junit.Assert.assertEquals;
 
@@ -6,13 +6,13 @@
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.junit.Test;
-import trailthread.lab.random.Streams;
+import trailthread.lab.random.RandomStreams;
 
 /**
  * The model against queueing theory (Kleinrock, "Queueing Systems" I, 3.2 and 3.5; II, 4.4), within
  * 2%.
  */
-public class WorkerTheoryTest {
+public class ServerModelTheoryTest {
     private static final int CUSTOMERS = 1_000_000;
     private static final double MEAN_NS = 1e6;
 
@@ -20,15 +20,15 @@
      * The mean time from arrival to end over the mean work, with Poisson arrivals at this share of
      * the capacity.
      */
-    private static double meanTime(WorkerLaw law, double load, boolean exponential, long seed) {
-        UniformRandomProvider random = new Streams(seed).of("theory");
-        WorkerModel model = new WorkerModel(law, 0, false);
-        Map<WorkerModel.Job, Long> arrivedAt = new HashMap<>();
+    private static double meanTime(ServerLimits law, double load, boolean exponential, long seed) {
+        UniformRandomProvider random = new RandomStreams(seed).of("theory");
+        ServerModel model = new ServerModel(law, 0, false);
+        Map<ServerModel.Job, Long> arrivedAt = new HashMap<>();
         double[] sum = new double[2];
         double gap = MEAN_NS / (load * law.cores() * law.speed());
         long now = 0;
         for (int i = 0; i < CUSTOMERS; i++) {
-            now += (long) Streams.exponential(random, gap);
+            now += (long) RandomStreams.exponential(random, gap);
             long until = now;
             while (model.nextAt() <= until) {
                 long at = model.nextAt();
@@ -40,10 +40,10 @@
                         });
             }
             model.advance(now, job -> {});
-            WorkerModel.Job job =
-                    new WorkerModel.Job(
+            ServerModel.Job job =
+                    new ServerModel.Job(
                             exponential
-                                    ? Math.max(1, Streams.exponential(random, MEAN_NS))
+                                    ? Math.max(1, RandomStreams.exponential(random, MEAN_NS))
                                     : MEAN_NS);
             model.arrive(now, job);
             arrivedAt.put(job, now);
@@ -71,7 +71,7 @@
             assertEquals(
                     "load " + load,
                     expected,
-                    meanTime(WorkerLaw.plain(1, 1, 1, 1_000_000), load, true, 11),
+                    meanTime(ServerLimits.plain(1, 1, 1, 1_000_000), load, true, 11),
                     0.02 * expected);
         }
     }
@@ -84,7 +84,7 @@
             assertEquals(
                     "servers " + c,
                     expected,
-                    meanTime(WorkerLaw.plain(1, c, c, 1_000_000), load, true, 12),
+                    meanTime(ServerLimits.plain(1, c, c, 1_000_000), load, true, 12),
                     0.02 * expected);
         }
     }
@@ -93,7 +93,7 @@
     @Test
     public void processorSharing() {
         double expected = 1 / (1 - 0.7);
-        WorkerLaw law = WorkerLaw.plain(1, 1, 1_000_000, 0);
+        ServerLimits law = ServerLimits.plain(1, 1, 1_000_000, 0);
         assertEquals(expected, meanTime(law, 0.7, true, 13), 0.02 * expected);
         assertEquals(expected, meanTime(law, 0.7, false, 14), 0.02 * expected);
     }
--- a/lab/src/test/java/trailthread/lab/world/FleetTheoryTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/FleetTheoryTest.java
@@ -1,11 +1,11 @@
-package trailthread.lab.world;
+package trailthread.lab.simulation;
 
 import static org.junit.Assert.assertTrue;
 
 import java.util.List;
 import org.junit.Test;
-import trailthread.lab.figures.Figures;
-import trailthread.lab.peers.Policies;
+import trailthread.lab.baseline.Policies;
+import trailthread.lab.metrics.RunMetrics;
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
 
@@ -41,14 +41,14 @@
     @Test
     public void twoChoicesKeepTheLongestLineShort() throws Exception {
         Scenario scenario = scenario(100, 9000, "");
-        int random = longest(World.play(scenario, Policies.named("random"), 1).figures());
-        int two = longest(World.play(scenario, Policies.named("two-choices"), 1).figures());
+        int random = longest(Simulation.play(scenario, Policies.named("random"), 1).figures());
+        int two = longest(Simulation.play(scenario, Policies.named("two-choices"), 1).figures());
         assertTrue(two + " of " + random, 3 * two < random);
     }
 
-    private static int longest(Figures figures) {
+    private static int longest(RunMetrics figures) {
         int most = 0;
-        for (Figures.Second second : figures.seconds()) {
+        for (RunMetrics.Second second : figures.seconds()) {
             for (int held : second.held()) {
                 most = Math.max(most, held);
             }
@@ -63,15 +63,15 @@
     @Test
     public void theCorrectionDampsTheSwingOfTwoWorkers() throws Exception {
         Scenario scenario = scenario(2, 170, "report_every = \"2s\"");
-        double with = swing(World.play(scenario, Policies.named("sns"), 1).figures());
+        double with = swing(Simulation.play(scenario, Policies.named("sns"), 1).figures());
         double without =
-                swing(World.play(scenario, Policies.named("sns-uncorrected"), 1).figures());
+                swing(Simulation.play(scenario, Policies.named("sns-uncorrected"), 1).figures());
         assertTrue(without + " without, " + with + " with", 2 * with < without);
     }
 
-    private static double swing(Figures figures) {
+    private static double swing(RunMetrics figures) {
         return figures.seconds().stream()
-                .map(Figures.Second::held)
+                .map(RunMetrics.Second::held)
                 .filter(held -> held.length == 2)
                 .mapToInt(held -> Math.abs(held[0] - held[1]))
                 .average()
@@ -90,6 +90,6 @@
     }
 
     private static double mean(Scenario scenario, String policy) {
-        return World.play(scenario, Policies.named(policy), 4).figures().latencyUs().getMean();
+        return Simulation.play(scenario, Policies.named(policy), 4).figures().latencyUs().getMean();
     }
 }
--- a/lab/src/test/java/trailthread/lab/world/WorldTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
@@ -1,4 +1,4 @@
-package trailthread.lab.world;
+package trailthread.lab.simulation;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNotEquals;
@@ -16,12 +16,12 @@
 import trailthread.api.BalancerActions;
 import trailthread.api.BalancerEvents;
 import trailthread.api.Settings;
+import trailthread.lab.baseline.FleetView;
+import trailthread.lab.baseline.Policies;
+import trailthread.lab.baseline.Policy;
 import trailthread.lab.experiment.Result;
 import trailthread.lab.experiment.Runs;
-import trailthread.lab.peers.Policies;
-import trailthread.lab.peers.Policy;
-import trailthread.lab.peers.Truth;
-import trailthread.lab.referee.Rule;
+import trailthread.lab.invariant.Invariant;
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
 
@@ -29,7 +29,7 @@
  * Days in virtual time: the same from the same seed, judged, and ended where the decisions run
  * wild.
  */
-public class WorldTest {
+public class SimulationTest {
     private static final Path SCENARIOS = Path.of("scenarios");
 
     /** A short form of a scenario of the repository. */
@@ -55,7 +55,11 @@
     }
 
     private static Result play(Scenario scenario, String policy, long seed) {
-        return Result.of(scenario, policy, seed, World.play(scenario, Policies.named(policy), seed))
+        return Result.of(
+                        scenario,
+                        policy,
+                        seed,
+                        Simulation.play(scenario, Policies.named(policy), seed))
                 .withoutTimes();
     }
 
@@ -80,14 +84,14 @@
     public void policiesMeetTheSameClients() throws Exception {
         Scenario scenario = shortened("calm", 8);
         long[] asked =
-                World.play(scenario, Policies.named("random"), 3)
+                Simulation.play(scenario, Policies.named("random"), 3)
                         .figures()
                         .classes()
                         .get("action")
                         .counts();
         for (Policy policy : Policies.all()) {
             long[] other =
-                    World.play(scenario, policy, 3).figures().classes().get("action").counts();
+                    Simulation.play(scenario, policy, 3).figures().classes().get("action").counts();
             assertEquals(policy.name(), asked[0], other[0]);
         }
     }
@@ -135,7 +139,11 @@
 
             @Override
             public BalancerEvents make(
-                    Settings settings, long seed, long now, BalancerActions actions, Truth truth) {
+                    Settings settings,
+                    long seed,
+                    long now,
+                    BalancerActions actions,
+                    FleetView truth) {
                 BalancerEvents[] module = new BalancerEvents[1];
                 module[0] = new Balancer(settings, seed, now, spoiler.spoil(actions, module));
                 return module[0];
@@ -208,8 +216,10 @@
 
     private static void runsWild(String with, Spoiler spoiler) throws Exception {
         Scenario scenario = shortened("calm", 5);
-        ModuleFault fault =
-                assertThrows(ModuleFault.class, () -> World.play(scenario, spoilt(spoiler), 1));
+        BalancerFailureException fault =
+                assertThrows(
+                        BalancerFailureException.class,
+                        () -> Simulation.play(scenario, spoilt(spoiler), 1));
         assertTrue(fault.getMessage(), fault.getMessage().contains(with));
     }
 
@@ -268,8 +278,8 @@
 
     @Test
     public void aSecondAnswerIsSeen() throws Exception {
-        World.Day day =
-                World.play(
+        Simulation.Day day =
+                Simulation.play(
                         shortened("calm", 4),
                         spoilt(
                                 (actions, module) ->
@@ -288,7 +298,7 @@
                         1);
         assertTrue(
                 day.referee().broken().toString(),
-                day.referee().broken().containsKey(Rule.ONE_ANSWER));
+                day.referee().broken().containsKey(Invariant.ONE_ANSWER));
         assertTrue(
                 day.referee().violations().get(0).told(),
                 day.referee().violations().get(0).told().contains("answered: refused"));
@@ -296,8 +306,8 @@
 
     @Test
     public void callsThatAreForgottenAreSeen() throws Exception {
-        World.Day day =
-                World.play(
+        Simulation.Day day =
+                Simulation.play(
                         shortened("calm", 4),
                         spoilt(
                                 (actions, module) ->
@@ -319,7 +329,7 @@
                         1);
         assertTrue(
                 day.referee().broken().toString(),
-                day.referee().broken().containsKey(Rule.IN_TIME));
+                day.referee().broken().containsKey(Invariant.IN_TIME));
         assertEquals("each is judged", 0, day.referee().open());
     }
 }
