--- a/decisions/src/test/java/trailthread/degradation/AnyReadingsTest.java
+++ b/decisions/src/test/java/trailthread/degradation/AnyReadingsTest.java
@@ -12,10 +12,10 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.Tuple;
 
-/** What holds for any sequence of readings, absurd ones and gaps among them. */
+/** What holds for any sequence of readings, with unusable values and gaps among them. */
 class AnyReadingsTest {
-    /** Some values for some time. */
-    record Spell(Reading reading, double value, double seconds, long jumpNs) {}
+    /** A reading with one value for some time, after a step of the clock. */
+    record Spell(Reading reading, double value, double seconds, long stepNs) {}
 
     @Provide
     Arbitrary<List<Spell>> spells() {
@@ -27,10 +27,10 @@
                         Tuple.of(
                                 1,
                                 Arbitraries.of(Double.NaN, -1.0, 7.0, Double.POSITIVE_INFINITY)));
-        Arbitrary<Long> jumps =
-                Arbitraries.of(1L, ControllerDriver.STEP, 20_000_000_000L, -5_000_000_000L);
+        Arbitrary<Long> steps =
+                Arbitraries.of(1L, ControllerDriver.STEP_NS, 20_000_000_000L, -5_000_000_000L);
         Arbitrary<Double> seconds = Arbitraries.doubles().between(0, 45);
-        return Combinators.combine(Arbitraries.of(Reading.class), values, seconds, jumps)
+        return Combinators.combine(Arbitraries.of(Reading.class), values, seconds, steps)
                 .as(Spell::new)
                 .list()
                 .ofMaxSize(40);
@@ -38,34 +38,37 @@
 
     @Property(tries = 300, seed = "42")
     void changesKeepTheirDistanceAndTheLastClassIsNeverShed(@ForAll("spells") List<Spell> spells) {
-        ControllerDriver f = new ControllerDriver();
-        long lived = 0;
+        ControllerDriver driver = new ControllerDriver();
+        long countedNs = 0;
         long changedAt = 0;
         int seen = 0;
         List<DegradationLevel> order = DegradationPlan.defaults();
-        for (Spell s : spells) {
-            f.set(s.reading(), s.value()).jump(s.jumpNs());
-            lived += s.jumpNs() > 0 && s.jumpNs() <= ControllerDriver.STEP ? s.jumpNs() : 0;
-            for (double t = 0; t < s.seconds(); t += 0.25) {
+        for (Spell spell : spells) {
+            driver.set(spell.reading(), spell.value()).step(spell.stepNs());
+            countedNs +=
+                    spell.stepNs() > 0 && spell.stepNs() <= ControllerDriver.STEP_NS
+                            ? spell.stepNs()
+                            : 0;
+            for (double t = 0; t < spell.seconds(); t += 0.25) {
                 if (t > 0) {
-                    f.jump(ControllerDriver.STEP);
-                    lived += ControllerDriver.STEP;
+                    driver.step(ControllerDriver.STEP_NS);
+                    countedNs += ControllerDriver.STEP_NS;
                 }
-                for (; seen < f.changes.size(); seen++) {
-                    Change c = f.changes.get(seen);
-                    int from = order.indexOf(named(order, c.from()));
-                    int to = order.indexOf(named(order, c.to()));
-                    assertEquals(c.down(), to > from);
-                    assertTrue("up by one: " + c, to >= from - 1);
-                    long stayed = lived - changedAt;
+                for (; seen < driver.changes.size(); seen++) {
+                    Change change = driver.changes.get(seen);
+                    int from = order.indexOf(named(order, change.from()));
+                    int to = order.indexOf(named(order, change.to()));
+                    assertEquals(change.down(), to > from);
+                    assertTrue("up by one: " + change, to >= from - 1);
+                    long stayed = countedNs - changedAt;
                     assertTrue(
-                            "left too soon: " + c,
-                            c.down() || stayed >= order.get(from).leastStayNs());
-                    changedAt = lived;
+                            "left too soon: " + change,
+                            change.down() || stayed >= order.get(from).leastStayNs());
+                    changedAt = countedNs;
                 }
-                double polls = f.share("bench-state");
-                double actions = f.share("bench-action");
-                assertEquals(1, f.share("attempt-use"), 0);
+                double polls = driver.share("bench-state");
+                double actions = driver.share("bench-action");
+                assertEquals(1, driver.share("attempt-use"), 0);
                 assertTrue(polls > 0.05 - 1e-9 && polls <= actions && actions <= 1);
                 assertTrue("one after the other", actions == 1 || polls < 0.05 + 1e-9);
             }
@@ -73,17 +76,17 @@
     }
 
     @Property(tries = 300, seed = "43")
-    void onceAllIsWellEveryLevelIsLeft(@ForAll("spells") List<Spell> spells) {
-        ControllerDriver f = new ControllerDriver();
-        for (Spell s : spells) {
-            f.set(s.reading(), s.value()).jump(s.jumpNs()).run(s.seconds());
+    void everyLevelIsLeftOnceAllReadingsAreLow(@ForAll("spells") List<Spell> spells) {
+        ControllerDriver driver = new ControllerDriver();
+        for (Spell spell : spells) {
+            driver.set(spell.reading(), spell.value()).step(spell.stepNs()).run(spell.seconds());
         }
-        for (Reading r : Reading.values()) {
-            f.set(r, 0);
+        for (Reading reading : Reading.values()) {
+            driver.set(reading, 0);
         }
-        f.run(3 * 300 + 2 * 60 + 2 * 10 + 5);
-        assertEquals("normal", f.level());
-        assertEquals(1, f.share("bench-state"), 0);
+        driver.run(3 * 300 + 2 * 60 + 2 * 10 + 5);
+        assertEquals("normal", driver.level());
+        assertEquals(1, driver.share("bench-state"), 0);
     }
 
     private static DegradationLevel named(List<DegradationLevel> levels, String name) {
--- a/decisions/src/test/java/trailthread/degradation/ControllerDriver.java
+++ b/decisions/src/test/java/trailthread/degradation/ControllerDriver.java
@@ -8,16 +8,16 @@
 import trailthread.api.Idempotency;
 import trailthread.api.RequestClass;
 
-/** Levels under readings four times a second. */
+/** Gives a controller readings four times a second, and keeps the changes of level. */
 final class ControllerDriver {
-    static final long STEP = 250_000_000;
+    static final long STEP_NS = 250_000_000;
     static final List<RequestClass> CLASSES =
             List.of(
-                    kind("attempt-use", Idempotency.NOT_IDEMPOTENT, 2),
-                    kind("bench-action", Idempotency.IDEMPOTENCY_KEY, 10),
-                    kind("bench-state", Idempotency.IDEMPOTENT, 1));
+                    requestClass("attempt-use", Idempotency.NOT_IDEMPOTENT, 2),
+                    requestClass("bench-action", Idempotency.IDEMPOTENCY_KEY, 10),
+                    requestClass("bench-state", Idempotency.IDEMPOTENT, 1));
 
-    final DegradationController levels;
+    final DegradationController controller;
     final List<Change> changes = new ArrayList<>();
     private final Map<Reading, Double> values = new EnumMap<>(Reading.class);
     private long now = -17;
@@ -27,51 +27,57 @@
     }
 
     ControllerDriver(DegradationPlan plan) {
-        levels = new DegradationController(plan, new SheddingOrder(CLASSES, List.of()));
+        controller = new DegradationController(plan, new SheddingOrder(CLASSES, List.of()));
     }
 
-    static RequestClass kind(String name, Idempotency idempotency, double worth) {
-        return new RequestClass(name, 1, 0, 1, idempotency, DeduplicationScope.ALL, 0, worth, 0);
+    static RequestClass requestClass(String name, Idempotency idempotency, double priorityWeight) {
+        return new RequestClass(
+                name, 1, 0, 1, idempotency, DeduplicationScope.ALL, 0, priorityWeight, 0);
     }
 
+    /** The value of a reading from now on. */
     ControllerDriver set(Reading reading, double value) {
         values.put(reading, value);
         return this;
     }
 
+    /** Gives readings for a time. */
     ControllerDriver run(double seconds) {
-        for (int i = 0; i < seconds * 1e9 / STEP; i++) {
-            jump(STEP);
+        for (int i = 0; i < seconds * 1e9 / STEP_NS; i++) {
+            step(STEP_NS);
         }
         return this;
     }
 
-    /** One reading after this long. */
-    ControllerDriver jump(long ns) {
+    /** Gives one set of readings after a time, ns; negative: the clock runs backwards. */
+    ControllerDriver step(long ns) {
         now += ns;
-        levels.read(
+        controller
+                .read(
                         new Readings(
                                 now,
-                                of(Reading.FAILING),
-                                of(Reading.REPORT_AGE),
-                                of(Reading.LATENESS),
-                                of(Reading.DESCRIPTORS),
-                                of(Reading.MEMORY),
-                                of(Reading.STARVED),
-                                of(Reading.CPU_WITHHELD)))
+                                value(Reading.FAILING),
+                                value(Reading.REPORT_AGE),
+                                value(Reading.LATENESS),
+                                value(Reading.DESCRIPTORS),
+                                value(Reading.MEMORY),
+                                value(Reading.STARVED),
+                                value(Reading.CPU_WITHHELD)))
                 .ifPresent(changes::add);
         return this;
     }
 
-    private double of(Reading reading) {
+    private double value(Reading reading) {
         return values.getOrDefault(reading, 0.0);
     }
 
+    /** The name of the level in force. */
     String level() {
-        return levels.level().name();
+        return controller.level().name();
     }
 
+    /** The share of a class that is admitted at present. */
     double share(String requestClass) {
-        return levels.allowance().share(requestClass, false);
+        return controller.allowance().share(requestClass, false);
     }
 }
--- a/decisions/src/test/java/trailthread/degradation/DegradationControllerTest.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationControllerTest.java
@@ -13,35 +13,36 @@
 /** When levels change, and when they must not. */
 public class DegradationControllerTest {
     private static final List<DegradationLevel> LEVELS = DegradationPlan.defaults();
-    private static final double LATE = 0.5e9;
+    private static final double LATE_NS = 0.5e9;
 
     @Test
-    public void eachConditionEntersItsLevelAfterItsTimeAndHoldsItUntilUnderItsLowerBound() {
+    public void eachConditionEntersItsLevelAfterItsTimeAndHoldsItUntilUnderItsLeaveBound() {
         for (DegradationLevel l : LEVELS) {
             for (Condition c : l.conditions()) {
                 String what = l.name() + " by " + c.reading();
                 ControllerDriver under =
                         new ControllerDriver().set(c.reading(), Math.nextDown(c.enter())).run(60);
-                assertTrue(what, LEVELS.indexOf(under.levels.level()) < LEVELS.indexOf(l));
-                ControllerDriver f =
+                assertTrue(what, LEVELS.indexOf(under.controller.level()) < LEVELS.indexOf(l));
+                ControllerDriver driver =
                         new ControllerDriver().set(c.reading(), c.enter()).run(c.holdNs() / 1e9);
-                assertTrue(what, LEVELS.indexOf(f.levels.level()) < LEVELS.indexOf(l));
-                assertEquals(what, l.name(), f.run(0.25).level());
-                Change.Cause cause = f.changes.get(f.changes.size() - 1).causes().get(0);
+                assertTrue(what, LEVELS.indexOf(driver.controller.level()) < LEVELS.indexOf(l));
+                assertEquals(what, l.name(), driver.run(0.25).level());
+                Change.Cause cause = driver.changes.get(driver.changes.size() - 1).causes().get(0);
                 assertEquals(new Change.Cause(c.reading(), c.enter(), c.enter()), cause);
-                assertEquals(what, l.name(), f.set(c.reading(), c.leave()).run(600).level());
-                f.set(c.reading(), Math.nextDown(c.leave())).run(l.leaveNs() / 1e9);
-                assertEquals(what, l.name(), f.level());
-                f.run(61); // what is shed comes back first
-                assertEquals(what, LEVELS.indexOf(l) - 1, LEVELS.indexOf(f.levels.level()), 1);
-                assertEquals(what, "normal", f.set(c.reading(), 0).run(180).level());
+                assertEquals(what, l.name(), driver.set(c.reading(), c.leave()).run(600).level());
+                driver.set(c.reading(), Math.nextDown(c.leave())).run(l.leaveNs() / 1e9);
+                assertEquals(what, l.name(), driver.level());
+                driver.run(61); // what is shed comes back first
+                assertEquals(
+                        what, LEVELS.indexOf(l) - 1, LEVELS.indexOf(driver.controller.level()), 1);
+                assertEquals(what, "normal", driver.set(c.reading(), 0).run(180).level());
             }
         }
     }
 
     @Test
     public void downSeveralAtOnceAndUpOneAtATime() {
-        ControllerDriver f =
+        ControllerDriver driver =
                 new ControllerDriver().set(FAILING, 0.6).run(3).set(FAILING, 0).run(300);
         assertEquals(
                 List.of(
@@ -50,7 +51,7 @@
                         "level essential -> reduced: failing 0.000 < 0.350, stays 20 s or longer",
                         "level reduced -> lean: failing 0.000 < 0.110, stays 10 s or longer",
                         "level lean -> normal: none of its conditions holds, stays 0 s or longer"),
-                f.changes.stream().map(Change::toString).toList());
+                driver.changes.stream().map(Change::toString).toList());
     }
 
     @Test
@@ -66,16 +67,16 @@
     }
 
     private static ControllerDriver swing(double bad, double well) {
-        ControllerDriver f = new ControllerDriver();
+        ControllerDriver driver = new ControllerDriver();
         for (double t = 0; t < 600; t += bad + well) {
-            f.set(FAILING, 0.2).run(bad).set(FAILING, 0).run(well);
+            driver.set(FAILING, 0.2).run(bad).set(FAILING, 0).run(well);
         }
-        return f;
+        return driver;
     }
 
     @Test
     public void faultsThatOverlapKeepTheLevelUntilBothAreOver() {
-        ControllerDriver f =
+        ControllerDriver driver =
                 new ControllerDriver()
                         .set(FAILING, 0.3)
                         .run(40)
@@ -83,50 +84,50 @@
                         .run(40)
                         .set(FAILING, 0)
                         .run(200);
-        assertEquals("reduced", f.level());
-        assertEquals("reduced", f.set(REPORT_AGE, 0).run(9).level());
-        assertEquals("lean", f.run(2).level());
-        assertEquals(2, f.changes.size());
-        assertEquals(REPORT_AGE, f.changes.get(1).causes().get(0).reading());
-        assertEquals(1, f.changes.get(1).causes().size());
+        assertEquals("reduced", driver.level());
+        assertEquals("reduced", driver.set(REPORT_AGE, 0).run(9).level());
+        assertEquals("lean", driver.run(2).level());
+        assertEquals(2, driver.changes.size());
+        assertEquals(REPORT_AGE, driver.changes.get(1).causes().get(0).reading());
+        assertEquals(1, driver.changes.get(1).causes().size());
     }
 
     @Test
     public void aFaultThatEndsWhileItsLevelIsBeingEnteredEntersNothing() {
-        ControllerDriver f = new ControllerDriver();
+        ControllerDriver driver = new ControllerDriver();
         for (int i = 0; i < 100; i++) {
-            f.set(LATENESS, LATE).run(2).set(LATENESS, 0).run(0.25);
+            driver.set(LATENESS, LATE_NS).run(2).set(LATENESS, 0).run(0.25);
         }
-        assertTrue(f.changes.isEmpty());
-        f.set(LATENESS, LATE)
+        assertTrue(driver.changes.isEmpty());
+        driver.set(LATENESS, LATE_NS)
                 .run(2)
                 .set(LATENESS, 100e6)
                 .run(1); // in between the time stands still
-        assertEquals("reduced", f.set(LATENESS, LATE).run(0.5).level());
+        assertEquals("reduced", driver.set(LATENESS, LATE_NS).run(0.5).level());
     }
 
     @Test
-    public void aGapCountsForNothing() {
-        ControllerDriver f =
+    public void timeInAGapBetweenReadingsDoesNotCount() {
+        ControllerDriver driver =
                 new ControllerDriver()
                         .run(1)
-                        .set(LATENESS, LATE)
-                        .jump(ControllerDriver.STEP)
-                        .jump(20_000_000_000L);
-        assertTrue(f.changes.isEmpty());
-        assertEquals("reduced", f.run(2).level());
-        f.set(LATENESS, 0).run(19);
+                        .set(LATENESS, LATE_NS)
+                        .step(ControllerDriver.STEP_NS)
+                        .step(20_000_000_000L);
+        assertTrue(driver.changes.isEmpty());
+        assertEquals("reduced", driver.run(2).level());
+        driver.set(LATENESS, 0).run(19);
         for (int i = 0; i < 10; i++) {
-            f.jump(20_000_000_000L).jump(-20_000_000_000L);
+            driver.step(20_000_000_000L).step(-20_000_000_000L);
         }
-        assertEquals("reduced", f.level());
-        assertEquals("lean", f.run(2).level());
+        assertEquals("reduced", driver.level());
+        assertEquals("lean", driver.run(2).level());
     }
 
     @Test
-    public void absurdValuesEnterNothingAndLeaveNothing() {
+    public void unusableValuesNeitherEnterNorLeaveALevel() {
         for (Reading r : Reading.values()) {
-            for (double absurd :
+            for (double unusable :
                     new double[] {
                         Double.NaN,
                         -0.5,
@@ -135,87 +136,95 @@
                         Double.POSITIVE_INFINITY,
                         Double.NEGATIVE_INFINITY
                     }) {
-                if ((r == REPORT_AGE && Double.isNaN(absurd)) || (!r.isShare() && absurd == 1.5)) {
+                if ((r == REPORT_AGE && Double.isNaN(unusable))
+                        || (!r.isShare() && unusable == 1.5)) {
                     continue; // no reports expected; 1.5 ns
                 }
-                String what = r + " " + absurd;
-                assertTrue(what, new ControllerDriver().set(r, absurd).run(600).changes.isEmpty());
+                String what = r + " " + unusable;
+                assertTrue(
+                        what, new ControllerDriver().set(r, unusable).run(600).changes.isEmpty());
                 Condition c =
                         LEVELS.get(2).conditions().stream()
                                 .filter(x -> x.reading() == r)
                                 .findFirst()
                                 .orElseThrow();
-                ControllerDriver f = new ControllerDriver().set(r, c.enter()).run(3);
-                assertEquals(what, "reduced", f.level());
-                double share = f.share("bench-state");
-                assertEquals(what, "reduced", f.set(r, absurd).run(59).level());
-                assertEquals(what, share, f.share("bench-state"), 0);
-                assertEquals(what, "reduced", f.set(r, 0).run(0.25).set(r, absurd).run(59).level());
-                assertEquals(what + ", not measured", "normal", f.run(120).level());
-                f = new ControllerDriver();
-                for (int i = 0; i < 100; i++) { // every other one absurd
-                    f.set(r, c.enter()).run(0.25).set(r, absurd).run(0.25);
+                ControllerDriver driver = new ControllerDriver().set(r, c.enter()).run(3);
+                assertEquals(what, "reduced", driver.level());
+                double share = driver.share("bench-state");
+                assertEquals(what, "reduced", driver.set(r, unusable).run(59).level());
+                assertEquals(what, share, driver.share("bench-state"), 0);
+                assertEquals(
+                        what,
+                        "reduced",
+                        driver.set(r, 0).run(0.25).set(r, unusable).run(59).level());
+                assertEquals(what + ", not measured", "normal", driver.run(120).level());
+                driver = new ControllerDriver();
+                for (int i = 0; i < 100; i++) { // every other one unusable
+                    driver.set(r, c.enter()).run(0.25).set(r, unusable).run(0.25);
                 }
-                assertEquals(what, "reduced", f.level());
+                assertEquals(what, "reduced", driver.level());
             }
         }
-        ControllerDriver f = new ControllerDriver().set(REPORT_AGE, 5e9).run(30);
-        assertEquals("none expected", "lean", f.set(REPORT_AGE, -1).run(11).level());
+        ControllerDriver driver = new ControllerDriver().set(REPORT_AGE, 5e9).run(30);
+        assertEquals("none expected", "lean", driver.set(REPORT_AGE, -1).run(11).level());
     }
 
     @Test
-    public void aLevelThatFlapsStaysLongerUpToAMostAndAfterACalmTimeNoLonger() {
-        ControllerDriver f = new ControllerDriver();
+    public void aLevelThatFlapsStaysLongerUpToACeilingAndAfterACalmTimeNoLonger() {
+        ControllerDriver driver = new ControllerDriver();
         double stay = 20;
         for (int i = 0; i < 8; i++) {
-            f.set(FAILING, 0.2).run(1.25).set(FAILING, 0);
-            assertEquals(stay * 1e9, f.changes.get(f.changes.size() - 1).stayNs(), 0.01e9 * stay);
-            assertEquals("reduced", f.run(stay - 0.25).level());
-            assertEquals("lean", f.run(9.25).level());
+            driver.set(FAILING, 0.2).run(1.25).set(FAILING, 0);
+            assertEquals(
+                    stay * 1e9,
+                    driver.changes.get(driver.changes.size() - 1).stayNs(),
+                    0.01e9 * stay);
+            assertEquals("reduced", driver.run(stay - 0.25).level());
+            assertEquals("lean", driver.run(9.25).level());
             stay = Math.min(300, stay * 2 * Math.pow(0.5, 10.25 / 120)); // so long out of it
         }
         assertEquals(300, stay, 0);
-        f.run(1200).set(FAILING, 0.2).run(1.25);
-        assertEquals(20e9, f.changes.get(f.changes.size() - 1).stayNs(), 0);
+        driver.run(1200).set(FAILING, 0.2).run(1.25);
+        assertEquals(20e9, driver.changes.get(driver.changes.size() - 1).stayNs(), 0);
     }
 
     @Test
-    public void theShareThatIsShedFollowsTheTroubleThatSheddingRelieves() {
-        ControllerDriver f = new ControllerDriver().set(FAILING, 0.2).run(60);
-        assertEquals("reduced", f.level());
-        assertEquals("shedding does not mend workers", 1, f.share("bench-state"), 0);
-        double some = f.set(STARVED, 0.06).run(2).share("bench-state");
+    public void theShareThatIsShedFollowsTheReadingsThatSheddingRelieves() {
+        ControllerDriver driver = new ControllerDriver().set(FAILING, 0.2).run(60);
+        assertEquals("reduced", driver.level());
+        assertEquals("shedding does not mend endpoints", 1, driver.share("bench-state"), 0);
+        double some = driver.set(STARVED, 0.06).run(2).share("bench-state");
         assertTrue("by degrees: " + some, some < 0.7 && some > 0.2);
         assertEquals(
                 "in between it stands",
                 some,
-                f.set(STARVED, 0.03).run(60).share("bench-state"),
+                driver.set(STARVED, 0.03).run(60).share("bench-state"),
                 1e-9);
         assertEquals(
                 "all but what is kept",
                 0.05,
-                f.set(STARVED, 0.06).run(60).share("bench-state"),
+                driver.set(STARVED, 0.06).run(60).share("bench-state"),
                 1e-3);
-        assertEquals(1, f.share("bench-action"), 0);
-        SheddingPolicy before = f.levels.allowance();
-        double more = f.set(STARVED, 0).run(6).share("bench-state");
+        assertEquals(1, driver.share("bench-action"), 0);
+        SheddingPolicy before = driver.controller.allowance();
+        double more = driver.set(STARVED, 0).run(6).share("bench-state");
         assertEquals("a tenth comes back in a tenth of the time", 0.05 + 0.1 * 0.95, more, 0.01);
         assertEquals(
                 "what was handed out does not change",
                 0.05,
                 before.share("bench-state", false),
                 1e-3);
-        assertEquals("reduced", f.set(FAILING, 0).run(40).level());
-        assertEquals("normal", f.run(60).level());
-        assertEquals(1, f.share("bench-state"), 0);
+        assertEquals("reduced", driver.set(FAILING, 0).run(40).level());
+        assertEquals("normal", driver.run(60).level());
+        assertEquals(1, driver.share("bench-state"), 0);
     }
 
     @Test
-    public void essentialShedsAllButTheLast() {
-        ControllerDriver f = new ControllerDriver().set(STARVED, 0.4).run(60);
-        assertEquals("essential", f.level());
-        assertEquals(0.05, f.share("bench-state"), 1e-9);
-        assertEquals(0.05, f.share("bench-action"), 1e-3);
-        assertEquals(1, f.share("attempt-use"), 0);
+    public void essentialShedsAllButTheLastClass() {
+        ControllerDriver driver = new ControllerDriver().set(STARVED, 0.4).run(60);
+        assertEquals("essential", driver.level());
+        assertEquals(0.05, driver.share("bench-state"), 1e-9);
+        assertEquals(0.05, driver.share("bench-action"), 1e-3);
+        assertEquals(1, driver.share("attempt-use"), 0);
     }
 }
--- a/decisions/src/test/java/trailthread/degradation/DegradationPlanTest.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationPlanTest.java
@@ -14,8 +14,10 @@
 import org.junit.Test;
 import trailthread.degradation.DegradationLevel.Reach;
 
-/** What is wrong with a plan is named; the defaults are what the operators' page says. */
+/** Errors name the field that is out of its range; the defaults are those of docs/levels.md. */
 public class DegradationPlanTest {
+    private static final double NS_PER_SECOND = 1e9;
+
     private static DegradationLevel level(
             String name, double enter, double leave, long holdNs, double leastShed) {
         List<Condition> failing = List.of(new Condition(Reading.FAILING, enter, leave, holdNs));
@@ -23,7 +25,7 @@
     }
 
     @Test
-    public void whatMakesNoSenseIsNamedWithItsRange() {
+    public void errorsNameTheFieldAndItsRange() {
         Map<String, Consumer<DegradationPlan>> table = new LinkedHashMap<>();
         table.put("gapNs: not in [1, 3600000000000] ns", p -> p.gapNs = 0);
         table.put("mostStayNs: not in [1, 3600000000000] ns", p -> p.mostStayNs = Long.MAX_VALUE);
@@ -51,32 +53,20 @@
         new DegradationPlan().check();
         table.forEach(
                 (message, spoil) -> {
-                    DegradationPlan p = new DegradationPlan();
-                    spoil.accept(p);
+                    DegradationPlan plan = new DegradationPlan();
+                    spoil.accept(plan);
                     assertEquals(
                             message,
-                            assertThrows(IllegalArgumentException.class, p::check).getMessage());
+                            assertThrows(IllegalArgumentException.class, plan::check).getMessage());
                 });
     }
 
     @Test
-    public void thePageForOperatorsHoldsTheDefaults() throws IOException {
+    public void theDocumentationListsTheDefaults() throws IOException {
         List<String> expected = new ArrayList<>();
-        for (DegradationLevel l : DegradationPlan.defaults()) {
-            for (Condition c : l.conditions()) {
-                double unit = c.reading().isShare() ? 1 : 1e9;
-                expected.add(
-                        "| "
-                                + l.name()
-                                + " | "
-                                + c.reading().word()
-                                + " | "
-                                + c.enter() / unit
-                                + " | "
-                                + c.leave() / unit
-                                + " | "
-                                + c.holdNs() / 1e9
-                                + " |");
+        for (DegradationLevel level : DegradationPlan.defaults()) {
+            for (Condition condition : level.conditions()) {
+                expected.add(row(level, condition));
             }
         }
         List<String> rows =
@@ -85,4 +75,15 @@
                         .toList();
         assertEquals(String.join("\n", expected), String.join("\n", rows));
     }
+
+    private static String row(DegradationLevel level, Condition condition) {
+        double unit = condition.reading().isShare() ? 1 : NS_PER_SECOND;
+        return String.format(
+                "| %s | %s | %s | %s | %s |",
+                level.name(),
+                condition.reading().word(),
+                condition.enter() / unit,
+                condition.leave() / unit,
+                condition.holdNs() / NS_PER_SECOND);
+    }
 }
--- a/decisions/src/test/java/trailthread/degradation/SheddingPolicyTest.java
+++ b/decisions/src/test/java/trailthread/degradation/SheddingPolicyTest.java
@@ -11,18 +11,18 @@
 import trailthread.api.RequestClass;
 import trailthread.degradation.DegradationLevel.Reach;
 
-/** Which calls are taken, in which order they are shed, and whose are over. */
+/** The order in which classes are shed, and which of their requests are admitted. */
 public class SheddingPolicyTest {
     private static final List<RequestClass> CLASSES =
             List.of(
-                    ControllerDriver.kind("u", Idempotency.NOT_IDEMPOTENT, 1),
-                    ControllerDriver.kind("k", Idempotency.IDEMPOTENCY_KEY, 9),
-                    ControllerDriver.kind("s2", Idempotency.IDEMPOTENT, 2),
-                    ControllerDriver.kind("s1", Idempotency.IDEMPOTENT, 1),
-                    ControllerDriver.kind("s0", Idempotency.IDEMPOTENT, 1));
+                    ControllerDriver.requestClass("u", Idempotency.NOT_IDEMPOTENT, 1),
+                    ControllerDriver.requestClass("k", Idempotency.IDEMPOTENCY_KEY, 9),
+                    ControllerDriver.requestClass("s2", Idempotency.IDEMPOTENT, 2),
+                    ControllerDriver.requestClass("s1", Idempotency.IDEMPOTENT, 1),
+                    ControllerDriver.requestClass("s0", Idempotency.IDEMPOTENT, 1));
 
     @Test
-    public void theOrderIsBySemanticsThenWorthUnlessNamesAreGiven() {
+    public void theOrderIsByIdempotencyThenPriorityWeightUnlessNamesAreGiven() {
         SheddingOrder order = new SheddingOrder(CLASSES, List.of());
         assertEquals(List.of("s1", "s0", "s2", "k", "u"), order.names());
         assertEquals(3, order.count(Reach.SAFE));
@@ -31,7 +31,7 @@
         assertTrue(order.isGuarded("k"));
         SheddingOrder named = new SheddingOrder(CLASSES, List.of("k", "s2"));
         assertEquals(List.of("k", "s2", "s1", "s0", "u"), named.names());
-        assertEquals("to the last that is safe", 4, named.count(Reach.SAFE));
+        assertEquals("to the last that is idempotent", 4, named.count(Reach.SAFE));
         SheddingOrder safe = new SheddingOrder(CLASSES.subList(2, 5), List.of());
         assertEquals("the last is in no reach", 2, safe.count(Reach.SAFE));
         assertTrue(safe.isGuarded("s2"));
@@ -45,8 +45,8 @@
     }
 
     @Test
-    public void oneClassAfterTheOtherAndThoseOverTheirQuotaFirst() {
-        SheddingPolicy a =
+    public void classesAreShedOneAfterTheOtherAndRequestsOverQuotaFirst() {
+        SheddingPolicy policy =
                 new SheddingPolicy(
                         new SheddingOrder(CLASSES, List.of()),
                         DegradationPlan.defaults().get(2),
@@ -56,23 +56,23 @@
         double[] over = {0.1, 0.1, 0.1, 1, 1};
         String[] names = {"s1", "s0", "s2", "k", "u"};
         for (int i = 0; i < names.length; i++) {
-            assertEquals(names[i], within[i], a.share(names[i], false), 1e-12);
-            assertEquals(names[i], over[i], a.share(names[i], true), 1e-12);
+            assertEquals(names[i], within[i], policy.share(names[i], false), 1e-12);
+            assertEquals(names[i], over[i], policy.share(names[i], true), 1e-12);
         }
-        assertEquals("the module tells of it", 1, a.share("unknown", true), 0);
-        assertTrue(a.takes("s0", false, 0.549));
-        assertFalse(a.takes("s0", false, 0.551));
+        assertEquals("the balancer reports it", 1, policy.share("unknown", true), 0);
+        assertTrue(policy.takes("s0", false, 0.549));
+        assertFalse(policy.takes("s0", false, 0.551));
     }
 
     @Test
-    public void aShareOfLateForgetsAndFewCallsProveNothing() {
-        DecayingShare l = new DecayingShare(10e9, 0);
-        l.count(0, true);
-        assertTrue("one of one: " + l.share(0), l.share(0) < 0.05);
+    public void aDecayingShareForgetsAndFewEventsProveNothing() {
+        DecayingShare recent = new DecayingShare(10e9, 0);
+        recent.count(0, true);
+        assertTrue("one of one: " + recent.share(0), recent.share(0) < 0.05);
         for (int i = 0; i < 4000; i++) {
-            l.count(i * 25_000_000L, i % 4 == 0);
+            recent.count(i * 25_000_000L, i % 4 == 0);
         }
-        assertEquals(0.25 * 400 / 450, l.share(100_000_000_000L), 0.01);
-        assertEquals(0, l.share(300_000_000_000L), 1e-6);
+        assertEquals(0.25 * 400 / 450, recent.share(100_000_000_000L), 0.01);
+        assertEquals(0, recent.share(300_000_000_000L), 1e-6);
     }
 }
