--- a/decisions/src/main/java/trailthread/ListLease.java
+++ b/decisions/src/main/java/trailthread/ListLease.java
@@ -1,110 +1,128 @@
 package trailthread;
 
 /**
- * A lease on the list of endpoints: until when a node may send by the list that it holds.
+ * A lease on the endpoint list: until when a node may send requests by the list that it holds.
  *
- * <p>A change counts as told {@link #NEWS_DUE_NS} after discovery had it, also to a node that did
- * not hear of it, unless discovery could not be reached. So each sign of life of a watch renews the
- * lease for that time and the grace of drains, and so does proof that discovery can't be reached. A
- * process that has just started holds none: how old the list is that it was given is not known.
+ * <p>A node counts as notified of a change {@link #NEWS_DUE_NS} after discovery had it, whether or
+ * not the update arrived, unless discovery could not be reached. So the lease is renewed by each
+ * sign of life of a watch, and by proof that discovery cannot be reached; it lasts for that time
+ * and the grace of draining endpoints. A process that has just started holds no lease: how old its
+ * first list is, is not known.
  *
- * <p>Pure: times are handed in, in nanoseconds of one clock that never goes back.
+ * <p>No I/O and no clock of its own: times are passed in, in ns of one monotonic clock, which may
+ * start anywhere.
  */
 public final class ListLease {
-    /** What changes counts as told so long after it was made, whether or not it came. */
+    /** A node counts as notified of a change after this time, ns. */
     public static final long NEWS_DUE_NS = 6_000_000_000L;
 
     /**
-     * A node may be held up for so long between reading its clock and writing; a grace has to cover
-     * it.
+     * The longest time that a node is expected to be suspended between reading its clock and
+     * writing a request, ns; it is taken off the grace of draining endpoints.
      */
-    public static final long HELD_UP_NS = 150_000_000L;
+    public static final long MAX_WRITE_DELAY_NS = 150_000_000L;
 
-    /** A call that fails sooner did not wait in a queue: discovery is down, or cut off. */
+    /**
+     * A poll of discovery that fails sooner than this did not wait in a queue: discovery is down,
+     * or cannot be reached; ns.
+     */
     public static final long QUEUED_NS = 1_200_000_000L;
 
-    /** Where lists are pushed, another agent's counts as told so long after the move. */
-    public static final long MOVED_NS = 4_000_000_000L;
+    /**
+     * Where an agent pushes the list, a node counts as notified of changes by another agent this
+     * time after the switch to it, ns.
+     */
+    public static final long SOURCE_SWITCH_NS = 4_000_000_000L;
 
     private long graceNs;
+
+    /** Whether an agent beside the node pushes the list. */
     private boolean pushed;
-    private boolean renewed;
 
-    /** A call has waited and failed since the start. */
-    private boolean waitedInVain;
+    /** Whether the lease has been renewed since the start. */
+    private boolean renewed;
 
-    /** When it was renewed last. */
     private long renewedAt;
 
-    /** Since it was renewed last, another discovery has become the source. */
-    private boolean moved;
+    /** Whether a poll has waited and failed since the start. */
+    private boolean queuedPollFailed;
+
+    /** Whether another discovery has become the source since the lease was renewed. */
+    private boolean sourceSwitched;
 
-    private long movedAt;
+    private long sourceSwitchedAt;
 
     /**
      * Makes a lease that is not held.
      *
-     * @param drainGraceNs how long after the news of a drain something may still be sent
-     * @param pushed whether an agent beside the node keeps the list: it has few callers, and while
-     *     it says nothing, there is nothing that it could have told
+     * @param drainGraceNs how long after the notice of an endpoint's draining a request may still
+     *     be sent to it, ns
+     * @param pushed whether an agent beside the node pushes the list. An agent has few clients, so
+     *     that a poll is never queued, and while it is silent, there is no change to be notified of
      */
     public ListLease(long drainGraceNs, boolean pushed) {
         retune(drainGraceNs, pushed);
     }
 
-    /** Other settings hold from now on, as in the constructor. */
+    /** Changes the settings, as in the constructor; what has renewed the lease still counts. */
     public void retune(long drainGraceNs, boolean isPushed) {
         graceNs = usableGraceNs(drainGraceNs);
         pushed = isPushed;
     }
 
-    /** What is left of a grace when a node may be held up before it writes. */
+    /** What is left of a grace, ns, as a node may be suspended before it writes. */
     public static long usableGraceNs(long graceNs) {
-        return Math.max(0, graceNs - HELD_UP_NS);
+        return Math.max(0, graceNs - MAX_WRITE_DELAY_NS);
     }
 
-    /** Discovery has told all that had changed up to this time. */
+    /** Discovery has notified the node of all changes made up to a time. */
     public void confirmed(long asOf) {
         renewedAt = renewed ? Math.max(renewedAt, asOf) : asOf;
         renewed = true;
-        moved = false;
+        sourceSwitched = false;
     }
 
-    /** Another discovery is the source from now on. */
+    /** Another discovery is the source of the list from now on. */
     public void moved(long now) {
-        moved = true;
-        movedAt = now;
+        sourceSwitched = true;
+        sourceSwitchedAt = now;
     }
 
     /**
-     * A call to discovery was refused, or broke before there was an answer. What changes while
-     * discovery can't be reached is told after its return. But a call that has waited may have met
-     * a crowd: where most of a fleet has just started, one in vain proves nothing; the calls of a
-     * fleet at work are spread, and meet none.
+     * A poll of discovery was refused, or its connection broke before there was a response. Changes
+     * made while discovery cannot be reached are notified after its return, so this renews the
+     * lease.
+     *
+     * <p>The exception: the first poll after the start that waited and failed may have been queued
+     * behind those of a fleet that has just started as a whole, which proves nothing of discovery.
+     * The polls of a running fleet are spread and meet no queue.
      *
-     * @param waitedSince since when it may have waited at discovery
+     * @param waitedSince since when the poll may have waited at discovery
      */
     public void callFailed(long waitedSince, long now) {
-        boolean waited = now - waitedSince >= QUEUED_NS;
-        if (pushed || renewed || !waited || waitedInVain) {
+        boolean queued = now - waitedSince >= QUEUED_NS;
+        if (pushed || renewed || !queued || queuedPollFailed) {
             confirmed(now);
         }
-        waitedInVain |= waited;
+        queuedPollFailed |= queued;
     }
 
-    /** Whether it is held. */
+    /** Whether requests may be sent by the list. */
     public boolean isHeld(long now) {
         return now < until();
     }
 
-    /** Nothing is sent then or later; {@link Long#MIN_VALUE} where it was never held. */
+    /**
+     * When the lease ends: no request is sent then or later. {@link Long#MIN_VALUE} if it was never
+     * held, {@link Long#MAX_VALUE} if it does not end.
+     */
     public long until() {
         if (!renewed) {
             return Long.MIN_VALUE;
         }
-        if (pushed) {
-            return moved ? movedAt + MOVED_NS + graceNs : Long.MAX_VALUE;
+        if (!pushed) {
+            return renewedAt + NEWS_DUE_NS + graceNs;
         }
-        return renewedAt + NEWS_DUE_NS + graceNs;
+        return sourceSwitched ? sourceSwitchedAt + SOURCE_SWITCH_NS + graceNs : Long.MAX_VALUE;
     }
 }
--- a/decisions/src/test/java/trailthread/ListLeaseTest.java
+++ b/decisions/src/test/java/trailthread/ListLeaseTest.java
@@ -6,42 +6,43 @@
 
 import org.junit.Test;
 
-/** What renews the lease on the list, and for how long. */
+/** What renews the lease on the endpoint list, and for how long. */
 public class ListLeaseTest {
     private static final long MS = 1_000_000L;
     private static final long GRACE_NS = 500 * MS;
-    private static final long LEASE_NS = ListLease.NEWS_DUE_NS + GRACE_NS - ListLease.HELD_UP_NS;
+    private static final long LEASE_NS =
+            ListLease.NEWS_DUE_NS + GRACE_NS - ListLease.MAX_WRITE_DELAY_NS;
     private static final long NOW = -7_000_000 * MS; // the clock may start anywhere
     private final ListLease lease = new ListLease(GRACE_NS, false);
 
     @Test
-    public void aStartHoldsNone() {
+    public void aLeaseIsNotHeldAtTheStart() {
         assertFalse(lease.isHeld(NOW));
         assertEquals(Long.MIN_VALUE, lease.until());
     }
 
     @Test
-    public void whatDiscoveryHasConfirmedIsGoodUntilNewsIsDueAndTheGraceIsOver() {
+    public void aConfirmedListIsLeasedUntilChangesCountAsNotifiedAndTheGraceIsOver() {
         lease.confirmed(NOW);
         assertTrue(lease.isHeld(NOW + LEASE_NS - 1));
         assertFalse(lease.isHeld(NOW + LEASE_NS));
     }
 
     @Test
-    public void whatWasConfirmedBeforeTakesNothingBack() {
+    public void anOlderConfirmationDoesNotShortenTheLease() {
         lease.confirmed(NOW);
         lease.confirmed(NOW - 1);
         assertEquals(NOW + LEASE_NS, lease.until());
     }
 
     @Test
-    public void aDiscoveryThatCannotBeReachedTellsNothing() {
+    public void aPollThatFailsAtOnceRenewsTheLease() {
         lease.callFailed(NOW - ListLease.QUEUED_NS + 1, NOW);
         assertEquals(NOW + LEASE_NS, lease.until());
     }
 
     @Test
-    public void aStartsFirstCallThatWaitsInVainMayHaveMetACrowd() {
+    public void theFirstQueuedPollThatFailsAfterAStartRenewsNothing() {
         lease.callFailed(NOW - ListLease.QUEUED_NS, NOW);
         assertFalse(lease.isHeld(NOW));
         long next = NOW + 5_000 * MS;
@@ -50,7 +51,7 @@
     }
 
     @Test
-    public void anOutageIsOutlastedByCallsThatWaitInVain() {
+    public void failedPollsRenewTheLeaseThroughoutAnOutage() {
         lease.confirmed(NOW);
         for (long at = NOW + 5_000 * MS; at < NOW + 60_000 * MS; at += 6_000 * MS) {
             assertTrue(lease.isHeld(at));
@@ -59,14 +60,14 @@
     }
 
     @Test
-    public void aGraceThatIsShorterThanAHoldUpIsNone() {
-        lease.retune(ListLease.HELD_UP_NS / 2, false);
+    public void aGraceShorterThanTheWriteDelayCountsAsNone() {
+        lease.retune(ListLease.MAX_WRITE_DELAY_NS / 2, false);
         lease.confirmed(NOW);
         assertEquals(NOW + ListLease.NEWS_DUE_NS, lease.until());
     }
 
     @Test
-    public void whatAnAgentPushesIsGoodOnceHeardAndForAsLongAsListsArePushed() {
+    public void aPushedListIsLeasedWithoutEndForAsLongAsListsArePushed() {
         lease.retune(GRACE_NS, true);
         assertFalse(lease.isHeld(NOW));
         lease.callFailed(NOW - 2 * ListLease.QUEUED_NS, NOW);
@@ -76,11 +77,11 @@
     }
 
     @Test
-    public void anotherAgentIsHeardFourSecondsAfterTheMove() {
+    public void anotherAgentCountsAsHeardFourSecondsAfterTheSwitch() {
         lease.retune(GRACE_NS, true);
         lease.confirmed(NOW);
         lease.moved(NOW + 10_000 * MS);
-        assertEquals(NOW + 14_000 * MS + GRACE_NS - ListLease.HELD_UP_NS, lease.until());
+        assertEquals(NOW + 14_000 * MS + GRACE_NS - ListLease.MAX_WRITE_DELAY_NS, lease.until());
         lease.confirmed(NOW + 11_000 * MS);
         assertEquals(Long.MAX_VALUE, lease.until());
     }
