--- a/adapter/src/main/java/trailthread/adapter/InternedNames.java
+++ b/adapter/src/main/java/trailthread/adapter/InternedNames.java
@@ -4,7 +4,7 @@
 
 /**
  * A bounded table from bytes to strings, so that a name that is read again and again is decoded and
- * allocated once.
+ * allocated once. Only names in ASCII are found again; others are decoded each time.
  */
 final class InternedNames {
     /** A power of two: slots are found with a bit mask. */
--- a/decisions/src/main/java/trailthread/ListLease.java
+++ b/decisions/src/main/java/trailthread/ListLease.java
@@ -94,8 +94,8 @@
      * lease.
      *
      * <p>The exception: the first poll after the start that waited and failed may have been queued
-     * behind those of a fleet that has just started as a whole, which proves nothing of discovery.
-     * The polls of a running fleet are spread and meet no queue.
+     * behind those of a fleet that has just started, which proves nothing of discovery. The polls
+     * of a running fleet are spread and meet no queue.
      *
      * @param waitedSince since when the poll may have waited at discovery
      */
--- a/decisions/src/main/java/trailthread/degradation/SheddingDepth.java
+++ b/decisions/src/main/java/trailthread/degradation/SheddingDepth.java
@@ -38,7 +38,7 @@
      * Adapts the depth to the pressure in a level.
      *
      * @param maxDepthAbove how many classes the level above may shed
-     * @param step counted time since the last call, ns
+     * @param step counted time since the update before, ns
      */
     void update(LevelTracker level, int maxDepthAbove, long step) {
         Pressure pressure = level.pressure();
--- /dev/null
+++ b/decisions/src/main/java/trailthread/settings/package-info.java
@@ -0,0 +1,2 @@
+/** Reads {@link trailthread.api.Settings} from pairs of a path and a value. */
+package trailthread.settings;
