--- a/decisions/src/test/java/trailthread/degradation/AnyReadingsTest.java
+++ b/decisions/src/test/java/trailthread/degradation/AnyReadingsTest.java
@@ -39,40 +39,54 @@
     @Property(tries = 300, seed = "42")
     void changesKeepTheirDistanceAndTheLastClassIsNeverShed(@ForAll("spells") List<Spell> spells) {
         ControllerDriver driver = new ControllerDriver();
-        long countedNs = 0;
-        long changedAt = 0;
-        int seen = 0;
-        List<DegradationLevel> order = DegradationPlan.defaults();
+        ChangeChecker checker = new ChangeChecker();
         for (Spell spell : spells) {
             driver.set(spell.reading(), spell.value()).step(spell.stepNs());
-            countedNs +=
-                    spell.stepNs() > 0 && spell.stepNs() <= ControllerDriver.STEP_NS
-                            ? spell.stepNs()
-                            : 0;
+            boolean counts = spell.stepNs() > 0 && spell.stepNs() <= ControllerDriver.STEP_NS;
+            checker.countedNs += counts ? spell.stepNs() : 0;
             for (double t = 0; t < spell.seconds(); t += 0.25) {
                 if (t > 0) {
                     driver.step(ControllerDriver.STEP_NS);
-                    countedNs += ControllerDriver.STEP_NS;
+                    checker.countedNs += ControllerDriver.STEP_NS;
                 }
-                for (; seen < driver.changes.size(); seen++) {
-                    Change change = driver.changes.get(seen);
-                    int from = order.indexOf(named(order, change.from()));
-                    int to = order.indexOf(named(order, change.to()));
-                    assertEquals(change.down(), to > from);
-                    assertTrue("up by one: " + change, to >= from - 1);
-                    long stayed = countedNs - changedAt;
-                    assertTrue(
-                            "left too soon: " + change,
-                            change.down() || stayed >= order.get(from).leastStayNs());
-                    changedAt = countedNs;
-                }
-                double polls = driver.share("bench-state");
-                double actions = driver.share("bench-action");
-                assertEquals(1, driver.share("attempt-use"), 0);
-                assertTrue(polls > 0.05 - 1e-9 && polls <= actions && actions <= 1);
-                assertTrue("one after the other", actions == 1 || polls < 0.05 + 1e-9);
+                checker.check(driver.changes);
+                checkShares(driver);
+            }
+        }
+    }
+
+    private static void checkShares(ControllerDriver driver) {
+        double polls = driver.share("bench-state");
+        double actions = driver.share("bench-action");
+        assertEquals(1, driver.share("attempt-use"), 0);
+        assertTrue(polls > 0.05 - 1e-9 && polls <= actions && actions <= 1);
+        assertTrue("one after the other", actions == 1 || polls < 0.05 + 1e-9);
+    }
+
+    /** Checks each change of level once, against the time that counted until then. */
+    private static final class ChangeChecker {
+        private final List<DegradationLevel> levels = DegradationPlan.defaults();
+        private long countedNs;
+        private long changedAt;
+        private int checked;
+
+        void check(List<Change> changes) {
+            for (; checked < changes.size(); checked++) {
+                check(changes.get(checked));
             }
         }
+
+        private void check(Change change) {
+            int from = levels.indexOf(named(levels, change.from()));
+            int to = levels.indexOf(named(levels, change.to()));
+            assertEquals(change.down(), to > from);
+            assertTrue("up by one: " + change, to >= from - 1);
+            long stayed = countedNs - changedAt;
+            assertTrue(
+                    "left too soon: " + change,
+                    change.down() || stayed >= levels.get(from).leastStayNs());
+            changedAt = countedNs;
+        }
     }
 
     @Property(tries = 300, seed = "43")
--- a/decisions/src/test/java/trailthread/degradation/DegradationControllerTest.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationControllerTest.java
@@ -14,6 +14,9 @@
 public class DegradationControllerTest {
     private static final List<DegradationLevel> LEVELS = DegradationPlan.defaults();
     private static final double LATE_NS = 0.5e9;
+    private static final double[] UNUSABLE = {
+        Double.NaN, -0.5, -2e9, 1.5, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY
+    };
 
     @Test
     public void eachConditionEntersItsLevelAfterItsTimeAndHoldsItUntilUnderItsLeaveBound() {
@@ -126,49 +129,53 @@
 
     @Test
     public void unusableValuesNeitherEnterNorLeaveALevel() {
-        for (Reading r : Reading.values()) {
-            for (double unusable :
-                    new double[] {
-                        Double.NaN,
-                        -0.5,
-                        -2e9,
-                        1.5,
-                        Double.POSITIVE_INFINITY,
-                        Double.NEGATIVE_INFINITY
-                    }) {
-                if ((r == REPORT_AGE && Double.isNaN(unusable))
-                        || (!r.isShare() && unusable == 1.5)) {
-                    continue; // no reports expected; 1.5 ns
+        for (Reading reading : Reading.values()) {
+            for (double value : UNUSABLE) {
+                if (!isUsable(reading, value)) {
+                    checkUnusable(reading, value);
                 }
-                String what = r + " " + unusable;
-                assertTrue(
-                        what, new ControllerDriver().set(r, unusable).run(600).changes.isEmpty());
-                Condition c =
-                        LEVELS.get(2).conditions().stream()
-                                .filter(x -> x.reading() == r)
-                                .findFirst()
-                                .orElseThrow();
-                ControllerDriver driver = new ControllerDriver().set(r, c.enter()).run(3);
-                assertEquals(what, "reduced", driver.level());
-                double share = driver.share("bench-state");
-                assertEquals(what, "reduced", driver.set(r, unusable).run(59).level());
-                assertEquals(what, share, driver.share("bench-state"), 0);
-                assertEquals(
-                        what,
-                        "reduced",
-                        driver.set(r, 0).run(0.25).set(r, unusable).run(59).level());
-                assertEquals(what + ", not measured", "normal", driver.run(120).level());
-                driver = new ControllerDriver();
-                for (int i = 0; i < 100; i++) { // every other one unusable
-                    driver.set(r, c.enter()).run(0.25).set(r, unusable).run(0.25);
-                }
-                assertEquals(what, "reduced", driver.level());
             }
         }
         ControllerDriver driver = new ControllerDriver().set(REPORT_AGE, 5e9).run(30);
         assertEquals("none expected", "lean", driver.set(REPORT_AGE, -1).run(11).level());
     }
 
+    /** NaN as the age of reports means that none are expected; 1.5 ns is a time. */
+    private static boolean isUsable(Reading reading, double value) {
+        return (reading == REPORT_AGE && Double.isNaN(value))
+                || (!reading.isShare() && value == 1.5);
+    }
+
+    private static void checkUnusable(Reading reading, double unusable) {
+        String what = reading + " " + unusable;
+        ControllerDriver driver = new ControllerDriver().set(reading, unusable).run(600);
+        assertTrue(what, driver.changes.isEmpty());
+
+        double enter = enterBoundOfReduced(reading);
+        driver = new ControllerDriver().set(reading, enter).run(3);
+        assertEquals(what, "reduced", driver.level());
+        double share = driver.share("bench-state");
+        assertEquals(what, "reduced", driver.set(reading, unusable).run(59).level());
+        assertEquals(what, share, driver.share("bench-state"), 0);
+        driver.set(reading, 0).run(0.25).set(reading, unusable).run(59);
+        assertEquals(what, "reduced", driver.level());
+        assertEquals(what + ", not measured", "normal", driver.run(120).level());
+
+        driver = new ControllerDriver();
+        for (int i = 0; i < 100; i++) { // every other value unusable
+            driver.set(reading, enter).run(0.25).set(reading, unusable).run(0.25);
+        }
+        assertEquals(what, "reduced", driver.level());
+    }
+
+    private static double enterBoundOfReduced(Reading reading) {
+        return LEVELS.get(2).conditions().stream()
+                .filter(condition -> condition.reading() == reading)
+                .findFirst()
+                .orElseThrow()
+                .enter();
+    }
+
     @Test
     public void aLevelThatFlapsStaysLongerUpToACeilingAndAfterACalmTimeNoLonger() {
         ControllerDriver driver = new ControllerDriver();
