--- a/decisions/src/main/java/trailthread/AttemptRecorder.java
+++ b/decisions/src/main/java/trailthread/AttemptRecorder.java
@@ -53,7 +53,7 @@
             case REJECTED -> limiter.recordRejection(endpoint);
             case ERROR, TIMEOUT, RESET, CONNECT_FAILED -> failed(attempt, latencyNs, now);
             default -> {
-                // an attempt that was cancelled or never sent tells nothing of the endpoint
+                // an attempt that was cancelled or never sent says nothing about the endpoint
             }
         }
         limiter.attemptEnded(endpoint, now);
--- a/decisions/src/main/java/trailthread/EndpointDirectory.java
+++ b/decisions/src/main/java/trailthread/EndpointDirectory.java
@@ -6,7 +6,7 @@
 import trailthread.api.ListKind;
 
 /**
- * Takes in list events: keeps the list and this node's subset of it, and asks for lists and health
+ * Takes in list events: keeps the list and this node's subset of it, and polls for lists and health
  * checks when they are due.
  */
 final class EndpointDirectory {
--- a/decisions/src/main/java/trailthread/EndpointSubset.java
+++ b/decisions/src/main/java/trailthread/EndpointSubset.java
@@ -16,7 +16,7 @@
         return endpoints.size();
     }
 
-    /** How many nodes send to each endpoint, as far as this node can tell; at least 1. */
+    /** How many nodes send to each endpoint, as far as this node can see; at least 1. */
     double sharers() {
         return sharers;
     }
--- a/decisions/src/main/java/trailthread/HealthChecker.java
+++ b/decisions/src/main/java/trailthread/HealthChecker.java
@@ -5,8 +5,8 @@
 import trailthread.api.Settings;
 
 /**
- * Asks warm endpoints for their load in turn, where reports come only with health checks: each once
- * in {@link #PERIOD_OBJECTIVES} mean latency objectives.
+ * Checks warm endpoints for their load in turn, where reports come only with health checks: each
+ * once in {@link #PERIOD_OBJECTIVES} mean latency objectives.
  */
 final class HealthChecker {
     /** The time between two health checks of an endpoint, in mean latency objectives. */
--- a/decisions/src/main/java/trailthread/InFlightTracker.java
+++ b/decisions/src/main/java/trailthread/InFlightTracker.java
@@ -14,7 +14,7 @@
  *   <li>one that a later attempt has overtaken, after {@link #OVERTAKEN_LATENCIES} usual latencies
  *       (a long request may be overtaken, too, so it has more time);
  *   <li>one that none has overtaken, after {@link #SILENT_LATENCIES} usual latencies, doubled for
- *       each such attempt before it: it leaves room for an idempotent trial.
+ *       each such attempt before it: its capacity is free then for an idempotent trial.
  * </ul>
  */
 final class InFlightTracker {
--- a/decisions/src/main/java/trailthread/KeyAffinity.java
+++ b/decisions/src/main/java/trailthread/KeyAffinity.java
@@ -40,7 +40,7 @@
 
     /**
      * The key to use for a request: a popular key counts as several, each with its own endpoint.
-     * Where hundreds of nodes send to a key's endpoint, no node can tell from its own part that all
+     * Where hundreds of nodes send to a key's endpoint, no node can see from its own part that all
      * together are too many.
      *
      * @param endpoints how many this node sends to
--- a/decisions/src/main/java/trailthread/LatencyStats.java
+++ b/decisions/src/main/java/trailthread/LatencyStats.java
@@ -79,7 +79,7 @@
         return recentResponses * Math.exp(-(now - recordedAt) / (MEMORY_OBJECTIVES * objectiveNs));
     }
 
-    /** How much slower it is than all together, as a logarithm, as far as its responses tell. */
+    /** How much slower it is than all together, as a logarithm, as far as its responses show. */
     double relativeSlowness(LatencyStats all) {
         return (slowLog - all.slowLog) * responses / (responses + PRIOR_RESPONSES);
     }
--- a/decisions/src/main/java/trailthread/ListPollSchedule.java
+++ b/decisions/src/main/java/trailthread/ListPollSchedule.java
@@ -5,7 +5,7 @@
 import trailthread.api.Settings;
 
 /**
- * When this node asks discovery for the endpoint list.
+ * When this node polls discovery for the endpoint list.
  *
  * <p>Exponential backoff with jitter. Nodes that poll in step would keep the list from most of
  * them, as polls that wait in vain cost discovery, too. So the polls of all nodes are spread: the
@@ -62,8 +62,8 @@
         } else {
             // At a fixed pace from poll to poll, the first in vain too: whenever discovery comes
             // back, the polls of all nodes come evenly spread.
-            double share = watching ? random.uniform() : 1;
-            pollIn(Math.max(0, share * retryNs() - waitedNs));
+            double fraction = watching ? random.uniform() : 1;
+            pollIn(Math.max(0, fraction * retryNs() - waitedNs));
         }
         failedPolls += inVain ? 1 : 0;
         watching = false;
--- a/decisions/src/main/java/trailthread/LoadEstimator.java
+++ b/decisions/src/main/java/trailthread/LoadEstimator.java
@@ -128,8 +128,8 @@
         if (!wasSlow || 2 * silentNs <= longestDeadlineNs) {
             return latencyNs;
         }
-        double kept = Math.exp(-silentNs / longestDeadlineNs);
-        return idleNs + (latencyNs - idleNs) * kept;
+        double remaining = Math.exp(-silentNs / longestDeadlineNs);
+        return idleNs + (latencyNs - idleNs) * remaining;
     }
 
     /**
--- a/decisions/src/main/java/trailthread/Lottery.java
+++ b/decisions/src/main/java/trailthread/Lottery.java
@@ -70,8 +70,8 @@
             if (predictedNs <= mostNs) {
                 Endpoint endpoint = endpoints.get(i);
                 double paceNs = estimator.paceNs(endpoint, now);
-                double share = Math.min(1, limiter.capacity(endpoint, paceNs));
-                tickets[i] = share * tickets(endpoint, predictedNs, now);
+                double fraction = Math.min(1, limiter.capacity(endpoint, paceNs));
+                tickets[i] = fraction * tickets(endpoint, predictedNs, now);
                 total += tickets[i];
             }
         }
--- a/decisions/src/main/java/trailthread/SubsetSelector.java
+++ b/decisions/src/main/java/trailthread/SubsetSelector.java
@@ -61,7 +61,7 @@
         return now >= selectAgainAt;
     }
 
-    /** Chooses the subset from the list. */
+    /** Chooses the subset from the listed endpoints. */
     void select(long now) {
         Settings s = settings.get();
         int listed = list.size();
--- a/decisions/src/main/java/trailthread/WorkloadMeans.java
+++ b/decisions/src/main/java/trailthread/WorkloadMeans.java
@@ -8,7 +8,7 @@
     /** Weight of one response in the mean latency: forty responses of memory. */
     private static final double LATENCY_WEIGHT = LatencyStats.LATENCY_WEIGHT / 4;
 
-    /** The least weight of one request in the mean objective, however little it is worth. */
+    /** The least weight of one request in the mean objective, however small its own is. */
     private static final double LEAST_OBJECTIVE_WEIGHT = 0.001;
 
     private double workNs;
@@ -37,10 +37,11 @@
     /**
      * Records a request's latency objective.
      *
-     * @param share the request's part of all priority weight of late
+     * @param fraction the request's part of all priority weight of late
      */
-    void recordObjective(long requestObjectiveNs, double share) {
-        objectiveNs += Math.max(LEAST_OBJECTIVE_WEIGHT, share) * (requestObjectiveNs - objectiveNs);
+    void recordObjective(long requestObjectiveNs, double fraction) {
+        objectiveNs +=
+                Math.max(LEAST_OBJECTIVE_WEIGHT, fraction) * (requestObjectiveNs - objectiveNs);
     }
 
     /** The weight of the next response in a mean latency that stands at this; 1 for the first. */
--- a/decisions/src/main/java/trailthread/api/RequestClass.java
+++ b/decisions/src/main/java/trailthread/api/RequestClass.java
@@ -7,8 +7,8 @@
  * @param objectiveWorkMultiple the objective grows by this multiple of the request's own work; 0
  *     for none
  * @param deadlineNs how long a client waits in all, over all its attempts, in ns
- * @param deduplicationScope for keyed classes, who drops repeats
- * @param deduplicationWindowNs for keyed classes, for how long, in ns
+ * @param deduplicationScope for classes with an idempotency key: which endpoints drop repeats
+ * @param deduplicationWindowNs for classes with an idempotency key: for how long, in ns
  * @param priorityWeight what one answer within the objective adds to the goal
  * @param lateWeightShare the share of it earned after the objective
  */
