--- a/command/src/main/java/trailthread/command/Adapt.java
+++ b/command/src/main/java/trailthread/command/AdapterCommand.java
@@ -11,7 +11,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Plays the decision module on the simulator's wire, over standard input and output.")
-final class Adapt implements Callable<Integer> {
+final class AdapterCommand implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
         Main.main(new String[] {"adapter"});
--- a/command/src/main/java/trailthread/command/Check.java
+++ b/command/src/main/java/trailthread/command/CheckCommand.java
@@ -20,7 +20,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Tells every fault of an operator's file, one a line; or, without any, its pools and routes.")
-final class Check implements Callable<Integer> {
+final class CheckCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "The operator's file, in TOML.")
     private Path file;
 
--- a/command/src/main/java/trailthread/command/Explain.java
+++ b/command/src/main/java/trailthread/command/RouteCommand.java
@@ -25,7 +25,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Says which route, pool and class a request gets, and why the other routes do not have it.")
-final class Explain implements Callable<Integer> {
+final class RouteCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "The operator's file, in TOML.")
     private Path file;
 
@@ -57,7 +57,7 @@
 
     @Override
     public Integer call() {
-        OperatorFile read = Check.readOrTell(file);
+        OperatorFile read = CheckCommand.readOrTell(file);
         if (read == null) {
             return Trailthread.BAD;
         }
--- a/command/src/main/java/trailthread/command/Serve.java
+++ b/command/src/main/java/trailthread/command/ServeCommand.java
@@ -19,7 +19,7 @@
             "Serves the services of an operator's file; SIGHUP reads it again, SIGTERM ends in order.",
             "Without a file it is the platform's node, configured by LB_CONFIG and the other variables."
         })
-final class Serve implements Callable<Integer> {
+final class ServeCommand implements Callable<Integer> {
     /** The process lives on after the command line has done its part. */
     static final int GOES_ON = -1;
 
@@ -32,7 +32,7 @@
             Main.main(new String[] {"serve"});
             return GOES_ON;
         }
-        OperatorFile read = Check.readOrTell(file);
+        OperatorFile read = CheckCommand.readOrTell(file);
         if (read == null) {
             return Trailthread.BAD;
         }
--- a/command/src/main/java/trailthread/command/Trailthread.java
+++ b/command/src/main/java/trailthread/command/Trailthread.java
@@ -14,7 +14,12 @@
         versionProvider = Version.class,
         description =
                 "A load balancer for fleets of HTTP servers that are dear to overload and slow to recover.",
-        subcommands = {Serve.class, Adapt.class, Check.class, Explain.class},
+        subcommands = {
+            ServeCommand.class,
+            AdapterCommand.class,
+            CheckCommand.class,
+            RouteCommand.class
+        },
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:done, or ended as asked",
@@ -36,7 +41,7 @@
     /** Runs what the words say, and exits with its code; a server goes on. */
     public static void main(String[] args) {
         int code = run(args);
-        if (code != Serve.GOES_ON) {
+        if (code != ServeCommand.GOES_ON) {
             System.exit(code);
         }
     }
--- a/daemon/src/main/java/trailthread/daemon/FileKeys.java
+++ b/daemon/src/main/java/trailthread/daemon/ConfigKeys.java
@@ -11,7 +11,7 @@
  * The keys that a configuration file has, by their paths; pure. Items of a list, {@code
  * list.0.key}, count as one: what all of them have is what each must have.
  */
-final class FileKeys {
+final class ConfigKeys {
     private final Set<String> plain = new TreeSet<>();
 
     /** The keys of each item, by the item's path. */
@@ -48,7 +48,7 @@
      * A key that is here and is not there, or null; lists may hold other items there, and fewer or
      * more.
      */
-    String lostIn(FileKeys there) {
+    String lostIn(ConfigKeys there) {
         for (String key : plain) {
             if (!there.plain.contains(key)) {
                 return key;
--- a/daemon/src/main/java/trailthread/daemon/ModuleDrill.java
+++ b/daemon/src/main/java/trailthread/daemon/DecisionWarmUp.java
@@ -20,7 +20,7 @@
  * all the rest of a call, and the crowd that a restart brings takes hundreds. No socket and no
  * clock; what it decides is dropped.
  */
-class ModuleDrill implements BalancerActions {
+class DecisionWarmUp implements BalancerActions {
     private static final int ENDPOINTS = 10;
     private static final long STEP_NS = 1_000_000;
 
@@ -43,7 +43,7 @@
     private long now;
     private long id;
 
-    ModuleDrill(Settings settings, long seed) {
+    DecisionWarmUp(Settings settings, long seed) {
         this.settings = settings;
         module = new Balancer(settings, seed, now, this);
         List<EndpointEntry> entries = new ArrayList<>();
--- a/daemon/src/main/java/trailthread/daemon/Lifecycle.java
+++ b/daemon/src/main/java/trailthread/daemon/Lifecycle.java
@@ -30,7 +30,7 @@
     public static void startLean() {
         System.setProperty("org.jboss.logging.provider", "slf4j");
         System.setProperty("io.undertow.max-drain-time", "1000");
-        System.setProperty("javax.management.builder.initial", NoManagement.class.getName());
+        System.setProperty("javax.management.builder.initial", NoMBeanServer.class.getName());
         System.setProperty("java.locale.providers", "HOST");
         System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider");
         System.setProperty("slf4j.internal.verbosity", "WARN");
--- a/daemon/src/main/java/trailthread/daemon/WarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/LoopbackWarmUp.java
@@ -36,8 +36,8 @@
  * hears of them: one that was given up may lie unread until long after the last, so each call that
  * is read is looked at, for as long as the node runs.
  */
-final class WarmUp implements RequestHandler {
-    private static final Logger LOG = LoggerFactory.getLogger(WarmUp.class);
+final class LoopbackWarmUp implements RequestHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(LoopbackWarmUp.class);
     private static final String SELF = "self";
 
     /**
@@ -97,7 +97,7 @@
     private int count;
     private boolean over;
 
-    WarmUp(EventLoop loop, NodeConfig config, RequestHandler real) {
+    LoopbackWarmUp(EventLoop loop, NodeConfig config, RequestHandler real) {
         this.loop = loop;
         this.config = config;
         this.real = real;
@@ -170,7 +170,7 @@
 
     /** As the node calls itself alone, decisions among many endpoints are practised apart. */
     private void drill() {
-        ModuleDrill drill = new ModuleDrill(config.settings(), config.seed());
+        DecisionWarmUp drill = new DecisionWarmUp(config.settings(), config.seed());
         long until = loop.now() + DRILL_NS;
         for (int i = 0; i < DRILL_STEPS && loop.now() < until; i++) {
             drill.step();
--- a/daemon/src/main/java/trailthread/daemon/NoManagement.java
+++ b/daemon/src/main/java/trailthread/daemon/NoMBeanServer.java
@@ -7,9 +7,9 @@
  * registers itself with it, goes on without it, and so spares a start hundreds of classes. An
  * error, as for an exception the platform would first set up its logging.
  */
-public final class NoManagement extends MBeanServerBuilder {
+public final class NoMBeanServer extends MBeanServerBuilder {
     /** Made by the platform, from the property {@code javax.management.builder.initial}. */
-    public NoManagement() {
+    public NoMBeanServer() {
         throw new UnsupportedOperationError();
     }
 
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -65,7 +65,7 @@
     private final EventLoop loop;
     private final EndpointPool endpoints;
     private final RequestDispatcher calls;
-    private final WarmUp warmUp;
+    private final LoopbackWarmUp warmUp;
     private final PlatformFrontend front;
     private final DiscoveryClient discovery;
     private final ListLease lease;
@@ -115,7 +115,7 @@
         calls.setDiscovery(discovery);
         endpoints.setNews(discovery::readNews);
         lease = new ListLease(config.drainGraceNs(), !config.settings().listIsPolled);
-        warmUp = new WarmUp(loop, config, calls);
+        warmUp = new LoopbackWarmUp(loop, config, calls);
         front = new PlatformFrontend(config.settings().classes, warmUp);
         acceptor =
                 new HttpListener(
--- a/daemon/src/main/java/trailthread/daemon/NodeConfig.java
+++ b/daemon/src/main/java/trailthread/daemon/NodeConfig.java
@@ -44,7 +44,7 @@
         long drainGraceNs,
         InetSocketAddress management,
         DegradationConfig levels,
-        FileKeys keys) {
+        ConfigKeys keys) {
     private static final String FILE = "LB_CONFIG";
     private static final int DEFAULT_SOCKETS = 1024;
 
@@ -105,7 +105,7 @@
         int sockets = DEFAULT_SOCKETS;
         DiscoveryUpdate known = new DiscoveryUpdate(0, true, List.of());
         SettingsParser settings = new SettingsParser("settings");
-        FileKeys keys = new FileKeys();
+        ConfigKeys keys = new ConfigKeys();
         String key = FILE;
         try (JsonReader in = new JsonReader(json)) {
             in.setStrictness(Strictness.STRICT);
--- a/daemon/src/test/java/trailthread/daemon/SpoiltAnswerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CorruptResponseTest.java
@@ -14,13 +14,13 @@
 import trailthread.testkit.Stage;
 
 /** What the node makes of answers that are spoilt, or that bring more than belongs to them. */
-public class SpoiltAnswerTest {
+public class CorruptResponseTest {
     private static final String MADE = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade";
     private static final String ENDLESS = "X-More: " + "x".repeat(1000) + "\r\n";
 
     private final Stage stage;
 
-    public SpoiltAnswerTest() throws Exception {
+    public CorruptResponseTest() throws Exception {
         stage = new Stage();
     }
 
--- a/daemon/src/test/java/trailthread/daemon/ModuleDrillTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DecisionWarmUpTest.java
@@ -11,7 +11,7 @@
 import trailthread.api.Settings;
 
 /** The drill is worth its time only if it takes the decisions that a crowd asks for. */
-public class ModuleDrillTest {
+public class DecisionWarmUpTest {
     @Test
     public void itSendsHoldsAndRefuses() {
         Settings settings = new Settings();
@@ -30,8 +30,8 @@
                         0));
         int[] sent = {0};
         List<Long> refused = new ArrayList<>();
-        ModuleDrill drill =
-                new ModuleDrill(settings, 1) {
+        DecisionWarmUp drill =
+                new DecisionWarmUp(settings, 1) {
                     @Override
                     public void send(
                             long request, long timeoutNs, long writtenBy, String endpoint) {
--- a/daemon/src/test/java/trailthread/daemon/FiguresOverSocketsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/MetricsOverSocketsTest.java
@@ -11,7 +11,7 @@
 import trailthread.testkit.Stage;
 
 /** The operators' figures against what scripted peers saw, however calls end. */
-public class FiguresOverSocketsTest extends WithAdminServer {
+public class MetricsOverSocketsTest extends WithAdminServer {
     @Test
     public void eachCallIsCountedOnceHoweverItEnds() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
