--- a/daemon/src/main/java/trailthread/daemon/ConfigKeys.java
+++ b/daemon/src/main/java/trailthread/daemon/ConfigKeys.java
@@ -8,58 +8,67 @@
 import java.util.TreeSet;
 
 /**
- * The keys that a configuration file has, by their paths; pure. Items of a list, {@code
- * list.0.key}, count as one: what all of them have is what each must have.
+ * The keys present in a configuration file, by their dotted paths. Used to detect keys that a
+ * reloaded file has lost.
+ *
+ * <p>The items of a list ({@code list.0.key}) are compared as a group: a key that all items of the
+ * old list have is expected in each item of the new one.
  */
 final class ConfigKeys {
-    private final Set<String> plain = new TreeSet<>();
+    private final Set<String> plainKeys = new TreeSet<>();
 
-    /** The keys of each item, by the item's path. */
-    private final Map<String, Set<String>> items = new HashMap<>();
+    /** The keys of each list item, by the item's path. */
+    private final Map<String, Set<String>> itemKeys = new HashMap<>();
 
+    /** Adds a key by its dotted path. */
     void add(String path) {
         String[] parts = path.split("\\.");
         for (int i = 1; i < parts.length - 1; i++) {
-            if (!parts[i].isEmpty() && parts[i].chars().allMatch(c -> c >= '0' && c <= '9')) {
-                int at = String.join(".", Arrays.copyOf(parts, i + 1)).length();
-                items.computeIfAbsent(path.substring(0, at), item -> new TreeSet<>())
-                        .add(path.substring(at + 1));
+            if (isIndex(parts[i])) {
+                String item = String.join(".", Arrays.copyOf(parts, i + 1));
+                itemKeys.computeIfAbsent(item, unused -> new TreeSet<>())
+                        .add(path.substring(item.length() + 1));
                 return;
             }
         }
-        plain.add(path);
+        plainKeys.add(path);
     }
 
-    private static String list(String item) {
+    private static boolean isIndex(String part) {
+        return !part.isEmpty() && part.chars().allMatch(c -> c >= '0' && c <= '9');
+    }
+
+    private static String listOf(String item) {
         return item.substring(0, item.lastIndexOf('.'));
     }
 
-    /** What each item of a list has. */
-    private Map<String, Set<String>> common() {
+    /** The keys that all items of a list have, by the list's path. */
+    private Map<String, Set<String>> commonItemKeys() {
         Map<String, Set<String>> common = new HashMap<>();
-        items.forEach(
+        itemKeys.forEach(
                 (item, keys) ->
-                        common.computeIfAbsent(list(item), l -> new TreeSet<>(keys))
+                        common.computeIfAbsent(listOf(item), list -> new TreeSet<>(keys))
                                 .retainAll(keys));
         return common;
     }
 
     /**
-     * A key that is here and is not there, or null; lists may hold other items there, and fewer or
-     * more.
+     * A key that is present here and missing in the other file, or null if there is none. Lists of
+     * the other file may have a different number of items.
      */
-    String lostIn(ConfigKeys there) {
-        for (String key : plain) {
-            if (!there.plain.contains(key)) {
+    String firstMissingIn(ConfigKeys other) {
+        for (String key : plainKeys) {
+            if (!other.plainKeys.contains(key)) {
                 return key;
             }
         }
-        Map<String, Set<String>> common = common();
-        for (Map.Entry<String, Set<String>> item : there.items.entrySet()) {
-            Set<String> lost = new HashSet<>(common.getOrDefault(list(item.getKey()), Set.of()));
-            lost.removeAll(item.getValue());
-            if (!lost.isEmpty()) {
-                return item.getKey() + "." + lost.iterator().next();
+        Map<String, Set<String>> expected = commonItemKeys();
+        for (Map.Entry<String, Set<String>> item : other.itemKeys.entrySet()) {
+            Set<String> missing =
+                    new HashSet<>(expected.getOrDefault(listOf(item.getKey()), Set.of()));
+            missing.removeAll(item.getValue());
+            if (!missing.isEmpty()) {
+                return item.getKey() + "." + missing.iterator().next();
             }
         }
         return null;
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -89,17 +89,17 @@
         this.config = config;
         loop = new EventLoop(config.name());
         operator =
-                config.management() == null
+                config.adminAddress() == null
                         ? null
                         : new AdminServer(loop, config.name(), config.settings().classes, this);
         MetricsRecorder operators = operator == null ? MetricsRecorder.OFF : operator.meter();
         service =
-                config.levels() == null
+                config.degradation() == null
                         ? null
                         : new DegradationService(
-                                loop, config.levels(), config.settings(), operators);
+                                loop, config.degradation(), config.settings(), operators);
         meter = service == null ? operators : service;
-        int forOthers = config.sockets() - ownDescriptors();
+        int forOthers = config.descriptorLimit() - ownDescriptors();
         int forClients = (int) (CLIENTS_SHARE * forOthers);
         endpoints =
                 new EndpointPool(
@@ -111,7 +111,7 @@
                         config.settings().latencyResolutionNs(),
                         CpuAccount.NONE);
         calls = new RequestDispatcher(loop, endpoints, config.settings(), config.seed(), meter);
-        discovery = new DiscoveryClient(loop, config.discovery(), this);
+        discovery = new DiscoveryClient(loop, config.discoveryAddress(), this);
         calls.setDiscovery(discovery);
         endpoints.setNews(discovery::readNews);
         lease = new ListLease(config.drainGraceNs(), !config.settings().listIsPolled);
@@ -121,7 +121,7 @@
                 new HttpListener(
                         loop,
                         forClients,
-                        Math.min(forClients, (int) (CALLERS_SHARE * config.sockets())),
+                        Math.min(forClients, (int) (CALLERS_SHARE * config.descriptorLimit())),
                         front,
                         meter);
         drain = new Drain(loop, acceptor);
@@ -137,20 +137,20 @@
      */
     void start(ServerSocketChannel given) throws IOException {
         if (operator != null) {
-            operator.listen(config.management(), drain);
+            operator.listen(config.adminAddress(), drain);
         }
         // On a shared socket the node's calls to itself could reach another process, and endpoints
         // through it.
         InetSocketAddress self =
                 acceptor.listen(
                         given == null
-                                ? config.listen()
-                                : new InetSocketAddress(config.listen().getAddress(), 0));
+                                ? config.listenAddress()
+                                : new InetSocketAddress(config.listenAddress().getAddress(), 0));
         loop.execute(
                 () -> {
                     leased();
-                    discovery.known(config.known());
-                    list(ListKind.CACHED, config.known(), loop.now());
+                    discovery.known(config.knownEndpoints());
+                    list(ListKind.CACHED, config.knownEndpoints(), loop.now());
                     discovery.setPushed(!config.settings().listIsPolled);
                     long startedAt = loop.now();
                     warmUp.start(
@@ -203,7 +203,7 @@
             calls.setProbes(service::probes);
             service.start(this::descriptors, calls::admit);
         }
-        LOG.info("{} serves on {}", config.name(), given == null ? self : config.listen());
+        LOG.info("{} serves on {}", config.name(), given == null ? self : config.listenAddress());
     }
 
     private void share(ServerSocketChannel given) {
@@ -217,7 +217,7 @@
     /** Asks some endpoints for their load, if it may; whether it does. */
     private boolean askAround() {
         List<String> some =
-                config.known().instances().stream()
+                config.knownEndpoints().instances().stream()
                         .filter(endpoint -> endpoint.lifecycle() == EndpointState.READY)
                         .limit(ASKED_AT_START)
                         .map(DiscoveredEndpoint::instanceId)
@@ -258,7 +258,7 @@
     }
 
     private void takeOver(NodeConfig now) {
-        if (discovery.move(now.discovery())) {
+        if (discovery.move(now.discoveryAddress())) {
             lease.moved(loop.now());
         }
         discovery.setPushed(!now.settings().listIsPolled);
@@ -323,7 +323,7 @@
 
     @Override
     public int descriptorLimit() {
-        return config.sockets();
+        return config.descriptorLimit();
     }
 
     private int ownDescriptors() {
@@ -341,7 +341,7 @@
         for (int connections : endpoints.connections().values()) {
             held += connections;
         }
-        return Math.min(1, (double) held / config.sockets());
+        return Math.min(1, (double) held / config.descriptorLimit());
     }
 
     @Override
--- a/daemon/src/test/java/trailthread/daemon/NodeConfigTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NodeConfigTest.java
@@ -17,7 +17,7 @@
 import trailthread.engine.degradation.DegradationConfig;
 import trailthread.testkit.Stage;
 
-/** What a node is told, right and wrong. */
+/** Parsing, validation and reload of a node's configuration. */
 public class NodeConfigTest {
     private static final String GOOD =
             "{\"name\":\"n3\",\"listen\":\"10.0.0.4:8080\","
@@ -30,17 +30,17 @@
 
     private static NodeConfig parse(String json, Map<String, String> environment)
             throws ConfigException {
-        return NodeConfig.parse(new StringReader(json), environment);
+        return new NodeConfigParser(environment).parse(new StringReader(json));
     }
 
     @Test
-    public void whatANodeIsToldIsRead() throws ConfigException {
+    public void aValidFileIsRead() throws ConfigException {
         NodeConfig config = parse(GOOD, Map.of("LB_NAME", "n4"));
-        assertEquals("a variable goes before its key", "n4", config.name());
-        assertEquals(new InetSocketAddress("10.0.0.4", 8080), config.listen());
+        assertEquals("a variable overrides its key", "n4", config.name());
+        assertEquals(new InetSocketAddress("10.0.0.4", 8080), config.listenAddress());
         assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(300, config.sockets());
-        assertEquals(4, config.known().generation());
+        assertEquals(300, config.descriptorLimit());
+        assertEquals(4, config.knownEndpoints().generation());
         assertEquals(60_000_000_000L, config.idleCloseNs());
         assertEquals(3, config.settings().classes.size());
         assertEquals(Idempotency.IDEMPOTENCY_KEY, config.settings().classes.get(1).idempotency());
@@ -49,16 +49,18 @@
     }
 
     @Test
-    public void operatorsHaveADoorOnlyWhereTheyAreTold() throws ConfigException {
-        assertNull(parse(GOOD, Map.of()).management());
-        String told = GOOD.replaceFirst("\\{", "{\"management\":\"127.0.0.1:9200\",");
+    public void theAdminServerIsOffUnlessItHasAnAddress() throws ConfigException {
+        assertNull(parse(GOOD, Map.of()).adminAddress());
+        String withAdmin = GOOD.replaceFirst("\\{", "{\"management\":\"127.0.0.1:9200\",");
         assertEquals(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 9200),
-                parse(told, Map.of()).management());
-        for (String file : new String[] {told, GOOD}) {
+                parse(withAdmin, Map.of()).adminAddress());
+        for (String file : new String[] {withAdmin, GOOD}) {
             assertEquals(
                     9300,
-                    parse(file, Map.of("LB_MANAGEMENT", "127.0.0.1:9300")).management().getPort());
+                    parse(file, Map.of("LB_MANAGEMENT", "127.0.0.1:9300"))
+                            .adminAddress()
+                            .getPort());
         }
     }
 
@@ -71,22 +73,23 @@
     }
 
     @Test
-    public void levelsAreOffUnlessTheyAreOn() throws ConfigException {
-        assertNull(parse(GOOD, Map.of()).levels());
-        assertNull(parse(levels("\"on\":false"), Map.of()).levels());
-        DegradationConfig told =
+    public void degradationLevelsAreOffUnlessTurnedOn() throws ConfigException {
+        assertNull(parse(GOOD, Map.of()).degradation());
+        assertNull(parse(levels("\"on\":false"), Map.of()).degradation());
+        DegradationConfig degradation =
                 parse(
                                 levels(
                                         "\"on\":true,\"shed_first\":[\"use\"],"
                                                 + "\"lean\":{\"failing\":{\"enter\":0.2,\"leave\":0.1}}"),
                                 Map.of())
-                        .levels();
-        assertEquals("use", told.order().names().get(0));
-        assertEquals(Reading.FAILING, told.plan().levels.get(1).conditions().get(0).reading());
+                        .degradation();
+        assertEquals("use", degradation.order().names().get(0));
+        assertEquals(
+                Reading.FAILING, degradation.plan().levels.get(1).conditions().get(0).reading());
     }
 
     @Test
-    public void whatIsWrongIsNamed() {
+    public void errorsNameTheKey() {
         String[][] cases = {
             {"", "LB_CONFIG"},
             {"[]", "LB_CONFIG"},
@@ -140,14 +143,17 @@
         }
     }
 
-    /** The variable is as old as the start; but a file that says nothing new must not undo it. */
+    /**
+     * The environment variable is as old as the process, so a changed file overrides it; an
+     * unchanged file must not.
+     */
     @Test
-    public void aReloadFollowsTheFileOnceItChanges() throws Exception {
+    public void aReloadUsesTheDiscoveryAddressOfAChangedFile() throws Exception {
         Path file = Files.createTempFile("trailthread", ".json");
         try {
-            Map<String, String> told =
+            Map<String, String> environment =
                     Map.of("LB_CONFIG", file.toString(), "LB_DISCOVERY", "10.9.0.1:85");
-            NodeConfig config = parse(GOOD, told);
+            NodeConfig config = parse(GOOD, environment);
             String[][] cases = {
                 {GOOD, "10.9.0.1"},
                 {GOOD.replace("10.2.0.1", "10.2.0.2"), "10.2.0.2"},
@@ -156,12 +162,12 @@
             };
             for (String[] c : cases) {
                 Files.writeString(file, c[0]);
-                config = config.reload(told);
-                assertEquals(new InetSocketAddress(c[1], 85), config.discovery());
+                config = config.reload(environment);
+                assertEquals(new InetSocketAddress(c[1], 85), config.discoveryAddress());
             }
             Files.writeString(file, GOOD.replace("\"discovery\"", "\"other\""));
             NodeConfig last = config;
-            assertThrows("a file cut short", ConfigException.class, () -> last.reload(told));
+            assertThrows("a file cut short", ConfigException.class, () -> last.reload(environment));
         } finally {
             Files.delete(file);
         }
