--- a/configuration/src/main/java/trailthread/configuration/Fault.java
+++ b/configuration/src/main/java/trailthread/configuration/Fault.java
@@ -1,25 +1,22 @@
 package trailthread.configuration;
 
 /**
- * One thing that is wrong with a file.
+ * One error in a file.
  *
- * @param line from 1 on
- * @param column from 1 on
- * @param key with its section, or empty where the file is no TOML
+ * @param file its name
+ * @param line counted from 1
+ * @param column counted from 1
+ * @param key the key with its section, or empty for a syntax error
+ * @param expected what should have been there
+ * @param found what is there, or empty
  */
 public record Fault(String file, int line, int column, String key, String expected, String found) {
-    /** The one line that operators read. */
+    /** The error as one line, as operators see it. */
     @Override
     public String toString() {
-        return file
-                + ":"
-                + line
-                + ":"
-                + column
-                + ": "
-                + (key.isEmpty() ? "" : key + ": ")
-                + "expected "
-                + expected
-                + (found.isEmpty() ? "" : ", found " + found);
+        String position = file + ":" + line + ":" + column + ": ";
+        String subject = key.isEmpty() ? "" : key + ": ";
+        String actual = found.isEmpty() ? "" : ", found " + found;
+        return position + subject + "expected " + expected + actual;
     }
 }
--- /dev/null
+++ b/configuration/src/main/java/trailthread/configuration/LimitsReader.java
@@ -0,0 +1,108 @@
+package trailthread.configuration;
+
+import java.util.Collection;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Function;
+import trailthread.engine.pool.PoolConfig;
+import trailthread.engine.pool.PoolConfig.Limits;
+import trailthread.engine.pool.PoolConfig.Part;
+
+/** Reads the limits of pools, and checks that all guarantees can be kept together. */
+final class LimitsReader {
+    /**
+     * The default guarantee is this fraction of the total. It does not depend on the number of
+     * pools, so that a reload that adds or removes a pool leaves the others as they are.
+     */
+    private static final long DEFAULT_GUARANTEE_DIVISOR = 16;
+
+    private static final double MIN_LOOP_WEIGHT = 0.01;
+    private static final double MAX_LOOP_WEIGHT = 1000;
+
+    /**
+     * Something that pools share.
+     *
+     * @param name for messages
+     * @param total what there is of it
+     * @param part a pool's part of it
+     */
+    private record Resource(String name, long total, Function<Limits, Part> part) {}
+
+    private final Totals totals;
+
+    /** Makes a reader of limits within the totals. */
+    LimitsReader(Totals totals) {
+        this.totals = totals;
+    }
+
+    /** Reads the limits of one pool. */
+    Limits read(Section section) {
+        long maxRequests = max(section, Key.LIMITS_REQUESTS_MOST, totals.requests());
+        long maxConnections = max(section, Key.LIMITS_CONNECTIONS_MOST, totals.connections());
+        long maxBodyBytes =
+                section.size(
+                        Key.LIMITS_BODY_MEMORY_MOST, totals.bodyBytes(), 0, totals.bodyBytes());
+        long guaranteedRequests =
+                section.integer(
+                        Key.LIMITS_REQUESTS_GUARANTEED,
+                        defaultGuarantee(totals.requests(), maxRequests),
+                        0,
+                        maxRequests);
+        long guaranteedConnections =
+                section.integer(
+                        Key.LIMITS_CONNECTIONS_GUARANTEED,
+                        defaultGuarantee(totals.connections(), maxConnections),
+                        0,
+                        maxConnections);
+        long guaranteedBodyBytes =
+                section.size(
+                        Key.LIMITS_BODY_MEMORY_GUARANTEED,
+                        defaultGuarantee(totals.bodyBytes(), maxBodyBytes),
+                        0,
+                        maxBodyBytes);
+        return new Limits(
+                new Part(guaranteedRequests, maxRequests),
+                new Part(guaranteedConnections, maxConnections),
+                new Part(guaranteedBodyBytes, maxBodyBytes),
+                section.number(Key.LIMITS_LOOP_WEIGHT, 1, MIN_LOOP_WEIGHT, MAX_LOOP_WEIGHT));
+    }
+
+    private static long max(Section section, Key key, long total) {
+        return section.integer(key, total, 1, total);
+    }
+
+    private static long defaultGuarantee(long total, long max) {
+        return Math.min(max, total / DEFAULT_GUARANTEE_DIVISOR);
+    }
+
+    /**
+     * Reports the pool, in the order of the file, with which the guarantees exceed a total.
+     *
+     * @param sections of the pools, by their names
+     */
+    void checkGuarantees(Collection<PoolConfig> pools, Map<String, Section> sections) {
+        List<Resource> resources =
+                List.of(
+                        new Resource("calls", totals.requests(), Limits::calls),
+                        new Resource("connections", totals.connections(), Limits::connections),
+                        new Resource("body memory", totals.bodyBytes(), Limits::bodyBytes));
+        resources.forEach(resource -> checkGuarantees(resource, pools, sections));
+    }
+
+    private static void checkGuarantees(
+            Resource resource, Collection<PoolConfig> pools, Map<String, Section> sections) {
+        long sum = 0;
+        for (PoolConfig pool : pools) {
+            sum += resource.part.apply(pool.limits()).guaranteed();
+            if (sum > resource.total) {
+                String expected =
+                        "guaranteed "
+                                + resource.name
+                                + " of all pools of no more than "
+                                + resource.total;
+                sections.get(pool.name()).fault("limits", expected, sum + " with this one");
+                return;
+            }
+        }
+    }
+}
--- a/configuration/src/main/java/trailthread/configuration/OperatorFile.java
+++ b/configuration/src/main/java/trailthread/configuration/OperatorFile.java
@@ -4,12 +4,15 @@
 import trailthread.engine.pool.ServicesConfig;
 
 /**
- * An operator's file, read.
+ * The contents of an operator's file.
  *
- * @param listen address:port for clients
- * @param seed for random numbers, or null: by chance
- * @param descriptors that the process may hold
- * @param operatorListen address:port for operators, or null: none
+ * @param name the node's
+ * @param listen the address for clients, {@code address:port}
+ * @param seed of the random number generator, or null for a random one
+ * @param descriptors how many file descriptors the process may hold
+ * @param operatorListen the address of the admin server, {@code address:port}, or null if there is
+ *     none
+ * @param services the pools and routes
  */
 public record OperatorFile(
         String name,
@@ -19,9 +22,9 @@
         String operatorListen,
         ServicesConfig services) {
     /**
-     * A file, or what is wrong with it.
+     * The outcome of reading a file.
      *
-     * @param read null if there are faults
+     * @param read the contents, or null if there are faults
      * @param faults in the order of the file
      */
     public record Result(OperatorFile read, List<Fault> faults) {}
--- a/configuration/src/main/java/trailthread/configuration/Section.java
+++ b/configuration/src/main/java/trailthread/configuration/Section.java
@@ -7,44 +7,51 @@
 import java.util.Map;
 import java.util.TreeSet;
 import java.util.function.Function;
+import org.tomlj.Toml;
 import org.tomlj.TomlArray;
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
 /**
- * One table of the file: hands out its values by their keys, and notes as a fault, where it stands,
- * whatever is not as it must be. A value with a fault is handed out as if it were not given.
+ * One table of the file. Its typed getters return the values of keys, and report each value that is
+ * missing or wrong as a fault. In place of such a value they return the default.
  */
 final class Section {
-    private static final int MOST_SHOWN = 40;
+    private static final int MAX_SHOWN_CHARS = 40;
+    private static final int MAX_PORT = 65_535;
 
-    private final String file;
-    private final List<Fault> faults;
+    private final FaultCollector faults;
     private final TomlTable table;
+
+    /** Where the table stands, or null if it is the file or is not given. */
     private final TomlPosition position;
+
     private final String path;
 
     /**
-     * Looks a table through for keys that are not known.
+     * Makes a section, and reports the keys in it that are not known.
      *
      * @param path as the file has it
-     * @param position where the table stands, or null: at the file's beginning
-     * @param inner tables that may stand in it besides the part's keys
+     * @param position where the table stands, or null at the beginning of the file
+     * @param part whose keys the table may have, or null if it has none
+     * @param innerTables the tables that it may have besides
      */
     Section(
-            String file,
-            List<Fault> faults,
+            FaultCollector faults,
             TomlTable table,
             TomlPosition position,
             String path,
             Key.Part part,
-            String... inner) {
-        this.file = file;
+            String... innerTables) {
         this.faults = faults;
         this.table = table;
         this.position = position;
         this.path = path;
-        TreeSet<String> known = new TreeSet<>(Arrays.asList(inner));
+        reportUnknownKeys(part, innerTables);
+    }
+
+    private void reportUnknownKeys(Key.Part part, String... innerTables) {
+        TreeSet<String> known = new TreeSet<>(Arrays.asList(innerTables));
         for (Key key : Key.values()) {
             if (key.part() == part) {
                 known.add(key.word());
@@ -52,128 +59,153 @@
         }
         for (String word : table.keySet()) {
             if (!known.contains(word)) {
-                String meant = Nearest.of(word, known);
-                fault(
-                        word,
-                        meant != null
-                                ? "a key that is known, such as " + meant
-                                : "one of " + String.join(", ", known),
-                        "");
+                String nearest = Nearest.of(word, known);
+                String expected =
+                        nearest != null
+                                ? "a key that is known, such as " + nearest
+                                : "one of " + String.join(", ", known);
+                fault(word, expected, "");
             }
         }
     }
 
-    /** Notes a fault at a key of this table, or at the table where the key is not given. */
+    /**
+     * Reports a fault.
+     *
+     * @param word the key or inner table it is about, or null for this table
+     * @param found what stands there, or empty
+     */
     void fault(String word, String expected, String found) {
-        TomlPosition at =
-                word == null || !table.contains(List.of(word))
-                        ? position
-                        : table.inputPositionOf(List.of(word));
-        faults.add(
-                new Fault(
-                        file,
-                        at == null ? 1 : at.line(),
-                        at == null ? 1 : at.column(),
-                        word == null ? path : path.isEmpty() ? word : path + "." + word,
-                        expected,
-                        found));
+        if (word == null) {
+            faults.add(position, path, expected, found);
+            return;
+        }
+        TomlPosition at = isGiven(word) ? positionOf(word) : position;
+        faults.add(at, pathOf(word), expected, found);
     }
 
-    /** The same, with the value that stands there. */
+    /** Reports a fault of a key's value, and shows the value. */
     void fault(Key key, String expected) {
-        fault(
-                key.word(),
-                expected,
-                table.contains(List.of(key.word())) ? shown(value(key)) : "nothing");
+        fault(key.word(), expected, has(key) ? shown(value(key)) : "nothing");
+    }
+
+    private String pathOf(String word) {
+        return path.isEmpty() ? word : path + "." + word;
+    }
+
+    private boolean isGiven(String word) {
+        return table.contains(List.of(word));
     }
 
+    /** Where a key or an inner table stands. */
+    TomlPosition positionOf(String word) {
+        return table.inputPositionOf(List.of(word));
+    }
+
+    /** Whether a key is given. */
     boolean has(Key key) {
-        return table.contains(List.of(key.word()));
+        return isGiven(key.word());
     }
 
     private Object value(Key key) {
         return table.get(List.of(key.word()));
     }
 
+    /** A value as an error message shows it. */
     static String shown(Object value) {
         if (value instanceof String text) {
-            String start =
-                    text.length() > MOST_SHOWN ? text.substring(0, MOST_SHOWN) + "..." : text;
+            boolean isLong = text.length() > MAX_SHOWN_CHARS;
+            String start = isLong ? text.substring(0, MAX_SHOWN_CHARS) + "..." : text;
             return "\"" + start.replaceAll("\\p{Cntrl}", "?") + "\"";
         }
-        return value instanceof TomlTable
-                ? "a table"
-                : value instanceof TomlArray ? "a list" : String.valueOf(value);
+        if (value instanceof TomlTable) {
+            return "a table";
+        }
+        return value instanceof TomlArray ? "a list" : String.valueOf(value);
     }
 
-    /** A value read by the function, which throws IllegalArgumentException at what it can't use. */
-    private <T> T read(Key key, T otherwise, Function<Object, T> function) {
+    /**
+     * Reads a value.
+     *
+     * @param otherwise what is returned if the key is not given or its value can't be used
+     * @param reader throws IllegalArgumentException or ClassCastException if it can't use a value
+     */
+    private <T> T read(Key key, T otherwise, Function<Object, T> reader) {
         if (!has(key)) {
-            if (key.otherwise().equals("required")) {
+            if (key.isRequired()) {
                 fault(key, key.type());
             }
             return otherwise;
         }
         try {
-            return function.apply(value(key));
+            return reader.apply(value(key));
         } catch (IllegalArgumentException | ClassCastException e) {
             fault(key, key.type());
             return otherwise;
         }
     }
 
+    /** A text that is not empty. */
     String text(Key key, String otherwise) {
-        return read(
-                key,
-                otherwise,
-                value -> {
-                    String text = (String) value;
-                    if (text.isEmpty()) {
-                        throw new IllegalArgumentException("empty");
-                    }
-                    return text;
-                });
+        return read(key, otherwise, Section::notEmpty);
     }
 
-    /** An address and port, as it is written. */
-    String address(Key key, int leastPort) {
-        return read(key, null, value -> checkedAddress((String) value, leastPort));
+    private static String notEmpty(Object value) {
+        String text = (String) value;
+        if (text.isEmpty()) {
+            throw new IllegalArgumentException("empty");
+        }
+        return text;
+    }
+
+    /** An {@code address:port} as it is written, or null. */
+    String address(Key key, int minPort) {
+        return read(key, null, value -> checkedAddress((String) value, minPort));
     }
 
-    static String checkedAddress(String text, int leastPort) {
+    /**
+     * Checks an {@code address:port}.
+     *
+     * @return the text
+     * @throws IllegalArgumentException if it is none
+     */
+    static String checkedAddress(String text, int minPort) {
         int colon = text.lastIndexOf(':');
         int port = colon < 1 ? -1 : Integer.parseInt(text.substring(colon + 1));
-        if (port < leastPort || port > 65535) {
+        if (port < minPort || port > MAX_PORT) {
             throw new IllegalArgumentException("no address:port");
         }
         return text;
     }
 
-    long whole(Key key, long otherwise, long least, long most) {
-        return read(
-                key, otherwise, value -> bounded(key, (Long) value, least, most, String::valueOf));
+    /** An integer; the nearer bound, with a fault, if it is out of range. */
+    long integer(Key key, long otherwise, long min, long max) {
+        return read(key, otherwise, value -> bounded(key, (Long) value, min, max, String::valueOf));
     }
 
-    double number(Key key, double otherwise, double least, double most) {
+    /** A number; the default, with a fault, if it is out of range. */
+    double number(Key key, double otherwise, double min, double max) {
         return read(
                 key,
                 otherwise,
                 value -> {
-                    double number = value instanceof Long whole ? whole : (Double) value;
-                    if (!(number >= least && number <= most)) {
-                        fault(key, "a number from " + least + " to " + most);
+                    double number = value instanceof Long integer ? integer : (Double) value;
+                    boolean inRange = number >= min && number <= max; // false for NaN
+                    if (!inRange) {
+                        fault(key, "a number from " + min + " to " + max);
                         return otherwise;
                     }
                     return number;
                 });
     }
 
+    /** A boolean. */
     boolean flag(Key key, boolean otherwise) {
         return read(key, otherwise, value -> (Boolean) value);
     }
 
-    /** In ns. */
-    long duration(Key key, long otherwise, long least, long most) {
+    /** A duration in nanoseconds; the nearer bound, with a fault, if it is out of range. */
+    long duration(Key key, long otherwise, long min, long max) {
         return read(
                 key,
                 otherwise,
@@ -185,12 +217,12 @@
                         fault(key, "a duration with its unit, such as 250ms");
                         return otherwise;
                     }
-                    return bounded(key, ns, least, most, Units::duration);
+                    return bounded(key, ns, min, max, Units::duration);
                 });
     }
 
-    /** In bytes. */
-    long size(Key key, long otherwise, long least, long most) {
+    /** A size in bytes; the nearer bound, with a fault, if it is out of range. */
+    long size(Key key, long otherwise, long min, long max) {
         return read(
                 key,
                 otherwise,
@@ -202,91 +234,84 @@
                         fault(key, "a size with its unit, such as 64KiB");
                         return otherwise;
                     }
-                    return bounded(key, bytes, least, most, Units::size);
+                    return bounded(key, bytes, min, max, Units::size);
                 });
     }
 
-    /** The value, or the nearer bound, with a fault, if it is past one. */
-    private long bounded(Key key, long value, long least, long most, Function<Long, String> shown) {
-        if (value < least || value > most) {
-            fault(key, key.type() + " from " + shown.apply(least) + " to " + shown.apply(most));
+    private long bounded(Key key, long value, long min, long max, Function<Long, String> shown) {
+        if (value < min || value > max) {
+            fault(key, key.type() + " from " + shown.apply(min) + " to " + shown.apply(max));
         }
-        return Math.min(most, Math.max(least, value));
+        return Math.min(max, Math.max(min, value));
     }
 
-    /** One of some words; a fault suggests the nearest. */
-    String word(Key key, String otherwise, String... words) {
+    /** What one of some words stands for; a fault suggests the word that is nearest. */
+    <T> T choice(Key key, T otherwise, List<Choice<T>> choices) {
         return read(
                 key,
                 otherwise,
                 value -> {
                     String word = (String) value;
-                    if (!Arrays.asList(words).contains(word)) {
-                        String meant = Nearest.of(word, Arrays.asList(words));
-                        fault(key, meant == null ? key.type() : meant + " (" + key.type() + ")");
-                        return otherwise;
+                    for (Choice<T> choice : choices) {
+                        if (choice.word().equals(word)) {
+                            return choice.value();
+                        }
                     }
-                    return word;
+                    String nearest = Nearest.of(word, choices.stream().map(Choice::word).toList());
+                    fault(key, nearest == null ? key.type() : nearest + " (" + key.type() + ")");
+                    return otherwise;
                 });
     }
 
-    /** A list of texts, each read by the function. */
-    List<String> list(Key key, Function<String, String> function) {
-        return read(
-                key,
-                List.of(),
-                value -> {
-                    TomlArray array = (TomlArray) value;
-                    List<String> texts = new ArrayList<>();
-                    for (int i = 0; i < array.size(); i++) {
-                        try {
-                            texts.add(function.apply((String) array.get(i)));
-                        } catch (IllegalArgumentException | ClassCastException e) {
-                            TomlPosition at = array.inputPositionOf(i);
-                            faults.add(
-                                    new Fault(
-                                            file,
-                                            at.line(),
-                                            at.column(),
-                                            path + "." + key.word() + "[" + i + "]",
-                                            key.type(),
-                                            shown(array.get(i))));
-                        }
-                    }
-                    return texts;
-                });
+    /**
+     * A list of texts.
+     *
+     * @param reader throws IllegalArgumentException if it can't use an item, which is then left out
+     */
+    List<String> list(Key key, Function<String, String> reader) {
+        return read(key, List.of(), value -> items(key, (TomlArray) value, reader));
+    }
+
+    private List<String> items(Key key, TomlArray array, Function<String, String> reader) {
+        List<String> items = new ArrayList<>();
+        for (int i = 0; i < array.size(); i++) {
+            try {
+                items.add(reader.apply((String) array.get(i)));
+            } catch (IllegalArgumentException | ClassCastException e) {
+                faults.add(
+                        array.inputPositionOf(i),
+                        pathOf(key.word()) + "[" + i + "]",
+                        key.type(),
+                        shown(array.get(i)));
+            }
+        }
+        return items;
     }
 
-    /** A table of texts. */
+    /** A table of texts, by their names. */
     Map<String, String> texts(Key key) {
-        return read(
-                key,
-                Map.of(),
-                value -> {
-                    TomlTable inner = (TomlTable) value;
-                    Map<String, String> texts = new LinkedHashMap<>();
-                    for (String name : inner.keySet()) {
-                        Object text = inner.get(List.of(name));
-                        if (text instanceof String given) {
-                            texts.put(name, given);
-                        } else {
-                            TomlPosition at = inner.inputPositionOf(List.of(name));
-                            faults.add(
-                                    new Fault(
-                                            file,
-                                            at.line(),
-                                            at.column(),
-                                            path + "." + key.word() + "." + name,
-                                            "text",
-                                            shown(text)));
-                        }
-                    }
-                    return texts;
-                });
+        return read(key, Map.of(), value -> textsOf(key, (TomlTable) value));
     }
 
-    /** The table of this name in this one, or null. */
-    TomlTable inner(String word) {
+    private Map<String, String> textsOf(Key key, TomlTable inner) {
+        Map<String, String> texts = new LinkedHashMap<>();
+        for (String name : inner.keySet()) {
+            Object value = inner.get(List.of(name));
+            if (value instanceof String text) {
+                texts.put(name, text);
+            } else {
+                faults.add(
+                        inner.inputPositionOf(List.of(name)),
+                        pathOf(key.word()) + "." + name,
+                        "text",
+                        shown(value));
+            }
+        }
+        return texts;
+    }
+
+    /** The inner table of this name, or null. */
+    TomlTable innerTable(String word) {
         Object value = table.get(List.of(word));
         if (value != null && !(value instanceof TomlTable)) {
             fault(word, "a table", shown(value));
@@ -294,40 +319,33 @@
         return value instanceof TomlTable inner ? inner : null;
     }
 
-    TomlPosition positionOf(String word) {
-        return table.inputPositionOf(List.of(word));
+    /** The inner table of this name as a section; an empty one if it is not given. */
+    Section innerSection(String word, Key.Part part) {
+        TomlTable inner = innerTable(word);
+        if (inner == null) {
+            return new Section(faults, Toml.parse(""), null, pathOf(word), part);
+        }
+        return new Section(faults, inner, positionOf(word), pathOf(word), part);
     }
 
-    /** The list of tables of this name in this one. */
+    /** The sections of an array of tables. */
     List<Section> sections(String word, Key.Part part) {
         Object value = table.get(List.of(word));
-        List<Section> sections = new ArrayList<>();
         if (value == null) {
-            return sections;
+            return List.of();
         }
         if (!(value instanceof TomlArray array)) {
-            fault(
-                    word,
-                    "tables, each begun with [["
-                            + (path.isEmpty() ? word : path + "." + word)
-                            + "]]",
-                    shown(value));
-            return sections;
+            fault(word, "tables, each begun with [[" + pathOf(word) + "]]", shown(value));
+            return List.of();
         }
+        List<Section> sections = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
-            String at = (path.isEmpty() ? word : path + "." + word) + "[" + i + "]";
+            TomlPosition at = array.inputPositionOf(i);
+            String itemPath = pathOf(word) + "[" + i + "]";
             if (array.get(i) instanceof TomlTable inner) {
-                sections.add(new Section(file, faults, inner, array.inputPositionOf(i), at, part));
+                sections.add(new Section(faults, inner, at, itemPath, part));
             } else {
-                TomlPosition where = array.inputPositionOf(i);
-                faults.add(
-                        new Fault(
-                                file,
-                                where.line(),
-                                where.column(),
-                                at,
-                                "a table",
-                                shown(array.get(i))));
+                faults.add(at, itemPath, "a table", shown(array.get(i)));
             }
         }
         return sections;
--- a/configuration/src/main/java/trailthread/configuration/Units.java
+++ b/configuration/src/main/java/trailthread/configuration/Units.java
@@ -3,14 +3,17 @@
 import java.math.BigDecimal;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.regex.Pattern;
 
-/** Durations and sizes with their units, such as 250ms and 64KiB; pure. */
+/** Parses and formats durations and sizes with their units, such as 250ms and 64KiB. */
 public final class Units {
+    private static final int MAX_NUMBER_CHARS = 18;
+    private static final Pattern NUMBER = Pattern.compile("[0-9]+(\\.[0-9]+)?");
     private static final Map<String, Long> TIMES = new LinkedHashMap<>();
     private static final Map<String, Long> SIZES = new LinkedHashMap<>();
 
     static {
-        // The longer ones first, as they end in the shorter ones.
+        // Units that end in another one come before it: "ms" before "s", "KiB" before "B".
         TIMES.put("us", 1_000L);
         TIMES.put("ms", 1_000_000L);
         TIMES.put("min", 60_000_000_000L);
@@ -25,18 +28,20 @@
     private Units() {}
 
     /**
-     * In ns.
+     * Parses a duration.
      *
-     * @throws IllegalArgumentException if it is no duration
+     * @return nanoseconds
+     * @throws IllegalArgumentException if it is no duration, or not a number of nanoseconds
      */
     public static long nanoseconds(String text) {
         return parse(text, TIMES);
     }
 
     /**
-     * In bytes.
+     * Parses a size.
      *
-     * @throws IllegalArgumentException if it is no size
+     * @return bytes
+     * @throws IllegalArgumentException if it is no size, or not a number of bytes
      */
     public static long bytes(String text) {
         return parse(text, SIZES);
@@ -46,9 +51,8 @@
         for (Map.Entry<String, Long> unit : units.entrySet()) {
             if (text.endsWith(unit.getKey())) {
                 String number = text.substring(0, text.length() - unit.getKey().length());
-                // Letters that BigDecimal would take, too: a sign, an exponent, digits of other
-                // scripts.
-                if (number.length() > 18 || !number.matches("[0-9]+(\\.[0-9]+)?")) {
+                // BigDecimal would also accept a sign, an exponent and digits of other scripts.
+                if (number.length() > MAX_NUMBER_CHARS || !NUMBER.matcher(number).matches()) {
                     break;
                 }
                 try {
@@ -56,24 +60,26 @@
                             .multiply(BigDecimal.valueOf(unit.getValue()))
                             .longValueExact();
                 } catch (ArithmeticException e) {
-                    break; // past what a long holds, or a part of the least unit
+                    break; // too large for a long, or not a multiple of the smallest unit
                 }
             }
         }
         throw new IllegalArgumentException("no number with a unit: " + text);
     }
 
-    /** A duration as one would write it. */
+    /** Formats nanoseconds in the largest of s, ms and us that divides them. */
     static String duration(long ns) {
-        return ns % 1_000_000_000 == 0
-                ? ns / 1_000_000_000 + "s"
-                : ns % 1_000_000 == 0 ? ns / 1_000_000 + "ms" : ns / 1_000 + "us";
+        if (ns % 1_000_000_000 == 0) {
+            return ns / 1_000_000_000 + "s";
+        }
+        return ns % 1_000_000 == 0 ? ns / 1_000_000 + "ms" : ns / 1_000 + "us";
     }
 
-    /** A size as one would write it. */
+    /** Formats bytes in the largest of MiB, KiB and B that divides them. */
     static String size(long bytes) {
-        return bytes > 0 && bytes % (1 << 20) == 0
-                ? (bytes >> 20) + "MiB"
-                : bytes > 0 && bytes % (1 << 10) == 0 ? (bytes >> 10) + "KiB" : bytes + "B";
+        if (bytes > 0 && bytes % (1 << 20) == 0) {
+            return (bytes >> 20) + "MiB";
+        }
+        return bytes > 0 && bytes % (1 << 10) == 0 ? (bytes >> 10) + "KiB" : bytes + "B";
     }
 }
--- a/configuration/src/main/java/trailthread/configuration/package-info.java
+++ b/configuration/src/main/java/trailthread/configuration/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads the operator's file: TOML, with every fault told where it stands. docs/configuration.md
- * lists its keys.
+ * Reads the operator's file: TOML, with every fault reported where it stands. docs/configuration.md
+ * lists the keys.
  */
 package trailthread.configuration;
