--- a/command/src/main/java/trailthread/command/AdapterCommand.java
+++ b/command/src/main/java/trailthread/command/AdapterCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 import trailthread.daemon.Main;
 
-/** The decision module on the simulator's wire. */
+/** Runs the decision module on the simulator's wire. */
 @Command(
         name = "adapter",
         mixinStandardHelpOptions = true,
--- a/command/src/main/java/trailthread/command/CheckCommand.java
+++ b/command/src/main/java/trailthread/command/CheckCommand.java
@@ -14,7 +14,7 @@
 import trailthread.engine.routes.Route;
 import trailthread.engine.routes.RouteTable;
 
-/** Tells every fault of a file, or what the node would make of it. */
+/** Reports all faults of a file or, if there are none, its pools and routes. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
@@ -24,8 +24,8 @@
     @Parameters(paramLabel = "FILE", description = "The operator's file, in TOML.")
     private Path file;
 
-    /** The file, or null, with its faults on standard error. */
-    static OperatorFile readOrTell(Path file) {
+    /** Reads a file; null if it has faults, which are written to standard error. */
+    static OperatorFile readOrReport(Path file) {
         OperatorFile.Result result = OperatorFileReader.read(file);
         result.faults().forEach(System.err::println);
         return result.read();
@@ -33,68 +33,79 @@
 
     @Override
     public Integer call() {
-        OperatorFile read = readOrTell(file);
-        if (read == null) {
+        OperatorFile config = readOrReport(file);
+        if (config == null) {
             return Trailthread.BAD;
         }
-        print(read, System.out);
+        print(config, System.out);
         return Trailthread.OK;
     }
 
-    private static void print(OperatorFile file, PrintStream out) {
+    private static void print(OperatorFile config, PrintStream out) {
         out.printf(
                 "%s listens on %s, operators on %s; %d calls, %d connections to workers, %s of bodies%n",
-                file.name(),
-                file.listen(),
-                file.operatorListen() == null ? "none" : file.operatorListen(),
-                file.services().calls(),
-                file.services().connections(),
-                file.services().bodyBytes() + " bytes");
-        for (PoolConfig pool : file.services().pools()) {
-            out.printf(
-                    "pool %s: %s, workers %s; calls %s, connections %s, bodies %s, loop weight %s; classes",
-                    pool.name(),
-                    pool.profile().name().toLowerCase(Locale.ROOT),
-                    source(pool.source()),
-                    part(pool.limits().calls()),
-                    part(pool.limits().connections()),
-                    part(pool.limits().bodyBytes()),
-                    pool.limits().loopWeight());
-            pool.classes()
-                    .forEach(
-                            c ->
-                                    out.printf(
-                                            " %s (%s)",
-                                            c.rules().name(),
-                                            c.repeats().name().toLowerCase(Locale.ROOT)));
-            out.println();
+                config.name(),
+                config.listen(),
+                config.operatorListen() == null ? "none" : config.operatorListen(),
+                config.services().calls(),
+                config.services().connections(),
+                config.services().bodyBytes() + " bytes");
+        for (PoolConfig pool : config.services().pools()) {
+            print(pool, out);
         }
-        for (Route route : new RouteTable(file.services().routes()).routes()) {
-            out.printf(
-                    "route %s: %s%s %s%s%s -> pool %s%s%n",
-                    route.name(),
-                    route.host(),
-                    route.path(),
-                    route.methods().isEmpty()
-                            ? "any method"
-                            : String.join(",", route.methods().stream().sorted().toList()),
-                    route.headers().isEmpty() ? "" : " " + route.headers(),
-                    route.requestClass() == null ? "" : " class " + route.requestClass(),
-                    route.pool(),
-                    route.assigns() == null ? "" : ", as " + route.assigns());
+        for (Route route : new RouteTable(config.services().routes()).routes()) {
+            print(route, out);
         }
     }
 
-    private static String part(Part part) {
+    private static void print(PoolConfig pool, PrintStream out) {
+        out.printf(
+                "pool %s: %s, workers %s; calls %s, connections %s, bodies %s, loop weight %s; classes",
+                pool.name(),
+                lowerCase(pool.profile()),
+                describe(pool.source()),
+                describe(pool.limits().calls()),
+                describe(pool.limits().connections()),
+                describe(pool.limits().bodyBytes()),
+                pool.limits().loopWeight());
+        for (PoolConfig.ClassConfig config : pool.classes()) {
+            out.printf(" %s (%s)", config.rules().name(), lowerCase(config.repeats()));
+        }
+        out.println();
+    }
+
+    private static void print(Route route, PrintStream out) {
+        String methods =
+                route.methods().isEmpty()
+                        ? "any method"
+                        : String.join(",", route.methods().stream().sorted().toList());
+        out.printf(
+                "route %s: %s%s %s%s%s -> pool %s%s%n",
+                route.name(),
+                route.host(),
+                route.path(),
+                methods,
+                route.headers().isEmpty() ? "" : " " + route.headers(),
+                route.requestClass() == null ? "" : " class " + route.requestClass(),
+                route.pool(),
+                route.assigns() == null ? "" : ", as " + route.assigns());
+    }
+
+    private static String lowerCase(Enum<?> value) {
+        return value.name().toLowerCase(Locale.ROOT);
+    }
+
+    private static String describe(Part part) {
         return part.guaranteed() + " to " + part.most();
     }
 
-    private static String source(Source source) {
-        if (source instanceof Source.Roster roster) {
-            return "by the roster at " + roster.hostPort();
+    private static String describe(Source source) {
+        if (source instanceof Source.Roster discovery) {
+            return "by the roster at " + discovery.hostPort();
+        }
+        if (source instanceof Source.ListFile list) {
+            return "in " + list.path();
         }
-        return source instanceof Source.ListFile list
-                ? "in " + list.path()
-                : String.join(",", ((Source.Fixed) source).hostPorts());
+        return String.join(",", ((Source.Fixed) source).hostPorts());
     }
 }
--- a/command/src/main/java/trailthread/command/RouteCommand.java
+++ b/command/src/main/java/trailthread/command/RouteCommand.java
@@ -19,13 +19,15 @@
 import trailthread.engine.routes.RouteTable;
 import trailthread.engine.routes.Target;
 
-/** Says which route takes a request, and why the others do not; sends nothing. */
+/** Reports which route takes a request, and why the others do not; sends nothing. */
 @Command(
         name = "route",
         mixinStandardHelpOptions = true,
         description =
                 "Says which route, pool and class a request gets, and why the other routes do not have it.")
 final class RouteCommand implements Callable<Integer> {
+    private static final String CLASS_HEADER = "x-service-class";
+
     @Parameters(paramLabel = "FILE", description = "The operator's file, in TOML.")
     private Path file;
 
@@ -57,21 +59,11 @@
 
     @Override
     public Integer call() {
-        OperatorFile read = CheckCommand.readOrTell(file);
-        if (read == null) {
+        OperatorFile config = CheckCommand.readOrReport(file);
+        if (config == null) {
             return Trailthread.BAD;
         }
-        Map<String, String> named = new HashMap<>();
-        for (String header : headers) {
-            int colon = header.indexOf(':');
-            if (colon < 1) {
-                throw new ParameterException(
-                        spec.commandLine(), "--header: NAME:VALUE, got '" + header + "'");
-            }
-            named.put(
-                    header.substring(0, colon).toLowerCase(Locale.ROOT),
-                    header.substring(colon + 1).strip());
-        }
+        Map<String, String> headerValues = parseHeaders();
         Target target;
         try {
             target = Target.parse(method, path, List.of(host), true);
@@ -79,29 +71,49 @@
             System.out.println("400: " + e.getMessage());
             return Trailthread.BAD;
         }
-        RouteTable routes = new RouteTable(read.services().routes());
-        RouteQuery asked =
+        RouteTable routes = new RouteTable(config.services().routes());
+        RouteQuery query =
                 new RouteQuery(
                         target.host(),
                         target.segments(),
                         method,
-                        named::get,
-                        named.get("x-service-class"));
-        Route route = routes.match(asked);
-        System.out.println(
-                route == null
-                        ? "404: no route takes it"
-                        : "route "
-                                + route.name()
-                                + ", pool "
-                                + route.pool()
-                                + ", class "
-                                + (route.assigns() != null
-                                        ? route.assigns()
-                                        : asked.requestClass() != null
-                                                ? asked.requestClass()
-                                                : "by the method"));
-        routes.explain(asked).forEach(line -> System.out.println("  " + line));
-        return route == null ? Trailthread.NO : Trailthread.OK;
+                        headerValues::get,
+                        headerValues.get(CLASS_HEADER));
+        Route route = routes.match(query);
+        System.out.println(route == null ? "404: no route takes it" : describe(route, query));
+        routes.explain(query).forEach(line -> System.out.println("  " + line));
+        return route == null ? Trailthread.NO_ROUTE : Trailthread.OK;
+    }
+
+    /** The values of the headers, by their names in lower case. */
+    private Map<String, String> parseHeaders() {
+        Map<String, String> values = new HashMap<>();
+        for (String header : headers) {
+            int colon = header.indexOf(':');
+            if (colon < 1) {
+                throw new ParameterException(
+                        spec.commandLine(), "--header: NAME:VALUE, got '" + header + "'");
+            }
+            values.put(
+                    header.substring(0, colon).toLowerCase(Locale.ROOT),
+                    header.substring(colon + 1).strip());
+        }
+        return values;
+    }
+
+    private static String describe(Route route, RouteQuery query) {
+        return "route "
+                + route.name()
+                + ", pool "
+                + route.pool()
+                + ", class "
+                + requestClass(route, query);
+    }
+
+    private static String requestClass(Route route, RouteQuery query) {
+        if (route.assigns() != null) {
+            return route.assigns();
+        }
+        return query.requestClass() != null ? query.requestClass() : "by the method";
     }
 }
--- a/command/src/main/java/trailthread/command/ServeCommand.java
+++ b/command/src/main/java/trailthread/command/ServeCommand.java
@@ -11,7 +11,7 @@
 import trailthread.daemon.Main;
 import trailthread.daemon.services.ServiceNode;
 
-/** Serves: with an operator's file its services, without one what the platform says. */
+/** Runs a node: with an operator's file its services, without one a platform node. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
@@ -20,8 +20,8 @@
             "Without a file it is the platform's node, configured by LB_CONFIG and the other variables."
         })
 final class ServeCommand implements Callable<Integer> {
-    /** The process lives on after the command line has done its part. */
-    static final int GOES_ON = -1;
+    /** Returned in place of an exit status, as the process goes on after the command line. */
+    static final int KEEPS_RUNNING = -1;
 
     @Parameters(arity = "0..1", paramLabel = "FILE", description = "The operator's file, in TOML.")
     private Path file;
@@ -30,22 +30,22 @@
     public Integer call() throws IOException {
         if (file == null) {
             Main.main(new String[] {"serve"});
-            return GOES_ON;
+            return KEEPS_RUNNING;
         }
-        OperatorFile read = CheckCommand.readOrTell(file);
-        if (read == null) {
+        OperatorFile config = CheckCommand.readOrReport(file);
+        if (config == null) {
             return Trailthread.BAD;
         }
         Lifecycle.startLean();
         CompletableFuture<Runnable> reload = Lifecycle.onHangup();
-        ServiceNode node = new ServiceNode(file, read);
+        ServiceNode node = new ServiceNode(file, config);
         try {
             Lifecycle.start(node::start, node::stop);
         } catch (IOException e) {
-            System.err.println("trailthread: listen on " + read.listen() + ": " + e.getMessage());
+            System.err.println("trailthread: listen on " + config.listen() + ": " + e.getMessage());
             return Trailthread.BAD;
         }
         reload.complete(node::reload);
-        return GOES_ON;
+        return KEEPS_RUNNING;
     }
 }
--- a/command/src/main/java/trailthread/command/Trailthread.java
+++ b/command/src/main/java/trailthread/command/Trailthread.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The program's command line; each word is a class of its own. */
+/** The program's command line; each subcommand is a class of its own. */
 @Command(
         name = "trailthread",
         mixinStandardHelpOptions = true,
@@ -27,26 +27,26 @@
             "2:bad use, a file with faults, or an address that can't be listened on"
         })
 public final class Trailthread implements Callable<Integer> {
-    /** Done. */
+    /** The exit status of success. */
     static final int OK = 0;
 
-    /** The answer is no. */
-    static final int NO = 1;
+    /** The exit status if no route takes the request. */
+    static final int NO_ROUTE = 1;
 
-    /** Bad use, or a file with faults. */
+    /** The exit status for wrong arguments, or a file with faults. */
     static final int BAD = 2;
 
     @Spec private CommandSpec spec;
 
-    /** Runs what the words say, and exits with its code; a server goes on. */
+    /** Runs the command line and exits with its status, unless it started a server. */
     public static void main(String[] args) {
-        int code = run(args);
-        if (code != ServeCommand.GOES_ON) {
-            System.exit(code);
+        int status = run(args);
+        if (status != ServeCommand.KEEPS_RUNNING) {
+            System.exit(status);
         }
     }
 
-    /** Runs what the words say. */
+    /** Runs the command line and returns its exit status. */
     static int run(String... args) {
         return new CommandLine(new Trailthread()).execute(args);
     }
--- a/command/src/main/java/trailthread/command/Version.java
+++ b/command/src/main/java/trailthread/command/Version.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.IVersionProvider;
 import trailthread.daemon.Main;
 
-/** The version, as the build has written it into the jar. */
+/** Provides the version that the build wrote into the jar's manifest. */
 final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() {
