--- a/testkit/src/main/java/trailthread/testkit/Holder.java
+++ b/testkit/src/main/java/trailthread/testkit/Holder.java
@@ -2,7 +2,6 @@
 
 import static org.junit.Assert.assertTrue;
 
-import java.io.BufferedReader;
 import java.io.Closeable;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -14,8 +13,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Holds a listening socket on loopback that each program it starts inherits as descriptor 0. In
- * Perl, which every Debian has: Java can hand no socket of its own to another process.
+ * Holds a listening socket on loopback, and starts programs that inherit it as descriptor 0. A Perl
+ * script does both, as Java can't pass a socket to another process, and Perl is part of every
+ * Debian.
  */
 public final class Holder implements Closeable {
     private static final String SCRIPT =
@@ -27,22 +27,27 @@
             while (my $order = <$orders>) { if (!fork()) { exec('sh', '-c', $order) } }
             """;
 
-    /** What the programs have written so far. */
+    /** The lines that the programs have written so far. */
     public final List<String> log = new CopyOnWriteArrayList<>();
 
+    /** The port of the listening socket. */
     public final int port;
+
     private final Process process;
 
+    /** Opens the socket. */
     public Holder() throws IOException, InterruptedException {
         process = new ProcessBuilder("perl", "-e", SCRIPT).redirectErrorStream(true).start();
-        BufferedReader reader = process.inputReader(StandardCharsets.UTF_8);
-        Thread drain = new Thread(() -> reader.lines().forEach(log::add));
-        drain.setDaemon(true);
-        drain.start();
+        ProcessOutput.collect(process, log);
         port = Integer.parseInt(logged("port (\\d+)", 1));
     }
 
-    /** Starts a program with these variables and says its process id. */
+    /**
+     * Starts a program.
+     *
+     * @param variables of its environment, as the shell's {@code env} takes them
+     * @return its process id
+     */
     public long start(String variables, List<String> command)
             throws IOException, InterruptedException {
         int before = (int) log.stream().filter(line -> line.startsWith("pid ")).count();
@@ -56,13 +61,17 @@
         return Long.parseLong(logged("pid (\\d+)", before + 1));
     }
 
-    /** What the pattern's group found when it was found so many times, which must come. */
+    /**
+     * Waits until the log has so many lines with the pattern.
+     *
+     * @return the pattern's group in the last of them, or the line if it has no group
+     */
     public String logged(String pattern, int times) throws InterruptedException {
-        Pattern wanted = Pattern.compile(pattern);
+        Pattern compiled = Pattern.compile(pattern);
         for (int i = 0; i < 100 * Peer.LONGEST_WAIT_S; i++) {
             int found = 0;
             for (String line : log) {
-                Matcher matcher = wanted.matcher(line);
+                Matcher matcher = compiled.matcher(line);
                 if (matcher.find() && ++found == times) {
                     return matcher.groupCount() == 0 ? line : matcher.group(1);
                 }
@@ -72,7 +81,7 @@
         throw new AssertionError("not " + times + " times '" + pattern + "' in " + log);
     }
 
-    /** Asks a program to end, as the platform does, and waits until it has. */
+    /** Sends SIGTERM to a program, as the platform does, and waits until it has ended. */
     public static void terminate(long pid) throws Exception {
         ProcessHandle program = ProcessHandle.of(pid).orElseThrow();
         assertTrue(program.destroy());
--- a/testkit/src/main/java/trailthread/testkit/Message.java
+++ b/testkit/src/main/java/trailthread/testkit/Message.java
@@ -10,15 +10,27 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One HTTP message as it came, and the connection that it came on. */
+/**
+ * An HTTP message that was received.
+ *
+ * @param start the start line
+ * @param headers by their names in lower case
+ * @param connection on which it came
+ */
 public record Message(String start, Map<String, String> headers, String body, Socket connection) {
 
-    /** Reads one whole message; null if the connection ends before it begins. */
+    /** Reads a complete message; null if the connection ends before its first byte. */
     public static Message read(Socket connection) throws IOException {
         return read(connection, false);
     }
 
-    /** The same; an answer to HEAD has no body, whatever its head says. */
+    /**
+     * Reads a complete message.
+     *
+     * @param bodiless for a response to HEAD, which has no body, whatever its Content-Length
+     * @return null if the connection ends before the first byte
+     * @throws IOException if the connection fails, or ends within the message
+     */
     public static Message read(Socket connection, boolean bodiless) throws IOException {
         InputStream in = connection.getInputStream();
         String start = line(in);
@@ -35,7 +47,7 @@
         if (headers.getOrDefault("transfer-encoding", "").equals("chunked")) {
             return new Message(start, headers, chunks(in), connection);
         }
-        // RFC 9112, 6.3: the length in an answer to HEAD is no body's.
+        // RFC 9112, 6.3: a response to HEAD has no body, but may have a Content-Length.
         int length = bodiless ? 0 : Integer.parseInt(headers.getOrDefault("content-length", "0"));
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
@@ -68,15 +80,22 @@
         return line.toString(StandardCharsets.ISO_8859_1);
     }
 
+    /** The value of a header, or null. */
     public String header(String name) {
         return headers.get(name.toLowerCase(Locale.ROOT));
     }
 
+    /** The status code, if this is a response. */
     public int status() {
         return Integer.parseInt(start.split(" ")[1]);
     }
 
-    /** Answers on the connection that this came on. */
+    /**
+     * Sends a response on the connection that this came on.
+     *
+     * @param status the code and reason, such as {@code 200 OK}
+     * @param headers each with its line end
+     */
     public void answer(String status, String headers, String body) throws IOException {
         send(
                 connection,
@@ -90,6 +109,7 @@
                         + body);
     }
 
+    /** Sends text, as ISO 8859-1. */
     public static void send(Socket connection, String text) throws IOException {
         connection.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
--- a/testkit/src/main/java/trailthread/testkit/Peer.java
+++ b/testkit/src/main/java/trailthread/testkit/Peer.java
@@ -17,35 +17,42 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A scripted peer of the node on loopback: what it is asked is recorded, and answered by its
- * script.
+ * A scripted HTTP server on loopback, such as an endpoint or a discovery service. It records each
+ * request and lets its script respond.
  */
 public final class Peer implements Closeable {
+    /** How long tests wait for something that must happen, in seconds. */
     public static final int LONGEST_WAIT_S = 30;
 
-    /** What a peer does with a request. */
+    /** Handles requests. */
     public interface Script {
+        /** Responds to a request, or does something else with its connection. */
         void act(Message request) throws IOException;
     }
 
+    /** The requests that no test has taken yet. */
     public final BlockingQueue<Message> requests = new LinkedBlockingQueue<>();
+
+    /** The connections that have ended. */
     public final BlockingQueue<Socket> closed = new LinkedBlockingQueue<>();
+
     private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
     private final ServerSocket server;
     private volatile Script script;
 
+    /** Starts a server on a free port. */
     public Peer(Script script) throws IOException {
         this.script = script;
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         thread(this::accept);
     }
 
-    /** A peer that makes this body of every request. */
+    /** A server that responds to every request with this body. */
     public static Peer serving(String body) throws IOException {
         return new Peer(request -> request.answer("200 OK", "", body));
     }
 
-    /** A peer that makes this body of every request, once the latch is open. */
+    /** A server that responds to every request with this body, once the latch is open. */
     public static Peer servingAfter(CountDownLatch open, String body) throws IOException {
         return new Peer(
                 request -> {
@@ -54,34 +61,36 @@
                 });
     }
 
-    /** Waits for what must come. */
+    /** Waits until a latch is open; fails if that takes too long. */
     public static void await(CountDownLatch latch) {
         try {
             if (!latch.await(LONGEST_WAIT_S, TimeUnit.SECONDS)) {
-                throw new AssertionError("it was to come");
+                throw new AssertionError("the latch was not opened in time");
             }
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
     }
 
+    /** The address, {@code address:port}. */
     public String hostPort() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
+    /** Replaces the script, for the requests that come from now on. */
     public void setScript(Script script) {
         this.script = script;
     }
 
-    /** The next request, which must come. */
+    /** Takes the next request; fails if none comes in time. */
     public Message asked() throws InterruptedException {
         Message request = requests.poll(LONGEST_WAIT_S, TimeUnit.SECONDS);
-        assertNotNull("a request was to come", request);
+        assertNotNull("a request must come", request);
         return request;
     }
 
     /**
-     * Nothing has come but what was looked at; to be called when what might have sent it is over.
+     * Checks that all requests have been taken. To be called once whatever might send more is done.
      */
     public void wasNotAsked() {
         assertNull(requests.peek());
@@ -95,7 +104,7 @@
                 thread(() -> serve(connection));
             }
         } catch (IOException e) {
-            // the test is over
+            // the server was closed
         }
     }
 
@@ -106,7 +115,7 @@
                 script.act(m);
             }
         } catch (SocketException e) {
-            // the node let go of it
+            // the node closed the connection
         } catch (IOException e) {
             throw new AssertionError(e);
         } finally {
--- a/testkit/src/main/java/trailthread/testkit/Stage.java
+++ b/testkit/src/main/java/trailthread/testkit/Stage.java
@@ -3,13 +3,11 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import java.io.BufferedReader;
 import java.io.Closeable;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
@@ -23,14 +21,15 @@
 import java.util.regex.Pattern;
 
 /**
- * The real program between scripted endpoints, a scripted discovery and a client, all on loopback.
+ * A test cluster: the real program, run as a process, with scripted endpoints, a scripted discovery
+ * service and clients, all on loopback.
  */
 public final class Stage {
     private static final Pattern SERVES = Pattern.compile("serves on .*:(\\d+)");
 
-    private static final Pattern DOOR = Pattern.compile("operators are told on .*:(\\d+)");
+    private static final Pattern ADMIN_SERVER = Pattern.compile("operators are told on .*:(\\d+)");
 
-    /** The settings of the tests: generous times, so that a slow machine changes no verdict. */
+    /** Settings with long timeouts, so that tests pass on a slow machine as well. */
     public static final String SETTINGS =
             """
             "categories":[
@@ -44,55 +43,68 @@
              "dial_timeout_ns":10000000000,"idle_close_ns":60000000000,"may_cancel":true},
             "safety":{"drain_grace_ns":0,"ask_every_ns":1000000000}""";
 
+    private static final int POLL_MS = 10;
+    private static final int MAX_POLLS = 1000 * Peer.LONGEST_WAIT_S / POLL_MS;
+
     private static final AtomicLong LAST_ID = new AtomicLong(0x9b1f03aa5c7e2d40L);
 
+    /** The discovery service; its watches report no changes unless a test scripts it. */
     public final Peer discovery = new Peer(Stage::watchUnchanged);
 
-    /** What the program has written so far. */
+    /** The lines that the program has written since it was started last. */
     public final List<String> log = new CopyOnWriteArrayList<>();
 
     private final List<Closeable> open = new ArrayList<>();
     private final Path config = Files.createTempFile("trailthread", ".json");
     private Process node;
+
+    /** The program's limit of file descriptors. */
     public int sockets = 256;
 
-    /** Further keys of the configuration, each with a comma after it. */
+    /** More keys of the configuration, each followed by a comma. */
     public String more = "";
 
-    /** Where the program serves, or did last. */
+    /** The port on which the program serves, or served last. */
     public volatile int port;
 
+    /** Makes a cluster whose program is not started. */
     public Stage() throws IOException {
         open.add(discovery);
     }
 
     /**
-     * Starts the node, once more if it has ended, with these settings and endpoints known; it then
-     * serves.
+     * Starts the program as a platform node and waits until it serves. It may be started again
+     * after it has ended.
+     *
+     * @param known the endpoints in the configuration
      */
     public Stage start(String settings, Peer... known) throws IOException, InterruptedException {
         log.clear();
         run(config(settings, known), "serve");
-        Matcher serves = SERVES.matcher(logged("serves on"));
-        assertTrue(serves.find());
-        port = Integer.parseInt(serves.group(1));
+        awaitServing();
         return this;
     }
 
-    /** Starts the program with an operator's file, through the command line; it then serves. */
+    /** Starts the program with an operator's file, and waits until it serves. */
     public Stage serve(String toml) throws IOException, InterruptedException {
         log.clear();
         runClass(toml, List.of("trailthread.command.Trailthread", "serve", config.toString()));
+        awaitServing();
+        return this;
+    }
+
+    private void awaitServing() throws InterruptedException {
         Matcher serves = SERVES.matcher(logged("serves on"));
         assertTrue(serves.find());
         port = Integer.parseInt(serves.group(1));
-        return this;
     }
 
+    /** A node's configuration with these settings and known endpoints. */
     public String config(String settings, Peer... known) {
         return config(discovery, settings, known);
     }
 
+    /** A node's configuration with another discovery service. */
     public String config(Peer discovery, String settings, Peer... known) {
         return "{"
                 + more
@@ -107,7 +119,7 @@
                 + "}}";
     }
 
-    /** Runs the program with this configuration; what it writes goes to the log. */
+    /** Starts the program with this configuration, without waiting for it. */
     public Process run(String json, String... args) throws IOException {
         List<String> words = new ArrayList<>(List.of("trailthread.daemon.Main"));
         words.addAll(List.of(args));
@@ -115,8 +127,9 @@
     }
 
     /**
-     * Starts the program with a pipe in place of its file; returns its end once the program reads
-     * there.
+     * Starts the program with a named pipe as its configuration file.
+     *
+     * @return the pipe's writing end, once the program has opened it for reading
      */
     public OutputStream startAtPipe() throws IOException, InterruptedException {
         Files.delete(config);
@@ -125,7 +138,7 @@
         return pipe();
     }
 
-    /** The pipe's end, once the program reads from it. */
+    /** The pipe's writing end, once the program has opened it for reading. */
     public OutputStream pipe() throws IOException {
         return Files.newOutputStream(config, StandardOpenOption.WRITE);
     }
@@ -147,27 +160,24 @@
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("LB_CONFIG", config.toString());
         node = builder.start();
-        BufferedReader reader = node.inputReader(StandardCharsets.UTF_8);
-        Thread drain = new Thread(() -> reader.lines().forEach(log::add));
-        drain.setDaemon(true);
-        drain.start();
+        ProcessOutput.collect(node, log);
         return node;
     }
 
-    /** The first line of the log that holds this, which must come. */
+    /** Waits for a line of the log that contains the text, and returns the first one. */
     public String logged(String part) throws InterruptedException {
-        for (int i = 0; i < 100 * Peer.LONGEST_WAIT_S; i++) {
+        for (int i = 0; i < MAX_POLLS; i++) {
             for (String line : log) {
                 if (line.contains(part)) {
                     return line;
                 }
             }
-            Thread.sleep(10);
+            Thread.sleep(POLL_MS);
         }
         throw new AssertionError("nothing logged with '" + part + "' in " + log);
     }
 
-    /** An object of discovery with these endpoints, the first in cell 0 as w0, and so on. */
+    /** A message of discovery that lists these endpoints, named w0, w1 and so on, all in cell 0. */
     public static String list(int generation, boolean reset, String lifecycle, Peer... endpoints) {
         StringBuilder entries = new StringBuilder();
         for (int i = 0; i < endpoints.length; i++) {
@@ -189,25 +199,25 @@
                 + "]}";
     }
 
-    /** Opens a watch and says nothing. */
+    /** Responds to a watch request without any update. */
     public static void watch(Message request) throws IOException {
         Message.send(request.connection(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
-    /** Opens a watch, on which nothing has changed. */
+    /** Responds to a watch request with a heartbeat. */
     public static void watchUnchanged(Message request) throws IOException {
         watch(request);
         line(request, "");
     }
 
-    /** Sends a line on a watch. */
+    /** Sends a line on a watch, as one chunk. */
     public static void line(Message watch, String line) throws IOException {
         Message.send(
                 watch.connection(),
                 Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
 
-    /** A client's connection. */
+    /** Opens a connection of a client; it is closed at the end. */
     public Socket connect() throws IOException {
         Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
         client.setSoTimeout(1000 * Peer.LONGEST_WAIT_S);
@@ -215,46 +225,46 @@
         return client;
     }
 
-    /** Sends a well-formed call of a class and reads its answer. */
+    /** Sends a valid request of a class, on a new connection, and returns the response. */
     public Message call(String requestClass) throws IOException {
         Socket client = connect();
         Message.send(client, request(requestClass, "", ""));
         return Message.read(client);
     }
 
-    /** Makes a call at the operators' door. */
+    /** Sends a request to the program's admin server. */
     public Message manage(String method, String path) throws IOException, InterruptedException {
-        Matcher at = DOOR.matcher(logged("operators are told on"));
+        Matcher at = ADMIN_SERVER.matcher(logged("operators are told on"));
         assertTrue(at.find());
         return manage(Integer.parseInt(at.group(1)), method, path);
     }
 
-    /** The same at a door of another process. */
-    public static Message manage(int door, String method, String path) throws IOException {
-        try (Socket operator = new Socket(InetAddress.getLoopbackAddress(), door)) {
+    /** Sends a request to the admin server on this port. */
+    public static Message manage(int adminPort, String method, String path) throws IOException {
+        try (Socket operator = new Socket(InetAddress.getLoopbackAddress(), adminPort)) {
             operator.setSoTimeout(1000 * Peer.LONGEST_WAIT_S);
             Message.send(operator, method + " " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
             return Message.read(operator);
         }
     }
 
-    /** Waits until the figures at the operators' door hold this line. */
+    /** Waits until the metrics of the admin server contain this line. */
     public void awaitFigure(String line) throws IOException, InterruptedException {
-        String figures = "";
-        for (int i = 0; i < 100 * Peer.LONGEST_WAIT_S; i++) {
-            figures = manage("GET", "/-/metrics").body();
-            if (("\n" + figures).contains("\n" + line + "\n")) {
+        String metrics = "";
+        for (int i = 0; i < MAX_POLLS; i++) {
+            metrics = manage("GET", "/-/metrics").body();
+            if (("\n" + metrics).contains("\n" + line + "\n")) {
                 return;
             }
-            Thread.sleep(10);
+            Thread.sleep(POLL_MS);
         }
-        throw new AssertionError(line + " in " + figures);
+        throw new AssertionError(line + " in " + metrics);
     }
 
-    /** A well-formed call of a class with a query and further headers, under an id of its own. */
+    /** The text of a valid request of a class, with a unique id. */
     public static String request(String requestClass, String query, String headers) {
-        boolean safe = requestClass.equals("state");
-        return (safe ? "GET /" : "POST /")
+        boolean idempotent = requestClass.equals("state");
+        return (idempotent ? "GET /" : "POST /")
                 + requestClass
                 + query
                 + " HTTP/1.1\r\nHost: api.internal\r\n"
@@ -265,26 +275,26 @@
                 + "\r\nX-Account: acme\r\nX-Time-Left: 20.000\r\n"
                 + headers
                 + (requestClass.equals("action") ? "Idempotency-Key: 5c0f6e1a2b3d4c59\r\n" : "")
-                + (safe ? "\r\n" : "Content-Length: 4\r\n\r\npour");
+                + (idempotent ? "\r\n" : "Content-Length: 4\r\n\r\npour");
     }
 
-    /** Replaces the configuration and says so, as the platform does. */
+    /** Replaces the configuration file and sends SIGHUP, as the platform does. */
     public void reload(String json) throws IOException, InterruptedException {
-        Path beside = Files.writeString(Path.of(config + ".new"), json);
+        Path next = Files.writeString(Path.of(config + ".new"), json);
         Files.move(
-                beside,
+                next,
                 config,
-                StandardCopyOption.ATOMIC_MOVE); // a reading under way finds the old one whole
+                StandardCopyOption.ATOMIC_MOVE); // a read in progress gets the complete old file
         signal("HUP");
     }
 
-    /** How many file descriptors the program holds. */
+    /** How many file descriptors the program has open; -1 if it has ended. */
     public int descriptors() {
-        String[] held = Path.of("/proc", Long.toString(node.pid()), "fd").toFile().list();
-        return held == null ? -1 : held.length;
+        String[] descriptors = Path.of("/proc", Long.toString(node.pid()), "fd").toFile().list();
+        return descriptors == null ? -1 : descriptors.length;
     }
 
-    /** Sends the program a signal, which has been delivered when this returns. */
+    /** Sends a signal to the program; it has been delivered when this returns. */
     public void signal(String name) throws IOException, InterruptedException {
         assertEquals(
                 0,
@@ -293,28 +303,29 @@
                         .waitFor());
     }
 
-    /** Whether the program has not ended. */
+    /** Whether the program is running. */
     public boolean isRunning() {
         return node.isAlive();
     }
 
-    /** Asks the program to end, as the platform does. */
+    /** Sends SIGTERM to the program, as the platform does. */
     public void terminate() {
-        node.toHandle().destroy(); // the process's own destroy would close the log
+        node.toHandle().destroy(); // Process.destroy would close the output
     }
 
+    /** Waits for the program to end, and returns its exit status. */
     public int exitStatus() throws InterruptedException {
         assertTrue("the program was to end", node.waitFor(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
         return node.exitValue();
     }
 
-    /** What is closed with the stage. */
+    /** Registers something to be closed at the end. */
     public <T extends Closeable> T add(T peer) {
         open.add(peer);
         return peer;
     }
 
-    /** Ends the program and all that was opened for it. */
+    /** Kills the program, and closes all connections and registered objects. */
     public void end() throws IOException, InterruptedException {
         for (Closeable c : open) {
             c.close();
