--- a/daemon/src/main/java/org/xnio/nio/InheritedTcpServer.java
+++ b/daemon/src/main/java/org/xnio/nio/InheritedTcpServer.java
@@ -9,28 +9,30 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * XNIO's server on a listening socket that the process was given: XNIO itself only makes its own.
- * In XNIO's package, as the classes that this joins are not public; the build holds their version.
+ * Makes an XNIO server on a listening socket that the process inherited; XNIO itself can only open
+ * sockets. This is in XNIO's package, as the classes that it uses are package-private; the build
+ * pins XNIO's version.
  */
 public final class InheritedTcpServer {
     private InheritedTcpServer() {}
 
     /**
-     * The server, which accepts nothing as yet.
+     * Makes the server. It accepts nothing until it is resumed.
      *
-     * @param given bound and listening; to be closed with the server alone
+     * @param inherited bound and listening; closed only with the server
+     * @param accept runs when connections may be accepted
      * @throws IOException if it can't be made non-blocking or registered
      */
     public static AcceptingChannel<StreamConnection> on(
-            ServerSocketChannel given,
+            ServerSocketChannel inherited,
             XnioWorker worker,
             ChannelListener<? super AcceptingChannel<StreamConnection>> accept,
             OptionMap options)
             throws IOException {
-        given.configureBlocking(false);
+        inherited.configureBlocking(false);
         QueuedNioTcpServer2 server =
                 new QueuedNioTcpServer2(
-                        new NioTcpServer((NioXnioWorker) worker, given, options, true));
+                        new NioTcpServer((NioXnioWorker) worker, inherited, options, true));
         server.setAcceptListener(accept);
         return server;
     }
--- a/daemon/src/main/java/trailthread/daemon/DecisionWarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/DecisionWarmUp.java
@@ -13,72 +13,101 @@
 import trailthread.api.Outcome;
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
+import trailthread.engine.loop.EventLoop;
 
 /**
- * Plays a crowd of requests to a module of its own, in time of its own, so that the decisions of a
- * start are not the first ones ever taken: a cold decision among ten endpoints takes longer than
- * all the rest of a call, and the crowd that a restart brings takes hundreds. No socket and no
- * clock; what it decides is dropped.
+ * Warms the code of the decision module up: simulates more requests than a few endpoints can take,
+ * on a module of its own, whose decisions are dropped. The first decisions among several endpoints
+ * take longer than all the rest of a request, and {@link LoopbackWarmUp} has one endpoint only.
+ *
+ * <p>Uses no sockets, and simulated time.
  */
 class DecisionWarmUp implements BalancerActions {
     private static final int ENDPOINTS = 10;
     private static final long STEP_NS = 1_000_000;
+    private static final int MAX_STEPS = 300;
+    private static final long MAX_REAL_NS = 50_000_000L;
 
-    /**
-     * So many requests a step, more than the endpoints can take: some are held, and turned away.
-     */
-    private static final int REQUESTS_A_STEP = 2;
+    /** More than the endpoints can take, so that some requests are queued and some rejected. */
+    private static final int REQUESTS_PER_STEP = 2;
 
-    private static final long ANSWER_NS = 25 * STEP_NS;
+    private static final long RESPONSE_NS = 25 * STEP_NS;
 
-    private record Attempt(long id, int number, long endsAt) {}
+    private record Attempt(long request, int number, long endsAt) {}
 
     private record Timer(long at, long token) {}
 
     private final Settings settings;
-    private final Balancer module;
-    private final ArrayDeque<Attempt> out = new ArrayDeque<>();
+    private final Balancer balancer;
+
+    /** The attempts in flight, in the order of their ends, as all take the same time. */
+    private final ArrayDeque<Attempt> inFlight = new ArrayDeque<>();
+
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+
+    /** Simulated time, in nanoseconds. */
     private long now;
-    private long id;
 
+    private long lastRequest;
+
+    /** Makes a simulation of a node with these settings. */
     DecisionWarmUp(Settings settings, long seed) {
         this.settings = settings;
-        module = new Balancer(settings, seed, now, this);
+        balancer = new Balancer(settings, seed, now, this);
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
             entries.add(new EndpointEntry("w" + i, 1, EndpointState.READY, settings.zone, 0, i));
         }
-        module.list(now, ListKind.FULL, entries);
+        balancer.list(now, ListKind.FULL, entries);
     }
 
-    /** Plays one step. */
+    /** Runs a simulation, for a limited number of steps and a limited time. */
+    static void run(EventLoop loop, Settings settings, long seed) {
+        DecisionWarmUp simulation = new DecisionWarmUp(settings, seed);
+        long until = loop.now() + MAX_REAL_NS;
+        for (int i = 0; i < MAX_STEPS && loop.now() < until; i++) {
+            simulation.step();
+        }
+    }
+
+    /** Simulates one step: timers that are due, attempts that end, and new requests. */
     void step() {
         now += STEP_NS;
         while (!timers.isEmpty() && timers.peek().at <= now) {
-            module.timer(now, timers.poll().token);
+            balancer.timer(now, timers.poll().token);
         }
-        while (!out.isEmpty() && out.peek().endsAt <= now) {
-            Attempt done = out.poll();
-            module.outcome(
-                    now,
-                    done.id,
-                    done.number,
-                    Outcome.OK,
-                    ANSWER_NS,
-                    true,
-                    new LoadReport(1, 0, Double.NaN, Double.NaN, Double.NaN, Double.NaN));
+        while (!inFlight.isEmpty() && inFlight.peek().endsAt <= now) {
+            succeed(inFlight.poll());
         }
-        for (int i = 0; i < REQUESTS_A_STEP; i++) {
-            RequestClass c = settings.classes.get((int) (++id % settings.classes.size()));
-            module.request(now, id, c.name(), 0, now + c.deadlineNs(), null, false, 0);
+        for (int i = 0; i < REQUESTS_PER_STEP; i++) {
+            sendRequest();
         }
     }
 
+    private void succeed(Attempt attempt) {
+        LoadReport load = new LoadReport(1, 0, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+        balancer.outcome(now, attempt.request, attempt.number, Outcome.OK, RESPONSE_NS, true, load);
+    }
+
+    private void sendRequest() {
+        lastRequest++;
+        int index = (int) (lastRequest % settings.classes.size());
+        RequestClass requestClass = settings.classes.get(index);
+        balancer.request(
+                now,
+                lastRequest,
+                requestClass.name(),
+                0,
+                now + requestClass.deadlineNs(),
+                null,
+                false,
+                0);
+    }
+
     @Override
     public void send(long request, long timeoutNs, long writtenBy, String endpoint) {
-        out.add(new Attempt(request, 0, now + ANSWER_NS));
+        inFlight.add(new Attempt(request, 0, now + RESPONSE_NS));
     }
 
     @Override
--- a/daemon/src/main/java/trailthread/daemon/Drain.java
+++ b/daemon/src/main/java/trailthread/daemon/Drain.java
@@ -7,93 +7,95 @@
 import trailthread.engine.metrics.NodeControl;
 
 /**
- * Leads a node's clients away while it goes on, and takes them back. The node says at once that it
- * is not ready, and goes on accepting: who asks whether it is ready must hear that it is not. On
- * the loop's thread.
+ * Drains a node: its clients are moved to other nodes while it goes on running, and may be taken
+ * back. The node is not ready from then on, but it goes on accepting connections, as the front end
+ * that polls its readiness needs one to learn of it. Runs on the loop's thread.
  */
 public final class Drain implements NodeControl {
     private static final Logger LOG = LoggerFactory.getLogger(Drain.class);
 
     /**
-     * Until then, the front may not have heard of it, and clients that were sent away would come
-     * back here.
+     * When responses begin to close their connections. Before, the front end may not have learned
+     * of the drain, and clients whose connections were closed would come back to this node.
      */
-    private static final long ANSWERS_END_AFTER_NS = 400_000_000L;
+    private static final long CLOSE_WITH_RESPONSES_AFTER_NS = 400_000_000L;
 
     /**
-     * What has brought no call by then is closed: an answer's end can't cross a call, and a close
-     * can.
+     * When idle connections begin to be closed. This comes last, as a request that is on its way
+     * may be lost with such a connection, but not if the connection closes with a response.
      */
-    private static final long IDLE_ENDS_AFTER_NS = 1_500_000_000L;
+    private static final long CLOSE_IDLE_AFTER_NS = 1_500_000_000L;
 
-    private static final long IDLE_ENDS_EVERY_NS = 100_000_000L;
+    private static final long CLOSE_IDLE_INTERVAL_NS = 100_000_000L;
 
     private final EventLoop loop;
-    private final HttpListener acceptor;
-    private boolean drains;
+    private final HttpListener listener;
+    private boolean draining;
 
-    /**
-     * Each drain has its own number, so that what an earlier one has put off does nothing to a
-     * later one.
-     */
-    private int number;
+    /** Counts drains, so that the timers of an earlier drain don't affect a later one. */
+    private int drainNumber;
 
-    private boolean ends;
+    private boolean ended;
 
-    /** Makes one for the node's clients. */
-    public Drain(EventLoop loop, HttpListener acceptor) {
+    /** Makes a drain that has not begun, for the clients of a listener. */
+    public Drain(EventLoop loop, HttpListener listener) {
         this.loop = loop;
-        this.acceptor = acceptor;
+        this.listener = listener;
     }
 
     @Override
     public boolean drain() {
-        if (!drains && !ends) {
-            drains = true;
-            int mine = ++number;
-            LOG.info("drains: clients are led away");
-            acceptor.setDrained(true);
-            loop.after(
-                    ANSWERS_END_AFTER_NS,
-                    () -> {
-                        if (goesOn(mine)) {
-                            acceptor.endWithAnswers(true);
-                        }
-                    });
-            loop.after(IDLE_ENDS_AFTER_NS, () -> closeIdle(mine));
+        if (!draining && !ended) {
+            begin();
         }
-        return !ends;
+        return !ended;
+    }
+
+    private void begin() {
+        draining = true;
+        drainNumber++;
+        int number = drainNumber;
+        LOG.info("drains: clients are led away");
+        listener.setDrained(true);
+        loop.after(CLOSE_WITH_RESPONSES_AFTER_NS, () -> closeWithResponses(number));
+        loop.after(CLOSE_IDLE_AFTER_NS, () -> closeIdle(number));
     }
 
-    private boolean goesOn(int mine) {
-        return drains && !ends && mine == number;
+    private boolean isInProgress(int number) {
+        return draining && !ended && number == drainNumber;
+    }
+
+    private void closeWithResponses(int number) {
+        if (isInProgress(number)) {
+            listener.endWithAnswers(true);
+        }
     }
 
-    private void closeIdle(int mine) {
-        if (goesOn(mine)) {
-            acceptor.endUnused();
-            loop.after(IDLE_ENDS_EVERY_NS, () -> closeIdle(mine));
+    private void closeIdle(int number) {
+        if (isInProgress(number)) {
+            listener.endUnused();
+            loop.after(CLOSE_IDLE_INTERVAL_NS, () -> closeIdle(number));
         }
     }
 
     @Override
     public boolean resume() {
-        if (drains && !ends) {
-            drains = false;
+        if (draining && !ended) {
+            draining = false;
             LOG.info("takes clients again");
-            acceptor.endWithAnswers(false);
-            acceptor.setDrained(false);
+            listener.endWithAnswers(false);
+            listener.setDrained(false);
         }
-        return !ends;
+        return !ended;
     }
 
-    /** The node ends: no drain begins or ends any more. */
+    /** Stops all drains for good, as the node shuts down. */
     void end() {
-        ends = true;
+        ended = true;
     }
 
-    /** Whether the node ends. */
+    /** Whether the node shuts down. */
     boolean hasEnded() {
-        return ends;
+        return ended;
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
+++ b/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
@@ -8,14 +8,18 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * How a node ends when it is asked to: it serves on for a while, then finishes every call taken.
+ * Shuts a node down without losing requests: it serves on for a while, then closes its listening
+ * socket and finishes the requests in flight. {@link ShutdownPlan} says when.
  */
 public final class GracefulShutdown {
-    /** What holds the calls, where a process that takes too long is killed. */
+    /** Holds the requests in flight; they must be answered before the process is killed. */
     public interface AtWork {
         /**
-         * Calls taken from now on have their answers by the first time, all by the second; by
-         * {@link EventLoop#now}, in nanoseconds.
+         * Sets the times by which requests must be answered. Times are those of {@link
+         * EventLoop#now}, in nanoseconds.
+         *
+         * @param newOnes for requests admitted from now on
+         * @param all for all requests
          */
         void answerBy(long newOnes, long all);
     }
@@ -23,62 +27,69 @@
     private static final Logger LOG = LoggerFactory.getLogger(GracefulShutdown.class);
 
     /**
-     * A client that reads its last answer slowly, or a long one, is waited for so long, if nobody
-     * kills the node.
+     * How long the process waits, past the longest deadline, for clients that read their last
+     * response slowly, if it is not killed.
      */
-    private static final long LAST_ANSWER_NS = 1_700_000_000L;
+    private static final long LAST_RESPONSES_NS = 1_700_000_000L;
 
     private final EventLoop loop;
-    private final HttpListener acceptor;
+    private final HttpListener listener;
     private final Drain drain;
-    private final AtWork atWork;
+    private final AtWork requests;
 
     /** The longest deadline by the settings in force. */
-    private volatile long inForceNs;
+    private volatile long deadlineInForceNs;
 
-    /** The same of all settings since the start: calls keep theirs when other settings hold. */
-    private volatile long longestNs;
+    /**
+     * The longest deadline of all settings since the start: requests keep the deadline they were
+     * admitted with.
+     */
+    private volatile long longestDeadlineNs;
 
-    /** Makes the end of a node that serves with the acceptor. */
-    public GracefulShutdown(EventLoop loop, HttpListener acceptor, Drain drain, AtWork atWork) {
+    /** Makes the shutdown of a node that serves with the listener. */
+    public GracefulShutdown(EventLoop loop, HttpListener listener, Drain drain, AtWork requests) {
         this.loop = loop;
-        this.acceptor = acceptor;
+        this.listener = listener;
         this.drain = drain;
-        this.atWork = atWork;
+        this.requests = requests;
     }
 
     /**
-     * Calls have deadlines up to this, in nanoseconds, from now on. To be called by one thread at a
-     * time.
+     * Sets the longest deadline of new requests from now on, in nanoseconds. Must not be called by
+     * several threads at once.
      */
     public void waitsFor(long deadlineNs) {
-        inForceNs = deadlineNs;
-        longestNs = Math.max(longestNs, deadlineNs);
+        deadlineInForceNs = deadlineNs;
+        longestDeadlineNs = Math.max(longestDeadlineNs, deadlineNs);
     }
 
-    /** Ends the node; returns when all calls have had their time. */
+    /**
+     * Shuts the node down. Returns when all requests have been answered or have had their time.
+     *
+     * @param name the node's, for the log
+     */
     public void await(String name) throws InterruptedException {
-        long askedAt = loop.now(); // not when the loop comes to it, which may be late
+        // Taken here, as the loop may run the task late, and the time to a kill counts from now.
+        long requestedAt = loop.now();
         CountDownLatch done = new CountDownLatch(1);
-        loop.execute(() -> begin(name, askedAt, done));
-        done.await(longestNs + LAST_ANSWER_NS, TimeUnit.NANOSECONDS);
+        loop.execute(() -> begin(name, requestedAt, done));
+        done.await(longestDeadlineNs + LAST_RESPONSES_NS, TimeUnit.NANOSECONDS);
     }
 
-    private void begin(String name, long askedAt, CountDownLatch done) {
+    private void begin(String name, long requestedAt, CountDownLatch done) {
         LOG.info("{} stops", name);
         drain.end();
-        acceptor.setReady(false);
+        listener.setReady(false);
         long latenessNs = loop.turns().latenessNs(System.nanoTime());
-        // Which deadlines the platform counts by after SIGHUP is not said: new calls come under the
-        // newest.
-        ShutdownPlan plan = ShutdownPlan.of(inForceNs, latenessNs);
-        atWork.answerBy(
-                askedAt + plan.answeredNs(),
-                askedAt + ShutdownPlan.of(longestNs, latenessNs).answeredNs());
-        long pastNs = loop.now() - askedAt;
-        // Where another process accepts for this one, clients that are sent away meet it at once.
-        long lastAnswersNs = acceptor.leavesToOthers() ? 0 : plan.lastAnswersNs();
-        loop.after(lastAnswersNs - pastNs, () -> acceptor.endWithAnswers(true));
-        loop.after(plan.closesNs() - pastNs, () -> acceptor.close(done::countDown));
+        // The platform does not say whether a reload changes the deadlines it counts by, so new
+        // requests are planned by the newest ones.
+        ShutdownPlan plan = ShutdownPlan.of(deadlineInForceNs, latenessNs);
+        ShutdownPlan planForAll = ShutdownPlan.of(longestDeadlineNs, latenessNs);
+        requests.answerBy(requestedAt + plan.answeredNs(), requestedAt + planForAll.answeredNs());
+        long elapsedNs = loop.now() - requestedAt;
+        // If another process accepts for this node, clients reach it as soon as they reconnect.
+        long closeWithResponsesNs = listener.leavesToOthers() ? 0 : plan.closeWithResponsesNs();
+        loop.after(closeWithResponsesNs - elapsedNs, () -> listener.endWithAnswers(true));
+        loop.after(plan.closeNs() - elapsedNs, () -> listener.close(done::countDown));
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/InheritedSocket.java
+++ b/daemon/src/main/java/trailthread/daemon/InheritedSocket.java
@@ -6,30 +6,36 @@
 import java.util.Map;
 
 /**
- * The clients' listening socket, where the platform holds it and every process of a node inherits
+ * The listening socket for clients, if the platform opened it and all processes of a node inherit
  * it.
  */
 final class InheritedSocket {
     private static final String VARIABLE = "LB_SOCKET_FD";
 
-    /** The only one that Java hands over, see {@link System#inheritedChannel}. */
+    /** The only descriptor that Java can inherit, see {@link System#inheritedChannel}. */
     private static final String DESCRIPTOR = "0";
 
     private InheritedSocket() {}
 
-    /** The socket, or null: the node opens its address itself. */
+    /**
+     * The inherited socket, or null if the node is to open its address itself.
+     *
+     * @throws ConfigException if the variable names another descriptor, or it is no listening
+     *     socket
+     * @throws IOException if the descriptor can't be used
+     */
     static ServerSocketChannel of(Map<String, String> environment)
             throws ConfigException, IOException {
-        String told = environment.getOrDefault(VARIABLE, "");
-        if (told.isEmpty()) {
+        String descriptor = environment.getOrDefault(VARIABLE, "");
+        if (descriptor.isEmpty()) {
             return null;
         }
-        if (!told.equals(DESCRIPTOR)) {
+        if (!descriptor.equals(DESCRIPTOR)) {
             throw new ConfigException(
-                    VARIABLE, "descriptor " + DESCRIPTOR + ", got '" + told + "'");
+                    VARIABLE, "descriptor " + DESCRIPTOR + ", got '" + descriptor + "'");
         }
-        Channel given = System.inheritedChannel();
-        if (given instanceof ServerSocketChannel socket) {
+        Channel inherited = System.inheritedChannel();
+        if (inherited instanceof ServerSocketChannel socket) {
             return socket;
         }
         throw new ConfigException(VARIABLE, "a listening socket");
--- a/daemon/src/main/java/trailthread/daemon/Lifecycle.java
+++ b/daemon/src/main/java/trailthread/daemon/Lifecycle.java
@@ -5,27 +5,31 @@
 import java.util.concurrent.CompletableFuture;
 import org.slf4j.LoggerFactory;
 
-/** The process: how it starts, what signals do, how it ends. */
+/** The life of the process: its start, its signal handlers and its end. */
 public final class Lifecycle {
-    /** What begins to take calls. */
+    /** Begins to serve requests. */
     public interface Starting {
-        /** Returns when it is under way. */
+        /**
+         * Returns when it has begun.
+         *
+         * @throws IOException if it can't
+         */
         void run() throws IOException;
     }
 
-    /** What ends a process in order. */
+    /** Shuts down gracefully. */
     public interface Ending {
-        /** Returns when all is done. */
+        /** Returns when the process may exit. */
         void run() throws InterruptedException;
     }
 
     private Lifecycle() {}
 
     /**
-     * Spares a start what nobody here uses: XNIO registers itself with the platform's management
-     * beans, which loads hundreds of classes (it goes on without them); the log's dates would bring
-     * in all the world's calendars; and the log's provider, and translations of its messages, are
-     * looked for in every jar.
+     * Sets system properties that shorten the start. Must be called before any logger is made. XNIO
+     * would register MBeans, which loads hundreds of classes; the dates in the log would load the
+     * data of all locales; and the logging provider, and translations of its messages, would be
+     * searched for in every jar.
      */
     public static void startLean() {
         System.setProperty("org.jboss.logging.provider", "slf4j");
@@ -38,27 +42,30 @@
     }
 
     /**
-     * Handles SIGHUP, which would end the virtual machine, from now on: each runs what this is
-     * completed with, and one that comes before waits for it. By reflection, as the compiler warns
-     * of the only class that handles signals, and a warning is an error here.
+     * Handles SIGHUP from now on; without a handler it would end the Java virtual machine. Each
+     * signal runs the task that the returned future is completed with; a signal that comes earlier
+     * is handled once it is.
+     *
+     * <p>Uses reflection, as the compiler warns of {@code sun.misc.Signal}, and warnings are errors
+     * in this build.
      */
     public static CompletableFuture<Runnable> onHangup() {
         CompletableFuture<Runnable> reload = new CompletableFuture<>();
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object handles =
+            Class<?> signalType = Class.forName("sun.misc.Signal");
+            Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
+            Object hangup = signalType.getConstructor(String.class).newInstance("HUP");
+            Object handler =
                     Proxy.newProxyInstance(
                             Lifecycle.class.getClassLoader(),
-                            new Class<?>[] {handler},
+                            new Class<?>[] {handlerType},
                             (proxy, method, args) -> {
                                 if (method.getName().equals("handle")) {
                                     var unused = reload.thenAccept(Runnable::run);
                                 }
                                 return null;
                             });
-            signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handles);
+            signalType.getMethod("handle", signalType, handlerType).invoke(null, hangup, handler);
         } catch (ReflectiveOperationException e) {
             LoggerFactory.getLogger(Lifecycle.class)
                     .warn("SIGHUP is not handled: {}", e.toString());
@@ -67,27 +74,28 @@
     }
 
     /**
-     * Starts what SIGTERM ends in order, from before its first call. Ends in 0 what would end in
-     * the signal's number: a graceful shutdown is no failure; what can't start ends as it would.
+     * Starts serving, with a shutdown hook that SIGTERM runs; the hook is in place before the first
+     * request can come. After a graceful shutdown the exit status is 0 in place of the signal's.
+     *
+     * @throws IOException if the start fails; the hook is removed then
      */
     public static void start(Starting starting, Ending ending) throws IOException {
-        Thread stop =
-                new Thread(
-                        () -> {
-                            try {
-                                ending.run();
-                            } catch (InterruptedException e) {
-                                Thread.currentThread().interrupt();
-                            }
-                            Runtime.getRuntime().halt(0);
-                        },
-                        "stop");
-        Runtime.getRuntime().addShutdownHook(stop);
+        Thread shutdownHook = new Thread(() -> shutDown(ending), "stop");
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
             starting.run();
         } catch (IOException e) {
-            Runtime.getRuntime().removeShutdownHook(stop);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
             throw e;
         }
     }
+
+    private static void shutDown(Ending ending) {
+        try {
+            ending.run();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+        Runtime.getRuntime().halt(0);
+    }
 }
--- a/daemon/src/main/java/trailthread/daemon/LoopbackWarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/LoopbackWarmUp.java
@@ -30,216 +30,239 @@
 import trailthread.engine.request.RequestHandler;
 
 /**
- * Takes calls of the node's own through the whole path before clients come, so that their first
- * calls do not wait for classes to load and code to be compiled. The node is client and endpoint of
- * these calls, over its own address; a module of their own decides on them, and no real endpoint
- * hears of them: one that was given up may lie unread until long after the last, so each call that
- * is read is looked at, for as long as the node runs.
+ * Warms a node up with requests that it sends to itself, so that the first requests of clients do
+ * not wait for classes to be loaded and code to be compiled. {@link DecisionWarmUp} does the same
+ * for decisions among many endpoints.
+ *
+ * <p>The node is client and endpoint of these requests, over its own address. They have a decision
+ * module and an endpoint pool of their own, and never reach a real endpoint. A warm-up request that
+ * timed out may be read long after the warm-up has ended, so this stays in front of the real
+ * request handler and checks the id of every request for as long as the node runs.
  */
 final class LoopbackWarmUp implements RequestHandler {
+    /**
+     * The circumstances of a start.
+     *
+     * @param startedAt when it began, by the loop's clock in nanoseconds
+     * @param probing whether endpoints are being asked for their load, see {@link #loadReported}
+     * @param replacesProcess whether another process of this node serves its clients meanwhile, so
+     *     that there is no hurry
+     */
+    record Start(long startedAt, boolean probing, boolean replacesProcess) {}
+
     private static final Logger LOG = LoggerFactory.getLogger(LoopbackWarmUp.class);
     private static final String SELF = "self";
 
-    /**
-     * By then what a call takes has been compiled; the next ones take a tenth of the first ones'
-     * time.
-     */
-    private static final int MOST_CALLS = 1000;
+    /** After so many requests the code in use has been compiled. */
+    private static final int MAX_REQUESTS = 1000;
 
-    /** The first ones load what all need, and take a hundred times as long as those that follow. */
-    private static final int LEAST_CALLS = 3;
+    /** The first requests load the classes; they take far longer than those that follow. */
+    private static final int MIN_REQUESTS = 3;
 
-    /**
-     * So long it takes on half a core until code is compiled; nobody waits for a node of an idle
-     * fleet.
-     */
-    private static final long LONGEST_NS = 2_500_000_000L;
+    /** Enough time to compile the code on half a core. Used if the fleet is idle. */
+    private static final long IDLE_FLEET_NS = 2_500_000_000L;
 
-    /** A start takes no longer where nothing is known of the fleet... */
-    private static final long UNKNOWING_NS = 1_500_000_000L;
+    /** The time for a warm-up if the load of the fleet is not known. */
+    private static final long UNKNOWN_FLEET_NS = 1_500_000_000L;
 
     /**
-     * ...and where it is at work: the rest of the nodes serve this one's clients meanwhile, but
-     * where nodes are restarted in turn, the next one has gone by then.
+     * The time for a warm-up if the fleet is busy. The other nodes serve this node's clients
+     * meanwhile, but in a rolling restart the next of them is about to stop.
      */
-    private static final long HURRIED_NS = 100_000_000L;
+    private static final long BUSY_FLEET_NS = 100_000_000L;
 
-    private static final long DRILL_NS = 50_000_000L;
+    /** Opening a connection is warmed up as well: many clients connect at once after a restart. */
+    private static final int REQUESTS_PER_CONNECTION = 2;
 
-    /**
-     * Clients that come in a crowd open connections, and many are refused: that must be no slower.
-     */
-    private static final int CALLS_A_CONNECTION = 2;
+    /** Rejecting a request is warmed up as well: such a crowd exceeds the capacity. */
+    private static final int REQUESTS_PER_REJECTION = 3;
 
-    private static final int CALLS_A_REFUSAL = 3;
-    private static final int DRILL_STEPS = 300;
-    private static final long CALL_WITHIN_NS = 500_000_000L;
-    private static final byte[] BODY = "x".repeat(512).getBytes(StandardCharsets.US_ASCII);
+    private static final int MAX_CONNECTIONS = 16;
+    private static final long REQUEST_TIMEOUT_NS = 500_000_000L;
+    private static final int BODY_BYTES = 512;
+    private static final byte[] BODY = "x".repeat(BODY_BYTES).getBytes(StandardCharsets.US_ASCII);
 
     private final EventLoop loop;
     private final NodeConfig config;
 
-    /** What takes the calls that are a client's. */
-    private final RequestHandler real;
+    /** Handles the requests of clients. */
+    private final RequestHandler clientRequests;
+
+    private final EndpointPool loopbackEndpoints;
+    private final RequestDispatcher loopbackRequests;
 
-    private final EndpointPool endpoints;
-    private final RequestDispatcher calls;
+    /** The ids of warm-up requests begin with this; no client's id does. */
+    private final String idPrefix;
 
-    /** Ids of the node's own calls begin so; no client's does. */
-    private final String prefix;
+    /** The ids of warm-up requests that have come as a client's. */
+    private final Set<String> dispatched = new HashSet<>();
 
-    private final Set<String> attempted = new HashSet<>();
-    private Runnable done;
-    private long startedAt;
+    private Start start;
+    private Runnable whenDone;
     private long endsAt;
-    private boolean hurried;
-    private boolean patient;
-    private int count;
+    private boolean fleetIsBusy;
+    private int sent;
     private boolean over;
 
-    LoopbackWarmUp(EventLoop loop, NodeConfig config, RequestHandler real) {
+    /**
+     * Makes a warm-up that is not started.
+     *
+     * @param clientRequests handles all requests but the warm-up's
+     */
+    LoopbackWarmUp(EventLoop loop, NodeConfig config, RequestHandler clientRequests) {
         this.loop = loop;
         this.config = config;
-        this.real = real;
-        prefix = "warm-up-" + Long.toHexString(config.seed()) + "-";
-        endpoints =
+        this.clientRequests = clientRequests;
+        idPrefix = "warm-up-" + Long.toHexString(config.seed()) + "-";
+        loopbackEndpoints =
                 new EndpointPool(
                         loop,
                         config.settings().connectTimeoutNs,
                         config.idleCloseNs(),
                         config.drainGraceNs(),
-                        ConnectionLimit.of(16),
+                        ConnectionLimit.of(MAX_CONNECTIONS),
                         config.settings().latencyResolutionNs(),
                         CpuAccount.NONE);
-        calls =
+        loopbackRequests =
                 new RequestDispatcher(
-                        loop, endpoints, config.settings(), config.seed(), MetricsRecorder.OFF);
+                        loop,
+                        loopbackEndpoints,
+                        config.settings(),
+                        config.seed(),
+                        MetricsRecorder.OFF);
     }
 
     /**
-     * Makes calls to the node's own address for a while.
+     * Sends requests to the node's own address for a while.
      *
-     * @param asked whether endpoints are asked for their load meanwhile, see {@link #told}
-     * @param patient whether another process of this node serves its clients meanwhile: nothing is
-     *     in a hurry then
+     * @param ownAddress where the node listens
+     * @param whenDone runs at the end
      */
-    void start(InetSocketAddress self, boolean asked, boolean patient, Runnable whenDone) {
-        done = whenDone;
-        this.patient = patient;
-        startedAt = loop.now();
-        endsAt = startedAt + (asked || patient ? LONGEST_NS : UNKNOWING_NS);
-        String hostPort = self.getAddress().getHostAddress() + ":" + self.getPort();
-        endpoints.update(
-                new DiscoveryUpdate(
-                        0,
-                        true,
-                        List.of(
-                                new DiscoveredEndpoint(
-                                        SELF,
-                                        hostPort,
-                                        config.settings().zone,
-                                        0,
-                                        EndpointState.READY,
-                                        1,
-                                        0))),
-                loop.now());
-        calls.list(
-                ListKind.FULL,
-                List.of(
-                        new EndpointEntry(
-                                SELF, 1, EndpointState.READY, config.settings().zone, 0, 0)));
-        drill();
-        next(null);
+    void start(InetSocketAddress ownAddress, Start start, Runnable whenDone) {
+        this.start = start;
+        this.whenDone = whenDone;
+        boolean untilLoadIsKnown = start.probing() || start.replacesProcess();
+        endsAt = start.startedAt() + (untilLoadIsKnown ? IDLE_FLEET_NS : UNKNOWN_FLEET_NS);
+        listSelf(ownAddress);
+        sendNext();
+    }
+
+    private void listSelf(InetSocketAddress ownAddress) {
+        String hostPort = ownAddress.getAddress().getHostAddress() + ":" + ownAddress.getPort();
+        String zone = config.settings().zone;
+        DiscoveredEndpoint self =
+                new DiscoveredEndpoint(SELF, hostPort, zone, 0, EndpointState.READY, 1, 0);
+        loopbackEndpoints.update(new DiscoveryUpdate(0, true, List.of(self)), loop.now());
+        EndpointEntry entry = new EndpointEntry(SELF, 1, EndpointState.READY, zone, 0, 0);
+        loopbackRequests.list(ListKind.FULL, List.of(entry));
     }
 
     /**
-     * An endpoint has told its load, or none (null): one that holds requests says that the fleet is
-     * at work.
+     * Shortens the warm-up by what an endpoint's load says of the fleet: endpoints with requests in
+     * flight or queued mean that it is busy.
+     *
+     * @param load null if the endpoint did not report it
      */
-    void told(LoadReport load) {
-        if (patient) {
+    void loadReported(LoadReport load) {
+        // A probe that fails at once reports before the start.
+        if (start == null || start.replacesProcess()) {
             return;
         }
         if (load == null) {
-            endsAt = Math.min(endsAt, startedAt + UNKNOWING_NS);
+            endsAt = Math.min(endsAt, start.startedAt() + UNKNOWN_FLEET_NS);
         } else if (load.inflight() > 0 || load.queue() > 0) {
-            endsAt = Math.min(endsAt, startedAt + HURRIED_NS);
-            hurried = true;
+            endsAt = Math.min(endsAt, start.startedAt() + BUSY_FLEET_NS);
+            fleetIsBusy = true;
         }
     }
 
-    /** As the node calls itself alone, decisions among many endpoints are practised apart. */
-    private void drill() {
-        DecisionWarmUp drill = new DecisionWarmUp(config.settings(), config.seed());
-        long until = loop.now() + DRILL_NS;
-        for (int i = 0; i < DRILL_STEPS && loop.now() < until; i++) {
-            drill.step();
+    private void attemptEnded(AttemptResult result) {
+        if (wasServed(result.outcome())) {
+            sendNext();
+        } else {
+            end(", the last one not served");
         }
     }
 
-    private void next(AttemptResult last) {
-        // On a busy machine the first call alone may take its whole time: the next ones find what
-        // it has loaded.
-        boolean works =
-                last == null
-                        || last.outcome() == Outcome.OK
-                        || last.outcome() == Outcome.ERROR
-                        || last.outcome() == Outcome.TIMEOUT;
-        if (count == MOST_CALLS || (count >= LEAST_CALLS && loop.now() > endsAt) || !works) {
-            LOG.info(
-                    "warmed up with {} calls{}{}",
-                    count,
-                    hurried ? ", as workers are busy" : "",
-                    works ? "" : ", the last one not served");
-            endpoints.update(new DiscoveryUpdate(0, true, List.of()), loop.now());
-            over = true;
-            done.run();
+    /**
+     * Whether the node can serve itself. A timeout counts: on a busy machine the first request may
+     * take all of its time to load the classes that the next ones need.
+     */
+    private static boolean wasServed(Outcome outcome) {
+        return outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.TIMEOUT;
+    }
+
+    private void sendNext() {
+        boolean timeIsUp = sent >= MIN_REQUESTS && loop.now() > endsAt;
+        if (sent == MAX_REQUESTS || timeIsUp) {
+            end("");
             return;
         }
-        if (count % CALLS_A_CONNECTION == 0) {
-            endpoints.closeIdle(SELF);
+        if (sent % REQUESTS_PER_CONNECTION == 0) {
+            loopbackEndpoints.closeIdle(SELF);
         }
         List<RequestClass> classes = config.settings().classes;
-        RequestClass c = classes.get(count++ % classes.size());
-        boolean safe = c.idempotency() == Idempotency.IDEMPOTENT;
-        String id = prefix + count;
-        endpoints.attempt(
+        RequestClass requestClass = classes.get(sent % classes.size());
+        sent++;
+        loopbackEndpoints.attempt(
                 SELF,
-                new EndpointRequest(
-                        id,
-                        c.name(),
-                        safe ? "GET" : "POST",
-                        "/" + c.name(),
-                        c.idempotency() == Idempotency.IDEMPOTENCY_KEY ? id : null,
-                        safe ? new byte[0] : BODY,
-                        null),
-                CALL_WITHIN_NS,
-                this::next);
+                request(idPrefix + sent, requestClass),
+                REQUEST_TIMEOUT_NS,
+                this::attemptEnded);
+    }
+
+    private static EndpointRequest request(String id, RequestClass requestClass) {
+        boolean idempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
+        boolean hasKey = requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY;
+        return new EndpointRequest(
+                id,
+                requestClass.name(),
+                idempotent ? "GET" : "POST",
+                "/" + requestClass.name(),
+                hasKey ? id : null,
+                idempotent ? new byte[0] : BODY,
+                null);
+    }
+
+    private void end(String failure) {
+        LOG.info(
+                "warmed up with {} calls{}{}",
+                sent,
+                fleetIsBusy ? ", as workers are busy" : "",
+                failure);
+        loopbackEndpoints.update(new DiscoveryUpdate(0, true, List.of()), loop.now());
+        over = true;
+        whenDone.run();
     }
 
     @Override
     public boolean isOpen(String id) {
-        return real.isOpen(id);
+        return clientRequests.isOpen(id);
     }
 
-    /** The node's own calls come twice: as a client's, and then as they reach the endpoint. */
+    /**
+     * Handles a client's request, or one of the warm-up. Those come twice: as a client's request,
+     * and then, dispatched, as they reach the endpoint.
+     */
     @Override
-    public Runnable take(ClientRequest call, long deadline, ClientResponse reply) {
-        if (!call.id().startsWith(prefix)) {
-            return real.take(call, deadline, reply);
-        }
-        if (over) {
-            reply.failed();
-            return () -> {};
-        }
-        if (count % CALLS_A_REFUSAL == 0) {
-            reply.refused(CALL_WITHIN_NS);
-            return () -> {};
+    public Runnable take(ClientRequest request, long deadline, ClientResponse response) {
+        if (!request.id().startsWith(idPrefix)) {
+            return clientRequests.take(request, deadline, response);
         }
-        if (attempted.add(call.id())) {
-            return calls.take(call, deadline, reply);
+        if (!over && sent % REQUESTS_PER_REJECTION != 0 && dispatched.add(request.id())) {
+            return loopbackRequests.take(request, deadline, response);
         }
-        reply.served(EndpointResponse.of(BODY));
+        respond(response);
         return () -> {};
     }
+
+    private void respond(ClientResponse response) {
+        if (over) {
+            response.failed();
+        } else if (sent % REQUESTS_PER_REJECTION == 0) {
+            response.refused(REQUEST_TIMEOUT_NS);
+        } else {
+            response.served(EndpointResponse.of(BODY));
+        }
+    }
 }
--- a/daemon/src/main/java/trailthread/daemon/Main.java
+++ b/daemon/src/main/java/trailthread/daemon/Main.java
@@ -9,28 +9,30 @@
 import trailthread.adapter.Adapter;
 
 /**
- * Starts the program: {@code serve}, a real node; {@code adapter}, the module on the simulator's
- * wire.
+ * The entry point of the program: {@code serve} runs a platform node, {@code adapter} runs the
+ * decision module on the simulator's wire.
  */
 public final class Main {
-    private static final int BAD_USE = 2;
+    /** The exit status for wrong arguments or an unusable configuration. */
+    private static final int EXIT_USAGE = 2;
 
     private Main() {}
 
     /**
-     * Runs what the word says.
+     * Runs the program.
      *
      * @param args the single word {@code serve} or {@code adapter}
+     * @throws IOException if sockets can't be opened
      */
     public static void main(String[] args) throws IOException {
-        String word = args.length == 1 ? args[0] : "";
-        switch (word) {
+        String mode = args.length == 1 ? args[0] : "";
+        switch (mode) {
             case "adapter" ->
                     System.exit(Adapter.serve(System.in, new FileOutputStream(FileDescriptor.out)));
             case "serve" -> serve();
             default -> {
                 System.err.println("usage: java -jar trailthread.jar serve|adapter");
-                System.exit(BAD_USE);
+                System.exit(EXIT_USAGE);
             }
         }
     }
@@ -40,15 +42,15 @@
         try {
             CompletableFuture<Runnable> reload = Lifecycle.onHangup();
             Node node = new Node(NodeConfig.load(System.getenv()));
-            ServerSocketChannel given = InheritedSocket.of(System.getenv());
-            Lifecycle.start(() -> node.start(given), node::stop);
+            ServerSocketChannel inherited = InheritedSocket.of(System.getenv());
+            Lifecycle.start(() -> node.start(inherited), node::stop);
             reload.complete(() -> node.reload(System.getenv()));
         } catch (ConfigException e) {
             System.err.println("trailthread: " + e.getMessage());
-            System.exit(BAD_USE);
+            System.exit(EXIT_USAGE);
         } catch (BindException e) {
             System.err.println("trailthread: listen: " + e.getMessage());
-            System.exit(BAD_USE);
+            System.exit(EXIT_USAGE);
         }
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/NoMBeanServer.java
+++ b/daemon/src/main/java/trailthread/daemon/NoMBeanServer.java
@@ -3,20 +3,21 @@
 import javax.management.MBeanServerBuilder;
 
 /**
- * Stands in for the platform's server of management beans and says that there is none. XNIO
- * registers itself with it, goes on without it, and so spares a start hundreds of classes. An
- * error, as for an exception the platform would first set up its logging.
+ * Keeps the Java platform from creating its MBean server. XNIO registers itself there, which would
+ * load hundreds of classes at the start; it goes on without one. The constructor throws an error,
+ * as the platform would set up its own logging to report an exception.
  */
 public final class NoMBeanServer extends MBeanServerBuilder {
-    /** Made by the platform, from the property {@code javax.management.builder.initial}. */
+    /** Called by the platform, as the property {@code javax.management.builder.initial} says. */
     public NoMBeanServer() {
-        throw new UnsupportedOperationError();
+        throw new MBeanServerDisabledError();
     }
 
-    private static final class UnsupportedOperationError extends Error {
+    /** Has no stack trace, as nobody reads it. */
+    private static final class MBeanServerDisabledError extends Error {
         private static final long serialVersionUID = 1L;
 
-        UnsupportedOperationError() {
+        MBeanServerDisabledError() {
             super("no management beans here", null, false, false);
         }
     }
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -4,25 +4,16 @@
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import trailthread.ListLease;
-import trailthread.api.EndpointEntry;
-import trailthread.api.EndpointState;
-import trailthread.api.ListKind;
-import trailthread.api.LoadReportSource;
-import trailthread.api.RequestClass;
 import trailthread.daemon.admin.AdminServer;
 import trailthread.daemon.listener.HttpListener;
 import trailthread.daemon.listener.PlatformFrontend;
 import trailthread.engine.degradation.DegradationService;
-import trailthread.engine.discovery.DiscoveredEndpoint;
 import trailthread.engine.discovery.DiscoveryClient;
-import trailthread.engine.discovery.DiscoveryListener;
-import trailthread.engine.discovery.DiscoveryUpdate;
 import trailthread.engine.endpoint.ConnectionLimit;
 import trailthread.engine.endpoint.EndpointPool;
 import trailthread.engine.loop.CpuAccount;
@@ -31,284 +22,222 @@
 import trailthread.engine.metrics.NodeStatus;
 import trailthread.engine.request.RequestDispatcher;
 
-/** One node: its parts, how they are joined, its start and its end. */
-final class Node implements DiscoveryListener, NodeStatus {
+/** A platform node: connects its parts, starts, reloads and stops them. */
+final class Node implements NodeStatus {
     private static final Logger LOG = LoggerFactory.getLogger(Node.class);
 
-    /** Descriptors that the virtual machine, the listening socket and discovery take. */
-    private static final int OWN_DESCRIPTORS = 48;
+    /** The largest share of all descriptors that clients with requests in flight may hold. */
+    private static final double ACTIVE_CLIENTS_SHARE = 1.0 / 3;
 
-    /**
-     * Share of the others for connections to clients. Their calls need up to a third of all; the
-     * rest of this is room for connections that carry none as yet, or no more.
-     */
-    private static final double CLIENTS_SHARE = 0.6;
-
-    /** Of all descriptors, clients with calls hold no more than this share. */
-    private static final double CALLERS_SHARE = 1.0 / 3;
-
-    /**
-     * At its start a node asks so many endpoints for their load: by chance, one alone may be idle.
-     */
-    private static final int ASKED_AT_START = 4;
+    private volatile NodeConfig config;
+    private final DescriptorBudget descriptors;
+    private final EventLoop loop;
 
-    private static final long ASKED_WITHIN_NS = 300_000_000L;
+    /** Null if there is no admin server; its classes are not loaded then. */
+    private final AdminServer admin;
 
-    /**
-     * A start waits so long for its list before it is ready without one. The first calls of a fleet
-     * are spread over as long; a front that has no other node is to hear refusals then, and not
-     * nothing.
-     */
-    private static final long LIST_WITHIN_NS = 4_500_000_000L;
+    /** Null if there are no degradation levels; its classes are not loaded then. */
+    private final DegradationService degradation;
 
-    private volatile NodeConfig config;
-    private final EventLoop loop;
+    private final MetricsRecorder metrics;
     private final EndpointPool endpoints;
-    private final RequestDispatcher calls;
-    private final LoopbackWarmUp warmUp;
-    private final PlatformFrontend front;
+    private final RequestDispatcher requests;
+    private final EndpointListUpdater endpointList;
     private final DiscoveryClient discovery;
-    private final ListLease lease;
-
-    /** What waits for the list to be usable, or null. */
-    private Runnable whenListed;
-
-    private final HttpListener acceptor;
+    private final LoopbackWarmUp loopbackWarmUp;
+    private final PlatformFrontend frontend;
+    private final HttpListener listener;
     private final Drain drain;
     private final GracefulShutdown shutdown;
 
-    /** Null where operators are told nothing: no class of it is loaded then. */
-    private final AdminServer operator;
-
-    /** Null where the node has no levels of service: no class of it is loaded then. */
-    private final DegradationService service;
-
-    private final MetricsRecorder meter;
-
+    /**
+     * Makes a node; it does nothing until it is started.
+     *
+     * @throws IOException if the event loop can't be created
+     */
     Node(NodeConfig config) throws IOException {
         this.config = config;
+        descriptors = DescriptorBudget.of(config.descriptorLimit(), config.adminAddress() != null);
         loop = new EventLoop(config.name());
-        operator =
-                config.adminAddress() == null
-                        ? null
-                        : new AdminServer(loop, config.name(), config.settings().classes, this);
-        MetricsRecorder operators = operator == null ? MetricsRecorder.OFF : operator.meter();
-        service =
-                config.degradation() == null
-                        ? null
-                        : new DegradationService(
-                                loop, config.degradation(), config.settings(), operators);
-        meter = service == null ? operators : service;
-        int forOthers = config.descriptorLimit() - ownDescriptors();
-        int forClients = (int) (CLIENTS_SHARE * forOthers);
+        admin = adminServer(config);
+        MetricsRecorder adminMetrics = admin == null ? MetricsRecorder.OFF : admin.meter();
+        degradation = degradationService(config, adminMetrics);
+        metrics = degradation == null ? adminMetrics : degradation;
         endpoints =
                 new EndpointPool(
                         loop,
                         config.settings().connectTimeoutNs,
                         config.idleCloseNs(),
                         config.drainGraceNs(),
-                        ConnectionLimit.of(forOthers - forClients),
+                        ConnectionLimit.of(descriptors.forEndpoints()),
                         config.settings().latencyResolutionNs(),
                         CpuAccount.NONE);
-        calls = new RequestDispatcher(loop, endpoints, config.settings(), config.seed(), meter);
-        discovery = new DiscoveryClient(loop, config.discoveryAddress(), this);
-        calls.setDiscovery(discovery);
+        requests =
+                new RequestDispatcher(loop, endpoints, config.settings(), config.seed(), metrics);
+        endpointList =
+                new EndpointListUpdater(
+                        loop,
+                        endpoints,
+                        requests,
+                        metrics,
+                        new ListLease(config.drainGraceNs(), !config.settings().listIsPolled));
+        discovery = new DiscoveryClient(loop, config.discoveryAddress(), endpointList);
+        requests.setDiscovery(discovery);
         endpoints.setNews(discovery::readNews);
-        lease = new ListLease(config.drainGraceNs(), !config.settings().listIsPolled);
-        warmUp = new LoopbackWarmUp(loop, config, calls);
-        front = new PlatformFrontend(config.settings().classes, warmUp);
-        acceptor =
+        loopbackWarmUp = new LoopbackWarmUp(loop, config, requests);
+        frontend = new PlatformFrontend(config.settings().classes, loopbackWarmUp);
+        int activeClients = (int) (ACTIVE_CLIENTS_SHARE * descriptors.limit());
+        listener =
                 new HttpListener(
                         loop,
-                        forClients,
-                        Math.min(forClients, (int) (CALLERS_SHARE * config.descriptorLimit())),
-                        front,
-                        meter);
-        drain = new Drain(loop, acceptor);
-        shutdown = new GracefulShutdown(loop, acceptor, drain, calls::answerBy);
-        shutdown.waitsFor(longestNs(config));
+                        descriptors.forClients(),
+                        Math.min(descriptors.forClients(), activeClients),
+                        frontend,
+                        metrics);
+        drain = new Drain(loop, listener);
+        shutdown = new GracefulShutdown(loop, listener, drain, requests::answerBy);
+        shutdown.waitsFor(config.longestDeadlineNs());
+    }
+
+    private AdminServer adminServer(NodeConfig config) throws IOException {
+        if (config.adminAddress() == null) {
+            return null;
+        }
+        return new AdminServer(loop, config.name(), config.settings().classes, this);
+    }
+
+    private DegradationService degradationService(NodeConfig config, MetricsRecorder next) {
+        if (config.degradation() == null) {
+            return null;
+        }
+        return new DegradationService(loop, config.degradation(), config.settings(), next);
     }
 
     /**
-     * Opens the clients' address and serves from then on.
+     * Starts the node. It warms up, waits for the endpoint list and then serves clients.
      *
-     * @param given the clients' socket, already listening and shared with other processes; null: it
-     *     is opened here
+     * @param inherited the listening socket for clients, shared with other processes; or null, to
+     *     open the configured address
+     * @throws IOException if an address can't be listened on
      */
-    void start(ServerSocketChannel given) throws IOException {
-        if (operator != null) {
-            operator.listen(config.adminAddress(), drain);
+    void start(ServerSocketChannel inherited) throws IOException {
+        if (admin != null) {
+            admin.listen(config.adminAddress(), drain);
         }
-        // On a shared socket the node's calls to itself could reach another process, and endpoints
-        // through it.
-        InetSocketAddress self =
-                acceptor.listen(
-                        given == null
-                                ? config.listenAddress()
-                                : new InetSocketAddress(config.listenAddress().getAddress(), 0));
-        loop.execute(
-                () -> {
-                    leased();
-                    discovery.known(config.knownEndpoints());
-                    list(ListKind.CACHED, config.knownEndpoints(), loop.now());
-                    discovery.setPushed(!config.settings().listIsPolled);
-                    long startedAt = loop.now();
-                    warmUp.start(
-                            self,
-                            askAround(),
-                            given != null,
-                            () -> awaitList(startedAt, () -> serve(self, given)));
-                });
+        InetSocketAddress ownAddress = listener.listen(warmUpAddress(inherited));
+        loop.execute(() -> begin(ownAddress, inherited));
     }
 
     /**
-     * A process that is not ready gets no requests; one that has no list could only refuse them.
+     * Where the node listens during the warm-up. On a shared socket, its requests to itself could
+     * reach another process, and real endpoints through it.
      */
-    private void awaitList(long startedAt, Runnable then) {
-        if (lease.isHeld(loop.now())) {
-            then.run();
-            return;
-        }
-        LOG.info("waits for the list before it is ready");
-        whenListed = then;
-        loop.after(
-                startedAt + LIST_WITHIN_NS - loop.now(),
-                () -> {
-                    if (whenListed != null) {
-                        LOG.warn(
-                                "no list in {} ms: ready without one",
-                                (loop.now() - startedAt) / 1_000_000);
-                        listed();
-                    }
-                });
+    private InetSocketAddress warmUpAddress(ServerSocketChannel inherited) {
+        InetSocketAddress configured = config.listenAddress();
+        return inherited == null ? configured : new InetSocketAddress(configured.getAddress(), 0);
     }
 
-    private void listed() {
-        Runnable then = whenListed;
-        whenListed = null;
-        if (then != null) {
-            then.run();
-        }
+    private void begin(InetSocketAddress ownAddress, ServerSocketChannel inherited) {
+        discovery.known(config.knownEndpoints());
+        endpointList.start(config.knownEndpoints());
+        discovery.setPushed(!config.settings().listIsPolled);
+        new StartSequence(loop, config, endpoints, endpointList, loopbackWarmUp)
+                .run(ownAddress, inherited != null, () -> serve(ownAddress, inherited));
     }
 
-    private void serve(InetSocketAddress self, ServerSocketChannel given) {
+    private void serve(InetSocketAddress ownAddress, ServerSocketChannel inherited) {
         if (drain.hasEnded()) {
-            return; // told to end before it was ready: what it accepts now it might not answer
+            return; // shutting down already: a request accepted now might get no response
         }
-        if (given != null) {
-            share(given);
+        if (inherited != null) {
+            acceptFrom(inherited);
         }
-        acceptor.setReady(true);
-        if (service != null) {
-            calls.setProbes(service::probes);
-            service.start(this::descriptors, calls::admit);
+        listener.setReady(true);
+        if (degradation != null) {
+            requests.setProbes(degradation::probes);
+            degradation.start(this::descriptorUse, requests::admit);
         }
-        LOG.info("{} serves on {}", config.name(), given == null ? self : config.listenAddress());
+        LOG.info(
+                "{} serves on {}",
+                config.name(),
+                inherited == null ? ownAddress : config.listenAddress());
     }
 
-    private void share(ServerSocketChannel given) {
+    private void acceptFrom(ServerSocketChannel inherited) {
         try {
-            acceptor.share(given);
+            listener.share(inherited);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    /** Asks some endpoints for their load, if it may; whether it does. */
-    private boolean askAround() {
-        List<String> some =
-                config.knownEndpoints().instances().stream()
-                        .filter(endpoint -> endpoint.lifecycle() == EndpointState.READY)
-                        .limit(ASKED_AT_START)
-                        .map(DiscoveredEndpoint::instanceId)
-                        .toList();
-        boolean may =
-                config.settings().mayCheckHealth
-                        && config.settings().reports != LoadReportSource.NONE;
-        if (may) {
-            some.forEach(
-                    endpoint ->
-                            endpoints.probe(
-                                    endpoint,
-                                    ASKED_WITHIN_NS,
-                                    ending -> warmUp.told(ending.load())));
-        }
-        return may && !some.isEmpty();
-    }
-
     /**
-     * Takes over settings and where discovery is now, if the file is of use as a whole; list,
-     * connections and calls stay. What the file says of all else waits for the next start. It is
-     * read beside the loop, one reading after another.
+     * Reads the configuration again, on a worker thread, one reload after another. Settings and the
+     * address of discovery are applied if the file is valid; else all stays as it was. Connections,
+     * requests in flight and the endpoint list are kept. Other keys wait for the next start.
      */
     void reload(Map<String, String> environment) {
-        loop.worker()
-                .execute(
-                        () -> {
-                            try {
-                                NodeConfig now = config.reload(environment);
-                                config = now;
-                                shutdown.waitsFor(longestNs(now));
-                                loop.execute(() -> takeOver(now));
-                            } catch (ConfigException e) {
-                                LOG.error("configuration not taken over: {}", e.getMessage());
-                                loop.execute(() -> meter.reloaded(false));
-                            }
-                        });
+        loop.worker().execute(() -> readAndApply(environment));
+    }
+
+    private void readAndApply(Map<String, String> environment) {
+        try {
+            NodeConfig next = config.reload(environment);
+            config = next;
+            shutdown.waitsFor(next.longestDeadlineNs());
+            loop.execute(() -> apply(next));
+        } catch (ConfigException e) {
+            LOG.error("configuration not taken over: {}", e.getMessage());
+            loop.execute(() -> metrics.reloaded(false));
+        }
     }
 
-    private void takeOver(NodeConfig now) {
-        if (discovery.move(now.discoveryAddress())) {
-            lease.moved(loop.now());
+    private void apply(NodeConfig next) {
+        boolean pushed = !next.settings().listIsPolled;
+        if (discovery.move(next.discoveryAddress())) {
+            endpointList.sourceMoved();
         }
-        discovery.setPushed(!now.settings().listIsPolled);
-        calls.retune(now.settings());
-        lease.retune(now.drainGraceNs(), !now.settings().listIsPolled);
-        leased();
-        endpoints.retune(now.settings().connectTimeoutNs, now.idleCloseNs(), now.drainGraceNs());
-        front.retune(now.settings().classes);
-        if (operator != null) {
-            operator.serves(now.settings().classes);
+        discovery.setPushed(pushed);
+        requests.retune(next.settings());
+        endpointList.retune(next.drainGraceNs(), pushed);
+        endpoints.retune(next.settings().connectTimeoutNs, next.idleCloseNs(), next.drainGraceNs());
+        frontend.retune(next.settings().classes);
+        if (admin != null) {
+            admin.serves(next.settings().classes);
         }
-        meter.reloaded(true);
+        metrics.reloaded(true);
         LOG.info(
                 "configuration taken over: {} classes, {} attempts at most",
-                now.settings().classes.size(),
-                now.settings().maxAttempts);
+                next.settings().classes.size(),
+                next.settings().maxAttempts);
     }
 
     /**
-     * Serves on for a while, then finishes every call taken; returns when all have had their time.
+     * Shuts the node down gracefully: serves on for a while, then finishes the requests in flight.
+     * Returns when all have had their time.
      */
     void stop() throws InterruptedException {
         shutdown.await(config.name());
     }
 
-    private static long longestNs(NodeConfig of) {
-        return of.settings().classes.stream()
-                .mapToLong(RequestClass::deadlineNs)
-                .max()
-                .orElseThrow();
-    }
-
     @Override
     public boolean isReady() {
-        return acceptor.isReady();
+        return listener.isReady();
     }
 
     @Override
     public List<String> levels() {
-        return service == null ? List.of() : service.levels();
+        return degradation == null ? List.of() : degradation.levels();
     }
 
     @Override
     public Map<String, Double> readings() {
-        return service == null ? Map.of() : service.readings();
+        return degradation == null ? Map.of() : degradation.readings();
     }
 
     @Override
     public Map<String, Integer> clientConnections() {
-        return acceptor.connections();
+        return listener.connections();
     }
 
     @Override
@@ -318,70 +247,23 @@
 
     @Override
     public int avoidedEndpoints() {
-        return calls.avoidedEndpoints();
+        return requests.avoidedEndpoints();
     }
 
     @Override
     public int descriptorLimit() {
-        return config.descriptorLimit();
+        return descriptors.limit();
     }
 
-    private int ownDescriptors() {
-        return OWN_DESCRIPTORS + (operator == null ? 0 : AdminServer.MOST_DESCRIPTORS);
-    }
-
-    /**
-     * The share of the descriptors in use, as far as the node knows: its connections, and its own.
-     */
-    private double descriptors() {
-        int held = ownDescriptors();
-        for (int connections : acceptor.connections().values()) {
-            held += connections;
+    /** The share of the descriptors in use by the node's connections and its reserve, 0 to 1. */
+    private double descriptorUse() {
+        int used = descriptors.own();
+        for (int connections : listener.connections().values()) {
+            used += connections;
         }
         for (int connections : endpoints.connections().values()) {
-            held += connections;
-        }
-        return Math.min(1, (double) held / config.descriptorLimit());
-    }
-
-    @Override
-    public void told(DiscoveryUpdate update, long knownSince) {
-        list(update.reset() ? ListKind.FULL : ListKind.DELTA, update, knownSince);
-    }
-
-    @Override
-    public void failed() {
-        calls.list(ListKind.FAILED, List.of());
-    }
-
-    @Override
-    public void confirmed(long asOf) {
-        lease.confirmed(asOf);
-        leased();
-    }
-
-    @Override
-    public void callFailed(long waitedSince) {
-        lease.callFailed(waitedSince, loop.now());
-        leased();
-    }
-
-    /** Brings the lease to all that act on the list. */
-    private void leased() {
-        endpoints.listLeaseUntil(lease.until());
-        calls.listLeaseUntil(lease.until());
-        if (lease.isHeld(loop.now())) {
-            listed();
-        }
-    }
-
-    private void list(ListKind kind, DiscoveryUpdate update, long knownSince) {
-        endpoints.update(update, knownSince);
-        List<EndpointEntry> entries = new ArrayList<>();
-        for (DiscoveredEndpoint e : update.instances()) {
-            entries.add(e.entry());
+            used += connections;
         }
-        meter.listed(kind, entries);
-        calls.list(kind, entries);
+        return Math.min(1, (double) used / descriptors.limit());
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/NodeConfig.java
+++ b/daemon/src/main/java/trailthread/daemon/NodeConfig.java
@@ -6,6 +6,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 import trailthread.engine.degradation.DegradationConfig;
 import trailthread.engine.discovery.DiscoveryUpdate;
@@ -96,4 +97,9 @@
                 degradation,
                 next.keys);
     }
+
+    /** The longest deadline of any request class, in nanoseconds. */
+    long longestDeadlineNs() {
+        return settings.classes.stream().mapToLong(RequestClass::deadlineNs).max().orElseThrow();
+    }
 }
--- a/daemon/src/main/java/trailthread/daemon/ShutdownPlan.java
+++ b/daemon/src/main/java/trailthread/daemon/ShutdownPlan.java
@@ -1,43 +1,44 @@
 package trailthread.daemon;
 
 /**
- * When a node that was asked to end does what; pure. In nanoseconds after SIGTERM.
+ * The times of the steps of a graceful shutdown, in nanoseconds after SIGTERM.
  *
- * @param lastAnswersNs answers end their connections from then on
- * @param closesNs the listening socket closes
- * @param answeredNs every call has its answer by then: the process may be killed soon after
+ * @param closeWithResponsesNs from then on, each response closes its connection
+ * @param closeNs when the listening socket is closed
+ * @param answeredNs by then every request is answered, as the process may be killed soon after
  */
-record ShutdownPlan(long lastAnswersNs, long closesNs, long answeredNs) {
-    /** New connections go on coming for a while, as the front hears of the end late. */
-    private static final long SERVES_ON_NS = 700_000_000L;
+record ShutdownPlan(long closeWithResponsesNs, long closeNs, long answeredNs) {
+    /** How long new connections may still come, as the front end learns of the shutdown late. */
+    private static final long SERVE_ON_NS = 700_000_000L;
 
     /**
-     * In the last part of that time, answers end their connections. No sooner: where nodes are
-     * restarted in turn, the clients that leave meet one that has just started.
+     * How long before the listening socket is closed, responses begin to close their connections.
+     * Kept short: in a rolling restart, clients that reconnect meet a node that has just started.
      */
-    private static final long LAST_ANSWERS_NS = 150_000_000L;
+    private static final long CLOSE_WITH_RESPONSES_NS = 150_000_000L;
 
     /**
-     * The platform kills after the longest deadline and {@link #SERVES_ON_NS}, but waits no longer
-     * than for this.
+     * The platform kills the process {@link #SERVE_ON_NS} and the longest deadline after SIGTERM,
+     * but counts no more than this for the deadline.
      */
-    private static final long LONGEST_COUNTED_NS = 3_000_000_000L;
+    private static final long MAX_COUNTED_DEADLINE_NS = 3_000_000_000L;
 
-    /** What the signal takes to get here, and answers to get out, on part of a core. */
+    /** For the signal to arrive and responses to be written, on a part of a core. */
     private static final long MARGIN_NS = 150_000_000L;
 
     /**
-     * Plans the end.
+     * Plans a shutdown.
      *
-     * @param longestNs the longest deadline of a call, in nanoseconds
-     * @param latenessNs how late the loop runs of late, in nanoseconds; it may leave no more than
-     *     half of the time
+     * @param longestDeadlineNs the longest deadline of a request, in nanoseconds
+     * @param latenessNs how late the loop currently runs its tasks, in nanoseconds; limited to
+     *     {@link #MARGIN_NS}
      */
-    static ShutdownPlan of(long longestNs, long latenessNs) {
-        long countedNs = Math.min(longestNs, LONGEST_COUNTED_NS);
-        long answeredNs = SERVES_ON_NS + countedNs - MARGIN_NS - Math.min(latenessNs, MARGIN_NS);
-        // Who comes last has at least half of the time that it may have.
-        long closesNs = Math.min(SERVES_ON_NS, answeredNs - countedNs / 2);
-        return new ShutdownPlan(closesNs - LAST_ANSWERS_NS, closesNs, answeredNs);
+    static ShutdownPlan of(long longestDeadlineNs, long latenessNs) {
+        long deadlineNs = Math.min(longestDeadlineNs, MAX_COUNTED_DEADLINE_NS);
+        long marginNs = MARGIN_NS + Math.min(latenessNs, MARGIN_NS);
+        long answeredNs = SERVE_ON_NS + deadlineNs - marginNs;
+        // The last requests to be accepted have at least half of their deadline left.
+        long closeNs = Math.min(SERVE_ON_NS, answeredNs - deadlineNs / 2);
+        return new ShutdownPlan(closeNs - CLOSE_WITH_RESPONSES_NS, closeNs, answeredNs);
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/DecisionWarmUpTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DecisionWarmUpTest.java
@@ -10,10 +10,10 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/** The drill is worth its time only if it takes the decisions that a crowd asks for. */
+/** The warm-up must exercise the decisions of an overloaded node. */
 public class DecisionWarmUpTest {
     @Test
-    public void itSendsHoldsAndRefuses() {
+    public void itSendsQueuesAndRejects() {
         Settings settings = new Settings();
         settings.retryAfter = true;
         settings.maxRetryAfterNs = 1_000_000_000L;
@@ -29,8 +29,8 @@
                         1,
                         0));
         int[] sent = {0};
-        List<Long> refused = new ArrayList<>();
-        DecisionWarmUp drill =
+        List<Long> rejected = new ArrayList<>();
+        DecisionWarmUp simulation =
                 new DecisionWarmUp(settings, 1) {
                     @Override
                     public void send(
@@ -41,13 +41,13 @@
 
                     @Override
                     public void refuse(long request, long retryAfterNs) {
-                        refused.add(request);
+                        rejected.add(request);
                     }
                 };
         for (int i = 0; i < 300; i++) {
-            drill.step();
+            simulation.step();
         }
         assertTrue("sent " + sent[0], sent[0] >= 100);
-        assertTrue("refused " + refused.size(), refused.size() >= 10);
+        assertTrue("rejected " + rejected.size(), rejected.size() >= 10);
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/ShutdownPlanTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ShutdownPlanTest.java
@@ -5,15 +5,13 @@
 
 import org.junit.Test;
 
-/**
- * When a node that ends does what, against the earliest moment at which the platform may kill it.
- */
+/** The steps of a shutdown against the earliest time at which the platform may kill the node. */
 public class ShutdownPlanTest {
     private static final long MS = 1_000_000L;
 
     @Test
-    public void eachStepHasItsTimeForShortAndLongDeadlines() {
-        long[][] cases = { // longest deadline, lateness; last answers, closes, answered:
+    public void stepsForShortAndLongDeadlines() {
+        long[][] cases = { // longest deadline, lateness; close with responses, close, answered:
             // milliseconds
             {150, 0, 475, 625, 700},
             {300, 0, 550, 700, 850},
@@ -28,21 +26,21 @@
         for (long[] c : cases) {
             ShutdownPlan plan = ShutdownPlan.of(c[0] * MS, c[1] * MS);
             String of = c[0] + " ms, late by " + c[1];
-            assertEquals(of, c[2] * MS, plan.lastAnswersNs());
-            assertEquals(of, c[3] * MS, plan.closesNs());
+            assertEquals(of, c[2] * MS, plan.closeWithResponsesNs());
+            assertEquals(of, c[3] * MS, plan.closeNs());
             assertEquals(of, c[4] * MS, plan.answeredNs());
         }
     }
 
     @Test
-    public void whatTheFrontStillSendsIsAcceptedAndAnsweredBeforeAKill() {
+    public void lateRequestsAreAcceptedAndAnsweredBeforeAKill() {
         for (long ms = 1; ms < 20_000; ms = ms * 5 / 4 + 1) {
             for (long late = 0; late < 1_000; late = 2 * late + 10) {
                 ShutdownPlan plan = ShutdownPlan.of(ms * MS, late * MS);
-                assertTrue("new connections come for 0.4 s", plan.closesNs() >= 400 * MS);
+                assertTrue("new connections come for 0.4 s", plan.closeNs() >= 400 * MS);
                 assertTrue(
-                        plan.lastAnswersNs() < plan.closesNs()
-                                && plan.closesNs() <= plan.answeredNs());
+                        plan.closeWithResponsesNs() < plan.closeNs()
+                                && plan.closeNs() <= plan.answeredNs());
                 assertTrue(plan.answeredNs() <= (700 + Math.min(ms, 3_000) - 150) * MS);
             }
         }
