--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -8,6 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.SplittableRandom;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -15,6 +16,7 @@
 import trailthread.configuration.Fault;
 import trailthread.configuration.OperatorFile;
 import trailthread.configuration.OperatorFileReader;
+import trailthread.daemon.DescriptorBudget;
 import trailthread.daemon.Drain;
 import trailthread.daemon.GracefulShutdown;
 import trailthread.daemon.admin.AdminServer;
@@ -24,235 +26,214 @@
 import trailthread.engine.loop.EventLoop;
 import trailthread.engine.metrics.MetricsRecorder;
 import trailthread.engine.metrics.NodeStatus;
-import trailthread.engine.pool.Pool;
 import trailthread.engine.pool.PoolConfig;
 import trailthread.engine.pool.ServicesConfig;
 import trailthread.engine.pool.Shares;
 import trailthread.engine.routes.RouteTable;
 
 /**
- * A node with several services, by an operator's file: its pools, the routes to them, their reload.
+ * A node that serves several services, configured by an operator's file: its pools, the routes to
+ * them, and their reload.
  */
 public final class ServiceNode implements NodeStatus {
     private static final Logger LOG = LoggerFactory.getLogger(ServiceNode.class);
-    private static final int OWN_DESCRIPTORS = 48;
-    private static final double CLIENTS_SHARE = 0.6;
 
     /**
-     * Clients are not bound to a part of the descriptors here, so idle connections make room later
-     * than on the platform: with 0.75, from two thirds of the places on after 2 s, from seven
-     * eighths on after 0.1 s.
+     * The listener closes idle connections as active clients approach its limit. The limit is set
+     * so that the connections for clients are this share of it: idle connections are then closed
+     * after 2 s once two thirds of the connections are in use, and after 0.1 s from seven eighths.
      */
     private static final double FULL_SHARE = 0.75;
 
     private final Path path;
 
-    /** As it was read last and is in force. */
+    /** The file in force. */
     private volatile OperatorFile file;
 
     private final EventLoop loop;
-    private final AdminServer operator;
-    private final MetricsRecorder meter;
+
+    /** Null if there is no admin server. */
+    private final AdminServer admin;
+
+    private final MetricsRecorder metrics;
     private final Shares shares;
-    private final SplittableRandom random;
-    private final HttpListener acceptor;
+    private final PoolSet pools;
+    private final HttpListener listener;
     private final Drain drain;
     private final GracefulShutdown shutdown;
-    private final Map<String, Pool> pools = new LinkedHashMap<>();
     private final String idPrefix;
     private long lastId;
 
     /**
-     * Makes a node of a file that was read from this path, and is read from there again at each
-     * reload.
+     * Makes a node; it does nothing until it is started.
+     *
+     * @param path where the file was read, and is read again at each reload
+     * @param file the file's contents
+     * @throws IOException if the event loop can't be created
      */
     public ServiceNode(Path path, OperatorFile file) throws IOException {
         this.path = path;
         this.file = file;
         loop = new EventLoop(file.name());
-        random =
+        SplittableRandom random =
                 new SplittableRandom(
                         file.seed() == null ? new SecureRandom().nextLong() : file.seed());
         idPrefix = Long.toHexString(new SecureRandom().nextLong()) + "-";
-        operator =
-                file.operatorListen() == null
-                        ? null
-                        : new AdminServer(loop, file.name(), classes(file.services()), this);
-        meter = operator == null ? MetricsRecorder.OFF : operator.meter();
+        admin = adminServer(file);
+        metrics = admin == null ? MetricsRecorder.OFF : admin.meter();
         ServicesConfig services = file.services();
         shares = new Shares(loop, services.calls(), services.connections(), services.bodyBytes());
-        int forClients =
-                (int)
-                        (CLIENTS_SHARE
-                                * (file.descriptors()
-                                        - OWN_DESCRIPTORS
-                                        - (operator == null ? 0 : AdminServer.MOST_DESCRIPTORS)));
-        acceptor =
+        pools = new PoolSet(loop, shares, random, metrics);
+        int forClients = DescriptorBudget.of(file.descriptors(), admin != null).forClients();
+        listener =
                 new HttpListener(
                         loop,
                         forClients,
                         (int) (forClients / FULL_SHARE),
                         new ServiceFrontend(new RouteTable(List.of()), Map.of(), this::newId),
-                        meter);
-        drain = new Drain(loop, acceptor);
-        shutdown =
-                new GracefulShutdown(
-                        loop,
-                        acceptor,
-                        drain,
-                        (newOnes, all) -> {}); // its operator says when to kill
+                        metrics);
+        drain = new Drain(loop, listener);
+        shutdown = new GracefulShutdown(loop, listener, drain, ServiceNode::ignoreAnswerBy);
+    }
+
+    private AdminServer adminServer(OperatorFile file) throws IOException {
+        if (file.operatorListen() == null) {
+            return null;
+        }
+        return new AdminServer(loop, file.name(), metricsClasses(file.services()), this);
     }
 
-    private static List<RequestClass> classes(ServicesConfig services) {
-        List<RequestClass> named = new ArrayList<>();
+    /** Requests need no time by which they are answered: here nobody kills the process. */
+    private static void ignoreAnswerBy(long newOnes, long all) {}
+
+    /** The request classes of all pools, each named after its pool and itself. */
+    private static List<RequestClass> metricsClasses(ServicesConfig services) {
+        List<RequestClass> classes = new ArrayList<>();
         for (PoolConfig pool : services.pools()) {
-            for (PoolConfig.ClassConfig c : pool.classes()) {
-                RequestClass r = c.rules();
-                named.add(
-                        new RequestClass(
-                                pool.name() + "/" + r.name(),
-                                r.latencyObjectiveNs(),
-                                r.objectiveWorkMultiple(),
-                                r.deadlineNs(),
-                                r.idempotency(),
-                                r.deduplicationScope(),
-                                r.deduplicationWindowNs(),
-                                r.priorityWeight(),
-                                r.lateWeightShare()));
+            for (PoolConfig.ClassConfig config : pool.classes()) {
+                classes.add(withPoolName(pool.name(), config.rules()));
             }
         }
-        return named;
+        return classes;
+    }
+
+    private static RequestClass withPoolName(String pool, RequestClass requestClass) {
+        return new RequestClass(
+                pool + "/" + requestClass.name(),
+                requestClass.latencyObjectiveNs(),
+                requestClass.objectiveWorkMultiple(),
+                requestClass.deadlineNs(),
+                requestClass.idempotency(),
+                requestClass.deduplicationScope(),
+                requestClass.deduplicationWindowNs(),
+                requestClass.priorityWeight(),
+                requestClass.lateWeightShare());
     }
 
-    /** Opens the clients' address and serves from then on. */
+    /**
+     * Opens the addresses for clients and operators, and serves from then on.
+     *
+     * @throws IOException if an address can't be listened on
+     */
     public void start() throws IOException {
-        if (operator != null) {
-            operator.listen(address(file.operatorListen()), drain);
+        if (admin != null) {
+            admin.listen(EndpointPool.address(file.operatorListen()), drain);
         }
-        loop.execute(() -> apply(file)); // before the first call can come
-        InetSocketAddress listens = acceptor.listen(address(file.listen()));
+        loop.execute(() -> apply(file)); // before the first request can come
+        InetSocketAddress address = listener.listen(EndpointPool.address(file.listen()));
         loop.execute(
                 () -> {
-                    acceptor.setReady(true);
-                    LOG.info("{} serves on {}", file.name(), listens);
+                    listener.setReady(true);
+                    LOG.info("{} serves on {}", file.name(), address);
                 });
     }
 
-    private static InetSocketAddress address(String hostPort) {
-        return EndpointPool.address(hostPort);
+    /**
+     * Reads the file again, on a worker thread. It is applied as a whole if it is valid; else all
+     * stays as it was.
+     */
+    public void reload() {
+        loop.worker().execute(this::readAndApply);
     }
 
-    /** Reads the file again, beside the loop, and puts it in force as a whole, or not at all. */
-    public void reload() {
-        loop.worker()
-                .execute(
-                        () -> {
-                            OperatorFile.Result result = OperatorFileReader.read(path);
-                            for (Fault fault : result.faults()) {
-                                LOG.error("{}", fault);
-                            }
-                            if (result.read() == null) {
-                                LOG.error(
-                                        "{} is not taken over: {} faults",
-                                        path,
-                                        result.faults().size());
-                                loop.execute(() -> meter.reloaded(false));
-                                return;
-                            }
-                            loop.execute(() -> takeOver(result.read()));
-                        });
+    private void readAndApply() {
+        OperatorFile.Result result = OperatorFileReader.read(path);
+        for (Fault fault : result.faults()) {
+            LOG.error("{}", fault);
+        }
+        if (result.read() == null) {
+            LOG.error("{} is not taken over: {} faults", path, result.faults().size());
+            loop.execute(() -> metrics.reloaded(false));
+            return;
+        }
+        loop.execute(() -> applyReloaded(result.read()));
     }
 
-    private void takeOver(OperatorFile next) {
-        ServicesConfig now = file.services();
-        ServicesConfig then = next.services();
-        boolean same =
-                now.calls() == then.calls()
-                        && now.connections() == then.connections()
-                        && now.bodyBytes() == then.bodyBytes();
-        if (!same) {
+    private void applyReloaded(OperatorFile next) {
+        if (!hasSameTotals(file.services(), next.services())) {
             LOG.error("{} is not taken over: descriptors and body_memory take a restart", path);
-            meter.reloaded(false);
+            metrics.reloaded(false);
             return;
         }
-        if (!next.listen().equals(file.listen())
-                || !next.name().equals(file.name())
-                || !String.valueOf(next.operatorListen())
-                        .equals(String.valueOf(file.operatorListen()))) {
+        if (!hasSameAddresses(file, next)) {
             LOG.warn("{}: name and listen wait for the next start", path);
         }
         apply(next);
-        meter.reloaded(true);
+        metrics.reloaded(true);
     }
 
-    /**
-     * Between two calls: pools that did not change stay as they are, the rest begins or ends,
-     * routes go over.
-     */
+    private static boolean hasSameTotals(ServicesConfig a, ServicesConfig b) {
+        return a.calls() == b.calls()
+                && a.connections() == b.connections()
+                && a.bodyBytes() == b.bodyBytes();
+    }
+
+    private static boolean hasSameAddresses(OperatorFile a, OperatorFile b) {
+        return a.listen().equals(b.listen())
+                && a.name().equals(b.name())
+                && Objects.equals(a.operatorListen(), b.operatorListen());
+    }
+
+    /** Changes pools and routes between two requests. */
     private void apply(OperatorFile next) {
-        Map<String, Pool> old = new LinkedHashMap<>(pools);
-        pools.clear();
-        List<Pool> begun = new ArrayList<>();
-        int kept = 0;
-        shutdown.waitsFor(longestNs(next.services()));
-        for (PoolConfig config : next.services().pools()) {
-            Pool before = old.get(config.name());
-            if (before != null && before.config().equals(config)) {
-                pools.put(config.name(), before);
-                old.remove(config.name());
-                kept++;
-            }
-        }
-        old.values().forEach(Pool::retire); // frees what they were guaranteed
-        for (PoolConfig config : next.services().pools()) {
-            if (!pools.containsKey(config.name())) {
-                Pool pool = new Pool(loop, config, random.nextLong(), shares, meter);
-                Pool before = old.get(config.name());
-                boolean knows = before != null && before.config().source().equals(config.source());
-                pools.put(config.name(), pool);
-                pool.start(knows ? before.known() : null);
-                begun.add(pool);
-            }
-        }
+        ServicesConfig services = next.services();
+        shutdown.waitsFor(longestDeadlineNs(services));
+        PoolSet.Change change = pools.apply(services.pools());
         file = next;
-        acceptor.setFront(front());
+        RouteTable routes = new RouteTable(services.routes());
+        listener.setFront(new ServiceFrontend(routes, pools.byName(), this::newId));
         LOG.info(
                 "{} pools kept, {} begun, {} ending; {} routes",
-                kept,
-                begun.size(),
-                old.size(),
-                next.services().routes().size());
+                change.kept(),
+                change.started(),
+                change.retired(),
+                services.routes().size());
     }
 
-    private static long longestNs(ServicesConfig services) {
+    private static long longestDeadlineNs(ServicesConfig services) {
         return services.pools().stream()
                 .flatMap(pool -> pool.classes().stream())
-                .mapToLong(c -> c.rules().deadlineNs())
+                .mapToLong(config -> config.rules().deadlineNs())
                 .max()
                 .orElse(0);
     }
 
-    private ServiceFrontend front() {
-        return new ServiceFrontend(new RouteTable(file.services().routes()), pools, this::newId);
-    }
-
+    /** An id for a request; unique among processes, so that endpoints can tell requests apart. */
     private String newId() {
         return idPrefix + Long.toHexString(++lastId);
     }
 
     /**
-     * Serves on for a while, then finishes every call taken; returns when all have had their time.
+     * Shuts the node down gracefully: serves on for a while, then finishes the requests in flight.
+     * Returns when all have had their time.
      */
     public void stop() throws InterruptedException {
         shutdown.await(file.name());
     }
 
-    // ---- what it says of itself
-    // --------------------------------------------------------------------
-
     @Override
     public boolean isReady() {
-        return acceptor.isReady();
+        return listener.isReady();
     }
 
     @Override
@@ -264,31 +245,24 @@
     public Map<String, Double> readings() {
         Map<String, Double> readings = new LinkedHashMap<>();
         readings.put("loop_ratio", shares.busy());
-        pools.forEach((name, pool) -> readings.put("loop_" + name + "_ratio", pool.loopShare()));
+        pools.byName()
+                .forEach((name, pool) -> readings.put("loop_" + name + "_ratio", pool.loopShare()));
         return readings;
     }
 
     @Override
     public Map<String, Integer> clientConnections() {
-        return acceptor.connections();
+        return listener.connections();
     }
 
     @Override
     public Map<String, Integer> endpointConnections() {
-        Map<String, Integer> sums = new LinkedHashMap<>();
-        sums.put("idle", 0);
-        sums.put("busy", 0);
-        pools.values()
-                .forEach(
-                        pool ->
-                                pool.connections()
-                                        .forEach((state, n) -> sums.merge(state, n, Integer::sum)));
-        return sums;
+        return pools.endpointConnections();
     }
 
     @Override
     public int avoidedEndpoints() {
-        return pools.values().stream().mapToInt(Pool::avoidedEndpoints).sum();
+        return pools.avoidedEndpoints();
     }
 
     @Override
