--- a/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
+++ b/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
@@ -22,8 +22,8 @@
 import trailthread.testkit.Stage;
 
 /**
- * A node whose operators want nothing, and without levels, pays nothing: no class, thread or
- * descriptor.
+ * Without an admin server and degradation levels, a node has no class, thread or descriptor for
+ * them.
  */
 public class AdminServerOffTest {
     /** Joins the parts as the node does; an argument is the address to tell operators on. */
@@ -32,7 +32,7 @@
         InetSocketAddress listen = args.length == 0 ? null : new InetSocketAddress(args[0], 0);
         EventLoop loop = new EventLoop("n0");
         Files.list(Path.of("/proc/self/fd"))
-                .close(); // so that no class of this loads between the counts
+                .close(); // loads the classes that counting needs before the first count
         String before = held();
         AdminServer operator =
                 listen == null ? null : new AdminServer(loop, "n0", List.of(), new Nothing());
@@ -91,7 +91,8 @@
     }
 
     /**
-     * Runs a program until it has written this; all that it wrote, the classes it loaded among it.
+     * Runs a program until it has written a text, and returns all lines, which include the classes
+     * that it loaded.
      */
     private static String run(String until, Map<String, String> environment, String... words)
             throws Exception {
--- a/daemon/src/test/java/trailthread/daemon/ArchitectureTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ArchitectureTest.java
@@ -14,7 +14,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.Test;
 
-/** The directions of dependencies between the folders, and what may do no I/O. */
+/** The dependencies between modules, and the packages that must not do I/O. */
 public class ArchitectureTest {
     private static final JavaClasses PRODUCT =
             new ClassFileImporter()
@@ -22,9 +22,9 @@
                     .importPackages("trailthread")
                     .that(DescribedPredicate.not(resideInAPackage("trailthread.testkit")));
 
-    /** Guards against tests that pass because they look at nothing. */
+    /** Prevents the other tests from passing because no class was imported. */
     @Test
-    public void allFoldersAreLookedAt() {
+    public void allModulesAreChecked() {
         for (String name :
                 new String[] {
                     "trailthread.Balancer",
@@ -41,7 +41,7 @@
     }
 
     @Test
-    public void foldersDependOneWay() {
+    public void modulesDependOneWay() {
         layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .layer("decisions")
@@ -92,7 +92,7 @@
                 .check(PRODUCT);
     }
 
-    /** The platform's start must not meet what only operators' files need. */
+    /** A platform node must not load the classes that only operators' files need. */
     @Test
     public void onlyServicesKnowTheOperatorsFile() {
         noClasses()
@@ -124,7 +124,7 @@
     }
 
     @Test
-    public void theEngineDoesNotKnowHowCallsComeIn() {
+    public void theEngineDoesNotDependOnTheServerSide() {
         noClasses()
                 .that()
                 .resideInAPackage("trailthread.engine..")
@@ -143,7 +143,7 @@
     }
 
     @Test
-    public void packagesFormNoCircles() {
+    public void packagesHaveNoCycles() {
         slices().matching("trailthread.engine.(*)..").should().beFreeOfCycles().check(PRODUCT);
         slices().matching("trailthread.daemon.(*)..").should().beFreeOfCycles().check(PRODUCT);
     }
--- a/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
@@ -25,19 +25,19 @@
     }
 
     @Test
-    public void aCallAndItsAnswerPassUnchanged() throws Exception {
+    public void requestAndResponsePassUnchanged() throws Exception {
         String body = "bench \u00ff\u0000 and readings";
         Peer endpoint = stage.add(Peer.serving(body));
         stage.start(Stage.SETTINGS, endpoint);
         Socket client = stage.connect();
         String query = "/a%2Fb;c=1//d?x=%20&&y=+%3D";
 
-        String call = Stage.request("action", query, "X-Other: 1\r\n");
-        for (int i = 0; i < 2; i++) { // the connection stays, and so does the one to the endpoint
-            Message.send(client, call);
-            Message answer = Message.read(client);
-            assertEquals(200, answer.status());
-            assertEquals(body, answer.body());
+        String text = Stage.request("action", query, "X-Other: 1\r\n");
+        for (int i = 0; i < 2; i++) { // both connections are kept alive
+            Message.send(client, text);
+            Message response = Message.read(client);
+            assertEquals(200, response.status());
+            assertEquals(body, response.body());
             Thread.sleep(
                     20); // right after an answer its connection is not used, as a second one may
             // come
@@ -46,7 +46,7 @@
         Message asked = endpoint.asked();
         assertEquals("POST /action" + query + " HTTP/1.1", asked.start());
         assertEquals("pour", asked.body());
-        assertTrue(call.contains("X-Correlation-Id: " + asked.header("X-Correlation-Id") + "\r\n"));
+        assertTrue(text.contains("X-Correlation-Id: " + asked.header("X-Correlation-Id") + "\r\n"));
         assertEquals("5c0f6e1a2b3d4c59", asked.header("Idempotency-Key"));
         double left = Double.parseDouble(asked.header("X-Time-Left"));
         assertTrue("time left: " + left, left > 0 && left <= 20);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    public void whatIsNoCallIsRejectedAndReachesNoEndpoint() throws Exception {
+    public void aMalformedRequestIsRejectedAndReachesNoEndpoint() throws Exception {
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, endpoint);
         String good = Stage.request("use", "", "");
@@ -70,18 +70,18 @@
             good.replace("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5"),
             good.replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"),
         };
-        for (String call : bad) {
+        for (String text : bad) {
             Socket client = stage.connect();
-            Message.send(client, call);
-            assertEquals(call, 400, Message.read(client).status());
+            Message.send(client, text);
+            assertEquals(text, 400, Message.read(client).status());
         }
         String[] tooLong = {
             good.replace("4\r\n\r\npour", "33554433\r\n\r\n"),
             good.replace("4\r\n\r\npour", "99999999\r\n\r\n"),
         };
-        for (String call : tooLong) {
+        for (String text : tooLong) {
             Socket client = stage.connect();
-            Message.send(client, call);
+            Message.send(client, text);
             assertEquals(413, Message.read(client).status());
         }
         endpoint.wasNotAsked();
@@ -90,25 +90,25 @@
     }
 
     @Test
-    public void aCallThatFindsNoEndpointIsRefusedWithAdviceOnWhenToReturn() throws Exception {
+    public void aRequestWithoutEndpointIsRejectedWithRetryAfter() throws Exception {
         stage.start(Stage.SETTINGS.replace("\"aim_ns\":10000000000", "\"aim_ns\":100000000"));
-        Message answer = stage.call("use");
-        assertEquals(503, answer.status());
-        double wait = Double.parseDouble(answer.header("Retry-After"));
+        Message response = stage.call("use");
+        assertEquals(503, response.status());
+        double wait = Double.parseDouble(response.header("Retry-After"));
         assertTrue("Retry-After: " + wait, wait > 0 && wait <= 1.2);
     }
 
     /** Undertow reads nothing during a call, so a close would go unnoticed until the answer. */
     @Test
-    public void aClientThatClosesIsNotServedAnyMore() throws Exception {
+    public void requestsOfADisconnectedClientAreDropped() throws Exception {
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS);
         Message watch = stage.discovery.asked();
         Socket gone = stage.connect();
         Message.send(gone, Stage.request("use", "", ""));
-        stage.call("other"); // answered after the first was taken
+        stage.call("other"); // its response comes after the first request was read
         gone.close();
-        Thread.sleep(100); // a close that came after the list would prove nothing
+        Thread.sleep(100); // the close must come before the list
         Stage.line(watch, Stage.list(2, true, "active", endpoint));
         Socket client = stage.connect();
         Message.send(client, Stage.request("use", "?second", ""));
@@ -118,19 +118,19 @@
     }
 
     /**
-     * An endpoint tells copies by the id: a stranger's call would pass for a second copy of the
-     * first one.
+     * Endpoints detect duplicates by the id: another client's request would be taken for a
+     * duplicate of the first one.
      */
     @Test
-    public void anIdThatIsAtWorkIsNotTakenAgain() throws Exception {
+    public void aRequestWithAnIdInFlightIsRejected() throws Exception {
         Peer endpoint = stage.add(new Peer(request -> {}));
         stage.start(Stage.SETTINGS, endpoint);
         Socket first = stage.connect();
-        String call = Stage.request("use", "", "");
-        Message.send(first, call);
+        String text = Stage.request("use", "", "");
+        Message.send(first, text);
         Message asked = endpoint.asked();
         Socket second = stage.connect();
-        Message.send(second, call);
+        Message.send(second, text);
         assertEquals(409, Message.read(second).status());
         endpoint.wasNotAsked();
         asked.answer("200 OK", "", "made");
@@ -150,26 +150,27 @@
     }
 
     /**
-     * Such connections were never counted: hundreds of them kept every client with a call waiting.
+     * Prevents idle and incomplete connections from using up the limit: once they were not counted,
+     * and hundreds of them blocked all clients with requests.
      */
     @Test
-    public void silentAndHalfSentCallsEndAndShutNobodyOut() throws Exception {
+    public void idleConnectionsAndIncompleteRequestsBlockNobody() throws Exception {
         stage.sockets = 96;
         stage.start(Stage.SETTINGS, stage.add(Peer.serving("made")));
-        String call = Stage.request("use", "", "");
+        String text = Stage.request("use", "", "");
         Socket[] useless = new Socket[60];
         for (int i = 0; i < useless.length; i++) {
             useless[i] = stage.connect();
-            Message.send(useless[i], call.substring(0, i * (call.length() - 1) / useless.length));
+            Message.send(useless[i], text.substring(0, i * (text.length() - 1) / useless.length));
         }
         assertEquals("made", stage.call("use").body());
         for (Socket client : useless) {
-            assertNull("closed without an answer", Message.read(client));
+            assertNull("closed without a response", Message.read(client));
         }
     }
 
     @Test
-    public void whatAClientSendsAheadIsTheNextCall() throws Exception {
+    public void aPipelinedRequestIsHandledNext() throws Exception {
         Peer endpoint =
                 stage.add(
                         new Peer(
--- a/daemon/src/test/java/trailthread/daemon/CorruptResponseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CorruptResponseTest.java
@@ -31,8 +31,8 @@
 
     /** The endpoint's connection stays open throughout, so that only the node can end the call. */
     @Test
-    public void aSpoiltAnswerFailsTheCallAndItsConnectionIsClosed() throws Exception {
-        String[] spoilt = {
+    public void aCorruptResponseFailsTheRequestAndItsConnectionIsClosed() throws Exception {
+        String[] corrupt = {
             "\u0000\u0001\u0002 noise",
             "HTTP/1.1 two hundred\r\n\r\n",
             "HTTP/1.1 200 OK\r\nno header\r\n\r\n",
@@ -45,11 +45,11 @@
         };
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, endpoint);
-        for (String answer : spoilt) {
-            endpoint.setScript(request -> Message.send(request.connection(), answer));
-            assertEquals(answer, 502, stage.call("use").status());
+        for (String response : corrupt) {
+            endpoint.setScript(request -> Message.send(request.connection(), response));
+            assertEquals(response, 502, stage.call("use").status());
             Socket closed = endpoint.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
-            assertEquals(answer, endpoint.asked().connection(), closed);
+            assertEquals(response, endpoint.asked().connection(), closed);
             endpoint.setScript(request -> request.answer("200 OK", "", "made"));
             assertEquals("made", stage.call("state").body());
             endpoint.asked();
@@ -58,23 +58,23 @@
 
     /** What follows an answer passed for the answer to the next call on that connection. */
     @Test
-    public void whatFollowsAnAnswerNeverReachesTheNextCall() throws Exception {
+    public void bytesAfterAResponseNeverReachTheNextRequest() throws Exception {
         String[] more = {MADE.replace("made", "copy"), "noise", "\r\n"};
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, endpoint);
         for (String rest : more) {
             endpoint.setScript(request -> Message.send(request.connection(), MADE + rest));
             assertEquals("made", stage.call("use").body());
-            Socket spoilt = endpoint.asked().connection();
+            Socket corrupt = endpoint.asked().connection();
             endpoint.setScript(request -> request.answer("200 OK", "", "next"));
             assertEquals("next", stage.call("use").body());
-            assertNotEquals(spoilt, endpoint.asked().connection());
+            assertNotEquals(corrupt, endpoint.asked().connection());
         }
     }
 
     /** The same, when it comes after the connection was put away. */
     @Test
-    public void aConnectionThatSpeaksUnaskedIsClosed() throws Exception {
+    public void aConnectionWithUnsolicitedBytesIsClosed() throws Exception {
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, endpoint);
         assertEquals("made", stage.call("use").body());
@@ -86,8 +86,8 @@
     }
 
     @Test
-    public void oddButGoodAnswersAreServed() throws Exception {
-        String[] good = {
+    public void unusualButValidResponsesAreServed() throws Exception {
+        String[] valid = {
             "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" + MADE,
             MADE.replace(
                     "\r\n\r\n", "\r\nX-Backend-Load: {\"inflight\":-1,\"queue\":-9e99}\r\n\r\n"),
@@ -96,9 +96,9 @@
         };
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, endpoint);
-        for (String answer : good) {
-            endpoint.setScript(request -> sendInPieces(request.connection(), answer));
-            assertEquals(answer, "made", stage.call("use").body());
+        for (String response : valid) {
+            endpoint.setScript(request -> sendInPieces(request.connection(), response));
+            assertEquals(response, "made", stage.call("use").body());
         }
         assertNotNull(endpoint.asked());
     }
--- a/daemon/src/test/java/trailthread/daemon/CrowdTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CrowdTest.java
@@ -20,15 +20,12 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/**
- * Guards against clients left without an answer where ten times as many connect as there is room
- * for.
- */
+/** Every client gets a response if ten times as many connect as there is capacity for. */
 public class CrowdTest {
     private static final int CLIENTS = 2000;
-    private static final int LEAST_AT_ONCE = 500;
+    private static final int MIN_AT_ONCE = 500;
     private static final int OTHER_DESCRIPTORS = 400;
-    private static final int MOST_TRIES = 20;
+    private static final int MAX_ATTEMPTS = 20;
     private static final long LIMIT_NS = 120_000_000_000L;
     private static final Pattern LENGTH = Pattern.compile("(?i)\r\nContent-Length: *(\\d+)");
 
@@ -49,13 +46,13 @@
         stage.end();
     }
 
-    /** One client: what it has heard, and how often it has tried. */
+    /** One client: what it has received, and how often it has tried. */
     private final class Client {
-        private String heard = "";
-        private int tries;
+        private String received = "";
+        private int attempts;
 
         void connect() throws IOException {
-            assertTrue("tried too often", ++tries <= MOST_TRIES);
+            assertTrue("too many attempts", ++attempts <= MAX_ATTEMPTS);
             SocketChannel channel = SocketChannel.open();
             channel.configureBlocking(false);
             channel.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), stage.port));
@@ -75,52 +72,51 @@
                 }
                 ByteBuffer buffer = ByteBuffer.allocate(4096);
                 if (channel.read(buffer) >= 0) {
-                    heard +=
+                    received +=
                             new String(
                                     buffer.array(),
                                     0,
                                     buffer.position(),
                                     StandardCharsets.ISO_8859_1);
-                    if (isWhole()) {
+                    if (isComplete()) {
                         channel.close();
                         answered++;
                     }
                     return;
                 }
             } catch (IOException e) {
-                // reset, as good as ended
+                // a reset counts as an end
             }
-            assertEquals("ended within its answer", "", heard);
+            assertEquals("ended within its response", "", received);
             channel.close();
             connect();
         }
 
-        private boolean isWhole() {
-            int head = heard.indexOf("\r\n\r\n");
-            Matcher length = LENGTH.matcher(heard);
+        private boolean isComplete() {
+            int head = received.indexOf("\r\n\r\n");
+            Matcher length = LENGTH.matcher(received);
             if (head < 0
                     || !length.find()
-                    || heard.length() < head + 4 + Integer.parseInt(length.group(1))) {
+                    || received.length() < head + 4 + Integer.parseInt(length.group(1))) {
                 return false;
             }
             boolean refused =
-                    heard.startsWith("HTTP/1.1 503 ") && heard.contains("\r\nRetry-After: ");
+                    received.startsWith("HTTP/1.1 503 ") && received.contains("\r\nRetry-After: ");
             assertTrue(
-                    heard,
+                    received,
                     refused
-                            || (heard.startsWith("HTTP/1.1 200 ")
-                                    && heard.endsWith("\r\n\r\nmade")));
+                            || (received.startsWith("HTTP/1.1 200 ")
+                                    && received.endsWith("\r\n\r\nmade")));
             return true;
         }
     }
 
     /**
-     * Idle clients take what they may hold, and more wait: what the node itself needs is not among
-     * it.
+     * Idle clients use up their descriptors, and more wait; the node's own descriptors are
+     * reserved.
      */
     @Test
-    public void whereIdleClientsFillTheDescriptorsDiscoveryIsHeardAndCallsAreServed()
-            throws Exception {
+    public void idleClientsAtTheDescriptorLimitBlockNeitherDiscoveryNorRequests() throws Exception {
         stage.sockets = 128;
         stage.discovery.setScript(request -> request.answer("503 Busy", "", ""));
         stage.start(Stage.SETTINGS, stage.add(Peer.serving("before")));
@@ -145,14 +141,14 @@
     }
 
     @Test
-    public void everyClientOfACrowdHasAWholeAnswer() throws Exception {
+    public void everyClientOfACrowdGetsACompleteResponse() throws Exception {
         stage.sockets = 382; // 200 connections to clients
         stage.start(
                 Stage.SETTINGS, stage.add(Peer.serving("made")), stage.add(Peer.serving("made")));
         UnixOperatingSystemMXBean system =
                 (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         long free = system.getMaxFileDescriptorCount() - system.getOpenFileDescriptorCount();
-        int atOnce = (int) Math.max(LEAST_AT_ONCE, Math.min(CLIENTS, free - OTHER_DESCRIPTORS));
+        int atOnce = (int) Math.max(MIN_AT_ONCE, Math.min(CLIENTS, free - OTHER_DESCRIPTORS));
         long limit = System.nanoTime() + LIMIT_NS;
         for (int begun = 0; begun < CLIENTS; ) {
             for (int i = 0; i < atOnce && begun < CLIENTS; i++, begun++) {
--- a/daemon/src/test/java/trailthread/daemon/DegradationControllerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DegradationControllerTest.java
@@ -14,10 +14,11 @@
 import trailthread.testkit.Stage;
 
 /**
- * The levels of service in the real program: polls are shed, what may not run twice is served on.
+ * Degradation levels in the real program: polls are shed, requests that are not idempotent are
+ * served.
  */
 public class DegradationControllerTest {
-    private static final Pattern TOLD_ON = Pattern.compile("operators are told on .*:(\\d+)");
+    private static final Pattern ADMIN_ADDRESS = Pattern.compile("operators are told on .*:(\\d+)");
     private static final Pattern LATENESS =
             Pattern.compile("\\{reading=\"lateness_seconds\"} ([0-9.E-]+)");
 
@@ -38,20 +39,18 @@
     }
 
     private String metrics() throws Exception {
-        Matcher told = TOLD_ON.matcher(stage.logged("operators are told on"));
-        assertTrue(told.find());
-        Thread.sleep(1100); // figures are a second old at most
-        stage.port = Integer.parseInt(told.group(1));
+        Matcher adminAddress = ADMIN_ADDRESS.matcher(stage.logged("operators are told on"));
+        assertTrue(adminAddress.find());
+        Thread.sleep(1100); // metrics are updated every second
+        stage.port = Integer.parseInt(adminAddress.group(1));
         Socket operator = stage.connect();
         Message.send(operator, "GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
         return Message.read(operator).body();
     }
 
-    /**
-     * A single call that an erring endpoint fails is enough, by bounds that are low for the test.
-     */
+    /** A single request that an endpoint fails is enough, as the test sets low thresholds. */
     @Test
-    public void aPollIsRefusedWhereCallsFailAndUsesAreServed() throws Exception {
+    public void pollsAreShedAndUsesAreServedWhileRequestsFail() throws Exception {
         stage.more =
                 """
                 "management":"127.0.0.1:0",
--- a/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    public void changesAreFollowedAndTheVersionHeldIsNamed() throws Exception {
+    public void changesAreAppliedAndWatchesNameTheKnownGeneration() throws Exception {
         stage.start(Stage.SETTINGS, first);
         Message watch = stage.discovery.asked();
         assertEquals("GET /v1/endpoints?stream=1&index=1 HTTP/1.1", watch.start());
@@ -42,9 +42,9 @@
         Stage.line(watch, "");
         Stage.line(watch, as("w1", Stage.list(7, false, "active", second)));
         Stage.line(watch, Stage.list(8, false, "leaving", first));
-        stage.call("other"); // answered after discovery's lines were read
+        stage.call("other"); // its response comes after the lines of discovery were read
         while (!stage.call("use").body().equals("second")) {
-            assertTrue("the drain is heard of in time", first.requests.size() < 100);
+            assertTrue("the drain is applied in time", first.requests.size() < 100);
         }
         int asked = first.requests.size();
         for (int i = 0; i < 10; i++) {
@@ -57,7 +57,7 @@
     }
 
     @Test
-    public void aWholeListReplacesWhatWasKnown() throws Exception {
+    public void aCompleteListReplacesTheKnownOne() throws Exception {
         stage.start(Stage.SETTINGS, first);
         Stage.line(stage.discovery.asked(), as("w1", Stage.list(2, true, "active", second)));
         while (!stage.call("use").body().equals("second")) {
@@ -83,7 +83,7 @@
     }
 
     @Test
-    public void whatIsMalformedEndsTheWatchAndTheListStands() throws Exception {
+    public void aMalformedUpdateEndsTheWatchAndTheListIsKept() throws Exception {
         stage.start(Stage.SETTINGS, first);
         Message watch = stage.discovery.asked();
         Stage.line(
@@ -94,7 +94,7 @@
     }
 
     @Test
-    public void discoveryThatFailsIsAskedAgain() throws Exception {
+    public void aFailedWatchIsRetried() throws Exception {
         stage.discovery.setScript(
                 request -> {
                     if (stage.discovery.requests.size() == 1) {
@@ -132,7 +132,8 @@
     }
 
     /**
-     * The pause after a failure at the old address may be longer than the new one's news may wait.
+     * The backoff after a failure at the old address may be longer than updates of the new one may
+     * wait.
      */
     @Test
     public void aMoveDuringThePauseAfterAFailureIsAskedAtOnce() throws Exception {
@@ -159,7 +160,7 @@
 
     /** A cut link says nothing: the watch stays open, and the empty lines stop. */
     @Test
-    public void aWatchThatFallsSilentIsBroken() throws Exception {
+    public void aSilentWatchIsClosed() throws Exception {
         stage.start(Stage.SETTINGS, first);
         Message watch = stage.discovery.asked();
         Stage.line(watch, "");
@@ -169,11 +170,11 @@
     }
 
     /**
-     * Of a list of thousands, which takes longer than an answer may be waited for, no part is a
-     * sign of life.
+     * A list of thousands of endpoints may take longer than the timeout for a response; while parts
+     * of it arrive, the watch is not silent.
      */
     @Test
-    public void aListIsHeardOutAsLongAsItComesOn() throws Exception {
+    public void aSlowListIsReadToItsEnd() throws Exception {
         stage.discovery.setScript(
                 request -> {
                     Stage.watch(request);
@@ -182,15 +183,15 @@
                 });
         stage.start(Stage.SETTINGS, first);
         while (!stage.call("use").body().equals("second")) {
-            assertEquals("one call", 1, stage.discovery.requests.size());
+            assertEquals("one request", 1, stage.discovery.requests.size());
         }
-        assertEquals("one call", 1, stage.discovery.requests.size());
+        assertEquals("one request", 1, stage.discovery.requests.size());
         first.wasNotAsked();
     }
 
     /** One that trickles without an end would keep the node from asking again. */
     @Test
-    public void aListWithoutEndIsGivenUp() throws Exception {
+    public void anEndlessListIsAborted() throws Exception {
         stage.discovery.setScript(
                 request -> {
                     Stage.watch(request);
@@ -220,8 +221,8 @@
     }
 
     /**
-     * SIGHUP ended the program; and the old discovery's end must not pass for a failure of the new
-     * one.
+     * Prevents SIGHUP from ending the program, and the end of the old watch from being taken for a
+     * failure of the new one.
      */
     @Test
     public void onSighupTheWatchMovesAndAllElseStays() throws Exception {
@@ -234,13 +235,13 @@
         Peer moved = stage.add(new Peer(Stage::watchUnchanged));
         stage.reload("{\"name\":");
         stage.logged("configuration not taken over: name");
-        for (int i = 0; i < 3; i++) { // several in a row are one move
+        for (int i = 0; i < 3; i++) { // several in a row have the effect of one
             stage.reload(stage.config(moved, Stage.SETTINGS, first));
         }
         Message movedWatch = moved.asked();
         assertEquals("GET /v1/endpoints?stream=1&index=7 HTTP/1.1", movedWatch.start());
         watch.connection().close();
-        assertEquals("the list stays", "second", stage.call("use").body());
+        assertEquals("the list is kept", "second", stage.call("use").body());
         Stage.line(movedWatch, Stage.list(8, true, "active", first));
         while (!stage.call("use").body().equals("first")) {
             assertTrue(second.requests.size() < 100);
--- a/daemon/src/test/java/trailthread/daemon/DrainTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTest.java
@@ -11,9 +11,7 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/**
- * A node that its operators drain leads its clients away, loses no call, and takes clients again.
- */
+/** A drain moves clients away without losing requests; after a resume they are served again. */
 public class DrainTest extends WithAdminServer {
     private Message ready() throws IOException {
         Socket front = stage.connect();
@@ -22,7 +20,7 @@
     }
 
     @Test
-    public void callsGoOnAndConnectionsEndWithTheirAnswersOrIdle() throws Exception {
+    public void requestsAreServedAndConnectionsCloseWithTheirResponsesOrIdle() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         Peer endpoint = stage.add(Peer.servingAfter(answer, "made"));
         stage.start(Stage.SETTINGS, endpoint);
@@ -36,7 +34,7 @@
         assertEquals(200, stage.manage("POST", "/-/drain").status());
         assertEquals(503, ready().status());
         assertEquals(503, stage.manage("GET", "/-/ready").status());
-        assertEquals("what idles is closed in time", -1, idle.getInputStream().read());
+        assertEquals("idle connections are closed", -1, idle.getInputStream().read());
         Socket late = stage.connect();
         Message.send(late, Stage.request("use", "", ""));
         endpoint.asked();
@@ -48,8 +46,10 @@
         }
         assertEquals(200, stage.manage("POST", "/-/resume").status());
         assertEquals(200, ready().status());
-        Message kept = stage.call("use");
-        assertEquals("made", kept.body());
-        assertTrue("connections last again", !"close".equals(kept.header("Connection")));
+        Message afterResume = stage.call("use");
+        assertEquals("made", afterResume.body());
+        assertTrue(
+                "connections are kept alive again",
+                !"close".equals(afterResume.header("Connection")));
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
@@ -22,14 +22,14 @@
 import trailthread.testkit.Message;
 import trailthread.testkit.Peer;
 
-/** What each of drain, resume and the node's end does in each state, as one table. */
+/** Drain, resume and shutdown in each state, as one table. */
 public class DrainTransitionsTest {
-    /** Past when a drain ends connections with their answers, before it closes what idles. */
+    /** After responses begin to close connections, and before idle connections are closed. */
     private static final long ANSWERS_HAVE_ENDED_MS = 600;
 
     /**
-     * Events; what each says, '-' for the end, which says nothing; is it ready; do answers end
-     * connections.
+     * Events; the result of each, with '-' for the shutdown, which has none; whether the node is
+     * ready; whether responses close connections.
      */
     private static final Object[][] TABLE = {
         {"", "", true, false},
@@ -41,7 +41,7 @@
         {"drain resume drain", "+++", false, true},
         {
             "end drain", "-0", true, false
-        }, // what is ready, and when answers end, is the shutdown's from then on
+        }, // the shutdown decides about readiness and connections from then on
         {"end resume", "-0", true, false},
         {"drain end", "+-", false, false},
         {"drain end resume", "+-0", false, false},
@@ -78,20 +78,20 @@
     public void eachEventInEachState() throws Exception {
         for (Object[] row : TABLE) {
             String events = (String) row[0];
-            HttpListener acceptor =
+            HttpListener listener =
                     new HttpListener(
                             loop,
                             8,
                             8,
-                            new PlatformFrontend(List.of(), new NoCalls()),
+                            new PlatformFrontend(List.of(), new NoRequests()),
                             MetricsRecorder.OFF);
             InetSocketAddress at =
-                    acceptor.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            Drain drain = new Drain(loop, acceptor);
+                    listener.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            Drain drain = new Drain(loop, listener);
             String said =
                     onLoop(
                             () -> {
-                                acceptor.setReady(true);
+                                listener.setReady(true);
                                 StringBuilder all = new StringBuilder();
                                 for (String event :
                                         events.isEmpty() ? new String[0] : events.split(" ")) {
@@ -100,7 +100,7 @@
                                 return all.toString();
                             });
             assertEquals(events, row[1], said);
-            assertEquals(events + ": ready", row[2], onLoop(acceptor::isReady));
+            assertEquals(events + ": ready", row[2], onLoop(listener::isReady));
             Thread.sleep(ANSWERS_HAVE_ENDED_MS);
             try (Socket client = new Socket(at.getAddress(), at.getPort())) {
                 client.setSoTimeout(1000 * Peer.LONGEST_WAIT_S);
@@ -108,17 +108,17 @@
                 Message answer = Message.read(client);
                 assertEquals(events, (boolean) row[2] ? 200 : 503, answer.status());
                 assertEquals(
-                        events + ": answers end",
+                        events + ": responses close connections",
                         row[3],
                         "close".equals(answer.header("Connection")));
             }
         }
     }
 
-    private static final class NoCalls implements RequestHandler {
+    private static final class NoRequests implements RequestHandler {
         @Override
-        public Runnable take(ClientRequest call, long deadline, ClientResponse reply) {
-            throw new AssertionError("no call is made");
+        public Runnable take(ClientRequest request, long deadline, ClientResponse response) {
+            throw new AssertionError("no request is sent");
         }
 
         @Override
--- a/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
@@ -18,7 +18,7 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** What endpoints may rely on, and what the node makes of their answers, over real sockets. */
+/** What the node sends to endpoints, and how it handles their responses, over real sockets. */
 public class EndpointSideTest {
     private final Stage stage;
 
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Starts with two endpoints: whichever is asked first does this, and from then on they serve.
+     * Starts a node with two endpoints. The first request runs the script, all others are served.
      */
-    private Peer[] startWhereTheFirst(Peer.Script act) throws Exception {
+    private Peer[] startWithFirstRequest(Peer.Script act) throws Exception {
         AtomicInteger asked = new AtomicInteger();
         Peer.Script script =
                 request -> {
@@ -54,16 +54,16 @@
     }
 
     @Test
-    public void anUnsafeCallThatNeverRanGoesElsewhere() throws Exception {
+    public void anUnprocessedRequestIsRetriedElsewhere() throws Exception {
         Peer[] endpoints =
-                startWhereTheFirst(
+                startWithFirstRequest(
                         request -> request.answer("503 Full", "X-Unprocessed: 1\r\n", ""));
         assertEquals("made", stage.call("use").body());
         assertEquals(2, asked(endpoints));
     }
 
     @Test
-    public void aCallWhoseConnectionIsRefusedGoesElsewhere() throws Exception {
+    public void aRequestWhoseConnectionIsRefusedIsRetriedElsewhere() throws Exception {
         Peer gone = new Peer(request -> {});
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, gone, endpoint);
@@ -74,23 +74,24 @@
     }
 
     @Test
-    public void aSafeCallThatFailedIsMadeAgain() throws Exception {
-        Peer[] endpoints = startWhereTheFirst(request -> request.connection().close());
+    public void anIdempotentRequestIsRetried() throws Exception {
+        Peer[] endpoints = startWithFirstRequest(request -> request.connection().close());
         assertEquals("made", stage.call("state").body());
         assertEquals(2, asked(endpoints));
     }
 
     /**
-     * An endpoint's own 503 must not pass for the module's refusal, nor nonsense for a served call.
+     * Prevents an endpoint's own 503 from being forwarded as the node's rejection, and a malformed
+     * response from being forwarded at all.
      */
     @Test
-    public void anUnsafeCallThatMayHaveRunFailsAndIsNotRepeated() throws Exception {
-        List<Peer.Script> ways = new ArrayList<>();
+    public void aRequestThatIsNotIdempotentAndMayHaveRunIsNotRetried() throws Exception {
+        List<Peer.Script> failures = new ArrayList<>();
         for (String status : List.of("500 Error", "503 Busy", "429 Many", "404 Unknown")) {
-            ways.add(
+            failures.add(
                     request -> request.answer(status, "X-Other: 1\r\n", "x".repeat(64 * 1024 + 1)));
         }
-        for (String answer :
+        for (String response :
                 List.of(
                         "",
                         "nonsense\r\n\r\n",
@@ -98,31 +99,33 @@
                         "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
                         "HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n",
                         "HTTP/1.1 2")) {
-            ways.add(
+            failures.add(
                     request -> {
-                        Message.send(request.connection(), answer);
+                        Message.send(request.connection(), response);
                         request.connection().close();
                     });
         }
         AtomicInteger turn = new AtomicInteger();
         Peer endpoint =
-                stage.add(new Peer(request -> ways.get(turn.getAndIncrement()).act(request)));
+                stage.add(new Peer(request -> failures.get(turn.getAndIncrement()).act(request)));
         stage.start(Stage.SETTINGS, endpoint);
-        for (int i = 0; i < ways.size(); i++) {
+        for (int i = 0; i < failures.size(); i++) {
             assertEquals("way " + i, 502, stage.call("use").status());
             assertEquals("way " + i, i + 1, endpoint.requests.size());
         }
     }
 
     /**
-     * Undertow's own close sends nothing while a request is out: the first copy stayed beside the
-     * second.
+     * Prevents the first attempt from staying in flight beside the second: Undertow's own close
+     * does not take effect while a request is in flight.
      */
     @Test
     public void aTimedOutAttemptIsClosedBeforeTheNextIsSent() throws Exception {
-        Peer[] endpoints = startWhereTheFirst(request -> request.answer("200 OK", "", "made"));
+        Peer[] endpoints = startWithFirstRequest(request -> request.answer("200 OK", "", "made"));
         assertEquals(
-                "made", stage.call("state").body()); // the module knows a latency, and has patience
+                "made",
+                stage.call("state")
+                        .body()); // the module now has a latency estimate for its timeouts
         Peer.Script silent = request -> {};
         List<Integer> closedBefore = new ArrayList<>();
         for (Peer endpoint : endpoints) {
@@ -143,8 +146,7 @@
     }
 
     /**
-     * How many connections have ended; a peer notes an end on a thread of its own, so it gets some
-     * time.
+     * Waits for the number of closed connections, as a peer records a close on a thread of its own.
      */
     private static int closed(Peer... endpoints) throws IOException {
         try {
@@ -160,7 +162,7 @@
     }
 
     @Test
-    public void idleConnectionsAreDroppedBeforeTheEndpointDropsThem() throws Exception {
+    public void idleConnectionsAreClosedBeforeTheEndpointClosesThem() throws Exception {
         Peer endpoint = stage.add(Peer.serving("made"));
         String settings = Stage.SETTINGS.replace("idle_close_ns\":60", "idle_close_ns\":1");
         stage.start(settings, endpoint);
@@ -171,7 +173,7 @@
         assertNotEquals(idle, endpoint.asked().connection());
     }
 
-    /** The descriptors of a node are few: what idles at one endpoint makes room for another. */
+    /** At the descriptor limit, an idle connection is closed for one to another endpoint. */
     @Test
     public void moreEndpointsThanConnectionsAreAllReached() throws Exception {
         Peer[] endpoints = new Peer[20];
@@ -198,9 +200,9 @@
         }
     }
 
-    /** The drain becomes known while a connect hangs; what counts is the request's first byte. */
+    /** The drain is announced while a connect hangs; what counts is the request's first byte. */
     @Test
-    public void nothingIsSentToAEndpointThatDrainsMeanwhile() throws Exception {
+    public void nothingIsSentToAnEndpointThatBeganToDrain() throws Exception {
         Peer serving = stage.add(Peer.serving("made"));
         try (ServerSocket hanging = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> fill = new ArrayList<>(); // its backlog is full: a connect gets no reply
--- a/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
+++ b/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
@@ -21,25 +21,25 @@
 import trailthread.testkit.Stage;
 
 /**
- * Each request that a node has taken has one whole answer before a kill at the earliest moment that
- * the platform allows, though endpoints hang, and clients send on every connection that stays open.
+ * Each admitted request gets one complete response before a kill at the earliest time that the
+ * platform allows, although endpoints hang and clients use every connection that stays open.
  */
 public class GracefulShutdownTest {
-    /** One of them sends every so often, from SIGTERM until after the last connection has ended. */
+    /** They send in turn, from SIGTERM until after the last connection has ended. */
     private static final int CLIENTS = 28;
 
-    private static final int EVERY_MS = 30;
+    private static final int INTERVAL_MS = 30;
 
-    /** Some come after the node has begun to send clients away, and some before it does. */
+    /** Requests from then on come after responses have begun to close connections. */
     private static final int LATE_MS = 450;
 
     private static final String[] CLASSES = {"use", "state", "action"};
     private static final Pattern ID = Pattern.compile("X-Correlation-Id: (\\w+)");
     private final Stage stage;
-    private final Set<String> ran = ConcurrentHashMap.newKeySet();
+    private final Set<String> receivedIds = ConcurrentHashMap.newKeySet();
     private final Queue<String> faults = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger answeredLate = new AtomicInteger();
-    private volatile boolean hangs;
+    private final AtomicInteger lateResponses = new AtomicInteger();
+    private volatile boolean endpointsHang;
     private volatile boolean killed;
 
     public GracefulShutdownTest() throws Exception {
@@ -63,44 +63,42 @@
         return stage.add(
                 new Peer(
                         request -> {
-                            ran.add(request.header("X-Correlation-Id"));
-                            if (!hangs) {
+                            receivedIds.add(request.header("X-Correlation-Id"));
+                            if (!endpointsHang) {
                                 request.answer("200 OK", "", "made");
                             }
                         }));
     }
 
-    private static String call(int number, int deadlineMs) {
+    private static String requestText(int number, int deadlineMs) {
         return Stage.request(CLASSES[number % CLASSES.length], "", "")
                 .replace("Left: 20.000", "Left: " + deadlineMs / 1000.0);
     }
 
-    /**
-     * Sends on a connection that idles, until it is told that the answer was the last one there.
-     */
+    /** Sends requests on an idle connection until a response closes it. */
     @SuppressWarnings("AssertionFailureIgnored") // collected, and reported by the test
-    private void sends(Socket connection, int number, int deadlineMs) {
+    private void sendRequests(Socket connection, int number, int deadlineMs) {
         String id = "";
         try {
-            Thread.sleep((long) number * EVERY_MS);
-            for (Message answer = null;
-                    answer == null || !"close".equals(answer.header("Connection")); ) {
-                String call = call(number, deadlineMs);
-                Matcher matcher = ID.matcher(call);
+            Thread.sleep((long) number * INTERVAL_MS);
+            for (Message response = null;
+                    response == null || !"close".equals(response.header("Connection")); ) {
+                String requestText = requestText(number, deadlineMs);
+                Matcher matcher = ID.matcher(requestText);
                 assertTrue(matcher.find());
                 id = matcher.group(1);
-                Message.send(connection, call);
-                answer = Message.read(connection);
-                if (answer == null) {
+                Message.send(connection, requestText);
+                response = Message.read(connection);
+                if (response == null) {
                     throw new IOException("the connection has ended");
                 }
-                answeredLate.addAndGet(number * EVERY_MS >= LATE_MS ? 1 : 0);
+                lateResponses.addAndGet(number * INTERVAL_MS >= LATE_MS ? 1 : 0);
             }
-            assertEquals("no further answer", -1, connection.getInputStream().read());
+            assertEquals("no further response", -1, connection.getInputStream().read());
         } catch (IOException e) {
-            // One that crosses the end of an idle connection was not read, and its client sends it
-            // elsewhere.
-            if (killed || ran.contains(id)) {
+            // A request that crosses the close of an idle connection was not read; its client
+            // sends it elsewhere.
+            if (killed || receivedIds.contains(id)) {
                 faults.add("client " + number + " was not answered before the kill: " + e);
             }
         } catch (InterruptedException | RuntimeException | AssertionError e) {
@@ -108,13 +106,13 @@
         }
     }
 
-    /** What the machine holds up by more tells nothing of the node: it is played again. */
-    private static final int HELD_UP_MS = 30;
+    /** If the machine itself delays threads by more, the result is void and the run is repeated. */
+    private static final int MAX_DELAY_MS = 30;
 
-    private static final int MOST_PLAYS = 10;
+    private static final int MAX_RUNS = 10;
 
-    /** Tells how long a thread that only wants to sleep is kept off the cores. */
-    private static final class Metronome extends Thread {
+    /** Measures by how much the machine delays a thread that only sleeps. */
+    private static final class DelayMeter extends Thread {
         private volatile boolean over;
         private volatile long worstMs;
 
@@ -131,51 +129,51 @@
         }
     }
 
-    /** Starts the node and ends it so. */
-    private interface Play {
+    /** Starts the node and shuts it down. */
+    private interface Run {
         void run() throws Exception;
     }
 
-    private void plays(Play play) throws Exception {
+    private void runUndisturbed(Run play) throws Exception {
         for (int i = 1; ; i++) {
-            Metronome metronome = new Metronome();
-            metronome.start();
+            DelayMeter delayMeter = new DelayMeter();
+            delayMeter.start();
             play.run();
-            metronome.over = true;
-            metronome.join();
-            if (faults.isEmpty() || metronome.worstMs < HELD_UP_MS || i == MOST_PLAYS) {
+            delayMeter.over = true;
+            delayMeter.join();
+            if (faults.isEmpty() || delayMeter.worstMs < MAX_DELAY_MS || i == MAX_RUNS) {
                 break;
             }
             faults.clear();
-            answeredLate.set(0);
-            hangs = false;
+            lateResponses.set(0);
+            endpointsHang = false;
             killed = false;
         }
         assertEquals(List.of(), List.copyOf(faults));
-        assertTrue("some requests come late", answeredLate.get() > 0);
+        assertTrue("some requests come late", lateResponses.get() > 0);
     }
 
-    private void ends(int deadlineMs, int pausedMs) throws Exception {
+    private void shutDownUnderLoad(int deadlineMs, int stoppedMs) throws Exception {
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             int number = i;
             Socket connection = stage.connect();
-            Message.send(connection, call(i, 1_000));
+            Message.send(connection, requestText(i, 1_000));
             assertEquals(200, Message.read(connection).status());
-            clients.add(new Thread(() -> sends(connection, number, deadlineMs)));
+            clients.add(new Thread(() -> sendRequests(connection, number, deadlineMs)));
         }
-        hangs = true;
-        long askedAt = System.nanoTime();
+        endpointsHang = true;
+        long requestedAt = System.nanoTime();
         clients.forEach(Thread::start);
         stage.terminate();
-        if (pausedMs > 0) {
+        if (stoppedMs > 0) {
             Thread.sleep(LATE_MS);
             stage.signal("STOP");
-            Thread.sleep(pausedMs);
+            Thread.sleep(stoppedMs);
             stage.signal("CONT");
         }
-        long killedMs = 700L + Math.min(deadlineMs, 3_000);
-        Thread.sleep(Math.max(0, killedMs - (System.nanoTime() - askedAt) / 1_000_000));
+        long killAfterMs = 700L + Math.min(deadlineMs, 3_000);
+        Thread.sleep(Math.max(0, killAfterMs - (System.nanoTime() - requestedAt) / 1_000_000));
         killed = true;
         if (stage.isRunning()) {
             stage.signal("KILL");
@@ -185,49 +183,49 @@
         }
     }
 
-    private void withDeadlinesOf(int ms, int pausedMs) throws Exception {
-        plays(
+    private void runWithDeadlines(int ms, int stoppedMs) throws Exception {
+        runUndisturbed(
                 () -> {
                     stage.start(settings(ms), endpoint(), endpoint());
-                    ends(ms, pausedMs);
+                    shutDownUnderLoad(ms, stoppedMs);
                 });
     }
 
     @Test
     public void withDeadlinesOf150Milliseconds() throws Exception {
-        withDeadlinesOf(150, 0);
+        runWithDeadlines(150, 0);
     }
 
     @Test
     public void withDeadlinesOf1200Milliseconds() throws Exception {
-        withDeadlinesOf(1_200, 0);
+        runWithDeadlines(1_200, 0);
     }
 
     @Test
     public void withDeadlinesOf4Seconds() throws Exception {
-        withDeadlinesOf(4_000, 0);
+        runWithDeadlines(4_000, 0);
     }
 
     @Test
     public void withDeadlinesOf10Seconds() throws Exception {
-        withDeadlinesOf(10_000, 0);
+        runWithDeadlines(10_000, 0);
     }
 
     @Test
-    public void afterAPauseOfTheNode() throws Exception {
-        withDeadlinesOf(1_200, 120);
+    public void afterTheProcessWasStopped() throws Exception {
+        runWithDeadlines(1_200, 120);
     }
 
-    /** Which deadlines the platform counts by is not said: it may be the newest. */
+    /** The platform does not say which deadlines it counts by; they may be the newest. */
     @Test
     public void afterSighupHasShortenedDeadlines() throws Exception {
-        plays(
+        runUndisturbed(
                 () -> {
                     Peer endpoint = endpoint();
                     stage.start(settings(4_000), endpoint);
                     stage.reload(stage.config(settings(300), endpoint));
                     stage.logged("configuration taken over");
-                    ends(300, 0);
+                    shutDownUnderLoad(300, 0);
                 });
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
@@ -25,10 +25,7 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/**
- * Long answers and bodies: more at once than memory holds, in all forms, by peers that take their
- * time.
- */
+/** Long responses and bodies: more than fit into memory, in all framings, from slow peers. */
 public class LongMessagesTest extends WithAdminServer {
     private static final int LONG = 4_000_000;
     private static final String OK = "HTTP/1.1 200 OK\r\n";
@@ -48,7 +45,7 @@
         }
     }
 
-    /** What a client gets, without its framing; fails if it is not whole. */
+    /** The body that a client gets, without its framing; fails if it is not complete. */
     private static byte[] read(Socket client) throws IOException {
         InputStream in = client.getInputStream();
         String head = head(in);
@@ -91,7 +88,7 @@
     }
 
     @Test
-    public void longAnswersPassInEveryForm() throws Exception {
+    public void longResponsesPassInEveryFraming() throws Exception {
         byte[] made = bytes(LONG);
         List<Peer.Script> forms =
                 List.of(
@@ -129,7 +126,7 @@
     }
 
     @Test
-    public void moreAtOnceThanMemoryHoldsForClientsThatReadLate() throws Exception {
+    public void moreResponsesThanFitIntoMemoryForSlowClients() throws Exception {
         byte[] made = bytes(8 * LONG);
         Peer endpoint =
                 stage.add(
@@ -146,7 +143,7 @@
                                 }));
         stage.start(Stage.SETTINGS, endpoint);
         List<Socket> clients = new ArrayList<>();
-        for (int i = 0; i < 6; i++) { // 192 MB, where the program has 64
+        for (int i = 0; i < 6; i++) { // 192 MB, with a heap of 64 MB
             clients.add(stage.connect());
             Message.send(clients.get(i), Stage.request("use", "", ""));
             endpoint.asked();
@@ -160,7 +157,7 @@
     }
 
     @Test
-    public void whatBreaksOffIsNoWholeAnswer() throws Exception {
+    public void aTruncatedResponseIsNotComplete() throws Exception {
         byte[] made = bytes(LONG);
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, endpoint);
@@ -195,7 +192,7 @@
     }
 
     @Test
-    public void longBodiesAreSentAgainAndBodiesInChunksGetALength() throws Exception {
+    public void longBodiesAreRetriedAndChunkedBodiesGetALength() throws Exception {
         String body = new String(bytes(LONG), StandardCharsets.ISO_8859_1);
         AtomicInteger asked = new AtomicInteger();
         Peer endpoint =
@@ -231,7 +228,7 @@
         assertEquals(body, endpoint.asked().body());
     }
 
-    /** A call whose body is yet to come, with what tells its length. */
+    /** The head of a request, with the header that frames its body. */
     private static String head(String framing) {
         return Stage.request("use", "", "").replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "")
                 + framing
@@ -239,11 +236,11 @@
     }
 
     /**
-     * Only what is held can be sent again: so the last body has found room, though others had taken
-     * it.
+     * Only a buffered body can be retried, so the retry shows that the last body was buffered,
+     * although others had used the memory up before.
      */
     @Test
-    public void theRoomOfClientsThatLeaveIsGivenBack() throws Exception {
+    public void theMemoryOfDisconnectedClientsIsReleased() throws Exception {
         Semaphore answers = new Semaphore(0);
         Semaphore answered = new Semaphore(0);
         Peer endpoint =
@@ -256,7 +253,7 @@
                                 }));
         stage.start(Stage.SETTINGS, endpoint);
         String body =
-                new String(bytes(3 * LONG), StandardCharsets.ISO_8859_1); // there is room for one
+                new String(bytes(3 * LONG), StandardCharsets.ISO_8859_1); // the limit allows one
         for (int i = 0; i < 5; i++) {
             Socket leaves = stage.connect();
             Message.send(leaves, head("Content-Length: " + body.length()) + body);
@@ -288,11 +285,10 @@
     }
 
     @Test
-    public void bodiesPastTheRoomGoOnAsTheyCome() throws Exception {
+    public void bodiesThatExceedTheMemoryAreStreamed() throws Exception {
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, endpoint);
-        byte[] most =
-                bytes(30 * 1024 * 1024); // under what a body may have, over what there is room for
+        byte[] most = bytes(30 * 1024 * 1024); // below the limit of a body, above that of all
         String body = new String(most, StandardCharsets.ISO_8859_1);
         for (String framing :
                 List.of("Content-Length: " + most.length, "Transfer-Encoding: chunked")) {
@@ -314,10 +310,10 @@
     }
 
     @Test
-    public void whatTurnsAwayABodyThatFlowsIsHeardAndNothingIsSentAgain() throws Exception {
+    public void aRejectionOfAStreamedBodyIsForwardedWithoutRetry() throws Exception {
         Peer elsewhere = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS);
-        CountDownLatch turnedAway = new CountDownLatch(1);
+        CountDownLatch rejected = new CountDownLatch(1);
         try (ServerSocket early = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Thread thread =
                     new Thread(
@@ -327,10 +323,10 @@
                                     Message.send(
                                             connection,
                                             "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
-                                    turnedAway.countDown();
+                                    rejected.countDown();
                                     connection.getInputStream().readAllBytes();
                                 } catch (IOException e) {
-                                    turnedAway.countDown();
+                                    rejected.countDown();
                                 }
                             });
             thread.start();
@@ -342,7 +338,7 @@
             Socket client = stage.connect();
             Message.send(client, head("Content-Length: " + 30 * 1024 * 1024));
             Message.send(client, "x".repeat(100_000));
-            assertTrue(turnedAway.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+            assertTrue(rejected.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
             Message refused = Message.read(client);
             assertEquals("nothing has run: the module refuses", 503, refused.status());
             assertEquals("close", refused.header("Connection"));
@@ -352,7 +348,7 @@
     }
 
     @Test
-    public void aBodyThatBreaksOffIsNoRequest() throws Exception {
+    public void aTruncatedBodyIsNoRequest() throws Exception {
         Peer endpoint = stage.add(new Peer(request -> request.answer("200 OK", "", "made")));
         stage.start(Stage.SETTINGS, endpoint);
         Socket client = stage.connect();
@@ -368,7 +364,7 @@
     }
 
     @Test
-    public void whatIsNoCallIsNotKept() throws Exception {
+    public void aMalformedRequestIsNotBuffered() throws Exception {
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, endpoint);
         Socket noCall = stage.connect();
@@ -379,7 +375,7 @@
         try {
             noCall.getOutputStream().write(bytes(2_000_000));
             assertEquals(
-                    "what is no call is read past for a while only",
+                    "the body of a malformed request is discarded for a limited time",
                     -1,
                     noCall.getInputStream().read());
         } catch (IOException e) {
--- a/daemon/src/test/java/trailthread/daemon/MetricsOverSocketsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/MetricsOverSocketsTest.java
@@ -10,10 +10,10 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** The operators' figures against what scripted peers saw, however calls end. */
+/** The metrics match what scripted peers saw, however requests end. */
 public class MetricsOverSocketsTest extends WithAdminServer {
     @Test
-    public void eachCallIsCountedOnceHoweverItEnds() throws Exception {
+    public void eachRequestIsCountedOnce() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
         Peer endpoint = stage.add(Peer.serving("made"));
         endpoint.setScript(
--- a/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
@@ -18,10 +18,10 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** A process takes the place of another on the socket that both were given, and no call is lost. */
+/** A process replaces another one on an inherited socket, and no request is lost. */
 public class NewVersionTest {
     private static final String SERVES = "serves on";
-    private static final int CALLS = 50;
+    private static final int REQUESTS = 50;
 
     private final Stage stage = new Stage();
     private final Holder holder = stage.add(new Holder());
@@ -50,7 +50,7 @@
     }
 
     @Test
-    public void theOldOneEndsItsCallsAndTheNewOneTakesAllFurtherOnes() throws Exception {
+    public void theOldProcessFinishesItsRequestsAndTheNewOneTakesOver() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         Peer endpoint =
                 stage.add(
@@ -80,7 +80,7 @@
                                 throw new AssertionError(e);
                             }
                         });
-        for (int i = 0; i < CALLS; i++) {
+        for (int i = 0; i < REQUESTS; i++) {
             assertEquals("made", stage.call("state").body());
         }
         assertEquals("idle connections are closed", -1, idle.getInputStream().read());
@@ -90,10 +90,13 @@
         assertEquals("close", served.header("Connection"));
         ended.get(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
         assertEquals("made", stage.call("state").body());
-        assertEquals("workers heard of clients' calls alone", CALLS + 3, endpoint.requests.size());
+        assertEquals(
+                "endpoints received only clients' requests",
+                REQUESTS + 3,
+                endpoint.requests.size());
     }
 
-    private int door(int process) throws Exception {
+    private int adminPort(int process) throws Exception {
         return Integer.parseInt(holder.logged("operators are told on .*:(\\d+)", process));
     }
 
@@ -105,21 +108,21 @@
         holder.logged(SERVES, 1);
         for (int i = 2; i < 4; i++) {
             long dies = start();
-            door(i); // it is on its way
+            adminPort(i); // it is on its way
             assertTrue(ProcessHandle.of(dies).orElseThrow().destroyForcibly());
             assertEquals("made", stage.call("use").body());
         }
         Files.writeString(config, "{");
         start();
         holder.logged("LB_CONFIG|JSON", 1);
-        for (int i = 0; i < CALLS; i++) {
+        for (int i = 0; i < REQUESTS; i++) {
             assertEquals("made", stage.call("use").body());
         }
-        assertEquals(200, Stage.manage(door(1), "GET", "/-/ready").status());
+        assertEquals(200, Stage.manage(adminPort(1), "GET", "/-/ready").status());
     }
 
     @Test
-    public void versionsFollowOneAnotherAlsoWhileOneIsDrained() throws Exception {
+    public void severalUpgradesInARowAlsoDuringADrain() throws Exception {
         Peer endpoint = stage.add(Peer.serving("made"));
         Files.writeString(config, stage.config(Stage.SETTINGS, endpoint));
         long old = start();
@@ -127,13 +130,14 @@
         for (int i = 2; i < 5; i++) {
             boolean drained = i == 3;
             if (drained) {
-                assertEquals(200, Stage.manage(door(i - 1), "POST", "/-/drain").status());
+                assertEquals(200, Stage.manage(adminPort(i - 1), "POST", "/-/drain").status());
             }
             long next = start();
             holder.logged(SERVES, i);
-            assertEquals(200, Stage.manage(door(i), "GET", "/-/ready").status());
+            assertEquals(200, Stage.manage(adminPort(i), "GET", "/-/ready").status());
             assertEquals(
-                    drained ? 503 : 200, Stage.manage(door(i - 1), "GET", "/-/ready").status());
+                    drained ? 503 : 200,
+                    Stage.manage(adminPort(i - 1), "GET", "/-/ready").status());
             Holder.terminate(old);
             assertEquals("made", stage.call("use").body());
             old = next;
@@ -141,8 +145,8 @@
     }
 
     @Test
-    public void whatIsNoListeningSocketIsNamed() throws Exception {
-        for (String told : List.of("0", "3", "x")) {
+    public void anUnusableDescriptorIsReported() throws Exception {
+        for (String descriptor : List.of("0", "3", "x")) {
             Files.writeString(config, stage.config(Stage.SETTINGS));
             ProcessBuilder builder =
                     new ProcessBuilder(
@@ -154,7 +158,7 @@
                                     "serve")
                             .redirectErrorStream(true);
             builder.environment().put("LB_CONFIG", config.toString());
-            builder.environment().put("LB_SOCKET_FD", told);
+            builder.environment().put("LB_SOCKET_FD", descriptor);
             Process refused = builder.start();
             String said =
                     new String(refused.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/daemon/src/test/java/trailthread/daemon/NewsDueTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewsDueTest.java
@@ -22,12 +22,12 @@
 import trailthread.testkit.Stage;
 
 /**
- * From when on a list counts as known that came, or was due, before it was read: a drain's grace
- * counts from then.
+ * Since when an update counts as known that arrived, or was due, before it was read. The grace
+ * period of a drain begins then.
  */
 public class NewsDueTest {
     private static final long MS = 1_000_000L;
-    private static final long NEWS_DUE_MS = 6_000;
+    private static final long UPDATE_DUE_MS = 6_000;
     private final Peer peer;
     private final EventLoop loop;
     private final DiscoveryClient discovery;
@@ -77,50 +77,47 @@
     }
 
     @Test
-    public void whatLayUnreadInALateLoopIsKnownSinceItCame() throws Exception {
+    public void anUpdateReadLateIsKnownSinceItArrived() throws Exception {
         Message watch = peer.asked();
         known();
-        long cameBy = liesUnread(watch, Stage.list(2, true, "leaving"));
-        assertTrue("known since it came", known() <= cameBy);
+        long arrivedBy = sendUnread(watch, Stage.list(2, true, "leaving"));
+        assertTrue("known since it came", known() <= arrivedBy);
     }
 
     /** Sends a line that lies unread, as the loop is late; returns when it had come by. */
-    private long liesUnread(Message watch, String line) throws Exception {
+    private long sendUnread(Message watch, String line) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch resume = new CountDownLatch(1);
         loop.execute(
                 () -> {
                     held.countDown();
-                    Peer.await(goOn);
+                    Peer.await(resume);
                 });
         Peer.await(held);
         Stage.line(watch, line);
-        final long cameBy = loop.now();
+        final long arrivedBy = loop.now();
         Thread.sleep(300);
-        goOn.countDown();
-        return cameBy;
+        resume.countDown();
+        return arrivedBy;
     }
 
     @Test
-    public void newsThatWasDueWhileNobodyWatchedIsKnownSinceThen() throws Exception {
+    public void anUpdateDueWithoutAWatchIsKnownSinceItWasDue() throws Exception {
         known();
-        newsIsDueAfterSilenceSince(loop.now());
+        assertUpdateDueAfterSilenceSince(loop.now());
     }
 
-    /**
-     * What has changed since a late loop's last sign of life came, and before it was read, is not
-     * in it.
-     */
+    /** A heartbeat does not cover what changed after it arrived and before a late loop read it. */
     @Test
-    public void newsIsDueSinceTheLastSignOfLifeCameNotSinceItWasRead() throws Exception {
+    public void anUpdateIsDueSinceTheLastHeartbeatArrivedNotSinceItWasRead() throws Exception {
         Message watch = peer.asked();
         known();
-        newsIsDueAfterSilenceSince(liesUnread(watch, ""));
+        assertUpdateDueAfterSilenceSince(sendUnread(watch, ""));
     }
 
     /**
-     * Where nothing had changed the module went on asking, and took the watch's end for a call in
-     * vain.
+     * Prevents the end of a watch without changes from being taken for a failure, after which the
+     * module polled again.
      */
     @Test
     public void aWatchThatLivesTellsThatNothingHasChanged() throws Exception {
@@ -139,13 +136,13 @@
         assertEquals(new DiscoveryUpdate(1, false, List.of()), updates.remove());
     }
 
-    private void newsIsDueAfterSilenceSince(long silentSince) throws InterruptedException {
+    private void assertUpdateDueAfterSilenceSince(long silentSince) throws InterruptedException {
         assertNotNull("silence is noticed", failures.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
         long passedMs = (loop.now() - silentSince) / MS;
-        Thread.sleep(Math.max(0, NEWS_DUE_MS + 1_000 - passedMs));
+        Thread.sleep(Math.max(0, UPDATE_DUE_MS + 1_000 - passedMs));
         loop.execute(() -> discovery.watch(true));
         assertTrue(
                 "due six seconds after the last sign of life",
-                known() <= silentSince + NEWS_DUE_MS * MS);
+                known() <= silentSince + UPDATE_DUE_MS * MS);
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/PauseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/PauseTest.java
@@ -16,13 +16,13 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** Guards against calls that are lost or run twice where the node or endpoints stand still. */
+/** No request is lost or runs twice while the node or endpoints are stopped. */
 public class PauseTest {
-    private static final int OUT = 6;
+    private static final int IN_FLIGHT = 6;
     private static final int KEPT = 8;
     private static final int NEW = 20;
 
-    /** The longer the aims and deadlines, the longer the module leaves a silent endpoint alone. */
+    /** Short objectives and deadlines, so that the module soon uses a silent endpoint again. */
     private static final String QUICK =
             Stage.SETTINGS
                     .replace("\"aim_ns\":10000000000", "\"aim_ns\":500000000")
@@ -46,9 +46,9 @@
 
     private static void assertServed(List<Socket> clients) throws Exception {
         for (int i = 0; i < clients.size(); i++) {
-            Message answer = Message.read(clients.get(i));
-            assertTrue("client " + i + " was left without an answer", answer != null);
-            assertEquals("client " + i, 200, answer.status());
+            Message response = Message.read(clients.get(i));
+            assertTrue("client " + i + " got no response", response != null);
+            assertEquals("client " + i, 200, response.status());
         }
     }
 
@@ -64,7 +64,7 @@
     }
 
     @Test
-    public void whatComesWhileTheNodeIsStoppedIsServedAndRunsOnce() throws Exception {
+    public void requestsSentToAStoppedNodeAreServedAndRunOnce() throws Exception {
         stage.sockets = 96; // 28 connections to clients: fewer than come
         Peer[] endpoints = {stage.add(Peer.serving("made")), stage.add(Peer.serving("made"))};
         stage.start(Stage.SETTINGS, endpoints);
@@ -74,7 +74,7 @@
             assertServed(clients.subList(i, i + 1));
         }
         CountDownLatch goOn = new CountDownLatch(1);
-        CountDownLatch out = new CountDownLatch(OUT);
+        CountDownLatch out = new CountDownLatch(IN_FLIGHT);
         for (Peer endpoint : endpoints) {
             endpoint.setScript(
                     request -> {
@@ -87,10 +87,10 @@
                         request.answer("200 OK", "", "made");
                     });
         }
-        for (int i = 0; i < OUT; i++) {
+        for (int i = 0; i < IN_FLIGHT; i++) {
             clients.add(send(stage.connect(), i));
         }
-        assertTrue("calls are out", out.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertTrue("requests are in flight", out.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
 
         stage.signal("STOP");
         goOn.countDown();
@@ -104,13 +104,13 @@
         stage.signal("CONT");
 
         assertServed(clients);
-        assertEquals(KEPT + OUT + KEPT + NEW, ranOnce(endpoints));
+        assertEquals(KEPT + IN_FLIGHT + KEPT + NEW, ranOnce(endpoints));
         assertEquals("made", stage.call("use").body());
         assertEquals("made", stage.call("state").body());
     }
 
     @Test
-    public void silentEndpointsKeepNothingBackAndAreUsedAgainOnceTheySpeak() throws Exception {
+    public void silentEndpointsBlockNothingAndAreUsedAgainOnceTheyRespond() throws Exception {
         Peer.Script serves = request -> request.answer("200 OK", "", "made");
         Peer[] endpoints = {
             stage.add(new Peer(serves)),
--- a/daemon/src/test/java/trailthread/daemon/RetuneTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RetuneTest.java
@@ -10,7 +10,7 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** Settings that a file brings at SIGHUP: taken as a whole or not at all. */
+/** Reloading settings at SIGHUP: all of them are applied, or none. */
 public class RetuneTest extends WithAdminServer {
     private static final String OTHERS =
             Stage.SETTINGS
@@ -18,7 +18,7 @@
                     .replace("\"most_tries\":6", "\"most_tries\":1");
 
     @Test
-    public void classesComeAndGoAndCallsUnderWayKeepTheirs() throws Exception {
+    public void classesAreAddedAndRemovedAndRequestsInFlightKeepTheirs() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         Peer endpoint = stage.add(Peer.servingAfter(answer, "made"));
         stage.start(Stage.SETTINGS, endpoint);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    public void fewerAttemptsHoldAtOnce() throws Exception {
+    public void fewerAttemptsApplyAtOnce() throws Exception {
         Peer endpoint = stage.add(new Peer(request -> request.answer("500 Error", "", "")));
         Peer other = stage.add(new Peer(request -> request.answer("500 Error", "", "")));
         stage.start(Stage.SETTINGS, endpoint, other);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    public void filesInQuickSuccessionEndInTheNewest() throws Exception {
+    public void severalReloadsInARowEndWithTheNewestFile() throws Exception {
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, endpoint);
         for (int i = 0; i < 20; i++) {
@@ -85,7 +85,7 @@
     }
 
     @Test
-    public void nothingIsTakenFromABrokenFile() throws Exception {
+    public void aBrokenFileChangesNothing() throws Exception {
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, endpoint);
         String good = stage.config(OTHERS, endpoint);
--- a/daemon/src/test/java/trailthread/daemon/RollingRestartTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RollingRestartTest.java
@@ -23,13 +23,10 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/**
- * Guards against calls that are lost or run twice while a pair of nodes is restarted in turn under
- * load.
- */
+/** No request is lost or runs twice in a rolling restart of two nodes under load. */
 public class RollingRestartTest {
     private static final int CLIENTS = 12;
-    private static final int MOST_TRIES = 400;
+    private static final int MAX_ATTEMPTS = 400;
     private static final int STOPPED_MS = 100;
     private static final int SLOW_MS = 400;
     private static final Pattern ID = Pattern.compile("X-Correlation-Id: (\\w+)");
@@ -38,14 +35,14 @@
     /** How often each id ran at the endpoints. */
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
 
-    private final Map<Integer, Integer> answers = new ConcurrentHashMap<>();
+    private final Map<Integer, Integer> responses = new ConcurrentHashMap<>();
     private final Set<String> answered = ConcurrentHashMap.newKeySet();
     private final Queue<String> faults = new ConcurrentLinkedQueue<>();
     private volatile boolean over;
 
     /**
-     * The nodes end on a machine that stops them again and again; endpoints and clients take their
-     * time.
+     * Whether the nodes shut down on a slow machine, which stops them again and again; endpoints
+     * and clients are slow then as well.
      */
     private boolean slowed;
 
@@ -58,13 +55,13 @@
     }
 
     /**
-     * A client that makes one call after another, on a connection that it keeps for as long as it
-     * may.
+     * A client that sends one request after another, on a connection that it keeps open as long as
+     * possible.
      */
     private final class Client extends Thread {
         private int at;
         private final int number;
-        private Socket kept;
+        private Socket connection;
 
         Client(int number) {
             this.number = number;
@@ -77,89 +74,89 @@
                 sleep(
                         slowed
                                 ? number * SLOW_MS / CLIENTS * 2L
-                                : 0); // so that some are at work whenever the node ends
+                                : 0); // so that some requests are in flight at each shutdown
                 for (int i = 0; !over; i++) {
                     String requestClass = i % 2 == 0 ? "use" : "state";
-                    int tries = 1;
+                    int attempts = 1;
                     while (!isAnswered(Stage.request(requestClass, "", ""))
-                            && tries++ < MOST_TRIES) {
+                            && attempts++ < MAX_ATTEMPTS) {
                         at = 1 - at;
                         sleep(5);
                     }
-                    if (tries > MOST_TRIES) {
-                        faults.add("a call was never answered");
+                    if (attempts > MAX_ATTEMPTS) {
+                        faults.add("a request was never answered");
                     }
                     sleep(slowed ? SLOW_MS : 5);
                 }
-                if (kept != null) {
-                    kept.close();
+                if (connection != null) {
+                    connection.close();
                 }
             } catch (IOException | InterruptedException | RuntimeException e) {
                 faults.add(e.toString());
             }
         }
 
-        private boolean isAnswered(String call) throws IOException {
-            if (kept == null) {
+        private boolean isAnswered(String requestText) throws IOException {
+            if (connection == null) {
                 try {
-                    kept = new Socket(InetAddress.getLoopbackAddress(), nodes[at].port);
+                    connection = new Socket(InetAddress.getLoopbackAddress(), nodes[at].port);
                 } catch (ConnectException e) {
                     return false;
                 }
-                kept.setSoTimeout(1000 * Peer.LONGEST_WAIT_S);
+                connection.setSoTimeout(1000 * Peer.LONGEST_WAIT_S);
             }
-            Matcher id = ID.matcher(call);
+            Matcher id = ID.matcher(requestText);
             assertTrue(id.find());
-            Message answer;
+            Message response;
             try {
-                Message.send(kept, call);
-                answer = Message.read(kept);
+                Message.send(connection, requestText);
+                response = Message.read(connection);
             } catch (IOException e) {
-                if (!slowed) { // where a node closes late, a call may cross that, and is reset
+                if (!slowed) { // if a node closes late, a request may cross the close and be reset
                     // unread
                     faults.add(id.group(1) + " ran " + runs.get(id.group(1)) + " times, then " + e);
                 }
-                kept.close();
-                kept = null;
+                connection.close();
+                connection = null;
                 return false;
             }
-            if (answer == null) {
+            if (response == null) {
                 if (runs.containsKey(id.group(1))) {
                     faults.add(id.group(1) + " ran and was not answered");
                 }
             } else {
-                answers.merge(answer.status(), 1, Integer::sum);
+                responses.merge(response.status(), 1, Integer::sum);
                 answered.add(id.group(1));
             }
-            if (answer == null) {
-                kept.close();
-                kept = null;
-            } else if ("close".equals(answer.header("Connection"))) {
-                kept.close();
-                kept = null;
-                at = 1 - at; // it is told to go elsewhere
+            if (response == null) {
+                connection.close();
+                connection = null;
+            } else if ("close".equals(response.header("Connection"))) {
+                connection.close();
+                connection = null;
+                at = 1 - at; // the node moves its clients away
             }
-            return answer != null;
+            return response != null;
         }
     }
 
     @Test
-    public void noCallIsLostOrRunsTwice() throws Exception {
-        restarts();
+    public void noRequestIsLostOrRunsTwice() throws Exception {
+        restartInTurn();
     }
 
     /**
-     * On a machine that runs the ending node for a third of the time, as one with too many guests
-     * does.
+     * The machine runs the node that shuts down for a third of the time only, as an overcommitted
+     * one does.
      */
     @Test
-    public void noneIsOnASlowedMachineEither() throws Exception {
+    public void noRequestIsLostOrRunsTwiceOnASlowMachine() throws Exception {
         slowed = true;
-        restarts();
+        restartInTurn();
     }
 
     /** Stops the node's process and lets it go on, again and again, until it has ended. */
-    private static Thread slows(Stage node) {
+    private static Thread slowDown(Stage node) {
         Thread thread =
                 new Thread(
                         () -> {
@@ -178,7 +175,7 @@
         return thread;
     }
 
-    private void restarts() throws Exception {
+    private void restartInTurn() throws Exception {
         Peer[] endpoints = new Peer[2];
         for (int i = 0; i < 2; i++) {
             nodes[i] = new Stage();
@@ -204,10 +201,10 @@
         }
         for (Stage node : nodes) {
             Thread.sleep(1000);
-            Thread slows = slowed ? slows(node) : new Thread();
+            Thread slowDown = slowed ? slowDown(node) : new Thread();
             node.terminate();
             assertEquals(0, node.exitStatus());
-            slows.join();
+            slowDown.join();
             node.start(Stage.SETTINGS, endpoints);
         }
         Thread.sleep(500);
@@ -217,9 +214,9 @@
         }
         assertEquals(List.of(), List.copyOf(faults));
         assertTrue(
-                "answered: " + answers,
-                answers.get(200) > 50
-                        && answers.keySet().stream()
+                "answered: " + responses,
+                responses.get(200) > 50
+                        && responses.keySet().stream()
                                 .allMatch(status -> status == 200 || status == 503));
         runs.forEach((id, times) -> assertEquals(id, 1, (int) times));
         assertTrue("all that ran was answered", answered.containsAll(runs.keySet()));
--- a/daemon/src/test/java/trailthread/daemon/StaleListTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StaleListTest.java
@@ -79,7 +79,7 @@
     }
 
     @Test
-    public void aProcessThatStartsSendsNothingByTheListOfTheOneBefore() throws Exception {
+    public void aNewProcessDoesNotUseTheListOfThePreviousOne() throws Exception {
         crowd();
         stage.start(Stage.SETTINGS, thousands(gone));
         assertRefused();
@@ -89,11 +89,11 @@
     }
 
     /**
-     * The watch breaks, and no call after it is answered: what has changed meanwhile counts as told
-     * all the same.
+     * The watch breaks and no later poll is answered; changes made meanwhile count as announced all
+     * the same.
      */
     @Test
-    public void aListThatIsNotConfirmedIsUsedNoLongerThanNewsMayTake() throws Exception {
+    public void aListWithoutConfirmationExpires() throws Exception {
         stage.discovery.setScript(
                 request -> {
                     Stage.watch(request);
@@ -114,7 +114,7 @@
 
     /** Nothing can be told by a discovery that nobody reaches: the node serves on. */
     @Test
-    public void whereDiscoveryIsDownTheListIsUsedOn() throws Exception {
+    public void theListIsKeptWhileDiscoveryIsDown() throws Exception {
         stage.discovery.setScript(
                 request -> {
                     Stage.watch(request);
--- a/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void itIsReadyOnceItServesAndNoEndpointHasHeardOfIt() throws Exception {
+    public void itIsReadyOnceItServesAndTheWarmUpReachesNoEndpoint() throws Exception {
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, endpoint);
         Socket front = stage.connect();
@@ -38,11 +38,11 @@
     }
 
     /**
-     * On a machine that was put off its cores, a warm-up call was given up and lay unread until the
-     * node had begun to serve; it then went to an endpoint, which knows no such call.
+     * Prevents a warm-up request that timed out, and is read only after the node has begun to
+     * serve, from being forwarded to an endpoint.
      */
     @Test
-    public void aWarmUpCallThatIsReadTooLateReachesNoEndpoint() throws Exception {
+    public void aWarmUpRequestReadTooLateReachesNoEndpoint() throws Exception {
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, endpoint);
         Socket late = stage.connect();
@@ -57,12 +57,9 @@
         assertEquals("made", stage.call("use").body());
     }
 
-    /**
-     * A node that comes back to a fleet at work is waited for; one of an idle fleet may take its
-     * time.
-     */
+    /** The nodes of a busy fleet need this one soon; in an idle fleet it may warm up for longer. */
     @Test
-    public void aStartIsShorterWhereEndpointsAreBusy() throws Exception {
+    public void aStartIsShorterIfEndpointsAreBusy() throws Exception {
         String probes = Stage.SETTINGS.replace("\"limits\":{", "\"limits\":{\"probes\":true,");
         for (int inflight : new int[] {3, 0}) {
             Peer endpoint = stage.add(Peer.serving("{\"inflight\":" + inflight + ",\"queue\":0}"));
@@ -75,26 +72,23 @@
         }
     }
 
-    /**
-     * SIGHUP ended a process that had not come to its handler; what it asks for is done once the
-     * node is there.
-     */
+    /** Prevents a SIGHUP before the node is started from ending the process or being lost. */
     @Test
     public void aSighupDuringTheStartIsRemembered() throws Exception {
-        try (OutputStream told = stage.startAtPipe()) {
+        try (OutputStream out = stage.startAtPipe()) {
             stage.signal("HUP");
-            told.write(stage.config(Stage.SETTINGS).getBytes(StandardCharsets.UTF_8));
+            out.write(stage.config(Stage.SETTINGS).getBytes(StandardCharsets.UTF_8));
         }
         stage.logged("serves on");
-        try (OutputStream told = stage.pipe()) { // read once more
-            told.write(stage.config(Stage.SETTINGS).getBytes(StandardCharsets.UTF_8));
+        try (OutputStream out = stage.pipe()) { // read once more
+            out.write(stage.config(Stage.SETTINGS).getBytes(StandardCharsets.UTF_8));
         }
         stage.logged("configuration taken over");
     }
 
     /**
-     * The end waited for the deadlines in force alone, and cut off calls that had been taken under
-     * longer ones.
+     * Prevents a shutdown that waits by the deadlines in force from cutting off requests that were
+     * admitted with longer ones.
      */
     @Test
     public void callsTakenUnderLongerDeadlinesAreWaitedFor() throws Exception {
@@ -119,7 +113,7 @@
     }
 
     @Test
-    public void onSigtermItServesOnThenFinishesWhatItHasTakenAndEndsWell() throws Exception {
+    public void onSigtermItServesOnThenFinishesItsRequestsAndExitsWithZero() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         Peer endpoint = stage.add(Peer.servingAfter(answer, "made"));
         stage.start(Stage.SETTINGS, endpoint);
@@ -145,7 +139,7 @@
     }
 
     @Test
-    public void whatItCannotStartWithIsNamedInOneLine() throws Exception {
+    public void startErrorsAreReportedInOneLine() throws Exception {
         String good = stage.config(Stage.SETTINGS);
         String[][] cases = {
             {good.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""), "listen"},
--- a/daemon/src/test/java/trailthread/daemon/UnreadNewsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UnreadNewsTest.java
@@ -26,8 +26,8 @@
 import trailthread.testkit.Stage;
 
 /**
- * A drain counts as told when discovery has written it, though it lies unread: the loop is late, or
- * the list long.
+ * A drain counts as announced once discovery has written it, even if it is not read yet because the
+ * loop is late or the list is long.
  */
 public class UnreadNewsTest {
     private static final long MS = 1_000_000L;
@@ -45,8 +45,8 @@
                         Stage.watch(request);
                         Stage.line(request, Stage.list(1, true, "active", server));
                     });
-    private final BlockingQueue<DiscoveryUpdate> told = new LinkedBlockingQueue<>();
-    private final BlockingQueue<AttemptResult> endings = new LinkedBlockingQueue<>();
+    private final BlockingQueue<DiscoveryUpdate> updates = new LinkedBlockingQueue<>();
+    private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
     private final AtomicInteger failures = new AtomicInteger();
     private final EndpointPool endpoints =
             new EndpointPool(
@@ -65,7 +65,7 @@
                         @Override
                         public void told(DiscoveryUpdate update, long knownSince) {
                             endpoints.update(update, knownSince);
-                            told.add(update);
+                            updates.add(update);
                         }
 
                         @Override
@@ -77,7 +77,7 @@
     public UnreadNewsTest() throws Exception {
         endpoints.setNews(discovery::readNews);
         loop.execute(() -> discovery.watch(true));
-        assertNotNull(told.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertNotNull(updates.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
     }
 
     @After
@@ -96,20 +96,23 @@
                 "w0",
                 new EndpointRequest("1", "use", "POST", "/use", null, new byte[4], null),
                 WITHIN_NS,
-                endings::add);
+                results::add);
     }
 
-    private Outcome ended() throws InterruptedException {
-        AttemptResult ending = endings.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+    private Outcome awaitOutcome() throws InterruptedException {
+        AttemptResult ending = results.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
         assertNotNull("the attempt was to end", ending);
         return ending.outcome();
     }
 
     @Test
-    public void aLateLoopReadsItBeforeItWritesARequest() throws Exception {
+    public void aLateLoopReadsUpdatesBeforeItWritesARequest() throws Exception {
         Message watch = peer.asked();
         loop.execute(this::attempt);
-        assertEquals("served before the drain, by a connection that is kept", Outcome.OK, ended());
+        assertEquals(
+                "served before the drain, by a connection that is kept",
+                Outcome.OK,
+                awaitOutcome());
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch goOn = new CountDownLatch(1);
         loop.execute(
@@ -123,7 +126,7 @@
         Stage.line(watch, Stage.list(2, false, "leaving", server));
         Thread.sleep(HELD_MS);
         goOn.countDown();
-        assertEquals(Outcome.NOT_SENT, ended());
+        assertEquals(Outcome.NOT_SENT, awaitOutcome());
         assertEquals("the watch stays", 0, failures.get());
     }
 }
