--- a/configuration/src/main/java/trailthread/configuration/ClassesReader.java
+++ b/configuration/src/main/java/trailthread/configuration/ClassesReader.java
@@ -1,5 +1,9 @@
 package trailthread.configuration;
 
+import static trailthread.configuration.Units.HOUR;
+import static trailthread.configuration.Units.MS;
+import static trailthread.configuration.Units.SECOND;
+
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -13,9 +17,6 @@
 
 /** Reads the request classes of one pool. */
 final class ClassesReader {
-    private static final long MS = 1_000_000L;
-    private static final long SECOND = 1_000 * MS;
-    private static final long HOUR = 3_600 * SECOND;
     private static final double DEFAULT_PRIORITY_WEIGHT = 1;
     private static final double MAX_PRIORITY_WEIGHT = 1e9;
     private static final double DEFAULT_LATE_WEIGHT_SHARE = 0.5;
--- a/configuration/src/main/java/trailthread/configuration/PoolsReader.java
+++ b/configuration/src/main/java/trailthread/configuration/PoolsReader.java
@@ -1,5 +1,9 @@
 package trailthread.configuration;
 
+import static trailthread.configuration.Units.HOUR;
+import static trailthread.configuration.Units.MS;
+import static trailthread.configuration.Units.SECOND;
+
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -16,9 +20,6 @@
 
 /** Reads the pools of an operator's file. */
 final class PoolsReader {
-    private static final long MS = 1_000_000L;
-    private static final long SECOND = 1_000 * MS;
-    private static final long HOUR = 3_600 * SECOND;
     private static final int MAX_NODES = 100_000;
     private static final int MAX_ATTEMPTS = 20;
     private static final double MIN_TENANT_RATE = 0.001;
--- a/configuration/src/main/java/trailthread/configuration/Section.java
+++ b/configuration/src/main/java/trailthread/configuration/Section.java
@@ -206,38 +206,38 @@
 
     /** A duration in nanoseconds; the nearer bound, with a fault, if it is out of range. */
     long duration(Key key, long otherwise, long min, long max) {
+        String expected = "a duration with its unit, such as 250ms";
         return read(
                 key,
                 otherwise,
                 value -> {
-                    long ns;
-                    try {
-                        ns = Units.nanoseconds((String) value);
-                    } catch (IllegalArgumentException | ClassCastException e) {
-                        fault(key, "a duration with its unit, such as 250ms");
-                        return otherwise;
-                    }
-                    return bounded(key, ns, min, max, Units::duration);
+                    Long ns = parsed(key, value, Units::nanoseconds, expected);
+                    return ns == null ? otherwise : bounded(key, ns, min, max, Units::duration);
                 });
     }
 
     /** A size in bytes; the nearer bound, with a fault, if it is out of range. */
     long size(Key key, long otherwise, long min, long max) {
+        String expected = "a size with its unit, such as 64KiB";
         return read(
                 key,
                 otherwise,
                 value -> {
-                    long bytes;
-                    try {
-                        bytes = Units.bytes((String) value);
-                    } catch (IllegalArgumentException | ClassCastException e) {
-                        fault(key, "a size with its unit, such as 64KiB");
-                        return otherwise;
-                    }
-                    return bounded(key, bytes, min, max, Units::size);
+                    Long bytes = parsed(key, value, Units::bytes, expected);
+                    return bytes == null ? otherwise : bounded(key, bytes, min, max, Units::size);
                 });
     }
 
+    /** The value as the parser reads it; null, with a fault, if it can't. */
+    private Long parsed(Key key, Object value, Function<String, Long> parser, String expected) {
+        try {
+            return parser.apply((String) value);
+        } catch (IllegalArgumentException | ClassCastException e) {
+            fault(key, expected);
+            return null;
+        }
+    }
+
     private long bounded(Key key, long value, long min, long max, Function<Long, String> shown) {
         if (value < min || value > max) {
             fault(key, key.type() + " from " + shown.apply(min) + " to " + shown.apply(max));
--- a/configuration/src/main/java/trailthread/configuration/Units.java
+++ b/configuration/src/main/java/trailthread/configuration/Units.java
@@ -7,6 +7,15 @@
 
 /** Parses and formats durations and sizes with their units, such as 250ms and 64KiB. */
 public final class Units {
+    /** Nanoseconds in a millisecond. */
+    static final long MS = 1_000_000L;
+
+    /** Nanoseconds in a second. */
+    static final long SECOND = 1_000 * MS;
+
+    /** Nanoseconds in an hour. */
+    static final long HOUR = 3_600 * SECOND;
+
     private static final int MAX_NUMBER_CHARS = 18;
     private static final Pattern NUMBER = Pattern.compile("[0-9]+(\\.[0-9]+)?");
     private static final Map<String, Long> TIMES = new LinkedHashMap<>();
@@ -15,10 +24,10 @@
     static {
         // Units that end in another one come before it: "ms" before "s", "KiB" before "B".
         TIMES.put("us", 1_000L);
-        TIMES.put("ms", 1_000_000L);
-        TIMES.put("min", 60_000_000_000L);
-        TIMES.put("h", 3_600_000_000_000L);
-        TIMES.put("s", 1_000_000_000L);
+        TIMES.put("ms", MS);
+        TIMES.put("min", 60 * SECOND);
+        TIMES.put("h", HOUR);
+        TIMES.put("s", SECOND);
         SIZES.put("KiB", 1L << 10);
         SIZES.put("MiB", 1L << 20);
         SIZES.put("GiB", 1L << 30);
@@ -69,10 +78,10 @@
 
     /** Formats nanoseconds in the largest of s, ms and us that divides them. */
     static String duration(long ns) {
-        if (ns % 1_000_000_000 == 0) {
-            return ns / 1_000_000_000 + "s";
+        if (ns % SECOND == 0) {
+            return ns / SECOND + "s";
         }
-        return ns % 1_000_000 == 0 ? ns / 1_000_000 + "ms" : ns / 1_000 + "us";
+        return ns % MS == 0 ? ns / MS + "ms" : ns / 1_000 + "us";
     }
 
     /** Formats bytes in the largest of MiB, KiB and B that divides them. */
