--- a/configuration/src/test/java/trailthread/configuration/OperatorFileTest.java
+++ b/configuration/src/test/java/trailthread/configuration/OperatorFileTest.java
@@ -17,9 +17,9 @@
 import trailthread.engine.pool.PoolConfig.Repeats;
 import trailthread.engine.pool.PoolConfig.Source;
 
-/** What operators write, and what they are told. */
+/** Reading operators' files, and the faults reported. */
 public class OperatorFileTest {
-    private static final String LEAST =
+    private static final String MINIMAL =
             """
             [node]
             listen = "127.0.0.1:0"
@@ -37,15 +37,15 @@
         return result.faults().stream().map(Fault::toString).toList();
     }
 
-    /** The least file with one line put in after another. */
+    /** The minimal file with a line inserted after another. */
     private static String with(String after, String line) {
-        assertTrue(LEAST.contains(after));
-        return LEAST.replace(after, after + "\n" + line);
+        assertTrue(MINIMAL.contains(after));
+        return MINIMAL.replace(after, after + "\n" + line);
     }
 
     @Test
-    public void theLeastFileHasDefaultsForTheRest() {
-        OperatorFile file = OperatorFileReader.read("f", LEAST).read();
+    public void aMinimalFileHasDefaults() {
+        OperatorFile file = OperatorFileReader.read("f", MINIMAL).read();
         PoolConfig pool = file.services().pools().get(0);
         assertEquals(new Source.Fixed(List.of("127.0.0.1:1")), pool.source());
         assertEquals(
@@ -59,11 +59,11 @@
         assertEquals(
                 "equal files are equal",
                 file.services(),
-                OperatorFileReader.read("f", LEAST).read().services());
+                OperatorFileReader.read("f", MINIMAL).read().services());
     }
 
     @Test
-    public void eachFaultIsToldWhereItStands() {
+    public void faultsHaveTheirPosition() {
         Object[][] table = {
             {
                 "[node]\nlisten = \"a:1\"\nname = ",
@@ -87,11 +87,11 @@
                 "f:3:1: node.seed: expected 1 to 16 hex digits, found \"xyz\""
             },
             {
-                LEAST.replace("\"127.0.0.1:0\"", "80"),
+                MINIMAL.replace("\"127.0.0.1:0\"", "80"),
                 "f:2:1: node.listen: expected address:port, found 80"
             },
             {
-                LEAST.replace("listen = \"127.0.0.1:0\"\n", ""),
+                MINIMAL.replace("listen = \"127.0.0.1:0\"\n", ""),
                 "f:1:1: node: expected address:port, found nothing".replace("node:", "node.listen:")
             },
             {
@@ -111,11 +111,11 @@
                 "f:3:1: pools.sim: expected one of workers, file and roster, found 2 of them"
             },
             {
-                LEAST.replace("\"127.0.0.1:1\"", "\"127.0.0.1\""),
+                MINIMAL.replace("\"127.0.0.1:1\"", "\"127.0.0.1\""),
                 "f:4:12: pools.sim.workers[0]: expected list of address:port, found \"127.0.0.1\""
             },
             {
-                LEAST.replace("pool = \"sim\"", "pool = \"sin\""),
+                MINIMAL.replace("pool = \"sim\"", "pool = \"sin\""),
                 "f:7:1: routes[0].pool: expected the name of a pool, such as sim, found \"sin\""
             },
             {
@@ -157,7 +157,7 @@
                 with("workers = [\"127.0.0.1:1\"]", "[[pools.sim.tenants]]\nname = \"x\""),
                 "f:5:1: pools.sim.tenants[0].per_second: expected number, found nothing"
             },
-            {LEAST + "[extra]\n", "f:8:1: extra: expected one of node, operator, pools, routes"}
+            {MINIMAL + "[extra]\n", "f:8:1: extra: expected one of node, operator, pools, routes"}
         };
         List<String> expected = new ArrayList<>();
         List<String> told = new ArrayList<>();
@@ -169,7 +169,7 @@
     }
 
     @Test
-    public void allFaultsAreToldInTheOrderOfTheFile() {
+    public void faultsAreInTheOrderOfTheFile() {
         List<String> told =
                 faults(
                         """
@@ -196,9 +196,9 @@
     }
 
     @Test
-    public void guaranteesOfAllPoolsMustFit() {
+    public void guaranteesMustNotExceedTheTotals() {
         String text =
-                LEAST.replace(
+                MINIMAL.replace(
                         "[[routes]]",
                         """
                 [pools.sim.limits]
@@ -261,7 +261,7 @@
 
     /** Guards the page against keys that nobody told of. */
     @Test
-    public void thePageHasARowForEachKey() throws Exception {
+    public void theDocumentationHasARowForEachKey() throws Exception {
         List<String> lines = Files.readAllLines(Path.of("..", "docs", "configuration.md"));
         Key.Part part = null;
         List<String> seen = new ArrayList<>();
@@ -298,7 +298,7 @@
     }
 
     @Test
-    public void theExampleIsOfUse() {
+    public void theExampleIsValid() {
         OperatorFile.Result example =
                 OperatorFileReader.read(Path.of("..", "deploy", "operator.example.toml"));
         assertEquals(List.of(), example.faults());
