--- a/command/src/test/java/trailthread/command/CommandLineTest.java
+++ b/command/src/test/java/trailthread/command/CommandLineTest.java
@@ -12,7 +12,7 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** What the words print, and their exit codes. */
+/** The output and exit statuses of the commands. */
 public class CommandLineTest {
     private static final Path EXAMPLE = Path.of("..", "deploy", "operator.example.toml");
 
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void checkTellsWhatAFileComesTo() {
+    public void checkPrintsPoolsAndRoutes() {
         runs(0, "check", EXAMPLE.toString());
         printed(out, "pool sim: plain, workers 127.0.0.1:9001; calls 200 to 391");
         printed(out, "route marks: marks.example.org/hooks/** POST,PUT {x-hook=*} -> pool marks");
@@ -53,7 +53,7 @@
     }
 
     @Test
-    public void checkTellsEveryFaultAndEndsWithTwo() throws Exception {
+    public void checkReportsEveryFaultAndExitsWithTwo() throws Exception {
         Path file = Files.createTempFile("operator", ".toml");
         try {
             Files.writeString(file, "[node]\nlisten = 1\n[[routes]]\nname = \"a\"\npool = \"x\"\n");
@@ -68,7 +68,7 @@
     }
 
     @Test
-    public void routeSaysWhoHasARequestAndWhyTheOthersDoNot() {
+    public void routeExplainsTheMatch() {
         runs(
                 0,
                 "route",
@@ -87,7 +87,7 @@
     }
 
     @Test
-    public void routeWithoutAny() throws Exception {
+    public void routeWithoutAMatch() throws Exception {
         Path file = Files.createTempFile("operator", ".toml");
         try {
             Files.writeString(
@@ -103,7 +103,7 @@
     }
 
     @Test
-    public void badUse() {
+    public void wrongArguments() {
         runs(2);
         runs(2, "sreve");
         printed(err, "serve");
--- a/command/src/test/java/trailthread/command/ServicesTest.java
+++ b/command/src/test/java/trailthread/command/ServicesTest.java
@@ -7,8 +7,6 @@
 import static org.junit.Assert.assertTrue;
 
 import java.io.IOException;
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -17,72 +15,14 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import org.junit.After;
 import org.junit.Test;
 import trailthread.testkit.Message;
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
 /** Several services behind one address, over real sockets. */
-public class ServicesTest {
-    private final Stage stage;
-    private final Peer sim;
-    private final Peer marks;
-
-    public ServicesTest() throws Exception {
-        stage = new Stage();
-        sim = stage.add(Peer.serving("sim"));
-        marks = stage.add(Peer.serving("marks"));
-    }
-
-    @After
-    public void end() throws Exception {
-        stage.end();
-    }
-
-    private static String pool(String name, String keys) {
-        return "[pools."
-                + name
-                + "]\naim = \"10s\"\ndeadline = \"20s\"\nconnect_within = \"10s\"\n"
-                + keys
-                + "\n";
-    }
-
-    private static String route(String name, String keys) {
-        return "[[routes]]\nname = \"" + name + "\"\n" + keys + "\n";
-    }
-
-    private static String endpoints(Peer... peers) {
-        StringBuilder list = new StringBuilder("workers = [");
-        for (Peer peer : peers) {
-            list.append('"').append(peer.hostPort()).append("\",");
-        }
-        return list.append("]\n").toString();
-    }
-
-    private String file(String simKeys, String marksKeys) {
-        return "[node]\nlisten = \"127.0.0.1:0\"\ndescriptors = 256\n"
-                + pool("sim", simKeys)
-                + pool("marks", marksKeys)
-                + route("sim", "host = \"sim.example.org\"\npool = \"sim\"")
-                + route("marks", "host = \"*.example.org\"\npool = \"marks\"");
-    }
-
-    private void serve() throws Exception {
-        stage.serve(file(endpoints(sim), endpoints(marks)));
-    }
-
-    private static String request(String method, String path, String host, String headers) {
-        return method + " " + path + " HTTP/1.1\r\nHost: " + host + "\r\n" + headers + "\r\n";
-    }
-
-    private Message ask(String method, String path, String host, String headers)
-            throws IOException {
-        try (Socket client = stage.connect()) {
-            Message.send(client, request(method, path, host, headers));
-            return Message.read(client, method.equals("HEAD"));
-        }
-    }
+public class ServicesTest extends WithTwoServices {
+    public ServicesTest() throws Exception {}
 
     @Test
     public void theSamePathOnTwoHostsGoesToTwoPools() throws Exception {
@@ -104,7 +44,7 @@
     }
 
     @Test
-    public void aPlainClientsHeadersAndTargetPassAndWhatItDoesNotSayIsMade() throws Exception {
+    public void aPlainClientsHeadersAndTargetPassAndMissingOnesAreAdded() throws Exception {
         serve();
         sim.setScript(
                 asked ->
@@ -138,7 +78,7 @@
     }
 
     @Test
-    public void answersWithoutBodies() throws Exception {
+    public void responsesWithoutBodies() throws Exception {
         serve();
         sim.setScript(
                 asked ->
@@ -164,7 +104,7 @@
     }
 
     @Test
-    public void theMethodSaysWhatIsSentAgain() throws Exception {
+    public void theMethodDecidesWhatIsRetried() throws Exception {
         serve();
         int[] times = new int[1];
         sim.setScript(
@@ -202,7 +142,7 @@
     }
 
     @Test
-    public void aEndpointsFaultIsNoAnswer() throws Exception {
+    public void anEndpointsFaultIsNotForwarded() throws Exception {
         serve();
         sim.setScript(asked -> asked.answer("429 Too Many Requests", "", ""));
         assertEquals(
@@ -214,7 +154,7 @@
     }
 
     @Test
-    public void aReloadLeavesAloneWhatDidNotChange() throws Exception {
+    public void aReloadKeepsUnchangedPools() throws Exception {
         serve();
         ask("GET", "/1", "sim.example.org", "");
         ask("GET", "/1", "marks.example.org", "");
@@ -234,7 +174,7 @@
     }
 
     @Test
-    public void callsOnTheWayEndUnderTheOldFile() throws Exception {
+    public void requestsInFlightEndUnderTheOldFile() throws Exception {
         serve();
         CountDownLatch answer = new CountDownLatch(1);
         marks.setScript(
@@ -253,7 +193,7 @@
         Message.send(
                 half,
                 request("POST", "/half", "marks.example.org", "Content-Length: 4\r\n") + "po");
-        // Its route has lost its pool meanwhile.
+        // The pool of its route has been removed meanwhile.
         stage.reload(
                 "[node]\nlisten = \"127.0.0.1:0\"\ndescriptors = 256\n"
                         + pool("sim", endpoints(sim))
@@ -285,11 +225,11 @@
             stage.serve(file("file = \"" + list + "\"", endpoints(marks)));
             Message answer = ask("GET", "/x", "sim.example.org", "");
             assertEquals(stage.log.toString(), "sim", answer.body());
-            String whole = Stage.list(2, true, "active", marks);
-            Files.writeString(list, whole.substring(0, whole.length() / 2));
+            String complete = Stage.list(2, true, "active", marks);
+            Files.writeString(list, complete.substring(0, complete.length() / 2));
             stage.logged("can't be used");
             assertEquals("sim", ask("GET", "/x", "sim.example.org", "").body());
-            Files.writeString(next, whole);
+            Files.writeString(next, complete);
             Files.move(next, list, StandardCopyOption.REPLACE_EXISTING);
             stage.logged("can be used again");
             assertEquals("marks", ask("GET", "/x", "sim.example.org", "").body());
@@ -300,7 +240,7 @@
     }
 
     @Test
-    public void anEmptyListRefusesAndAListOfOneThatDrainsToo() throws Exception {
+    public void requestsAreRejectedWithoutEndpointsAndWithADrainingOneOnly() throws Exception {
         Path list = Files.createTempFile("workers", ".json");
         try {
             Files.writeString(list, Stage.list(1, true, "active"));
@@ -314,7 +254,9 @@
             assertEquals(stage.log.toString(), 503, refused.status());
             assertNotNull(refused.header("Retry-After"));
             Files.writeString(list, Stage.list(2, true, "leaving", sim));
-            for (int i = 0; i < 4; i++) { // across the time in which the file is looked at
+            for (int i = 0;
+                    i < 4;
+                    i++) { // for longer than the interval at which the file is checked
                 assertEquals(
                         stage.log.toString(),
                         503,
@@ -327,175 +269,9 @@
         }
     }
 
-    private String overloaded(String marksEndpoints) {
-        return file(endpoints(sim), "attempts = 2\n" + marksEndpoints)
-                .replace(
-                        "[pools.marks]\naim = \"10s\"\ndeadline = \"20s\"\nconnect_within = \"10s\"",
-                        "[pools.marks]\naim = \"1s\"\ndeadline = \"3s\"\nconnect_within = \"300ms\"");
-    }
-
-    /** Many more calls than clients may have open, all at once, each on a connection of its own. */
-    private void crowdMarks() throws IOException {
-        for (int i = 0; i < 110; i++) { // clients may hold 124, and calls 83
-            Message.send(
-                    stage.connect(),
-                    request("POST", "/x", "marks.example.org", "Content-Length: 0\r\n"));
-        }
-    }
-
-    /** Every call is served, and by one attempt. */
-    private void simIsServedAsIfAlone() throws Exception {
-        int before = sim.requests.size();
-        try (Socket kept = stage.connect()) {
-            for (int i = 0; i < 40; i++) {
-                Message.send(kept, request("GET", "/x", "sim.example.org", ""));
-                Message answer = Message.read(kept);
-                assertNotNull("its connection was closed", answer);
-                assertEquals(answer.start(), "sim", answer.body());
-                assertEquals("sim", ask("GET", "/x", "sim.example.org", "").body());
-            }
-        }
-        assertEquals("attempts", before + 80, sim.requests.size());
-    }
-
-    /** Its endpoints take what they get and never answer. */
-    @Test
-    public void aPoolThatHangsTakesNothingOfTheOthers() throws Exception {
-        CountDownLatch never = new CountDownLatch(1);
-        marks.setScript(
-                asked -> {
-                    try {
-                        never.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
-                    } catch (InterruptedException e) {
-                        throw new AssertionError(e);
-                    }
-                });
-        stage.serve(overloaded(endpoints(marks)));
-        crowdMarks();
-        simIsServedAsIfAlone();
-        never.countDown();
-    }
-
-    /** Connects to its endpoints never come up. */
-    @Test
-    public void aPoolThatHangsOnConnectTakesNothingOfTheOthers() throws Exception {
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                Socket first = new Socket(full.getInetAddress(), full.getLocalPort());
-                Socket second = new Socket(full.getInetAddress(), full.getLocalPort())) {
-            stage.serve(overloaded("workers = [\"127.0.0.1:" + full.getLocalPort() + "\"]"));
-            crowdMarks();
-            simIsServedAsIfAlone();
-            assertTrue(first.isConnected() && second.isConnected());
-        }
-    }
-
-    /** Its endpoints answer a byte a second. */
-    @Test
-    public void aPoolThatDripsTakesNothingOfTheOthers() throws Exception {
-        marks.setScript(
-                asked -> {
-                    Message.send(
-                            asked.connection(), "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n");
-                    for (int i = 0; i < 5; i++) {
-                        Message.send(asked.connection(), "x");
-                        try {
-                            Thread.sleep(1000);
-                        } catch (InterruptedException e) {
-                            throw new AssertionError(e);
-                        }
-                    }
-                });
-        stage.serve(overloaded(endpoints(marks)));
-        crowdMarks();
-        simIsServedAsIfAlone();
-    }
-
-    /** They carry no call, so they are laid to no pool, and take none of what calls have. */
-    @Test
-    public void aCrowdOfSilentConnectionsTakesNothingOfAnyPool() throws Exception {
-        serve();
-        for (int i = 0; i < 200; i++) { // clients may hold 124
-            stage.connect();
-        }
-        simIsServedAsIfAlone();
-        assertEquals("marks", ask("GET", "/x", "marks.example.org", "").body());
-    }
-
-    /** Those that had idled for longest made room once, whosever they were. */
-    @Test
-    public void oneServicesIdleClientsMakeNoRoomForAnothersCrowd() throws Exception {
-        serve();
-        List<Socket> kept = new ArrayList<>();
-        for (int i = 0; i < 20; i++) {
-            kept.add(stage.connect());
-            Message.send(kept.get(i), request("GET", "/x", "sim.example.org", ""));
-            assertEquals("sim", Message.read(kept.get(i)).body());
-        }
-        for (int i = 0; i < 150; i++) { // clients may hold 124
-            Socket crowd = stage.connect();
-            Message.send(crowd, request("GET", "/x", "marks.example.org", ""));
-            assertEquals("marks", Message.read(crowd).body());
-        }
-        Thread.sleep(500); // past every time after which idle connections make room at once
-        for (Socket client : kept) {
-            Message.send(client, request("GET", "/x", "sim.example.org", ""));
-            Message answer = Message.read(client);
-            assertNotNull("closed for the others", answer);
-            assertEquals("sim", answer.body());
-        }
-    }
-
-    /** Bodies past a pool's part are refused; another pool's are not. */
-    @Test
-    public void bodyMemoryIsEachPoolsOwn() throws Exception {
-        CountDownLatch answer = new CountDownLatch(1);
-        marks.setScript(
-                asked -> {
-                    try {
-                        answer.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
-                    } catch (InterruptedException e) {
-                        throw new AssertionError(e);
-                    }
-                    asked.answer("200 OK", "", "kept");
-                });
-        stage.serve(
-                file(
-                        endpoints(sim),
-                        endpoints(marks)
-                                + "[pools.marks.limits]\nbody_memory_guaranteed = \"64KiB\"\n"
-                                + "body_memory_most = \"100KiB\"\n"));
-        String body = "x".repeat(50 * 1024);
-        List<Socket> held = new ArrayList<>();
-        for (int i = 0; i < 2; i++) {
-            held.add(stage.connect());
-            Message.send(
-                    held.get(i),
-                    request("POST", "/x", "marks.example.org", "Content-Length: 51200\r\n") + body);
-            marks.asked();
-        }
-        Socket third = stage.connect();
-        Message.send(
-                third,
-                request("POST", "/x", "marks.example.org", "Content-Length: 51200\r\n") + body);
-        assertEquals("no room for it", 503, Message.read(third).status());
-        Socket other = stage.connect();
-        Message.send(
-                other,
-                request("POST", "/x", "sim.example.org", "Content-Length: 51200\r\n") + body);
-        assertEquals("sim", Message.read(other).body());
-        assertEquals(body, sim.asked().body());
-        answer.countDown();
-        for (Socket client : held) {
-            assertEquals("kept", Message.read(client).body());
-        }
-        Socket again = stage.connect();
-        Message.send(
-                again,
-                request("POST", "/x", "marks.example.org", "Content-Length: 51200\r\n") + body);
-        assertEquals("given back", "kept", Message.read(again).body());
-    }
-
-    /** Two hundred, a quarter of them broken; nothing lost, nothing kept. */
+    /**
+     * Two hundred reloads, a quarter of them with faults: no request is lost, no pool is leaked.
+     */
     @Test
     public void manyReloadsUnderLoad() throws Exception {
         serve();
@@ -522,31 +298,31 @@
                             }
                         });
         reloads.start();
-        int calls = 0;
+        int sent = 0;
         try (Socket client = stage.connect()) {
             while (reloads.isAlive()) {
-                String host = calls++ % 2 == 0 ? "sim" : "marks";
+                String host = sent++ % 2 == 0 ? "sim" : "marks";
                 Message.send(
                         client,
                         request(
                                 "POST",
-                                "/" + calls,
+                                "/" + sent,
                                 host + ".example.org",
                                 "Content-Length: 0\r\n"));
                 Message answer = Message.read(client);
-                assertNotNull("a connection was ended under a call", answer);
-                assertEquals("call " + calls + ": " + answer.start(), host, answer.body());
+                assertNotNull("a connection was closed during a request", answer);
+                assertEquals("request " + sent + ": " + answer.start(), host, answer.body());
             }
         }
         reloads.join();
-        assertTrue("calls made: " + calls, calls > 100);
+        assertTrue("requests sent: " + sent, sent > 100);
         List<Message> asked = new ArrayList<>(sim.requests);
         asked.addAll(marks.requests);
         assertEquals(
-                "every call once",
-                calls + 2,
+                "every request once",
+                sent + 2,
                 asked.stream().map(Message::start).distinct().count());
-        assertEquals("every call once", calls + 2, asked.size());
+        assertEquals("every request once", sent + 2, asked.size());
         int after = stage.descriptors();
         for (int i = 0; i < 100 && after > before + 4; i++) {
             Thread.sleep(100);
--- /dev/null
+++ b/command/src/test/java/trailthread/command/WithTwoServices.java
@@ -0,0 +1,76 @@
+package trailthread.command;
+
+import java.io.IOException;
+import java.net.Socket;
+import org.junit.After;
+import trailthread.testkit.Message;
+import trailthread.testkit.Peer;
+import trailthread.testkit.Stage;
+
+/** The program with two services, sim and marks, each with one scripted endpoint. */
+public abstract class WithTwoServices {
+    final Stage stage;
+    final Peer sim;
+    final Peer marks;
+
+    WithTwoServices() throws Exception {
+        stage = new Stage();
+        sim = stage.add(Peer.serving("sim"));
+        marks = stage.add(Peer.serving("marks"));
+    }
+
+    @After
+    public void end() throws Exception {
+        stage.end();
+    }
+
+    /** A pool's section of the file, with long timeouts. */
+    static String pool(String name, String keys) {
+        return "[pools."
+                + name
+                + "]\naim = \"10s\"\ndeadline = \"20s\"\nconnect_within = \"10s\"\n"
+                + keys
+                + "\n";
+    }
+
+    /** A route's section of the file. */
+    static String route(String name, String keys) {
+        return "[[routes]]\nname = \"" + name + "\"\n" + keys + "\n";
+    }
+
+    /** The key that lists a pool's endpoints. */
+    static String endpoints(Peer... peers) {
+        StringBuilder list = new StringBuilder("workers = [");
+        for (Peer peer : peers) {
+            list.append('"').append(peer.hostPort()).append("\",");
+        }
+        return list.append("]\n").toString();
+    }
+
+    /** A file with both pools, each with these keys, and a route to each. */
+    String file(String simKeys, String marksKeys) {
+        return "[node]\nlisten = \"127.0.0.1:0\"\ndescriptors = 256\n"
+                + pool("sim", simKeys)
+                + pool("marks", marksKeys)
+                + route("sim", "host = \"sim.example.org\"\npool = \"sim\"")
+                + route("marks", "host = \"*.example.org\"\npool = \"marks\"");
+    }
+
+    /** Starts the program with both services. */
+    void serve() throws Exception {
+        stage.serve(file(endpoints(sim), endpoints(marks)));
+    }
+
+    /** The head of a request. */
+    static String request(String method, String path, String host, String headers) {
+        return method + " " + path + " HTTP/1.1\r\nHost: " + host + "\r\n" + headers + "\r\n";
+    }
+
+    /** Sends a request on a new connection and returns the response. */
+    Message ask(String method, String path, String host, String headers) throws IOException {
+        try (Socket client = stage.connect()) {
+            Message.send(client, request(method, path, host, headers));
+            return Message.read(client, method.equals("HEAD"));
+        }
+    }
+}
