--- /dev/null
+++ b/daemon/src/main/java/trailthread/daemon/services/package-info.java
@@ -0,0 +1,2 @@
+/** A node with several services, configured by an operator's file. */
+package trailthread.daemon.services;
