--- a/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
+++ b/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
@@ -26,7 +26,7 @@
  * them.
  */
 public class AdminServerOffTest {
-    /** Joins the parts as the node does; an argument is the address to tell operators on. */
+    /** Connects the parts as a node does; an argument is the address of the admin server. */
     @SuppressWarnings("StreamResourceLeak") // closed at once
     public static void main(String[] args) throws IOException {
         InetSocketAddress listen = args.length == 0 ? null : new InetSocketAddress(args[0], 0);
@@ -52,7 +52,7 @@
                 + " descriptors";
     }
 
-    /** A node that has nothing to say. */
+    /** The status of a node without any state. */
     private static final class Nothing implements NodeStatus {
         @Override
         public boolean isReady() {
--- a/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
@@ -11,7 +11,7 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** What clients may rely on, over real sockets. */
+/** How the node serves its clients, over real sockets. */
 public class ClientSideTest {
     private final Stage stage;
 
@@ -39,8 +39,8 @@
             assertEquals(200, response.status());
             assertEquals(body, response.body());
             Thread.sleep(
-                    20); // right after an answer its connection is not used, as a second one may
-            // come
+                    20); // a connection is not used right after a response, as surplus bytes may
+            // follow
         }
 
         Message asked = endpoint.asked();
@@ -98,7 +98,9 @@
         assertTrue("Retry-After: " + wait, wait > 0 && wait <= 1.2);
     }
 
-    /** Undertow reads nothing during a call, so a close would go unnoticed until the answer. */
+    /**
+     * Undertow reads nothing during a request, so a close could go unnoticed until the response.
+     */
     @Test
     public void requestsOfADisconnectedClientAreDropped() throws Exception {
         Peer endpoint = stage.add(Peer.serving("made"));
@@ -139,7 +141,7 @@
         assertEquals("again", stage.call("use").body());
     }
 
-    /** The descriptors of a node are few: clients that idle must not shut others out. */
+    /** Idle clients must not use up the node's few descriptors. */
     @Test
     public void moreClientsThanConnectionsAreAllServed() throws Exception {
         stage.sockets = 96; // 28 connections to clients
@@ -177,8 +179,8 @@
                                 request -> {
                                     Message.send(
                                             request.connection(),
-                                            ""); // the second call is sent before this one is
-                                    // answered
+                                            ""); // the second request is sent before the response
+                                    // to this one
                                     request.answer("200 OK", "", request.start());
                                 }));
         stage.start(Stage.SETTINGS, endpoint);
--- a/daemon/src/test/java/trailthread/daemon/CorruptResponseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CorruptResponseTest.java
@@ -13,7 +13,7 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** What the node makes of answers that are spoilt, or that bring more than belongs to them. */
+/** How the node handles corrupt responses, and bytes after a response. */
 public class CorruptResponseTest {
     private static final String MADE = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade";
     private static final String ENDLESS = "X-More: " + "x".repeat(1000) + "\r\n";
@@ -29,7 +29,7 @@
         stage.end();
     }
 
-    /** The endpoint's connection stays open throughout, so that only the node can end the call. */
+    /** The endpoint keeps its connection open, so that only the node can end the request. */
     @Test
     public void aCorruptResponseFailsTheRequestAndItsConnectionIsClosed() throws Exception {
         String[] corrupt = {
@@ -56,7 +56,9 @@
         }
     }
 
-    /** What follows an answer passed for the answer to the next call on that connection. */
+    /**
+     * Prevents surplus bytes from being taken for the response to the connection's next request.
+     */
     @Test
     public void bytesAfterAResponseNeverReachTheNextRequest() throws Exception {
         String[] more = {MADE.replace("made", "copy"), "noise", "\r\n"};
@@ -72,7 +74,7 @@
         }
     }
 
-    /** The same, when it comes after the connection was put away. */
+    /** Bytes that arrive while the connection is idle in the pool. */
     @Test
     public void aConnectionWithUnsolicitedBytesIsClosed() throws Exception {
         Peer endpoint = stage.add(Peer.serving("made"));
--- a/daemon/src/test/java/trailthread/daemon/CrowdTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CrowdTest.java
@@ -46,7 +46,7 @@
         stage.end();
     }
 
-    /** One client: what it has received, and how often it has tried. */
+    /** A client, with what it has received and the number of its attempts. */
     private final class Client {
         private String received = "";
         private int attempts;
--- a/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
@@ -10,7 +10,7 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** How the node follows discovery, and goes on without it, over real sockets. */
+/** How the node follows discovery, and keeps its list without it, over real sockets. */
 public class DiscoverySideTest {
     private static final long PIECE_MS = 500;
     private final Stage stage;
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Its first line alone was no list, and the watch was broken off again and again. */
+    /** Prevents the first line of an indented list from being parsed alone. */
     @Test
     public void anIndentedListIsRead() throws Exception {
         stage.start(Stage.SETTINGS, first);
@@ -109,7 +109,7 @@
         assertEquals("second", stage.call("use").body());
     }
 
-    /** The node never opened a watch, and went on with the list of its start. */
+    /** Prevents a node from keeping its first list because it opens no watch. */
     @Test
     public void whereListsArePushedAWatchIsKeptOpenUnasked() throws Exception {
         stage.start(
@@ -158,7 +158,7 @@
         }
     }
 
-    /** A cut link says nothing: the watch stays open, and the empty lines stop. */
+    /** If the network is cut, the watch stays open, but heartbeats stop. */
     @Test
     public void aSilentWatchIsClosed() throws Exception {
         stage.start(Stage.SETTINGS, first);
@@ -189,7 +189,7 @@
         first.wasNotAsked();
     }
 
-    /** One that trickles without an end would keep the node from asking again. */
+    /** An endless list would keep the node from polling again. */
     @Test
     public void anEndlessListIsAborted() throws Exception {
         stage.discovery.setScript(
--- a/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
@@ -183,8 +183,8 @@
                             new Peer(
                                     request -> {
                                         LockSupport.parkNanos(
-                                                5_000_000); // far more than noise, which would
-                                        // leave some out
+                                                5_000_000); // a clear difference, so that each
+                                        // endpoint is used
                                         request.answer("200 OK", "", "made");
                                     }));
         }
@@ -205,7 +205,7 @@
     public void nothingIsSentToAnEndpointThatBeganToDrain() throws Exception {
         Peer serving = stage.add(Peer.serving("made"));
         try (ServerSocket hanging = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            List<Socket> fill = new ArrayList<>(); // its backlog is full: a connect gets no reply
+            List<Socket> fill = new ArrayList<>(); // fills its backlog, so that a connect hangs
             while (fill.size() < 2) {
                 fill.add(new Socket(InetAddress.getLoopbackAddress(), hanging.getLocalPort()));
             }
@@ -226,7 +226,7 @@
             for (int i = 0; i < fill.size(); i++) {
                 hanging.accept().close();
             }
-            try (Socket late = hanging.accept()) { // the connect comes up, seconds later
+            try (Socket late = hanging.accept()) { // the connect completes, seconds later
                 Stage.line(watch, Stage.list(3, true, "active", serving).replace("w0", "w1"));
                 assertEquals("made", Message.read(client).body());
                 late.setSoTimeout(1);
--- a/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
@@ -176,7 +176,9 @@
                         }
                         request.connection()
                                 .setSoLinger(
-                                        framing.isEmpty(), 0); // no length: a reset tells alone
+                                        framing.isEmpty(),
+                                        0); // without a length, only a reset shows that the body is
+                        // truncated
                         request.connection().close();
                     });
             Socket client = stage.connect();
@@ -265,7 +267,7 @@
             answers.release();
             assertEquals(
                     "made",
-                    stage.call("state").body()); // by then, the node has read the answer before
+                    stage.call("state").body()); // by then the node has read the previous response
             endpoint.asked();
             answered.acquireUninterruptibly();
         }
--- a/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
@@ -108,7 +108,7 @@
         holder.logged(SERVES, 1);
         for (int i = 2; i < 4; i++) {
             long dies = start();
-            adminPort(i); // it is on its way
+            adminPort(i); // waits until its start is in progress
             assertTrue(ProcessHandle.of(dies).orElseThrow().destroyForcibly());
             assertEquals("made", stage.call("use").body());
         }
--- a/daemon/src/test/java/trailthread/daemon/PauseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/PauseTest.java
@@ -52,7 +52,7 @@
         }
     }
 
-    /** How many requests endpoints were sent; none of them twice. */
+    /** Counts the requests that endpoints received, and checks that none came twice. */
     private static int ranOnce(Peer... endpoints) {
         Set<String> ids = new HashSet<>();
         for (Peer endpoint : endpoints) {
--- a/daemon/src/test/java/trailthread/daemon/StaleListTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StaleListTest.java
@@ -13,22 +13,17 @@
 import trailthread.testkit.Stage;
 
 /**
- * A fleet with thousands of servers sent requests to servers that had been removed, dozens of
- * times. A process that started at 19.0 s went on with the list of the process before it, and
- * discovery wrote it a new one at 23.0 s only: {@code n48: ... 13.3 v7, 23.0 v14}. Two servers had
- * gone with version 10 at 16.0 s, which counts as told 6 s later, whether or not a process that was
- * away then has heard of it: {@code 23.090 a request went to server s-760b1670 1.11 s after this
- * instance was told}, with a grace of 1 s. Nothing in the node knew how old its list was. The
- * second request, at 23.590 s, went out 0.59 s after the new list had been written: the loop had
- * not come to it.
+ * The endpoint list is a lease: each sign of life of discovery renews it, and a process that has
+ * just started holds none.
  *
- * <p>So the list is a lease. Each sign of life of discovery renews it, and a process that starts
- * holds none.
+ * <p>Prevents a node from sending requests to servers that were removed while it did not hear from
+ * discovery. Such a removal counts as announced 6 s after it was made, whether or not the node has
+ * learned of it.
  */
 public class StaleListTest {
     private static final int SERVERS = 3_200;
 
-    /** A change counts as told so long after it was made. */
+    /** How long after a change it counts as announced. */
     private static final long NEWS_DUE_MS = 6_000;
 
     private final Stage stage;
@@ -54,7 +49,7 @@
         return servers;
     }
 
-    /** Discovery is crowded: it takes calls and answers none until told to. */
+    /** Discovery is overloaded: it accepts requests, and responds to none until released. */
     private void crowd() {
         stage.discovery.setScript(
                 request -> {
@@ -112,7 +107,7 @@
         gone.wasNotAsked();
     }
 
-    /** Nothing can be told by a discovery that nobody reaches: the node serves on. */
+    /** A discovery service that is down can't have announced anything, so the node serves on. */
     @Test
     public void theListIsKeptWhileDiscoveryIsDown() throws Exception {
         stage.discovery.setScript(
--- a/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
@@ -14,7 +14,7 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** How the program starts, refuses to start, and ends. */
+/** Start, failed start and shutdown of the program. */
 public class StartAndStopTest {
     private final Stage stage;
 
--- a/daemon/src/test/java/trailthread/daemon/UnreadNewsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UnreadNewsTest.java
@@ -33,7 +33,7 @@
     private static final long MS = 1_000_000L;
     private static final long WITHIN_NS = 30_000 * MS;
 
-    /** Its grace is over once the loop has been held for so long. */
+    /** The grace period of a drain; over once the loop was blocked for {@link #HELD_MS}. */
     private static final long GRACE_NS = 200 * MS;
 
     private static final long HELD_MS = 400;
@@ -117,8 +117,7 @@
         CountDownLatch goOn = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    attempt(); // it is begun when this task has ended, and before the sockets are
-                    // looked at
+                    attempt(); // runs after this task, and before the sockets are polled
                     held.countDown();
                     Peer.await(goOn);
                 });
