--- a/daemon/src/test/java/trailthread/daemon/SpoiltAnswerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CorruptResponseTest.java
@@ -13,14 +13,14 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** What the node makes of answers that are spoilt, or that bring more than belongs to them. */
-public class SpoiltAnswerTest {
+/** How the node handles corrupt responses, and bytes after a response. */
+public class CorruptResponseTest {
     private static final String MADE = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade";
     private static final String ENDLESS = "X-More: " + "x".repeat(1000) + "\r\n";
 
     private final Stage stage;
 
-    public SpoiltAnswerTest() throws Exception {
+    public CorruptResponseTest() throws Exception {
         stage = new Stage();
     }
 
@@ -29,10 +29,10 @@
         stage.end();
     }
 
-    /** The endpoint's connection stays open throughout, so that only the node can end the call. */
+    /** The endpoint keeps its connection open, so that only the node can end the request. */
     @Test
-    public void aSpoiltAnswerFailsTheCallAndItsConnectionIsClosed() throws Exception {
-        String[] spoilt = {
+    public void aCorruptResponseFailsTheRequestAndItsConnectionIsClosed() throws Exception {
+        String[] corrupt = {
             "\u0000\u0001\u0002 noise",
             "HTTP/1.1 two hundred\r\n\r\n",
             "HTTP/1.1 200 OK\r\nno header\r\n\r\n",
@@ -45,36 +45,38 @@
         };
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, endpoint);
-        for (String answer : spoilt) {
-            endpoint.setScript(request -> Message.send(request.connection(), answer));
-            assertEquals(answer, 502, stage.call("use").status());
+        for (String response : corrupt) {
+            endpoint.setScript(request -> Message.send(request.connection(), response));
+            assertEquals(response, 502, stage.call("use").status());
             Socket closed = endpoint.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
-            assertEquals(answer, endpoint.asked().connection(), closed);
+            assertEquals(response, endpoint.asked().connection(), closed);
             endpoint.setScript(request -> request.answer("200 OK", "", "made"));
             assertEquals("made", stage.call("state").body());
             endpoint.asked();
         }
     }
 
-    /** What follows an answer passed for the answer to the next call on that connection. */
+    /**
+     * Prevents surplus bytes from being taken for the response to the connection's next request.
+     */
     @Test
-    public void whatFollowsAnAnswerNeverReachesTheNextCall() throws Exception {
+    public void bytesAfterAResponseNeverReachTheNextRequest() throws Exception {
         String[] more = {MADE.replace("made", "copy"), "noise", "\r\n"};
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, endpoint);
         for (String rest : more) {
             endpoint.setScript(request -> Message.send(request.connection(), MADE + rest));
             assertEquals("made", stage.call("use").body());
-            Socket spoilt = endpoint.asked().connection();
+            Socket corrupt = endpoint.asked().connection();
             endpoint.setScript(request -> request.answer("200 OK", "", "next"));
             assertEquals("next", stage.call("use").body());
-            assertNotEquals(spoilt, endpoint.asked().connection());
+            assertNotEquals(corrupt, endpoint.asked().connection());
         }
     }
 
-    /** The same, when it comes after the connection was put away. */
+    /** Bytes that arrive while the connection is idle in the pool. */
     @Test
-    public void aConnectionThatSpeaksUnaskedIsClosed() throws Exception {
+    public void aConnectionWithUnsolicitedBytesIsClosed() throws Exception {
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, endpoint);
         assertEquals("made", stage.call("use").body());
@@ -86,8 +88,8 @@
     }
 
     @Test
-    public void oddButGoodAnswersAreServed() throws Exception {
-        String[] good = {
+    public void unusualButValidResponsesAreServed() throws Exception {
+        String[] valid = {
             "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" + MADE,
             MADE.replace(
                     "\r\n\r\n", "\r\nX-Backend-Load: {\"inflight\":-1,\"queue\":-9e99}\r\n\r\n"),
@@ -96,9 +98,9 @@
         };
         Peer endpoint = stage.add(Peer.serving("made"));
         stage.start(Stage.SETTINGS, endpoint);
-        for (String answer : good) {
-            endpoint.setScript(request -> sendInPieces(request.connection(), answer));
-            assertEquals(answer, "made", stage.call("use").body());
+        for (String response : valid) {
+            endpoint.setScript(request -> sendInPieces(request.connection(), response));
+            assertEquals(response, "made", stage.call("use").body());
         }
         assertNotNull(endpoint.asked());
     }
