--- a/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
@@ -308,7 +308,7 @@
     /** Whether the connection ends with this answer. */
     private boolean isLast(HttpServerExchange exchange) {
         return connections.endsWithAnswer(ClientConnection.of(exchange))
-                && !SentAhead.isBehind(exchange, bodies);
+                && !PipelinedBytes.isBehind(exchange, bodies);
     }
 
     /** How many bytes are kept for a body that is still to come; -1: there is no room for it. */
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
@@ -128,7 +128,7 @@
         exchange.setStatusCode(status);
         if (exchange.isPersistent()
                 && closing.getAsBoolean()
-                && !SentAhead.isBehind(exchange, room)) {
+                && !PipelinedBytes.isBehind(exchange, room)) {
             exchange.setPersistent(false);
         }
     }
@@ -182,7 +182,7 @@
     private void readAhead(AbstractServerConnection connection) {
         boolean open;
         try {
-            open = SentAhead.read(connection, room);
+            open = PipelinedBytes.read(connection, room);
         } catch (IOException e) {
             open = false; // as good as closed
         }
--- a/daemon/src/main/java/trailthread/daemon/listener/SentAhead.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PipelinedBytes.java
@@ -12,14 +12,14 @@
  * What a client has sent ahead of an answer, past what a buffer of the pool holds: the next calls
  * on its connection are read from it. Out of the room that long bodies share.
  */
-final class SentAhead implements PooledByteBuffer {
+final class PipelinedBytes implements PooledByteBuffer {
     /** Of one connection no more is held: the rest waits in its socket. */
     private static final int MOST_BYTES = 256 * 1024;
 
     private final BodyMemoryLimit room;
     private ByteBuffer bytes;
 
-    private SentAhead(BodyMemoryLimit room, ByteBuffer bytes) {
+    private PipelinedBytes(BodyMemoryLimit room, ByteBuffer bytes) {
         this.room = room;
         this.bytes = bytes;
     }
@@ -82,7 +82,7 @@
                     .MAX_VALUE; // a buffer of the pool, which holds as much as is read in one go
         }
         int free = kept.getBuffer().capacity() - kept.getBuffer().remaining();
-        SentAhead larger = free > 0 ? null : twice(kept, room);
+        PipelinedBytes larger = free > 0 ? null : twice(kept, room);
         if (larger == null) {
             return free;
         }
@@ -102,13 +102,14 @@
     }
 
     /** Twice the room for what is kept, which moves; null, and all stays, if there is none. */
-    private static SentAhead twice(PooledByteBuffer kept, BodyMemoryLimit room) {
+    private static PipelinedBytes twice(PooledByteBuffer kept, BodyMemoryLimit room) {
         int capacity = 2 * kept.getBuffer().capacity();
         if (capacity > MOST_BYTES || !room.take(capacity)) {
             return null;
         }
-        SentAhead larger =
-                new SentAhead(room, ByteBuffer.allocate(capacity).put(kept.getBuffer()).flip());
+        PipelinedBytes larger =
+                new PipelinedBytes(
+                        room, ByteBuffer.allocate(capacity).put(kept.getBuffer()).flip());
         kept.close();
         return larger;
     }
