--- a/daemon/src/main/java/trailthread/daemon/listener/BadRequestException.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/BadRequestException.java
@@ -1,6 +1,6 @@
 package trailthread.daemon.listener;
 
-/** A client's call is not one; the message says why. */
+/** The head of a client's request is malformed; the message says what is wrong with it. */
 final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/daemon/src/main/java/trailthread/daemon/listener/BodyMemoryLimit.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/BodyMemoryLimit.java
@@ -1,30 +1,35 @@
 package trailthread.daemon.listener;
 
 /**
- * The memory that long bodies of calls may take together, from their first byte to the call's end.
- * Short ones are bounded by the connections there may be.
+ * Bounds the memory that long request bodies may take together, from their first byte to the end of
+ * the request. Short bodies are not counted: the limit on connections bounds them.
  */
 final class BodyMemoryLimit {
-    /** What is longer than this takes room. */
-    static final int SHORT_BYTES = 64 * 1024;
+    /** Only bodies longer than this are counted, in bytes. */
+    static final int SHORT_BODY_BYTES = 64 * 1024;
 
-    private final long most;
-    private long taken;
+    private final long limitBytes;
+    private long reservedBytes;
 
-    BodyMemoryLimit(long most) {
-        this.most = most;
+    BodyMemoryLimit(long limitBytes) {
+        this.limitBytes = limitBytes;
     }
 
-    /** Whether there is room for so many bytes more; they are to be given back once. */
-    boolean take(long bytes) {
-        if (taken + bytes > most) {
+    /** How many bytes are to be reserved for a body of this size: none for a short one. */
+    static long reservationFor(long bodyBytes) {
+        return bodyBytes > SHORT_BODY_BYTES ? bodyBytes : 0;
+    }
+
+    /** Reserves memory; if this returns true, the bytes are to be released once. */
+    boolean tryReserve(long bytes) {
+        if (reservedBytes + bytes > limitBytes) {
             return false;
         }
-        taken += bytes;
+        reservedBytes += bytes;
         return true;
     }
 
-    void give(long bytes) {
-        taken -= bytes;
+    void release(long bytes) {
+        reservedBytes -= bytes;
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/listener/BodyReader.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/BodyReader.java
@@ -6,8 +6,6 @@
 import io.undertow.server.protocol.http.HttpContinue;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.util.Arrays;
-import java.util.function.Consumer;
 import org.xnio.IoUtils;
 import org.xnio.XnioExecutor;
 import org.xnio.channels.StreamSourceChannel;
@@ -16,252 +14,234 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * Reads a request's body to its end, so that whatever is answered then reaches the client. Guards
- * against Undertow's own drain of what is left unread: of a chunked body it closes the connection
- * unanswered.
+ * Reads a request's body to its end, so that the response reaches the client: of a chunked body
+ * that is left unread, Undertow closes the connection without a response.
  *
- * <p>A body that finds no room is not held: it is the source of itself from then on, and flows as
- * its sink takes it.
+ * <p>A body that finds no memory to be buffered in is streamed: the receiver gets this reader as
+ * the source of the body, which then flows at the pace at which its sink accepts it.
+ *
+ * <p>The client must keep up a least rate. If it does not, or the connection breaks, the connection
+ * is closed.
  */
 final class BodyReader implements ByteSource {
-    static final long MOST_BYTES = 32 * 1024 * 1024;
+    /** Gets the body by one of these methods; {@link #aborted} may also follow a stream. */
+    interface Receiver {
+        /**
+         * The request is complete.
+         *
+         * @param body empty if it was not to be buffered; null if it is too large
+         */
+        void complete(byte[] body);
+
+        /** There is no memory to buffer the body: it is to be streamed, see {@link #onStream}. */
+        void stream(BodyReader body);
+
+        /** The body will never be complete; the connection is closed. */
+        void aborted();
+    }
 
-    /** Of a body that is not kept, so much is read past before the connection ends unanswered. */
-    private static final long MOST_SKIPPED = 1024 * 1024;
+    /** The longest body that a request may have. */
+    static final long MAX_BODY_BYTES = 32 * 1024 * 1024;
 
-    private static final byte[] NONE = new byte[0];
+    /** If a body that is not buffered is longer than this, the connection is closed. */
+    private static final long MAX_DISCARDED_BYTES = 1024 * 1024;
 
-    /** Of a body that does not tell its length. */
-    private static final int FIRST_BYTES = 1024;
+    /** The least rate of a body; clients send 64 kB a second or more. */
+    private static final long MIN_BYTES_PER_SECOND = 48_000;
 
-    /**
-     * A body that comes slower than this, in bytes a second, is given up; clients send 64 kB a
-     * second or more.
-     */
-    private static final long LEAST_PACE = 48_000;
+    private static final long NS_PER_SECOND = 1_000_000_000L;
 
-    private static final long PAUSE_LOOKED_AT_NS = 1_000_000_000L;
+    /** How often a body that is paused is looked at. */
+    private static final long PAUSED_CHECK_INTERVAL_NS = 1_000_000_000L;
 
     private final EventLoop loop;
     private final HttpServerExchange exchange;
     private final StreamSourceChannel channel;
-    private final boolean keep;
-    private final BodyMemoryLimit room;
-    private final Consumer<byte[]> whole;
-    private final Runnable broken;
-    private byte[] body = NONE;
 
-    /** Room taken for it. */
-    private long taken;
+    /** Null if the body is to be discarded. */
+    private final BodyBuffer buffer;
 
-    private long owedBy;
-    private XnioExecutor.Key late;
-    private long size;
+    private final Receiver receiver;
 
-    /** The same before what came last. */
-    private int before;
+    /** When the message is due, but for the time that the rate earns for the bytes received. */
+    private long dueAt;
 
+    private XnioExecutor.Key deadlineTimer;
+    private long receivedBytes;
     private boolean tooLarge;
-    private boolean over;
 
-    /** Takes over what finds no room. */
-    private final Consumer<BodyReader> passesOn;
+    /** Nothing more is read. */
+    private boolean done;
 
-    /** What has come before the body began to flow, then null. */
-    private ByteBuffer held;
+    /** What was received before the stream began, and did not fit the buffer; then null. */
+    private ByteBuffer unstreamed;
 
     private ByteSink sink;
 
-    /** Since when nobody reads; 0: it is read. */
+    /** Since when reading is paused; 0: it is not. */
     private long pausedAt;
 
-    private Runnable ended = () -> {};
-    private Runnable gone;
+    private Runnable onStreamed = () -> {};
+    private Runnable onClientGone = () -> {};
 
     /**
-     * @param owedBy what has not come whole then must have come fast enough
-     * @param keep whether the body is kept; else it is read past, and passes for empty
-     * @param room what a long body takes; it is given back here if the body breaks
-     * @param whole gets the body, or null if it is too large
-     * @param passes gets this instead where the body finds no room; {@link #passOn} follows
-     * @param broken runs instead if it never comes whole
+     * Makes a reader, and starts the client's time; {@link #read} follows.
+     *
+     * @param dueAt when the message is due, by the loop's clock, but for what its rate earns
+     * @param buffered whether the body is wanted; else it is discarded, and passes for empty
+     * @param memory where a long body's bytes are reserved; those of a body that is not handed over
+     *     are released here
      */
     BodyReader(
             EventLoop loop,
             HttpServerExchange exchange,
-            long owedBy,
-            boolean keep,
-            BodyMemoryLimit room,
-            Consumer<byte[]> whole,
-            Consumer<BodyReader> passes,
-            Runnable broken) {
+            long dueAt,
+            boolean buffered,
+            BodyMemoryLimit memory,
+            Receiver receiver) {
         this.loop = loop;
         this.exchange = exchange;
-        this.owedBy = owedBy;
-        this.keep = keep;
-        this.room = room;
-        this.whole = whole;
-        passesOn = passes;
-        this.broken = broken;
+        this.dueAt = dueAt;
+        this.receiver = receiver;
+        buffer = buffered ? new BodyBuffer(memory, exchange.getRequestContentLength()) : null;
         channel = exchange.getRequestChannel();
-        late = loop.afterReading(owedBy - loop.now(), this::late);
+        deadlineTimer = loop.afterReading(dueAt - loop.now(), this::checkDeadline);
     }
 
     /**
-     * The body has been taken over.
+     * Sets what happens at the end of a body that is streamed.
      *
-     * @param whenEnded runs when its last byte has been given
-     * @param clientGone runs instead if it never comes whole
+     * @param onStreamed runs when its last byte has been given to the sink
+     * @param onClientGone runs instead if it is never complete
      */
-    void passOn(Runnable whenEnded, Runnable clientGone) {
-        ended = whenEnded;
-        gone = clientGone;
+    void onStream(Runnable onStreamed, Runnable onClientGone) {
+        this.onStreamed = onStreamed;
+        this.onClientGone = onClientGone;
     }
 
-    /** The longest that the body may yet take, by the pace that its client owes. */
+    /** The longest time that the body may yet take at the least rate, in nanoseconds. */
     long longestNs() {
-        long bytes = length() < 0 ? MOST_BYTES : length();
-        return owedBy - loop.now() + 1_000_000_000L * bytes / LEAST_PACE;
+        long bytes = length() < 0 ? MAX_BODY_BYTES : length();
+        return dueAt - loop.now() + timeForBytesNs(bytes);
     }
 
-    /** Bytes of room that are taken for a body of this size. */
-    static long roomFor(long size) {
-        return size > BodyMemoryLimit.SHORT_BYTES ? size : 0;
+    /** Starts to read; a client that expects it gets a 100 Continue first (RFC 9110, 10.1.1). */
+    void read() {
+        if (HttpContinue.requiresContinueResponse(exchange)) {
+            HttpContinue.sendContinueResponse(exchange, new ReadAfterContinue());
+        } else {
+            readAvailable();
+        }
     }
 
-    /** Reads, and says first that it will where the client waits to be told (RFC 9110, 10.1.1). */
-    void read() {
-        if (!HttpContinue.requiresContinueResponse(exchange)) {
-            readOn();
-            return;
+    private final class ReadAfterContinue implements IoCallback {
+        @Override
+        public void onComplete(HttpServerExchange continued, Sender sender) {
+            readAvailable();
         }
-        HttpContinue.sendContinueResponse(
-                exchange,
-                new IoCallback() {
-                    @Override
-                    public void onComplete(HttpServerExchange told, Sender sender) {
-                        readOn();
-                    }
 
-                    @Override
-                    public void onException(HttpServerExchange told, Sender sender, IOException e) {
-                        giveUp();
-                    }
-                });
+        @Override
+        public void onException(HttpServerExchange continued, Sender sender, IOException e) {
+            giveUp();
+        }
     }
 
-    private void readOn() {
+    /** Reads what has come, up to the most that one turn of the loop may read. */
+    private void readAvailable() {
         try (var pooled = loop.buffers().allocate()) {
-            ByteBuffer buffer = pooled.getBuffer();
-            for (long had = 0; had < EventLoop.MOST_IN_TURN_BYTES; had += buffer.capacity()) {
-                buffer.clear();
-                int count = channel.read(buffer);
+            ByteBuffer bytes = pooled.getBuffer();
+            for (long read = 0; read < EventLoop.MOST_IN_TURN_BYTES; read += bytes.capacity()) {
+                bytes.clear();
+                int count = channel.read(bytes);
                 if (count < 0) {
-                    late.remove();
-                    over = true;
-                    if (sink != null) {
-                        end();
-                        return;
-                    }
-                    whole.accept(tooLarge ? null : body());
+                    complete();
                     return;
                 }
                 if (count == 0) {
-                    channel.getReadSetter().set(readable -> readOn());
+                    channel.getReadSetter().set(readable -> readAvailable());
                     channel.resumeReads();
                     return;
                 }
-                buffer.flip();
-                if (sink != null) {
-                    size += count;
-                    if (size > MOST_BYTES) {
-                        giveUp();
-                        return;
-                    }
-                    if (!sink.piece(buffer)) {
-                        pause();
-                        return;
-                    }
-                    if (over) {
-                        return;
-                    }
-                    continue;
-                }
-                take(buffer);
-                if (held != null) {
-                    pause();
-                    passesOn.accept(this);
-                    return;
-                }
-                if ((tooLarge || !keep) && size > MOST_SKIPPED) {
-                    giveUp();
+                boolean readsOn = accept(bytes.flip());
+                if (!readsOn) {
                     return;
                 }
             }
-            goOnNextTurn();
+            readInNextTurn();
         } catch (IOException e) {
             giveUp();
         }
     }
 
-    /** What is left may lie in Undertow's buffers, where no socket tells of it. */
-    private void goOnNextTurn() {
+    /** No event would announce the rest: it may lie in Undertow's buffers. */
+    private void readInNextTurn() {
         channel.suspendReads();
         loop.afterSockets(
                 () -> {
-                    if (!over && pausedAt == 0) {
-                        readOn();
+                    if (!done && pausedAt == 0) {
+                        readAvailable();
                     }
                 });
     }
 
-    private void take(ByteBuffer bytes) {
-        before = (int) size;
-        size += bytes.remaining();
-        if (size > MOST_BYTES && !tooLarge) {
-            tooLarge = true;
-            letGo();
+    /** Handles bytes that were read; whether to read on at once. */
+    private boolean accept(ByteBuffer bytes) {
+        receivedBytes += bytes.remaining();
+        return sink == null ? bufferOrDiscard(bytes) : streamOn(bytes);
+    }
+
+    private boolean streamOn(ByteBuffer bytes) {
+        if (receivedBytes > MAX_BODY_BYTES) {
+            giveUp();
+            return false;
         }
-        if (!keep || tooLarge) {
-            return;
+        if (!sink.piece(bytes)) {
+            pause();
+            return false;
+        }
+        return !done;
+    }
+
+    private boolean bufferOrDiscard(ByteBuffer bytes) {
+        if (receivedBytes > MAX_BODY_BYTES && !tooLarge) {
+            tooLarge = true;
+            releaseBuffer();
         }
-        if (size > body.length) {
-            grow();
+        if (buffer == null || tooLarge) {
+            if (receivedBytes > MAX_DISCARDED_BYTES) {
+                giveUp();
+                return false;
+            }
+            return true;
         }
-        if (held != null) {
-            held.put(bytes).flip();
-        } else {
-            bytes.get(body, (int) size - bytes.remaining(), bytes.remaining());
+        if (!buffer.append(bytes)) {
+            unstreamed = buffer.drainWith(bytes);
+            pause();
+            receiver.stream(this);
+            return false;
         }
+        return true;
     }
 
-    /**
-     * To the length told, or twofold; while a body moves, both its old place and its new one take
-     * room.
-     */
-    private void grow() {
-        long told = exchange.getRequestContentLength();
-        long next =
-                told >= 0
-                        ? told
-                        : Math.min(
-                                MOST_BYTES,
-                                Math.max(size, Math.max(2L * body.length, FIRST_BYTES)));
-        long more = roomFor(next);
-        if (!room.take(more)) {
-            held = ByteBuffer.allocate((int) size).put(body, 0, before);
-            letGo(); // what is held now is on its way, or given up
+    private void complete() {
+        deadlineTimer.remove();
+        done = true;
+        if (sink != null) {
+            sink.end();
+            onStreamed.run();
             return;
         }
-        body = Arrays.copyOf(body, (int) next);
-        room.give(taken);
-        taken = more;
+        receiver.complete(tooLarge ? null : body());
+    }
+
+    private byte[] body() {
+        return buffer == null ? BodyBuffer.EMPTY : buffer.take();
     }
 
-    private void letGo() {
-        room.give(taken);
-        taken = 0;
-        body = NONE;
+    private void releaseBuffer() {
+        if (buffer != null) {
+            buffer.release();
+        }
     }
 
     private void pause() {
@@ -282,8 +262,8 @@
     @Override
     public void flowTo(ByteSink to) {
         sink = to;
-        ByteBuffer first = held;
-        held = null;
+        ByteBuffer first = unstreamed;
+        unstreamed = null;
         if (sink.piece(first)) {
             more();
         }
@@ -291,60 +271,46 @@
 
     @Override
     public void more() {
-        if (!over) {
-            owedBy += loop.now() - pausedAt; // the client owes nothing while nobody reads
+        if (!done) {
+            dueAt += loop.now() - pausedAt; // the client is not to pay for the pause
             pausedAt = 0;
-            readOn();
+            readAvailable();
         }
     }
 
     @Override
     public void stop() {
-        late.remove();
-        held = null;
-        if (!over) {
-            over = true;
+        deadlineTimer.remove();
+        unstreamed = null;
+        if (!done) {
+            done = true;
             channel.suspendReads();
         }
     }
 
-    private void end() {
-        sink.end();
-        ended.run();
-    }
-
-    /** The body; its room is the call's from now on. */
-    private byte[] body() {
-        byte[] whole = body;
-        if (whole.length > size) {
-            whole = Arrays.copyOf(body, (int) size);
-            room.give(taken - roomFor(size));
-        }
-        body = NONE; // this is kept for as long as the exchange is
-        return whole;
-    }
-
-    /** Its time is over, but for what its pace has earned it. */
-    private void late() {
-        long leftNs = owedBy + 1_000_000_000L * size / LEAST_PACE - loop.now();
+    /** Closes the connection if the client has fallen behind the least rate. */
+    private void checkDeadline() {
+        long leftNs = dueAt + timeForBytesNs(receivedBytes) - loop.now();
         if (pausedAt > 0) {
-            late = loop.afterReading(PAUSE_LOOKED_AT_NS, this::late);
+            deadlineTimer = loop.afterReading(PAUSED_CHECK_INTERVAL_NS, this::checkDeadline);
         } else if (leftNs > 0) {
-            late = loop.afterReading(leftNs, this::late);
+            deadlineTimer = loop.afterReading(leftNs, this::checkDeadline);
         } else {
             giveUp();
         }
     }
 
+    private static long timeForBytesNs(long bytes) {
+        return NS_PER_SECOND * bytes / MIN_BYTES_PER_SECOND;
+    }
+
     private void giveUp() {
-        late.remove();
-        if (!over) {
-            over = true;
-            letGo();
-            broken.run();
-            if (gone != null) {
-                gone.run();
-            }
+        deadlineTimer.remove();
+        if (!done) {
+            done = true;
+            releaseBuffer();
+            receiver.aborted();
+            onClientGone.run();
         }
         IoUtils.safeClose(exchange.getConnection());
     }
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
@@ -3,8 +3,10 @@
 import io.undertow.server.AbstractServerConnection;
 import io.undertow.server.Connectors;
 import io.undertow.server.HttpServerExchange;
+import io.undertow.util.HeaderMap;
 import io.undertow.util.Headers;
 import io.undertow.util.Methods;
+import io.undertow.util.StatusCodes;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.Set;
@@ -17,89 +19,95 @@
 import trailthread.engine.loop.Seconds;
 import trailthread.engine.request.ClientResponse;
 
-/** Answers one call over HTTP, and notices when its client goes away. */
+/** Writes the response to one request over HTTP, and notices when its client disconnects. */
 final class HttpResponseWriter implements ClientResponse {
-    /** An endpoint's word to the node alone. */
-    private static final Set<String> LEFT_OUT = Set.of("x-backend-load", "x-unprocessed");
+    /** Headers of endpoints' responses that are meant for the balancer alone. */
+    private static final Set<String> NOT_FORWARDED = Set.of("x-backend-load", "x-unprocessed");
 
-    private static final int REFUSED = 503;
-    private static final int FAILED = 502;
+    /** The connection of a client that does not read its response is closed after this time. */
+    private static final long READ_TIMEOUT_NS = 10_000_000_000L;
 
-    /** A client that does not read its answer for so long loses it, and its connection. */
-    private static final long READ_WITHIN_NS = 10_000_000_000L;
+    private static final byte[] NO_BODY = new byte[0];
 
     private final EventLoop loop;
     private final HttpServerExchange exchange;
-    private final boolean plain;
-    private final BooleanSupplier closing;
-    private final BodyMemoryLimit room;
-    private final Runnable released;
-    private final Runnable unread;
+    private final boolean forwardsEndpointHeaders;
+    private final BooleanSupplier isLastOnConnection;
+    private final BodyMemoryLimit memory;
+    private final Runnable onReleased;
+    private final Runnable stopBody;
+
+    /** The response has begun, or the client has disconnected before. */
     private boolean answered;
 
-    /** Runs if the client goes away; null: it is not watched. */
-    private Runnable gone;
+    /** Runs if the client disconnects; null if it is not watched. */
+    private Runnable onClientGone;
 
-    /** The answer, if it is passed on as it comes; else null. */
-    private StreamedResponse longAnswer;
+    /** Null unless the response is streamed. */
+    private StreamedResponse streamed;
 
     /**
-     * @param plain whether an endpoint's status and headers are passed on
-     * @param closing whether the connection is to end with the answer
-     * @param room what is sent ahead takes of it, past a buffer
-     * @param released runs once nothing of the call is kept
-     * @param unread runs before an answer that goes out while the body has not come whole
+     * Makes a writer for an exchange.
+     *
+     * @param forwardsEndpointHeaders whether the client gets the endpoint's headers
+     * @param isLastOnConnection whether the connection is to end with this response
+     * @param memory where bytes that the client sends ahead are reserved, past a pooled buffer
+     * @param onReleased runs once nothing of the request is kept
+     * @param stopBody runs before a response to a request whose body is incomplete
      */
     HttpResponseWriter(
             EventLoop loop,
             HttpServerExchange exchange,
-            boolean plain,
-            BooleanSupplier closing,
-            BodyMemoryLimit room,
-            Runnable released,
-            Runnable unread) {
+            boolean forwardsEndpointHeaders,
+            BooleanSupplier isLastOnConnection,
+            BodyMemoryLimit memory,
+            Runnable onReleased,
+            Runnable stopBody) {
         this.loop = loop;
         this.exchange = exchange;
-        this.plain = plain;
-        this.closing = closing;
-        this.room = room;
-        this.released = released;
-        this.unread = unread;
+        this.forwardsEndpointHeaders = forwardsEndpointHeaders;
+        this.isLastOnConnection = isLastOnConnection;
+        this.memory = memory;
+        this.onReleased = onReleased;
+        this.stopBody = stopBody;
     }
 
     @Override
-    public void served(EndpointResponse made) {
-        passHeaders(made);
-        answer(made.status(), made.body());
+    public void served(EndpointResponse response) {
+        forwardHeaders(response);
+        send(response.status(), response.body());
     }
 
     @Override
     public ByteSink begin(EndpointResponse head, long length, Runnable more, Runnable gone) {
-        passHeaders(head);
-        head(head.status());
+        forwardHeaders(head);
+        start(head.status());
         if (length >= 0) {
             exchange.setResponseContentLength(length);
         }
-        longAnswer = new StreamedResponse(loop, exchange, more, gone);
-        return longAnswer;
+        streamed = new StreamedResponse(loop, exchange, more, gone);
+        return streamed;
     }
 
-    private void passHeaders(EndpointResponse made) {
-        if (made.headers() != null && plain) {
-            // Where they can't be told apart from another answer's beginning, they are left out:
-            // never seen here.
-            EndToEndHeaders.pass(made.headers(), LEFT_OUT, exchange.getResponseHeaders()::add);
-            exchange.getResponseHeaders().add(Headers.VIA, "1.1 trailthread");
-            String length = made.headers().getFirst(Headers.CONTENT_LENGTH);
-            if (exchange.getRequestMethod().equals(Methods.HEAD) && length != null) {
-                exchange.getResponseHeaders().put(Headers.CONTENT_LENGTH, length);
-            }
+    private void forwardHeaders(EndpointResponse response) {
+        HeaderMap from = response.headers();
+        if (from == null || !forwardsEndpointHeaders) {
+            return;
+        }
+        HeaderMap to = exchange.getResponseHeaders();
+        // The result is not needed: headers that could be taken for the start of another response
+        // are left out, and have not been seen here.
+        EndToEndHeaders.pass(from, NOT_FORWARDED, to::add);
+        to.add(Headers.VIA, "1.1 trailthread");
+        String length = from.getFirst(Headers.CONTENT_LENGTH);
+        if (exchange.getRequestMethod().equals(Methods.HEAD) && length != null) {
+            to.put(Headers.CONTENT_LENGTH, length);
         }
     }
 
     @Override
     public void released() {
-        released.run();
+        onReleased.run();
     }
 
     @Override
@@ -107,60 +115,60 @@
         if (retryAfterNs > 0) {
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Seconds.format(retryAfterNs));
         }
-        answer(REFUSED, new byte[0]);
+        send(StatusCodes.SERVICE_UNAVAILABLE, NO_BODY);
     }
 
     @Override
     public void failed() {
-        answer(FAILED, new byte[0]);
+        send(StatusCodes.BAD_GATEWAY, NO_BODY);
     }
 
-    private void head(int status) {
+    private void start(int status) {
         if (answered) {
-            throw new IllegalStateException("answered twice");
+            throw new IllegalStateException("a request must have one response");
         }
         answered = true;
-        if (!exchange.isRequestComplete()) { // the rest of its body is not wanted
-            unread.run();
+        if (!exchange.isRequestComplete()) {
+            stopBody.run();
             Connectors.terminateRequest(exchange);
             exchange.setPersistent(false);
         }
         exchange.setStatusCode(status);
-        if (exchange.isPersistent()
-                && closing.getAsBoolean()
-                && !PipelinedBytes.isBehind(exchange, room)) {
+        if (exchange.isPersistent() && isLastOnConnection.getAsBoolean()) {
             exchange.setPersistent(false);
         }
     }
 
-    private void answer(int status, byte[] body) {
-        head(status);
-        if (plain && body.length == 0) {
+    private void send(int status, byte[] body) {
+        start(status);
+        if (forwardsEndpointHeaders && body.length == 0) {
             exchange.endExchange();
         } else {
             exchange.getResponseSender().send(ByteBuffer.wrap(body));
         }
         if (!exchange.isResponseComplete()) {
-            loop.afterReading(
-                    READ_WITHIN_NS,
-                    () -> {
-                        if (!exchange.isResponseComplete()) {
-                            IoUtils.safeClose(exchange.getConnection());
-                        }
-                    });
+            loop.afterReading(READ_TIMEOUT_NS, this::closeIfUnread);
+        }
+    }
+
+    private void closeIfUnread() {
+        if (!exchange.isResponseComplete()) {
+            IoUtils.safeClose(exchange.getConnection());
         }
     }
 
     /**
-     * Undertow reads nothing while a call is at work; a client that closes would go unnoticed. What
-     * it may send ahead instead is handed back for the next calls.
+     * Watches for the client's end while the request is in flight, as Undertow does not read then.
+     * Bytes that the client sends ahead meanwhile are kept for its next requests.
+     *
+     * @param whenGone runs if the client disconnects before the response has begun
      */
     void watchClient(Runnable whenGone) {
         if (answered) {
             return;
         }
-        gone = whenGone;
-        AbstractServerConnection connection = (AbstractServerConnection) exchange.getConnection();
+        onClientGone = whenGone;
+        AbstractServerConnection connection = connection();
         connection
                 .getChannel()
                 .getSourceChannel()
@@ -170,31 +178,39 @@
 
     @Override
     public void look() {
-        if (gone != null && !answered) {
-            readAhead((AbstractServerConnection) exchange.getConnection());
+        if (onClientGone != null && !answered) {
+            readAhead(connection());
         }
     }
 
+    private AbstractServerConnection connection() {
+        return (AbstractServerConnection) exchange.getConnection();
+    }
+
     /**
-     * Reads on while a call is at work; what finds no room stays in the socket, and hides that its
-     * client has left.
+     * Reads what the client sends ahead. Bytes that find no memory stay in the socket, and the
+     * client's end behind them is not noticed.
      */
     private void readAhead(AbstractServerConnection connection) {
         boolean open;
         try {
-            open = PipelinedBytes.read(connection, room);
+            open = PipelinedBytes.read(connection, memory);
         } catch (IOException e) {
-            open = false; // as good as closed
+            open = false; // a connection that can't be read is as good as closed
         }
         if (!open) {
-            connection.getOriginalSourceConduit().suspendReads();
-            if (!answered) {
-                answered = true;
-                gone.run();
-            } else if (longAnswer != null) {
-                longAnswer.clientGone();
-            }
-            IoUtils.safeClose(connection);
+            clientGone(connection);
+        }
+    }
+
+    private void clientGone(AbstractServerConnection connection) {
+        connection.getOriginalSourceConduit().suspendReads();
+        if (!answered) {
+            answered = true;
+            onClientGone.run();
+        } else if (streamed != null) {
+            streamed.clientGone();
         }
+        IoUtils.safeClose(connection);
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/listener/PipelinedBytes.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PipelinedBytes.java
@@ -9,36 +9,39 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * What a client has sent ahead of an answer, past what a buffer of the pool holds: the next calls
- * on its connection are read from it. Out of the room that long bodies share.
+ * Bytes that a client has pipelined behind a request in flight, past what a pooled buffer holds.
+ * Undertow reads the next requests on the connection from them. Their memory is reserved from what
+ * long bodies share.
  */
 final class PipelinedBytes implements PooledByteBuffer {
-    /** Of one connection no more is held: the rest waits in its socket. */
-    private static final int MOST_BYTES = 256 * 1024;
+    /** The most that is kept for one connection; the rest waits in its socket. */
+    private static final int MAX_BYTES = 256 * 1024;
 
-    private final BodyMemoryLimit room;
+    private final BodyMemoryLimit memory;
+
+    /** Null once closed. */
     private ByteBuffer bytes;
 
-    private PipelinedBytes(BodyMemoryLimit room, ByteBuffer bytes) {
-        this.room = room;
+    private PipelinedBytes(BodyMemoryLimit memory, ByteBuffer bytes) {
+        this.memory = memory;
         this.bytes = bytes;
     }
 
     /**
-     * Whether the client has sent more than this request, and waits for what comes of that, too.
-     * Guards calls that have come whole behind it: ended with its answer, the connection would lose
-     * them. A loop that runs late has not read them, so the socket is read first, unless it still
-     * holds the request's own body.
+     * Whether the client has sent more than this request, and so expects further responses. If the
+     * connection ended with this request's response, complete requests behind it would be lost. A
+     * late loop has not read them yet, so the socket is read first, unless it still holds the
+     * request's own body.
      */
-    static boolean isBehind(HttpServerExchange exchange, BodyMemoryLimit room) {
+    static boolean isBehind(HttpServerExchange exchange, BodyMemoryLimit memory) {
         if (!(exchange.getConnection() instanceof AbstractServerConnection connection)) {
             return false;
         }
         if (exchange.isRequestComplete()) {
             try {
-                read(connection, room);
+                read(connection, memory);
             } catch (IOException e) {
-                return false; // the answer will meet the same
+                return false; // the response will fail in the same way
             }
         }
         PooledByteBuffer kept = connection.getExtraBytes();
@@ -46,19 +49,21 @@
     }
 
     /**
-     * Reads what is sent ahead, for the next calls; what finds no room stays in the socket.
+     * Reads pipelined bytes and keeps them for the next requests. What exceeds the memory stays in
+     * the socket.
      *
-     * @return whether the client has not ended its sending, as far as that was read
+     * @return false if the client has closed its side of the connection, as far as that was read
+     * @throws IOException if the connection is broken
      */
-    static boolean read(AbstractServerConnection connection, BodyMemoryLimit room)
+    static boolean read(AbstractServerConnection connection, BodyMemoryLimit memory)
             throws IOException {
         StreamSourceConduit source = connection.getOriginalSourceConduit();
         try (PooledByteBuffer pooled = connection.getByteBufferPool().allocate()) {
             ByteBuffer piece = pooled.getBuffer();
-            int most = EventLoop.MOST_IN_TURN_BYTES;
+            int leftInTurn = EventLoop.MOST_IN_TURN_BYTES;
             int count;
             do {
-                int free = freeAhead(connection, room);
+                int free = freeBytes(connection, memory);
                 if (free == 0) {
                     source.suspendReads();
                     return true;
@@ -68,29 +73,35 @@
                 if (count > 0) {
                     keep(connection, piece.flip());
                 }
-                most -= count;
-            } while (count > 0 && most > 0);
+                leftInTurn -= count;
+            } while (count > 0 && leftInTurn > 0);
             return count >= 0;
         }
     }
 
-    /** How much more may be kept. */
-    private static int freeAhead(AbstractServerConnection connection, BodyMemoryLimit room) {
+    /** How many bytes more can be kept; makes the buffer larger if it is full. */
+    private static int freeBytes(AbstractServerConnection connection, BodyMemoryLimit memory) {
         PooledByteBuffer kept = connection.getExtraBytes();
         if (kept == null) {
-            return Integer
-                    .MAX_VALUE; // a buffer of the pool, which holds as much as is read in one go
+            return Integer.MAX_VALUE; // a pooled buffer will hold as much as is read at a time
         }
-        int free = kept.getBuffer().capacity() - kept.getBuffer().remaining();
-        PipelinedBytes larger = free > 0 ? null : twice(kept, room);
-        if (larger == null) {
+        int free = free(kept);
+        if (free > 0) {
             return free;
         }
+        PipelinedBytes larger = doubled(kept, memory);
+        if (larger == null) {
+            return 0;
+        }
         connection.setExtraBytes(larger);
-        return larger.bytes.capacity() - larger.bytes.remaining();
+        return free(larger);
     }
 
-    /** Behind what came so before: Undertow has some if it came along with the call. */
+    private static int free(PooledByteBuffer kept) {
+        return kept.getBuffer().capacity() - kept.getBuffer().remaining();
+    }
+
+    /** Appends to what is kept; Undertow keeps what came together with the request. */
     private static void keep(AbstractServerConnection connection, ByteBuffer piece) {
         PooledByteBuffer kept = connection.getExtraBytes();
         if (kept == null) {
@@ -101,17 +112,17 @@
         kept.getBuffer().compact().put(piece).flip();
     }
 
-    /** Twice the room for what is kept, which moves; null, and all stays, if there is none. */
-    private static PipelinedBytes twice(PooledByteBuffer kept, BodyMemoryLimit room) {
+    /**
+     * Moves the bytes to a buffer of twice the size; null, with nothing moved, if none can be had.
+     */
+    private static PipelinedBytes doubled(PooledByteBuffer kept, BodyMemoryLimit memory) {
         int capacity = 2 * kept.getBuffer().capacity();
-        if (capacity > MOST_BYTES || !room.take(capacity)) {
+        if (capacity > MAX_BYTES || !memory.tryReserve(capacity)) {
             return null;
         }
-        PipelinedBytes larger =
-                new PipelinedBytes(
-                        room, ByteBuffer.allocate(capacity).put(kept.getBuffer()).flip());
+        ByteBuffer bytes = ByteBuffer.allocate(capacity).put(kept.getBuffer()).flip();
         kept.close();
-        return larger;
+        return new PipelinedBytes(memory, bytes);
     }
 
     @Override
@@ -127,7 +138,7 @@
     @Override
     public void close() {
         if (isOpen()) {
-            room.give(bytes.capacity());
+            memory.release(bytes.capacity());
             bytes = null;
         }
     }
--- a/daemon/src/main/java/trailthread/daemon/listener/PlatformFrontend.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PlatformFrontend.java
@@ -8,23 +8,25 @@
 import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.request.RequestHandler;
 
-/** The platform's clients: one service, its classes and deadlines in headers of its own. */
+/** Frontend of the platform's clients: one service, whose headers name class and deadline. */
 public final class PlatformFrontend implements RequestFrontend {
     private static final Logger LOG = LoggerFactory.getLogger(PlatformFrontend.class);
 
     private PlatformRequestDecoder decoder;
-    private final Taker taker;
+    private final Handler handler;
 
-    /** Makes one for these classes. */
-    public PlatformFrontend(List<RequestClass> classes, RequestHandler calls) {
+    /**
+     * Makes a frontend.
+     *
+     * @param classes the request classes that clients may name
+     * @param handler serves the requests
+     */
+    public PlatformFrontend(List<RequestClass> classes, RequestHandler handler) {
         decoder = new PlatformRequestDecoder(classes);
-        taker = Taker.of(calls);
+        this.handler = new UnboundedHandler(handler);
     }
 
-    /**
-     * Takes calls of these classes from now on; those whose head has been read are taken as they
-     * are.
-     */
+    /** Replaces the request classes; requests whose heads have been decoded keep theirs. */
     public void retune(List<RequestClass> classes) {
         decoder = new PlatformRequestDecoder(classes);
     }
@@ -35,20 +37,20 @@
     }
 
     @Override
-    public Incoming read(HttpServerExchange exchange) {
+    public DecodedHead decode(HttpServerExchange exchange) {
         try {
-            return new Incoming(
+            return new DecodedHead(
                     decoder.decode(
                             exchange.getRequestMethod().toString(),
                             exchange.getRequestURI(),
                             exchange.getQueryString(),
                             exchange.getRequestHeaders()),
-                    taker,
+                    handler,
                     false,
                     null);
         } catch (BadRequestException e) {
-            LOG.debug("no call: {}", e.getMessage());
-            return Incoming.none(RejectionReason.BAD_REQUEST);
+            LOG.debug("bad request: {}", e.getMessage());
+            return DecodedHead.rejected(RejectionReason.BAD_REQUEST);
         }
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/listener/RequestFrontend.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/RequestFrontend.java
@@ -4,77 +4,69 @@
 import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.request.ClientRequest;
 import trailthread.engine.request.ClientResponse;
-import trailthread.engine.request.RequestHandler;
 
-/** Makes calls of what clients send: reads heads, and says who takes the calls. */
+/** Decodes the heads of clients' requests, and says which handler serves each of them. */
 public interface RequestFrontend {
-    /** The path at which the front before the node asks whether it is ready. */
+    /** The path of the readiness check. */
     String readyPath();
 
-    /** Reads a request's head; its body is still to come. */
-    Incoming read(HttpServerExchange exchange);
+    /** Decodes a request's head; its body is still to come. */
+    DecodedHead decode(HttpServerExchange exchange);
 
     /**
-     * A request whose head was read.
+     * What the head of a request says.
      *
-     * @param call but for its body, or null: it is none, and is answered as {@code why} says
-     * @param taker who takes it
-     * @param plain whether the endpoint's status and headers are passed on
+     * @param request without its body; null if it is rejected
+     * @param handler serves the request; null if it is rejected
+     * @param forwardsEndpointHeaders whether the client gets the endpoint's status and headers
+     * @param rejection why the request is rejected; null if it is not
      */
-    record Incoming(ClientRequest call, Taker taker, boolean plain, RejectionReason why) {
-        /** A request that is no call. */
-        static Incoming none(RejectionReason why) {
-            return new Incoming(null, null, false, why);
+    record DecodedHead(
+            ClientRequest request,
+            Handler handler,
+            boolean forwardsEndpointHeaders,
+            RejectionReason rejection) {
+        static DecodedHead rejected(RejectionReason reason) {
+            return new DecodedHead(null, null, false, reason);
         }
     }
 
-    /** Takes a call whose body is kept within bounds. */
-    interface Taker {
-        /** Whether a call with this id is at work; another one may not be taken beside it. */
-        boolean isOpen(String id);
+    /** Serves requests, and bounds the memory that their bodies may take. */
+    interface Handler {
+        /** Stands for the bytes of a body that could not be reserved. */
+        long NOT_RESERVED = -1;
+
+        /** Whether a request with this id is in flight; a second one must not join it. */
+        boolean isInFlight(String id);
 
         /**
-         * Whose crowd its clients are, where there are several that could be in each other's way;
-         * else null.
+         * Whose clients these are, where several services share the connections; null if there is
+         * one service. Compared by identity.
          */
         default Object owner() {
             return null;
         }
 
         /**
-         * Whether a body of so many bytes may be kept. If so, {@link #giveBody} or {@link #take}
+         * Reserves memory for a body. If this returns true, {@link #releaseBody} or {@link #handle}
          * follows, once.
          */
-        default boolean takeBody(long bytes) {
+        default boolean reserveBody(long bytes) {
             return true;
         }
 
-        /** A body that was to be kept is not: its call did not come whole. */
-        default void giveBody(long bytes) {}
+        /** Releases what was reserved for the body of a request that is not handled. */
+        default void releaseBody(long bytes) {}
 
         /**
-         * The call has come whole.
+         * Serves a request.
          *
-         * @param kept how many bytes were taken for its body; -1: there was no room, and the body
-         *     was not kept
-         * @return what to run if the client goes away before it is answered
+         * @param deadline when the client stops waiting, by the loop's clock in nanoseconds
+         * @param reservedBytes what was reserved for its body; {@link #NOT_RESERVED} if nothing
+         *     could be, and the body was discarded
+         * @return what to run if the client disconnects before it has its response
          */
-        Runnable take(ClientRequest call, long deadline, ClientResponse reply, long kept);
-
-        /** One that keeps every body. */
-        static Taker of(RequestHandler calls) {
-            return new Taker() {
-                @Override
-                public boolean isOpen(String id) {
-                    return calls.isOpen(id);
-                }
-
-                @Override
-                public Runnable take(
-                        ClientRequest call, long deadline, ClientResponse reply, long kept) {
-                    return calls.take(call, deadline, reply);
-                }
-            };
-        }
+        Runnable handle(
+                ClientRequest request, long deadline, ClientResponse response, long reservedBytes);
     }
 }
--- /dev/null
+++ b/daemon/src/main/java/trailthread/daemon/listener/RequestReceiver.java
@@ -0,0 +1,250 @@
+package trailthread.daemon.listener;
+
+import io.undertow.server.Connectors;
+import io.undertow.server.HttpHandler;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.Headers;
+import io.undertow.util.SameThreadExecutor;
+import io.undertow.util.StatusCodes;
+import java.util.function.BooleanSupplier;
+import trailthread.daemon.listener.RequestFrontend.DecodedHead;
+import trailthread.daemon.listener.RequestFrontend.Handler;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
+import trailthread.engine.metrics.RejectionReason;
+import trailthread.engine.request.ClientRequest;
+
+/**
+ * Receives clients' requests: has their heads decoded, reads their bodies, and gives them to their
+ * handlers, or rejects them.
+ */
+final class RequestReceiver implements HttpHandler {
+    /**
+     * The share of the heap that long bodies may take together. They fill most of its old
+     * generation then.
+     */
+    private static final double BODIES_HEAP_SHARE = 0.3;
+
+    private final EventLoop loop;
+    private final ClientConnections connections;
+    private final MetricsRecorder metrics;
+    private final BooleanSupplier isReady;
+    private final BodyMemoryLimit bodyMemory =
+            new BodyMemoryLimit((long) (BODIES_HEAP_SHARE * Runtime.getRuntime().maxMemory()));
+    private RequestFrontend frontend;
+
+    RequestReceiver(
+            EventLoop loop,
+            ClientConnections connections,
+            RequestFrontend frontend,
+            BooleanSupplier isReady,
+            MetricsRecorder metrics) {
+        this.loop = loop;
+        this.connections = connections;
+        this.frontend = frontend;
+        this.isReady = isReady;
+        this.metrics = metrics;
+    }
+
+    /**
+     * Replaces the frontend. A request whose body is still being read is decoded again with the new
+     * one when it is complete.
+     */
+    void setFrontend(RequestFrontend frontend) {
+        this.frontend = frontend;
+    }
+
+    @Override
+    public void handleRequest(HttpServerExchange exchange) {
+        long dueAt = track(exchange);
+        if (exchange.getRequestURI().equals(frontend.readyPath())) {
+            exchange.setStatusCode(
+                    isReady.getAsBoolean() ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE);
+            exchange.setPersistent(exchange.isPersistent() && !isLastOnConnection(exchange));
+            return;
+        }
+        PendingRequest pending = new PendingRequest(exchange, dueAt);
+        if (exchange.getRequestContentLength() > BodyReader.MAX_BODY_BYTES) {
+            Connectors.terminateRequest(exchange); // the body is too long to be discarded
+            reject(exchange, RejectionReason.TOO_LARGE);
+            return;
+        }
+        pending.reserve();
+        exchange.dispatch(SameThreadExecutor.INSTANCE, pending::readBody);
+    }
+
+    /** Tracks the connection's state; returns when the complete message is due. */
+    private long track(HttpServerExchange exchange) {
+        ClientConnection client = ClientConnection.of(exchange);
+        long dueAt = connections.began(client);
+        exchange.addExchangeCompleteListener(
+                (completed, next) -> {
+                    connections.ended(client, exchange.isPersistent());
+                    next.proceed();
+                });
+        return dueAt;
+    }
+
+    /** Whether the connection ends with this response. */
+    private boolean isLastOnConnection(HttpServerExchange exchange) {
+        return connections.endsWithAnswer(ClientConnection.of(exchange))
+                && !PipelinedBytes.isBehind(exchange, bodyMemory);
+    }
+
+    /**
+     * Rejects a request. The connection ends, as what follows on it can't be trusted, unless only a
+     * route is missing.
+     */
+    private void reject(HttpServerExchange exchange, RejectionReason reason) {
+        metrics.rejected(reason);
+        exchange.setStatusCode(statusCode(reason));
+        if (reason != RejectionReason.NO_ROUTE || isLastOnConnection(exchange)) {
+            exchange.setPersistent(false);
+        }
+        exchange.endExchange();
+    }
+
+    private static int statusCode(RejectionReason reason) {
+        return switch (reason) {
+            case BAD_REQUEST -> StatusCodes.BAD_REQUEST;
+            case TOO_LARGE -> StatusCodes.REQUEST_ENTITY_TOO_LARGE;
+            case CONFLICT -> StatusCodes.CONFLICT;
+            case NO_ROUTE -> StatusCodes.NOT_FOUND;
+        };
+    }
+
+    /** A request whose head was decoded, and whose body is being read. */
+    private final class PendingRequest implements BodyReader.Receiver {
+        private final HttpServerExchange exchange;
+        private final long dueAt;
+        private final RequestFrontend decodedBy;
+        private DecodedHead head;
+
+        /** What the handler has reserved for the body, in bytes, or that it could not. */
+        private long reservedBytes = Handler.NOT_RESERVED;
+
+        PendingRequest(HttpServerExchange exchange, long dueAt) {
+            this.exchange = exchange;
+            this.dueAt = dueAt;
+            decodedBy = frontend;
+            head = decodedBy.decode(exchange);
+        }
+
+        /** Reserves memory for the body, if the request has a handler. */
+        void reserve() {
+            if (head.request() == null) {
+                reservedBytes = Handler.NOT_RESERVED;
+                return;
+            }
+            long bytes = bodyReservation(exchange);
+            reservedBytes = head.handler().reserveBody(bytes) ? bytes : Handler.NOT_RESERVED;
+        }
+
+        void readBody() {
+            boolean buffered = reservedBytes != Handler.NOT_RESERVED;
+            new BodyReader(loop, exchange, dueAt, buffered, bodyMemory, this).read();
+        }
+
+        @Override
+        public void complete(byte[] body) {
+            if (decodedBy != frontend) {
+                decodeAgain();
+            }
+            RejectionReason rejection = rejection(body);
+            if (rejection == null) {
+                handle(head.request().withBody(body));
+                return;
+            }
+            releaseReservation();
+            if (body != null) {
+                bodyMemory.release(BodyMemoryLimit.reservationFor(body.length));
+            }
+            reject(exchange, rejection);
+        }
+
+        /** The frontend was replaced while the body was read. */
+        private void decodeAgain() {
+            releaseReservation();
+            head = frontend.decode(exchange);
+            boolean discarded = reservedBytes == Handler.NOT_RESERVED;
+            if (!discarded) {
+                reserve();
+            }
+        }
+
+        private RejectionReason rejection(byte[] body) {
+            if (head.request() == null) {
+                return head.rejection();
+            }
+            if (body == null) {
+                return RejectionReason.TOO_LARGE;
+            }
+            return isDuplicate() ? RejectionReason.CONFLICT : null;
+        }
+
+        /** Whether the endpoint could take this request for a copy of one in flight. */
+        private boolean isDuplicate() {
+            return head.handler().isInFlight(head.request().id());
+        }
+
+        private void handle(ClientRequest request) {
+            long bodyBytes = BodyMemoryLimit.reservationFor(request.body().length);
+            HttpResponseWriter response = responseWriter(bodyBytes, () -> {});
+            // The client's time runs from its last byte, which may have waited for this loop.
+            long deadline = loop.cameNotBefore() + request.timeLeftNs();
+            Runnable onClientGone =
+                    head.handler().handle(request, deadline, response, reservedBytes);
+            response.watchClient(onClientGone);
+        }
+
+        @Override
+        public void stream(BodyReader body) {
+            if (isDuplicate()) {
+                body.stop();
+                releaseReservation();
+                Connectors.terminateRequest(exchange);
+                reject(exchange, RejectionReason.CONFLICT);
+                return;
+            }
+            HttpResponseWriter response = responseWriter(0, body::stop);
+            ClientRequest request = head.request().withSource(body);
+            long deadline = loop.now() + body.longestNs() + request.timeLeftNs();
+            Runnable onClientGone =
+                    head.handler().handle(request, deadline, response, reservedBytes);
+            body.onStream(() -> response.watchClient(onClientGone), onClientGone);
+        }
+
+        @Override
+        public void aborted() {
+            releaseReservation();
+        }
+
+        private HttpResponseWriter responseWriter(long bodyBytes, Runnable stopBody) {
+            ClientConnection.of(exchange).setOwner(head.handler().owner());
+            return new HttpResponseWriter(
+                    loop,
+                    exchange,
+                    head.forwardsEndpointHeaders(),
+                    () -> isLastOnConnection(exchange),
+                    bodyMemory,
+                    () -> bodyMemory.release(bodyBytes),
+                    stopBody);
+        }
+
+        private void releaseReservation() {
+            if (reservedBytes > 0 && head.request() != null) {
+                head.handler().releaseBody(reservedBytes);
+            }
+        }
+    }
+
+    /** The bytes to reserve for a body that is still to come: its length, if that is declared. */
+    private static long bodyReservation(HttpServerExchange exchange) {
+        long length = exchange.getRequestContentLength();
+        if (length >= 0) {
+            return length;
+        }
+        boolean hasBody = exchange.getRequestHeaders().contains(Headers.TRANSFER_ENCODING);
+        return hasBody ? BodyMemoryLimit.SHORT_BODY_BYTES : 0;
+    }
+}
--- a/daemon/src/main/java/trailthread/daemon/listener/ServiceFrontend.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ServiceFrontend.java
@@ -12,6 +12,7 @@
 import org.slf4j.LoggerFactory;
 import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.pool.Pool;
+import trailthread.engine.pool.PoolConfig.ClassConfig;
 import trailthread.engine.pool.PoolConfig.Profile;
 import trailthread.engine.request.ClientRequest;
 import trailthread.engine.request.ClientResponse;
@@ -22,31 +23,115 @@
 import trailthread.engine.routes.Target;
 
 /**
- * Several services behind one address: a request's route says which pool takes it. Never changed
- * once it is made.
+ * Frontend of several services behind one address: a request's route names the pool that serves it.
+ * Immutable.
  */
 public final class ServiceFrontend implements RequestFrontend {
     private static final Logger LOG = LoggerFactory.getLogger(ServiceFrontend.class);
 
-    /** One pool, and how its clients are read. */
-    private static final class Service implements Taker {
+    private final RouteTable routes;
+    private final Map<String, Service> services = new HashMap<>();
+
+    /**
+     * Makes a frontend.
+     *
+     * @param pools all pools that the routes name, by name
+     * @param newIds makes ids for requests that bring none
+     */
+    public ServiceFrontend(RouteTable routes, Map<String, Pool> pools, Supplier<String> newIds) {
+        this.routes = routes;
+        pools.forEach((name, pool) -> services.put(name, new Service(pool, newIds)));
+    }
+
+    /** No service can have this path: a route to it never matches. */
+    @Override
+    public String readyPath() {
+        return "/-/ready";
+    }
+
+    @Override
+    public DecodedHead decode(HttpServerExchange exchange) {
+        try {
+            Target target = target(exchange);
+            Route route = routes.match(routeQuery(exchange, target));
+            if (route == null) {
+                return DecodedHead.rejected(RejectionReason.NO_ROUTE);
+            }
+            Service service = services.get(route.pool());
+            ClientRequest request = service.decode(exchange, target, route);
+            return new DecodedHead(request, service, service.isPlain(), null);
+        } catch (BadTargetException | BadRequestException e) {
+            LOG.debug("bad request: {}", e.getMessage());
+            return DecodedHead.rejected(RejectionReason.BAD_REQUEST);
+        }
+    }
+
+    private static Target target(HttpServerExchange exchange) throws BadTargetException {
+        HeaderMap headers = exchange.getRequestHeaders();
+        String uri = exchange.getRequestURI();
+        String query = exchange.getQueryString();
+        return Target.parse(
+                exchange.getRequestMethod().toString(),
+                query.isEmpty() ? uri : uri + "?" + query,
+                headers.contains(Headers.HOST) ? headers.get(Headers.HOST) : List.of(),
+                exchange.getProtocol().equals(Protocols.HTTP_1_1));
+    }
+
+    private static RouteQuery routeQuery(HttpServerExchange exchange, Target target) {
+        HeaderMap headers = exchange.getRequestHeaders();
+        return new RouteQuery(
+                target.host(),
+                target.segments(),
+                exchange.getRequestMethod().toString(),
+                name -> headers.count(name) == 1 ? headers.getFirst(name) : null,
+                headers.getFirst(PlatformRequestDecoder.SERVICE_CLASS));
+    }
+
+    /** A pool, and the decoder for its clients' requests. */
+    private static final class Service implements Handler {
         private final Pool pool;
-        private final PlainRequestDecoder plain;
-        private final PlatformRequestDecoder platform;
 
-        Service(Pool pool, Supplier<String> ids) {
+        /** Null if the pool has the platform's profile. */
+        private final PlainRequestDecoder plainDecoder;
+
+        /** Null if the pool has the plain profile. */
+        private final PlatformRequestDecoder platformDecoder;
+
+        Service(Pool pool, Supplier<String> newIds) {
             this.pool = pool;
-            boolean isPlain = pool.config().profile() == Profile.PLAIN;
-            plain = isPlain ? new PlainRequestDecoder(pool.config(), ids) : null;
-            platform =
-                    isPlain
-                            ? null
-                            : new PlatformRequestDecoder(
-                                    pool.config().classes().stream().map(c -> c.rules()).toList());
+            if (pool.config().profile() == Profile.PLAIN) {
+                plainDecoder = new PlainRequestDecoder(pool.config(), newIds);
+                platformDecoder = null;
+            } else {
+                plainDecoder = null;
+                platformDecoder =
+                        new PlatformRequestDecoder(
+                                pool.config().classes().stream().map(ClassConfig::rules).toList());
+            }
+        }
+
+        boolean isPlain() {
+            return plainDecoder != null;
+        }
+
+        ClientRequest decode(HttpServerExchange exchange, Target target, Route route)
+                throws BadRequestException {
+            String method = exchange.getRequestMethod().toString();
+            HeaderMap headers = exchange.getRequestHeaders();
+            if (plainDecoder != null) {
+                return plainDecoder.decode(method, target, headers, route.assigns());
+            }
+            String query = exchange.getQueryString();
+            return platformDecoder.decode(method, path(target), query, headers);
+        }
+
+        private static String path(Target target) {
+            int query = target.origin().indexOf('?');
+            return query < 0 ? target.origin() : target.origin().substring(0, query);
         }
 
         @Override
-        public boolean isOpen(String id) {
+        public boolean isInFlight(String id) {
             return pool.isOpen(id);
         }
 
@@ -56,83 +141,19 @@
         }
 
         @Override
-        public boolean takeBody(long bytes) {
+        public boolean reserveBody(long bytes) {
             return pool.takeBody(bytes);
         }
 
         @Override
-        public void giveBody(long bytes) {
+        public void releaseBody(long bytes) {
             pool.giveBody(bytes);
         }
 
         @Override
-        public Runnable take(ClientRequest call, long deadline, ClientResponse reply, long kept) {
-            return pool.take(call, deadline, reply, kept);
+        public Runnable handle(
+                ClientRequest request, long deadline, ClientResponse response, long reservedBytes) {
+            return pool.take(request, deadline, response, reservedBytes);
         }
     }
-
-    private final RouteTable routes;
-    private final Map<String, Service> services = new HashMap<>();
-
-    /**
-     * Makes one.
-     *
-     * @param pools all that the routes name
-     * @param ids makes ids for calls that bring none
-     */
-    public ServiceFrontend(RouteTable routes, Map<String, Pool> pools, Supplier<String> ids) {
-        this.routes = routes;
-        pools.forEach((name, pool) -> services.put(name, new Service(pool, ids)));
-    }
-
-    /** A path that no service can have: a route to it never matches. */
-    @Override
-    public String readyPath() {
-        return "/-/ready";
-    }
-
-    @Override
-    public Incoming read(HttpServerExchange exchange) {
-        HeaderMap headers = exchange.getRequestHeaders();
-        String method = exchange.getRequestMethod().toString();
-        String query = exchange.getQueryString();
-        try {
-            Target target =
-                    Target.parse(
-                            method,
-                            query.isEmpty()
-                                    ? exchange.getRequestURI()
-                                    : exchange.getRequestURI() + "?" + query,
-                            headers.contains(Headers.HOST) ? headers.get(Headers.HOST) : List.of(),
-                            exchange.getProtocol().equals(Protocols.HTTP_1_1));
-            Route route =
-                    routes.match(
-                            new RouteQuery(
-                                    target.host(),
-                                    target.segments(),
-                                    method,
-                                    name ->
-                                            headers.count(name) == 1
-                                                    ? headers.getFirst(name)
-                                                    : null,
-                                    headers.getFirst(PlatformRequestDecoder.SERVICE_CLASS)));
-            if (route == null) {
-                return Incoming.none(RejectionReason.NO_ROUTE);
-            }
-            Service service = services.get(route.pool());
-            ClientRequest call =
-                    service.plain != null
-                            ? service.plain.decode(method, target, headers, route.assigns())
-                            : service.platform.decode(method, path(target), query, headers);
-            return new Incoming(call, service, service.plain != null, null);
-        } catch (BadTargetException | BadRequestException e) {
-            LOG.debug("no call: {}", e.getMessage());
-            return Incoming.none(RejectionReason.BAD_REQUEST);
-        }
-    }
-
-    private static String path(Target target) {
-        int query = target.origin().indexOf('?');
-        return query < 0 ? target.origin() : target.origin().substring(0, query);
-    }
 }
--- /dev/null
+++ b/daemon/src/main/java/trailthread/daemon/listener/UnboundedHandler.java
@@ -0,0 +1,25 @@
+package trailthread.daemon.listener;
+
+import trailthread.engine.request.ClientRequest;
+import trailthread.engine.request.ClientResponse;
+import trailthread.engine.request.RequestHandler;
+
+/** Serves the requests of a single service, the memory of whose bodies has no bound of its own. */
+final class UnboundedHandler implements RequestFrontend.Handler {
+    private final RequestHandler handler;
+
+    UnboundedHandler(RequestHandler handler) {
+        this.handler = handler;
+    }
+
+    @Override
+    public boolean isInFlight(String id) {
+        return handler.isOpen(id);
+    }
+
+    @Override
+    public Runnable handle(
+            ClientRequest request, long deadline, ClientResponse response, long reservedBytes) {
+        return handler.take(request, deadline, response);
+    }
+}
--- a/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
@@ -352,10 +352,10 @@
                     }
 
                     @Override
-                    public Incoming read(HttpServerExchange exchange) {
+                    public DecodedHead decode(HttpServerExchange exchange) {
                         return exchange.getRequestURI().equals("/nowhere")
-                                ? Incoming.none(RejectionReason.NO_ROUTE)
-                                : calls.read(exchange);
+                                ? DecodedHead.rejected(RejectionReason.NO_ROUTE)
+                                : calls.decode(exchange);
                     }
                 });
         loop.execute(() -> acceptor.endWithAnswers(true));
