--- a/daemon/src/main/java/trailthread/daemon/listener/ClientConnection.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ClientConnection.java
@@ -13,28 +13,30 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * A connection from a client, and what is known of what came on it: it sees every byte that is
- * read.
+ * A connection from a client, and when bytes of its next request began to come: as the source
+ * conduit it sees every byte that is read.
  */
 final class ClientConnection extends AbstractStreamSourceConduit<StreamSourceConduit> {
+    private static final long NO_BYTES = 0;
+
     private final StreamConnection connection;
     private final EventLoop loop;
 
-    /** When it was opened or has idled from. */
-    private long since;
+    /** When it was opened, or became idle last. */
+    private long unusedSince;
 
-    /** Whose call it carried last, where it matters; else null. */
+    /** Whose request it carried last; null if there is only one service. */
     private Object owner;
 
-    /** When the first byte of a call came that is not there whole as yet; 0: none has come. */
-    private long speaksSince;
+    /** When the first byte of an incomplete request came; {@link #NO_BYTES} if none has come. */
+    private long receivingSince = NO_BYTES;
 
-    /** Puts itself between the connection and whoever reads it. */
+    /** Wraps the connection's source conduit; times are those of the loop, in nanoseconds. */
     ClientConnection(StreamConnection connection, EventLoop loop) {
         super(connection.getSourceChannel().getConduit());
         this.connection = connection;
         this.loop = loop;
-        since = loop.now();
+        unusedSince = loop.now();
         connection.getSourceChannel().setConduit(this);
     }
 
@@ -44,12 +46,19 @@
                 ((AbstractServerConnection) exchange.getConnection()).getOriginalSourceConduit();
     }
 
-    long since() {
-        return since;
+    /** When it was opened, or became idle last. */
+    long unusedSince() {
+        return unusedSince;
+    }
+
+    /** Whether bytes of an incomplete request have come. */
+    boolean isReceiving() {
+        return receivingSince != NO_BYTES;
     }
 
-    long speaksSince() {
-        return speaksSince;
+    /** When the first byte of an incomplete request came, if any has come; else long ago. */
+    long receivingSince() {
+        return receivingSince;
     }
 
     Object owner() {
@@ -64,14 +73,14 @@
         return connection.isOpen();
     }
 
-    /** It carries no call from now on. */
-    void idles(long now) {
-        since = now;
-        speaksSince = 0;
+    /** Its request has ended, and it carries none from now on. */
+    void becomeUnused(long now) {
+        unusedSince = now;
+        receivingSince = NO_BYTES;
     }
 
-    /** Reads what has come on it, as if it had just been found ready. */
-    void serveWhatHasCome() {
+    /** Reads what has come on it, as if its socket had just become readable. */
+    void readAvailable() {
         ConduitStreamSourceChannel source = connection.getSourceChannel();
         ChannelListeners.invokeChannelListener(source, source.getReadListener());
     }
@@ -83,18 +92,18 @@
     @Override
     public int read(ByteBuffer dst) throws IOException {
         loop.servesSocket();
-        return (int) came(super.read(dst));
+        return (int) noteReceived(super.read(dst));
     }
 
     @Override
     public long read(ByteBuffer[] dsts, int offs, int len) throws IOException {
         loop.servesSocket();
-        return came(super.read(dsts, offs, len));
+        return noteReceived(super.read(dsts, offs, len));
     }
 
-    private long came(long count) {
-        if (count > 0 && speaksSince == 0) {
-            speaksSince = loop.now();
+    private long noteReceived(long count) {
+        if (count > 0 && receivingSince == NO_BYTES) {
+            receivingSince = loop.now();
         }
         return count;
     }
--- a/daemon/src/main/java/trailthread/daemon/listener/ClientConnections.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ClientConnections.java
@@ -10,225 +10,240 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * The connections from clients, bounded, and how each ends. Guards against clients that take
- * connections and make no use of them: silent ones, heads that never end, those kept for good after
- * one call. Each of them holds a descriptor that a client with a call needs.
+ * Tracks the connections from clients, and closes those that clients hold without using them, so
+ * that descriptors are free for clients with requests: connections on which nothing is sent, heads
+ * that are never completed, and connections that are kept open after a request.
  *
- * <p>No call is lost to an end, whoever asks for it: see {@link #end(ClientConnection, long)}, the
- * one place where a connection ends between calls. An answer that says that it is the last one
- * can't cross a call at all, so where there are many, and where the node leaves, answers end them.
- * docs/restarts.md tells what a client sees at each moment.
+ * <p>No request is lost to such a close: {@link #end(ClientConnection, long)}, the one place where
+ * a connection is closed between requests, reads first what has come. Where many connections are
+ * idle, and while the node drains, responses end their connections (Connection: close), which can't
+ * cross a request at all. docs/restarts.md describes what a client sees.
  */
 final class ClientConnections {
     /**
-     * A connection brings the head of its first call whole within this, and any head once it has
-     * begun.
+     * A first head is due this long after its connection opened; any other, after its first byte.
      */
-    private static final long HEAD_WITHIN_NS = 2_600_000_000L;
+    private static final long HEAD_TIMEOUT_NS = 2_600_000_000L;
 
-    /** A kept connection without a call is closed after so long, though there is room. */
-    private static final long IDLE_NS = 15_000_000_000L;
+    /** The rest of a message is due this long after its head, but for what a body's rate earns. */
+    private static final long REST_TIMEOUT_NS = 1_000_000_000L;
 
-    /** And the rest of its message so soon after its head, but for what a body's pace earns it. */
-    private static final long REST_WITHIN_NS = 1_000_000_000L;
+    /** An idle connection is closed after this time, however few there are. */
+    private static final long IDLE_TIMEOUT_NS = 15_000_000_000L;
 
-    /**
-     * From when on an idle connection may make room for another: clients count on it for this long.
-     */
-    private static final long KEPT_AT_LEAST_NS = 2_000_000_000L;
+    /** Clients rely on an idle connection for this long, so it is closed later, but in a crowd. */
+    private static final long MIN_KEEP_ALIVE_NS = 2_000_000_000L;
+
+    /** A client with a request sends it within this time of connecting. */
+    private static final long SILENT_GRACE_NS = 250_000_000L;
+
+    /** How long a connection must have been unused to be closed, or to count, in a crowd. */
+    private static final long CROWDED_UNUSED_NS = 100_000_000L;
 
-    /** A client with a call sends it as soon as it is connected; a silent one then makes room. */
-    private static final long SPEAKS_WITHIN_NS = 250_000_000L;
+    private static final long CHECK_INTERVAL_NS = 50_000_000L;
+
+    /** The share that is exceeded by any number of connections. */
+    private static final double NO_SHARE = 0;
 
     /**
-     * Past this share of what clients may hold, idle connections are enough: answers end theirs.
-     * Only idle ones count, and only if some have idled for a while, as a crowd of calls is served
-     * with less work over the connections that it has.
+     * When idle connections exceed this share of the limit, responses end theirs. Busy ones do not
+     * count, and the idle must have been so for a while: many requests at a time cost less over the
+     * connections that are open.
      */
-    private static final double IDLE_SHARE = 0.3;
-
-    /** However few there are. */
-    private static final double ALL = 0;
+    private static final double ENDING_IDLE_SHARE = 0.3;
 
-    /** Past this share, those that have been kept for long enough are closed. */
+    /**
+     * Past this share of the limit, idle connections are closed that have been kept long enough.
+     */
     private static final double KEPT_SHARE = 0.5;
 
     /**
-     * Past this share, those that idle or are silent for this long are closed, too. Guards against
-     * a crowd that opens a connection for each call: past what they may hold, clients find no
-     * further one.
+     * Past this share of the limit, all connections are closed that have been unused for {@link
+     * #CROWDED_UNUSED_NS}. Prevents clients that open a connection for each request from using up
+     * the limit, past which no client can connect.
      */
     private static final double CROWDED_SHARE = 0.65;
 
-    private static final long CROWDED_NS = 100_000_000L;
-    private static final long LOOKED_AT_EVERY_NS = 50_000_000L;
-
     private final EventLoop loop;
-    private final int mayHold;
+    private final int limit;
 
-    /** Those that have yet to bring their first head, the oldest first. */
+    /** Those on which no head has come yet, the oldest first. */
     private final Set<ClientConnection> silent = new LinkedHashSet<>();
 
-    /** Those that idle between calls, the longest idle first. */
+    /** Those between two requests, the longest idle first. */
     private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
-    /** Those with a call. */
+    /** Those with a request. */
     private final Set<ClientConnection> busy = new LinkedHashSet<>();
 
-    /** Those whose last answer has been written: their clients are to read it, and to close. */
+    /** Those whose last response has been written; their clients are to read it and to close. */
     private final Set<ClientConnection> leaving = new LinkedHashSet<>();
 
-    /** How many idle after calls of each owner, where connections have owners. */
-    private final IdentityHashMap<Object, Integer> idleOf = new IdentityHashMap<>();
+    /** How many connections are idle after a request of each owner. */
+    private final IdentityHashMap<Object, Integer> idleByOwner = new IdentityHashMap<>();
 
-    private boolean ending;
+    private boolean endWithAnswers;
 
-    /** What runs once none is open, where all are to end; else null. */
+    /** Runs once no connection is open; null unless all are to end. */
     private Runnable whenNone;
 
     /**
-     * @param mayHold how many connections clients with calls may hold; past it they find no further
-     *     one
+     * Starts to track connections.
+     *
+     * @param limit how many connections clients with requests may hold; past it none can connect
      */
-    ClientConnections(EventLoop loop, int mayHold) {
+    ClientConnections(EventLoop loop, int limit) {
         this.loop = loop;
-        this.mayHold = mayHold;
-        loop.execute(this::lookAgain);
+        this.limit = limit;
+        loop.execute(this::checkRegularly);
     }
 
-    private void lookAgain() {
-        makeRoom();
+    private void checkRegularly() {
+        closeUnusedInCrowd();
         if (whenNone != null) {
             endUnused();
         }
-        loop.after(LOOKED_AT_EVERY_NS, this::lookAgain);
+        loop.after(CHECK_INTERVAL_NS, this::checkRegularly);
     }
 
     ClientConnection opened(StreamConnection connection) {
         ClientConnection client = new ClientConnection(connection, loop);
         silent.add(client);
-        makeRoom();
+        closeUnusedInCrowd();
         return client;
     }
 
-    /** A head has come; says by when the rest of the message is owed. */
+    /** A request's head has come; returns when the rest of the message is due. */
     long began(ClientConnection client) {
         long now = loop.now();
         boolean first = silent.remove(client);
-        idlesNoMore(client);
+        removeIdle(client);
         busy.add(client);
-        return Math.max((first ? client.since() : now) + HEAD_WITHIN_NS, now + REST_WITHIN_NS);
+        long headBegan = first ? client.unusedSince() : now;
+        return Math.max(headBegan + HEAD_TIMEOUT_NS, now + REST_TIMEOUT_NS);
     }
 
     /**
-     * Its call has its answer.
+     * A request has its response.
      *
-     * @param kept whether it may bring another
+     * @param persistent whether the connection may carry another request
      */
-    void ended(ClientConnection client, boolean kept) {
+    void ended(ClientConnection client, boolean persistent) {
         if (!busy.remove(client) || !client.isOpen()) {
             return;
         }
-        client.idles(loop.now());
-        if (!kept) {
+        client.becomeUnused(loop.now());
+        if (persistent) {
+            addIdle(client);
+        } else {
             leaving.add(client);
-            return;
         }
+    }
+
+    void closed(ClientConnection client) {
+        silent.remove(client);
+        removeIdle(client);
+        busy.remove(client);
+        leaving.remove(client);
+        notifyIfNone();
+    }
+
+    private void addIdle(ClientConnection client) {
         idle.add(client);
         if (client.owner() != null) {
-            idleOf.merge(client.owner(), 1, Integer::sum);
+            idleByOwner.merge(client.owner(), 1, Integer::sum);
         }
     }
 
-    private void idlesNoMore(ClientConnection client) {
+    private void removeIdle(ClientConnection client) {
         if (idle.remove(client) && client.owner() != null) {
-            idleOf.merge(client.owner(), -1, (had, one) -> had + one == 0 ? null : had + one);
+            idleByOwner.computeIfPresent(
+                    client.owner(), (owner, count) -> count == 1 ? null : count - 1);
         }
     }
 
     /**
-     * Whether one that idles after a call of this owner makes room for others. Guards each
-     * service's clients against the crowd of another's: only those that keep their equal part or
-     * more are in the way.
+     * Whether connections that are idle after requests of this owner may be closed to free their
+     * descriptors. Prevents the many idle connections of one service's clients from costing another
+     * service's clients theirs: only an owner with at least an equal share of them is affected.
      */
-    private boolean makesRoom(Object owner) {
-        return owner == null
-                || idleOf.size() < 2
-                || (long) idleOf.getOrDefault(owner, 0) * idleOf.size() >= idle.size();
-    }
-
-    void closed(ClientConnection client) {
-        silent.remove(client);
-        idlesNoMore(client);
-        busy.remove(client);
-        leaving.remove(client);
-        tellIfNone();
+    private boolean holdsFairShare(Object owner) {
+        int owners = idleByOwner.size();
+        if (owner == null || owners < 2) {
+            return true;
+        }
+        return (long) idleByOwner.getOrDefault(owner, 0) * owners >= idle.size();
     }
 
-    /** Whether the answer to what this one carries is to end it, so that others find room. */
+    /** Whether the response to the request on this connection is to end it. */
     boolean endsWithAnswer(ClientConnection client) {
-        return ending
-                || (idle.size() > IDLE_SHARE * mayHold
-                        && idle.iterator().next().since() < loop.now() - CROWDED_NS
-                        && makesRoom(client.owner()));
+        if (endWithAnswers) {
+            return true;
+        }
+        return idle.size() > ENDING_IDLE_SHARE * limit
+                && idle.iterator().next().unusedSince() < loop.now() - CROWDED_UNUSED_NS
+                && holdsFairShare(client.owner());
     }
 
-    /** Answers end their connections from now on. */
-    void endWithAnswers(boolean ending) {
-        this.ending = ending;
+    /** Sets whether every response ends its connection. */
+    void endWithAnswers(boolean end) {
+        endWithAnswers = end;
     }
 
-    /** Ends those that idle, and those that have been silent for a while. */
+    /** Ends the idle connections, and the silent ones that have had time to send a request. */
     void endUnused() {
         long now = loop.now();
-        endWhile(ALL, idle, now, REST_WITHIN_NS);
-        endWhile(ALL, silent, now - SPEAKS_WITHIN_NS, REST_WITHIN_NS);
+        endWhileOver(NO_SHARE, idle, now, REST_TIMEOUT_NS);
+        endWhileOver(NO_SHARE, silent, now - SILENT_GRACE_NS, REST_TIMEOUT_NS);
     }
 
     /**
-     * Ends all: those that carry no call by and by, the others with their answers, see {@link
-     * #endWithAnswers}.
+     * Ends all connections: unused ones within some time, the others with their responses, see
+     * {@link #endWithAnswers}.
      *
-     * @param whenNone runs when none is left. Guards the calls that lie unread on one while another
-     *     ends: with the process, they would be reset
+     * @param whenNone runs when none is left, and not before: requests that lie unread would be
+     *     reset with the process
      */
     void endAll(Runnable whenNone) {
         this.whenNone = whenNone;
         endUnused();
-        tellIfNone();
+        notifyIfNone();
     }
 
-    private void tellIfNone() {
+    private void notifyIfNone() {
         if (whenNone != null && size() == 0) {
             whenNone.run();
         }
     }
 
-    private void makeRoom() {
+    /** Closes what has timed out, and more the closer the connections come to the limit. */
+    private void closeUnusedInCrowd() {
         long now = loop.now();
-        endWhile(ALL, silent, now - HEAD_WITHIN_NS, 0);
-        endWhile(ALL, idle, now - IDLE_NS, HEAD_WITHIN_NS);
-        for (ClientConnection client : halfHeard(now)) {
-            end(client, HEAD_WITHIN_NS);
+        endWhileOver(NO_SHARE, silent, now - HEAD_TIMEOUT_NS, 0);
+        endWhileOver(NO_SHARE, idle, now - IDLE_TIMEOUT_NS, HEAD_TIMEOUT_NS);
+        for (ClientConnection client : lateWithHead(now)) {
+            end(client, HEAD_TIMEOUT_NS);
         }
-        endWhile(KEPT_SHARE, idle, now - KEPT_AT_LEAST_NS, HEAD_WITHIN_NS);
-        endWhile(KEPT_SHARE, silent, now - SPEAKS_WITHIN_NS, HEAD_WITHIN_NS);
-        endWhile(CROWDED_SHARE, idle, now - CROWDED_NS, CROWDED_NS);
-        endWhile(CROWDED_SHARE, silent, now - CROWDED_NS, CROWDED_NS);
-        endWhile(CROWDED_SHARE, leaving, now - CROWDED_NS, CROWDED_NS);
+        endWhileOver(KEPT_SHARE, idle, now - MIN_KEEP_ALIVE_NS, HEAD_TIMEOUT_NS);
+        endWhileOver(KEPT_SHARE, silent, now - SILENT_GRACE_NS, HEAD_TIMEOUT_NS);
+        long unusedSince = now - CROWDED_UNUSED_NS;
+        endWhileOver(CROWDED_SHARE, idle, unusedSince, CROWDED_UNUSED_NS);
+        endWhileOver(CROWDED_SHARE, silent, unusedSince, CROWDED_UNUSED_NS);
+        endWhileOver(CROWDED_SHARE, leaving, unusedSince, CROWDED_UNUSED_NS);
     }
 
-    /** Those that have served a call and are late with the rest of the next one's head. */
-    private List<ClientConnection> halfHeard(long now) {
+    /** Those that have served a request, and are late with the rest of the next one's head. */
+    private List<ClientConnection> lateWithHead(long now) {
         List<ClientConnection> late = new ArrayList<>();
         for (ClientConnection client : idle) {
-            if (client.speaksSince() > 0 && client.speaksSince() <= now - HEAD_WITHIN_NS) {
+            if (client.isReceiving() && client.receivingSince() <= now - HEAD_TIMEOUT_NS) {
                 late.add(client);
             }
         }
         return late;
     }
 
+    /** The number of connections by state; the names are published as label values. */
     Map<String, Integer> byState() {
         return Map.of(
                 "silent",
@@ -245,43 +260,52 @@
         return silent.size() + idle.size() + busy.size() + leaving.size();
     }
 
+    private boolean isOver(double share) {
+        return size() > share * limit;
+    }
+
     /**
-     * Ends the first of these that have been so since then or before, while there are over a share.
+     * Ends the first of some connections that have been unused for long enough, while there are
+     * more connections than a share of the limit.
      *
-     * @param restWithinNs see {@link #end}
+     * @param clients those unused for longest first
+     * @param unusedSince only those are ended that have been unused since then
+     * @param restTimeoutNs see {@link #end}
      */
-    private void endWhile(
-            double share, Set<ClientConnection> clients, long since, long restWithinNs) {
-        if (clients.isEmpty()
-                || size() <= share * mayHold
-                || clients.iterator().next().since() > since) {
-            return; // the usual case, and nothing to copy
+    private void endWhileOver(
+            double share, Set<ClientConnection> clients, long unusedSince, long restTimeoutNs) {
+        boolean noneDue =
+                clients.isEmpty()
+                        || !isOver(share)
+                        || clients.iterator().next().unusedSince() > unusedSince;
+        if (noneDue) {
+            return; // the usual case, in which nothing is copied
         }
         for (ClientConnection client : List.copyOf(clients)) {
-            if (client.since() > since || size() <= share * mayHold) {
+            if (client.unusedSince() > unusedSince || !isOver(share)) {
                 return;
             }
-            if (share == ALL || makesRoom(client.owner())) {
-                end(client, restWithinNs);
+            if (share == NO_SHARE || holdsFairShare(client.owner())) {
+                end(client, restTimeoutNs);
             }
         }
     }
 
     /**
-     * Ends one that carries no call. What has come on it is read first: a loop that runs late finds
-     * its timers due before it has looked at its sockets. A call that has come whole is taken, and
-     * the connection stays; one that has come in part has time for the rest. What comes after this
-     * look has not been read, and its client, who sees the connection end before any answer, sends
-     * it once more.
+     * Ends a connection that carries no request, after reading what has come on it: the timers of a
+     * late loop run before it looks at its sockets. If a complete request has come, it is served
+     * and the connection stays; if a part has come, there is time for the rest. A request that
+     * comes after this read is not lost either: its client sees the connection close before any
+     * response, and sends it again.
      *
-     * @param restWithinNs how long after its first byte the rest of a head may come
+     * @param restTimeoutNs how long after its first byte the rest of a head may come
      */
-    private void end(ClientConnection client, long restWithinNs) {
-        long since = client.since();
-        client.serveWhatHasCome();
-        boolean called = busy.contains(client) || client.since() != since;
-        boolean speaks = client.speaksSince() > loop.now() - restWithinNs;
-        if (!called && !speaks) {
+    private void end(ClientConnection client, long restTimeoutNs) {
+        long unusedSince = client.unusedSince();
+        client.readAvailable();
+        boolean served = busy.contains(client) || client.unusedSince() != unusedSince;
+        boolean receiving = client.receivingSince() > loop.now() - restTimeoutNs;
+        if (!served && !receiving) {
             client.close();
         }
     }
--- a/daemon/src/main/java/trailthread/daemon/listener/PlainRequestDecoder.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PlainRequestDecoder.java
@@ -15,67 +15,56 @@
 import trailthread.engine.routes.Target;
 
 /**
- * Reads a call out of any HTTP client's request; pure. What the client does not say is made: the
- * class by the method (RFC 9110, 9.2), the id anew, the deadline by the class.
+ * Decodes the requests of plain HTTP clients. What the client does not state has a default: the
+ * class follows from the method (RFC 9110, 9.2), the deadline from the class, and the id is new.
  */
 final class PlainRequestDecoder {
-    /** What the node tells endpoints itself. */
-    private static final Set<String> OWN =
+    /** Headers that the balancer sets itself, and so are not forwarded. */
+    private static final Set<String> NOT_FORWARDED =
             Set.of("x-correlation-id", "x-time-left", "x-service-class");
 
-    private static final int MOST_LETTERS = 1024;
+    private static final int MAX_HEADER_CHARACTERS = 1024;
 
     private final PoolConfig pool;
-    private final Supplier<String> ids;
+    private final Supplier<String> newIds;
 
     /**
-     * Makes one for the clients of a pool.
+     * Makes a decoder for the clients of a pool.
      *
-     * @param ids makes ids that no other call has
+     * @param newIds makes ids that no other request has
      */
-    PlainRequestDecoder(PoolConfig pool, Supplier<String> ids) {
+    PlainRequestDecoder(PoolConfig pool, Supplier<String> newIds) {
         this.pool = pool;
-        this.ids = ids;
+        this.newIds = newIds;
     }
 
     /**
-     * The call; its body is as yet to come.
+     * Decodes a request's head; its body is still to come.
      *
-     * @param assigned the class that the route gives it, or null
+     * @param assignedClass the name of the class that the route assigns; null if it assigns none
+     * @throws BadRequestException if a header is malformed, or the class does not suit the method
      */
-    ClientRequest decode(String method, Target target, HeaderMap headers, String assigned)
+    ClientRequest decode(String method, Target target, HeaderMap headers, String assignedClass)
             throws BadRequestException {
-        String key = once(headers, "Idempotency-Key");
+        String key = single(headers, "Idempotency-Key");
         Repeats repeats = repeats(method, key);
-        ClassConfig called = assigned == null ? called(headers, repeats) : named(assigned);
-        if (called.repeats() == Repeats.KEYED && key == null) {
-            throw new BadRequestException(
-                    "class " + called.rules().name() + " needs an Idempotency-Key");
-        }
-        String id = once(headers, "X-Correlation-Id");
-        String timeLeft = once(headers, "X-Time-Left");
-        long leftNs = timeLeft == null ? called.rules().deadlineNs() : Seconds.parse(timeLeft);
-        if (leftNs < 0) {
-            throw new BadRequestException("X-Time-Left must be seconds");
-        }
-        List<String> passed = new ArrayList<>(2 * headers.size());
-        boolean whole =
-                EndToEndHeaders.pass(
-                        headers,
-                        OWN,
-                        (name, value) -> {
-                            passed.add(name.toString());
-                            passed.add(value);
-                        });
-        if (!whole) {
-            throw new BadRequestException("a header that can't be passed on");
+        ClassConfig requestClass =
+                assignedClass == null
+                        ? requestedClass(headers, repeats)
+                        : classNamed(assignedClass);
+        String className = requestClass.rules().name();
+        if (requestClass.repeats() == Repeats.KEYED && key == null) {
+            throw new BadRequestException("class " + className + " needs an Idempotency-Key");
         }
+        String id = single(headers, "X-Correlation-Id");
+        long timeLeftNs = timeLeftNs(headers, requestClass.rules().deadlineNs());
+        List<String> forwarded = forwardedHeaders(headers);
         String host = headers.getFirst("Host");
         return new ClientRequest(
-                id == null || id.isEmpty() ? ids.get() : id,
-                called.rules().name(),
-                once(headers, "X-Account"),
-                Math.min(leftNs, called.rules().deadlineNs()),
+                id == null || id.isEmpty() ? newIds.get() : id,
+                className,
+                single(headers, "X-Account"),
+                timeLeftNs,
                 "1".equals(headers.getFirst("X-Repeat")),
                 0,
                 0,
@@ -83,10 +72,41 @@
                 target.origin(),
                 key,
                 null,
-                new ForwardedHeaders(host == null ? "" : host, passed));
+                new ForwardedHeaders(host == null ? "" : host, forwarded));
     }
 
-    /** RFC 9110, 9.2.1 and 9.2.2; what it does not name may do anything. */
+    /** The client's time, but no more than the class allows. */
+    private static long timeLeftNs(HeaderMap headers, long classDeadlineNs)
+            throws BadRequestException {
+        String timeLeft = single(headers, "X-Time-Left");
+        if (timeLeft == null) {
+            return classDeadlineNs;
+        }
+        long timeLeftNs = Seconds.parse(timeLeft);
+        if (timeLeftNs < 0) {
+            throw new BadRequestException("X-Time-Left must be seconds");
+        }
+        return Math.min(timeLeftNs, classDeadlineNs);
+    }
+
+    /** Names and values in turn. */
+    private static List<String> forwardedHeaders(HeaderMap headers) throws BadRequestException {
+        List<String> forwarded = new ArrayList<>(2 * headers.size());
+        boolean complete =
+                EndToEndHeaders.pass(
+                        headers,
+                        NOT_FORWARDED,
+                        (name, value) -> {
+                            forwarded.add(name.toString());
+                            forwarded.add(value);
+                        });
+        if (!complete) {
+            throw new BadRequestException("a header can't be forwarded");
+        }
+        return forwarded;
+    }
+
+    /** Whether a request may be repeated, by RFC 9110, 9.2.1 and 9.2.2; other methods may not. */
     private static Repeats repeats(String method, String key) {
         return switch (method) {
             case "GET", "HEAD", "OPTIONS", "TRACE" -> Repeats.SAFE;
@@ -95,15 +115,16 @@
         };
     }
 
-    /** The class that the client names, if it may, or the method's. */
-    private ClassConfig called(HeaderMap headers, Repeats repeats) throws BadRequestException {
-        String name = once(headers, "X-Service-Class");
+    /** The class that the client names, or the default for its method. */
+    private ClassConfig requestedClass(HeaderMap headers, Repeats repeats)
+            throws BadRequestException {
+        String name = single(headers, "X-Service-Class");
         if (name == null) {
             return pool.defaultClass(repeats);
         }
-        ClassConfig named = named(name);
-        // Guards work that must not be done twice: a client may ask for less than its method
-        // allows, never for more.
+        ClassConfig named = classNamed(name);
+        // Prevents work from being done twice that must not be: a client may ask for a stricter
+        // class than its method's, but not for a laxer one.
         if (named.repeats().compareTo(repeats) < 0) {
             throw new BadRequestException(
                     "class " + name + " may be repeated, and the method may not");
@@ -111,25 +132,26 @@
         return named;
     }
 
-    private ClassConfig named(String name) throws BadRequestException {
-        for (ClassConfig c : pool.classes()) {
-            if (c.rules().name().equals(name)) {
-                return c;
+    private ClassConfig classNamed(String name) throws BadRequestException {
+        for (ClassConfig requestClass : pool.classes()) {
+            if (requestClass.rules().name().equals(name)) {
+                return requestClass;
             }
         }
         throw new BadRequestException("no class " + name);
     }
 
-    private static String once(HeaderMap headers, String name) throws BadRequestException {
+    /** The value of a header that may be given once, or null. */
+    private static String single(HeaderMap headers, String name) throws BadRequestException {
         String value = headers.getFirst(name);
         if (value == null) {
             return null;
         }
-        boolean fit = headers.count(name) == 1 && value.length() <= MOST_LETTERS;
-        for (int i = 0; fit && i < value.length(); i++) {
-            fit = value.charAt(i) > ' ' && value.charAt(i) <= '~';
-        }
-        if (!fit) {
+        boolean valid =
+                headers.count(name) == 1
+                        && value.length() <= MAX_HEADER_CHARACTERS
+                        && VisibleAscii.isVisible(value);
+        if (!valid) {
             throw new BadRequestException(name + " must be given once, in visible letters");
         }
         return value;
--- a/daemon/src/main/java/trailthread/daemon/listener/PlatformRequestDecoder.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PlatformRequestDecoder.java
@@ -10,7 +10,7 @@
 import trailthread.engine.loop.Seconds;
 import trailthread.engine.request.ClientRequest;
 
-/** Reads a client's call out of its HTTP form; pure. */
+/** Decodes the requests of the platform's clients, which state their class and deadline. */
 final class PlatformRequestDecoder {
     static final HttpString CORRELATION_ID = new HttpString("X-Correlation-Id");
     static final HttpString SERVICE_CLASS = new HttpString("X-Service-Class");
@@ -20,25 +20,31 @@
     static final HttpString FACTS = new HttpString("X-Facts");
     static final HttpString IDEMPOTENCY_KEY = new HttpString("Idempotency-Key");
 
-    private static final int MOST_LETTERS = 1024;
+    private static final int MAX_HEADER_CHARACTERS = 1024;
 
-    /** What claims more would spoil what the module knows of work in general. */
-    private static final long MOST_WORK_NS = 3_600_000_000_000L;
+    /** A larger claim would distort the decision module's estimates of work. */
+    private static final long MAX_WORK_NS = 3_600_000_000_000L;
 
     private final Map<String, RequestClass> classes = new HashMap<>();
 
     PlatformRequestDecoder(List<RequestClass> classes) {
-        for (RequestClass c : classes) {
-            this.classes.put(c.name(), c);
+        for (RequestClass requestClass : classes) {
+            this.classes.put(requestClass.name(), requestClass);
         }
     }
 
-    /** The call; its body is as yet to come. */
+    /**
+     * Decodes a request's head; its body is still to come.
+     *
+     * @param query without its question mark; empty if there is none
+     * @throws BadRequestException if a header is missing or malformed, or method, path and class do
+     *     not suit each other
+     */
     ClientRequest decode(String method, String path, String query, HeaderMap headers)
             throws BadRequestException {
         String name = required(headers, SERVICE_CLASS);
         RequestClass requestClass = classes.get(name);
-        if (requestClass == null || !firstPart(path).equals(name)) {
+        if (requestClass == null || !firstSegment(path).equals(name)) {
             throw new BadRequestException("no such class at this path");
         }
         String key = optional(headers, IDEMPOTENCY_KEY);
@@ -48,13 +54,13 @@
             throw new BadRequestException("method or Idempotency-Key do not suit the class");
         }
         String target = query.isEmpty() ? path : path + "?" + query;
-        if (!isVisible(target)) {
-            throw new BadRequestException("the path can't be passed on");
+        if (!VisibleAscii.isVisible(target)) {
+            throw new BadRequestException("the path can't be forwarded");
         }
         String facts = optional(headers, FACTS);
         long workNs = fact(facts, "expected_ns", 10);
-        if (workNs < 0 || workNs > MOST_WORK_NS) {
-            throw new BadRequestException("no call takes so much work");
+        if (workNs < 0 || workNs > MAX_WORK_NS) {
+            throw new BadRequestException("no request takes so much work");
         }
         long timeLeftNs = nanoseconds(required(headers, TIME_LEFT), TIME_LEFT);
         return new ClientRequest(
@@ -72,7 +78,7 @@
                 null);
     }
 
-    /** A figure of the form name=value,name=value; 0 if it is absent or none. */
+    /** Parses one of the numbers in name=value,name=value; 0 if it is absent. */
     private static long fact(String facts, String name, int radix) throws BadRequestException {
         for (int from = 0; facts != null && from < facts.length(); ) {
             int comma = facts.indexOf(',', from);
@@ -82,7 +88,7 @@
                     return Long.parseUnsignedLong(
                             facts.substring(from + name.length() + 1, to), radix);
                 } catch (NumberFormatException e) {
-                    throw new BadRequestException(FACTS + ": " + name + " is no number");
+                    throw new BadRequestException(FACTS + ": " + name + " is not a number");
                 }
             }
             from = to + 1;
@@ -90,7 +96,7 @@
         return 0;
     }
 
-    private static String firstPart(String path) {
+    private static String firstSegment(String path) {
         int end = path.indexOf('/', 1);
         return path.substring(Math.min(1, path.length()), end < 0 ? path.length() : end);
     }
@@ -104,27 +110,24 @@
     }
 
     /**
-     * Guards endpoints, too: what they can't read would end their connection, and count as their
-     * failure.
+     * The value of a header that may be given once, or null. Checks it on behalf of the endpoints,
+     * too: one that can't parse it would close its connection, and be charged with a failure.
      */
     private static String optional(HeaderMap headers, HttpString name) throws BadRequestException {
         String value = headers.getFirst(name);
-        boolean once = headers.count(name) <= 1;
-        if (value != null && !(once && value.length() <= MOST_LETTERS && isVisible(value))) {
+        if (value == null) {
+            return null;
+        }
+        boolean valid =
+                headers.count(name) <= 1
+                        && value.length() <= MAX_HEADER_CHARACTERS
+                        && VisibleAscii.isVisible(value);
+        if (!valid) {
             throw new BadRequestException(name + " must be given once, in visible letters");
         }
         return value;
     }
 
-    private static boolean isVisible(String text) {
-        for (int i = 0; i < text.length(); i++) {
-            if (text.charAt(i) <= ' ' || text.charAt(i) > '~') {
-                return false;
-            }
-        }
-        return true;
-    }
-
     private static long nanoseconds(String seconds, HttpString name) throws BadRequestException {
         long ns = Seconds.parse(seconds);
         if (ns < 0) {
--- a/daemon/src/main/java/trailthread/daemon/listener/StreamedResponse.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/StreamedResponse.java
@@ -10,61 +10,68 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * A long answer on its way to a client, piece by piece. What the client has not taken of one piece
- * is kept until it does, and no other is wanted meanwhile.
+ * Streams a long response to a client. What the client has not accepted of a piece is kept until it
+ * does, and no further piece is asked for meanwhile.
  */
 final class StreamedResponse implements ByteSink {
-    /** A client that takes nothing for so long loses the rest, and its connection. */
-    private static final long TAKES_WITHIN_NS = 10_000_000_000L;
+    /** The connection of a client that accepts nothing for this time is closed. */
+    private static final long WRITE_TIMEOUT_NS = 10_000_000_000L;
+
+    private static final long NOT_WAITING = -1;
 
     private final EventLoop loop;
     private final HttpServerExchange exchange;
     private final StreamSinkChannel channel;
-    private final Runnable more;
-    private final Runnable gone;
-
-    /** What the client has yet to take, or null. */
-    private ByteBuffer left;
-
-    private boolean ends;
-    private boolean over;
-    private XnioExecutor.Key look;
-
-    /** Bytes that the client has taken, and how many these were when that was looked at last. */
-    private long taken;
-
-    private long takenBefore = -1;
-
-    StreamedResponse(EventLoop loop, HttpServerExchange exchange, Runnable more, Runnable gone) {
+    private final Runnable onWritable;
+    private final Runnable onClientGone;
+
+    /** What the client has yet to accept; null if it has accepted all. */
+    private ByteBuffer unwritten;
+
+    /** The last piece has been given. */
+    private boolean ending;
+
+    /** The response is complete or broken off. */
+    private boolean closed;
+
+    private XnioExecutor.Key timeoutTimer;
+    private long writtenBytes;
+
+    /** The bytes written by the last check for a timeout; {@link #NOT_WAITING} if none was due. */
+    private long writtenBytesAtCheck = NOT_WAITING;
+
+    /**
+     * Starts to stream on an exchange whose status and headers have been set.
+     *
+     * @param onWritable runs when the client accepts more after it had not
+     * @param onClientGone runs if the client disconnects before the last piece
+     */
+    StreamedResponse(
+            EventLoop loop,
+            HttpServerExchange exchange,
+            Runnable onWritable,
+            Runnable onClientGone) {
         this.loop = loop;
         this.exchange = exchange;
-        this.more = more;
-        this.gone = gone;
+        this.onWritable = onWritable;
+        this.onClientGone = onClientGone;
         channel = exchange.getResponseChannel();
-        channel.getWriteSetter().set(writable -> write());
-        look = loop.after(TAKES_WITHIN_NS, this::look);
+        channel.getWriteSetter().set(writable -> writeUnwritten());
+        timeoutTimer = loop.after(WRITE_TIMEOUT_NS, this::checkTimeout);
     }
 
     @Override
     public boolean piece(ByteBuffer piece) {
-        if (over) {
-            return true; // the attempt hears of it in its turn
+        if (closed) {
+            return true; // the attempt is notified separately
         }
         try {
-            while (left == null && piece.hasRemaining()) {
-                int count = channel.write(piece);
-                taken += count;
-                if (count == 0) {
-                    left = ByteBuffer.allocate(0);
-                    channel.resumeWrites();
-                }
+            if (unwritten == null && !write(piece)) {
+                unwritten = ByteBuffer.allocate(0);
+                channel.resumeWrites();
             }
-            if (left != null) { // what was read in one go may bring several pieces
-                left =
-                        ByteBuffer.allocate(left.remaining() + piece.remaining())
-                                .put(left)
-                                .put(piece)
-                                .flip();
+            if (unwritten != null) {
+                keepUnwritten(piece);
                 return false;
             }
         } catch (IOException e) {
@@ -73,40 +80,57 @@
         return true;
     }
 
+    /** Writes what the client accepts; whether that was all. */
+    private boolean write(ByteBuffer bytes) throws IOException {
+        while (bytes.hasRemaining()) {
+            int count = channel.write(bytes);
+            writtenBytes += count;
+            if (count == 0) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /** Appends, as several pieces may come of what was read from the endpoint at once. */
+    private void keepUnwritten(ByteBuffer piece) {
+        unwritten =
+                ByteBuffer.allocate(unwritten.remaining() + piece.remaining())
+                        .put(unwritten)
+                        .put(piece)
+                        .flip();
+    }
+
     @Override
     public void end() {
-        ends = true;
-        if (!over && left == null) {
+        ending = true;
+        if (!closed && unwritten == null) {
             finish();
         }
     }
 
     @Override
     public void broken() {
-        if (!over) {
-            over();
+        if (!closed) {
+            close();
             IoUtils.safeClose(exchange.getConnection());
         }
     }
 
-    private void write() {
-        if (over) {
+    private void writeUnwritten() {
+        if (closed) {
             return;
         }
         try {
-            while (left != null && left.hasRemaining()) {
-                int count = channel.write(left);
-                taken += count;
-                if (count == 0) {
-                    return;
-                }
+            if (unwritten != null && !write(unwritten)) {
+                return;
             }
-            left = null;
-            if (ends) {
+            unwritten = null;
+            if (ending) {
                 finish();
             } else {
                 channel.suspendWrites();
-                more.run();
+                onWritable.run();
             }
         } catch (IOException e) {
             clientGone();
@@ -118,7 +142,7 @@
             channel.shutdownWrites();
             if (channel.flush()) {
                 channel.suspendWrites();
-                over();
+                close();
             } else {
                 channel.resumeWrites();
             }
@@ -127,34 +151,37 @@
         }
     }
 
-    /** Not from within the attempt's own call, which the end of the attempt would enter again. */
+    /**
+     * Breaks the response off. The attempt is notified in a task of its own, as it may be the
+     * caller of {@link #piece}, and must not be entered again from there.
+     */
     void clientGone() {
-        if (over) {
+        if (closed) {
             return;
         }
-        over();
-        left = null;
+        close();
+        unwritten = null;
         IoUtils.safeClose(exchange.getConnection());
-        if (!ends) {
-            loop.execute(gone);
+        if (!ending) {
+            loop.execute(onClientGone);
         }
     }
 
-    private void over() {
-        over = true;
-        look.remove(); // it would keep the exchange
+    private void close() {
+        closed = true;
+        timeoutTimer.remove(); // it would keep the exchange in memory
     }
 
-    private void look() {
-        if (over) {
+    private void checkTimeout() {
+        if (closed) {
             return;
         }
-        boolean waits = left != null || ends;
-        if (waits && taken == takenBefore) {
+        boolean waiting = unwritten != null || ending;
+        if (waiting && writtenBytes == writtenBytesAtCheck) {
             clientGone();
             return;
         }
-        takenBefore = waits ? taken : -1;
-        look = loop.after(TAKES_WITHIN_NS, this::look);
+        writtenBytesAtCheck = waiting ? writtenBytes : NOT_WAITING;
+        timeoutTimer = loop.after(WRITE_TIMEOUT_NS, this::checkTimeout);
     }
 }
--- /dev/null
+++ b/daemon/src/main/java/trailthread/daemon/listener/VisibleAscii.java
@@ -0,0 +1,16 @@
+package trailthread.daemon.listener;
+
+/** The characters that may stand in a header's value or a target that is forwarded. */
+final class VisibleAscii {
+    private VisibleAscii() {}
+
+    /** Whether a text consists of visible ASCII characters only, without spaces. */
+    static boolean isVisible(String text) {
+        for (int i = 0; i < text.length(); i++) {
+            if (text.charAt(i) <= ' ' || text.charAt(i) > '~') {
+                return false;
+            }
+        }
+        return true;
+    }
+}
