--- a/daemon/src/main/java/trailthread/daemon/admin/AdminConnections.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminConnections.java
@@ -19,10 +19,10 @@
         private long nextAt;
     }
 
-    private final Limits limits;
+    private final AdminLimits limits;
     private final Map<StreamConnection, Client> clients = new LinkedHashMap<>();
 
-    AdminConnections(Limits limits) {
+    AdminConnections(AdminLimits limits) {
         this.limits = limits;
     }
 
--- a/daemon/src/main/java/trailthread/daemon/admin/Limits.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminLimits.java
@@ -11,7 +11,7 @@
  * @param acceptEveryNs so long after connections have come, further ones wait
  * @param freshNs figures are told again for so long, to whoever asks
  */
-record Limits(
+record AdminLimits(
         int connections,
         int idleMs,
         int headMs,
@@ -22,8 +22,8 @@
     static final int MOST_CONNECTIONS = 24;
 
     /** All clients together then cost the loop some percents of its time at the most. */
-    static final Limits USUAL =
-            new Limits(
+    static final AdminLimits USUAL =
+            new AdminLimits(
                     MOST_CONNECTIONS,
                     15_000,
                     2_000,
--- a/daemon/src/main/java/trailthread/daemon/admin/AdminServer.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminServer.java
@@ -46,7 +46,7 @@
      * Descriptors that it holds at the most: its address, its connections, and one that is turned
      * away.
      */
-    public static final int MOST_DESCRIPTORS = 2 + Limits.MOST_CONNECTIONS;
+    public static final int MOST_DESCRIPTORS = 2 + AdminLimits.MOST_CONNECTIONS;
 
     private static final int MOST_BODY_BYTES = 4 * 1024;
     private static final int BACKLOG = 64;
@@ -54,11 +54,11 @@
     private static final long LATENESS_EVERY_NS = 100_000_000L;
 
     private final EventLoop loop;
-    private final Limits limits;
+    private final AdminLimits limits;
     private final NodeStatus view;
     private NodeControl control;
     private final NodeMetrics metrics;
-    private final MetricsBodies bodies;
+    private final MetricsCache bodies;
     private final AdminConnections connections;
     private AcceptingChannel<StreamConnection> server;
     private boolean resting;
@@ -66,7 +66,7 @@
 
     /** Makes one that counts, and listens nowhere as yet. */
     public AdminServer(EventLoop loop, String name, List<RequestClass> classes, NodeStatus view) {
-        this(loop, name, classes, view, Limits.USUAL);
+        this(loop, name, classes, view, AdminLimits.USUAL);
     }
 
     AdminServer(
@@ -74,14 +74,14 @@
             String name,
             List<RequestClass> classes,
             NodeStatus view,
-            Limits limits) {
+            AdminLimits limits) {
         this.loop = loop;
         this.limits = limits;
         this.view = view;
         metrics = new NodeMetrics(classes.stream().map(RequestClass::name).toList());
         String version = AdminServer.class.getPackage().getImplementationVersion();
         bodies =
-                new MetricsBodies(
+                new MetricsCache(
                         loop,
                         name,
                         version == null ? "unknown" : version,
@@ -249,8 +249,8 @@
             }
             case "GET status" ->
                     bodies.ask(
-                            MetricsBodies.Form.JSON,
-                            body -> tell(exchange, MetricsBodies.Form.JSON, body));
+                            MetricsCache.Form.JSON,
+                            body -> tell(exchange, MetricsCache.Form.JSON, body));
             default -> end(exchange, StatusCodes.NOT_FOUND);
         }
     }
@@ -270,10 +270,10 @@
         } else if (path.equals("/ready")) {
             end(exchange, view.isReady() ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE);
         } else {
-            MetricsBodies.Form form =
+            MetricsCache.Form form =
                     path.equals("/status")
-                            ? MetricsBodies.Form.JSON
-                            : MetricsBodies.Form.accepted(
+                            ? MetricsCache.Form.JSON
+                            : MetricsCache.Form.accepted(
                                     exchange.getRequestHeaders().getFirst(Headers.ACCEPT));
             bodies.ask(form, body -> tell(exchange, form, body));
         }
@@ -284,7 +284,7 @@
         exchange.endExchange();
     }
 
-    private void tell(HttpServerExchange exchange, MetricsBodies.Form form, byte[] body) {
+    private void tell(HttpServerExchange exchange, MetricsCache.Form form, byte[] body) {
         if (body == null) {
             end(exchange, StatusCodes.INTERNAL_SERVER_ERROR);
             return;
--- a/daemon/src/main/java/trailthread/daemon/admin/ClassMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/ClassMetrics.java
@@ -7,11 +7,11 @@
     long taken;
     long gone;
     final long[] answers;
-    final Durations durations;
+    final DurationHistogram durations;
 
     ClassMetrics() {
         answers = new long[RequestResult.values().length];
-        durations = new Durations();
+        durations = new DurationHistogram();
     }
 
     private ClassMetrics(ClassMetrics other) {
--- a/daemon/src/main/java/trailthread/daemon/admin/Durations.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/DurationHistogram.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** How long something took, counted by classes of length. */
-final class Durations {
+final class DurationHistogram {
     /**
      * Upper bounds in seconds: from what the loop does between two polls to what no client waits
      * for.
@@ -28,11 +28,11 @@
     private final long[] counts;
     private double sumS;
 
-    Durations() {
+    DurationHistogram() {
         counts = new long[UP_TO.length];
     }
 
-    private Durations(Durations other) {
+    private DurationHistogram(DurationHistogram other) {
         counts = other.counts.clone();
         sumS = other.sumS;
     }
@@ -47,8 +47,8 @@
         sumS += seconds;
     }
 
-    Durations copy() {
-        return new Durations(this);
+    DurationHistogram copy() {
+        return new DurationHistogram(this);
     }
 
     double[] upTo() {
--- a/daemon/src/main/java/trailthread/daemon/admin/Exposition.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/Exposition.java
@@ -304,7 +304,8 @@
         return new CounterDataPointSnapshot(value, labels, null, 0);
     }
 
-    private static HistogramDataPointSnapshot histogram(Durations durations, Labels labels) {
+    private static HistogramDataPointSnapshot histogram(
+            DurationHistogram durations, Labels labels) {
         ClassicHistogramBuckets buckets =
                 ClassicHistogramBuckets.of(durations.upTo(), durations.counts());
         return new HistogramDataPointSnapshot(
--- a/daemon/src/main/java/trailthread/daemon/admin/MetricsBodies.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/MetricsCache.java
@@ -19,8 +19,8 @@
  * then goes to all who ask within a while, so that the loop's time does not depend on how often
  * they do.
  */
-final class MetricsBodies {
-    private static final Logger LOG = LoggerFactory.getLogger(MetricsBodies.class);
+final class MetricsCache {
+    private static final Logger LOG = LoggerFactory.getLogger(MetricsCache.class);
 
     /** In what form figures are told. */
     enum Form {
@@ -59,7 +59,7 @@
     private final Supplier<Snapshot> snapshots;
     private final Map<Form, Slot> slots = new EnumMap<>(Form.class);
 
-    MetricsBodies(
+    MetricsCache(
             EventLoop loop,
             String name,
             String version,
--- a/daemon/src/main/java/trailthread/daemon/admin/NodeMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/NodeMetrics.java
@@ -25,7 +25,7 @@
     private final long[] rejections = new long[RejectionReason.values().length];
     private final long[] attempts = new long[Outcome.values().length];
     private final long[] probes = new long[Outcome.values().length];
-    private final Durations lateness = new Durations();
+    private final DurationHistogram lateness = new DurationHistogram();
     private long attemptsAtWork;
     private long attemptsSent;
     private long reloadsTaken;
--- a/daemon/src/main/java/trailthread/daemon/admin/Snapshot.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/Snapshot.java
@@ -22,7 +22,7 @@
         long[] attempts,
         long attemptsAtWork,
         long[] probes,
-        Durations lateness,
+        DurationHistogram lateness,
         Map<String, Integer> clientConnections,
         Map<String, Integer> endpointConnections,
         int descriptorLimit,
--- a/daemon/src/test/java/trailthread/daemon/admin/AdminServerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/AdminServerTest.java
@@ -43,7 +43,7 @@
             new RequestClass(
                     "read", 1, 0, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 1, 0);
 
-    private final View view = new View();
+    private final FixedNodeStatus view = new FixedNodeStatus();
     private final List<String> done = new CopyOnWriteArrayList<>();
     private final NodeControl control =
             new NodeControl() {
@@ -65,15 +65,15 @@
 
     public AdminServerTest() throws IOException {}
 
-    private void listen(Limits limits) throws IOException {
+    private void listen(AdminLimits limits) throws IOException {
         endpoint = new AdminServer(loop, "n0", List.of(READ), view, limits);
         address =
                 endpoint.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), control);
     }
 
-    private static Limits most(int connections) {
-        return new Limits(connections, LONG_MS, LONG_MS, LONG_NS, 0, 0, 0);
+    private static AdminLimits most(int connections) {
+        return new AdminLimits(connections, LONG_MS, LONG_MS, LONG_NS, 0, 0, 0);
     }
 
     @After
@@ -146,7 +146,7 @@
             assertStatus(200, answer);
             assertTrue(answer, answer.contains("Content-Type: text/plain; version=0.0.4"));
             String body = answer.substring(answer.indexOf("\r\n\r\n") + 4);
-            FiguresTest.assertTextFormat(body);
+            MetricsExpositionTest.assertTextFormat(body);
             assertTrue(
                     body,
                     body.contains("\ntrailthread_calls_total{class=\"read\"} " + calls + ".0\n"));
@@ -298,13 +298,13 @@
 
     @Test
     public void halfAHeadAndIdlenessEnd() throws Exception {
-        listen(new Limits(8, 10 * SHORT_MS, LONG_MS, LONG_NS, 0, 0, 0));
+        listen(new AdminLimits(8, 10 * SHORT_MS, LONG_MS, LONG_NS, 0, 0, 0));
         Socket silent = connect();
         Socket idle = connect();
         assertStatus(200, get(idle, "/ready"));
         assertTrue(isClosed(silent) && isClosed(idle));
         endpoint.close();
-        listen(new Limits(8, LONG_MS, SHORT_MS, LONG_NS, 0, 0, 0));
+        listen(new AdminLimits(8, LONG_MS, SHORT_MS, LONG_NS, 0, 0, 0));
         Socket half = connect();
         send(half, "GET /metrics HTTP/1.1\r\nHost:");
         Socket other = connect();
@@ -316,7 +316,7 @@
     @Test
     public void whoNeverReadsLosesTheConnection() throws Exception {
         int requests = 1000;
-        listen(new Limits(1, LONG_MS, LONG_MS, SHORT_NS, 0, 0, 0));
+        listen(new AdminLimits(1, LONG_MS, LONG_MS, SHORT_NS, 0, 0, 0));
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             entries.add(new EndpointEntry("w" + i, 1, EndpointState.READY, "a", 0, 0));
@@ -344,7 +344,7 @@
 
     @Test
     public void answersOnOneConnectionAreApart() throws Exception {
-        listen(new Limits(8, LONG_MS, LONG_MS, LONG_NS, SHORT_NS, 0, LONG_NS));
+        listen(new AdminLimits(8, LONG_MS, LONG_MS, LONG_NS, SHORT_NS, 0, LONG_NS));
         Socket client = connect();
         get(client, "/ready");
         long start = System.nanoTime();
--- a/daemon/src/test/java/trailthread/daemon/admin/View.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/FixedNodeStatus.java
@@ -6,7 +6,7 @@
 import trailthread.engine.metrics.NodeStatus;
 
 /** A node that always says the same of itself, and counts how often a snapshot was taken. */
-final class View implements NodeStatus {
+final class FixedNodeStatus implements NodeStatus {
     final Semaphore snapshots = new Semaphore(0);
     volatile boolean ready = true;
 
--- a/daemon/src/test/java/trailthread/daemon/admin/FiguresTest.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/MetricsExpositionTest.java
@@ -27,7 +27,7 @@
 import trailthread.engine.metrics.RequestResult;
 
 /** What is counted, and how it is told. */
-public class FiguresTest {
+public class MetricsExpositionTest {
     private static final String NAME = "[a-zA-Z_:][a-zA-Z0-9_:]*";
     private static final String LABEL = "[a-zA-Z_][a-zA-Z0-9_]*=\"([^\"\\\\\n]|\\\\[\\\\\"n])*\"";
 
@@ -61,7 +61,7 @@
     private String text() throws IOException {
         byte[] text =
                 Exposition.render(
-                        metrics.snapshot(new View()),
+                        metrics.snapshot(new FixedNodeStatus()),
                         ProcessMetrics.read(),
                         "n\"3",
                         "0.1",
@@ -71,7 +71,11 @@
 
     private JsonObject json() throws IOException {
         byte[] json =
-                StatusJson.render(metrics.snapshot(new View()), ProcessMetrics.read(), "n3", "0.1");
+                StatusJson.render(
+                        metrics.snapshot(new FixedNodeStatus()),
+                        ProcessMetrics.read(),
+                        "n3",
+                        "0.1");
         return JsonParser.parseString(new String(json, StandardCharsets.UTF_8)).getAsJsonObject();
     }
 
@@ -179,7 +183,7 @@
         attempt("w4321", Outcome.RESET, 1);
         metrics.attemptBegun("w9");
         attempt("unlisted", Outcome.RESET, 0);
-        FleetMetrics fleet = metrics.snapshot(new View()).fleet();
+        FleetMetrics fleet = metrics.snapshot(new FixedNodeStatus()).fleet();
         assertEquals(10_000, fleet.ready());
         assertEquals(
                 List.of("w4321", "w77", "w9"),
@@ -193,7 +197,7 @@
         list(ListKind.FAILED, EndpointState.READY);
         attempt("w77", Outcome.NOT_SENT, 0);
         list(ListKind.DELTA, EndpointState.GONE, "new");
-        fleet = metrics.snapshot(new View()).fleet();
+        fleet = metrics.snapshot(new FixedNodeStatus()).fleet();
         assertEquals(1, fleet.worst().size());
         assertEquals("kept over a list", 2, fleet.worst().get(0).attempts);
     }
