--- a/daemon/src/main/java/trailthread/daemon/admin/AdminConnections.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminConnections.java
@@ -6,78 +6,87 @@
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
 
-/** The connections to the endpoint, bounded. Guards the node's descriptors and the loop's time. */
+/**
+ * Limits the admin server's connections and the rate of their responses, and with them the file
+ * descriptors and the loop's time that its clients can use.
+ */
 final class AdminConnections {
-    /** One connection. */
-    private static final class Client {
+    private static final class ConnectionState {
         private boolean busy;
 
-        /** When its last answer ended, or it was opened. */
+        /** When its last response ended, or it was opened. */
         private long idleSince;
 
-        /** Its next answer goes out no sooner. */
-        private long nextAt;
+        /** Its next response is sent no sooner. */
+        private long nextResponseAt;
+
+        ConnectionState(long now) {
+            idleSince = now;
+        }
     }
 
     private final AdminLimits limits;
-    private final Map<StreamConnection, Client> clients = new LinkedHashMap<>();
+    private final Map<StreamConnection, ConnectionState> states = new LinkedHashMap<>();
 
     AdminConnections(AdminLimits limits) {
         this.limits = limits;
     }
 
-    /** Whether there was room, or room could be made; otherwise the connection is closed. */
+    /**
+     * Admits a connection. At the limit, the one that has been idle longest is closed for it; if
+     * all are busy, the new one is.
+     *
+     * @return whether the new connection is open
+     */
     boolean opened(StreamConnection connection, long now) {
-        if (clients.size() >= limits.connections()) {
-            IoUtils.safeClose(idlest(connection));
+        if (states.size() >= limits.connections()) {
+            IoUtils.safeClose(longestIdleOr(connection));
         }
         if (!connection.isOpen()) {
             return false;
         }
-        Client client = new Client();
-        client.idleSince = now;
-        clients.put(connection, client);
+        states.put(connection, new ConnectionState(now));
         return true;
     }
 
-    /** Whichever of all has been without a request for longest, or this one if none is. */
-    private StreamConnection idlest(StreamConnection otherwise) {
-        StreamConnection idlest = otherwise;
-        long since = Long.MAX_VALUE;
-        for (Map.Entry<StreamConnection, Client> e : clients.entrySet()) {
-            if (!e.getValue().busy && e.getValue().idleSince < since) {
-                idlest = e.getKey();
-                since = e.getValue().idleSince;
+    private StreamConnection longestIdleOr(StreamConnection otherwise) {
+        StreamConnection longestIdle = otherwise;
+        long idleSince = Long.MAX_VALUE;
+        for (Map.Entry<StreamConnection, ConnectionState> entry : states.entrySet()) {
+            ConnectionState state = entry.getValue();
+            if (!state.busy && state.idleSince < idleSince) {
+                longestIdle = entry.getKey();
+                idleSince = state.idleSince;
             }
         }
-        return idlest;
+        return longestIdle;
     }
 
-    /** A request has come; says when it may be answered. */
+    /** A request has come; returns when its response may be sent. */
     long began(StreamConnection connection, long now) {
-        Client client = clients.get(connection);
-        if (client == null) {
-            return now; // closed meanwhile
+        ConnectionState state = states.get(connection);
+        if (state == null) {
+            return now; // it has been closed
         }
-        client.busy = true;
-        long at = Math.max(now, client.nextAt);
-        client.nextAt = at + limits.answerEveryNs();
-        return at;
+        state.busy = true;
+        long responseAt = Math.max(now, state.nextResponseAt);
+        state.nextResponseAt = responseAt + limits.answerEveryNs();
+        return responseAt;
     }
 
     void ended(StreamConnection connection, long now) {
-        Client client = clients.get(connection);
-        if (client != null) {
-            client.busy = false;
-            client.idleSince = now;
+        ConnectionState state = states.get(connection);
+        if (state != null) {
+            state.busy = false;
+            state.idleSince = now;
         }
     }
 
     void closed(StreamConnection connection) {
-        clients.remove(connection);
+        states.remove(connection);
     }
 
     void closeAll() {
-        List.copyOf(clients.keySet()).forEach(IoUtils::safeClose);
+        List.copyOf(states.keySet()).forEach(IoUtils::safeClose);
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/admin/AdminLimits.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminLimits.java
@@ -1,15 +1,15 @@
 package trailthread.daemon.admin;
 
 /**
- * What a client of the endpoint may take of the node, whoever it is.
+ * What clients of the admin server may use of the node's descriptors and time.
  *
- * @param connections open at once; a further one takes the place of the one that idles longest
- * @param idleMs without a request, a connection is closed after so long
- * @param headMs a request's head is whole so soon after its first byte
- * @param readWithinNs an answer is read within this, or its connection is closed
- * @param answerEveryNs answers on one connection are at least so far apart; what asks sooner waits
- * @param acceptEveryNs so long after connections have come, further ones wait
- * @param freshNs figures are told again for so long, to whoever asks
+ * @param connections open at once; a further one replaces the one that has been idle longest
+ * @param idleMs a connection without a request is closed after this time
+ * @param headMs the time from a request head's first byte to its last
+ * @param readWithinNs the connection of a client that has not read its response by then is closed
+ * @param answerEveryNs the least interval between two responses on a connection; later ones wait
+ * @param acceptEveryNs for how long no further connections are accepted after one was
+ * @param freshNs for how long rendered metrics are served again
  */
 record AdminLimits(
         int connections,
@@ -19,12 +19,12 @@
         long answerEveryNs,
         long acceptEveryNs,
         long freshNs) {
-    static final int MOST_CONNECTIONS = 24;
+    static final int DEFAULT_CONNECTIONS = 24;
 
-    /** All clients together then cost the loop some percents of its time at the most. */
-    static final AdminLimits USUAL =
+    /** Keep the use of the loop's time by all clients together at a few percent. */
+    static final AdminLimits DEFAULT =
             new AdminLimits(
-                    MOST_CONNECTIONS,
+                    DEFAULT_CONNECTIONS,
                     15_000,
                     2_000,
                     10_000_000_000L,
--- a/daemon/src/main/java/trailthread/daemon/admin/ClassMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/ClassMetrics.java
@@ -2,22 +2,29 @@
 
 import trailthread.engine.metrics.RequestResult;
 
-/** What became of the calls of one class. */
+/** Counts the requests of one class. */
 final class ClassMetrics {
-    long taken;
-    long gone;
-    final long[] answers;
+    /** Requests that were admitted. */
+    long admitted;
+
+    /** Admitted requests whose client disconnected before the response. */
+    long clientsGone;
+
+    /** Responses to admitted requests. */
+    final EnumCounts<RequestResult> responses;
+
+    /** Times from admission to the response. */
     final DurationHistogram durations;
 
     ClassMetrics() {
-        answers = new long[RequestResult.values().length];
+        responses = new EnumCounts<>(RequestResult.class);
         durations = new DurationHistogram();
     }
 
     private ClassMetrics(ClassMetrics other) {
-        taken = other.taken;
-        gone = other.gone;
-        answers = other.answers.clone();
+        admitted = other.admitted;
+        clientsGone = other.clientsGone;
+        responses = other.responses.copy();
         durations = other.durations.copy();
     }
 
@@ -25,8 +32,8 @@
         return new ClassMetrics(this);
     }
 
-    /** How many have neither their answer nor lost their client. */
-    long atWork() {
-        return taken - gone - durations.count();
+    /** Requests that have neither their response nor lost their client. */
+    long inFlight() {
+        return admitted - clientsGone - durations.count();
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/admin/DurationHistogram.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/DurationHistogram.java
@@ -2,13 +2,12 @@
 
 import java.util.Arrays;
 
-/** How long something took, counted by classes of length. */
+/** A histogram of durations with fixed buckets. */
 final class DurationHistogram {
     /**
-     * Upper bounds in seconds: from what the loop does between two polls to what no client waits
-     * for.
+     * Upper bounds of the buckets in seconds: from one turn of the loop to the longest deadlines.
      */
-    private static final double[] UP_TO = {
+    private static final double[] UPPER_BOUNDS_S = {
         0.001,
         0.0025,
         0.005,
@@ -25,37 +24,41 @@
         Double.POSITIVE_INFINITY
     };
 
+    private static final double NS_PER_SECOND = 1e9;
+
     private final long[] counts;
-    private double sumS;
+    private double sumSeconds;
 
     DurationHistogram() {
-        counts = new long[UP_TO.length];
+        counts = new long[UPPER_BOUNDS_S.length];
     }
 
     private DurationHistogram(DurationHistogram other) {
         counts = other.counts.clone();
-        sumS = other.sumS;
+        sumSeconds = other.sumSeconds;
     }
 
+    /** Adds a duration in nanoseconds; a negative one counts as 0. */
     void add(long ns) {
-        double seconds = Math.max(0, ns) / 1e9;
-        int i = 0;
-        while (seconds > UP_TO[i]) {
-            i++;
+        double seconds = Math.max(0, ns) / NS_PER_SECOND;
+        int bucket = 0;
+        while (seconds > UPPER_BOUNDS_S[bucket]) {
+            bucket++;
         }
-        counts[i]++;
-        sumS += seconds;
+        counts[bucket]++;
+        sumSeconds += seconds;
     }
 
     DurationHistogram copy() {
         return new DurationHistogram(this);
     }
 
-    double[] upTo() {
-        return UP_TO.clone();
+    /** The upper bounds of the buckets, in seconds. */
+    double[] upperBoundsSeconds() {
+        return UPPER_BOUNDS_S.clone();
     }
 
-    /** How many there were above the bound before and up to this one. */
+    /** The number of durations in each bucket; not cumulative. */
     long[] counts() {
         return counts;
     }
@@ -65,6 +68,6 @@
     }
 
     double sumSeconds() {
-        return sumS;
+        return sumSeconds;
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/admin/EndpointMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/EndpointMetrics.java
@@ -7,28 +7,35 @@
 
 /** What this node has seen of one endpoint. */
 final class EndpointMetrics {
-    /** The best first: those that fail less, then those with less to do, then the faster. */
+    /** Those that fail less first, then those with less work, then the faster ones. */
     static final Comparator<EndpointMetrics> BEST_FIRST =
-            Comparator.comparingDouble((EndpointMetrics w) -> w.failureRatio)
-                    .thenComparingDouble(w -> w.inFlight + orZero(w.queue))
-                    .thenComparingDouble(w -> orZero(w.latencyS));
+            Comparator.comparingDouble((EndpointMetrics endpoint) -> endpoint.failureRatio)
+                    .thenComparingDouble(endpoint -> endpoint.inFlight + orZero(endpoint.queue))
+                    .thenComparingDouble(endpoint -> orZero(endpoint.latencySeconds));
 
-    /** Weight of one attempt in the smoothed figures: some ten attempts of memory. */
-    private static final double WEIGHT = 0.1;
+    /** Weight of one attempt in the smoothed values, which so remember about ten attempts. */
+    private static final double SMOOTHING_WEIGHT = 0.1;
+
+    private static final double NS_PER_SECOND = 1e9;
 
     final String id;
     EndpointState state;
+
+    /** Attempts of this node's that have not ended. */
     long inFlight;
+
+    /** Attempts that ended, without those that say nothing of the endpoint. */
     long attempts;
+
     long failures;
 
     /** Smoothed share of attempts that failed. */
     double failureRatio;
 
-    /** Smoothed time of those served; NaN: there were none. */
-    double latencyS = Double.NaN;
+    /** Smoothed latency of the attempts served; NaN if there were none. */
+    double latencySeconds = Double.NaN;
 
-    /** The queue that the endpoint told of last; NaN: it told of none. */
+    /** The length of the queue that the endpoint reported last; NaN if it reported none. */
     double queue = Double.NaN;
 
     EndpointMetrics(String id, EndpointState state) {
@@ -43,7 +50,7 @@
         attempts = other.attempts;
         failures = other.failures;
         failureRatio = other.failureRatio;
-        latencyS = other.latencyS;
+        latencySeconds = other.latencySeconds;
         queue = other.queue;
     }
 
@@ -51,32 +58,44 @@
         return new EndpointMetrics(this);
     }
 
-    void ended(Outcome outcome, long latencyNs, LoadReport load) {
-        inFlight =
-                Math.max(
-                        0,
-                        inFlight - 1); // one begun before the endpoint left the list and came back
-        told(load);
-        if (outcome == Outcome.NOT_SENT || outcome == Outcome.CANCELLED) {
-            return; // says nothing of the endpoint
+    /**
+     * An attempt has ended.
+     *
+     * @param latencyNs -1 if it is not known
+     * @param load what the endpoint reported with it, or null
+     */
+    void attemptEnded(Outcome outcome, long latencyNs, LoadReport load) {
+        // It may have begun before the endpoint left the list and came back.
+        inFlight = Math.max(0, inFlight - 1);
+        loadReported(load);
+        boolean saysNothing = outcome == Outcome.NOT_SENT || outcome == Outcome.CANCELLED;
+        if (saysNothing) {
+            return;
         }
         boolean failed = outcome != Outcome.OK && outcome != Outcome.REJECTED;
         attempts++;
         failures += failed ? 1 : 0;
-        failureRatio += WEIGHT * ((failed ? 1 : 0) - failureRatio);
+        failureRatio = smoothed(failureRatio, failed ? 1 : 0);
         if (outcome == Outcome.OK && latencyNs >= 0) {
-            double seconds = latencyNs / 1e9;
-            latencyS = Double.isNaN(latencyS) ? seconds : latencyS + WEIGHT * (seconds - latencyS);
+            double seconds = latencyNs / NS_PER_SECOND;
+            latencySeconds =
+                    Double.isNaN(latencySeconds) ? seconds : smoothed(latencySeconds, seconds);
         }
     }
 
-    void told(LoadReport load) {
+    private static double smoothed(double average, double value) {
+        return average + SMOOTHING_WEIGHT * (value - average);
+    }
+
+    /** The endpoint has reported its load; null if it has not. */
+    void loadReported(LoadReport load) {
         if (load != null && !Double.isNaN(load.queue())) {
             queue = load.queue();
         }
     }
 
-    static double orZero(double figure) {
-        return Double.isNaN(figure) ? 0 : figure;
+    /** The value, or 0 if it is not known. */
+    static double orZero(double value) {
+        return Double.isNaN(value) ? 0 : value;
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/admin/FleetMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/FleetMetrics.java
@@ -8,52 +8,48 @@
 import trailthread.api.EndpointState;
 
 /**
- * All endpoints, told in a bounded space.
+ * The metrics of all endpoints, in bounded space.
  *
- * @param worst the worst of them, the worst first
- * @param rest how many more there are; what follows is their sum
+ * @param ready how many endpoints are ready
+ * @param draining how many are not
+ * @param worst the worst of them one by one, the worst first
+ * @param others the sums over all others
  */
-record FleetMetrics(
-        int ready,
-        int draining,
-        List<EndpointMetrics> worst,
-        int rest,
-        long restInFlight,
-        long restAttempts,
-        long restFailures,
-        double restQueue) {
+record FleetMetrics(int ready, int draining, List<EndpointMetrics> worst, EndpointTotals others) {
 
-    static FleetMetrics of(Collection<EndpointMetrics> endpoints, int most) {
+    /**
+     * Copies the metrics of the worst endpoints, and sums up the others.
+     *
+     * @param maxShown how many endpoints are copied at most
+     */
+    static FleetMetrics of(Collection<EndpointMetrics> endpoints, int maxShown) {
         PriorityQueue<EndpointMetrics> worst =
-                new PriorityQueue<>(most + 1, EndpointMetrics.BEST_FIRST);
+                new PriorityQueue<>(maxShown + 1, EndpointMetrics.BEST_FIRST);
+        EndpointTotals others = new EndpointTotals();
         int ready = 0;
-        int rest = 0;
-        long inFlight = 0;
-        long attempts = 0;
-        long failures = 0;
-        double queue = 0;
         for (EndpointMetrics endpoint : endpoints) {
             ready += endpoint.state == EndpointState.READY ? 1 : 0;
-            EndpointMetrics left = endpoint;
-            if (worst.size() < most
-                    || EndpointMetrics.BEST_FIRST.compare(endpoint, worst.peek()) > 0) {
-                worst.add(endpoint);
-                left = worst.size() > most ? worst.poll() : null;
+            boolean isWorse =
+                    worst.size() < maxShown
+                            || EndpointMetrics.BEST_FIRST.compare(endpoint, worst.peek()) > 0;
+            if (!isWorse) {
+                others.add(endpoint);
+                continue;
             }
-            if (left != null) {
-                rest++;
-                inFlight += left.inFlight;
-                attempts += left.attempts;
-                failures += left.failures;
-                queue += EndpointMetrics.orZero(left.queue);
+            worst.add(endpoint);
+            if (worst.size() > maxShown) {
+                others.add(worst.poll());
             }
         }
-        List<EndpointMetrics> shown = new ArrayList<>(worst.size());
-        while (!worst.isEmpty()) {
-            shown.add(worst.poll().copy());
+        return new FleetMetrics(ready, endpoints.size() - ready, copyReversed(worst), others);
+    }
+
+    private static List<EndpointMetrics> copyReversed(PriorityQueue<EndpointMetrics> bestFirst) {
+        List<EndpointMetrics> copies = new ArrayList<>(bestFirst.size());
+        while (!bestFirst.isEmpty()) {
+            copies.add(bestFirst.poll().copy());
         }
-        Collections.reverse(shown);
-        return new FleetMetrics(
-                ready, endpoints.size() - ready, shown, rest, inFlight, attempts, failures, queue);
+        Collections.reverse(copies);
+        return copies;
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/admin/MetricLabels.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/MetricLabels.java
@@ -3,11 +3,11 @@
 import java.util.Locale;
 import trailthread.api.Outcome;
 
-/** The published label values of enums: fixed, whatever the constants are called in the code. */
+/** The published label values of enums, which stay when their constants are renamed. */
 final class MetricLabels {
     private MetricLabels() {}
 
-    /** The value as it stands in metrics and in the status document. */
+    /** The label value of a constant, in metrics and in the status document. */
     static String of(Enum<?> value) {
         if (value == Outcome.REJECTED) {
             return "full";
--- a/daemon/src/main/java/trailthread/daemon/admin/MetricsCache.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/MetricsCache.java
@@ -15,14 +15,13 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * What the endpoint answers. The loop only takes the snapshot; it is rendered beside the loop, and
- * then goes to all who ask within a while, so that the loop's time does not depend on how often
- * they do.
+ * Renders the metrics, and caches the result for a while, so that the loop's time does not depend
+ * on how often clients ask. The loop's thread only takes the snapshot; another thread renders it.
  */
 final class MetricsCache {
     private static final Logger LOG = LoggerFactory.getLogger(MetricsCache.class);
 
-    /** In what form figures are told. */
+    /** A format in which metrics are rendered. */
     enum Form {
         PROMETHEUS(PrometheusTextFormatWriter.create()),
         OPEN_METRICS(OpenMetricsTextFormatWriter.create()),
@@ -35,7 +34,7 @@
             this.writer = writer;
         }
 
-        /** The form for metrics that suits an Accept header, which may be null. */
+        /** The metrics format that suits an Accept header, which may be null. */
         static Form accepted(String header) {
             return OPEN_METRICS.writer.accepts(header) ? OPEN_METRICS : PROMETHEUS;
         }
@@ -45,55 +44,77 @@
         }
     }
 
-    /** One form's last body, and who waits for the next. */
-    private static final class Slot {
+    /** The last body of one format, and who waits for the next one. */
+    private static final class Entry {
+        /** Null before the first one, and if the last one could not be rendered. */
         private byte[] body;
-        private long madeAt;
+
+        private long snapshotAt;
         private final List<Consumer<byte[]>> waiting = new ArrayList<>();
+
+        void complete(byte[] rendered, long at) {
+            body = rendered;
+            snapshotAt = at;
+            List<Consumer<byte[]>> notified = List.copyOf(waiting);
+            waiting.clear();
+            notified.forEach(receiver -> receiver.accept(rendered));
+        }
     }
 
     private final EventLoop loop;
-    private final String name;
+    private final String nodeName;
     private final String version;
     private final long freshNs;
     private final Supplier<Snapshot> snapshots;
-    private final Map<Form, Slot> slots = new EnumMap<>(Form.class);
+    private final Map<Form, Entry> entries = new EnumMap<>(Form.class);
 
+    /**
+     * Makes an empty cache.
+     *
+     * @param freshNs for how long a body is served again, from its snapshot on
+     */
     MetricsCache(
             EventLoop loop,
-            String name,
+            String nodeName,
             String version,
             long freshNs,
             Supplier<Snapshot> snapshots) {
         this.loop = loop;
-        this.name = name;
+        this.nodeName = nodeName;
         this.version = version;
         this.freshNs = freshNs;
         this.snapshots = snapshots;
     }
 
-    /** Hands over the body, which nobody may change, at once or later; null if it can't be made. */
-    void ask(Form form, Consumer<byte[]> then) {
-        Slot slot = slots.computeIfAbsent(form, f -> new Slot());
-        if (slot.body != null && loop.now() - slot.madeAt < freshNs) {
-            then.accept(slot.body);
+    /**
+     * Gives the rendered metrics to a receiver, at once or later, on the loop's thread.
+     *
+     * @param receiver gets the bytes, which it must not change; null if they can't be rendered
+     */
+    void get(Form form, Consumer<byte[]> receiver) {
+        Entry entry = entries.computeIfAbsent(form, f -> new Entry());
+        if (entry.body != null && loop.now() - entry.snapshotAt < freshNs) {
+            receiver.accept(entry.body);
             return;
         }
-        slot.waiting.add(then);
-        if (slot.waiting.size() == 1) {
+        entry.waiting.add(receiver);
+        if (entry.waiting.size() == 1) {
             long now = loop.now();
             Snapshot snapshot = snapshots.get();
-            loop.worker()
-                    .execute(
-                            () -> {
-                                byte[] body = null;
-                                try {
-                                    body = render(form, snapshot);
-                                } finally {
-                                    byte[] made = body;
-                                    loop.execute(() -> made(slot, made, now));
-                                }
-                            });
+            loop.worker().execute(() -> renderInto(entry, form, snapshot, now));
+        }
+    }
+
+    /**
+     * Completes the entry even if the rendering ends in an error, so that nobody waits for ever.
+     */
+    private void renderInto(Entry entry, Form form, Snapshot snapshot, long snapshotAt) {
+        byte[] body = null;
+        try {
+            body = render(form, snapshot);
+        } finally {
+            byte[] rendered = body;
+            loop.execute(() -> entry.complete(rendered, snapshotAt));
         }
     }
 
@@ -101,19 +122,11 @@
         try {
             ProcessMetrics process = ProcessMetrics.read();
             return form.writer == null
-                    ? StatusJson.render(snapshot, process, name, version)
-                    : Exposition.render(snapshot, process, name, version, form.writer);
+                    ? StatusJson.render(snapshot, process, nodeName, version)
+                    : Exposition.render(snapshot, process, nodeName, version, form.writer);
         } catch (IOException | RuntimeException e) {
-            LOG.error("the figures for operators can't be told", e);
+            LOG.error("the metrics can't be rendered", e);
             return null;
         }
     }
-
-    private static void made(Slot slot, byte[] body, long at) {
-        slot.body = body;
-        slot.madeAt = at;
-        List<Consumer<byte[]>> waited = List.copyOf(slot.waiting);
-        slot.waiting.clear();
-        waited.forEach(then -> then.accept(body));
-    }
 }
--- a/daemon/src/main/java/trailthread/daemon/admin/NodeMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/NodeMetrics.java
@@ -14,69 +14,71 @@
 import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.metrics.RequestResult;
 
-/** Counts what happens in one node. Plain figures, as all of it happens on the loop's thread. */
+/** Counts what happens in one node. All methods run on the loop's thread. */
 final class NodeMetrics implements MetricsRecorder {
-    /** Past these, endpoints are told of by their sum. */
-    static final int MOST_ENDPOINTS_SHOWN = 1_024;
+    /** How many endpoints have metrics of their own in a snapshot; the others are summed up. */
+    static final int MAX_ENDPOINTS_SHOWN = 1_024;
 
     private final Map<String, ClassMetrics> classes = new LinkedHashMap<>();
     private final Map<String, EndpointMetrics> endpoints = new HashMap<>();
     private final Map<String, Long> levelChanges = new LinkedHashMap<>();
-    private final long[] rejections = new long[RejectionReason.values().length];
-    private final long[] attempts = new long[Outcome.values().length];
-    private final long[] probes = new long[Outcome.values().length];
-    private final DurationHistogram lateness = new DurationHistogram();
-    private long attemptsAtWork;
+    private final EnumCounts<RejectionReason> rejections = new EnumCounts<>(RejectionReason.class);
+    private final EnumCounts<Outcome> attempts = new EnumCounts<>(Outcome.class);
+    private final EnumCounts<Outcome> healthChecks = new EnumCounts<>(Outcome.class);
+    private final DurationHistogram timerLateness = new DurationHistogram();
+    private long attemptsInFlight;
     private long attemptsSent;
-    private long reloadsTaken;
-    private long reloadsTurnedDown;
+    private long reloadsApplied;
+    private long reloadsRejected;
     private String level;
     private long levelSince;
 
     /**
-     * @param classes those told of with noughts before their first call
+     * Makes the metrics of a node.
+     *
+     * @param classes request classes that are shown before their first request
      */
     NodeMetrics(List<String> classes) {
-        classes.forEach(this::of);
+        classes.forEach(this::addClass);
     }
 
-    /** Tells of a class from now on, with noughts before its first call. */
-    void serves(String requestClass) {
-        of(requestClass);
+    /** Shows a request class, with counts of 0 before its first request. */
+    void addClass(String requestClass) {
+        metricsOf(requestClass);
     }
 
-    private ClassMetrics of(String requestClass) {
+    private ClassMetrics metricsOf(String requestClass) {
         return classes.computeIfAbsent(requestClass, name -> new ClassMetrics());
     }
 
     @Override
     public void taken(String requestClass) {
-        of(requestClass).taken++;
+        metricsOf(requestClass).admitted++;
     }
 
     @Override
-    public void answered(String requestClass, RequestResult answer, long afterNs, long waitedNs) {
-        ClassMetrics figures = of(requestClass);
-        figures.answers[answer.ordinal()]++;
-        figures.durations.add(afterNs);
+    public void answered(String requestClass, RequestResult result, long afterNs, long waitedNs) {
+        ClassMetrics metrics = metricsOf(requestClass);
+        metrics.responses.increment(result);
+        metrics.durations.add(afterNs);
     }
 
     @Override
     public void gone(String requestClass) {
-        of(requestClass).gone++;
+        metricsOf(requestClass).clientsGone++;
     }
 
     @Override
-    public void rejected(RejectionReason why) {
-        rejections[why.ordinal()]++;
+    public void rejected(RejectionReason reason) {
+        rejections.increment(reason);
     }
 
     @Override
     public void attemptBegun(String endpoint) {
-        attemptsAtWork++;
-        EndpointMetrics figures = endpoints.get(endpoint);
-        if (figures != null) {
-            figures.inFlight++;
+        attemptsInFlight++;
+        EndpointMetrics metrics = endpoints.get(endpoint);
+        if (metrics != null) {
+            metrics.inFlight++;
         }
     }
 
@@ -87,20 +89,20 @@
 
     @Override
     public void attemptEnded(String endpoint, Outcome outcome, long latencyNs, LoadReport load) {
-        attemptsAtWork--;
-        attempts[outcome.ordinal()]++;
-        EndpointMetrics figures = endpoints.get(endpoint);
-        if (figures != null) {
-            figures.ended(outcome, latencyNs, load);
+        attemptsInFlight--;
+        attempts.increment(outcome);
+        EndpointMetrics metrics = endpoints.get(endpoint);
+        if (metrics != null) {
+            metrics.attemptEnded(outcome, latencyNs, load);
         }
     }
 
     @Override
     public void healthChecked(String endpoint, Outcome outcome, LoadReport load) {
-        probes[outcome.ordinal()]++;
-        EndpointMetrics figures = endpoints.get(endpoint);
-        if (figures != null) {
-            figures.told(load);
+        healthChecks.increment(outcome);
+        EndpointMetrics metrics = endpoints.get(endpoint);
+        if (metrics != null) {
+            metrics.loadReported(load);
         }
     }
 
@@ -113,22 +115,25 @@
         }
         for (EndpointEntry entry : entries) {
             String id = entry.endpoint();
-            EndpointMetrics figures = endpoints.getOrDefault(id, before.get(id));
+            EndpointMetrics metrics = endpoints.getOrDefault(id, before.get(id));
             if (entry.state() == EndpointState.GONE) {
                 endpoints.remove(id);
-            } else if (figures == null) {
+            } else if (metrics == null) {
                 endpoints.put(id, new EndpointMetrics(id, entry.state()));
             } else {
-                figures.state = entry.state();
-                endpoints.put(id, figures);
+                metrics.state = entry.state();
+                endpoints.put(id, metrics);
             }
         }
     }
 
     @Override
-    public void reloaded(boolean taken) {
-        reloadsTaken += taken ? 1 : 0;
-        reloadsTurnedDown += taken ? 0 : 1;
+    public void reloaded(boolean applied) {
+        if (applied) {
+            reloadsApplied++;
+        } else {
+            reloadsRejected++;
+        }
     }
 
     @Override
@@ -143,83 +148,52 @@
         levelSince = now;
     }
 
-    /** A timer ran so long after it was due. */
-    void late(long ns) {
-        lateness.add(ns);
-    }
-
-    /**
-     * The figures that the operators ask for by names of their own, one a line; docs/operations.md
-     * explains them. By hand, as Prometheus' writers would add an ending to each counter's name,
-     * and so that none is older than the answer.
-     */
-    String figures(NodeStatus view) {
-        StringBuilder out =
-                new StringBuilder(64 * (classes.size() + 1) * RequestResult.values().length);
-        long current = 0;
-        for (RequestResult answer : RequestResult.values()) {
-            for (Map.Entry<String, ClassMetrics> e : classes.entrySet()) {
-                out.append("app_")
-                        .append(wordFor(answer))
-                        .append("{group=\"")
-                        .append(escaped(e.getKey()))
-                        .append("\"} ")
-                        .append(e.getValue().answers[answer.ordinal()])
-                        .append('\n');
-            }
-        }
-        for (ClassMetrics figures : classes.values()) {
-            current += figures.atWork();
-        }
-        figure(out, "sends", attemptsSent);
-        figure(out, "current", current);
-        figure(out, "cluster_size", endpoints.size());
-        figure(out, "cluster_unhealthy", view.avoidedEndpoints());
-        figure(out, "conf_loaded", reloadsTaken);
-        figure(out, "conf_invalid", reloadsTurnedDown);
-        return out.toString();
-    }
-
-    private static String wordFor(RequestResult answer) {
-        return switch (answer) {
-            case SERVED -> "answered";
-            case REFUSED -> "deferred";
-            case FAILED -> "errored";
-        };
-    }
-
-    private static String escaped(String label) {
-        return label.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
+    /** The regular timer ran this long after it was due. */
+    void timerRan(long lateNs) {
+        timerLateness.add(lateNs);
     }
 
-    private static void figure(StringBuilder out, String name, long value) {
-        out.append("app_").append(name).append(' ').append(value).append('\n');
+    /** The current values of the metrics whose names the operators have prescribed. */
+    AppMetrics appMetrics(NodeStatus status) {
+        return new AppMetrics(
+                classes,
+                attemptsSent,
+                endpoints.size(),
+                status.avoidedEndpoints(),
+                reloadsApplied,
+                reloadsRejected);
     }
 
-    Snapshot snapshot(NodeStatus view) {
+    /** Copies all metrics, together with what the node says of itself. */
+    Snapshot snapshot(NodeStatus status) {
+        Map<String, ClassMetrics> classCopies = new LinkedHashMap<>();
+        classes.forEach((name, metrics) -> classCopies.put(name, metrics.copy()));
+        return new Snapshot(
+                status.isReady(),
+                level,
+                levelSince,
+                levelChanges(status.levels()),
+                new LinkedHashMap<>(status.readings()),
+                classCopies,
+                rejections.copy(),
+                attempts.copy(),
+                attemptsInFlight,
+                healthChecks.copy(),
+                timerLateness.copy(),
+                new LinkedHashMap<>(status.clientConnections()),
+                new LinkedHashMap<>(status.endpointConnections()),
+                status.descriptorLimit(),
+                FleetMetrics.of(endpoints.values(), MAX_ENDPOINTS_SHOWN));
+    }
+
+    /** The changes to every level, in the order of the levels; 0 for those never entered. */
+    private Map<String, Long> levelChanges(List<String> levels) {
         Map<String, Long> changes = new LinkedHashMap<>();
-        view.levels().forEach(name -> changes.put(name, 0L));
+        levels.forEach(name -> changes.put(name, 0L));
         if (level != null) {
             changes.putIfAbsent(level, 0L);
         }
         changes.putAll(levelChanges);
-        Map<String, ClassMetrics> copies = new LinkedHashMap<>();
-        classes.forEach((name, figures) -> copies.put(name, figures.copy()));
-        return new Snapshot(
-                view.isReady(),
-                level,
-                levelSince,
-                changes,
-                new LinkedHashMap<>(view.readings()),
-                copies,
-                rejections.clone(),
-                attempts.clone(),
-                attemptsAtWork,
-                probes.clone(),
-                lateness.copy(),
-                new LinkedHashMap<>(view.clientConnections()),
-                new LinkedHashMap<>(view.endpointConnections()),
-                view.descriptorLimit(),
-                FleetMetrics.of(endpoints.values(), MOST_ENDPOINTS_SHOWN));
+        return changes;
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/admin/ProcessMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/ProcessMetrics.java
@@ -7,8 +7,8 @@
 import java.time.Instant;
 
 /**
- * What the process holds, as the kernel tells it; NaN where it does not. Read from /proc (proc(5)),
- * as the virtual machine's own management classes cost megabytes.
+ * The resources that the process uses; NaN where the system does not say. They are read from /proc
+ * (proc(5)), as the virtual machine's management classes would take megabytes of memory.
  */
 record ProcessMetrics(
         double openDescriptors,
@@ -17,42 +17,52 @@
         double startSeconds,
         double heapUsedBytes,
         double heapCommittedBytes,
-        double heapMostBytes) {
+        double heapMaxBytes) {
     private static final Path STATUS = Path.of("/proc/self/status");
-    private static final String RESIDENT = "VmRSS:";
+    private static final Path DESCRIPTORS = Path.of("/proc/self/fd");
 
-    /** Reads files: not for the loop's thread. */
+    /** The line of {@link #STATUS} that states the resident memory in kB. */
+    private static final String RESIDENT_LINE = "VmRSS:";
+
+    private static final double BYTES_PER_KB = 1024;
+    private static final double NS_PER_SECOND = 1e9;
+    private static final double MS_PER_SECOND = 1e3;
+
+    /** Reads the current values from files; not to be called on the loop's thread. */
     static ProcessMetrics read() {
         Runtime runtime = Runtime.getRuntime();
         ProcessHandle.Info info = ProcessHandle.current().info();
-        String[] open = Path.of("/proc/self/fd").toFile().list();
         return new ProcessMetrics(
-                open == null ? Double.NaN : open.length - 1, // one is there to read the list
-                resident(),
+                countOpenDescriptors(),
+                readResidentBytes(),
                 info.totalCpuDuration()
                         .map(Duration::toNanos)
-                        .map(ns -> ns / 1e9)
+                        .map(ns -> ns / NS_PER_SECOND)
                         .orElse(Double.NaN),
                 info.startInstant()
                         .map(Instant::toEpochMilli)
-                        .map(ms -> ms / 1e3)
+                        .map(ms -> ms / MS_PER_SECOND)
                         .orElse(Double.NaN),
                 runtime.totalMemory() - runtime.freeMemory(),
                 runtime.totalMemory(),
                 runtime.maxMemory());
     }
 
-    private static double resident() {
+    private static double countOpenDescriptors() {
+        String[] open = DESCRIPTORS.toFile().list();
+        return open == null ? Double.NaN : open.length - 1; // one is open to read the directory
+    }
+
+    private static double readResidentBytes() {
         try {
             for (String line : Files.readAllLines(STATUS)) {
-                if (line.startsWith(RESIDENT)) {
-                    return 1024
-                            * Double.parseDouble(
-                                    line.substring(RESIDENT.length()).replace("kB", ""));
+                if (line.startsWith(RESIDENT_LINE)) {
+                    String kilobytes = line.substring(RESIDENT_LINE.length()).replace("kB", "");
+                    return BYTES_PER_KB * Double.parseDouble(kilobytes);
                 }
             }
         } catch (IOException | NumberFormatException e) {
-            // not told here
+            return Double.NaN; // not known on this system
         }
         return Double.NaN;
     }
--- a/daemon/src/main/java/trailthread/daemon/admin/StatusJson.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/StatusJson.java
@@ -6,14 +6,15 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Instant;
 import java.util.Map;
-import trailthread.api.Outcome;
-import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.metrics.RequestResult;
 
-/** Tells a snapshot as one JSON object, for people and scripts; what is not known is left out. */
+/**
+ * Renders a snapshot as one JSON object, for people and scripts. Values that are not known are left
+ * out.
+ */
 final class StatusJson {
-    /** Whole numbers below this are written as such: a double holds them all. */
-    private static final double MOST_WHOLE = 1L << 53;
+    /** Integers below this are written without a fraction: a double represents them all. */
+    private static final double EXACT_INTEGERS = 1L << 53;
 
     private final JsonWriter out;
 
@@ -21,116 +22,132 @@
         this.out = out;
     }
 
-    static byte[] render(Snapshot s, ProcessMetrics process, String name, String version)
+    /** Renders the status document of a node, in UTF-8. */
+    static byte[] render(Snapshot snapshot, ProcessMetrics process, String nodeName, String version)
             throws IOException {
         StringWriter text = new StringWriter();
         try (JsonWriter writer = new JsonWriter(text)) {
             writer.setIndent(" ");
             writer.setSerializeNulls(false);
-            new StatusJson(writer).write(s, process, name, version);
+            new StatusJson(writer).write(snapshot, process, nodeName, version);
         }
         return text.append('\n').toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private void write(Snapshot s, ProcessMetrics process, String name, String version)
+    private void write(Snapshot snapshot, ProcessMetrics process, String nodeName, String version)
             throws IOException {
         out.beginObject();
-        out.name("name").value(name);
+        out.name("name").value(nodeName);
         out.name("version").value(version);
-        out.name("ready").value(s.ready());
-        out.name("level").value(s.level());
-        out.name("since")
-                .value(
-                        s.level() == null
-                                ? null
-                                : Instant.ofEpochSecond(0, s.levelSince()).toString());
-        object("level_changes", s.levelChanges());
-        object("readings", s.readings());
-        calls(s);
-        counts("rejected", RejectionReason.values(), s.rejections());
-        counts("attempts", Outcome.values(), s.attempts());
-        out.name("attempts_at_work").value(s.attemptsAtWork());
-        counts("probes", Outcome.values(), s.probes());
-        object("client_connections", s.clientConnections());
-        object("worker_connections", s.endpointConnections());
-        out.name("process").beginObject();
-        figure("open_descriptors", process.openDescriptors());
-        figure("descriptors_limit", s.descriptorLimit());
-        figure("resident_bytes", process.residentBytes());
-        figure("heap_used_bytes", process.heapUsedBytes());
-        figure("heap_max_bytes", process.heapMostBytes());
-        figure("cpu_seconds", process.cpuSeconds());
+        out.name("ready").value(snapshot.ready());
+        writeLevel(snapshot);
+        writeRequests(snapshot.classes());
+        writeCounts("rejected", snapshot.rejections());
+        writeCounts("attempts", snapshot.attempts());
+        out.name("attempts_at_work").value(snapshot.attemptsInFlight());
+        writeCounts("probes", snapshot.healthChecks());
+        writeNumbers("client_connections", snapshot.clientConnections());
+        writeNumbers("worker_connections", snapshot.endpointConnections());
+        writeProcess(process, snapshot.descriptorLimit());
+        writeEndpoints(snapshot.fleet());
         out.endObject();
-        endpoints(s.fleet());
+    }
+
+    private void writeLevel(Snapshot snapshot) throws IOException {
+        if (snapshot.level() != null) {
+            out.name("level").value(snapshot.level());
+            out.name("since").value(Instant.ofEpochSecond(0, snapshot.levelSince()).toString());
+        }
+        writeNumbers("level_changes", snapshot.levelChanges());
+        writeNumbers("readings", snapshot.readings());
+    }
+
+    private void writeProcess(ProcessMetrics process, int descriptorLimit) throws IOException {
+        out.name("process").beginObject();
+        writeNumber("open_descriptors", process.openDescriptors());
+        writeNumber("descriptors_limit", descriptorLimit);
+        writeNumber("resident_bytes", process.residentBytes());
+        writeNumber("heap_used_bytes", process.heapUsedBytes());
+        writeNumber("heap_max_bytes", process.heapMaxBytes());
+        writeNumber("cpu_seconds", process.cpuSeconds());
         out.endObject();
     }
 
-    private void calls(Snapshot s) throws IOException {
+    private void writeRequests(Map<String, ClassMetrics> classes) throws IOException {
         out.name("calls").beginObject();
-        for (Map.Entry<String, ClassMetrics> e : s.classes().entrySet()) {
-            ClassMetrics figures = e.getValue();
-            out.name(e.getKey()).beginObject();
-            out.name("taken").value(figures.taken);
-            for (RequestResult answer : RequestResult.values()) {
-                out.name(MetricLabels.of(answer)).value(figures.answers[answer.ordinal()]);
+        for (Map.Entry<String, ClassMetrics> requestClass : classes.entrySet()) {
+            ClassMetrics metrics = requestClass.getValue();
+            DurationHistogram durations = metrics.durations;
+            out.name(requestClass.getKey()).beginObject();
+            out.name("taken").value(metrics.admitted);
+            for (RequestResult result : metrics.responses.constants()) {
+                out.name(MetricLabels.of(result)).value(metrics.responses.get(result));
             }
-            out.name("gone").value(figures.gone);
-            out.name("at_work").value(figures.atWork());
-            figure("mean_seconds", figures.durations.sumSeconds() / figures.durations.count());
+            out.name("gone").value(metrics.clientsGone);
+            out.name("at_work").value(metrics.inFlight());
+            writeNumber("mean_seconds", durations.sumSeconds() / durations.count());
             out.endObject();
         }
         out.endObject();
     }
 
-    private void endpoints(FleetMetrics fleet) throws IOException {
+    private void writeEndpoints(FleetMetrics fleet) throws IOException {
         out.name("workers").beginObject();
         out.name("ready").value(fleet.ready());
         out.name("draining").value(fleet.draining());
         out.name("worst").beginArray();
         for (EndpointMetrics endpoint : fleet.worst()) {
-            out.beginObject();
-            out.name("id").value(endpoint.id);
-            out.name("state").value(MetricLabels.of(endpoint.state));
-            out.name("in_flight").value(endpoint.inFlight);
-            figure("queue", endpoint.queue);
-            figure("latency_seconds", endpoint.latencyS);
-            figure("failure_ratio", endpoint.failureRatio);
-            out.name("attempts").value(endpoint.attempts);
-            out.name("failures").value(endpoint.failures);
-            out.endObject();
+            writeEndpoint(endpoint);
         }
         out.endArray();
+        EndpointTotals others = fleet.others();
         out.name("others").beginObject();
-        out.name("count").value(fleet.rest());
-        out.name("in_flight").value(fleet.restInFlight());
-        figure("queue", fleet.restQueue());
-        out.name("attempts").value(fleet.restAttempts());
-        out.name("failures").value(fleet.restFailures());
+        out.name("count").value(others.endpoints());
+        out.name("in_flight").value(others.inFlight());
+        writeNumber("queue", others.queue());
+        out.name("attempts").value(others.attempts());
+        out.name("failures").value(others.failures());
         out.endObject();
         out.endObject();
     }
 
-    private void object(String name, Map<String, ? extends Number> values) throws IOException {
+    private void writeEndpoint(EndpointMetrics endpoint) throws IOException {
+        out.beginObject();
+        out.name("id").value(endpoint.id);
+        out.name("state").value(MetricLabels.of(endpoint.state));
+        out.name("in_flight").value(endpoint.inFlight);
+        writeNumber("queue", endpoint.queue);
+        writeNumber("latency_seconds", endpoint.latencySeconds);
+        writeNumber("failure_ratio", endpoint.failureRatio);
+        out.name("attempts").value(endpoint.attempts);
+        out.name("failures").value(endpoint.failures);
+        out.endObject();
+    }
+
+    /** Writes those of the values that JSON can represent: the finite ones. */
+    private void writeNumbers(String name, Map<String, ? extends Number> values)
+            throws IOException {
         out.name(name).beginObject();
-        for (Map.Entry<String, ? extends Number> e : values.entrySet()) {
-            if (Double.isFinite(e.getValue().doubleValue())) {
-                out.name(e.getKey()).value(e.getValue());
+        for (Map.Entry<String, ? extends Number> entry : values.entrySet()) {
+            if (Double.isFinite(entry.getValue().doubleValue())) {
+                out.name(entry.getKey()).value(entry.getValue());
             }
         }
         out.endObject();
     }
 
-    private void counts(String name, Enum<?>[] keys, long[] values) throws IOException {
+    private <E extends Enum<E>> void writeCounts(String name, EnumCounts<E> counts)
+            throws IOException {
         out.name(name).beginObject();
-        for (Enum<?> key : keys) {
-            out.name(MetricLabels.of(key)).value(values[key.ordinal()]);
+        for (E constant : counts.constants()) {
+            out.name(MetricLabels.of(constant)).value(counts.get(constant));
         }
         out.endObject();
     }
 
-    /** JSON knows no figure but finite ones. */
-    private void figure(String name, double value) throws IOException {
-        if (value == Math.rint(value) && Math.abs(value) < MOST_WHOLE) {
+    /** Writes a number, unless it is not finite: JSON can't represent those. */
+    private void writeNumber(String name, double value) throws IOException {
+        if (value == Math.rint(value) && Math.abs(value) < EXACT_INTEGERS) {
             out.name(name).value((long) value);
         } else if (Double.isFinite(value)) {
             out.name(name).value(value);
--- a/daemon/src/test/java/trailthread/daemon/admin/MetricsExpositionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/MetricsExpositionTest.java
@@ -188,11 +188,11 @@
         assertEquals(
                 List.of("w4321", "w77", "w9"),
                 fleet.worst().subList(0, 3).stream().map(w -> w.id).toList());
-        assertEquals(NodeMetrics.MOST_ENDPOINTS_SHOWN, fleet.worst().size());
-        assertEquals(8_976, fleet.rest());
-        assertEquals(8_976, fleet.restAttempts());
-        assertEquals(0, fleet.restInFlight() + fleet.restFailures());
-        assertEquals(17_952, fleet.restQueue(), 0);
+        assertEquals(NodeMetrics.MAX_ENDPOINTS_SHOWN, fleet.worst().size());
+        assertEquals(8_976, fleet.others().endpoints());
+        assertEquals(8_976, fleet.others().attempts());
+        assertEquals(0, fleet.others().inFlight() + fleet.others().failures());
+        assertEquals(17_952, fleet.others().queue(), 0);
         list(ListKind.FULL, EndpointState.READY, "w77", "new");
         list(ListKind.FAILED, EndpointState.READY);
         attempt("w77", Outcome.NOT_SENT, 0);
