--- a/daemon/src/test/java/trailthread/daemon/admin/AdminServerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/AdminServerTest.java
@@ -32,7 +32,7 @@
 import trailthread.engine.metrics.NodeControl;
 import trailthread.engine.metrics.RequestResult;
 
-/** The endpoint over real sockets: what it answers, and what no client of it can do. */
+/** The admin server over real sockets: its responses, and the limits of its clients. */
 public class AdminServerTest {
     private static final int LONGEST_WAIT_S = 30;
     private static final int LONG_MS = 1000 * LONGEST_WAIT_S;
@@ -43,36 +43,35 @@
             new RequestClass(
                     "read", 1, 0, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 1, 0);
 
-    private final FixedNodeStatus view = new FixedNodeStatus();
-    private final List<String> done = new CopyOnWriteArrayList<>();
+    private final FixedNodeStatus status = new FixedNodeStatus();
+    private final List<String> executed = new CopyOnWriteArrayList<>();
     private final NodeControl control =
             new NodeControl() {
                 @Override
                 public boolean drain() {
-                    return done.add("drain");
+                    return executed.add("drain");
                 }
 
                 @Override
                 public boolean resume() {
-                    done.add("resume");
+                    executed.add("resume");
                     return false;
                 }
             };
     private final List<Closeable> open = new ArrayList<>();
     private final EventLoop loop = new EventLoop("test");
-    private AdminServer endpoint;
+    private AdminServer server;
     private InetSocketAddress address;
 
     public AdminServerTest() throws IOException {}
 
     private void listen(AdminLimits limits) throws IOException {
-        endpoint = new AdminServer(loop, "n0", List.of(READ), view, limits);
+        server = new AdminServer(loop, "n0", List.of(READ), status, limits);
         address =
-                endpoint.listen(
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), control);
+                server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), control);
     }
 
-    private static AdminLimits most(int connections) {
+    private static AdminLimits maxConnections(int connections) {
         return new AdminLimits(connections, LONG_MS, LONG_MS, LONG_NS, 0, 0, 0);
     }
 
@@ -81,9 +80,9 @@
         for (Closeable c : open) {
             c.close();
         }
-        endpoint.close();
+        server.close();
         CountDownLatch ended = new CountDownLatch(1);
-        // Behind all that the loop has yet to do, and what it renders then.
+        // Waits for the tasks of the loop, and for what they have rendered.
         loop.execute(() -> loop.worker().execute(() -> loop.execute(ended::countDown)));
         assertTrue(ended.await(LONGEST_WAIT_S, TimeUnit.SECONDS));
         loop.worker().shutdown();
@@ -101,13 +100,13 @@
         client.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static void ask(Socket client, String method, String path, String headers)
+    private static void sendRequest(Socket client, String method, String path, String headers)
             throws IOException {
         send(client, method + " " + path + " HTTP/1.1\r\nHost: a\r\n" + headers + "\r\n");
     }
 
-    /** One whole answer, head and body. */
-    private static String answer(Socket client) throws IOException {
+    /** Reads one response, head and body. */
+    private static String readResponse(Socket client) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int b = client.getInputStream().read();
@@ -120,8 +119,8 @@
     }
 
     private String get(Socket client, String path) throws IOException {
-        ask(client, "GET", path, "");
-        return answer(client);
+        sendRequest(client, "GET", path, "");
+        return readResponse(client);
     }
 
     private static boolean isClosed(Socket client) {
@@ -132,83 +131,86 @@
         }
     }
 
-    private static void assertStatus(int status, String answer) {
-        assertTrue(answer, answer.startsWith("HTTP/1.1 " + status + " "));
+    private static void assertStatus(int status, String response) {
+        assertTrue(response, response.startsWith("HTTP/1.1 " + status + " "));
     }
 
     @Test
-    public void prometheusScrapesItAndCountersGoUp() throws Exception {
-        listen(most(8));
+    public void countersIncreaseFromScrapeToScrape() throws Exception {
+        listen(maxConnections(8));
         Socket client = connect();
-        MetricsRecorder meter = endpoint.meter();
-        for (int calls = 0; calls < 3; calls++) {
-            String answer = get(client, "/metrics");
-            assertStatus(200, answer);
-            assertTrue(answer, answer.contains("Content-Type: text/plain; version=0.0.4"));
-            String body = answer.substring(answer.indexOf("\r\n\r\n") + 4);
+        MetricsRecorder meter = server.meter();
+        for (int admitted = 0; admitted < 3; admitted++) {
+            String response = get(client, "/metrics");
+            assertStatus(200, response);
+            assertTrue(response, response.contains("Content-Type: text/plain; version=0.0.4"));
+            String body = response.substring(response.indexOf("\r\n\r\n") + 4);
             MetricsExpositionTest.assertTextFormat(body);
             assertTrue(
                     body,
-                    body.contains("\ntrailthread_calls_total{class=\"read\"} " + calls + ".0\n"));
-            loop.execute(() -> meter.taken("read")); // before the next request is read
+                    body.contains(
+                            "\ntrailthread_calls_total{class=\"read\"} " + admitted + ".0\n"));
+            loop.execute(() -> meter.taken("read")); // runs before the next request is read
         }
         loop.execute(() -> meter.levelEntered(loop.now(), "full"));
-        ask(
+        sendRequest(
                 client,
                 "GET",
                 "/metrics",
                 "Accept: application/openmetrics-text;version=1.0.0,*/*;q=0.5\r\n");
-        String open = answer(client);
+        String open = readResponse(client);
         assertTrue(open, open.contains("Content-Type: application/openmetrics-text"));
         assertTrue(open, open.endsWith("# EOF\n"));
         assertTrue(open, open.contains("# TYPE trailthread_level stateset\n"));
-        String status = get(client, "/status");
+        String statusJson = get(client, "/status");
         assertTrue(
-                status, status.contains("application/json") && status.contains("\"name\": \"n0\""));
+                statusJson,
+                statusJson.contains("application/json") && statusJson.contains("\"name\": \"n0\""));
     }
 
     @Test
-    public void onlyWhatThereIsCanBeAskedFor() throws Exception {
-        listen(most(8));
+    public void unknownPathsMethodsAndBodiesAreRejected() throws Exception {
+        listen(maxConnections(8));
         Socket client = connect();
         assertStatus(200, get(client, "/ready"));
-        view.ready = false;
+        status.ready = false;
         assertStatus(503, get(client, "/ready"));
         for (String path : List.of("/", "/metrics/", "/read", "/../metrics")) {
             assertStatus(404, get(client, path));
         }
         for (String method : List.of("POST", "HEAD", "DELETE", "metrics")) {
-            ask(client, method, "/metrics", "");
-            String answer = answer(client);
-            assertStatus(405, answer);
-            assertTrue(answer, answer.contains("Allow: GET"));
+            sendRequest(client, method, "/metrics", "");
+            String response = readResponse(client);
+            assertStatus(405, response);
+            assertTrue(response, response.contains("Allow: GET"));
         }
         for (String body :
                 List.of("Content-Length: 5000000\r\n", "Transfer-Encoding: chunked\r\n")) {
             Socket sender = connect();
-            ask(sender, "GET", "/metrics", body);
-            assertStatus(413, answer(sender));
-            assertTrue("its body is not waited for", isClosed(sender));
+            sendRequest(sender, "GET", "/metrics", body);
+            assertStatus(413, readResponse(sender));
+            assertTrue("its body is not read", isClosed(sender));
         }
-        Socket talker = connect();
-        ask(talker, "GET", "/metrics", "X: " + "x".repeat(20_000) + "\r\n");
-        assertStatus(400, answer(talker));
-        assertTrue("a head without an end", isClosed(talker));
+        Socket longHead = connect();
+        sendRequest(longHead, "GET", "/metrics", "X: " + "x".repeat(20_000) + "\r\n");
+        assertStatus(400, readResponse(longHead));
+        assertTrue("a head without an end", isClosed(longHead));
     }
 
-    /** One call to a connection, which ends with the answer. */
-    private String own(String method, String path, String headersAndBody) throws IOException {
+    /** Sends a request to a prescribed path, on a connection that ends with the response. */
+    private String sendPrescribed(String method, String path, String headersAndBody)
+            throws IOException {
         Socket client = connect();
         send(client, method + " " + path + " HTTP/1.1\r\nHost: a\r\n" + headersAndBody);
-        String answer = answer(client);
-        assertTrue(answer, isClosed(client));
-        return answer;
+        String response = readResponse(client);
+        assertTrue(response, isClosed(client));
+        return response;
     }
 
     @Test
-    public void figuresAreAsOldAsTheAnswer() throws Exception {
-        listen(most(8));
-        MetricsRecorder meter = endpoint.meter();
+    public void prescribedMetricsAreCurrent() throws Exception {
+        listen(maxConnections(8));
+        MetricsRecorder meter = server.meter();
         loop.execute(
                 () -> {
                     meter.listed(
@@ -223,7 +225,7 @@
                     meter.answered("read", RequestResult.FAILED, 1, 1);
                     meter.reloaded(true);
                 });
-        String first = own("GET", "/-/metrics", "\r\n");
+        String first = sendPrescribed("GET", "/-/metrics", "\r\n");
         assertStatus(200, first);
         assertEquals(
                 """
@@ -239,27 +241,29 @@
                 """,
                 first.substring(first.indexOf("\r\n\r\n") + 4));
         loop.execute(() -> meter.reloaded(false));
-        assertTrue(own("GET", "/-/metrics", "\r\n").contains("\napp_conf_invalid 1\n"));
+        assertTrue(sendPrescribed("GET", "/-/metrics", "\r\n").contains("\napp_conf_invalid 1\n"));
     }
 
     @Test
-    public void aCallActsOnceItIsThereWhole() throws Exception {
-        listen(most(8));
+    public void onlyACompleteRequestHasAnEffect() throws Exception {
+        listen(maxConnections(8));
         Socket half = connect();
         send(half, "POST /-/drain HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{");
-        assertStatus(200, own("GET", "/-/ready", "\r\n"));
-        assertStatus(404, own("GET", "/-/drain", "\r\n"));
-        assertStatus(503, own("POST", "/-/resume", "Content-Length: 0\r\n\r\n"));
-        assertEquals(List.of("resume"), done);
+        assertStatus(200, sendPrescribed("GET", "/-/ready", "\r\n"));
+        assertStatus(404, sendPrescribed("GET", "/-/drain", "\r\n"));
+        assertStatus(503, sendPrescribed("POST", "/-/resume", "Content-Length: 0\r\n\r\n"));
+        assertEquals(List.of("resume"), executed);
         send(half, "}");
-        assertStatus(200, answer(half));
-        assertStatus(200, own("POST", "/-/drain", "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"));
-        assertEquals(List.of("resume", "drain", "drain"), done);
+        assertStatus(200, readResponse(half));
+        assertStatus(
+                200,
+                sendPrescribed("POST", "/-/drain", "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"));
+        assertEquals(List.of("resume", "drain", "drain"), executed);
     }
 
     @Test
-    public void aFurtherConnectionTakesThePlaceOfTheOneThatIdlesLongest() throws Exception {
-        listen(most(2));
+    public void aFurtherConnectionReplacesTheOneThatIsIdleLongest() throws Exception {
+        listen(maxConnections(2));
         Socket first = connect();
         assertStatus(200, get(first, "/ready"));
         Socket second = connect();
@@ -271,10 +275,10 @@
 
     @Test
     public void whereAllAreBusyAFurtherConnectionIsClosed() throws Exception {
-        listen(most(2));
+        listen(maxConnections(2));
         get(connect(), "/metrics");
         get(connect(), "/status");
-        view.snapshots.drainPermits();
+        status.snapshots.drainPermits();
         CountDownLatch rendering = new CountDownLatch(1);
         loop.worker()
                 .execute(
@@ -287,23 +291,23 @@
                         });
         Socket first = connect();
         Socket second = connect();
-        ask(first, "GET", "/metrics", "");
-        ask(second, "GET", "/status", "");
-        assertTrue(view.snapshots.tryAcquire(2, LONGEST_WAIT_S, TimeUnit.SECONDS));
+        sendRequest(first, "GET", "/metrics", "");
+        sendRequest(second, "GET", "/status", "");
+        assertTrue(status.snapshots.tryAcquire(2, LONGEST_WAIT_S, TimeUnit.SECONDS));
         assertTrue(isClosed(connect()));
         rendering.countDown();
-        assertStatus(200, answer(first));
-        assertStatus(200, answer(second));
+        assertStatus(200, readResponse(first));
+        assertStatus(200, readResponse(second));
     }
 
     @Test
-    public void halfAHeadAndIdlenessEnd() throws Exception {
+    public void incompleteHeadsAndIdleConnectionsTimeOut() throws Exception {
         listen(new AdminLimits(8, 10 * SHORT_MS, LONG_MS, LONG_NS, 0, 0, 0));
         Socket silent = connect();
         Socket idle = connect();
         assertStatus(200, get(idle, "/ready"));
         assertTrue(isClosed(silent) && isClosed(idle));
-        endpoint.close();
+        server.close();
         listen(new AdminLimits(8, LONG_MS, SHORT_MS, LONG_NS, 0, 0, 0));
         Socket half = connect();
         send(half, "GET /metrics HTTP/1.1\r\nHost:");
@@ -314,36 +318,37 @@
     }
 
     @Test
-    public void whoNeverReadsLosesTheConnection() throws Exception {
+    public void theConnectionOfAClientThatDoesNotReadIsClosed() throws Exception {
         int requests = 1000;
         listen(new AdminLimits(1, LONG_MS, LONG_MS, SHORT_NS, 0, 0, 0));
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             entries.add(new EndpointEntry("w" + i, 1, EndpointState.READY, "a", 0, 0));
         }
-        loop.execute(() -> endpoint.meter().listed(ListKind.FULL, entries));
-        Socket jammed = connect();
-        send(jammed, "GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n".repeat(requests));
-        assertTrue(view.snapshots.tryAcquire(LONGEST_WAIT_S, TimeUnit.SECONDS));
-        int made = 1;
-        while (view.snapshots.tryAcquire(5 * SHORT_MS, TimeUnit.MILLISECONDS)) {
-            made++;
+        loop.execute(() -> server.meter().listed(ListKind.FULL, entries));
+        Socket unread = connect();
+        send(unread, "GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n".repeat(requests));
+        assertTrue(status.snapshots.tryAcquire(LONGEST_WAIT_S, TimeUnit.SECONDS));
+        int rendered = 1;
+        while (status.snapshots.tryAcquire(5 * SHORT_MS, TimeUnit.MILLISECONDS)) {
+            rendered++;
         }
-        assertTrue("it was to jam before " + made, made < requests);
-        boolean others = false;
-        for (long start = System.nanoTime(); !others && System.nanoTime() - start < LONG_NS; ) {
+        assertTrue("the connection was to be full before " + rendered, rendered < requests);
+        boolean othersServed = false;
+        for (long start = System.nanoTime();
+                !othersServed && System.nanoTime() - start < LONG_NS; ) {
             try (Socket other = connect()) {
-                ask(other, "GET", "/ready", "");
-                others = other.getInputStream().read() == 'H';
+                sendRequest(other, "GET", "/ready", "");
+                othersServed = other.getInputStream().read() == 'H';
             } catch (IOException e) {
-                Thread.sleep(SHORT_MS); // no room yet
+                Thread.sleep(SHORT_MS); // the limit is still reached
             }
         }
-        assertTrue("others are served again", others);
+        assertTrue("others are served again", othersServed);
     }
 
     @Test
-    public void answersOnOneConnectionAreApart() throws Exception {
+    public void theRateOfResponsesOnOneConnectionIsLimited() throws Exception {
         listen(new AdminLimits(8, LONG_MS, LONG_MS, LONG_NS, SHORT_NS, 0, LONG_NS));
         Socket client = connect();
         get(client, "/ready");
@@ -351,17 +356,20 @@
         get(client, "/metrics");
         get(client, "/metrics");
         assertTrue(System.nanoTime() - start >= SHORT_NS);
-        assertEquals("made once for all that ask in a while", 1, view.snapshots.drainPermits());
+        assertEquals(
+                "rendered once for all requests within a while",
+                1,
+                status.snapshots.drainPermits());
     }
 
     @Test
-    public void anAddressThatCantBeHadIsNamed() throws Exception {
-        listen(most(8));
+    public void anAddressThatCantBeBoundIsNamed() throws Exception {
+        listen(maxConnections(8));
         BindException e =
                 assertThrows(
                         BindException.class,
                         () ->
-                                new AdminServer(loop, "n1", List.of(READ), view)
+                                new AdminServer(loop, "n1", List.of(READ), status)
                                         .listen(address, control));
         assertTrue(e.getMessage(), e.getMessage().startsWith("management: "));
     }
--- a/daemon/src/test/java/trailthread/daemon/admin/MetricsExpositionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/MetricsExpositionTest.java
@@ -26,7 +26,7 @@
 import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.metrics.RequestResult;
 
-/** What is counted, and how it is told. */
+/** What is counted, and how it is rendered. */
 public class MetricsExpositionTest {
     private static final String NAME = "[a-zA-Z_:][a-zA-Z0-9_:]*";
     private static final String LABEL = "[a-zA-Z_][a-zA-Z0-9_]*=\"([^\"\\\\\n]|\\\\[\\\\\"n])*\"";
@@ -93,9 +93,9 @@
     }
 
     @Test
-    public void whatHappenedIsToldInBothForms() throws IOException {
-        String odd = "w\\\"\n0";
-        list(ListKind.FULL, EndpointState.READY, odd, "w1");
+    public void eventsAreRenderedInBothForms() throws IOException {
+        String escapedId = "w\\\"\n0";
+        list(ListKind.FULL, EndpointState.READY, escapedId, "w1");
         list(ListKind.DELTA, EndpointState.DRAINING, "w1");
         for (int i = 0; i < 3; i++) {
             metrics.taken("read");
@@ -103,7 +103,7 @@
         metrics.answered("read", RequestResult.SERVED, 20_000_000L, 0);
         metrics.gone("read");
         metrics.rejected(RejectionReason.CONFLICT);
-        attempt(odd, Outcome.OK, 7);
+        attempt(escapedId, Outcome.OK, 7);
         metrics.attemptBegun("w1");
         metrics.healthChecked("w1", Outcome.TIMEOUT, null);
         metrics.levelEntered(1_500_000_000L, "full");
@@ -158,7 +158,7 @@
     }
 
     @Test
-    public void aNodeThatHasSaidNothingIsToldOf() throws IOException {
+    public void aNodeWithoutEventsIsRendered() throws IOException {
         String text = text();
         assertTextFormat(text);
         assertFalse(text, text.contains("# TYPE trailthread_level gauge"));
@@ -170,7 +170,7 @@
     }
 
     @Test
-    public void ofManyEndpointsTheWorstAreToldAndTheOthersSummed() {
+    public void ofManyEndpointsTheWorstAreShownAndTheOthersSummedUp() {
         String[] ids = new String[10_000];
         for (int i = 0; i < ids.length; i++) {
             ids[i] = "w" + i;
@@ -187,7 +187,7 @@
         assertEquals(10_000, fleet.ready());
         assertEquals(
                 List.of("w4321", "w77", "w9"),
-                fleet.worst().subList(0, 3).stream().map(w -> w.id).toList());
+                fleet.worst().subList(0, 3).stream().map(endpoint -> endpoint.id).toList());
         assertEquals(NodeMetrics.MAX_ENDPOINTS_SHOWN, fleet.worst().size());
         assertEquals(8_976, fleet.others().endpoints());
         assertEquals(8_976, fleet.others().attempts());
@@ -199,22 +199,22 @@
         list(ListKind.DELTA, EndpointState.GONE, "new");
         fleet = metrics.snapshot(new FixedNodeStatus()).fleet();
         assertEquals(1, fleet.worst().size());
-        assertEquals("kept over a list", 2, fleet.worst().get(0).attempts);
+        assertEquals("kept across lists", 2, fleet.worst().get(0).attempts);
     }
 
     /** In the page's tables, each row begins with a metric's name and its type. */
     @Test
-    public void thePageForOperatorsTellsOfEachMetricAndOfNoOther() throws IOException {
+    public void theOperatorsPageDocumentsEachMetricAndNoOther() throws IOException {
         metrics.levelEntered(1, "full");
         list(ListKind.FULL, EndpointState.READY, "w0");
         attempt("w0", Outcome.OK, 1);
-        Set<String> told = matches("(?m)^# TYPE (\\S+ \\S+)$", text());
-        Set<String> explained =
+        Set<String> rendered = matches("(?m)^# TYPE (\\S+ \\S+)$", text());
+        Set<String> documented =
                 matches(
                         "(?m)^\\| `(\\w+)` \\| (\\w+) \\|",
                         Files.readString(Path.of("../docs/operations.md")));
-        assertEquals(told, explained);
-        assertTrue(told.toString(), told.size() > 30);
+        assertEquals(rendered, documented);
+        assertTrue(rendered.toString(), rendered.size() > 30);
     }
 
     private static Set<String> matches(String pattern, String text) {
--- a/daemon/src/test/java/trailthread/daemon/listener/EndByMomentTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/EndByMomentTest.java
@@ -30,20 +30,20 @@
 import trailthread.engine.request.RequestHandler;
 
 /**
- * What a client sees by what its connection carries when its end comes: for a graceful shutdown,
- * and for a drain.
+ * What a client sees when its connection is ended, by what the connection carries at that moment:
+ * for a graceful shutdown, and for a drain.
  */
 public class EndByMomentTest {
-    /** More than the system holds for a connection whose client does not read. */
-    private static final int LONG = 16 * 1024 * 1024;
+    /** More than the system buffers for a connection whose client does not read. */
+    private static final int LONG_BODY_BYTES = 16 * 1024 * 1024;
 
-    private static final String LAST = "Connection: close\r\n";
+    private static final String CONNECTION_CLOSE = "Connection: close\r\n";
 
     private final EventLoop loop;
     private final List<Socket> clients = new ArrayList<>();
-    private final BlockingQueue<ClientResponse> replies = new LinkedBlockingQueue<>();
-    private final CountDownLatch none = new CountDownLatch(1);
-    private HttpListener acceptor;
+    private final BlockingQueue<ClientResponse> responses = new LinkedBlockingQueue<>();
+    private final CountDownLatch noneOpen = new CountDownLatch(1);
+    private HttpListener listener;
     private InetSocketAddress address;
     private int lastId;
 
@@ -71,7 +71,7 @@
                         0,
                         1,
                         0);
-        acceptor =
+        listener =
                 new HttpListener(
                         loop,
                         32,
@@ -81,10 +81,10 @@
                                 new RequestHandler() {
                                     @Override
                                     public Runnable take(
-                                            ClientRequest call,
+                                            ClientRequest request,
                                             long deadline,
-                                            ClientResponse reply) {
-                                        replies.add(reply);
+                                            ClientResponse response) {
+                                        responses.add(response);
                                         return () -> {};
                                     }
 
@@ -94,14 +94,14 @@
                                     }
                                 }),
                         MetricsRecorder.OFF);
-        address = acceptor.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        address = listener.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
-    private Socket connect(String first) throws IOException {
+    private Socket connect(String sent) throws IOException {
         Socket client = new Socket(address.getAddress(), address.getPort());
         client.setSoTimeout(30_000);
         clients.add(client);
-        send(client, first);
+        send(client, sent);
         return client;
     }
 
@@ -109,127 +109,135 @@
         client.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private String call() {
+    private String request() {
         return "POST /use HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: e"
                 + ++lastId
                 + "\r\nX-Service-Class: use\r\nX-Time-Left: 20\r\nContent-Length: 4\r\n\r\npour";
     }
 
-    private ClientResponse taken() throws InterruptedException {
-        return replies.poll(30, TimeUnit.SECONDS);
+    /** The response of the request that was received next. */
+    private ClientResponse nextResponse() throws InterruptedException {
+        return responses.poll(30, TimeUnit.SECONDS);
     }
 
-    private static EndpointResponse made() {
+    private static EndpointResponse endpointResponse() {
         return EndpointResponse.of("made".getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** All that comes up to the connection's end. */
-    private static String rest(Socket client) throws IOException {
+    /** All that the client receives until its connection is closed. */
+    private static String readAll(Socket client) throws IOException {
         return new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
     }
 
     @Test
     public void aGracefulShutdown() throws Exception {
-        ends(
+        assertEachIsEnded(
                 () -> {
-                    acceptor.endWithAnswers(true);
-                    acceptor.close(none::countDown);
+                    listener.endWithAnswers(true);
+                    listener.close(noneOpen::countDown);
                 });
-        assertTrue("the end comes", none.await(30, TimeUnit.SECONDS));
+        assertTrue("all connections have ended", noneOpen.await(30, TimeUnit.SECONDS));
     }
 
     @Test
     public void aDrain() throws Exception {
-        ends(
+        assertEachIsEnded(
                 () -> {
-                    acceptor.endWithAnswers(true);
-                    nowAndThen();
+                    listener.endWithAnswers(true);
+                    endUnusedRepeatedly();
                 });
     }
 
-    private void nowAndThen() {
-        acceptor.endUnused();
-        loop.after(100_000_000L, this::nowAndThen);
+    private void endUnusedRepeatedly() {
+        listener.endUnused();
+        loop.after(100_000_000L, this::endUnusedRepeatedly);
     }
 
-    private void ends(Runnable way) throws Exception {
+    private void assertEachIsEnded(Runnable endConnections) throws Exception {
         listen();
-        Socket idle = served();
-        Socket whole = served();
-        Socket unread = connect(call());
-        ClientResponse written = taken();
-        loop.execute(() -> written.served(made()));
-        Socket atEndpoint = connect(call());
-        final ClientResponse waits = taken();
-        Socket halfAnswered = connect(call());
-        ClientResponse streams = taken();
+        Socket idle = connectAndServe();
+        Socket unreadRequest = connectAndServe();
+        Socket unreadResponse = connect(request());
+        ClientResponse writtenResponse = nextResponse();
+        loop.execute(() -> writtenResponse.served(endpointResponse()));
+        Socket atEndpoint = connect(request());
+        final ClientResponse pendingResponse = nextResponse();
+        Socket halfStreamed = connect(request());
+        ClientResponse streamedResponse = nextResponse();
         BlockingQueue<ByteSink> sinks = new LinkedBlockingQueue<>();
-        CountDownLatch more = new CountDownLatch(1);
+        CountDownLatch writable = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    ByteSink sink = streams.begin(made(), LONG, more::countDown, () -> {});
-                    sink.piece(ByteBuffer.wrap(new byte[LONG / 2]));
+                    ByteSink sink =
+                            streamedResponse.begin(
+                                    endpointResponse(),
+                                    LONG_BODY_BYTES,
+                                    writable::countDown,
+                                    () -> {});
+                    sink.piece(ByteBuffer.wrap(new byte[LONG_BODY_BYTES / 2]));
                     sinks.add(sink);
                 });
         final ByteSink sink = sinks.poll(30, TimeUnit.SECONDS);
-        Socket halfBody = connect(call().replace("pour", "po"));
+        Socket halfBody = connect(request().replace("pour", "po"));
         Socket silent = connect("");
-        CountDownLatch begun = new CountDownLatch(1);
+        CountDownLatch ending = new CountDownLatch(1);
         loop.execute(
                 () -> {
                     try {
-                        send(whole, call()); // it lies there when the end begins
+                        send(unreadRequest, request()); // not read when the end begins
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
-                    way.run();
-                    begun.countDown();
+                    endConnections.run();
+                    ending.countDown();
                 });
-        begun.await(30, TimeUnit.SECONDS);
+        ending.await(30, TimeUnit.SECONDS);
         send(halfBody, "ur");
-        for (int i = 0; i < 2; i++) { // that one, and the one with half a body
-            ClientResponse reply = taken();
-            loop.execute(() -> reply.served(made()));
+        for (int i = 0; i < 2; i++) { // for halfBody and unreadRequest
+            ClientResponse response = nextResponse();
+            loop.execute(() -> response.served(endpointResponse()));
         }
-        assertLastAnswer("with half a body", rest(halfBody));
-        assertLastAnswer("with a whole request unread", rest(whole));
-        assertEquals("accepted and silent", "", rest(silent));
-        assertEquals("idle", "", rest(idle));
-        loop.execute(() -> waits.served(made()));
-        assertLastAnswer("at a worker", rest(atEndpoint));
-        assertTrue("with its answer written, not read", rest(unread).endsWith("made"));
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        Thread reads =
+        assertLastResponse("with half a body", readAll(halfBody));
+        assertLastResponse("with a complete request unread", readAll(unreadRequest));
+        assertEquals("accepted and silent", "", readAll(silent));
+        assertEquals("idle", "", readAll(idle));
+        loop.execute(() -> pendingResponse.served(endpointResponse()));
+        assertLastResponse("with a request at an endpoint", readAll(atEndpoint));
+        assertTrue("with its response written, not read", readAll(unreadResponse).endsWith("made"));
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
+        Thread reader =
                 new Thread(
                         () -> {
                             try {
-                                halfAnswered.getInputStream().transferTo(all);
+                                halfStreamed.getInputStream().transferTo(received);
                             } catch (IOException e) {
                                 throw new AssertionError(e);
                             }
                         });
-        reads.start();
-        assertTrue(more.await(30, TimeUnit.SECONDS));
+        reader.start();
+        assertTrue(writable.await(30, TimeUnit.SECONDS));
         loop.execute(
                 () -> {
-                    sink.piece(ByteBuffer.wrap(new byte[LONG - LONG / 2]));
+                    sink.piece(ByteBuffer.wrap(new byte[LONG_BODY_BYTES - LONG_BODY_BYTES / 2]));
                     sink.end();
                 });
-        reads.join(30_000);
-        assertTrue("with half an answer", all.size() > LONG);
+        reader.join(30_000);
+        assertTrue("with half a response", received.size() > LONG_BODY_BYTES);
     }
 
-    private static void assertLastAnswer(String moment, String all) {
+    private static void assertLastResponse(String moment, String received) {
         assertTrue(
-                moment + ": " + all,
-                all.startsWith("HTTP/1.1 200") && all.contains(LAST) && all.endsWith("made"));
+                moment + ": " + received,
+                received.startsWith("HTTP/1.1 200")
+                        && received.contains(CONNECTION_CLOSE)
+                        && received.endsWith("made"));
     }
 
-    /** A connection that idles after a call. */
-    private Socket served() throws Exception {
-        Socket client = connect(call());
-        ClientResponse reply = taken();
-        loop.execute(() -> reply.served(made()));
+    /** A connection that is idle after a request. */
+    private Socket connectAndServe() throws Exception {
+        Socket client = connect(request());
+        ClientResponse response = nextResponse();
+        loop.execute(() -> response.served(endpointResponse()));
         StringBuilder text = new StringBuilder();
         while (!text.toString().endsWith("\r\n\r\nmade")) {
             int b = client.getInputStream().read();
--- a/daemon/src/test/java/trailthread/daemon/listener/LateLoopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LateLoopTest.java
@@ -33,11 +33,12 @@
 import trailthread.engine.request.RequestHandler;
 
 /**
- * No call that has come whole is lost because the loop runs late: its timers are due before it has
- * looked at its sockets. The tests hold the loop up, as a busy core does.
+ * No complete request is lost because the loop runs late, and its timers run before it has looked
+ * at its sockets. The tests block the loop, as a busy core does.
  */
 public class LateLoopTest {
-    private static final int MOST = 28;
+    private static final int MAX_CONNECTIONS = 28;
+    private static final String CONNECTION_CLOSE = "Connection: close\r\n";
     private static final RequestClass USE =
             new RequestClass(
                     "use",
@@ -49,21 +50,21 @@
                     0,
                     1,
                     0);
-    private static final EndpointResponse MADE =
+    private static final EndpointResponse RESPONSE =
             EndpointResponse.of("made".getBytes(StandardCharsets.US_ASCII));
-    private static final long IDLE_LONG_ENOUGH_MS = 2_300;
+    private static final long MIN_KEEP_ALIVE_MS = 2_300;
     private final EventLoop loop;
     private final List<Socket> clients = new ArrayList<>();
-    private HttpListener acceptor;
+    private HttpListener listener;
     private InetSocketAddress address;
     private final AtomicInteger lastId = new AtomicInteger();
 
-    /** Lengths of the bodies of the calls taken, in their order. */
-    private final List<Integer> taken = new CopyOnWriteArrayList<>();
+    /** The lengths of the requests' bodies, in the order in which the requests were received. */
+    private final List<Integer> bodyLengths = new CopyOnWriteArrayList<>();
 
     private final List<Long> deadlines = new CopyOnWriteArrayList<>();
 
-    /** Takes the next call's reply, which is not made then; null: all are made at once. */
+    /** Gets the next request's response to be sent later; null if all are sent at once. */
     private volatile CompletableFuture<ClientResponse> heldBack;
 
     public LateLoopTest() throws IOException {
@@ -72,23 +73,23 @@
 
     @Before
     public void listen() throws Exception {
-        acceptor =
+        listener =
                 new HttpListener(
                         loop,
-                        MOST,
-                        MOST,
+                        MAX_CONNECTIONS,
+                        MAX_CONNECTIONS,
                         new PlatformFrontend(
                                 List.of(USE),
                                 new RequestHandler() {
                                     @Override
                                     public Runnable take(
-                                            ClientRequest call,
+                                            ClientRequest request,
                                             long deadline,
-                                            ClientResponse reply) {
-                                        taken.add(call.body().length);
+                                            ClientResponse response) {
+                                        bodyLengths.add(request.body().length);
                                         deadlines.add(deadline);
-                                        if (heldBack == null || !heldBack.complete(reply)) {
-                                            reply.served(MADE);
+                                        if (heldBack == null || !heldBack.complete(response)) {
+                                            response.served(RESPONSE);
                                         }
                                         return () -> {};
                                     }
@@ -99,7 +100,7 @@
                                     }
                                 }),
                         MetricsRecorder.OFF);
-        address = acceptor.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        address = listener.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
     @After
@@ -133,8 +134,8 @@
                                 .getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** The head of an answer with its body of four letters; fails if the connection ends before. */
-    private static String answer(Socket client) throws IOException {
+    /** Reads one response, head and body; fails if the connection is closed before its end. */
+    private static String readResponse(Socket client) throws IOException {
         InputStream in = client.getInputStream();
         StringBuilder text = new StringBuilder();
         while (!text.toString().endsWith("\r\n\r\nmade")) {
@@ -145,106 +146,99 @@
         return text.toString();
     }
 
-    /** Runs a task with the loop held up, which then goes on with its timers. */
-    private void whileHeldUp(long atLeastMs, Work work) throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+    /** Runs a task while the loop is blocked, which then runs its timers first. */
+    private void whileLoopIsBlocked(long atLeastMs, Task task) throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    held.countDown();
+                    blocked.countDown();
                     try {
-                        goOn.await(60, TimeUnit.SECONDS);
+                        unblock.await(60, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-        held.await();
+        blocked.await();
         long until = System.nanoTime() + atLeastMs * 1_000_000;
-        work.run();
+        task.run();
         Thread.sleep(Math.max(0, until - System.nanoTime()) / 1_000_000 + 1);
-        goOn.countDown();
+        unblock.countDown();
     }
 
-    private interface Work {
+    private interface Task {
         void run() throws Exception;
     }
 
-    /** It was dropped with the connection, which ended with the answer before. */
+    /** The connection ended with the response before, and the unread request with it. */
     @Test
     public void aCallThatLiesUnreadBehindTheLastAnswerIsAnswered() throws Exception {
         heldBack = new CompletableFuture<>();
-        loop.execute(() -> acceptor.endWithAnswers(true));
+        loop.execute(() -> listener.endWithAnswers(true));
         Socket client = connect();
         send(client);
-        ClientResponse reply = heldBack.get(30, TimeUnit.SECONDS);
-        whileHeldUp(
+        ClientResponse response = heldBack.get(30, TimeUnit.SECONDS);
+        whileLoopIsBlocked(
                 0,
                 () -> {
-                    loop.execute(() -> reply.served(MADE)); // before the sockets are looked at
+                    loop.execute(() -> response.served(RESPONSE)); // before the sockets are read
                     send(client);
                 });
-        assertFalse("there is another", answer(client).contains("Connection: close\r\n"));
-        assertTrue("that was the last", answer(client).contains("Connection: close\r\n"));
+        assertFalse("another request follows", readResponse(client).contains(CONNECTION_CLOSE));
+        assertTrue("this is the last", readResponse(client).contains(CONNECTION_CLOSE));
     }
 
-    /**
-     * Its time began when the node came to read it: the client had long given up when its answer
-     * came.
-     */
+    /** Its time began when the node read it, and its client had given up before the response. */
     @Test
     public void aCallsTimeBeginsWhenItMayHaveComeNotWhenItIsRead() throws Exception {
         Socket client = connect();
         send(client);
-        answer(client);
+        readResponse(client);
         deadlines.clear();
         long[] sentBy = new long[1];
-        whileHeldUp(
+        whileLoopIsBlocked(
                 400,
                 () -> {
                     send(client);
                     sentBy[0] = loop.now();
                 });
-        answer(client);
+        readResponse(client);
         assertTrue("no later than its client's", deadlines.get(0) <= sentBy[0] + 20_000_000_000L);
     }
 
     /**
-     * After a long turn all quiet time passed for lateness: the call had lost it, and was refused
-     * at once.
+     * After a long turn of the loop, all idle time was taken for lateness. The request lost that
+     * time, and was rejected at once.
      */
     @Test
     public void aCallLosesNoTimeToTheQuietBeforeIt() throws Exception {
         Socket client = connect();
         send(client);
-        answer(client);
+        readResponse(client);
         deadlines.clear();
-        whileHeldUp(400, () -> {});
+        whileLoopIsBlocked(400, () -> {});
         Thread.sleep(500);
-        long quiet =
-                loop.now(); // the loop has looked at its sockets since the hold, and found nothing
+        long quiet = loop.now(); // the loop has looked at its sockets since it was blocked
         Thread.sleep(500);
         send(client);
-        answer(client);
+        readResponse(client);
         assertTrue(
                 "not before " + quiet + ": " + deadlines,
                 deadlines.get(0) >= quiet + 20_000_000_000L);
     }
 
-    /**
-     * The long one was read until it ran dry, however long that was, and before some of the others
-     * by chance.
-     */
+    /** The long body was read as long as bytes came, and so before some of the other requests. */
     @Test
-    public void shortCallsDoNotWaitForALongBody() throws Exception {
+    public void shortRequestsDoNotWaitForALongBody() throws Exception {
         int length = 1024 * 1024;
         List<Socket> all = new ArrayList<>();
-        for (int i = 0; i < MOST / 3; i++) {
+        for (int i = 0; i < MAX_CONNECTIONS / 3; i++) {
             Socket client = connect();
             send(client);
-            answer(client);
+            readResponse(client);
             all.add(client);
         }
-        taken.clear();
+        bodyLengths.clear();
         Thread upload =
                 new Thread(
                         () -> {
@@ -254,7 +248,7 @@
                                 throw new UncheckedIOException(e);
                             }
                         });
-        whileHeldUp(
+        whileLoopIsBlocked(
                 300,
                 () -> {
                     upload.start();
@@ -264,48 +258,51 @@
                     }
                 });
         for (Socket client : all) {
-            answer(client);
+            readResponse(client);
         }
-        assertEquals("the long one is last: " + taken, all.size() - 1, taken.indexOf(length));
+        assertEquals(
+                "the long one is last: " + bodyLengths,
+                all.size() - 1,
+                bodyLengths.indexOf(length));
     }
 
-    /** Closed for room, their calls ended in a reset: 3 of 27 did after a pause of 20 to 300 ms. */
+    /** They were closed with their requests unread, and the clients saw a reset. */
     @Test
-    public void keptConnectionsThatMakeRoomAreReadFirst() throws Exception {
+    public void idleConnectionsAreReadBeforeTheyAreClosed() throws Exception {
         List<Socket> kept = new ArrayList<>();
-        for (int i = 0; i < MOST / 4; i++) {
+        for (int i = 0; i < MAX_CONNECTIONS / 4; i++) {
             Socket client = connect();
             send(client);
-            answer(client);
+            readResponse(client);
             kept.add(client);
         }
-        whileHeldUp(
-                IDLE_LONG_ENOUGH_MS,
+        whileLoopIsBlocked(
+                MIN_KEEP_ALIVE_MS,
                 () -> {
                     for (Socket client : kept) {
                         send(client);
                     }
-                    for (int i = 0; i < MOST - MOST / 4; i++) {
+                    for (int i = 0; i < MAX_CONNECTIONS - MAX_CONNECTIONS / 4; i++) {
                         connect();
                     }
                 });
         for (Socket client : kept) {
-            assertNotNull(answer(client));
+            assertNotNull(readResponse(client));
         }
     }
 
     @Test
-    public void aFirstHeadThatWasInTimeIsRead() throws Exception {
+    public void aFirstHeadThatCameInTimeIsServed() throws Exception {
         Socket client = connect();
         send(connect());
         Thread.sleep(100); // both are accepted
-        whileHeldUp(IDLE_LONG_ENOUGH_MS, () -> send(client));
-        assertNotNull(answer(client));
+        whileLoopIsBlocked(MIN_KEEP_ALIVE_MS, () -> send(client));
+        assertNotNull(readResponse(client));
     }
 
-    /** The rest of a message is owed within a time, too. */
+    /** The rest of a message has a timeout, too. */
     @Test
-    public void aBodyThatWasInTimeIsRead() throws Exception {
+    public void aBodyThatCameInTimeIsServed() throws Exception {
         Socket client = connect();
         client.getOutputStream()
                 .write(
@@ -313,80 +310,81 @@
                                         + "\r\nX-Service-Class: use\r\nX-Time-Left: 20\r\nContent-Length: 4\r\n\r\npo")
                                 .getBytes(StandardCharsets.US_ASCII));
         Thread.sleep(200); // the head is read
-        whileHeldUp(IDLE_LONG_ENOUGH_MS + 250, () -> client.getOutputStream().write(new byte[2]));
-        assertNotNull(answer(client));
+        whileLoopIsBlocked(
+                MIN_KEEP_ALIVE_MS + 250, () -> client.getOutputStream().write(new byte[2]));
+        assertNotNull(readResponse(client));
     }
 
     @Test
-    public void atTheEndWhatHasComeIsServedFirst() throws Exception {
+    public void onCloseRequestsThatHaveComeAreServedFirst() throws Exception {
         Socket idle = connect();
         send(idle);
-        answer(idle);
+        readResponse(idle);
         CountDownLatch done = new CountDownLatch(1);
-        List<Socket> callers = new ArrayList<>(List.of(idle));
-        whileHeldUp(
+        List<Socket> requesters = new ArrayList<>(List.of(idle));
+        whileLoopIsBlocked(
                 300,
                 () -> {
-                    loop.execute(() -> acceptor.endWithAnswers(true));
-                    loop.execute(() -> acceptor.close(done::countDown));
+                    loop.execute(() -> listener.endWithAnswers(true));
+                    loop.execute(() -> listener.close(done::countDown));
                     send(idle);
                     for (int i = 0; i < 5; i++) {
                         Socket client = connect();
                         send(client);
-                        callers.add(client);
+                        requesters.add(client);
                     }
                 });
-        for (Socket client : callers) {
-            assertTrue(answer(client).contains("Connection: close\r\n"));
+        for (Socket client : requesters) {
+            assertTrue(readResponse(client).contains(CONNECTION_CLOSE));
         }
-        assertTrue("the end comes", done.await(30, TimeUnit.SECONDS));
+        assertTrue("all connections have ended", done.await(30, TimeUnit.SECONDS));
     }
 
     /**
-     * It came with the end of the first of them: what lay unread on the others was reset with the
-     * process.
+     * The end was reported when the first of them had ended, and requests that lay unread on the
+     * others were reset with the process.
      */
     @Test
-    public void theEndComesOnceNoConnectionIsLeft() throws Exception {
+    public void closeIsDoneOnceNoConnectionIsOpen() throws Exception {
         for (int i = 0; i < 3; i++) {
             Socket idle = connect();
             send(idle);
-            answer(idle);
+            readResponse(idle);
         }
         CompletableFuture<Integer> left = new CompletableFuture<>();
         loop.execute(
                 () ->
-                        acceptor.close(
+                        listener.close(
                                 () ->
                                         left.complete(
-                                                acceptor.connections().values().stream()
+                                                listener.connections().values().stream()
                                                         .mapToInt(Integer::intValue)
                                                         .sum())));
         assertEquals(0, (int) left.get(30, TimeUnit.SECONDS));
     }
 
-    /** Closed at a last look that read their first part, both ended unanswered. */
+    /** Both were closed after the last read, which had read the first part of their heads. */
     @Test
-    public void atTheEndAHeadThatHasBegunHasTimeForItsRest() throws Exception {
+    public void onCloseAHeadThatHasBegunHasTimeForItsRest() throws Exception {
         Socket kept = connect();
         send(kept);
-        answer(kept);
-        List<Socket> callers = List.of(kept, connect());
-        for (Socket client : callers) {
+        readResponse(kept);
+        List<Socket> requesters = List.of(kept, connect());
+        for (Socket client : requesters) {
             client.getOutputStream()
                     .write("POST /use HTTP/1.1\r\nHost: a\r\n".getBytes(StandardCharsets.US_ASCII));
         }
         CountDownLatch closing = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(1);
-        loop.execute(() -> acceptor.endWithAnswers(true));
+        loop.execute(() -> listener.endWithAnswers(true));
         loop.execute(
                 () -> {
-                    acceptor.endUnused();
-                    acceptor.close(done::countDown);
+                    listener.endUnused();
+                    listener.close(done::countDown);
                     closing.countDown();
                 });
         closing.await();
-        for (Socket client : callers) {
+        for (Socket client : requesters) {
             client.getOutputStream()
                     .write(
                             ("X-Correlation-Id: h"
@@ -394,23 +392,25 @@
                                             + "\r\nX-Service-Class: use\r\nX-Time-Left: 20\r\n"
                                             + "Content-Length: 4\r\n\r\npour")
                                     .getBytes(StandardCharsets.US_ASCII));
-            assertTrue(answer(client).contains("Connection: close\r\n"));
+            assertTrue(readResponse(client).contains(CONNECTION_CLOSE));
         }
-        assertTrue("the end comes", done.await(30, TimeUnit.SECONDS));
+        assertTrue("all connections have ended", done.await(30, TimeUnit.SECONDS));
     }
 
-    /** Where many idle, a client that keeps its connection for good keeps others out. */
+    /**
+     * Where many connections are idle, a client that keeps its own prevents others from connecting.
+     */
     @Test
-    public void whereManyIdleAnswersEndTheirConnections() throws Exception {
-        int most = (int) (0.3 * MOST);
-        for (int idle = 0; idle <= most; idle++) {
+    public void whereManyAreIdleResponsesEndTheirConnections() throws Exception {
+        int maxIdle = (int) (0.3 * MAX_CONNECTIONS);
+        for (int idle = 0; idle <= maxIdle; idle++) {
             Socket client = connect();
             send(client);
-            assertFalse(idle + " idle", answer(client).contains("Connection: close\r\n"));
+            assertFalse(idle + " idle", readResponse(client).contains(CONNECTION_CLOSE));
         }
-        Thread.sleep(200); // they are not in the middle of calls any more
+        Thread.sleep(200); // they have been idle for long enough to count
         Socket client = connect();
         send(client);
-        assertTrue(answer(client).contains("Connection: close\r\n"));
+        assertTrue(readResponse(client).contains(CONNECTION_CLOSE));
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
@@ -35,15 +35,18 @@
 import trailthread.testkit.Peer;
 import trailthread.testkit.Stage;
 
-/** Clients that leave at each moment at which their call waits: it reaches no endpoint any more. */
+/**
+ * Clients that disconnect at each moment at which their request waits: it is not forwarded to an
+ * endpoint any more.
+ */
 public class LeavingClientTest {
     private static final long LONG_NS = 20_000_000_000L;
     private final EventLoop loop;
     private final Peer endpoint;
     private final Settings settings = new Settings();
-    private RequestDispatcher calls;
+    private RequestDispatcher dispatcher;
     private EndpointPool endpoints;
-    private HttpListener acceptor;
+    private HttpListener listener;
     private InetSocketAddress address;
 
     public LeavingClientTest() throws IOException {
@@ -67,15 +70,15 @@
         endpoints =
                 new EndpointPool(
                         loop, LONG_NS, LONG_NS, 0, ConnectionLimit.of(8), 0, CpuAccount.NONE);
-        calls = new RequestDispatcher(loop, endpoints, settings, 1, MetricsRecorder.OFF);
-        acceptor =
+        dispatcher = new RequestDispatcher(loop, endpoints, settings, 1, MetricsRecorder.OFF);
+        listener =
                 new HttpListener(
                         loop,
                         28,
                         28,
-                        new PlatformFrontend(settings.classes, calls),
+                        new PlatformFrontend(settings.classes, dispatcher),
                         MetricsRecorder.OFF);
-        address = acceptor.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        address = listener.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         loop.execute(
                 () ->
                         endpoints.update(
@@ -93,9 +96,8 @@
                                                         0))),
                                 loop.now()));
         loop.execute(this::list);
-        onlyOneWhoStaysIsServed(); // a connection to the endpoint is open from now on: the next
-        // call
-        // is written at once
+        // Leaves a connection to the endpoint open, to which the next request is written at once.
+        onlyOneWhoStaysIsServed();
         loop.execute(this::listNone);
     }
 
@@ -111,30 +113,30 @@
         return client;
     }
 
-    /** The module knows the endpoint, which what is held waits for. To be called on the loop. */
+    /** Lists the endpoint, for which queued requests wait. To be called on the loop's thread. */
     private void list() {
-        calls.list(
+        dispatcher.list(
                 ListKind.FULL, List.of(new EndpointEntry("w", 1, EndpointState.READY, "a", 0, 0)));
     }
 
-    /** The module knows no endpoint: what comes is held. To be called on the loop. */
+    /** Lists no endpoint, so that requests are queued. To be called on the loop's thread. */
     private void listNone() {
-        calls.list(ListKind.FULL, List.of());
+        dispatcher.list(ListKind.FULL, List.of());
     }
 
-    /** Waits until so many calls are taken. */
-    private void awaitTaken(String... ids) throws Exception {
+    /** Waits until the requests with these ids are in flight. */
+    private void awaitInFlight(String... ids) throws Exception {
         for (String id : ids) {
-            for (boolean taken = false; !taken; ) {
+            for (boolean inFlight = false; !inFlight; ) {
                 CountDownLatch looked = new CountDownLatch(1);
                 boolean[] open = new boolean[1];
                 loop.execute(
                         () -> {
-                            open[0] = calls.isOpen(id);
+                            open[0] = dispatcher.isOpen(id);
                             looked.countDown();
                         });
                 Peer.await(looked);
-                taken = open[0];
+                inFlight = open[0];
             }
         }
     }
@@ -143,7 +145,7 @@
         return request.split("X-Correlation-Id: ")[1].split("\r\n")[0];
     }
 
-    /** Another client's call is served, and was the first that the endpoint saw. */
+    /** Another client's request is served, and is the first that the endpoint has received. */
     private void onlyOneWhoStaysIsServed() throws Exception {
         try (Socket stays = connect()) {
             String request = Stage.request("use", "?stays", "");
@@ -155,7 +157,7 @@
         Thread.sleep(20); // the connection to the endpoint is not used before it has settled
     }
 
-    /** It was found with the call, and the call was sent on all the same. */
+    /** The end was read together with the request, which was forwarded all the same. */
     @Test
     public void whoLeavesUnreadIsNotServed() throws Exception {
         CountDownLatch goOn = new CountDownLatch(1);
@@ -168,17 +170,17 @@
         onlyOneWhoStaysIsServed();
     }
 
-    /** What a timer or the list brings comes before the sockets are looked at. */
+    /** Timers and list updates are handled before the sockets are read. */
     @Test
     public void whoLeavesBeforeALateLoopLooksIsNotServed() throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
             Socket client = connect();
             String request = Stage.request("use", "", "");
             Message.send(client, request);
-            awaitTaken(id(request));
+            awaitInFlight(id(request));
             CountDownLatch goOn = new CountDownLatch(1);
             loop.execute(() -> Peer.await(goOn));
-            loop.execute(this::list); // next, whatever has come
+            loop.execute(this::list); // runs before the sockets are read
             client.setSoLinger(resets, 0);
             client.close();
             goOn.countDown();
@@ -187,7 +189,7 @@
         }
     }
 
-    /** Past the first byte sent ahead nothing was read, and the end not seen. */
+    /** After the first pipelined byte nothing was read, and the client's end was not noticed. */
     @Test
     public void whoLeavesBehindFurtherBytesIsNotServed() throws Exception {
         for (String bytes :
@@ -195,11 +197,10 @@
             Socket client = connect();
             String request = Stage.request("use", "", "");
             Message.send(client, request);
-            awaitTaken(id(request));
+            awaitInFlight(id(request));
             Message.send(client, bytes);
-            loop.execute(
-                    () -> loop.afterSockets(() -> {})); // the bytes are read apart from the end
-            awaitTaken(id(request));
+            loop.execute(() -> loop.afterSockets(() -> {})); // the bytes are read before the end
+            awaitInFlight(id(request));
             client.close();
             loop.execute(() -> loop.afterSockets(this::list));
             onlyOneWhoStaysIsServed();
@@ -207,13 +208,13 @@
         }
     }
 
-    /** It left during the first attempt, and what would be the second had not begun. */
+    /** The client disconnects during the first attempt, so that there is no retry. */
     @Test
     public void whoLeavesBetweenAttemptsIsNotServedAgain() throws Exception {
-        CountDownLatch turnedAway = new CountDownLatch(1);
+        CountDownLatch rejected = new CountDownLatch(1);
         endpoint.setScript(
                 request -> {
-                    Peer.await(turnedAway);
+                    Peer.await(rejected);
                     endpoint.setScript(next -> next.answer("200 OK", "", "made"));
                     request.answer("503 Busy", "X-Unprocessed: 1\r\n", "");
                 });
@@ -225,24 +226,24 @@
         CountDownLatch goOn = new CountDownLatch(1);
         loop.execute(() -> Peer.await(goOn));
         client.close();
-        turnedAway.countDown();
+        rejected.countDown();
         goOn.countDown();
         onlyOneWhoStaysIsServed();
     }
 
-    /** Its connection to the endpoint came up after it had left. */
+    /** The connection to the endpoint is established after the client has disconnected. */
     @Test
     public void whoLeavesDuringAConnectIsNotServed() throws Exception {
         CountDownLatch goOn = new CountDownLatch(1);
         Socket client = connect();
         String request = Stage.request("use", "", "");
         Message.send(client, request);
-        awaitTaken(id(request));
+        awaitInFlight(id(request));
         loop.execute(
                 () -> {
                     endpoints.closeIdle(1);
-                    list(); // it is decided on, and connects
-                    loop.execute(() -> Peer.await(goOn)); // the connect comes up meanwhile
+                    list(); // an endpoint is selected, and a connection begun
+                    loop.execute(() -> Peer.await(goOn)); // it is established meanwhile
                 });
         client.close();
         goOn.countDown();
@@ -259,17 +260,17 @@
         onlyOneWhoStaysIsServed();
     }
 
-    /** What came behind a call took the place of what had come along with it. */
+    /** Bytes read behind a request replaced those that had come together with it. */
     @Test
     public void aCallSentAheadInPiecesIsWhole() throws Exception {
         try (Socket client = connect()) {
             String first = Stage.request("use", "?1", "");
             String ahead = Stage.request("use", "?2", "");
             Message.send(client, first + ahead.substring(0, 40));
-            awaitTaken(id(first));
+            awaitInFlight(id(first));
             for (int at = 40; at < ahead.length(); at += 40) {
                 Message.send(client, ahead.substring(at, Math.min(ahead.length(), at + 40)));
-                awaitTaken(id(first));
+                awaitInFlight(id(first));
             }
             loop.execute(this::list);
             assertEquals("made", Message.read(client).body());
@@ -280,90 +281,87 @@
     }
 
     /**
-     * Past 16 KiB it was read and dropped, whole calls among it, and the connection ended with the
-     * first answer.
+     * Past 16 KiB, pipelined requests were read and dropped, and the connection ended with the
+     * first response.
      */
     @Test
     public void callsSentAheadAreAllAnsweredInTheirOrder() throws Exception {
-        for (int count : new int[] {300, 3_000}) { // some 50 KB, and more than is held at a time
+        for (int count : new int[] {300, 3_000}) { // about 50 KB, and more than is kept at a time
             try (Socket client = connect()) {
-                List<String> calls =
+                List<String> requests =
                         Stream.generate(() -> Stage.request("use", "?ahead", ""))
                                 .limit(count)
                                 .toList();
-                Message.send(client, calls.get(0));
-                awaitTaken(id(calls.get(0)));
-                Thread sends = new Thread(() -> sendAll(client, calls.subList(1, count)));
-                sends.start();
+                Message.send(client, requests.get(0));
+                awaitInFlight(id(requests.get(0)));
+                Thread sender = new Thread(() -> sendAll(client, requests.subList(1, count)));
+                sender.start();
                 loop.execute(() -> loop.after(100_000_000L, this::list));
-                for (String call : calls) {
+                for (String request : requests) {
                     assertEquals("made", Message.read(client).body());
-                    assertEquals(id(call), endpoint.asked().header("X-Correlation-Id"));
+                    assertEquals(id(request), endpoint.asked().header("X-Correlation-Id"));
                 }
-                sends.join();
+                sender.join();
             }
             loop.execute(this::listNone);
         }
     }
 
-    private static void sendAll(Socket client, List<String> calls) {
+    private static void sendAll(Socket client, List<String> requests) {
         try {
-            Message.send(client, String.join("", calls));
+            Message.send(client, String.join("", requests));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    /**
-     * An answer that says that it is the last one took whole calls with it that had come behind its
-     * own.
-     */
+    /** A last response ended the connection, although complete requests had come behind its own. */
     @Test
     public void theLastAnswerIsTheLastCallsWhereSomeAreSentAhead() throws Exception {
-        loop.execute(() -> acceptor.endWithAnswers(true));
+        loop.execute(() -> listener.endWithAnswers(true));
         try (Socket client = connect()) {
             String first = Stage.request("use", "?1", "");
             Message.send(
                     client,
                     first + Stage.request("use", "?2", "") + Stage.request("use", "?3", ""));
-            awaitTaken(id(first));
+            awaitInFlight(id(first));
             loop.execute(this::list);
             for (String last : new String[] {null, null, "close"}) {
-                Message answer = Message.read(client);
-                assertEquals("made", answer.body());
-                assertEquals(last, answer.header("Connection"));
+                Message response = Message.read(client);
+                assertEquals("made", response.body());
+                assertEquals(last, response.header("Connection"));
             }
             assertNull(Message.read(client));
         }
     }
 
     /**
-     * What is no call is answered at once, and its answer ended the connection, whole calls behind
-     * it or not.
+     * A rejected request is responded to at once, and the response ended the connection, although
+     * complete requests had come behind it.
      */
     @Test
     public void theLastAnswerIsTheLastCallsBehindWhatIsNoCall() throws Exception {
-        RequestFrontend calls = new PlatformFrontend(settings.classes, this.calls);
-        acceptor.setFront(
+        RequestFrontend platform = new PlatformFrontend(settings.classes, dispatcher);
+        listener.setFront(
                 new RequestFrontend() {
                     @Override
                     public String readyPath() {
-                        return calls.readyPath();
+                        return platform.readyPath();
                     }
 
                     @Override
                     public DecodedHead decode(HttpServerExchange exchange) {
                         return exchange.getRequestURI().equals("/nowhere")
                                 ? DecodedHead.rejected(RejectionReason.NO_ROUTE)
-                                : calls.decode(exchange);
+                                : platform.decode(exchange);
                     }
                 });
-        loop.execute(() -> acceptor.endWithAnswers(true));
+        loop.execute(() -> listener.endWithAnswers(true));
         loop.execute(this::list);
         for (String path : new String[] {"/ready", "/nowhere"}) {
             try (Socket client = connect()) {
-                String noCall = "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
-                Message.send(client, noCall + Stage.request("use", "", "") + noCall);
+                String rejected = "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
+                Message.send(client, rejected + Stage.request("use", "", "") + rejected);
                 assertNull(Message.read(client).header("Connection"));
                 assertEquals("made", Message.read(client).body());
                 assertEquals("close", Message.read(client).header("Connection"));
--- a/daemon/src/test/java/trailthread/daemon/listener/PlatformRequestDecoderTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/PlatformRequestDecoderTest.java
@@ -12,7 +12,7 @@
 import trailthread.api.RequestClass;
 import trailthread.engine.request.ClientRequest;
 
-/** Clients' calls, right and wrong. */
+/** Well-formed and malformed requests of the platform's clients. */
 public class PlatformRequestDecoderTest {
     private final PlatformRequestDecoder decoder =
             new PlatformRequestDecoder(
@@ -40,8 +40,8 @@
     }
 
     @Test
-    public void whatACallHoldsIsRead() throws Exception {
-        ClientRequest call =
+    public void allPartsOfARequestAreDecoded() throws Exception {
+        ClientRequest request =
                 decode(
                         "POST /action/7 a=%20b\nX-Correlation-Id:9b1f\nX-Service-Class:action\n"
                                 + "X-Account:acme\nX-Time-Left:0.480\nX-Repeat:1\nIdempotency-Key:5c0f\n"
@@ -60,12 +60,12 @@
                         "5c0f",
                         null,
                         null),
-                call);
+                request);
     }
 
     @Test
-    public void whatMayBeMissingMay() throws Exception {
-        ClientRequest call =
+    public void optionalHeadersMayBeMissing() throws Exception {
+        ClientRequest request =
                 decode("GET /state\nX-Correlation-Id:1\nX-Service-Class:state\nX-Time-Left:1");
         assertEquals(
                 new ClientRequest(
@@ -81,19 +81,19 @@
                         null,
                         null,
                         null),
-                call);
+                request);
     }
 
-    /** Nobody waits past the class's deadline, whatever he says; a timer would. */
+    /** A client's time beyond the class's deadline must not set a timer. */
     @Test
-    public void aLongWaitEndsWithTheClassesDeadline() throws Exception {
-        ClientRequest call =
+    public void theTimeLeftIsBoundedByTheClassesDeadline() throws Exception {
+        ClientRequest request =
                 decode("GET /state\nX-Correlation-Id:1\nX-Service-Class:state\nX-Time-Left:3000");
-        assertEquals(2_000_000_000L, call.timeLeftNs());
+        assertEquals(2_000_000_000L, request.timeLeftNs());
     }
 
     @Test
-    public void whatIsNoCallIsNot() {
+    public void malformedRequestsAreRejected() {
         String good = "POST /use\nX-Correlation-Id:1\nX-Service-Class:use\nX-Time-Left:1";
         String[] bad = {
             good.replace("POST", "GET"),
@@ -125,8 +125,8 @@
             good.replace("/use", "/use a\u007f"),
             good + "\nX-Account:a\nX-Account:b",
         };
-        for (String call : bad) {
-            assertThrows(call, BadRequestException.class, () -> decode(call));
+        for (String request : bad) {
+            assertThrows(request, BadRequestException.class, () -> decode(request));
         }
     }
 }
