--- a/daemon/src/main/java/trailthread/daemon/listener/ClientConnections.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ClientConnections.java
@@ -1,7 +1,6 @@
 package trailthread.daemon.listener;
 
 import java.util.ArrayList;
-import java.util.IdentityHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
@@ -70,8 +69,8 @@
     /** Those on which no head has come yet, the oldest first. */
     private final Set<ClientConnection> silent = new LinkedHashSet<>();
 
-    /** Those between two requests, the longest idle first. */
-    private final Set<ClientConnection> idle = new LinkedHashSet<>();
+    /** Those between two requests. */
+    private final IdleConnections idle = new IdleConnections();
 
     /** Those with a request. */
     private final Set<ClientConnection> busy = new LinkedHashSet<>();
@@ -79,9 +78,6 @@
     /** Those whose last response has been written; their clients are to read it and to close. */
     private final Set<ClientConnection> leaving = new LinkedHashSet<>();
 
-    /** How many connections are idle after a request of each owner. */
-    private final IdentityHashMap<Object, Integer> idleByOwner = new IdentityHashMap<>();
-
     private boolean endWithAnswers;
 
     /** Runs once no connection is open; null unless all are to end. */
@@ -117,7 +113,7 @@
     long began(ClientConnection client) {
         long now = loop.now();
         boolean first = silent.remove(client);
-        removeIdle(client);
+        idle.remove(client);
         busy.add(client);
         long headBegan = first ? client.unusedSince() : now;
         return Math.max(headBegan + HEAD_TIMEOUT_NS, now + REST_TIMEOUT_NS);
@@ -134,7 +130,7 @@
         }
         client.becomeUnused(loop.now());
         if (persistent) {
-            addIdle(client);
+            idle.add(client);
         } else {
             leaving.add(client);
         }
@@ -142,47 +138,21 @@
 
     void closed(ClientConnection client) {
         silent.remove(client);
-        removeIdle(client);
+        idle.remove(client);
         busy.remove(client);
         leaving.remove(client);
         notifyIfNone();
     }
 
-    private void addIdle(ClientConnection client) {
-        idle.add(client);
-        if (client.owner() != null) {
-            idleByOwner.merge(client.owner(), 1, Integer::sum);
-        }
-    }
-
-    private void removeIdle(ClientConnection client) {
-        if (idle.remove(client) && client.owner() != null) {
-            idleByOwner.computeIfPresent(
-                    client.owner(), (owner, count) -> count == 1 ? null : count - 1);
-        }
-    }
-
-    /**
-     * Whether connections that are idle after requests of this owner may be closed to free their
-     * descriptors. Prevents the many idle connections of one service's clients from costing another
-     * service's clients theirs: only an owner with at least an equal share of them is affected.
-     */
-    private boolean holdsFairShare(Object owner) {
-        int owners = idleByOwner.size();
-        if (owner == null || owners < 2) {
-            return true;
-        }
-        return (long) idleByOwner.getOrDefault(owner, 0) * owners >= idle.size();
-    }
-
     /** Whether the response to the request on this connection is to end it. */
     boolean endsWithAnswer(ClientConnection client) {
         if (endWithAnswers) {
             return true;
         }
         return idle.size() > ENDING_IDLE_SHARE * limit
-                && idle.iterator().next().unusedSince() < loop.now() - CROWDED_UNUSED_NS
-                && holdsFairShare(client.owner());
+                && idle.longestIdleFirst().iterator().next().unusedSince()
+                        < loop.now() - CROWDED_UNUSED_NS
+                && idle.holdsFairShare(client.owner());
     }
 
     /** Sets whether every response ends its connection. */
@@ -193,7 +163,7 @@
     /** Ends the idle connections, and the silent ones that have had time to send a request. */
     void endUnused() {
         long now = loop.now();
-        endWhileOver(NO_SHARE, idle, now, REST_TIMEOUT_NS);
+        endWhileOver(NO_SHARE, idle.longestIdleFirst(), now, REST_TIMEOUT_NS);
         endWhileOver(NO_SHARE, silent, now - SILENT_GRACE_NS, REST_TIMEOUT_NS);
     }
 
@@ -220,14 +190,14 @@
     private void closeUnusedInCrowd() {
         long now = loop.now();
         endWhileOver(NO_SHARE, silent, now - HEAD_TIMEOUT_NS, 0);
-        endWhileOver(NO_SHARE, idle, now - IDLE_TIMEOUT_NS, HEAD_TIMEOUT_NS);
+        endWhileOver(NO_SHARE, idle.longestIdleFirst(), now - IDLE_TIMEOUT_NS, HEAD_TIMEOUT_NS);
         for (ClientConnection client : lateWithHead(now)) {
             end(client, HEAD_TIMEOUT_NS);
         }
-        endWhileOver(KEPT_SHARE, idle, now - MIN_KEEP_ALIVE_NS, HEAD_TIMEOUT_NS);
+        endWhileOver(KEPT_SHARE, idle.longestIdleFirst(), now - MIN_KEEP_ALIVE_NS, HEAD_TIMEOUT_NS);
         endWhileOver(KEPT_SHARE, silent, now - SILENT_GRACE_NS, HEAD_TIMEOUT_NS);
         long unusedSince = now - CROWDED_UNUSED_NS;
-        endWhileOver(CROWDED_SHARE, idle, unusedSince, CROWDED_UNUSED_NS);
+        endWhileOver(CROWDED_SHARE, idle.longestIdleFirst(), unusedSince, CROWDED_UNUSED_NS);
         endWhileOver(CROWDED_SHARE, silent, unusedSince, CROWDED_UNUSED_NS);
         endWhileOver(CROWDED_SHARE, leaving, unusedSince, CROWDED_UNUSED_NS);
     }
@@ -235,7 +205,7 @@
     /** Those that have served a request, and are late with the rest of the next one's head. */
     private List<ClientConnection> lateWithHead(long now) {
         List<ClientConnection> late = new ArrayList<>();
-        for (ClientConnection client : idle) {
+        for (ClientConnection client : idle.longestIdleFirst()) {
             if (client.isReceiving() && client.receivingSince() <= now - HEAD_TIMEOUT_NS) {
                 late.add(client);
             }
@@ -285,7 +255,7 @@
             if (client.unusedSince() > unusedSince || !isOver(share)) {
                 return;
             }
-            if (share == NO_SHARE || holdsFairShare(client.owner())) {
+            if (share == NO_SHARE || idle.holdsFairShare(client.owner())) {
                 end(client, restTimeoutNs);
             }
         }
--- /dev/null
+++ b/daemon/src/main/java/trailthread/daemon/listener/IdleConnections.java
@@ -0,0 +1,53 @@
+package trailthread.daemon.listener;
+
+import java.util.Collections;
+import java.util.IdentityHashMap;
+import java.util.LinkedHashSet;
+import java.util.Set;
+
+/** The connections between two requests, and how many of them each owner has. */
+final class IdleConnections {
+    /** The longest idle first. */
+    private final Set<ClientConnection> connections = new LinkedHashSet<>();
+
+    private final Set<ClientConnection> longestIdleFirst = Collections.unmodifiableSet(connections);
+    private final IdentityHashMap<Object, Integer> countByOwner = new IdentityHashMap<>();
+
+    void add(ClientConnection client) {
+        connections.add(client);
+        if (client.owner() != null) {
+            countByOwner.merge(client.owner(), 1, Integer::sum);
+        }
+    }
+
+    void remove(ClientConnection client) {
+        if (connections.remove(client) && client.owner() != null) {
+            countByOwner.computeIfPresent(
+                    client.owner(), (owner, count) -> count == 1 ? null : count - 1);
+        }
+    }
+
+    int size() {
+        return connections.size();
+    }
+
+    /** A view of the connections. */
+    Set<ClientConnection> longestIdleFirst() {
+        return longestIdleFirst;
+    }
+
+    /**
+     * Whether an owner has at least an equal share of these connections. Only those of such an
+     * owner are closed to free descriptors, which prevents the many idle connections of one
+     * service's clients from costing another service's clients theirs.
+     *
+     * @param owner null if connections have no owners
+     */
+    boolean holdsFairShare(Object owner) {
+        int owners = countByOwner.size();
+        if (owner == null || owners < 2) {
+            return true;
+        }
+        return (long) countByOwner.getOrDefault(owner, 0) * owners >= connections.size();
+    }
+}
