--- /dev/null
+++ b/daemon/src/main/java/trailthread/daemon/listener/PipelinedBytes.java
@@ -0,0 +1,145 @@
+package trailthread.daemon.listener;
+
+import io.undertow.connector.PooledByteBuffer;
+import io.undertow.server.AbstractServerConnection;
+import io.undertow.server.HttpServerExchange;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import org.xnio.conduits.StreamSourceConduit;
+import trailthread.engine.loop.EventLoop;
+
+/**
+ * Bytes that a client has pipelined behind a request in flight, past what a pooled buffer holds.
+ * Undertow reads the next requests on the connection from them. Their memory is reserved from what
+ * long bodies share.
+ */
+final class PipelinedBytes implements PooledByteBuffer {
+    /** The most that is kept for one connection; the rest waits in its socket. */
+    private static final int MAX_BYTES = 256 * 1024;
+
+    private final BodyMemoryLimit memory;
+
+    /** Null once closed. */
+    private ByteBuffer bytes;
+
+    private PipelinedBytes(BodyMemoryLimit memory, ByteBuffer bytes) {
+        this.memory = memory;
+        this.bytes = bytes;
+    }
+
+    /**
+     * Whether the client has sent more than this request, and so expects further responses. If the
+     * connection ended with this request's response, complete requests behind it would be lost. A
+     * late loop has not read them yet, so the socket is read first, unless it still holds the
+     * request's own body.
+     */
+    static boolean isBehind(HttpServerExchange exchange, BodyMemoryLimit memory) {
+        if (!(exchange.getConnection() instanceof AbstractServerConnection connection)) {
+            return false;
+        }
+        if (exchange.isRequestComplete()) {
+            try {
+                read(connection, memory);
+            } catch (IOException e) {
+                return false; // the response will fail in the same way
+            }
+        }
+        PooledByteBuffer kept = connection.getExtraBytes();
+        return kept != null && kept.getBuffer().hasRemaining();
+    }
+
+    /**
+     * Reads pipelined bytes and keeps them for the next requests. What exceeds the memory stays in
+     * the socket.
+     *
+     * @return false if the client has closed its side of the connection, as far as that was read
+     * @throws IOException if the connection is broken
+     */
+    static boolean read(AbstractServerConnection connection, BodyMemoryLimit memory)
+            throws IOException {
+        StreamSourceConduit source = connection.getOriginalSourceConduit();
+        try (PooledByteBuffer pooled = connection.getByteBufferPool().allocate()) {
+            ByteBuffer piece = pooled.getBuffer();
+            int leftInTurn = EventLoop.MOST_IN_TURN_BYTES;
+            int count;
+            do {
+                int free = freeBytes(connection, memory);
+                if (free == 0) {
+                    source.suspendReads();
+                    return true;
+                }
+                piece.clear().limit(Math.min(piece.capacity(), free));
+                count = source.read(piece);
+                if (count > 0) {
+                    keep(connection, piece.flip());
+                }
+                leftInTurn -= count;
+            } while (count > 0 && leftInTurn > 0);
+            return count >= 0;
+        }
+    }
+
+    /** How many bytes more can be kept; makes the buffer larger if it is full. */
+    private static int freeBytes(AbstractServerConnection connection, BodyMemoryLimit memory) {
+        PooledByteBuffer kept = connection.getExtraBytes();
+        if (kept == null) {
+            return Integer.MAX_VALUE; // a pooled buffer will hold as much as is read at a time
+        }
+        int free = free(kept);
+        if (free > 0) {
+            return free;
+        }
+        PipelinedBytes larger = doubled(kept, memory);
+        if (larger == null) {
+            return 0;
+        }
+        connection.setExtraBytes(larger);
+        return free(larger);
+    }
+
+    private static int free(PooledByteBuffer kept) {
+        return kept.getBuffer().capacity() - kept.getBuffer().remaining();
+    }
+
+    /** Appends to what is kept; Undertow keeps what came together with the request. */
+    private static void keep(AbstractServerConnection connection, ByteBuffer piece) {
+        PooledByteBuffer kept = connection.getExtraBytes();
+        if (kept == null) {
+            kept = connection.getByteBufferPool().allocate();
+            kept.getBuffer().limit(0);
+            connection.setExtraBytes(kept);
+        }
+        kept.getBuffer().compact().put(piece).flip();
+    }
+
+    /**
+     * Moves the bytes to a buffer of twice the size; null, with nothing moved, if none can be had.
+     */
+    private static PipelinedBytes doubled(PooledByteBuffer kept, BodyMemoryLimit memory) {
+        int capacity = 2 * kept.getBuffer().capacity();
+        if (capacity > MAX_BYTES || !memory.tryReserve(capacity)) {
+            return null;
+        }
+        ByteBuffer bytes = ByteBuffer.allocate(capacity).put(kept.getBuffer()).flip();
+        kept.close();
+        return new PipelinedBytes(memory, bytes);
+    }
+
+    @Override
+    public ByteBuffer getBuffer() {
+        return bytes;
+    }
+
+    @Override
+    public boolean isOpen() {
+        return bytes != null;
+    }
+
+    @Override
+    public void close() {
+        if (isOpen()) {
+            memory.release(bytes.capacity());
+            bytes = null;
+        }
+    }
+}
