--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveredEndpoint.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveredEndpoint.java
@@ -4,12 +4,15 @@
 import trailthread.api.EndpointState;
 
 /**
- * One endpoint as discovery names it.
+ * One endpoint of the list that discovery sends.
  *
- * @param instanceId the same at every node
- * @param hostPort where this node reaches it
- * @param cell -1: none
- * @param startedAtMs Unix time; 0: long ago
+ * @param instanceId identifies the endpoint; every node sees the same id
+ * @param hostPort address:port at which this node reaches the endpoint
+ * @param zone the availability zone, or empty
+ * @param cell the cell that the endpoint belongs to; -1: none
+ * @param lifecycle whether the endpoint is ready, draining or gone
+ * @param weight the share of the load that it takes, relative to the other endpoints
+ * @param startedAtMs Unix time in milliseconds; 0: not known, long ago
  */
 public record DiscoveredEndpoint(
         String instanceId,
@@ -19,9 +22,11 @@
         EndpointState lifecycle,
         double weight,
         long startedAtMs) {
-    /** The endpoint as the decision module has it. */
+    private static final long NS_PER_MS = 1_000_000;
+
+    /** Returns the endpoint in the form in which the balancer takes it. */
     public EndpointEntry entry() {
         return new EndpointEntry(
-                instanceId, weight, lifecycle, zone, startedAtMs * 1_000_000, cell);
+                instanceId, weight, lifecycle, zone, startedAtMs * NS_PER_MS, cell);
     }
 }
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryListener.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryListener.java
@@ -1,36 +1,36 @@
 package trailthread.engine.discovery;
 
-/** Hears what discovery says. */
+/** Receives what an {@link EndpointListSource} learns, on the event loop's thread. */
 public interface DiscoveryListener {
     /**
-     * A whole list, or what changed.
+     * A complete list, or a change to the list, was received.
      *
-     * @param knownSince from when on it counts as known, by the loop's clock in nanoseconds: it may
-     *     have come, or have been due, before it was read
+     * @param knownSince since when it counts as known, by the loop's clock in nanoseconds; may be
+     *     earlier than now, as the update may have arrived, or have been due, before it was read
      */
     void told(DiscoveryUpdate update, long knownSince);
 
-    /** A watch or a fetch failed; what was told before stands. */
+    /** A watch or a fetch failed; the list received before stays valid. */
     void failed();
 
     /**
-     * All that had changed by this time has been told.
+     * Every change up to this time has been received.
      *
      * @param asOf by the loop's clock in nanoseconds
      */
     default void confirmed(long asOf) {
-        // of use only to those whose list is a lease
+        // only listeners that hold the list as a lease need this
     }
 
     /**
-     * A call was refused, broke before there was an answer, or had no connection; {@link #failed}
-     * follows where it is to be repeated. One that this side gave up is told of only where lists
-     * are pushed; else what discovery does is not known.
+     * A request to discovery was refused, broke before there was a response, or got no connection.
+     * {@link #failed} follows, unless lists are pushed. A request that this side gave up is
+     * reported only where lists are pushed: otherwise the state of discovery is not known.
      *
-     * @param waitedSince since when it may have waited at discovery, by the loop's clock in
-     *     nanoseconds
+     * @param waitedSince since when the request may have waited at discovery, by the loop's clock
+     *     in nanoseconds
      */
     default void callFailed(long waitedSince) {
-        // of use only to those whose list is a lease
+        // only listeners that hold the list as a lease need this
     }
 }
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryParser.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryParser.java
@@ -5,32 +5,21 @@
 import com.google.gson.stream.JsonToken;
 import java.io.IOException;
 import java.io.StringReader;
-import java.net.URI;
-import java.net.URISyntaxException;
 import java.util.ArrayList;
 import java.util.List;
 import trailthread.api.EndpointState;
 
-/** Reads discovery's JSON; unknown keys are skipped. */
+/** Parses the JSON of discovery's endpoint lists; unknown keys are skipped. */
 public final class DiscoveryParser {
-    private static final int MOST_PORT = 65535;
-
-    /** Of an IPv4 address. */
-    private static final int OCTETS = 4;
-
-    private static final int MOST_OCTET = 255;
-    private static final int MOST_OCTET_DIGITS = 3;
-
-    /** What can still be told in nanoseconds. */
-    private static final long LATEST_MS = Long.MAX_VALUE / 1_000_000;
+    /** The latest time that a long holds in nanoseconds. */
+    private static final long MAX_TIME_MS = Long.MAX_VALUE / 1_000_000;
 
     private DiscoveryParser() {}
 
     /**
-     * Reads one whole object.
+     * Parses a text that holds one update and nothing else.
      *
-     * @throws IOException if it is not one, or lacks what an endpoint must have; the message says
-     *     what
+     * @throws IOException if the text is malformed or lacks a required key; the message says which
      */
     public static DiscoveryUpdate parse(String json) throws IOException {
         JsonReader in = new JsonReader(new StringReader(json));
@@ -42,7 +31,11 @@
         return update;
     }
 
-    /** Reads the object that begins here. */
+    /**
+     * Reads the update that begins at the reader's position.
+     *
+     * @throws IOException if it is malformed or lacks a required key; the message says which
+     */
     public static DiscoveryUpdate read(JsonReader in) throws IOException {
         long generation = -1;
         boolean reset = false;
@@ -53,7 +46,7 @@
                 switch (in.nextName()) {
                     case "generation" -> generation = in.nextLong();
                     case "reset" -> reset = in.nextBoolean();
-                    case "instances" -> instances = entries(in);
+                    case "instances" -> instances = readEndpoints(in);
                     default -> in.skipValue();
                 }
             }
@@ -67,17 +60,17 @@
         return new DiscoveryUpdate(generation, reset, instances);
     }
 
-    private static List<DiscoveredEndpoint> entries(JsonReader in) throws IOException {
-        List<DiscoveredEndpoint> entries = new ArrayList<>();
+    private static List<DiscoveredEndpoint> readEndpoints(JsonReader in) throws IOException {
+        List<DiscoveredEndpoint> endpoints = new ArrayList<>();
         in.beginArray();
         while (in.hasNext()) {
-            entries.add(entry(in));
+            endpoints.add(readEndpoint(in));
         }
         in.endArray();
-        return entries;
+        return endpoints;
     }
 
-    private static DiscoveredEndpoint entry(JsonReader in) throws IOException {
+    private static DiscoveredEndpoint readEndpoint(JsonReader in) throws IOException {
         String instanceId = null;
         String hostPort = null;
         String zone = "";
@@ -97,7 +90,7 @@
                 case "hostPort" -> hostPort = in.nextString();
                 case "zone" -> zone = in.nextString();
                 case "cell" -> cell = in.nextInt();
-                case "lifecycle" -> lifecycle = lifecycle(in.nextString());
+                case "lifecycle" -> lifecycle = parseLifecycle(in.nextString());
                 case "weight" -> weight = in.nextDouble();
                 case "startedAtMs" -> startedAtMs = in.nextLong();
                 default -> in.skipValue();
@@ -107,7 +100,7 @@
         if (instanceId == null || hostPort == null || lifecycle == null) {
             throw new IOException("expected instanceId, hostPort and lifecycle of each instance");
         }
-        if (!isHostPort(hostPort) || startedAtMs < 0 || startedAtMs > LATEST_MS) {
+        if (!HostPort.isValid(hostPort) || startedAtMs < 0 || startedAtMs > MAX_TIME_MS) {
             throw new IOException(
                     "expected address:port and Unix milliseconds, got "
                             + hostPort
@@ -118,62 +111,7 @@
                 instanceId, hostPort, zone, cell, lifecycle, weight, startedAtMs);
     }
 
-    private static boolean isHostPort(String text) {
-        if (isPlainAddress(text)) {
-            return true;
-        }
-        try {
-            URI uri = new URI("http://" + text);
-            return uri.getHost() != null
-                    && uri.getPort() > 0
-                    && uri.getPort() <= MOST_PORT
-                    && text.equals(uri.getAuthority());
-        } catch (URISyntaxException e) {
-            return false;
-        }
-    }
-
-    /**
-     * Whether it is an IPv4 address and a port, told apart without a URI of its own: a list has
-     * thousands, nearly all of this form.
-     */
-    private static boolean isPlainAddress(String text) {
-        int octets = 1;
-        int digits = 0;
-        int number = 0;
-        int at = 0;
-        for (; at < text.length() && text.charAt(at) != ':'; at++) {
-            char c = text.charAt(at);
-            if (c == '.' && digits > 0) {
-                octets++;
-                digits = 0;
-                number = 0;
-            } else if (c >= '0' && c <= '9' && digits < MOST_OCTET_DIGITS) {
-                digits++;
-                number = 10 * number + c - '0';
-            } else {
-                return false;
-            }
-            if (number > MOST_OCTET) {
-                return false;
-            }
-        }
-        return octets == OCTETS && digits > 0 && isPort(text, at + 1);
-    }
-
-    private static boolean isPort(String text, int from) {
-        int port = 0;
-        for (int at = from; at < text.length(); at++) {
-            char c = text.charAt(at);
-            if (c < '0' || c > '9' || port > MOST_PORT) {
-                return false;
-            }
-            port = 10 * port + c - '0';
-        }
-        return port > 0 && port <= MOST_PORT;
-    }
-
-    private static EndpointState lifecycle(String word) throws IOException {
+    private static EndpointState parseLifecycle(String word) throws IOException {
         return switch (word) {
             case "active" -> EndpointState.READY;
             case "leaving" -> EndpointState.DRAINING;
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryUpdate.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryUpdate.java
@@ -6,24 +6,30 @@
 import trailthread.api.EndpointState;
 
 /**
- * One object of discovery.
+ * One update that discovery sends: a complete endpoint list, or a change to the list.
  *
- * @param reset whether it is the whole list, or only what changed
+ * @param generation the version of the list after this update
+ * @param reset whether {@code instances} is the complete list; else it holds only what changed
+ * @param instances the endpoints that are listed, have changed or are gone
  */
 public record DiscoveryUpdate(long generation, boolean reset, List<DiscoveredEndpoint> instances) {
-    /** The whole list that comes of this one after another whole one. */
+    /**
+     * Returns the complete list that results from applying this update.
+     *
+     * @param before the complete list before this update
+     */
     public DiscoveryUpdate onto(DiscoveryUpdate before) {
-        Map<String, DiscoveredEndpoint> all = new LinkedHashMap<>();
+        Map<String, DiscoveredEndpoint> endpoints = new LinkedHashMap<>();
         if (!reset) {
-            before.instances.forEach(entry -> all.put(entry.instanceId(), entry));
+            before.instances.forEach(entry -> endpoints.put(entry.instanceId(), entry));
         }
         for (DiscoveredEndpoint entry : instances) {
             if (entry.lifecycle() == EndpointState.GONE) {
-                all.remove(entry.instanceId());
+                endpoints.remove(entry.instanceId());
             } else {
-                all.put(entry.instanceId(), entry);
+                endpoints.put(entry.instanceId(), entry);
             }
         }
-        return new DiscoveryUpdate(generation, true, List.copyOf(all.values()));
+        return new DiscoveryUpdate(generation, true, List.copyOf(endpoints.values()));
     }
 }
--- a/engine/src/main/java/trailthread/engine/discovery/EndpointListFile.java
+++ b/engine/src/main/java/trailthread/engine/discovery/EndpointListFile.java
@@ -11,29 +11,47 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * A list of endpoints in a file, in the form in which discovery sends a whole one. It is looked at
- * twice a second by its time, size and inode, beside the loop, and may be replaced or written anew
- * at any moment: what can't be read, as a half-written one can't, is told of in one line, and the
- * list before stays.
+ * An endpoint list in a file, in the JSON form of a complete list from discovery.
+ *
+ * <p>The file is checked for changes twice a second, by modification time, size and inode, on a
+ * thread beside the event loop. It may be replaced or rewritten at any time. A file that cannot be
+ * read, such as one that is half written, is logged once, and the list read before stays valid.
  */
 public final class EndpointListFile implements EndpointListSource {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListFile.class);
-    private static final long EVERY_NS = 500_000_000L;
+    private static final long CHECK_INTERVAL_NS = 500_000_000L;
 
-    /** More than ten thousand endpoints need. */
-    private static final long MOST_BYTES = 8 * 1024 * 1024;
+    /** Far more than ten thousand endpoints need. */
+    private static final long MAX_FILE_BYTES = 8 * 1024 * 1024;
 
-    /** What tells one state of the file from the next. */
-    private record Look(long modified, long size, Object inode) {}
+    /** Identifies one version of the file's contents. */
+    private record FileVersion(long modifiedNs, long size, Object inode) {
+        static FileVersion of(BasicFileAttributes file) {
+            return new FileVersion(
+                    file.lastModifiedTime().to(TimeUnit.NANOSECONDS), file.size(), file.fileKey());
+        }
+    }
+
+    /**
+     * The result of one check of the file.
+     *
+     * @param version the version that was found, or null if it could not be read
+     * @param update the list, or null if it has not changed or could not be read
+     * @param error why the file could not be read, or null
+     */
+    private record CheckResult(FileVersion version, DiscoveryUpdate update, String error) {}
 
     private final EventLoop loop;
     private final Path path;
     private final DiscoveryListener listener;
-    private Look last;
+
+    /** The version read last, or null: the file is to be read whatever its version. */
+    private FileVersion lastVersion;
+
     private boolean failing;
     private boolean closed;
 
-    /** Makes one that has not looked yet. */
+    /** Creates a source that checks the file for the first time when it is started. */
     public EndpointListFile(EventLoop loop, Path path, DiscoveryListener listener) {
         this.loop = loop;
         this.path = path;
@@ -42,22 +60,22 @@
 
     @Override
     public void start() {
-        look();
+        startCheck();
     }
 
     @Override
     public void known(DiscoveryUpdate update) {
-        // the file is read at once
+        // the file is read at the start and takes precedence over an earlier list
     }
 
     @Override
     public void watch(boolean on) {
-        // it is looked at all the time
+        // the file is checked all the time
     }
 
     @Override
     public void fetch() {
-        last = null;
+        lastVersion = null;
     }
 
     @Override
@@ -65,68 +83,65 @@
         closed = true;
     }
 
-    private void look() {
+    private void startCheck() {
         if (closed) {
             return;
         }
-        Look before = last;
-        loop.worker()
-                .execute(
-                        () -> {
-                            Look seen = null;
-                            DiscoveryUpdate update = null;
-                            String fault = null;
-                            try {
-                                BasicFileAttributes file =
-                                        Files.readAttributes(path, BasicFileAttributes.class);
-                                seen =
-                                        new Look(
-                                                file.lastModifiedTime().to(TimeUnit.NANOSECONDS),
-                                                file.size(),
-                                                file.fileKey());
-                                if (!seen.equals(before)) {
-                                    update = read(file.size());
-                                }
-                            } catch (IOException e) {
-                                fault = e.getClass().getSimpleName() + ": " + e.getMessage();
-                            }
-                            Look now = seen;
-                            DiscoveryUpdate read = update;
-                            String why = fault;
-                            loop.execute(() -> looked(now, read, why));
-                        });
-        loop.after(EVERY_NS, this::look);
+        FileVersion before = lastVersion;
+        loop.worker().execute(() -> checkBesideLoop(before));
+        loop.after(CHECK_INTERVAL_NS, this::startCheck);
+    }
+
+    /** Runs on the worker thread, as reading a file may block. */
+    private void checkBesideLoop(FileVersion before) {
+        CheckResult result = check(before);
+        loop.execute(() -> checked(result));
+    }
+
+    private CheckResult check(FileVersion before) {
+        try {
+            FileVersion version =
+                    FileVersion.of(Files.readAttributes(path, BasicFileAttributes.class));
+            DiscoveryUpdate update = version.equals(before) ? null : read(version.size());
+            return new CheckResult(version, update, null);
+        } catch (IOException e) {
+            return new CheckResult(
+                    null, null, e.getClass().getSimpleName() + ": " + e.getMessage());
+        }
     }
 
     private DiscoveryUpdate read(long size) throws IOException {
-        if (size > MOST_BYTES) {
-            throw new IOException("more than " + MOST_BYTES + " bytes");
+        if (size > MAX_FILE_BYTES) {
+            throw new IOException("more than " + MAX_FILE_BYTES + " bytes");
         }
         DiscoveryUpdate update =
                 DiscoveryParser.parse(Files.readString(path, StandardCharsets.UTF_8));
-        return new DiscoveryUpdate(
-                update.generation(), true, update.instances()); // always the whole list
+        // a file always holds the complete list, whatever its reset flag says
+        return new DiscoveryUpdate(update.generation(), true, update.instances());
     }
 
-    private void looked(Look seen, DiscoveryUpdate update, String fault) {
+    private void checked(CheckResult result) {
         if (closed) {
             return;
         }
-        if (fault != null) {
+        if (result.error() != null) {
             if (!failing) {
-                LOG.warn("list {} can't be used ({}): going on with the one before", path, fault);
+                LOG.warn(
+                        "list {} can't be used ({}): going on with the one before",
+                        path,
+                        result.error());
             }
             failing = true;
-            last = null; // it is read again until it can be
+            lastVersion = null; // read it again at each check until it can be used
             return;
         }
-        last = seen;
-        if (update != null) {
+        lastVersion = result.version();
+        if (result.update() != null) {
             if (failing) {
                 LOG.info("list {} can be used again", path);
             }
             failing = false;
-            listener.told(update, loop.now());
+            listener.told(result.update(), loop.now());
         }
     }
 }
--- a/engine/src/main/java/trailthread/engine/discovery/EndpointListSource.java
+++ b/engine/src/main/java/trailthread/engine/discovery/EndpointListSource.java
@@ -1,21 +1,26 @@
 package trailthread.engine.discovery;
 
 /**
- * Where a list of endpoints comes from. Tells its {@link DiscoveryListener} on the loop's thread.
+ * A source of endpoint lists. It notifies its {@link DiscoveryListener} on the event loop's thread,
+ * and its methods are called on that thread.
  */
 public interface EndpointListSource {
-    /** Begins to tell. */
+    /** Starts to notify the listener. */
     void start();
 
-    /** The list that was known before, at a start. */
+    /** Sets the list that is held already, as after a restart; it is not reported again. */
     void known(DiscoveryUpdate update);
 
-    /** Watches from now on, if it does not yet; or stops. */
+    /**
+     * Starts or stops watching the list for changes.
+     *
+     * @param on whether a watch is to be open; no effect if it is already
+     */
     void watch(boolean on);
 
-    /** Asks for the whole list once. */
+    /** Requests the complete list once. */
     void fetch();
 
-    /** Tells no more, and closes what it holds. */
+    /** Stops notifying the listener, and releases all resources. */
     void close();
 }
--- a/engine/src/main/java/trailthread/engine/discovery/JsonObjectSplitter.java
+++ b/engine/src/main/java/trailthread/engine/discovery/JsonObjectSplitter.java
@@ -8,57 +8,54 @@
 import java.util.List;
 
 /**
- * Splits what a watch sends into its objects, however it comes in pieces and however it is
- * indented; pure.
+ * Splits the byte stream of a watch into its JSON objects, wherever the stream is cut into pieces
+ * and however the objects are indented. Does no I/O.
  */
 final class JsonObjectSplitter {
-    private static final int MOST_BYTES = 4 * 1024 * 1024;
+    private static final int MAX_OBJECT_BYTES = 4 * 1024 * 1024;
 
-    /** What came of an object in earlier pieces. */
-    private final ByteArrayOutputStream begun = new ByteArrayOutputStream();
+    /** The bytes of the incomplete object that earlier pieces brought. */
+    private final ByteArrayOutputStream partialObject = new ByteArrayOutputStream();
 
-    /** Of the brackets that are open. */
+    /** The number of brackets that are open. */
     private int depth;
 
     private boolean inString;
     private boolean escaped;
-    private boolean lives;
-    private long completed;
+    private boolean signOfLife;
+    private long completedCount;
 
     /**
-     * The objects that these bytes complete.
+     * Adds a piece of the stream.
      *
-     * @throws IOException if they belong to none, or to one without end
+     * @return the objects that the piece completes
+     * @throws IOException if the piece holds something other than objects, or the object is too
+     *     long; the message completes a sentence that begins with the sender
      */
     List<String> add(ByteBuffer bytes) throws IOException {
         byte[] piece = new byte[bytes.remaining()];
         bytes.get(piece);
         List<String> objects = new ArrayList<>();
-        lives = false;
-        for (int at = 0; at < piece.length; ) {
-            if (depth == 0 && isSpace(piece[at])) {
-                lives |= piece[at] == '\n'; // an empty line, or the end of an object's
-                at++;
+        signOfLife = false;
+        int position = 0;
+        while (position < piece.length) {
+            if (depth == 0 && isSpace(piece[position])) {
+                // an empty line, or the line end that follows an object
+                signOfLife |= piece[position] == '\n';
+                position++;
                 continue;
             }
-            if (depth == 0 && piece[at] != '{') {
+            if (depth == 0 && piece[position] != '{') {
                 throw new IOException("sends what is no object");
             }
-            // Copied at one stroke: a list of thousands is half a megabyte, and the thread is
-            // needed elsewhere.
-            int end = endOfObject(piece, at);
-            if (begun.size() + end - at > MOST_BYTES) {
-                throw new IOException("sends an object without end");
-            }
-            begun.write(piece, at, end - at);
+            int end = endOfObject(piece, position);
+            append(piece, position, end);
             if (depth == 0) {
-                completed++;
-                objects.add(begun.toString(StandardCharsets.UTF_8));
-                begun.reset();
+                objects.add(takeCompleted());
             }
-            at = end;
+            position = end;
         }
-        lives |= !objects.isEmpty();
+        signOfLife |= !objects.isEmpty();
         return objects;
     }
 
@@ -66,17 +63,17 @@
         return b >= 0 && b <= ' ';
     }
 
-    /** Where the object that has begun ends in this piece, or the piece's end. */
+    /** Returns where the current object ends in this piece, or the piece's end. */
     private int endOfObject(byte[] piece, int from) {
-        int at = from;
+        int position = from;
         do {
-            nest(piece[at]);
-            at++;
-        } while (depth > 0 && at < piece.length);
-        return at;
+            updateNesting(piece[position]);
+            position++;
+        } while (depth > 0 && position < piece.length);
+        return position;
     }
 
-    private void nest(byte b) {
+    private void updateNesting(byte b) {
         if (escaped) {
             escaped = false;
         } else if (inString) {
@@ -91,21 +88,36 @@
         }
     }
 
+    /** Copies a range at once: a list of thousands of endpoints is half a megabyte. */
+    private void append(byte[] piece, int from, int to) throws IOException {
+        if (partialObject.size() + to - from > MAX_OBJECT_BYTES) {
+            throw new IOException("sends an object without end");
+        }
+        partialObject.write(piece, from, to - from);
+    }
+
+    private String takeCompleted() {
+        completedCount++;
+        String object = partialObject.toString(StandardCharsets.UTF_8);
+        partialObject.reset();
+        return object;
+    }
+
     /**
-     * Whether the bytes added last hold an object's end or an empty line: single bytes of one are
-     * no sign of life.
+     * Returns whether the piece added last held the end of an object or an empty line. Single bytes
+     * of either do not count, so that a peer that trickles is found out.
      */
-    boolean lives() {
-        return lives;
+    boolean hadSignOfLife() {
+        return signOfLife;
     }
 
-    /** How many objects have come whole. */
-    long completed() {
-        return completed;
+    /** Returns the number of objects completed so far. */
+    long completedCount() {
+        return completedCount;
     }
 
-    /** Whether an object has begun that is not whole. */
-    boolean isWithin() {
+    /** Returns whether an object has begun that is not complete. */
+    boolean isWithinObject() {
         return depth > 0;
     }
 }
--- a/engine/src/main/java/trailthread/engine/discovery/StaticEndpointList.java
+++ b/engine/src/main/java/trailthread/engine/discovery/StaticEndpointList.java
@@ -4,15 +4,19 @@
 import trailthread.api.EndpointState;
 import trailthread.engine.loop.EventLoop;
 
-/** Endpoints that are given once and for all: always ready, as far as a list can tell. */
+/** A fixed endpoint list from the configuration; every endpoint in it counts as ready. */
 public final class StaticEndpointList implements EndpointListSource {
+    private static final int NO_CELL = -1;
+    private static final double DEFAULT_WEIGHT = 1;
+    private static final long START_UNKNOWN = 0;
+
     private final EventLoop loop;
     private final DiscoveryUpdate update;
     private final DiscoveryListener listener;
     private boolean closed;
 
     /**
-     * Makes one.
+     * Creates a source that reports the list once it is started.
      *
      * @param hostPorts each address:port; an endpoint's id is its address
      */
@@ -21,20 +25,18 @@
         this.listener = listener;
         update =
                 new DiscoveryUpdate(
-                        0,
-                        true,
-                        hostPorts.stream()
-                                .map(
-                                        hostPort ->
-                                                new DiscoveredEndpoint(
-                                                        hostPort,
-                                                        hostPort,
-                                                        "",
-                                                        -1,
-                                                        EndpointState.READY,
-                                                        1,
-                                                        0))
-                                .toList());
+                        0, true, hostPorts.stream().map(StaticEndpointList::endpoint).toList());
+    }
+
+    private static DiscoveredEndpoint endpoint(String hostPort) {
+        return new DiscoveredEndpoint(
+                hostPort,
+                hostPort,
+                "",
+                NO_CELL,
+                EndpointState.READY,
+                DEFAULT_WEIGHT,
+                START_UNKNOWN);
     }
 
     @Override
@@ -44,22 +46,23 @@
 
     @Override
     public void known(DiscoveryUpdate ignored) {
-        // it knows better
+        // the configuration takes precedence over an earlier list
     }
 
     @Override
     public void watch(boolean on) {
-        // it never changes
+        // the list never changes
     }
 
     @Override
     public void fetch() {
-        loop.execute(
-                () -> {
-                    if (!closed) {
-                        listener.told(update, loop.now());
-                    }
-                });
+        loop.execute(this::report);
+    }
+
+    private void report() {
+        if (!closed) {
+            listener.told(update, loop.now());
+        }
     }
 
     @Override
--- a/engine/src/test/java/trailthread/engine/discovery/DiscoveryParserTest.java
+++ b/engine/src/test/java/trailthread/engine/discovery/DiscoveryParserTest.java
@@ -13,16 +13,16 @@
 import org.junit.Test;
 import trailthread.api.EndpointState;
 
-/** discovery's objects, right and wrong, and its lines. */
+/** Tests {@link DiscoveryParser} and {@link JsonObjectSplitter}. */
 public class DiscoveryParserTest {
-    private static final String GOOD =
+    private static final String VALID =
             "{\"generation\":41,\"reset\":true,\"instances\":["
                     + "{\"instanceId\":\"s-5b\",\"hostPort\":\"10.1.0.18:8080\",\"zone\":\"a\","
                     + "\"machineType\":\"m2\",\"cell\":3,"
                     + "\"lifecycle\":\"active\",\"weight\":1.5,\"startedAtMs\":1700000000000}],\"new\":[1]}";
 
     @Test
-    public void anObjectIsRead() throws IOException {
+    public void aCompleteListIsParsed() throws IOException {
         assertEquals(
                 new DiscoveryUpdate(
                         41,
@@ -36,18 +36,18 @@
                                         EndpointState.READY,
                                         1.5,
                                         1_700_000_000_000L))),
-                DiscoveryParser.parse(GOOD));
+                DiscoveryParser.parse(VALID));
         assertEquals(EndpointState.DRAINING, lifecycle("leaving"));
         assertEquals(EndpointState.GONE, lifecycle("left"));
     }
 
     private static EndpointState lifecycle(String word) throws IOException {
-        return DiscoveryParser.parse(GOOD.replace("active", word)).instances().get(0).lifecycle();
+        return DiscoveryParser.parse(VALID.replace("active", word)).instances().get(0).lifecycle();
     }
 
     @Test
-    public void whatMayBeMissingMay() throws IOException {
-        String few =
+    public void optionalKeysMayBeMissing() throws IOException {
+        String minimal =
                 "{\"generation\":0,\"instances\":[{\"instanceId\":\"s\",\"hostPort\":\"[::1]:80\","
                         + "\"cell\":null,\"lifecycle\":\"active\"}]}";
         assertEquals(
@@ -57,42 +57,42 @@
                         List.of(
                                 new DiscoveredEndpoint(
                                         "s", "[::1]:80", "", -1, EndpointState.READY, 1, 0))),
-                DiscoveryParser.parse(few));
+                DiscoveryParser.parse(minimal));
     }
 
     @Test
-    public void whatIsMalformedIsTold() {
-        String[] bad = {
+    public void malformedListsAreRejected() {
+        String[] malformed = {
             "",
             "null",
             "[]",
             "{}",
-            GOOD + "{}",
-            GOOD.substring(0, GOOD.length() - 1),
-            GOOD.replace("41", "-1"),
-            GOOD.replace("41", "\"new\""),
-            GOOD.replace("true", "7"),
-            GOOD.replace("instances", "others"),
-            GOOD.replace("instanceId", "other"),
-            GOOD.replace("hostPort", "other"),
-            GOOD.replace("active", "asleep"),
-            GOOD.replace("10.1.0.18:8080", "10.1.0.18"),
-            GOOD.replace(":8080", ":0"),
-            GOOD.replace(":8080", ":65536"),
-            GOOD.replace("10.1.0.18", "ho st"),
-            GOOD.replace(":8080", ":8080/x"),
-            GOOD.replace("\"cell\":3", "\"cell\":\"x\""),
-            GOOD.replace("1700000000000", "-1"),
-            GOOD.replace("1700000000000", "9700000000000000000"),
-            GOOD.replace("1.5", "NaN"),
+            VALID + "{}",
+            VALID.substring(0, VALID.length() - 1),
+            VALID.replace("41", "-1"),
+            VALID.replace("41", "\"new\""),
+            VALID.replace("true", "7"),
+            VALID.replace("instances", "others"),
+            VALID.replace("instanceId", "other"),
+            VALID.replace("hostPort", "other"),
+            VALID.replace("active", "asleep"),
+            VALID.replace("10.1.0.18:8080", "10.1.0.18"),
+            VALID.replace(":8080", ":0"),
+            VALID.replace(":8080", ":65536"),
+            VALID.replace("10.1.0.18", "ho st"),
+            VALID.replace(":8080", ":8080/x"),
+            VALID.replace("\"cell\":3", "\"cell\":\"x\""),
+            VALID.replace("1700000000000", "-1"),
+            VALID.replace("1700000000000", "9700000000000000000"),
+            VALID.replace("1.5", "NaN"),
         };
-        for (String json : bad) {
+        for (String json : malformed) {
             assertThrows(json, IOException.class, () -> DiscoveryParser.parse(json));
         }
     }
 
     @Test
-    public void aWatchIsSplitIntoObjectsHoweverItComes() throws IOException {
+    public void aWatchIsSplitIntoObjectsWhereverItIsCut() throws IOException {
         List<String> three =
                 List.of("{\"a\":\"\u00e9}\\\"{\"}", "{\n  \"b\": [\n    {}\n  ]\n}", "{}");
         byte[] text =
@@ -106,33 +106,33 @@
                         objects.add(ByteBuffer.wrap(text, at, Math.min(piece, text.length - at))));
             }
             assertEquals(three, all);
-            assertTrue(objects.isWithin());
+            assertTrue(objects.isWithinObject());
         }
     }
 
-    /** Else a watch that trickles would never pass for broken. */
+    /** Otherwise a watch that trickles would never be taken for broken. */
     @Test
-    public void onlyEmptyLinesAndWholeObjectsAreSignsOfLife() throws IOException {
-        String[] lives = {"\n", " \r\n", "{}", "{}\n{"};
-        String[] lifeless = {"", " ", "{", "{\n\n\"a\":\n"};
-        for (String bytes : lives) {
-            assertTrue(bytes, lives(bytes));
+    public void onlyEmptyLinesAndCompleteObjectsAreSignsOfLife() throws IOException {
+        String[] signs = {"\n", " \r\n", "{}", "{}\n{"};
+        String[] others = {"", " ", "{", "{\n\n\"a\":\n"};
+        for (String bytes : signs) {
+            assertTrue(bytes, hasSignOfLife(bytes));
         }
-        for (String bytes : lifeless) {
-            assertFalse(bytes, lives(bytes));
+        for (String bytes : others) {
+            assertFalse(bytes, hasSignOfLife(bytes));
         }
     }
 
-    private static boolean lives(String bytes) throws IOException {
+    private static boolean hasSignOfLife(String bytes) throws IOException {
         JsonObjectSplitter objects = new JsonObjectSplitter();
         objects.add(ByteBuffer.wrap(bytes.getBytes(StandardCharsets.UTF_8)));
-        return objects.lives();
+        return objects.hadSignOfLife();
     }
 
     @Test
-    public void whatIsNoObjectIsTold() {
+    public void whatIsNotAnObjectIsRejected() {
         for (String bytes : new String[] {"x", "[{}]", "{}]", "\"a\"", "\ufeff{}"}) {
-            assertThrows(bytes, IOException.class, () -> lives(bytes));
+            assertThrows(bytes, IOException.class, () -> hasSignOfLife(bytes));
         }
     }
 }
