--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptListener.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptListener.java
@@ -3,9 +3,9 @@
 import trailthread.api.LoadReport;
 import trailthread.engine.http.ByteSink;
 
-/** Hears what becomes of one attempt. */
+/** Receives the events of one attempt, on the event loop's thread. */
 public interface AttemptListener {
-    /** Whether anybody still waits for it: asked right before its first byte is written. */
+    /** Returns whether the response is still wanted; called right before the first write. */
     default boolean isWanted() {
         return true;
     }
@@ -14,20 +14,21 @@
     default void sent() {}
 
     /**
-     * A long answer begins. It is passed on as it comes, and the attempt ends no sooner than the
-     * answer does.
+     * A long response has started. It is streamed, and the attempt ends no sooner than the response
+     * does.
      *
-     * @param head its status, and its headers if they are passed on; no body
-     * @param length of the body, in bytes; -1: its end will tell
-     * @param told the load that came with it, or null
-     * @param more to be run, not from within a call to the sink, when there is room for more after
-     *     there was none
-     * @return where it goes, or null: nobody waits for it any more
+     * @param head the status, and the headers if they are forwarded; no body
+     * @param length the length of the body in bytes; -1: not known
+     * @param load the load report in the response's head, or null
+     * @param onCapacity to be run when the sink has capacity again after it had none; not from
+     *     within a call to the sink
+     * @return where to stream the body, or null: the response is no longer wanted
      */
-    default ByteSink begins(EndpointResponse head, long length, LoadReport told, Runnable more) {
+    default ByteSink begins(
+            EndpointResponse head, long length, LoadReport load, Runnable onCapacity) {
         return null;
     }
 
-    /** It is over; told once, never from within the call that began it. */
-    void ended(AttemptResult ending);
+    /** The attempt is over. Called once, never from within the call that started the attempt. */
+    void ended(AttemptResult result);
 }
--- /dev/null
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
@@ -0,0 +1,200 @@
+package trailthread.engine.endpoint;
+
+import io.undertow.util.HeaderMap;
+import io.undertow.util.Headers;
+import java.nio.ByteBuffer;
+import java.util.Arrays;
+import org.xnio.XnioExecutor;
+import trailthread.api.LoadReport;
+import trailthread.api.Outcome;
+import trailthread.engine.http.ByteSink;
+import trailthread.engine.loop.EventLoop;
+
+/**
+ * The response to one attempt. Its body is buffered as long as it is short, so that an attempt that
+ * fails can be retried without the client seeing it. A body that is longer, or of unknown length
+ * and slow, is streamed to the client as it arrives.
+ */
+final class AttemptResponse {
+    /** A longer body is streamed. */
+    private static final int MAX_BUFFERED_BYTES = 64 * 1024;
+
+    private static final int INITIAL_BUFFER_BYTES = 512;
+
+    /**
+     * A body of unknown length is streamed this long after its first bytes. Without this limit an
+     * endpoint that sends slowly would use up the time of the attempt.
+     */
+    private static final long MAX_BUFFERED_NS = 100_000_000L;
+
+    /** A streamed response that brings nothing for so long, although it could be read, is reset. */
+    private static final long MAX_SILENCE_NS = 10_000_000_000L;
+
+    private static final long UNKNOWN_LENGTH = -1;
+    private static final byte[] NO_BYTES = {};
+
+    private final EventLoop loop;
+    private final Attempt attempt;
+    private final AttemptListener listener;
+    private final ResponseHead head;
+
+    /** Null: only the body goes to the client. */
+    private final HeaderMap forwardedHeaders;
+
+    /** The length of the body by its head, in bytes, or {@link #UNKNOWN_LENGTH}. */
+    private final long length;
+
+    private byte[] buffer = NO_BYTES;
+    private int bufferedBytes;
+
+    /** Where the body is streamed to, or null: it is buffered. */
+    private ByteSink sink;
+
+    private boolean sinkHasCapacity;
+    private long lastPieceAt;
+    private XnioExecutor.Key bufferTimeout;
+    private XnioExecutor.Key silenceTimeout;
+
+    /**
+     * Starts a response whose head has been received.
+     *
+     * @param isForwarded whether status and headers go to the client as they are
+     */
+    AttemptResponse(
+            EventLoop loop,
+            Attempt attempt,
+            AttemptListener listener,
+            int status,
+            HeaderMap headers,
+            boolean isForwarded) {
+        this.loop = loop;
+        this.attempt = attempt;
+        this.listener = listener;
+        head = ResponseHead.decode(status, headers);
+        forwardedHeaders = isForwarded ? headers : null;
+        String contentLength = headers.getFirst(Headers.CONTENT_LENGTH);
+        length = contentLength == null ? UNKNOWN_LENGTH : Long.parseLong(contentLength);
+    }
+
+    boolean isStreaming() {
+        return sink != null;
+    }
+
+    /** Returns the outcome of the attempt if the response is complete. */
+    Outcome outcome() {
+        return head.outcome(forwardedHeaders != null);
+    }
+
+    /** Returns the load report of the head, or null; null too if it is outdated by streaming. */
+    LoadReport load() {
+        return isStreaming() ? null : head.load();
+    }
+
+    /** Returns the response with what is buffered of its body. */
+    EndpointResponse toEndpointResponse() {
+        byte[] body = Arrays.copyOf(buffer, bufferedBytes);
+        return forwardedHeaders == null
+                ? EndpointResponse.of(body)
+                : new EndpointResponse(head.status(), forwardedHeaders, body);
+    }
+
+    /** Buffers or streams a piece of the body. */
+    void add(ByteBuffer piece) {
+        if (!isStreaming() && outcome() != Outcome.OK) {
+            return; // the body of a failed attempt is not used
+        }
+        if (bufferedBytes == 0 && !isStreaming() && length == UNKNOWN_LENGTH) {
+            bufferTimeout = loop.after(MAX_BUFFERED_NS, this::startStreaming);
+        }
+        if (!isStreaming() && fitsBuffer(piece)) {
+            buffer(piece);
+            return;
+        }
+        if (!isStreaming() && !startStreaming()) {
+            return;
+        }
+        lastPieceAt = loop.now();
+        stream(piece);
+    }
+
+    private boolean fitsBuffer(ByteBuffer piece) {
+        return bufferedBytes + piece.remaining() <= MAX_BUFFERED_BYTES
+                && length <= MAX_BUFFERED_BYTES;
+    }
+
+    private void buffer(ByteBuffer piece) {
+        int count = piece.remaining();
+        int needed = bufferedBytes + count;
+        if (needed > buffer.length) {
+            int grown = Math.max(INITIAL_BUFFER_BYTES, 2 * buffer.length);
+            buffer = Arrays.copyOf(buffer, Math.max(grown, needed));
+        }
+        piece.get(buffer, bufferedBytes, count);
+        bufferedBytes = needed;
+    }
+
+    /**
+     * Streams what is buffered, and everything that follows as it arrives.
+     *
+     * @return whether the attempt goes on
+     */
+    private boolean startStreaming() {
+        bufferTimeout = Attempt.cancelled(bufferTimeout);
+        EndpointResponse start = new EndpointResponse(head.status(), forwardedHeaders, NO_BYTES);
+        sink = listener.begins(start, length, head.load(), this::sinkReady);
+        if (sink == null) {
+            attempt.end(Outcome.CANCELLED);
+            return false;
+        }
+        attempt.streamingStarted();
+        silenceTimeout = loop.after(MAX_SILENCE_NS, this::resetIfSilent);
+        if (bufferedBytes > 0) {
+            ByteBuffer buffered = ByteBuffer.wrap(buffer, 0, bufferedBytes);
+            buffer = NO_BYTES;
+            bufferedBytes = 0;
+            stream(buffered);
+        }
+        return !attempt.isOver();
+    }
+
+    private void stream(ByteBuffer piece) {
+        sinkHasCapacity = sink.piece(piece);
+        if (!sinkHasCapacity) {
+            attempt.pauseReading();
+        }
+    }
+
+    private void sinkReady() {
+        sinkHasCapacity = true;
+        lastPieceAt = loop.now();
+        attempt.resumeReading();
+    }
+
+    private void resetIfSilent() {
+        if (attempt.isOver()) {
+            return;
+        }
+        long silentNs = sinkHasCapacity ? loop.now() - lastPieceAt : 0;
+        if (silentNs >= MAX_SILENCE_NS) {
+            attempt.end(Outcome.RESET);
+        } else {
+            silenceTimeout = loop.after(MAX_SILENCE_NS - silentNs, this::resetIfSilent);
+        }
+    }
+
+    /**
+     * Ends the stream, if there is one, and cancels the timers, which would keep the request's body
+     * in memory.
+     *
+     * @param isComplete whether the response has been received completely
+     */
+    void close(boolean isComplete) {
+        if (isStreaming() && isComplete) {
+            sink.end();
+        } else if (isStreaming()) {
+            sink.broken();
+        }
+        bufferTimeout = Attempt.cancelled(bufferTimeout);
+        silenceTimeout = Attempt.cancelled(silenceTimeout);
+    }
+}
--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptResult.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptResult.java
@@ -6,8 +6,10 @@
 /**
  * How an attempt ended.
  *
- * @param load or null
- * @param made what the endpoint made, if the outcome is OK
+ * @param latencyNs the endpoint's latency in nanoseconds; negative: not known. Where no complete
+ *     response came, how long the attempt took
+ * @param load the endpoint's load report, or null
+ * @param made the endpoint's response if the outcome is OK, else null
  */
 public record AttemptResult(
         Outcome outcome, long latencyNs, LoadReport load, EndpointResponse made) {}
--- a/engine/src/main/java/trailthread/engine/endpoint/ConnectionLimit.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionLimit.java
@@ -1,40 +1,21 @@
 package trailthread.engine.endpoint;
 
 /**
- * How many connections to endpoints there may be. Each {@link #take} that is granted is followed by
- * one give.
+ * Limits the number of connections to endpoints. Each {@link #take} that is granted is followed by
+ * one {@link #give}.
  */
 public interface ConnectionLimit {
-    /** Whether another one may be opened. */
+    /** Takes a permit for another connection; returns whether it was granted. */
     boolean take();
 
-    /** One is closed, or never came up. */
+    /** Gives back the permit of a connection that was closed or could not be established. */
     void give();
 
-    /** Whether one that has become idle may be kept: others may need it more. */
+    /** Returns whether a connection may be kept while it is idle, as no one else needs it more. */
     boolean keepsIdle();
 
-    /** Room for so many. */
-    static ConnectionLimit of(int most) {
-        return new ConnectionLimit() {
-            private int open;
-
-            @Override
-            public boolean take() {
-                boolean taken = open < most;
-                open += taken ? 1 : 0;
-                return taken;
-            }
-
-            @Override
-            public void give() {
-                open--;
-            }
-
-            @Override
-            public boolean keepsIdle() {
-                return true;
-            }
-        };
+    /** Returns a limit of a fixed number of connections. */
+    static ConnectionLimit of(int max) {
+        return new FixedConnectionLimit(max);
     }
 }
--- a/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
@@ -10,119 +10,132 @@
 import trailthread.engine.loop.CpuAccount;
 import trailthread.engine.loop.EventLoop;
 
-/** The connections to the endpoints: opened when needed, kept while idle, bounded over all. */
+/**
+ * The connections to all endpoints. They are opened on demand, kept while idle, and limited in
+ * total. Also checks, right before a request is written, whether the endpoint list allows it.
+ */
 final class ConnectionPool {
     /**
-     * An idle connection is dropped after this share of the time that the endpoint leaves it open.
+     * An idle connection is closed after this fraction of the time for which its endpoint keeps it
+     * open, so that a request never meets a connection that the endpoint closes.
      */
-    private static final double KEPT_SHARE = 0.8;
+    private static final double IDLE_TIME_FRACTION = 0.8;
 
-    /** And is found within this part of that time. */
-    private static final int SWEEPS = 20;
+    /** How many times idle connections are checked within the time that they are kept. */
+    private static final int SWEEPS_PER_IDLE_TIME = 20;
 
-    private static final long LEAST_BETWEEN_NS = 10_000_000L;
+    private static final long MIN_SWEEP_INTERVAL_NS = 10_000_000L;
 
-    /** A second answer to the call before, if there is one, has come by then. */
-    private static final long SETTLES_NS = 10_000_000L;
+    /** A surplus second response to the last request, if there is one, arrives within this time. */
+    private static final long SETTLE_TIME_NS = 10_000_000L;
 
-    /** A connection with no request on it. */
-    static final class Idle {
+    /** A connection that carries no request. */
+    static final class IdleConnection {
         private final Endpoint endpoint;
         private final HttpConnection connection;
 
-        Idle(Endpoint endpoint, HttpConnection connection) {
+        IdleConnection(Endpoint endpoint, HttpConnection connection) {
             this.endpoint = endpoint;
             this.connection = connection;
         }
     }
 
     private final EventLoop loop;
-    long connectTimeoutNs;
+    private final ConnectionLimit limit;
+    private final CpuAccount account;
+    private long connectTimeoutNs;
+    private long idleNs;
     private long drainGraceNs;
 
-    /** No request is begun then or later, whatever the endpoint: the list is too old. */
+    /** No request is sent to any endpoint then or later: the endpoint list is too old. */
     private long listUsableUntil = Long.MAX_VALUE;
 
-    private Runnable readNews = () -> {};
-    private long idleNs;
-    private final ConnectionLimit room;
-    private final CpuAccount account;
+    private Runnable readUpdates = () -> {};
 
-    /** Those idle at any endpoint, the longest idle first. */
-    private final Set<Idle> idle = new LinkedHashSet<>();
+    /** The idle connections of all endpoints, the one that is idle longest first. */
+    private final Set<IdleConnection> idle = new LinkedHashSet<>();
 
-    /** Connections, and connects that have not come up. */
+    /** The number of connections, with those that are being established. */
     private int open;
 
-    private boolean sweeps;
+    private boolean sweepScheduled;
 
     ConnectionPool(
             EventLoop loop,
             long connectTimeoutNs,
             long idleNs,
             long drainGraceNs,
-            ConnectionLimit room,
+            ConnectionLimit limit,
             CpuAccount account) {
         this.loop = loop;
-        this.room = room;
+        this.limit = limit;
         this.account = account;
         retune(connectTimeoutNs, idleNs, drainGraceNs);
     }
 
-    /** Other times hold from now on, as in the constructor. */
-    void retune(long connectWithinNs, long endpointsKeepNs, long graceNs) {
-        connectTimeoutNs = connectWithinNs;
-        idleNs = (long) (KEPT_SHARE * endpointsKeepNs);
+    /**
+     * Changes the timeouts.
+     *
+     * @param endpointIdleNs how long an endpoint keeps an idle connection open, in nanoseconds
+     */
+    void retune(long connectTimeout, long endpointIdleNs, long graceNs) {
+        connectTimeoutNs = connectTimeout;
+        idleNs = (long) (IDLE_TIME_FRACTION * endpointIdleNs);
         drainGraceNs = ListLease.usableGraceNs(graceNs);
     }
 
-    /** The list may be acted on until this time, by {@link EventLoop#now}. */
+    long connectTimeoutNs() {
+        return connectTimeoutNs;
+    }
+
+    /** Sets until when the endpoint list may be used, by {@link EventLoop#now}. */
     void listLeaseUntil(long until) {
         listUsableUntil = until;
     }
 
-    /** How what discovery has told by now is taken in. */
-    void setNews(Runnable reads) {
-        readNews = reads;
+    /** Sets what reads the updates of the endpoint list that have arrived. */
+    void setUpdateReader(Runnable reader) {
+        readUpdates = reader;
     }
 
     /**
-     * Whether a request may be begun at an endpoint now, by all that discovery has told; a probe
-     * needs no fresh list.
+     * Returns whether a request may be sent to an endpoint now, by everything that discovery has
+     * sent. A health check does not need a fresh list.
      */
-    boolean mayBegin(Endpoint endpoint, boolean isProbe) {
-        // A loop that runs late, or is in the midst of a long list, has news unread that counts as
-        // told.
-        readNews.run();
+    boolean maySend(Endpoint endpoint, boolean isProbe) {
+        // Updates count as known once they have arrived, even if the loop has not read them yet.
+        readUpdates.run();
         long now = loop.now();
-        return endpoint.takesNew(now, drainGraceNs) && (isProbe || now < listUsableUntil);
+        return endpoint.acceptsRequests(now, drainGraceNs) && (isProbe || now < listUsableUntil);
     }
 
-    /** An idle connection to the endpoint, or null. */
+    /** Takes an idle connection to the endpoint out of the pool; returns null if there is none. */
     HttpConnection takeIdle(Endpoint endpoint) {
-        for (Idle next = preferred(endpoint); next != null; next = preferred(endpoint)) {
-            forget(next);
-            if (isOld(
-                    next)) { // left by a late sweep: its endpoint may have closed it, and its word
-                // be
-                // on the way
+        IdleConnection next = preferred(endpoint);
+        while (next != null) {
+            remove(next);
+            if (isExpired(next)) {
+                // left by a sweep that is late; the endpoint may be closing it right now
                 next.connection.close();
             } else if (next.connection.isUsable()) {
                 return next.connection;
             }
+            next = preferred(endpoint);
         }
         return null;
     }
 
     /**
-     * The last one used, or null. Guards against a second answer to the call before, which would
-     * pass for the next one's: where others have settled for longer, one of these.
+     * Returns the connection used last among those that have settled, or else the one that is idle
+     * longest, or null. This prevents a surplus second response to the last request from being
+     * taken for the next one's.
      */
-    private Idle preferred(Endpoint endpoint) {
-        long settled = loop.now() - SETTLES_NS;
-        for (Iterator<Idle> lastFirst = endpoint.idle.descendingIterator(); lastFirst.hasNext(); ) {
-            Idle next = lastFirst.next();
-            if (next.connection.idleSince() <= settled) {
+    private IdleConnection preferred(Endpoint endpoint) {
+        long settledSince = loop.now() - SETTLE_TIME_NS;
+        Iterator<IdleConnection> lastFirst = endpoint.idle.descendingIterator();
+        while (lastFirst.hasNext()) {
+            IdleConnection next = lastFirst.next();
+            if (next.connection.idleSince() <= settledSince) {
                 return next;
             }
         }
@@ -130,105 +143,124 @@
     }
 
     /**
-     * Opens a connection; the consumer gets it, or null if it does not come up, never from within
-     * this call.
+     * Opens a connection.
      *
-     * @return takes the connect back
+     * @param opened receives the connection, or null if it could not be established; never from
+     *     within this call
+     * @return cancels the connect
      */
     Runnable connect(Endpoint endpoint, Consumer<HttpConnection> opened) {
-        boolean free = room.take();
-        if (!free && !idle.isEmpty()) {
-            drop(idle.iterator().next()); // room for one that is needed
-            free = room.take();
-        }
-        if (!free) {
+        if (!takePermit()) {
             loop.execute(() -> opened.accept(null));
             return () -> {};
         }
         open++;
-        Runnable connect =
+        Runnable cancel =
                 HttpConnection.open(
                         loop,
                         endpoint.address,
                         account,
-                        this::closed,
+                        this::connectionClosed,
                         connection -> {
                             if (connection == null) {
-                                closed();
+                                connectionClosed();
                             }
                             opened.accept(connection);
                         });
         return () -> {
-            closed();
-            connect.run();
+            connectionClosed();
+            cancel.run();
         };
     }
 
-    private void closed() {
+    /** Takes a permit for a connection, if need be that of an idle one, which is closed. */
+    private boolean takePermit() {
+        if (limit.take()) {
+            return true;
+        }
+        if (idle.isEmpty()) {
+            return false;
+        }
+        closeLongestIdle();
+        return limit.take();
+    }
+
+    private void connectionClosed() {
         open--;
-        room.give();
+        limit.give();
     }
 
-    /** Keeps a connection for later, if it can serve again. */
-    void keep(Endpoint endpoint, HttpConnection connection) {
-        if (!endpoint.listed || !room.keepsIdle()) {
+    /** Returns a connection to the pool, or closes it if it cannot carry another request. */
+    void release(Endpoint endpoint, HttpConnection connection) {
+        if (!endpoint.listed || !limit.keepsIdle()) {
             connection.close();
         }
         if (!connection.isFree()) {
-            return; // before it is used again, it is looked at
+            return;
         }
-        Idle kept = new Idle(endpoint, connection);
-        endpoint.idle.addLast(kept);
-        idle.add(kept);
-        if (!sweeps) {
-            sweeps = true;
+        IdleConnection released = new IdleConnection(endpoint, connection);
+        endpoint.idle.addLast(released);
+        idle.add(released);
+        if (!sweepScheduled) {
+            sweepScheduled = true;
             loop.after(idleNs, this::sweep);
         }
     }
 
-    /** Drops what has idled for long enough. One timer for all: most are used again long before. */
+    /**
+     * Closes the connections that have been idle for too long. One timer serves all of them, as
+     * most are used again long before.
+     */
     private void sweep() {
-        while (!idle.isEmpty() && isOld(idle.iterator().next())) {
-            drop(idle.iterator().next());
+        while (!idle.isEmpty() && isExpired(idle.iterator().next())) {
+            closeLongestIdle();
         }
-        sweeps = !idle.isEmpty();
-        if (sweeps) {
-            loop.after(Math.max(idleNs / SWEEPS, LEAST_BETWEEN_NS), this::sweep);
+        sweepScheduled = !idle.isEmpty();
+        if (sweepScheduled) {
+            loop.after(Math.max(idleNs / SWEEPS_PER_IDLE_TIME, MIN_SWEEP_INTERVAL_NS), this::sweep);
         }
     }
 
-    private boolean isOld(Idle kept) {
-        return loop.now() - kept.connection.idleSince() >= idleNs;
+    private boolean isExpired(IdleConnection connection) {
+        return loop.now() - connection.connection.idleSince() >= idleNs;
     }
 
-    /** Closes as many that idle at any endpoint, the longest idle first. */
+    /** Closes up to so many idle connections to any endpoints, those idle longest first. */
     void closeIdle(int count) {
         for (int i = 0; i < count && !idle.isEmpty(); i++) {
-            drop(idle.iterator().next());
+            closeLongestIdle();
         }
     }
 
+    /** Closes all idle connections to the endpoint. */
     void closeIdle(Endpoint endpoint) {
         while (!endpoint.idle.isEmpty()) {
-            drop(endpoint.idle.peekLast());
+            close(endpoint.idle.peekLast());
         }
     }
 
-    Map<String, Integer> byState() {
+    /** Returns the number of connections by state, "idle" or "busy". */
+    Map<String, Integer> countByState() {
         return Map.of("idle", idle.size(), "busy", open - idle.size());
     }
 
-    private void drop(Idle dropped) {
-        forget(dropped);
-        dropped.connection.close();
+    private void closeLongestIdle() {
+        close(idle.iterator().next());
+    }
+
+    private void close(IdleConnection connection) {
+        remove(connection);
+        connection.connection.close();
     }
 
-    private void forget(Idle taken) {
-        if (taken.endpoint.idle.peekLast() == taken) {
-            taken.endpoint.idle.pollLast(); // the usual case, and searched for last
+    private void remove(IdleConnection connection) {
+        Endpoint endpoint = connection.endpoint;
+        // the last one is the usual case, and a search would find it last
+        if (endpoint.idle.peekLast() == connection) {
+            endpoint.idle.pollLast();
         } else {
-            taken.endpoint.idle.remove(taken);
+            endpoint.idle.remove(connection);
         }
-        idle.remove(taken);
+        idle.remove(connection);
     }
 }
--- a/engine/src/main/java/trailthread/engine/endpoint/Endpoint.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/Endpoint.java
@@ -4,41 +4,50 @@
 import java.util.ArrayDeque;
 import trailthread.api.EndpointState;
 
-/** One endpoint, and the idle connections to it. */
+/** One endpoint, with its idle connections and what is learned of its latency. */
 final class Endpoint {
+    private static final long NOT_DRAINING = 0;
+
     final String instanceId;
     final String hostPort;
     final InetSocketAddress address;
 
-    /** The last one used last. */
-    final ArrayDeque<ConnectionPool.Idle> idle = new ArrayDeque<>();
+    /** The one used last is last. */
+    final ArrayDeque<ConnectionPool.IdleConnection> idle = new ArrayDeque<>();
+
+    final LatencySample latency;
 
-    final LatencySample answerTime;
+    /** Whether the endpoint is in the current list. */
     boolean listed = true;
 
-    /** When the node was told that it drains or is gone; 0: it is neither. */
-    private long drainsSince;
+    /** When the node learned that the endpoint is draining or gone, or {@link #NOT_DRAINING}. */
+    private long drainingSince = NOT_DRAINING;
 
     /**
-     * @param fineNs differences of time that matter to nobody, in nanoseconds
+     * @param hostPort address:port
+     * @param latencyToleranceNs a difference in latency that is of no importance, in nanoseconds
      */
-    Endpoint(String instanceId, String hostPort, long fineNs) {
-        answerTime = new LatencySample(fineNs);
+    Endpoint(String instanceId, String hostPort, long latencyToleranceNs) {
+        latency = new LatencySample(latencyToleranceNs);
         this.instanceId = instanceId;
         this.hostPort = hostPort;
         this.address = EndpointPool.address(hostPort);
     }
 
-    void tell(EndpointState state, long now) {
+    void setState(EndpointState state, long now) {
         if (state == EndpointState.READY) {
-            drainsSince = 0;
-        } else if (drainsSince == 0) {
-            drainsSince = now;
+            drainingSince = NOT_DRAINING;
+        } else if (drainingSince == NOT_DRAINING) {
+            drainingSince = now;
         }
     }
 
-    /** Whether something new may still be sent, within the time that the rule on drains allows. */
-    boolean takesNew(long now, long graceNs) {
-        return drainsSince == 0 || now - drainsSince < graceNs;
+    /**
+     * Returns whether new requests may be sent.
+     *
+     * @param drainGraceNs how long they may still be sent after the endpoint has started to drain
+     */
+    boolean acceptsRequests(long now, long drainGraceNs) {
+        return drainingSince == NOT_DRAINING || now - drainingSince < drainGraceNs;
     }
 }
--- a/engine/src/main/java/trailthread/engine/endpoint/EndpointPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointPool.java
@@ -11,44 +11,49 @@
 import trailthread.engine.loop.CpuAccount;
 import trailthread.engine.loop.EventLoop;
 
-/** The endpoints that discovery has named, by instance, and the connections to them. */
+/**
+ * The endpoints of the current list, and the connections to them. Used on the event loop's thread.
+ */
 public final class EndpointPool {
     private final Map<String, Endpoint> endpoints = new HashMap<>();
     private final ConnectionPool connections;
     private final EventLoop loop;
-    private final long fineNs;
+    private final long latencyToleranceNs;
     private final CpuAccount account;
 
     /**
-     * @param idleNs how long an endpoint leaves an idle connection open
-     * @param room for connections over all endpoints
-     * @param fineNs differences in the time of answers that matter to nobody
-     * @param account what the thread does for these endpoints is put down to
+     * Creates a pool without endpoints. Durations are in nanoseconds.
+     *
+     * @param idleNs how long an endpoint keeps an idle connection open
+     * @param drainGraceNs how long requests may be sent after an endpoint has started to drain
+     * @param limit limits the connections to all endpoints together
+     * @param latencyToleranceNs a difference in latency that is of no importance
+     * @param account is charged with the thread's time for these endpoints
      */
     public EndpointPool(
             EventLoop loop,
             long connectTimeoutNs,
             long idleNs,
             long drainGraceNs,
-            ConnectionLimit room,
-            long fineNs,
+            ConnectionLimit limit,
+            long latencyToleranceNs,
             CpuAccount account) {
         this.loop = loop;
-        this.fineNs = fineNs;
+        this.latencyToleranceNs = latencyToleranceNs;
         this.account = account;
         this.connections =
-                new ConnectionPool(loop, connectTimeoutNs, idleNs, drainGraceNs, room, account);
+                new ConnectionPool(loop, connectTimeoutNs, idleNs, drainGraceNs, limit, account);
     }
 
-    /** Other times hold from now on, as in the constructor. */
+    /** Changes the timeouts, which have the meaning that they have in the constructor. */
     public void retune(long connectTimeoutNs, long idleNs, long drainGraceNs) {
         connections.retune(connectTimeoutNs, idleNs, drainGraceNs);
     }
 
     /**
-     * Where an endpoint is, as it is told as address:port.
+     * Parses an address of the form address:port.
      *
-     * @throws IllegalArgumentException if it is not
+     * @throws IllegalArgumentException if the port is not a number from 0 to 65535
      */
     public static InetSocketAddress address(String hostPort) {
         int colon = hostPort.lastIndexOf(':');
@@ -56,7 +61,11 @@
                 hostPort.substring(0, colon), Integer.parseInt(hostPort.substring(colon + 1)));
     }
 
-    /** Takes in discovery's news. */
+    /**
+     * Applies an update of the endpoint list.
+     *
+     * @param now by {@link EventLoop#now}
+     */
     public void update(DiscoveryUpdate update, long now) {
         if (update.reset()) {
             for (Endpoint endpoint : endpoints.values()) {
@@ -64,22 +73,33 @@
             }
         }
         for (DiscoveredEndpoint entry : update.instances()) {
-            Endpoint endpoint = endpoints.get(entry.instanceId());
-            if (endpoint == null || !endpoint.hostPort.equals(entry.hostPort())) {
-                if (endpoint != null) {
-                    endpoint.listed = false;
-                    connections.closeIdle(endpoint);
-                }
-                endpoint = new Endpoint(entry.instanceId(), entry.hostPort(), fineNs);
-                endpoints.put(entry.instanceId(), endpoint);
-            }
+            Endpoint endpoint = findOrAdd(entry);
             endpoint.listed = entry.lifecycle() != EndpointState.GONE;
-            endpoint.tell(entry.lifecycle(), now);
+            endpoint.setState(entry.lifecycle(), now);
+        }
+        removeUnlisted(now);
+    }
+
+    /** Returns the endpoint of an entry; one whose address has changed is replaced by a new one. */
+    private Endpoint findOrAdd(DiscoveredEndpoint entry) {
+        Endpoint existing = endpoints.get(entry.instanceId());
+        if (existing != null && existing.hostPort.equals(entry.hostPort())) {
+            return existing;
+        }
+        if (existing != null) {
+            existing.listed = false;
+            connections.closeIdle(existing);
         }
+        Endpoint added = new Endpoint(entry.instanceId(), entry.hostPort(), latencyToleranceNs);
+        endpoints.put(entry.instanceId(), added);
+        return added;
+    }
+
+    private void removeUnlisted(long now) {
         for (Iterator<Endpoint> i = endpoints.values().iterator(); i.hasNext(); ) {
             Endpoint endpoint = i.next();
             if (!endpoint.listed) {
-                endpoint.tell(EndpointState.GONE, now);
+                endpoint.setState(EndpointState.GONE, now);
                 connections.closeIdle(endpoint);
                 i.remove();
             }
@@ -87,60 +107,66 @@
     }
 
     /**
-     * The list may be acted on until this time, by {@link EventLoop#now}: no request is begun
+     * Sets until when the endpoint list may be used, by {@link EventLoop#now}; no request is sent
      * later.
      */
     public void listLeaseUntil(long until) {
         connections.listLeaseUntil(until);
     }
 
-    /** What takes in all that discovery has told by now; it is run before each request. */
-    public void setNews(Runnable reads) {
-        connections.setNews(reads);
+    /** Sets what reads the list updates that have arrived; it is run before each request. */
+    public void setNews(Runnable reader) {
+        connections.setUpdateReader(reader);
     }
 
-    /** How many connections there are in each state. */
+    /** Returns the number of connections by state, "idle" or "busy". */
     public Map<String, Integer> connections() {
-        return connections.byState();
+        return connections.countByState();
     }
 
-    /** Starts an attempt that may be written for as long as its answer is waited for. */
+    /** Starts an attempt that may be written for as long as its response is waited for. */
     public Attempt attempt(
             String instanceId, EndpointRequest request, long timeoutNs, AttemptListener listener) {
         return attempt(instanceId, request, timeoutNs, Long.MAX_VALUE, listener);
     }
 
     /**
-     * Starts an attempt.
+     * Starts an attempt. If the endpoint is not in the list, it ends with a failed connect.
      *
-     * @param timeoutNs how long its answer is waited for
-     * @param writtenBy no byte is written then or later, by {@link EventLoop#now}
-     * @param listener hears of it, never from within this call
+     * @param timeoutNs how long to wait for the response, in nanoseconds
+     * @param writeDeadline no byte is written then or later, by {@link EventLoop#now}
+     * @param listener is never notified from within this call
      */
     public Attempt attempt(
             String instanceId,
             EndpointRequest request,
             long timeoutNs,
-            long writtenBy,
+            long writeDeadline,
             AttemptListener listener) {
         Endpoint endpoint = endpoints.get(instanceId);
         Attempt attempt =
-                new Attempt(loop, connections, endpoint, request, timeoutNs, writtenBy, listener);
+                new Attempt(
+                        loop, connections, endpoint, request, timeoutNs, writeDeadline, listener);
         loop.execute(() -> account.charge(attempt::start));
         return attempt;
     }
 
-    /** Asks an endpoint for its load; its ending holds what it told. */
+    /**
+     * Runs a health check, which requests an endpoint's load report.
+     *
+     * @param timeoutNs how long to wait for the response, in nanoseconds
+     * @param ended receives the result, with the load report in it
+     */
     public void probe(String instanceId, long timeoutNs, Consumer<AttemptResult> ended) {
         attempt(instanceId, EndpointRequest.PROBE, timeoutNs, ended::accept);
     }
 
-    /** Closes as many idle connections, to whichever endpoint. */
+    /** Closes up to so many idle connections, to any endpoints. */
     public void closeIdle(int count) {
         connections.closeIdle(count);
     }
 
-    /** Closes the idle connections to an endpoint. */
+    /** Closes the idle connections to one endpoint. */
     public void closeIdle(String instanceId) {
         Endpoint endpoint = endpoints.get(instanceId);
         if (endpoint != null) {
--- a/engine/src/main/java/trailthread/engine/endpoint/EndpointRequest.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointRequest.java
@@ -1,16 +1,22 @@
 package trailthread.engine.endpoint;
 
+import java.util.List;
 import trailthread.engine.http.ByteSource;
+import trailthread.engine.http.RequestEncoder;
+import trailthread.engine.loop.Seconds;
 
 /**
- * What an endpoint is to be asked.
+ * A request to an endpoint.
  *
- * @param id the client's, passed on; null: this is a probe
+ * @param id the client's correlation id, which is forwarded; null: this is a health check
  * @param target path and query as the client sent them
  * @param idempotencyKey or null
- * @param passing what else is passed on; null: this is the platform's call
- * @param source where the body comes from, if it is not held; else null
- * @param afterBodyNs how long the answer is waited for after such a body's last byte
+ * @param body the buffered body; empty if there is none
+ * @param forwarded the client's headers; null: the request is one of the platform's protocol, with
+ *     that protocol's headers
+ * @param source the body to stream; null: the body is buffered
+ * @param afterBodyNs how long to wait for the response after the last byte of a streamed body, in
+ *     nanoseconds
  */
 public record EndpointRequest(
         String id,
@@ -19,13 +25,16 @@
         String target,
         String idempotencyKey,
         byte[] body,
-        ForwardedHeaders passing,
+        ForwardedHeaders forwarded,
         ByteSource source,
         long afterBodyNs) {
     static final EndpointRequest PROBE =
             new EndpointRequest(null, null, "GET", "/status/load", null, new byte[0], null);
 
-    /** A request whose body is held. */
+    private static final String CORRELATION_ID = "X-Correlation-Id";
+    private static final String TIME_LEFT = "X-Time-Left";
+
+    /** Creates a request whose body is buffered. */
     public EndpointRequest(
             String id,
             String requestClass,
@@ -33,31 +42,67 @@
             String target,
             String idempotencyKey,
             byte[] body,
-            ForwardedHeaders passing) {
-        this(id, requestClass, method, target, idempotencyKey, body, passing, null, 0);
+            ForwardedHeaders forwarded) {
+        this(id, requestClass, method, target, idempotencyKey, body, forwarded, null, 0);
     }
 
-    /** Whether an answer brings no body, whatever length it tells (RFC 9110, 9.3.2). */
+    /** Returns whether the response has no body, whatever its length header (RFC 9110, 9.3.2). */
     boolean isHead() {
         return method.equals("HEAD");
     }
 
-    /** The body to send, or null: the request has none. */
-    byte[] sent() {
-        if (passing == null) {
+    boolean isProbe() {
+        return id == null;
+    }
+
+    /** Returns the body to send, or null: the request has none. */
+    byte[] bodyToSend() {
+        if (forwarded == null) {
             return method.equals("GET") ? null : body;
         }
-        // RFC 9110, 8.6: a method that has a meaning for a body tells its length, even if there is
-        // none.
-        boolean bare =
-                method.equals("GET")
-                        || method.equals("HEAD")
-                        || method.equals("DELETE")
-                        || method.equals("OPTIONS");
-        return bare && body.length == 0 ? null : body;
+        return body.length == 0 && !definesBody() ? null : body;
     }
 
-    boolean isProbe() {
-        return id == null;
+    /**
+     * Returns whether the method gives a body a meaning; its length is sent then even if it is
+     * empty (RFC 9110, 8.6).
+     */
+    private boolean definesBody() {
+        return switch (method) {
+            case "GET", "HEAD", "DELETE", "OPTIONS" -> false;
+            default -> true;
+        };
+    }
+
+    /**
+     * Returns an encoder that holds the request's headers, but for those of its body.
+     *
+     * @param hostPort the endpoint's address
+     * @param timeLeftNs how long the endpoint has for its response, in nanoseconds
+     */
+    RequestEncoder encoder(String hostPort, long timeLeftNs) {
+        if (forwarded != null) {
+            return forwardingEncoder(hostPort, timeLeftNs);
+        }
+        RequestEncoder encoder = new RequestEncoder(method, target, hostPort);
+        if (!isProbe()) {
+            encoder.header(CORRELATION_ID, id)
+                    .header("X-Service-Class", requestClass)
+                    .header(TIME_LEFT, Seconds.format(timeLeftNs))
+                    .header("Idempotency-Key", idempotencyKey);
+        }
+        return encoder;
+    }
+
+    private RequestEncoder forwardingEncoder(String hostPort, long timeLeftNs) {
+        String host = forwarded.host().isEmpty() ? hostPort : forwarded.host();
+        RequestEncoder encoder = new RequestEncoder(method, target, host);
+        List<String> headers = forwarded.headers();
+        for (int i = 0; i < headers.size(); i += 2) {
+            encoder.header(headers.get(i), headers.get(i + 1));
+        }
+        return encoder.header("Via", "1.1 trailthread")
+                .header(CORRELATION_ID, id)
+                .header(TIME_LEFT, Seconds.format(timeLeftNs));
     }
 }
--- a/engine/src/main/java/trailthread/engine/endpoint/EndpointResponse.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointResponse.java
@@ -1,17 +1,17 @@
 package trailthread.engine.endpoint;
 
 import io.undertow.util.HeaderMap;
+import io.undertow.util.StatusCodes;
 
 /**
- * What an endpoint made of a call.
+ * A response as an endpoint made it.
  *
- * @param headers those of its answer, as they came; null where only the body is passed on
+ * @param headers as received; null: only the body is forwarded to the client
+ * @param body empty where the body is streamed
  */
 public record EndpointResponse(int status, HeaderMap headers, byte[] body) {
-    private static final int OK = 200;
-
-    /** An answer of which only the body is passed on. */
+    /** Returns a response of which only the body is forwarded to the client. */
     public static EndpointResponse of(byte[] body) {
-        return new EndpointResponse(OK, null, body);
+        return new EndpointResponse(StatusCodes.OK, null, body);
     }
 }
--- /dev/null
+++ b/engine/src/main/java/trailthread/engine/endpoint/FixedConnectionLimit.java
@@ -0,0 +1,30 @@
+package trailthread.engine.endpoint;
+
+/** A fixed maximum number of connections. */
+final class FixedConnectionLimit implements ConnectionLimit {
+    private final int max;
+    private int open;
+
+    FixedConnectionLimit(int max) {
+        this.max = max;
+    }
+
+    @Override
+    public boolean take() {
+        if (open >= max) {
+            return false;
+        }
+        open++;
+        return true;
+    }
+
+    @Override
+    public void give() {
+        open--;
+    }
+
+    @Override
+    public boolean keepsIdle() {
+        return true;
+    }
+}
--- a/engine/src/main/java/trailthread/engine/endpoint/ForwardedHeaders.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ForwardedHeaders.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * What of a plain HTTP request goes to the endpoint besides target and body.
+ * The headers of a plain HTTP request that are forwarded to the endpoint.
  *
- * @param host the Host header as it came, or empty: the endpoint's own address
- * @param headers names and values in turn, as they came; no hop-by-hop ones, and none that the node
- *     sets
+ * @param host the Host header as received, or empty: the endpoint's own address is sent
+ * @param headers alternating names and values, as received; without hop-by-hop headers, and without
+ *     those that the node sets itself
  */
 public record ForwardedHeaders(String host, List<String> headers) {}
--- a/engine/src/main/java/trailthread/engine/endpoint/LatencySample.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/LatencySample.java
@@ -1,57 +1,63 @@
 package trailthread.engine.endpoint;
 
 /**
- * What is to be told of how long an endpoint took, where the node knows only that it was at least
- * and at most so long; pure.
+ * Decides which latency to report for a response of one endpoint, where the node knows only a lower
+ * and an upper bound of it. Does no I/O and reads no clock.
  *
- * <p>What lies between the two bounds is the node's own lateness. Told with it, an endpoint passes
- * for slow when the node is; told without, for quicker than it ever is, and for jammed ever after.
- * So an answer whose bounds lie far apart tells of no time at all. How far must not depend on the
- * answer: were short ones known as short through bounds that leave long ones unknown, only they
- * would be learnt. One exception: an endpoint that was surely many times as slow as usual is told
- * of, by the lower bound.
+ * <p>The bounds differ by the time for which the node's own event loop was late. Added to the
+ * latency, it would make an endpoint look slow whenever the node is; subtracted, it would make the
+ * endpoint look faster than it ever is, and overloaded from then on. So no latency is reported for
+ * a response whose bounds are far apart. The limit must not depend on the latency itself: if short
+ * ones were reported under bounds that leave long ones unknown, the estimate would be biased
+ * towards the short ones. There is one exception: an endpoint that took many times as long as usual
+ * for certain is reported with the lower bound.
  */
 final class LatencySample {
     static final long UNKNOWN = -1;
 
-    /** About ten answers of memory. */
-    private static final double WEIGHT = 0.1;
+    /** The weight of a new sample in the moving average, which thus spans about ten of them. */
+    private static final double SAMPLE_WEIGHT = 0.1;
 
-    /** The bounds may lie apart by this share of what is usual. */
-    private static final double CLOSE = 0.4;
+    /** How far the bounds may be apart, as a fraction of the usual latency. */
+    private static final double MAX_RELATIVE_GAP = 0.4;
 
-    /** From this multiple of what is usual on, the lower bound alone is worth telling. */
-    private static final double FAR = 3;
+    /** A lower bound of at least this multiple of the usual latency is reported by itself. */
+    private static final double FAR_ABOVE_USUAL = 3;
 
-    /** By so much they may differ all the same: it matters to nobody. */
-    private final long fineNs;
+    /** The bounds may always be this far apart, in nanoseconds. */
+    private final long toleranceNs;
 
-    /** Mean of the logarithm: one giant among the answers says little. */
-    private double usualLog;
+    /** Moving average of the logarithm, so that a single very long response counts for little. */
+    private double logUsual;
 
-    private boolean known;
+    private boolean hasSamples;
 
     /**
-     * @param fineNs differences of time that matter to nobody, in nanoseconds
+     * @param toleranceNs a difference in latency that is of no importance, in nanoseconds
      */
-    LatencySample(long fineNs) {
-        this.fineNs = fineNs;
+    LatencySample(long toleranceNs) {
+        this.toleranceNs = toleranceNs;
     }
 
-    /** The time to tell, in nanoseconds, or {@link #UNKNOWN}. */
-    long told(long atLeastNs, long atMostNs) {
+    /**
+     * Returns the latency to report for a response, or {@link #UNKNOWN}, and learns from it.
+     *
+     * @param atLeastNs the lower bound, in nanoseconds
+     * @param atMostNs the upper bound, in nanoseconds
+     */
+    long sample(long atLeastNs, long atMostNs) {
         long least = Math.max(1, atLeastNs);
         long most = Math.max(least, atMostNs);
-        double usual = known ? Math.exp(usualLog) : 0;
-        double told = (least + most) / 2.0;
-        if (most - least > Math.max(fineNs, CLOSE * usual)) {
-            if (!known || least < FAR * usual) {
+        double usual = hasSamples ? Math.exp(logUsual) : 0;
+        double latency = (least + most) / 2.0;
+        if (most - least > Math.max(toleranceNs, MAX_RELATIVE_GAP * usual)) {
+            if (!hasSamples || least < FAR_ABOVE_USUAL * usual) {
                 return UNKNOWN;
             }
-            told = least;
+            latency = least;
         }
-        usualLog += (known ? WEIGHT : 1) * (Math.log(told) - usualLog);
-        known = true;
-        return (long) told;
+        logUsual += (hasSamples ? SAMPLE_WEIGHT : 1) * (Math.log(latency) - logUsual);
+        hasSamples = true;
+        return (long) latency;
     }
 }
--- a/engine/src/main/java/trailthread/engine/endpoint/LoadReportParser.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/LoadReportParser.java
@@ -7,15 +7,18 @@
 import java.io.StringReader;
 import trailthread.api.LoadReport;
 
-/** Reads an endpoint's load report; pure. */
+/** Parses the load reports of endpoints. */
 final class LoadReportParser {
-    /** No endpoint holds, serves or takes more; whoever tells of it tells nonsense. */
-    private static final double MOST = 1e6;
+    /** No endpoint reports a larger value of any kind; a report that does is absurd. */
+    private static final double MAX_VALUE = 1e6;
 
     private LoadReportParser() {}
 
     /**
-     * The report, or null if there is none or it is malformed or absurd; unknown keys are skipped.
+     * Returns the report, or null if there is none or it is malformed or absurd; unknown keys are
+     * skipped.
+     *
+     * @param json the report's text, or null
      */
     static LoadReport parse(String json) {
         if (json == null) {
@@ -54,8 +57,8 @@
         } catch (IOException | IllegalStateException | NumberFormatException e) {
             return null;
         }
-        for (double figure : new double[] {inflight, queue, util, latencyMs, qps, eps}) {
-            if (figure < 0 || figure > MOST) {
+        for (double value : new double[] {inflight, queue, util, latencyMs, qps, eps}) {
+            if (value < 0 || value > MAX_VALUE) {
                 return null;
             }
         }
--- a/engine/src/main/java/trailthread/engine/endpoint/ResponseHead.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ResponseHead.java
@@ -2,24 +2,28 @@
 
 import io.undertow.util.HeaderMap;
 import io.undertow.util.HttpString;
+import io.undertow.util.StatusCodes;
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
 
-/** The head of an endpoint's answer, decoded. */
+/**
+ * The head of an endpoint's response, decoded.
+ *
+ * @param unprocessed whether the endpoint states that it did not process the request
+ * @param load the load report, or null
+ */
 record ResponseHead(int status, boolean unprocessed, LoadReport load) {
     private static final HttpString UNPROCESSED = new HttpString("X-Unprocessed");
     private static final HttpString LOAD = new HttpString("X-Backend-Load");
 
     static ResponseHead decode(int status, HeaderMap headers) {
-        boolean told = headers.count(UNPROCESSED) == 1 && "1".equals(headers.getFirst(UNPROCESSED));
-        return new ResponseHead(status, told, load(headers));
+        boolean unprocessed =
+                headers.count(UNPROCESSED) == 1 && "1".equals(headers.getFirst(UNPROCESSED));
+        return new ResponseHead(status, unprocessed, firstReadableLoad(headers));
     }
 
-    /**
-     * The first report that can be read: one that can't does not spoil the answer, nor the next
-     * report.
-     */
-    private static LoadReport load(HeaderMap headers) {
+    /** Skips reports that cannot be parsed: they invalidate neither the response nor the others. */
+    private static LoadReport firstReadableLoad(HeaderMap headers) {
         LoadReport load = null;
         for (int i = 0; load == null && i < headers.count(LOAD); i++) {
             load = LoadReportParser.parse(headers.get(LOAD, i));
@@ -28,15 +32,25 @@
     }
 
     /**
-     * What a whole answer means; what the protocol does not know claims least: it may have run.
+     * Returns the outcome of a complete response. A status that the protocol does not define counts
+     * as an error, after which the request may have been processed.
      *
-     * @param plain whether an endpoint may answer with any status. What says that the endpoint is
-     *     at fault has failed, and 429 too, as only the node's own module refuses
+     * @param isForwarded whether the endpoint serves plain HTTP, and may respond with any status;
+     *     then 5xx is an error, and so is 429, as only the node itself sheds load by quota
      */
-    Outcome outcome(boolean plain) {
-        if (status == 200 || (plain && status < 500 && status != 429)) {
+    Outcome outcome(boolean isForwarded) {
+        if (status == StatusCodes.OK || (isForwarded && isServedByPlainEndpoint())) {
             return Outcome.OK;
         }
-        return unprocessed && (status == 503 || status == 504) ? Outcome.REJECTED : Outcome.ERROR;
+        return unprocessed && isUnavailable() ? Outcome.REJECTED : Outcome.ERROR;
+    }
+
+    private boolean isServedByPlainEndpoint() {
+        return status < StatusCodes.INTERNAL_SERVER_ERROR
+                && status != StatusCodes.TOO_MANY_REQUESTS;
+    }
+
+    private boolean isUnavailable() {
+        return status == StatusCodes.SERVICE_UNAVAILABLE || status == StatusCodes.GATEWAY_TIME_OUT;
     }
 }
--- a/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
@@ -29,14 +29,17 @@
 import trailthread.engine.loop.CpuAccount;
 import trailthread.engine.loop.EventLoop;
 
-/** What an endpoint has done in time is not held against it because the loop runs late. */
+/** An endpoint is not blamed for what the event loop reads late. */
 public class LateLoopTest {
     private static final long MS = 1_000_000L;
     private static final long LONG_NS = 60_000 * MS;
     private static final int ROUNDS = 24;
+    private static final byte[] RESPONSE =
+            "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".getBytes(StandardCharsets.US_ASCII);
+
     private final EventLoop loop;
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final BlockingQueue<AttemptResult> endings = new LinkedBlockingQueue<>();
+    private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
 
     public LateLoopTest() throws IOException {
         loop = new EventLoop("late");
@@ -49,31 +52,30 @@
     }
 
     private EndpointPool endpoints(long connectTimeoutNs) {
+        return endpoints(connectTimeoutNs, LONG_NS);
+    }
+
+    private EndpointPool endpoints(long connectTimeoutNs, long idleNs) {
         EndpointPool endpoints =
                 new EndpointPool(
                         loop,
                         connectTimeoutNs,
-                        LONG_NS,
+                        idleNs,
                         0,
                         ConnectionLimit.of(16),
                         500 * MS,
                         CpuAccount.NONE);
-        loop.execute(
-                () ->
-                        endpoints.update(
-                                new DiscoveryUpdate(
-                                        1,
-                                        true,
-                                        List.of(
-                                                new DiscoveredEndpoint(
-                                                        "w",
-                                                        "127.0.0.1:" + server.getLocalPort(),
-                                                        "a",
-                                                        0,
-                                                        EndpointState.READY,
-                                                        1,
-                                                        0))),
-                                loop.now()));
+        DiscoveredEndpoint endpoint =
+                new DiscoveredEndpoint(
+                        "w",
+                        "127.0.0.1:" + server.getLocalPort(),
+                        "a",
+                        0,
+                        EndpointState.READY,
+                        1,
+                        0);
+        DiscoveryUpdate update = new DiscoveryUpdate(1, true, List.of(endpoint));
+        loop.execute(() -> endpoints.update(update, loop.now()));
         return endpoints;
     }
 
@@ -88,13 +90,13 @@
                 new EndpointRequest(id, "use", "POST", "/use", null, new byte[length], null),
                 timeoutNs,
                 writtenBy,
-                endings::add);
+                results::add);
     }
 
-    private AttemptResult ending() throws InterruptedException {
-        AttemptResult ending = endings.poll(30, TimeUnit.SECONDS);
-        assertNotNull("the attempt ends", ending);
-        return ending;
+    private AttemptResult nextResult() throws InterruptedException {
+        AttemptResult result = results.poll(30, TimeUnit.SECONDS);
+        assertNotNull("the attempt ends", result);
+        return result;
     }
 
     private static String readRequest(Socket connection) throws IOException {
@@ -111,12 +113,12 @@
         return text.toString();
     }
 
-    private static void answer(Socket connection) throws IOException {
-        connection
-                .getOutputStream()
-                .write(
-                        "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
-                                .getBytes(StandardCharsets.US_ASCII));
+    private static void write(Socket connection, byte[] bytes) {
+        try {
+            connection.getOutputStream().write(bytes);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
     }
 
     private static void sleep(long ms) {
@@ -127,67 +129,35 @@
         }
     }
 
-    /** Up to four attempts in a row at one endpoint ended so while their answers lay unread. */
+    /** Otherwise attempts time out while their responses lie unread in the socket. */
     @Test
-    public void anAnswerThatHasComeIsNoTimeOut() throws Exception {
+    public void aResponseThatHasArrivedIsNoTimeout() throws Exception {
         EndpointPool endpoints = endpoints(LONG_NS);
         loop.execute(() -> attempt(endpoints, 400 * MS));
         try (Socket connection = server.accept()) {
             readRequest(connection);
             loop.execute(
                     () -> {
-                        try {
-                            connection
-                                    .getOutputStream()
-                                    .write(
-                                            "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
-                                                    .getBytes(StandardCharsets.US_ASCII));
-                        } catch (IOException e) {
-                            throw new UncheckedIOException(e);
-                        }
-                        sleep(600); // the time-out is due before the sockets are looked at
+                        write(connection, RESPONSE);
+                        sleep(600); // the timeout is due before the sockets are looked at
                     });
-            assertEquals(Outcome.OK, ending().outcome());
+            assertEquals(Outcome.OK, nextResult().outcome());
         }
     }
 
     /**
-     * Its time began anew when an attempt came too late for it, and its endpoint closes it by its
-     * own.
+     * Taking a connection without using it must not restart its idle time, as the endpoint's own
+     * idle time goes on.
      */
     @Test
-    public void aConnectionThatWasNotUsedAfterAllIdlesOn() throws Exception {
-        EndpointPool endpoints =
-                new EndpointPool(
-                        loop,
-                        LONG_NS,
-                        1_000 * MS,
-                        0,
-                        ConnectionLimit.of(16),
-                        500 * MS,
-                        CpuAccount.NONE);
-        loop.execute(
-                () ->
-                        endpoints.update(
-                                new DiscoveryUpdate(
-                                        1,
-                                        true,
-                                        List.of(
-                                                new DiscoveredEndpoint(
-                                                        "w",
-                                                        "127.0.0.1:" + server.getLocalPort(),
-                                                        "a",
-                                                        0,
-                                                        EndpointState.READY,
-                                                        1,
-                                                        0))),
-                                loop.now()));
+    public void aConnectionThatWasNotUsedKeepsItsIdleTime() throws Exception {
+        EndpointPool endpoints = endpoints(LONG_NS, 1_000 * MS);
         loop.execute(() -> attempt(endpoints, LONG_NS));
         server.setSoTimeout(10_000);
         try (Socket first = server.accept()) {
             readRequest(first);
-            answer(first);
-            assertEquals(Outcome.OK, ending().outcome());
+            write(first, RESPONSE);
+            assertEquals(Outcome.OK, nextResult().outcome());
             loop.execute(
                     () -> {
                         sleep(500);
@@ -195,7 +165,7 @@
                         loop.execute(
                                 () ->
                                         loop.execute(
-                                                () -> { // after the late one's turn
+                                                () -> { // after the late attempt has started
                                                     sleep(500);
                                                     attempt(
                                                             endpoints,
@@ -205,7 +175,7 @@
                                                             4);
                                                 }));
                     });
-            assertEquals(Outcome.NOT_SENT, ending().outcome());
+            assertEquals(Outcome.NOT_SENT, nextResult().outcome());
             try (Socket second = server.accept()) {
                 assertTrue(readRequest(second).contains("X-Correlation-Id: 2\r\n"));
             }
@@ -213,42 +183,18 @@
     }
 
     /**
-     * It was used on, as the sweep that drops it is a timer, and its endpoint may just have closed
+     * The sweep that closes it is a timer and may be late, and the endpoint may just have closed
      * it.
      */
     @Test
-    public void aConnectionThatHasIdledPastItsTimeIsNotUsed() throws Exception {
-        EndpointPool endpoints =
-                new EndpointPool(
-                        loop,
-                        LONG_NS,
-                        1_000 * MS,
-                        0,
-                        ConnectionLimit.of(16),
-                        500 * MS,
-                        CpuAccount.NONE);
-        loop.execute(
-                () ->
-                        endpoints.update(
-                                new DiscoveryUpdate(
-                                        1,
-                                        true,
-                                        List.of(
-                                                new DiscoveredEndpoint(
-                                                        "w",
-                                                        "127.0.0.1:" + server.getLocalPort(),
-                                                        "a",
-                                                        0,
-                                                        EndpointState.READY,
-                                                        1,
-                                                        0))),
-                                loop.now()));
+    public void aConnectionIdleForTooLongIsNotUsed() throws Exception {
+        EndpointPool endpoints = endpoints(LONG_NS, 1_000 * MS);
         loop.execute(() -> attempt(endpoints, LONG_NS));
         server.setSoTimeout(10_000);
         try (Socket first = server.accept()) {
             readRequest(first);
-            answer(first);
-            assertEquals(Outcome.OK, ending().outcome());
+            write(first, RESPONSE);
+            assertEquals(Outcome.OK, nextResult().outcome());
             loop.execute(
                     () -> {
                         sleep(1_000);
@@ -260,12 +206,9 @@
         }
     }
 
-    /**
-     * A second answer may come on the one that was used last; the others have had theirs, if there
-     * was any.
-     */
+    /** A surplus second response may still arrive on the connection that was used last. */
     @Test
-    public void aConnectionThatHasSettledIsPreferred() throws Exception {
+    public void aSettledConnectionIsPreferred() throws Exception {
         EndpointPool endpoints = endpoints(LONG_NS);
         loop.execute(
                 () -> {
@@ -276,10 +219,10 @@
                 Socket other = server.accept()) {
             for (Socket connection : new Socket[] {one, other}) {
                 readRequest(connection);
-                answer(connection);
-                assertEquals(Outcome.OK, ending().outcome());
+                write(connection, RESPONSE);
+                assertEquals(Outcome.OK, nextResult().outcome());
             }
-            int inTurn = 0;
+            int alternations = 0;
             Socket last = null;
             for (int i = 0; i < ROUNDS; i++) {
                 Thread.sleep(last == null ? 30 : 1); // both have settled, or the last one has not
@@ -292,25 +235,22 @@
                                     : other.getInputStream().available() > 0 ? other : null;
                 }
                 readRequest(used);
-                answer(used);
-                assertEquals(Outcome.OK, ending().outcome());
-                inTurn += last != null && used != last ? 1 : 0;
+                write(used, RESPONSE);
+                assertEquals(Outcome.OK, nextResult().outcome());
+                alternations += last != null && used != last ? 1 : 0;
                 last = last == null ? used : null;
             }
-            // Where the machine held the loop up for longer, both had settled.
-            assertTrue(inTurn + " of " + ROUNDS / 2, inTurn > ROUNDS / 3);
+            // Where the machine delayed the loop, both connections had settled.
+            assertTrue(alternations + " of " + ROUNDS / 2, alternations > ROUNDS / 3);
         }
     }
 
-    /**
-     * The look before a time-out found the beginning of a long answer, and the time-out then ended
-     * it.
-     */
+    /** The read before a timeout may find the start of a long response, which then goes on. */
     @Test
-    public void aLongAnswerThatHasBegunIsNoTimeOut() throws Exception {
+    public void aLongResponseThatHasStartedIsNoTimeout() throws Exception {
         int length = 100_000;
         EndpointPool endpoints = endpoints(LONG_NS);
-        AtomicInteger passed = new AtomicInteger();
+        AtomicInteger streamed = new AtomicInteger();
         loop.execute(
                 () ->
                         endpoints.attempt(
@@ -322,31 +262,31 @@
                                     @Override
                                     public ByteSink begins(
                                             EndpointResponse head,
-                                            long told,
+                                            long contentLength,
                                             LoadReport load,
                                             Runnable more) {
                                         return new ByteSink() {
                                             @Override
                                             public boolean piece(ByteBuffer piece) {
-                                                passed.addAndGet(piece.remaining());
+                                                streamed.addAndGet(piece.remaining());
                                                 return true;
                                             }
 
                                             @Override
                                             public void end() {
-                                                passed.addAndGet(1);
+                                                streamed.addAndGet(1);
                                             }
 
                                             @Override
                                             public void broken() {
-                                                passed.set(-1);
+                                                streamed.set(-1);
                                             }
                                         };
                                     }
 
                                     @Override
-                                    public void ended(AttemptResult ending) {
-                                        endings.add(ending);
+                                    public void ended(AttemptResult result) {
+                                        results.add(result);
                                     }
                                 }));
         try (Socket connection = server.accept()) {
@@ -356,33 +296,17 @@
                             .getBytes(StandardCharsets.US_ASCII);
             loop.execute(
                     () -> {
-                        try {
-                            connection.getOutputStream().write(head);
-                        } catch (IOException e) {
-                            throw new UncheckedIOException(e);
-                        }
+                        write(connection, head);
                         sleep(600);
                     });
-            loop.execute(
-                    () ->
-                            loop.after(
-                                    200 * MS,
-                                    () -> {
-                                        try {
-                                            connection
-                                                    .getOutputStream()
-                                                    .write(new byte[length - 1]);
-                                        } catch (IOException e) {
-                                            throw new UncheckedIOException(e);
-                                        }
-                                    }));
-            assertEquals(Outcome.OK, ending().outcome());
-            assertEquals(length + 1, passed.get());
+            loop.execute(() -> loop.after(200 * MS, () -> write(connection, new byte[length - 1])));
+            assertEquals(Outcome.OK, nextResult().outcome());
+            assertEquals(length + 1, streamed.get());
         }
     }
 
     @Test
-    public void aConnectionThatHasComeUpIsNoFailure() throws Exception {
+    public void aConnectionThatIsEstablishedIsNoFailure() throws Exception {
         EndpointPool endpoints = endpoints(100 * MS);
         loop.execute(
                 () -> {
@@ -392,68 +316,71 @@
         try (Socket connection = server.accept()) {
             readRequest(connection);
         }
-        assertEquals("its end comes after the request", Outcome.RESET, ending().outcome());
+        assertEquals(
+                "the connection ends after the request was sent",
+                Outcome.RESET,
+                nextResult().outcome());
     }
 
-    /** A repeat was judged when it was decided, and written whenever its connection was up. */
+    /** Whether a retry may be written is checked again once its connection is established. */
     @Test
-    public void whatMayNoLongerBeWrittenOnceItsConnectionIsUpIsNot() throws Exception {
+    public void anAttemptPastItsWriteDeadlineIsNotSentOnANewConnection() throws Exception {
         EndpointPool endpoints = endpoints(LONG_NS);
         loop.execute(
                 () -> {
                     attempt(endpoints, LONG_NS, loop.now() + 100 * MS, "late", 4);
                     loop.execute(() -> sleep(300));
                 });
-        assertEquals(Outcome.NOT_SENT, ending().outcome());
+        assertEquals(Outcome.NOT_SENT, nextResult().outcome());
         loop.execute(() -> attempt(endpoints, LONG_NS, Long.MAX_VALUE, "next", 4));
         try (Socket connection = server.accept()) {
             assertTrue("its connection serves the next", readRequest(connection).contains("next"));
         }
     }
 
-    /** The same on a connection that was there, and for an attempt whose own time has passed. */
+    /** The same on an idle connection, and for an attempt that has timed out. */
     @Test
-    public void whatMayNoLongerBeWrittenWhenItsTurnComesIsNot() throws Exception {
+    public void anAttemptPastItsDeadlineIsNotSentOnAnIdleConnection() throws Exception {
         EndpointPool endpoints = endpoints(LONG_NS);
         loop.execute(() -> attempt(endpoints, LONG_NS));
         try (Socket connection = server.accept()) {
             readRequest(connection);
-            answer(connection);
-            assertEquals(Outcome.OK, ending().outcome());
-            for (boolean ofItsTime : new boolean[] {false, true}) {
+            write(connection, RESPONSE);
+            assertEquals(Outcome.OK, nextResult().outcome());
+            for (boolean byTimeout : new boolean[] {false, true}) {
                 loop.execute(
                         () -> {
                             attempt(
                                     endpoints,
-                                    ofItsTime ? 100 * MS : LONG_NS,
-                                    ofItsTime ? Long.MAX_VALUE : loop.now() + 100 * MS,
+                                    byTimeout ? 100 * MS : LONG_NS,
+                                    byTimeout ? Long.MAX_VALUE : loop.now() + 100 * MS,
                                     "late",
                                     4);
                             sleep(300); // it starts once this is over
                         });
-                assertEquals(Outcome.NOT_SENT, ending().outcome());
+                assertEquals(Outcome.NOT_SENT, nextResult().outcome());
             }
             loop.execute(() -> attempt(endpoints, LONG_NS, Long.MAX_VALUE, "next", 4));
             assertTrue(readRequest(connection).contains("next"));
         }
     }
 
-    /** A long request is written as its endpoint takes it, so that its last byte may come late. */
+    /** A long request is written as fast as the endpoint reads it, so it may pass its deadline. */
     @Test
-    public void theRestOfWhatMayNoLongerBeWrittenIsNot() throws Exception {
+    public void theRestOfARequestIsNotWrittenPastItsDeadline() throws Exception {
         int length = 32 * 1024 * 1024; // more than the system holds for a connection
         EndpointPool endpoints = endpoints(LONG_NS);
         loop.execute(() -> attempt(endpoints, LONG_NS, loop.now() + 500 * MS, "late", length));
         try (Socket connection = server.accept()) {
             sleep(700);
             assertTrue(connection.getInputStream().readAllBytes().length < length);
-            assertEquals(Outcome.NOT_SENT, ending().outcome());
+            assertEquals(Outcome.NOT_SENT, nextResult().outcome());
         }
     }
 
-    /** Learnt as the endpoint's, it passed for jammed, and calls were held while it idled. */
+    /** Otherwise an idle endpoint looks overloaded, and requests to it are held back. */
     @Test
-    public void theLoopsOwnTimeIsNotTheEndpoints() throws Exception {
+    public void theLoopsDelayIsNotTheEndpointsLatency() throws Exception {
         EndpointPool endpoints = endpoints(LONG_NS);
         loop.execute(() -> attempt(endpoints, LONG_NS));
         try (Socket connection = server.accept()) {
@@ -462,21 +389,13 @@
                 boolean late = i > 0;
                 loop.execute(
                         () -> {
-                            try {
-                                connection
-                                        .getOutputStream()
-                                        .write(
-                                                "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
-                                                        .getBytes(StandardCharsets.US_ASCII));
-                            } catch (IOException e) {
-                                throw new UncheckedIOException(e);
-                            }
+                            write(connection, RESPONSE);
                             sleep(late ? 1000 : 0);
                         });
-                AttemptResult ending = ending();
-                assertEquals(Outcome.OK, ending.outcome());
-                assertTrue("took " + ending.latencyNs(), ending.latencyNs() < 900 * MS);
-                assertTrue("the first is known", late || ending.latencyNs() > 0);
+                AttemptResult result = nextResult();
+                assertEquals(Outcome.OK, result.outcome());
+                assertTrue("took " + result.latencyNs(), result.latencyNs() < 900 * MS);
+                assertTrue("the first is known", late || result.latencyNs() > 0);
                 sleep(20); // the connection is not used before it has settled
                 loop.execute(() -> attempt(endpoints, LONG_NS));
             }
--- a/engine/src/test/java/trailthread/engine/endpoint/LatencyTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LatencyTest.java
@@ -21,18 +21,21 @@
 import trailthread.engine.loop.CpuAccount;
 import trailthread.engine.loop.EventLoop;
 
-/** What is told of how long an endpoint took. */
+/** The latency that an attempt reports. */
 public class LatencyTest {
     private static final long LONG_NS = 60_000_000_000L;
 
-    /** A rarely asked endpoint passed for slow by its handshakes, and so was asked ever less. */
+    /**
+     * Otherwise an endpoint that gets few requests would look slow by its handshakes, and get ever
+     * fewer.
+     */
     @Test
-    public void theOpeningOfAConnectionIsNoSignOfLoad() throws Exception {
+    public void openingAConnectionDoesNotCountAsLatency() throws Exception {
         EventLoop loop = new EventLoop("test");
         EndpointPool endpoints =
                 new EndpointPool(
                         loop, LONG_NS, LONG_NS, 0, ConnectionLimit.of(16), 0, CpuAccount.NONE);
-        BlockingQueue<AttemptResult> endings = new LinkedBlockingQueue<>();
+        BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket first = new Socket(server.getInetAddress(), server.getLocalPort());
                 Socket second = new Socket(server.getInetAddress(), server.getLocalPort())) {
@@ -57,26 +60,26 @@
                                 new EndpointRequest(
                                         "1", "use", "POST", "/use", null, new byte[4], null),
                                 LONG_NS,
-                                endings::add);
+                                results::add);
                     });
             assertTrue(first.isConnected() && second.isConnected());
             Thread.sleep(200); // the backlog is full: the connect gets no reply
-            long hungUntil = loop.now();
+            long connectHungUntil = loop.now();
             server.accept().close();
             server.accept().close();
             try (Socket late = server.accept()) {
                 assertTrue(late.getInputStream().read() >= 0);
                 OutputStream out = late.getOutputStream();
-                String answer = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
-                out.write(answer.getBytes(StandardCharsets.US_ASCII));
-                AttemptResult ending = endings.poll(30, TimeUnit.SECONDS);
-                assertNotNull("the attempt ends", ending);
-                assertEquals(Outcome.OK, ending.outcome());
-                assertTrue(ending.latencyNs() <= loop.now() - hungUntil);
+                String response = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
+                out.write(response.getBytes(StandardCharsets.US_ASCII));
+                AttemptResult result = results.poll(30, TimeUnit.SECONDS);
+                assertNotNull("the attempt ends", result);
+                assertEquals(Outcome.OK, result.outcome());
+                assertTrue(result.latencyNs() <= loop.now() - connectHungUntil);
             }
         } finally {
             loop.worker().shutdownNow();
         }
-        assertTrue("it has ended once", endings.isEmpty());
+        assertTrue("it has ended once", results.isEmpty());
     }
 }
--- a/engine/src/test/java/trailthread/engine/endpoint/LoadReportParserTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LoadReportParserTest.java
@@ -6,25 +6,34 @@
 import org.junit.Test;
 import trailthread.api.LoadReport;
 
-/** Load reports, right and wrong. */
+/** Tests {@link LoadReportParser}. */
 public class LoadReportParserTest {
-    private static final double NO = Double.NaN;
+    private static final double MISSING = Double.NaN;
 
     @Test
-    public void reportsAreRead() {
+    public void validReportsAreParsed() {
         Object[][] cases = {
-            {"{\"inflight\":7,\"queue\":2}", new LoadReport(7, 2, NO, NO, NO, NO)},
-            {" { \"queue\" : 2.5e0 } ", new LoadReport(NO, 2.5, NO, NO, NO, NO)},
-            {"{}", new LoadReport(NO, NO, NO, NO, NO, NO)},
+            {
+                "{\"inflight\":7,\"queue\":2}",
+                new LoadReport(7, 2, MISSING, MISSING, MISSING, MISSING)
+            },
+            {
+                " { \"queue\" : 2.5e0 } ",
+                new LoadReport(MISSING, 2.5, MISSING, MISSING, MISSING, MISSING)
+            },
+            {"{}", new LoadReport(MISSING, MISSING, MISSING, MISSING, MISSING, MISSING)},
             {
                 "{\"util\":0.61,\"latency_ms\":9,\"qps\":1,\"eps\":0}",
-                new LoadReport(NO, NO, 0.61, 9, 1, 0)
+                new LoadReport(MISSING, MISSING, 0.61, 9, 1, 0)
             },
             {
                 "{\"new\":{\"queue\":[9]},\"queue\":1,\"inflight\":null}",
-                new LoadReport(NO, 1, NO, NO, NO, NO)
+                new LoadReport(MISSING, 1, MISSING, MISSING, MISSING, MISSING)
+            },
+            {
+                "{\"queue\":\"2\"}",
+                new LoadReport(MISSING, MISSING, MISSING, MISSING, MISSING, MISSING)
             },
-            {"{\"queue\":\"2\"}", new LoadReport(NO, NO, NO, NO, NO, NO)},
         };
         for (Object[] c : cases) {
             assertEquals((String) c[0], c[1], LoadReportParser.parse((String) c[0]));
@@ -32,8 +41,8 @@
     }
 
     @Test
-    public void whatIsMalformedIsNone() {
-        for (String bad :
+    public void malformedReportsAreIgnored() {
+        for (String malformed :
                 new String[] {
                     null,
                     "",
@@ -51,7 +60,7 @@
                     "{\"queue\":1e99}",
                     "{\"queue\":1e999}"
                 }) {
-            assertNull(bad, LoadReportParser.parse(bad));
+            assertNull(malformed, LoadReportParser.parse(malformed));
         }
     }
 }
--- a/engine/src/test/java/trailthread/engine/endpoint/OutcomeByMomentTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/OutcomeByMomentTest.java
@@ -22,8 +22,8 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * How an attempt ends, by the moment at which it does; whether it may have run follows from that
- * alone.
+ * The outcome of an attempt by the moment at which it ends, which alone decides whether the request
+ * may have been processed.
  */
 public class OutcomeByMomentTest {
     private static final long MS = 1_000_000L;
@@ -34,7 +34,7 @@
     private static final int LONG = 32 * 1024 * 1024;
 
     private final EventLoop loop;
-    private final BlockingQueue<AttemptResult> endings = new LinkedBlockingQueue<>();
+    private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
 
     public OutcomeByMomentTest() throws IOException {
         loop = new EventLoop("moments");
@@ -45,15 +45,13 @@
         loop.worker().shutdownNow();
     }
 
-    /**
-     * What an endpoint does once a connection is there; it ends the connection, or leaves it open.
-     */
-    private interface Act {
-        void on(Socket connection) throws IOException;
+    /** What an endpoint does with a connection; it may close it, or leave it open. */
+    private interface EndpointScript {
+        void run(Socket connection) throws IOException;
     }
 
-    /** Reads the head, and so much of the body. */
-    private static Act reads(int bytes, Act then) {
+    /** Reads the request's head and so many bytes of its body. */
+    private static EndpointScript readRequest(int bytes, EndpointScript then) {
         return connection -> {
             byte[] last = new byte[4];
             while (!new String(last, StandardCharsets.US_ASCII).equals("\r\n\r\n")) {
@@ -61,26 +59,27 @@
                 last[3] = (byte) connection.getInputStream().read();
             }
             connection.getInputStream().readNBytes(bytes);
-            then.on(connection);
+            then.run(connection);
         };
     }
 
-    private static Act answers(String answer, boolean closes) {
+    private static EndpointScript respond(String response, boolean closes) {
         return connection -> {
-            connection.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+            connection.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
             if (closes) {
                 connection.close();
             }
         };
     }
 
-    private void plays(String moment, int length, long timeoutNs, Act act, Outcome expected)
+    private void assertOutcome(
+            String moment, int length, long timeoutNs, EndpointScript script, Outcome expected)
             throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             attempt(server.getLocalPort(), length, timeoutNs, LONG_NS);
             try (Socket connection = server.accept()) {
-                act.on(connection);
-                ends(moment, expected);
+                script.run(connection);
+                assertEnds(moment, expected);
             }
         }
     }
@@ -110,111 +109,138 @@
                             new EndpointRequest(
                                     "1", "use", "POST", "/use", null, new byte[length], null),
                             timeoutNs,
-                            endings::add);
+                            results::add);
                 });
         return endpoints;
     }
 
-    private void ends(String moment, Outcome expected) throws InterruptedException {
-        AttemptResult ending = endings.poll(30, TimeUnit.SECONDS);
-        assertNotNull(moment, ending);
-        assertEquals(moment, expected, ending.outcome());
+    private void assertEnds(String moment, Outcome expected) throws InterruptedException {
+        AttemptResult result = results.poll(30, TimeUnit.SECONDS);
+        assertNotNull(moment, result);
+        assertEquals(moment, expected, result.outcome());
     }
 
     @Test
-    public void beforeAConnectionIsThere() throws Exception {
+    public void beforeAConnectionIsEstablished() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket first = new Socket(server.getInetAddress(), server.getLocalPort());
                 Socket second = new Socket(server.getInetAddress(), server.getLocalPort())) {
             assertEquals(first.getPort(), second.getPort()); // these fill the backlog
             attempt(server.getLocalPort(), SHORT, LONG_NS, 200 * MS);
-            ends("the connection does not come up", Outcome.CONNECT_FAILED);
+            assertEnds("the connection does not come up", Outcome.CONNECT_FAILED);
             attempt(server.getLocalPort(), SHORT, 200 * MS, LONG_NS);
-            ends("its time is over before that", Outcome.CONNECT_FAILED);
+            assertEnds("its time is over before that", Outcome.CONNECT_FAILED);
         }
         ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         closed.close();
         attempt(closed.getLocalPort(), SHORT, LONG_NS, LONG_NS);
-        ends("the connection is refused", Outcome.CONNECT_FAILED);
+        assertEnds("the connection is refused", Outcome.CONNECT_FAILED);
     }
 
     @Test
     public void beforeTheLastByteIsWritten() throws Exception {
         String unprocessed = "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
         String error = "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n";
-        plays(
+        assertOutcome(
                 "the connection ends",
                 LONG,
                 LONG_NS,
-                reads(1, Socket::close),
+                readRequest(1, Socket::close),
                 Outcome.CONNECT_FAILED);
-        plays("its time is over", LONG, 300 * MS, reads(1, c -> {}), Outcome.CONNECT_FAILED);
-        plays(
-                "it is turned away",
+        assertOutcome(
+                "its time is over",
+                LONG,
+                300 * MS,
+                readRequest(1, c -> {}),
+                Outcome.CONNECT_FAILED);
+        assertOutcome(
+                "it is rejected",
                 LONG,
                 LONG_NS,
-                reads(1, answers(unprocessed, false)),
+                readRequest(1, respond(unprocessed, false)),
                 Outcome.REJECTED);
-        plays(
-                "it is answered with an error",
+        assertOutcome(
+                "it gets an error response",
                 LONG,
                 LONG_NS,
-                reads(1, answers(error, false)),
+                readRequest(1, respond(error, false)),
                 Outcome.ERROR);
-        plays(
-                "an answer is cut",
+        assertOutcome(
+                "a response is cut",
                 LONG,
                 LONG_NS,
-                reads(1, answers(error.substring(0, 20), true)),
+                readRequest(1, respond(error.substring(0, 20), true)),
                 Outcome.CONNECT_FAILED);
     }
 
     @Test
     public void afterTheLastByteIsWritten() throws Exception {
         String served = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade";
-        String[] turnedAway = {
+        String[] rejections = {
             "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n",
             "HTTP/1.1 504 Over\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
         };
-        String[] failed = {
+        String[] errors = {
             "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n",
             "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
             "HTTP/1.1 503 Busy\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n",
             "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n",
             "HTTP/1.1 100 Continue\r\nX-Unprocessed: 1\r\n\r\nHTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
         };
-        plays("nothing comes", SHORT, 300 * MS, reads(SHORT, c -> {}), Outcome.TIMEOUT);
-        plays("the connection ends", SHORT, LONG_NS, reads(SHORT, Socket::close), Outcome.RESET);
-        plays("it is served", SHORT, LONG_NS, reads(SHORT, answers(served, false)), Outcome.OK);
-        for (String answer : turnedAway) {
-            plays(answer, SHORT, LONG_NS, reads(SHORT, answers(answer, false)), Outcome.REJECTED);
-            plays(
-                    "cut: " + answer,
+        assertOutcome(
+                "nothing comes", SHORT, 300 * MS, readRequest(SHORT, c -> {}), Outcome.TIMEOUT);
+        assertOutcome(
+                "the connection ends",
+                SHORT,
+                LONG_NS,
+                readRequest(SHORT, Socket::close),
+                Outcome.RESET);
+        assertOutcome(
+                "it is served",
+                SHORT,
+                LONG_NS,
+                readRequest(SHORT, respond(served, false)),
+                Outcome.OK);
+        for (String response : rejections) {
+            assertOutcome(
+                    response,
+                    SHORT,
+                    LONG_NS,
+                    readRequest(SHORT, respond(response, false)),
+                    Outcome.REJECTED);
+            assertOutcome(
+                    "cut: " + response,
                     SHORT,
                     LONG_NS,
-                    reads(SHORT, answers(answer.substring(0, answer.length() - 2), true)),
+                    readRequest(SHORT, respond(response.substring(0, response.length() - 2), true)),
                     Outcome.RESET);
-            plays(
-                    "half: " + answer,
+            assertOutcome(
+                    "half: " + response,
                     SHORT,
                     300 * MS,
-                    reads(SHORT, answers(answer.substring(0, answer.length() - 2), false)),
+                    readRequest(
+                            SHORT, respond(response.substring(0, response.length() - 2), false)),
                     Outcome.TIMEOUT);
-            plays(
-                    "unreadable: " + answer,
+            assertOutcome(
+                    "unreadable: " + response,
                     SHORT,
                     LONG_NS,
-                    reads(SHORT, answers(answer.replace("Length: 0", "Length: -1"), false)),
+                    readRequest(SHORT, respond(response.replace("Length: 0", "Length: -1"), false)),
                     Outcome.RESET);
         }
-        for (String answer : failed) {
-            plays(answer, SHORT, LONG_NS, reads(SHORT, answers(answer, false)), Outcome.ERROR);
+        for (String response : errors) {
+            assertOutcome(
+                    response,
+                    SHORT,
+                    LONG_NS,
+                    readRequest(SHORT, respond(response, false)),
+                    Outcome.ERROR);
         }
-        plays(
-                "an answer has begun",
+        assertOutcome(
+                "a response has begun",
                 SHORT,
                 300 * MS,
-                reads(SHORT, answers(served.substring(0, served.length() - 1), false)),
+                readRequest(SHORT, respond(served.substring(0, served.length() - 1), false)),
                 Outcome.TIMEOUT);
     }
 }
--- a/engine/src/test/java/trailthread/engine/endpoint/ResponseHeadTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/ResponseHeadTest.java
@@ -7,10 +7,10 @@
 import org.junit.Test;
 import trailthread.api.Outcome;
 
-/** The protocol's table of what comes back. */
+/** The outcomes of responses by status and headers. */
 public class ResponseHeadTest {
     @Test
-    public void whatAnAnswerMeans() {
+    public void outcomesOfPlatformResponses() {
         Object[][] cases = {
             {200, null, Outcome.OK},
             {200, "1", Outcome.OK},
@@ -31,15 +31,15 @@
                 headers.put(new HttpString("X-Unprocessed"), (String) c[1]);
             }
             headers.put(new HttpString("X-Backend-Load"), "{\"queue\":2}");
-            ResponseHead answer = ResponseHead.decode((Integer) c[0], headers);
-            assertEquals(c[0] + " " + c[1], c[2], answer.outcome(false));
-            assertEquals(2, answer.load().queue(), 0);
+            ResponseHead head = ResponseHead.decode((Integer) c[0], headers);
+            assertEquals(c[0] + " " + c[1], c[2], head.outcome(false));
+            assertEquals(2, head.load().queue(), 0);
         }
     }
 
-    /** What a plain endpoint may answer, and what says that it is at fault. */
+    /** A plain HTTP endpoint may respond with any status but those that say it is at fault. */
     @Test
-    public void plainAnswers() {
+    public void outcomesOfForwardedResponses() {
         Object[][] cases = {
             {200, Outcome.OK},
             {201, Outcome.OK},
