--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryExchange.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryExchange.java
@@ -8,6 +8,7 @@
 import org.xnio.XnioExecutor;
 import trailthread.ListLease;
 import trailthread.engine.http.HttpConnection;
+import trailthread.engine.http.HttpConnector;
 import trailthread.engine.http.RequestEncoder;
 import trailthread.engine.http.ResponseListener;
 import trailthread.engine.loop.CpuAccount;
@@ -118,7 +119,7 @@
     void start() {
         restartTimeout(CONNECT_TIMEOUT_NS);
         cancelConnect =
-                HttpConnection.open(
+                HttpConnector.open(
                         loop, address, CpuAccount.NONE, () -> {}, this::connectCompleted);
     }
 
@@ -149,7 +150,7 @@
         boolean isStale = now - Math.max(lastReadAt, loop.cameNotBefore()) > FRESH_READ_NS;
         if (connection != null && (isStale || objects.isWithinObject())) {
             lastReadAt = now;
-            connection.look();
+            connection.readArrived();
         }
     }
 
@@ -262,13 +263,13 @@
     }
 
     @Override
-    public void whole() {
+    public void completed() {
         fail(objects.isWithinObject() ? "ends within an object" : "ends the watch");
     }
 
     @Override
-    public void broken(String how) {
-        fail(how);
+    public void failed(String reason) {
+        fail(reason);
     }
 
     private void restartTimeout(long ns) {
--- a/engine/src/main/java/trailthread/engine/endpoint/Attempt.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/Attempt.java
@@ -156,7 +156,7 @@
     /** Ends the attempt, unless the response turns out to have arrived without being read yet. */
     private void timedOut() {
         if (connection != null) {
-            connection.look();
+            connection.readArrived();
         }
         if (isStreaming()) {
             return; // what was just read has started a long response
@@ -202,7 +202,7 @@
     }
 
     @Override
-    public void whole() {
+    public void completed() {
         connections.release(endpoint, connection);
         connection = null;
         end(response.outcome(), responseLatencyNs(), response.load());
@@ -228,7 +228,7 @@
     }
 
     @Override
-    public void broken(String how) {
+    public void failed(String reason) {
         Outcome outcome = isSent() ? Outcome.RESET : outcomeIfUnsent();
         // a load report in the head of a broken response is not trusted either
         end(outcome, elapsedNs(), null);
--- a/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
@@ -7,6 +7,7 @@
 import java.util.function.Consumer;
 import trailthread.ListLease;
 import trailthread.engine.http.HttpConnection;
+import trailthread.engine.http.HttpConnector;
 import trailthread.engine.loop.CpuAccount;
 import trailthread.engine.loop.EventLoop;
 
@@ -117,7 +118,7 @@
             if (isExpired(next)) {
                 // left by a sweep that is late; the endpoint may be closing it right now
                 next.connection.close();
-            } else if (next.connection.isUsable()) {
+            } else if (next.connection.readAndCheckIdle()) {
                 return next.connection;
             }
             next = preferred(endpoint);
@@ -156,7 +157,7 @@
         }
         open++;
         Runnable cancel =
-                HttpConnection.open(
+                HttpConnector.open(
                         loop,
                         endpoint.address,
                         account,
@@ -195,7 +196,7 @@
         if (!endpoint.listed || !limit.keepsIdle()) {
             connection.close();
         }
-        if (!connection.isFree()) {
+        if (!connection.isIdle()) {
             return;
         }
         IdleConnection released = new IdleConnection(endpoint, connection);
--- a/engine/src/main/java/trailthread/engine/http/ByteSink.java
+++ b/engine/src/main/java/trailthread/engine/http/ByteSink.java
@@ -2,18 +2,18 @@
 
 import java.nio.ByteBuffer;
 
-/** Where a long message's body goes as it comes. */
+/** Receives the body of a message while it arrives. */
 public interface ByteSink {
     /**
-     * Takes a piece, all of it; to be read before this returns.
+     * Takes a piece of the body, all of it, and copies what it does not use before it returns.
      *
-     * @return whether there is room for another; else it is asked for when there is
+     * @return whether there is capacity for another piece; if not, the sink says when there is
      */
     boolean piece(ByteBuffer piece);
 
-    /** It is whole. */
+    /** The body is complete. */
     void end();
 
-    /** Nothing more comes, and it is not whole: who reads it must be able to tell. */
+    /** The body breaks off before its end; the recipient must be able to tell. */
     void broken();
 }
--- a/engine/src/main/java/trailthread/engine/http/ByteSource.java
+++ b/engine/src/main/java/trailthread/engine/http/ByteSource.java
@@ -1,19 +1,19 @@
 package trailthread.engine.http;
 
-/** A body that is not held, but comes; it is given once. */
+/** A body that is streamed while it arrives; it can be read once. */
 public interface ByteSource {
-    /** In bytes; -1: its end will tell. */
+    /** Returns the length in bytes; -1: not known. */
     long length();
 
-    /** Gives all of it to the sink, from now on and as it comes. To be called once. */
+    /** Starts to pass all of the body to the sink, as it arrives. To be called once. */
     void flowTo(ByteSink sink);
 
-    /** Whether {@link #flowTo} was called: what has been given can't be given again. */
+    /** Returns whether {@link #flowTo} was called, so that the body cannot be sent again. */
     boolean hasBegun();
 
-    /** The sink has room for more, after it had none. */
+    /** The sink has capacity again, after it had none. */
     void more();
 
-    /** Nothing of it is wanted any more, and the sink hears nothing more. */
+    /** The rest of the body is not wanted; the sink is not called any more. */
     void stop();
 }
--- a/engine/src/main/java/trailthread/engine/http/EndToEndHeaders.java
+++ b/engine/src/main/java/trailthread/engine/http/EndToEndHeaders.java
@@ -10,12 +10,12 @@
 import java.util.function.BiConsumer;
 
 /**
- * Tells the headers of a message that are meant for its far end from those for the next one only:
- * RFC 9110, 7.6.1, with what Connection names; RFC 9112, 6 and 7, for the framing, which each
- * connection makes anew; pure.
+ * Selects the headers of a message that a proxy forwards. Left out are hop-by-hop headers and those
+ * that the Connection header names (RFC 9110, 7.6.1), and the framing, which each connection makes
+ * anew (RFC 9112, 6 and 7).
  */
 public final class EndToEndHeaders {
-    private static final Set<String> NEXT_HOP_ONLY =
+    private static final Set<String> HOP_BY_HOP =
             Set.of(
                     "connection",
                     "keep-alive",
@@ -31,32 +31,32 @@
                     "content-length",
                     "host");
 
+    private static final String TOKEN_PUNCTUATION = "!#$%&'*+-.^_`|~";
+    private static final char DELETE = 0x7f;
+    private static final char MAX_BYTE = 0xff;
+
     private EndToEndHeaders() {}
 
     /**
-     * Hands out names and values that go on, in the order of the message.
+     * Passes on the names and values of the headers to forward, in the order of the message.
      *
-     * @param except further names that do not, in small letters
-     * @return whether every one can be passed on: none holds what could end it early or begin
-     *     another
+     * @param except further names to leave out, in lower case
+     * @return whether every header can be forwarded; false if one holds characters that could end
+     *     the header early or start another one
      */
     public static boolean pass(
             HeaderMap headers, Set<String> except, BiConsumer<HttpString, String> out) {
-        Set<String> named = new HashSet<>();
-        HeaderValues connection = headers.get("Connection");
-        for (int i = 0; connection != null && i < connection.size(); i++) {
-            for (String name : connection.get(i).split(",")) {
-                named.add(name.strip().toLowerCase(Locale.ROOT));
-            }
-        }
+        Set<String> connectionOptions = connectionOptions(headers);
         for (HeaderValues header : headers) {
             String name = header.getHeaderName().toString();
-            String small = name.toLowerCase(Locale.ROOT);
-            if (NEXT_HOP_ONLY.contains(small) || named.contains(small) || except.contains(small)) {
+            String lowerCase = name.toLowerCase(Locale.ROOT);
+            if (HOP_BY_HOP.contains(lowerCase)
+                    || connectionOptions.contains(lowerCase)
+                    || except.contains(lowerCase)) {
                 continue;
             }
             for (int i = 0; i < header.size(); i++) {
-                if (!isName(name) || !isValue(header.get(i))) {
+                if (!isToken(name) || !isFieldValue(header.get(i))) {
                     return false;
                 }
                 out.accept(header.getHeaderName(), header.get(i));
@@ -65,26 +65,37 @@
         return true;
     }
 
-    /** A token of RFC 9110, 5.6.2. */
-    private static boolean isName(String name) {
-        for (byte letter : name.getBytes(StandardCharsets.ISO_8859_1)) {
-            boolean plain =
-                    (letter >= 'a' && letter <= 'z')
-                            || (letter >= 'A' && letter <= 'Z')
-                            || (letter >= '0' && letter <= '9')
-                            || "!#$%&'*+-.^_`|~".indexOf(letter) >= 0;
-            if (!plain) {
+    private static Set<String> connectionOptions(HeaderMap headers) {
+        Set<String> options = new HashSet<>();
+        HeaderValues connection = headers.get("Connection");
+        for (int i = 0; connection != null && i < connection.size(); i++) {
+            for (String name : connection.get(i).split(",")) {
+                options.add(name.strip().toLowerCase(Locale.ROOT));
+            }
+        }
+        return options;
+    }
+
+    /** RFC 9110, 5.6.2. */
+    private static boolean isToken(String name) {
+        for (byte c : name.getBytes(StandardCharsets.ISO_8859_1)) {
+            boolean isTokenChar =
+                    (c >= 'a' && c <= 'z')
+                            || (c >= 'A' && c <= 'Z')
+                            || (c >= '0' && c <= '9')
+                            || TOKEN_PUNCTUATION.indexOf(c) >= 0;
+            if (!isTokenChar) {
                 return false;
             }
         }
         return !name.isEmpty();
     }
 
-    /** RFC 9110, 5.5: no control letters but the tab; those past ASCII go as they came. */
-    private static boolean isValue(String value) {
+    /** RFC 9110, 5.5: no control characters but the tab; bytes past ASCII are forwarded as is. */
+    private static boolean isFieldValue(String value) {
         for (int i = 0; i < value.length(); i++) {
             char c = value.charAt(i);
-            if ((c < ' ' && c != '\t') || c == 0x7f || c > 0xff) {
+            if ((c < ' ' && c != '\t') || c == DELETE || c > MAX_BYTE) {
                 return false;
             }
         }
--- a/engine/src/main/java/trailthread/engine/http/HttpConnection.java
+++ b/engine/src/main/java/trailthread/engine/http/HttpConnection.java
@@ -1,440 +1,263 @@
 package trailthread.engine.http;
 
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.util.concurrent.atomic.AtomicBoolean;
-import java.util.function.Consumer;
-import org.xnio.IoFuture;
 import org.xnio.IoUtils;
-import org.xnio.OptionMap;
-import org.xnio.Options;
 import org.xnio.StreamConnection;
-import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 import trailthread.engine.loop.CpuAccount;
 import trailthread.engine.loop.EventLoop;
 
 /**
- * A connection to an HTTP server that carries one request at a time. It reads all the time: what
- * comes while no answer is due, be it the rest of a spoilt one, a second copy or the connection's
- * end, closes it and so never reaches the next request. On XNIO, as Undertow's client reads nothing
- * between requests, and can neither take back a connect nor end a connection before its request has
- * drained.
+ * A connection to an HTTP server that carries one request at a time. {@link HttpConnector} opens
+ * it.
+ *
+ * <p>It is read all the time. Anything that arrives while no response is due closes it: the rest of
+ * a malformed response, a surplus second one, or the end of the connection. So none of these is
+ * ever taken for the next request's response.
+ *
+ * <p>Built on XNIO, as Undertow's client does not read between requests, and can neither cancel a
+ * connect nor close a connection before its request has been written.
  */
 public final class HttpConnection {
-    private static final OptionMap TCP = OptionMap.create(Options.TCP_NODELAY, true);
-
     private final EventLoop loop;
     private final StreamConnection connection;
     private final ConduitStreamSourceChannel source;
-    private final ConduitStreamSinkChannel sink;
-    private final Runnable closed;
-    private static final byte[] CRLF = {'\r', '\n'};
-    private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-
-    /** Of a buffer on the heap, the system call copies what it is given. */
-    private static final int MOST_WRITTEN_BYTES = 64 * 1024;
-
-    private ByteBuffer unsent;
+    private final RequestWriter writer;
+    private final Runnable onClose;
 
-    /** What follows it, or null. */
-    private ByteBuffer unsentBody;
+    /** Null while no request is in progress. */
+    private ResponseListener listener;
 
-    /** The same, where it comes from elsewhere, or null. */
-    private OutgoingBody outgoing;
+    /** Null while no request is in progress. */
+    private ResponseDecoder decoder;
 
-    private ResponseListener listener;
-    private ResponseDecoder answer;
     private boolean open = true;
 
-    /** When it came up, or its last answer was whole. */
+    /** When the connection was established, or its last response was complete. */
     private long idleSince;
 
-    /** Nothing is read: whoever hears the answer has no room for more. */
+    /** Nothing is read, as the listener has no capacity for more. */
     private boolean paused;
 
-    private HttpConnection(
-            EventLoop loop, StreamConnection connection, CpuAccount account, Runnable closed) {
+    HttpConnection(
+            EventLoop loop, StreamConnection connection, CpuAccount account, Runnable onClose) {
         this.loop = loop;
         this.connection = connection;
-        this.closed = closed;
+        this.onClose = onClose;
         idleSince = loop.now();
         source = connection.getSourceChannel();
-        sink = connection.getSinkChannel();
         source.setReadListener(
                 readable -> {
                     loop.servesSocket();
                     account.charge(() -> read(EventLoop.MOST_IN_TURN_BYTES));
                 });
         source.resumeReads();
-        sink.setWriteListener(writable -> write());
+        writer = new RequestWriter(loop, connection.getSinkChannel(), new WriterListener());
     }
 
     /**
-     * Opens a connection.
+     * Sends a request. Not to be called before the response to the last one is complete.
      *
-     * @param account what is read on it is put down to
-     * @param closed is run once when a connection that has come up is closed
-     * @param opened gets the connection, or null if it does not come up; never from within this
-     *     call
-     * @return takes the connect back, descriptor and all; {@code opened} is not told then
+     * @param maxBodyBytes a response with a longer body is malformed
      */
-    public static Runnable open(
-            EventLoop loop,
-            InetSocketAddress server,
-            CpuAccount account,
-            Runnable closed,
-            Consumer<HttpConnection> opened) {
-        if (server.isUnresolved()) {
-            loop.execute(() -> opened.accept(null));
-            return () -> {};
-        }
-        AtomicBoolean over = new AtomicBoolean();
-        IoFuture<StreamConnection> connect = loop.thread().openStreamConnection(server, null, TCP);
-        connect.addNotifier(
-                (done, none) ->
-                        loop.execute(
-                                () -> {
-                                    StreamConnection connection = result(done);
-                                    if (over.getAndSet(true)) {
-                                        IoUtils.safeClose(connection);
-                                    } else {
-                                        opened.accept(
-                                                connection == null
-                                                        ? null
-                                                        : new HttpConnection(
-                                                                loop, connection, account, closed));
-                                    }
-                                }),
-                null);
-        return () -> {
-            if (!over.getAndSet(true)) {
-                connect.cancel();
-            }
-        };
-    }
-
-    private static StreamConnection result(IoFuture<? extends StreamConnection> done) {
-        try {
-            return done.getStatus() == IoFuture.Status.DONE ? done.get() : null;
-        } catch (IOException e) {
-            return null;
-        }
-    }
-
-    /** Sends a request; not to be called before the answer to the one before is whole. */
-    public void send(ByteBuffer request, long mostBodyBytes, ResponseListener hears) {
-        send(request, mostBodyBytes, false, hears);
+    public void send(ByteBuffer request, long maxBodyBytes, ResponseListener responseListener) {
+        send(request, null, maxBodyBytes, false, responseListener);
     }
 
     /**
-     * The same.
-     *
-     * @param isHead whether it is a HEAD request, whose answer has no body
-     */
-    public void send(
-            ByteBuffer request, long mostBodyBytes, boolean isHead, ResponseListener hears) {
-        send(request, null, mostBodyBytes, isHead, hears);
-    }
-
-    /**
-     * The same.
+     * Sends a request, as above, whose body is not in the same buffer.
      *
      * @param body what follows the request's head, or null
+     * @param isHead whether the method is HEAD, so that the response has no body
      */
     public void send(
             ByteBuffer request,
             ByteBuffer body,
-            long mostBodyBytes,
+            long maxBodyBytes,
             boolean isHead,
-            ResponseListener hears) {
-        unsent = request;
-        unsentBody = body;
-        listener = hears;
-        answer = new ResponseDecoder(hears, mostBodyBytes, isHead);
-        write();
+            ResponseListener responseListener) {
+        writer.setRequest(request, body);
+        listener = responseListener;
+        decoder = new ResponseDecoder(responseListener, maxBodyBytes, isHead);
+        writer.write();
     }
 
-    /** The same with a body that comes from elsewhere. */
+    /** Sends a request, as above, whose body is streamed. */
     public void send(
-            ByteBuffer request, ByteSource body, long mostBodyBytes, ResponseListener hears) {
-        outgoing = new OutgoingBody(body);
-        send(request, (ByteBuffer) null, mostBodyBytes, false, hears);
+            ByteBuffer request,
+            ByteSource body,
+            long maxBodyBytes,
+            ResponseListener responseListener) {
+        writer.setRequest(request, body);
+        listener = responseListener;
+        decoder = new ResponseDecoder(responseListener, maxBodyBytes);
+        writer.write();
     }
 
-    /** Reads no further until {@link #resume}; what has been read already is still told of. */
+    /** Stops reading until {@link #resume}; what has been read already is still reported. */
     public void pause() {
         paused = true;
         source.suspendReads();
     }
 
-    /** Reads on. */
+    /** Continues to read after {@link #pause}. */
     public void resume() {
         if (paused && open) {
             paused = false;
             source.resumeReads();
-            source.wakeupReads(); // what has come meanwhile may not be told of again
+            source.wakeupReads(); // the selector may not report again what arrived meanwhile
         }
     }
 
-    /** Whether the request's last byte has been written. */
+    /** Returns whether the request's last byte has been written. */
     public boolean isSent() {
-        return unsent != null
-                && !unsent.hasRemaining()
-                && (unsentBody == null || !unsentBody.hasRemaining())
-                && (outgoing == null || outgoing.isSent());
+        return writer.isSent();
     }
 
-    /** Looks at what has come by now; the listener hears of it before this returns. */
-    public void look() {
+    /** Reads all that has arrived; the listener is notified before this returns. */
+    public void readArrived() {
         read(Integer.MAX_VALUE);
     }
 
-    /** Whether another request may be sent, by what has been read. */
-    public boolean isFree() {
-        return open && answer == null;
+    /** Returns whether another request may be sent, by what has been read so far. */
+    public boolean isIdle() {
+        return open && decoder == null;
     }
 
     /**
-     * Since when it has carried no request, by {@link EventLoop#now}; of use only while it carries
-     * none.
+     * Returns since when the connection has carried no request, by {@link EventLoop#now}; without
+     * meaning while it carries one.
      */
     public long idleSince() {
         return idleSince;
     }
 
-    /** Looks once more at what has come; whether another request may be sent. */
-    public boolean isUsable() {
-        if (answer == null) {
-            look();
+    /** Reads what has arrived, and returns whether another request may be sent. */
+    public boolean readAndCheckIdle() {
+        if (decoder == null) {
+            readArrived();
         }
-        return isFree();
+        return isIdle();
     }
 
-    /** Ends the connection at once, whatever is on it; nothing more is heard. */
+    /** Closes the connection at once, whatever it carries; the listener is not notified. */
     public void close() {
         listener = null;
-        answer = null;
-        if (outgoing != null && outgoing.source.hasBegun()) {
-            outgoing.source.stop();
-        }
+        decoder = null;
+        writer.close();
         if (open) {
             open = false;
             IoUtils.safeClose(connection);
-            closed.run();
+            onClose.run();
         }
     }
 
-    private void write() {
-        try {
-            if (!write(unsent) || !write(unsentBody)) {
-                sink.resumeWrites();
-                return;
-            }
-            sink.suspendWrites();
-            if (outgoing != null && !outgoing.goesOn()) {
-                return;
-            }
-            if (listener != null && unsent != null) {
-                listener.sent();
-            }
-        } catch (IOException e) {
-            fail("breaks while the request is sent");
-        }
-    }
-
-    /** A request's body on its way: one piece of it at a time is kept until it is written. */
-    private final class OutgoingBody implements ByteSink {
-        private final ByteSource source;
-        private final boolean chunked;
-        private ByteBuffer left;
-
-        /** Bytes that have yet to come; below 0: its end will tell. */
-        private long toCome;
-
-        private boolean ended;
-        private boolean broke;
-
-        OutgoingBody(ByteSource source) {
-            this.source = source;
-            toCome = source.length();
-            chunked = toCome < 0;
-        }
-
-        /** Its last byte has been written, whether or not its end was told. */
-        boolean isSent() {
-            return left == null && !broke && (ended || toCome == 0);
-        }
-
-        /** The socket takes more; whether all has been written by now. */
-        boolean goesOn() throws IOException {
-            if (!source.hasBegun()) {
-                source.flowTo(this);
-                return false; // the last piece tells of the end itself
-            }
-            if (left == null) {
-                return false;
-            }
-            if (!write(left)) {
-                sink.resumeWrites();
-                return false;
-            }
-            left = null;
-            if (!ended) {
-                source.more(); // which may bring the end, and then tells of it
-                return false;
-            }
-            return true;
-        }
-
-        @Override
-        public boolean piece(ByteBuffer piece) {
-            ByteBuffer out = piece;
-            toCome -= piece.remaining();
-            if (chunked) {
-                byte[] size =
-                        (Integer.toHexString(piece.remaining()) + "\r\n")
-                                .getBytes(StandardCharsets.US_ASCII);
-                out =
-                        ByteBuffer.allocate(size.length + piece.remaining() + 2)
-                                .put(size)
-                                .put(piece)
-                                .put(CRLF)
-                                .flip();
-            }
-            return put(out);
-        }
-
-        private boolean put(ByteBuffer out) {
-            try {
-                if (open && !broke && (left != null || !write(out))) {
-                    int kept = left == null ? 0 : left.remaining();
-                    ByteBuffer all = ByteBuffer.allocate(kept + out.remaining());
-                    left = (left == null ? all : all.put(left)).put(out).flip();
-                    sink.resumeWrites();
-                    return false;
-                }
-            } catch (IOException e) {
-                broke = true;
-                loop.execute(() -> fail("breaks while the body is sent")); // not from within the
-                // source's own call
-                return false;
-            }
-            return !broke;
-        }
-
-        @Override
-        public void end() {
-            ended = true;
-            if (chunked) {
-                put(ByteBuffer.wrap(LAST_CHUNK));
-            }
-            if (isSent() && open && this == outgoing && listener != null) {
-                listener.sent();
-            }
-        }
-
-        @Override
-        public void broken() {
-            fail("its body breaks off");
-        }
-    }
-
-    /** Writes one turn's part of it; whether all of it has been written. */
-    private boolean write(ByteBuffer bytes) throws IOException {
-        int end = bytes == null ? 0 : bytes.position() + EventLoop.MOST_IN_TURN_BYTES;
-        while (bytes != null && bytes.hasRemaining()) {
-            if (bytes.position() >= end) {
-                return false;
-            }
-            if (listener != null && !listener.mayBeWritten()) {
-                throw new IOException("its time is over");
-            }
-            int count = Math.min(bytes.remaining(), MOST_WRITTEN_BYTES);
-            int written = sink.write(bytes.slice(bytes.position(), count));
-            if (written == 0) {
-                return false;
-            }
-            bytes.position(bytes.position() + written);
-        }
-        return true;
-    }
-
     /**
-     * Reads what has come, up to some more than so many bytes: the socket tells again of what is
-     * left.
+     * Reads what has arrived. Stops when the limit is reached or exceeded by part of a buffer; the
+     * selector reports the rest again.
      */
-    private void read(int most) {
+    private void read(int limitBytes) {
         try (var pooled = loop.buffers().allocate()) {
             ByteBuffer buffer = pooled.getBuffer();
-            for (long had = 0; open && !paused && had < most; had += buffer.capacity()) {
+            long readBytes = 0;
+            while (open && !paused && readBytes < limitBytes) {
                 buffer.clear();
                 int count = source.read(buffer);
                 if (count == 0) {
                     return;
                 }
-                if (answer == null) {
-                    close(); // more than belongs to an answer, or the end
-                    return;
-                }
-                if (count < 0 && answer.endsWithConnection()) {
-                    whole();
+                if (decoder == null) {
+                    close(); // surplus bytes, or the end of the connection
                     return;
                 }
                 if (count < 0) {
-                    fail("ends before the answer is whole");
+                    connectionEnded();
                     return;
                 }
-                boolean more = !buffer.hasRemaining();
+                boolean mayHoldMore = !buffer.hasRemaining();
                 buffer.flip();
-                take(buffer);
-                if (!more) {
-                    return; // what comes later, the next look at the sockets finds
+                decode(buffer);
+                if (!mayHoldMore) {
+                    return; // the selector reports what arrives later
                 }
+                readBytes += buffer.capacity();
             }
         } catch (IOException e) {
             fail("breaks");
         }
     }
 
-    private void take(ByteBuffer bytes) {
-        ResponseDecoder decoder = answer;
+    private void connectionEnded() {
+        if (decoder.connectionEnded()) {
+            closeCompleted();
+        } else {
+            fail("ends before the response is complete");
+        }
+    }
+
+    private void decode(ByteBuffer bytes) {
+        ResponseDecoder current = decoder;
         try {
-            decoder.decode(bytes);
+            current.decode(bytes);
         } catch (MalformedResponseException e) {
             fail("brings " + e.getMessage());
             return;
         }
-        if (answer == decoder && decoder.isWhole()) {
-            boolean isDone = isSent() && (outgoing == null || outgoing.ended);
-            if (!decoder.isLasting() || !isDone || bytes.hasRemaining()) {
-                whole();
+        // the listener may have closed the connection meanwhile
+        if (decoder == current && current.isComplete()) {
+            boolean isReusable = current.isKeepAlive() && writer.isFinished();
+            if (isReusable && !bytes.hasRemaining()) {
+                becomeIdle();
             } else {
-                ResponseListener hears = listener;
-                listener = null;
-                answer = null;
-                outgoing = null;
-                idleSince = loop.now();
-                resume(); // for the next one
-                hears.whole();
+                closeCompleted();
             }
         }
     }
 
-    /** The answer is whole, and the last one here. */
-    private void whole() {
-        ResponseListener hears = listener;
+    /** The response is complete, and the connection can carry another request. */
+    private void becomeIdle() {
+        ResponseListener notified = listener;
+        listener = null;
+        decoder = null;
+        writer.responseCompleted();
+        idleSince = loop.now();
+        resume();
+        notified.completed();
+    }
+
+    /** The response is complete, and the connection cannot carry another request. */
+    private void closeCompleted() {
+        ResponseListener notified = listener;
         close();
-        hears.whole();
+        notified.completed();
     }
 
-    private void fail(String how) {
-        ResponseListener hears = listener;
+    private void fail(String reason) {
+        ResponseListener notified = listener;
         close();
-        if (hears != null) {
-            hears.broken(how);
+        if (notified != null) {
+            notified.failed(reason);
+        }
+    }
+
+    /** Passes events of the request on to the listener, if there still is one. */
+    private final class WriterListener implements RequestWriter.Listener {
+        @Override
+        public boolean mayBeWritten() {
+            return listener == null || listener.mayBeWritten();
+        }
+
+        @Override
+        public void sent() {
+            if (listener != null) {
+                listener.sent();
+            }
+        }
+
+        @Override
+        public void failed(String reason) {
+            fail(reason);
         }
     }
 }
--- /dev/null
+++ b/engine/src/main/java/trailthread/engine/http/HttpConnector.java
@@ -0,0 +1,84 @@
+package trailthread.engine.http;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.function.Consumer;
+import org.xnio.IoFuture;
+import org.xnio.IoUtils;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.StreamConnection;
+import trailthread.engine.loop.CpuAccount;
+import trailthread.engine.loop.EventLoop;
+
+/** Opens one {@link HttpConnection}, and can cancel that until it is established. */
+public final class HttpConnector {
+    private static final OptionMap TCP = OptionMap.create(Options.TCP_NODELAY, true);
+
+    private final EventLoop loop;
+    private final CpuAccount account;
+    private final Runnable onClose;
+    private final Consumer<HttpConnection> onOpen;
+
+    /** Completed or cancelled. */
+    private final AtomicBoolean over = new AtomicBoolean();
+
+    private HttpConnector(
+            EventLoop loop, CpuAccount account, Runnable onClose, Consumer<HttpConnection> onOpen) {
+        this.loop = loop;
+        this.account = account;
+        this.onClose = onClose;
+        this.onOpen = onOpen;
+    }
+
+    /**
+     * Opens a connection.
+     *
+     * @param account is charged with the time to read from the connection
+     * @param onClose is run once when a connection that was established is closed
+     * @param onOpen receives the connection, or null if it could not be established; never from
+     *     within this call
+     * @return cancels the connect, and releases its descriptor; {@code onOpen} is not called then
+     */
+    public static Runnable open(
+            EventLoop loop,
+            InetSocketAddress server,
+            CpuAccount account,
+            Runnable onClose,
+            Consumer<HttpConnection> onOpen) {
+        if (server.isUnresolved()) {
+            loop.execute(() -> onOpen.accept(null));
+            return () -> {};
+        }
+        HttpConnector connector = new HttpConnector(loop, account, onClose, onOpen);
+        IoFuture<StreamConnection> connect = loop.thread().openStreamConnection(server, null, TCP);
+        connect.addNotifier((done, none) -> loop.execute(() -> connector.completed(done)), null);
+        return () -> connector.cancel(connect);
+    }
+
+    private void completed(IoFuture<? extends StreamConnection> connect) {
+        StreamConnection connection = result(connect);
+        if (over.getAndSet(true)) {
+            IoUtils.safeClose(connection);
+        } else if (connection == null) {
+            onOpen.accept(null);
+        } else {
+            onOpen.accept(new HttpConnection(loop, connection, account, onClose));
+        }
+    }
+
+    private static StreamConnection result(IoFuture<? extends StreamConnection> connect) {
+        try {
+            return connect.getStatus() == IoFuture.Status.DONE ? connect.get() : null;
+        } catch (IOException e) {
+            return null;
+        }
+    }
+
+    private void cancel(IoFuture<StreamConnection> connect) {
+        if (!over.getAndSet(true)) {
+            connect.cancel();
+        }
+    }
+}
--- a/engine/src/main/java/trailthread/engine/http/MalformedResponseException.java
+++ b/engine/src/main/java/trailthread/engine/http/MalformedResponseException.java
@@ -1,6 +1,6 @@
 package trailthread.engine.http;
 
-/** What has come is no answer; the message says why. */
+/** A server sent something that is not a valid HTTP/1.1 response; the message says what. */
 final class MalformedResponseException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/engine/src/main/java/trailthread/engine/http/RequestEncoder.java
+++ b/engine/src/main/java/trailthread/engine/http/RequestEncoder.java
@@ -3,16 +3,26 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Writes one HTTP/1.1 request, in one piece; pure. What it is given must be fit for a head. */
+/**
+ * Encodes one HTTP/1.1 request. Names and values are written as they are; the caller makes sure
+ * that they hold no line ends.
+ */
 public final class RequestEncoder {
-    private final StringBuilder head = new StringBuilder(256);
+    private static final int INITIAL_HEAD_CHARS = 256;
 
+    private final StringBuilder head = new StringBuilder(INITIAL_HEAD_CHARS);
+
+    /** Starts a request with its request line and its Host header. */
     public RequestEncoder(String method, String target, String host) {
         head.append(method).append(' ').append(target).append(" HTTP/1.1\r\n");
         header("Host", host);
     }
 
-    /** Adds a header; null: there is none. */
+    /**
+     * Adds a header.
+     *
+     * @param value null: no header is added
+     */
     public RequestEncoder header(String name, String value) {
         if (value != null) {
             head.append(name).append(": ").append(value).append("\r\n");
@@ -21,8 +31,9 @@
     }
 
     /**
-     * The head of a request with a body of so many bytes, or of untold length (-1), which is sent
-     * after it.
+     * Returns the head of a request whose body is sent separately.
+     *
+     * @param bodyBytes the length of the body; -1: not known, the body is sent in chunks
      */
     public ByteBuffer encodeHead(long bodyBytes) {
         if (bodyBytes < 0) {
@@ -30,21 +41,26 @@
         } else {
             header("Content-Length", Long.toString(bodyBytes));
         }
-        return ByteBuffer.wrap(
-                head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
+        return ByteBuffer.wrap(headBytes());
     }
 
-    /** The request with this body; null: it has none. */
+    /**
+     * Returns the complete request.
+     *
+     * @param body null: the request has none
+     */
     public ByteBuffer encode(byte[] body) {
         if (body != null) {
             header("Content-Length", Integer.toString(body.length));
         }
-        byte[] start = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
-        ByteBuffer whole = ByteBuffer.allocate(start.length + (body == null ? 0 : body.length));
-        whole.put(start);
-        if (body != null) {
-            whole.put(body);
+        byte[] start = headBytes();
+        if (body == null) {
+            return ByteBuffer.wrap(start);
         }
-        return whole.flip();
+        return ByteBuffer.allocate(start.length + body.length).put(start).put(body).flip();
+    }
+
+    private byte[] headBytes() {
+        return head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
     }
 }
--- a/engine/src/main/java/trailthread/engine/http/ResponseDecoder.java
+++ b/engine/src/main/java/trailthread/engine/http/ResponseDecoder.java
@@ -2,298 +2,267 @@
 
 import io.undertow.util.HeaderMap;
 import io.undertow.util.Headers;
-import io.undertow.util.HttpString;
+import io.undertow.util.StatusCodes;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
 /**
- * Reads one HTTP/1.1 answer, however it comes in pieces; pure. Strict where two readers could
- * differ on where an answer ends: Undertow's own client takes the first of two lengths, a negative
- * one, and an interim answer for the final one, and serves what no endpoint made; it also waits for
- * a head that never ends.
+ * Decodes one HTTP/1.1 response from the pieces in which it arrives. Does no I/O.
+ *
+ * <p>It rejects any response for which two readers could differ on where it ends. Undertow's own
+ * client is not used, as it accepts several or negative lengths, takes an interim response for the
+ * final one, and waits for a head that never ends.
  */
 final class ResponseDecoder {
-    private static final String VERSION = "HTTP/1.";
-    private static final int STATUS_AT = "HTTP/1.1 ".length();
-    private static final int LEAST_LINE = "HTTP/1.1 200".length();
+    private static final int INITIAL_LINE_BYTES = 128;
 
-    /** For all that is not body, interim answers and the lines between chunks too. */
-    private static final int MOST_LINE_BYTES = 16 * 1024;
+    /** Limits everything but the body: the heads, and the lines between two chunks. */
+    private static final int MAX_LINE_BYTES = 16 * 1024;
 
-    /** The header map throws at some more of one name. */
-    private static final int MOST_HEADERS = 100;
+    /** The header map fails if it gets a few more of one name. */
+    private static final int MAX_HEADERS = 100;
+
+    private static final int MIN_FINAL_STATUS = 200;
 
     private enum State {
-        STATUS,
+        STATUS_LINE,
         HEADERS,
         BODY,
         CHUNK_SIZE,
         CHUNK,
         CHUNK_END,
         TRAILERS,
-        REST,
-        WHOLE
+        BODY_UNTIL_CLOSE,
+        COMPLETE
     }
 
-    private final ResponseListener out;
-    private final long mostBodyBytes;
-    private final boolean bodiless;
-    private State state = State.STATUS;
-    private byte[] line = new byte[128];
+    private final ResponseListener listener;
+    private final long maxBodyBytes;
+    private final boolean isToHead;
+    private State state = State.STATUS_LINE;
+
+    /** The part of the current line that has arrived. */
+    private byte[] line = new byte[INITIAL_LINE_BYTES];
+
     private int lineLength;
+
+    /** The bytes of all lines since the start, or since the last chunk. */
     private int lineBytes;
+
     private int headerCount;
     private int status;
     private HeaderMap headers = new HeaderMap();
 
-    /** Of the body or the chunk, yet to come. */
-    private long left;
+    /** The bytes of the body or the chunk that are still to come. */
+    private long remaining;
 
+    /** The bytes of the chunks, or of the body without a length, so far. */
     private long bodyBytes;
-    private boolean lasting = true;
+
+    private boolean keepAlive = true;
 
     /**
-     * @param mostBodyBytes what promises or brings more is malformed
+     * @param maxBodyBytes a response with a longer body is malformed
      */
-    ResponseDecoder(ResponseListener out, long mostBodyBytes) {
-        this(out, mostBodyBytes, false);
+    ResponseDecoder(ResponseListener listener, long maxBodyBytes) {
+        this(listener, maxBodyBytes, false);
     }
 
     /**
-     * The same.
-     *
-     * @param bodiless whether the answer has no body whatever its head says: it is one to HEAD (RFC
-     *     9112, 6.3)
+     * @param maxBodyBytes a response with a longer body is malformed
+     * @param isToHead whether the request's method was HEAD, so that the response has no body
+     *     whatever its head says (RFC 9112, 6.3)
      */
-    ResponseDecoder(ResponseListener out, long mostBodyBytes, boolean bodiless) {
-        this.out = out;
-        this.mostBodyBytes = mostBodyBytes;
-        this.bodiless = bodiless;
+    ResponseDecoder(ResponseListener listener, long maxBodyBytes, boolean isToHead) {
+        this.listener = listener;
+        this.maxBodyBytes = maxBodyBytes;
+        this.isToHead = isToHead;
     }
 
-    boolean isWhole() {
-        return state == State.WHOLE;
+    boolean isComplete() {
+        return state == State.COMPLETE;
     }
 
-    /** Whether the connection may carry another request, by what the answer says. */
-    boolean isLasting() {
-        return lasting;
+    /** Returns whether the response allows the connection to carry another request. */
+    boolean isKeepAlive() {
+        return keepAlive;
     }
 
-    /** Takes in what has come, as far as it belongs to the answer. */
+    /** Decodes what has arrived, up to the end of the response. */
     void decode(ByteBuffer in) throws MalformedResponseException {
-        while (in.hasRemaining() && state != State.WHOLE) {
+        while (in.hasRemaining() && state != State.COMPLETE) {
             switch (state) {
-                case BODY, CHUNK -> piece(in);
-                case REST -> {
-                    grow(in.remaining());
-                    out.body(in.slice());
+                case BODY, CHUNK -> decodeBody(in);
+                case BODY_UNTIL_CLOSE -> {
+                    countBodyBytes(in.remaining());
+                    listener.body(in.slice());
                     in.position(in.limit());
                 }
                 default -> {
-                    if (completesLine(in)) {
-                        take(takeLine());
+                    if (readLine(in)) {
+                        decodeLine(takeLine());
                     }
                 }
             }
         }
     }
 
-    /** The connection has ended in order; whether that is the answer's end. */
-    boolean endsWithConnection() {
-        if (state == State.REST) {
-            state = State.WHOLE;
+    /**
+     * Handles the regular end of the connection.
+     *
+     * @return whether the response is complete with it
+     */
+    boolean connectionEnded() {
+        if (state == State.BODY_UNTIL_CLOSE) {
+            state = State.COMPLETE;
         }
-        return state == State.WHOLE;
+        return state == State.COMPLETE;
     }
 
-    private void piece(ByteBuffer in) {
-        int count = (int) Math.min(left, in.remaining());
+    private void decodeBody(ByteBuffer in) {
+        int count = (int) Math.min(remaining, in.remaining());
         ByteBuffer piece = in.slice(in.position(), count);
         in.position(in.position() + count);
-        left -= count;
-        out.body(piece);
-        if (left == 0) {
-            if (state == State.BODY) {
-                state = State.WHOLE;
-            } else {
-                state = State.CHUNK_END;
-            }
+        remaining -= count;
+        listener.body(piece);
+        if (remaining == 0) {
+            state = state == State.BODY ? State.COMPLETE : State.CHUNK_END;
         }
     }
 
-    /** A chunk is to come; what promises more than the most is no answer. */
-    private void grow(long count) throws MalformedResponseException {
+    private void countBodyBytes(long count) throws MalformedResponseException {
         bodyBytes += count;
-        if (bodyBytes > mostBodyBytes) {
-            throw new MalformedResponseException("a body of more than " + mostBodyBytes + " bytes");
+        if (bodyBytes > maxBodyBytes) {
+            throw new MalformedResponseException("a body of more than " + maxBodyBytes + " bytes");
         }
     }
 
-    /** Takes letters up to the end of the line, or of what has come; whether the line is whole. */
-    private boolean completesLine(ByteBuffer in) throws MalformedResponseException {
-        int from = in.position();
-        int to = from;
-        while (to < in.limit() && in.get(to) != '\n') {
-            to++;
+    /** Reads up to the end of the line; returns whether the line is complete. */
+    private boolean readLine(ByteBuffer in) throws MalformedResponseException {
+        int start = in.position();
+        int end = start;
+        while (end < in.limit() && in.get(end) != '\n') {
+            end++;
         }
-        boolean ends = to < in.limit();
-        lineBytes += to - from + (ends ? 1 : 0);
-        if (lineBytes > MOST_LINE_BYTES) {
+        boolean isLineEnd = end < in.limit();
+        int count = end - start;
+        lineBytes += count + (isLineEnd ? 1 : 0);
+        if (lineBytes > MAX_LINE_BYTES) {
             throw new MalformedResponseException("a head without end");
         }
-        if (lineLength + to - from > line.length) {
-            line = Arrays.copyOf(line, Math.max(2 * line.length, lineLength + to - from));
+        if (lineLength + count > line.length) {
+            line = Arrays.copyOf(line, Math.max(2 * line.length, lineLength + count));
         }
-        in.get(line, lineLength, to - from);
-        lineLength += to - from;
-        int told = state == State.STATUS ? Math.min(lineLength, VERSION.length()) : 0;
-        for (int i = 0; i < told; i++) {
-            if (line[i]
-                    != VERSION.charAt(
-                            i)) { // noise is told at once: it may never bring a line's end
-                throw new MalformedResponseException("no HTTP");
-            }
+        in.get(line, lineLength, count);
+        lineLength += count;
+        if (state == State.STATUS_LINE) {
+            checkVersionPrefix();
         }
-        if (ends) {
+        if (isLineEnd) {
             in.get();
         }
-        return ends;
+        return isLineEnd;
+    }
+
+    /** Rejects anything but HTTP at once, as a line end may never come. */
+    private void checkVersionPrefix() throws MalformedResponseException {
+        String prefix = ResponseSyntax.VERSION_PREFIX;
+        int count = Math.min(lineLength, prefix.length());
+        for (int i = 0; i < count; i++) {
+            if (line[i] != prefix.charAt(i)) {
+                throw new MalformedResponseException("no HTTP");
+            }
+        }
     }
 
-    /** The line without its end, as letters of one byte each. */
+    /** Returns the current line without its end, and starts the next one. */
     private String takeLine() {
-        boolean returned = lineLength > 0 && line[lineLength - 1] == '\r';
-        int length = returned ? lineLength - 1 : lineLength;
+        boolean endsWithCr = lineLength > 0 && line[lineLength - 1] == '\r';
+        int length = endsWithCr ? lineLength - 1 : lineLength;
         lineLength = 0;
         return new String(line, 0, length, StandardCharsets.ISO_8859_1);
     }
 
-    private void take(String whole) throws MalformedResponseException {
+    private void decodeLine(String text) throws MalformedResponseException {
         switch (state) {
-            case STATUS -> {
-                status = status(whole);
-                lasting = whole.startsWith("HTTP/1.1");
-                headers = new HeaderMap();
-                state = State.HEADERS;
-            }
+            case STATUS_LINE -> startHead(text);
             case HEADERS -> {
-                if (whole.isEmpty()) {
-                    headEnds();
+                if (text.isEmpty()) {
+                    endHead();
                 } else {
-                    header(whole);
-                }
-            }
-            case CHUNK_SIZE -> {
-                left = chunkSize(whole);
-                state = left == 0 ? State.TRAILERS : State.CHUNK;
-            }
-            case CHUNK_END -> {
-                if (!whole.isEmpty()) {
-                    throw new MalformedResponseException("a chunk longer than its size");
+                    addHeader(text);
                 }
-                lineBytes = 0; // a watch has no end of chunks
-                state = State.CHUNK_SIZE;
             }
-            default -> { // trailers, which say nothing that is used here
-                if (whole.isEmpty()) {
-                    state = State.WHOLE;
+            case CHUNK_SIZE -> startChunk(text);
+            case CHUNK_END -> endChunk(text);
+            default -> { // trailers, which are ignored
+                if (text.isEmpty()) {
+                    state = State.COMPLETE;
                 }
             }
         }
     }
 
-    private static int status(String line) throws MalformedResponseException {
-        boolean shaped =
-                line.length() >= LEAST_LINE
-                        && line.startsWith(VERSION)
-                        && line.charAt(STATUS_AT - 1) == ' '
-                        && (line.length() == LEAST_LINE || line.charAt(LEAST_LINE) == ' ');
-        long status = shaped ? whole(line.substring(STATUS_AT, LEAST_LINE), 10) : -1;
-        if (status < 100) {
-            throw new MalformedResponseException("no status");
-        }
-        return (int) status;
+    private void startHead(String statusLine) throws MalformedResponseException {
+        status = ResponseSyntax.parseStatus(statusLine);
+        keepAlive = ResponseSyntax.keepsAliveByDefault(statusLine);
+        headers = new HeaderMap();
+        state = State.HEADERS;
     }
 
-    private void header(String line) throws MalformedResponseException {
-        int colon = line.indexOf(':');
-        for (int i = 0; i < colon; i++) {
-            char c = line.charAt(i);
-            if (c <= ' ' || c >= 0x7f) {
-                colon = 0;
-            }
-        }
-        if (++headerCount > MOST_HEADERS) {
+    private void addHeader(String text) throws MalformedResponseException {
+        headerCount++;
+        if (headerCount > MAX_HEADERS) {
             throw new MalformedResponseException("headers without end");
         }
-        if (colon <= 0) {
-            throw new MalformedResponseException("a header without a name");
-        }
-        headers.add(
-                new HttpString(line.substring(0, colon).getBytes(StandardCharsets.ISO_8859_1)),
-                line.substring(colon + 1).strip());
+        ResponseSyntax.parseHeader(text, headers);
     }
 
-    private void headEnds() throws MalformedResponseException {
-        if (status == 101) {
+    private void endHead() throws MalformedResponseException {
+        if (status == StatusCodes.SWITCHING_PROTOCOLS) {
             throw new MalformedResponseException("another protocol, unasked");
         }
-        if (status < 200) {
-            state = State.STATUS;
+        if (status < MIN_FINAL_STATUS) {
+            state = State.STATUS_LINE; // the head of an interim response; another one follows
             return;
         }
         if ("close".equalsIgnoreCase(headers.getFirst(Headers.CONNECTION))) {
-            lasting = false;
-        }
-        boolean chunked = headers.contains(Headers.TRANSFER_ENCODING);
-        int lengths = headers.count(Headers.CONTENT_LENGTH);
-        if (lengths > 1
-                || (chunked
-                        && (lengths > 0
-                                || headers.count(Headers.TRANSFER_ENCODING) > 1
-                                || !"chunked"
-                                        .equalsIgnoreCase(
-                                                headers.getFirst(Headers.TRANSFER_ENCODING))))) {
-            throw new MalformedResponseException("an unclear length");
-        }
-        boolean bare = bodiless || status == 204 || status == 304;
-        boolean ends = lengths == 0 && !chunked && !bare; // with its connection: RFC 9112, 6.3
-        lasting &= !ends;
-        left = lengths == 1 ? whole(headers.getFirst(Headers.CONTENT_LENGTH), 10) : 0;
-        if (left < 0 || (left > mostBodyBytes && !bare)) {
-            throw new MalformedResponseException("a length that can't be");
+            keepAlive = false;
         }
+        BodyFraming framing = BodyFraming.of(status, headers, isToHead);
+        remaining = contentLength(framing);
         state =
-                ends
-                        ? State.REST
-                        : bare || (!chunked && left == 0)
-                                ? State.WHOLE
-                                : chunked ? State.CHUNK_SIZE : State.BODY;
-        out.head(status, headers);
+                switch (framing) {
+                    case NONE -> State.COMPLETE;
+                    case CONTENT_LENGTH -> remaining == 0 ? State.COMPLETE : State.BODY;
+                    case CHUNKED -> State.CHUNK_SIZE;
+                    case UNTIL_CLOSE -> State.BODY_UNTIL_CLOSE;
+                };
+        keepAlive &= framing != BodyFraming.UNTIL_CLOSE;
+        listener.head(status, headers);
     }
 
-    private long chunkSize(String line) throws MalformedResponseException {
-        int extension = line.indexOf(';');
-        long size = whole((extension < 0 ? line : line.substring(0, extension)).strip(), 16);
-        if (size < 0) {
-            throw new MalformedResponseException("a chunk without a size");
+    private long contentLength(BodyFraming framing) throws MalformedResponseException {
+        String value = headers.getFirst(Headers.CONTENT_LENGTH);
+        long length = value == null ? 0 : ResponseSyntax.parseContentLength(value);
+        if (length < 0 || (length > maxBodyBytes && framing != BodyFraming.NONE)) {
+            throw new MalformedResponseException("a length that can't be");
         }
-        grow(size);
-        return size;
+        return length;
     }
 
-    /** A whole number of digits alone, or -1. */
-    private static long whole(String digits, int radix) {
-        if (digits.isEmpty() || digits.length() > 15) {
-            return -1;
-        }
-        for (int i = 0; i < digits.length(); i++) {
-            if (digits.charAt(i) >= 0x80 || Character.digit(digits.charAt(i), radix) < 0) {
-                return -1;
-            }
+    private void startChunk(String sizeLine) throws MalformedResponseException {
+        remaining = ResponseSyntax.parseChunkSize(sizeLine);
+        countBodyBytes(remaining);
+        state = remaining == 0 ? State.TRAILERS : State.CHUNK;
+    }
+
+    private void endChunk(String text) throws MalformedResponseException {
+        if (!text.isEmpty()) {
+            throw new MalformedResponseException("a chunk longer than its size");
         }
-        return Long.parseLong(digits, radix);
+        lineBytes = 0; // the number of chunks has no limit: a watch goes on for days
+        state = State.CHUNK_SIZE;
     }
 }
--- a/engine/src/main/java/trailthread/engine/http/ResponseListener.java
+++ b/engine/src/main/java/trailthread/engine/http/ResponseListener.java
@@ -4,13 +4,13 @@
 import java.nio.ByteBuffer;
 
 /**
- * Hears one answer as it comes: its head, its body in pieces, and its end or that there will be
- * none.
+ * Receives the events of one request and its response. Each response ends with either {@link
+ * #completed} or {@link #failed}.
  */
 public interface ResponseListener {
     /**
-     * Asked before each part of the request is written; a no ends the connection, and {@link
-     * #broken} follows.
+     * Returns whether the next part of the request may be written; called before each part. If not,
+     * the connection is closed, and {@link #failed} follows.
      */
     default boolean mayBeWritten() {
         return true;
@@ -19,18 +19,19 @@
     /** The request's last byte has been written. */
     default void sent() {}
 
-    /** The head has come whole; interim ones (1xx) are not told of. */
+    /** The final response's head has been received; interim responses (1xx) are not reported. */
     void head(int status, HeaderMap headers);
 
-    /** A piece of the body; to be read before this returns. */
+    /** A piece of the body; valid only until this returns. */
     void body(ByteBuffer piece);
 
-    /** The answer is whole. */
-    void whole();
+    /** The response is complete. */
+    void completed();
 
     /**
-     * The answer is spoilt or the connection has ended; nothing further comes, and the connection
-     * closes.
+     * The response is malformed or the connection has ended; the connection is closed.
+     *
+     * @param reason completes a sentence that begins with the server
      */
-    void broken(String how);
+    void failed(String reason);
 }
--- a/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
+++ b/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
@@ -24,16 +24,16 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * What is on its way on one connection holds up no other, and what was not written is not said to
- * be.
+ * A long response does not hold up other connections, and a request counts as sent only if all of
+ * it was written.
  */
 public class HttpConnectionTest {
     private static final int LONG = 1024 * 1024;
-    private static final int SHORT_ONES = 9;
+    private static final int SHORT_COUNT = 9;
 
     private final EventLoop loop;
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
     public HttpConnectionTest() throws IOException {
         loop = new EventLoop("connections");
@@ -45,11 +45,11 @@
         server.close();
     }
 
-    private ResponseListener hears(String name) {
+    private ResponseListener recorder(String name) {
         return new ResponseListener() {
             @Override
             public void sent() {
-                heard.add(name + " sent");
+                events.add(name + " sent");
             }
 
             @Override
@@ -59,13 +59,13 @@
             public void body(ByteBuffer piece) {}
 
             @Override
-            public void whole() {
-                heard.add(name + " whole");
+            public void completed() {
+                events.add(name + " completed");
             }
 
             @Override
-            public void broken(String how) {
-                heard.add(name + " broken");
+            public void failed(String reason) {
+                events.add(name + " failed");
             }
         };
     }
@@ -74,7 +74,7 @@
         BlockingQueue<HttpConnection> opened = new LinkedBlockingQueue<>();
         loop.execute(
                 () ->
-                        HttpConnection.open(
+                        HttpConnector.open(
                                 loop,
                                 new InetSocketAddress(
                                         server.getInetAddress(), server.getLocalPort()),
@@ -88,41 +88,39 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private String next() throws InterruptedException {
-        return heard.poll(30, TimeUnit.SECONDS);
+    private String nextEvent() throws InterruptedException {
+        return events.poll(30, TimeUnit.SECONDS);
     }
 
-    /**
-     * The long one was read until it ran dry, however long that was, and before some of the others
-     * by chance.
-     */
+    /** Otherwise the long response is read to its end, before some of the others by chance. */
     @Test
-    public void shortAnswersDoNotWaitForALongOne() throws Exception {
+    public void shortResponsesDoNotWaitForALongOne() throws Exception {
         List<Socket> endpoints = new ArrayList<>();
-        for (int i = 0; i <= SHORT_ONES; i++) {
+        for (int i = 0; i <= SHORT_COUNT; i++) {
             String name = i == 0 ? "long" : "short";
             HttpConnection connection = connect();
             endpoints.add(server.accept());
-            if (i == 0) { // so that the system gives the connection room for the whole of a long
-                // answer
+            if (i == 0) {
+                // makes the system enlarge the receive buffer, so that a long response fits it
                 loop.execute(
                         () ->
                                 connection.send(
                                         ascii("GET / HTTP/1.1\r\n\r\n"),
                                         16 * LONG,
-                                        hears("first")));
-                answer(endpoints.get(0), 16 * LONG);
-                assertEquals("first sent", next());
-                assertEquals("first whole", next());
+                                        recorder("first")));
+                respond(endpoints.get(0), 16 * LONG);
+                assertEquals("first sent", nextEvent());
+                assertEquals("first completed", nextEvent());
             }
-            loop.execute(() -> connection.send(ascii("GET / HTTP/1.1\r\n\r\n"), LONG, hears(name)));
-            assertEquals(name + " sent", next());
+            loop.execute(
+                    () -> connection.send(ascii("GET / HTTP/1.1\r\n\r\n"), LONG, recorder(name)));
+            assertEquals(name + " sent", nextEvent());
         }
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch resumeLoop = new CountDownLatch(1);
         loop.execute(
                 () -> {
                     try {
-                        goOn.await(30, TimeUnit.SECONDS);
+                        resumeLoop.await(30, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         throw new AssertionError(e);
                     }
@@ -131,27 +129,27 @@
                 new Thread(
                         () -> {
                             try {
-                                answer(endpoints.get(0), LONG);
+                                respond(endpoints.get(0), LONG);
                             } catch (IOException e) {
                                 throw new AssertionError(e);
                             }
                         });
         filling.start();
-        Thread.sleep(200); // by now it lies there, or waits for its reader
+        Thread.sleep(200); // by now it lies in the socket, or waits to be read
         for (Socket endpoint : endpoints.subList(1, endpoints.size())) {
-            answer(endpoint, 0);
+            respond(endpoint, 0);
         }
-        goOn.countDown();
-        for (int i = 0; i < SHORT_ONES; i++) {
-            assertEquals("short whole", next());
+        resumeLoop.countDown();
+        for (int i = 0; i < SHORT_COUNT; i++) {
+            assertEquals("short completed", nextEvent());
         }
-        assertEquals("long whole", next());
+        assertEquals("long completed", nextEvent());
         for (Socket endpoint : endpoints) {
             endpoint.close();
         }
     }
 
-    private static void answer(Socket endpoint, int length) throws IOException {
+    private static void respond(Socket endpoint, int length) throws IOException {
         endpoint.getOutputStream()
                 .write(
                         ascii(
@@ -163,11 +161,11 @@
     }
 
     /**
-     * Until its end was told, an attempt whose every byte had been written passed for one that
-     * never ran.
+     * Otherwise a request whose every byte was written would count as one that was never processed,
+     * until the source reports its end.
      */
     @Test
-    public void aBodyOfAToldLengthIsSentWithItsLastByte() throws Exception {
+    public void aBodyOfKnownLengthIsSentWithItsLastByte() throws Exception {
         HttpConnection connection = connect();
         Socket endpoint = server.accept();
         loop.execute(
@@ -201,7 +199,7 @@
                                     public void stop() {}
                                 },
                                 LONG,
-                                hears("request")));
+                                recorder("request")));
         String head = "POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\npour";
         assertEquals(
                 head,
@@ -209,13 +207,13 @@
                         endpoint.getInputStream().readNBytes(head.length()),
                         StandardCharsets.US_ASCII));
         endpoint.close();
-        assertEquals("request broken", next());
+        assertEquals("request failed", nextEvent());
         BlockingQueue<Boolean> sent = new LinkedBlockingQueue<>();
         loop.execute(() -> sent.add(connection.isSent()));
         assertTrue(sent.poll(30, TimeUnit.SECONDS));
     }
 
-    /** Its last byte was told as sent, and its attempt as one that may have run. */
+    /** Otherwise the request would count as one that may have been processed. */
     @Test
     public void aBodyWhoseLastWriteBreaksWasNotSent() throws Exception {
         HttpConnection connection = connect();
@@ -260,8 +258,8 @@
                                     public void stop() {}
                                 },
                                 LONG,
-                                hears("call")));
+                                recorder("request")));
         assertFalse(sent.poll(30, TimeUnit.SECONDS));
-        assertEquals("call broken", next());
+        assertEquals("request failed", nextEvent());
     }
 }
--- a/engine/src/test/java/trailthread/engine/http/ResponseDecoderTest.java
+++ b/engine/src/test/java/trailthread/engine/http/ResponseDecoderTest.java
@@ -9,12 +9,12 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.Test;
 
-/** Answers, right and wrong, whole and in pieces. */
+/** Valid and malformed responses, at once and in pieces. */
 public class ResponseDecoderTest {
     private static final String OK = "HTTP/1.1 200 OK\r\n";
 
-    /** What was heard, as text. */
-    private static final class Heard implements ResponseListener {
+    /** Records the events of a response as text. */
+    private static final class Recorder implements ResponseListener {
         private final StringBuilder text = new StringBuilder();
 
         @Override
@@ -28,23 +28,23 @@
         }
 
         @Override
-        public void whole() {
-            throw new AssertionError("the connection tells this");
+        public void completed() {
+            throw new AssertionError("reported by the connection, not by the decoder");
         }
 
         @Override
-        public void broken(String how) {
-            throw new AssertionError("the connection tells this");
+        public void failed(String reason) {
+            throw new AssertionError("reported by the connection, not by the decoder");
         }
     }
 
-    private final Heard heard = new Heard();
+    private final Recorder recorder = new Recorder();
 
-    private ResponseDecoder decode(String answer, int pieceBytes)
+    private ResponseDecoder decode(String response, int pieceBytes)
             throws MalformedResponseException {
-        heard.text.setLength(0);
-        ResponseDecoder decoder = new ResponseDecoder(heard, 10);
-        byte[] bytes = answer.getBytes(StandardCharsets.ISO_8859_1);
+        recorder.text.setLength(0);
+        ResponseDecoder decoder = new ResponseDecoder(recorder, 10);
+        byte[] bytes = response.getBytes(StandardCharsets.ISO_8859_1);
         for (int from = 0; from < bytes.length; from += pieceBytes) {
             decoder.decode(ByteBuffer.wrap(bytes, from, Math.min(pieceBytes, bytes.length - from)));
         }
@@ -52,7 +52,7 @@
     }
 
     @Test
-    public void answersAreReadHoweverTheyCome() throws Exception {
+    public void validResponsesAreDecodedInPiecesOfAnySize() throws Exception {
         String[][] cases = {
             {OK + "Content-Length: 4\r\nX-A: b c \r\n\r\nmade", "200 b c made"},
             {OK + "content-length:0\r\n\r\n", "200 null "},
@@ -74,52 +74,51 @@
         for (String[] c : cases) {
             for (int pieceBytes : new int[] {1, 3, 1000}) {
                 ResponseDecoder decoder = decode(c[0], pieceBytes);
-                assertTrue(c[0], decoder.isWhole() && decoder.isLasting());
-                assertEquals(c[0], c[1], heard.text.toString());
+                assertTrue(c[0], decoder.isComplete() && decoder.isKeepAlive());
+                assertEquals(c[0], c[1], recorder.text.toString());
             }
         }
     }
 
     @Test
-    public void anAnswerWithoutALengthEndsWithItsConnection() throws Exception {
+    public void aResponseWithoutALengthEndsWithItsConnection() throws Exception {
         for (int pieceBytes : new int[] {1, 1000}) {
             ResponseDecoder decoder = decode(OK + "\r\nmade", pieceBytes);
-            assertTrue(!decoder.isWhole() && !decoder.isLasting());
-            assertTrue(decoder.endsWithConnection() && decoder.isWhole());
-            assertEquals("200 null made", heard.text.toString());
+            assertTrue(!decoder.isComplete() && !decoder.isKeepAlive());
+            assertTrue(decoder.connectionEnded() && decoder.isComplete());
+            assertEquals("200 null made", recorder.text.toString());
             assertThrows(
                     MalformedResponseException.class,
                     () -> decode(OK + "\r\nmore than ten", pieceBytes));
-            assertTrue(
-                    !decode(OK + "Content-Length: 4\r\n\r\nmad", pieceBytes).endsWithConnection());
+            assertTrue(!decode(OK + "Content-Length: 4\r\n\r\nmad", pieceBytes).connectionEnded());
         }
     }
 
     @Test
-    public void whatFollowsAnAnswerIsLeft() throws Exception {
-        ResponseDecoder decoder = new ResponseDecoder(heard, 10);
-        String answer = OK + "Content-Length: 1\r\n\r\nxHTTP";
-        ByteBuffer bytes = ByteBuffer.wrap(answer.getBytes(StandardCharsets.US_ASCII));
+    public void whatFollowsAResponseIsNotRead() throws Exception {
+        ResponseDecoder decoder = new ResponseDecoder(recorder, 10);
+        String response = OK + "Content-Length: 1\r\n\r\nxHTTP";
+        ByteBuffer bytes = ByteBuffer.wrap(response.getBytes(StandardCharsets.US_ASCII));
         decoder.decode(bytes);
-        assertTrue(decoder.isWhole());
+        assertTrue(decoder.isComplete());
         assertEquals(4, bytes.remaining());
     }
 
     @Test
-    public void someAnswersEndTheirConnection() throws Exception {
+    public void someResponsesEndTheirConnection() throws Exception {
         for (String last :
                 new String[] {
                     "HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n",
                     OK + "Connection: Close\r\nContent-Length: 0\r\n\r\n"
                 }) {
             ResponseDecoder decoder = decode(last, 1000);
-            assertTrue(last, decoder.isWhole() && !decoder.isLasting());
+            assertTrue(last, decoder.isComplete() && !decoder.isKeepAlive());
         }
     }
 
     @Test
-    public void whatIsMalformedIsNoAnswer() {
-        String[] bad = {
+    public void malformedResponsesAreRejected() {
+        String[] malformed = {
             "\u0000",
             "H\u0000",
             "ICY 200 OK\r\n",
@@ -154,14 +153,14 @@
             OK + "X-Pad: p\r\n".repeat(2000),
             OK + "X-Pad: " + "p".repeat(20_000),
         };
-        for (String answer : bad) {
+        for (String response : malformed) {
             for (int pieceBytes : new int[] {1, 100_000}) {
                 assertThrows(
-                        answer,
+                        response,
                         MalformedResponseException.class,
                         () -> {
-                            if (!decode(answer, pieceBytes).isWhole()) {
-                                decode(answer + "\r\n", pieceBytes);
+                            if (!decode(response, pieceBytes).isComplete()) {
+                                decode(response + "\r\n", pieceBytes);
                             }
                         });
             }
