--- a/engine/src/main/java/trailthread/engine/endpoint/Attempt.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/Attempt.java
@@ -209,7 +209,8 @@
     }
 
     /**
-     * Returns the latency of a complete response, in nanoseconds, or {@link LatencySample#UNKNOWN}.
+     * Returns the latency of a complete response, in nanoseconds, or {@link
+     * LatencySampler#UNKNOWN}.
      *
      * <p>It does not include the time to open the connection. Otherwise an endpoint that gets few
      * requests, so that its idle connections are closed, would look slow because each request opens
@@ -217,7 +218,7 @@
      */
     private long responseLatencyNs() {
         if (isStreaming()) {
-            return LatencySample.UNKNOWN;
+            return LatencySampler.UNKNOWN;
         }
         long atLeastNs = loop.cameNotBefore() - sentAt;
         long atMostNs = loop.cameBy() - sentAt;
--- a/engine/src/main/java/trailthread/engine/endpoint/Endpoint.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/Endpoint.java
@@ -15,7 +15,7 @@
     /** The one used last is last. */
     final ArrayDeque<ConnectionPool.IdleConnection> idle = new ArrayDeque<>();
 
-    final LatencySample latency;
+    final LatencySampler latency;
 
     /** Whether the endpoint is in the current list. */
     boolean listed = true;
@@ -28,7 +28,7 @@
      * @param latencyToleranceNs a difference in latency that is of no importance, in nanoseconds
      */
     Endpoint(String instanceId, String hostPort, long latencyToleranceNs) {
-        latency = new LatencySample(latencyToleranceNs);
+        latency = new LatencySampler(latencyToleranceNs);
         this.instanceId = instanceId;
         this.hostPort = hostPort;
         this.address = EndpointPool.address(hostPort);
--- a/engine/src/main/java/trailthread/engine/endpoint/LatencySample.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/LatencySampler.java
@@ -12,7 +12,7 @@
  * towards the short ones. There is one exception: an endpoint that took many times as long as usual
  * for certain is reported with the lower bound.
  */
-final class LatencySample {
+final class LatencySampler {
     static final long UNKNOWN = -1;
 
     /** The weight of a new sample in the moving average, which thus spans about ten of them. */
@@ -35,7 +35,7 @@
     /**
      * @param toleranceNs a difference in latency that is of no importance, in nanoseconds
      */
-    LatencySample(long toleranceNs) {
+    LatencySampler(long toleranceNs) {
         this.toleranceNs = toleranceNs;
     }
 
--- a/engine/src/test/java/trailthread/engine/endpoint/LatencySampleTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LatencySamplerTest.java
@@ -5,13 +5,13 @@
 import org.junit.Test;
 
 /** Which latency is reported for a response that arrived between two reads of the sockets. */
-public class LatencySampleTest {
+public class LatencySamplerTest {
     private static final long MS = 1_000_000L;
-    private final LatencySample latency = new LatencySample(4 * MS);
+    private final LatencySampler latency = new LatencySampler(4 * MS);
 
     private long sample(long leastMs, long mostMs) {
         long sample = latency.sample(leastMs * MS, mostMs * MS);
-        return sample == LatencySample.UNKNOWN ? sample : Math.round(sample / (double) MS);
+        return sample == LatencySampler.UNKNOWN ? sample : Math.round(sample / (double) MS);
     }
 
     @Test
@@ -28,7 +28,7 @@
     @Test
     public void aNodeThatIsLateFromTheStartReportsNothing() {
         for (int i = 0; i < 100; i++) {
-            assertEquals(LatencySample.UNKNOWN, sample(0, 15 + i));
+            assertEquals(LatencySampler.UNKNOWN, sample(0, 15 + i));
         }
     }
 
@@ -36,8 +36,8 @@
     @Test
     public void shortResponsesAreReportedNoSoonerThanLongOnes() {
         sample(20, 20);
-        assertEquals(LatencySample.UNKNOWN, sample(0, 9));
-        assertEquals(LatencySample.UNKNOWN, sample(50, 59));
+        assertEquals(LatencySampler.UNKNOWN, sample(0, 9));
+        assertEquals(LatencySampler.UNKNOWN, sample(50, 59));
         assertEquals(3, sample(0, 6));
         assertEquals(53, sample(50, 56));
     }
@@ -45,8 +45,8 @@
     @Test
     public void aLatencyFarAboveUsualForCertainIsReported() {
         sample(20, 20);
-        assertEquals(LatencySample.UNKNOWN, sample(2, 150));
-        assertEquals(LatencySample.UNKNOWN, sample(50, 150));
+        assertEquals(LatencySampler.UNKNOWN, sample(2, 150));
+        assertEquals(LatencySampler.UNKNOWN, sample(50, 150));
         assertEquals(70, sample(70, 200));
     }
 
@@ -64,7 +64,7 @@
         }
         assertEquals(
                 "reported until it was three times the usual",
-                LatencySample.UNKNOWN,
+                LatencySampler.UNKNOWN,
                 sample(100, 300));
         assertEquals(34, sample(30, 38));
     }
