--- a/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
@@ -121,6 +121,18 @@
         }
     }
 
+    /** Returns the first of two connections on which bytes arrive. */
+    private static Socket awaitRequest(Socket one, Socket other) throws IOException {
+        while (true) {
+            if (one.getInputStream().available() > 0) {
+                return one;
+            }
+            if (other.getInputStream().available() > 0) {
+                return other;
+            }
+        }
+    }
+
     private static void sleep(long ms) {
         try {
             Thread.sleep(ms);
@@ -227,13 +239,7 @@
             for (int i = 0; i < ROUNDS; i++) {
                 Thread.sleep(last == null ? 30 : 1); // both have settled, or the last one has not
                 loop.execute(() -> attempt(endpoints, LONG_NS));
-                Socket used = null;
-                while (used == null) {
-                    used =
-                            one.getInputStream().available() > 0
-                                    ? one
-                                    : other.getInputStream().available() > 0 ? other : null;
-                }
+                Socket used = awaitRequest(one, other);
                 readRequest(used);
                 write(used, RESPONSE);
                 assertEquals(Outcome.OK, nextResult().outcome());
