--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -1,6 +1,5 @@
 package trailthread.engine.request;
 
-import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioExecutor;
@@ -14,45 +13,50 @@
 import trailthread.engine.http.ByteSink;
 import trailthread.engine.metrics.RequestResult;
 
-/** The life of one call, from top to bottom: taken, choice, attempt, outcome, answer. */
+/**
+ * One client request, from its admission to its answer and the end of its last attempt. The
+ * balancer decides on each attempt; one is in flight at a time.
+ */
 final class ActiveRequest {
     private static final Logger LOG = LoggerFactory.getLogger(ActiveRequest.class);
 
-    private final RequestDispatcher calls;
+    private final RequestDispatcher dispatcher;
     private final long id;
     private final ClientRequest client;
     private final long deadline;
-    private final long takenAt;
-    private final ClientResponse reply;
-    private final EndpointRequest request;
-    private XnioExecutor.Key overdue;
+    private final long admittedAt;
+    private final ClientResponse response;
+    private final EndpointRequest endpointRequest;
+    private XnioExecutor.Key deadlineTimer;
+
+    /** How many attempts have been made; they are numbered from 0. */
     private int attempts;
 
-    /** From its taking to its first attempt; -1: there was none. */
-    private long waitedNs = -1;
+    /** From admission to the first attempt, ns; -1: there was none. */
+    private long queuedNs = -1;
 
-    /** What is out at an endpoint, or null. */
-    private Attempt out;
+    /** The attempt in flight, or null. */
+    private Attempt attemptInFlight;
 
-    /** It has its answer, or its client has gone: no answer is owed. */
+    /** No answer is owed any more: it was given, has begun, or the client has disconnected. */
     private boolean finished;
 
-    /** A long answer is on its way to the client. */
-    private boolean streams;
+    /** The answer is streamed to the client while the attempt goes on. */
+    private boolean streaming;
 
     ActiveRequest(
-            RequestDispatcher calls,
+            RequestDispatcher dispatcher,
             long id,
             ClientRequest client,
             long deadline,
-            ClientResponse reply) {
-        this.calls = calls;
+            ClientResponse response) {
+        this.dispatcher = dispatcher;
         this.id = id;
         this.client = client;
         this.deadline = deadline;
-        takenAt = calls.now();
-        this.reply = reply;
-        this.request =
+        admittedAt = dispatcher.now();
+        this.response = response;
+        this.endpointRequest =
                 new EndpointRequest(
                         client.id(),
                         client.requestClass(),
@@ -65,17 +69,15 @@
                         client.timeLeftNs());
     }
 
-    /** Taken: the module hears of it, and chooses. */
-    void taken() {
-        // Guards against a module that forgets a call: its client is owed an answer within the
-        // slack.
-        long withinNs = deadline - takenAt + calls.responseSlackNs() / 2;
-        overdue = calls.loop().afterReading(withinNs, this::overdue);
-        calls.decisions()
-                .event(
+    /** Starts the deadline timer and delivers the request to the balancer. */
+    void start() {
+        startDeadlineTimer(deadline - admittedAt);
+        dispatcher
+                .driver()
+                .deliver(
                         this,
-                        (module, now) ->
-                                module.request(
+                        (balancer, now) ->
+                                balancer.request(
                                         now,
                                         id,
                                         client.requestClass(),
@@ -87,223 +89,239 @@
     }
 
     /**
-     * The choice: an endpoint, how long to wait for it (0: as long as the client does), and until
-     * when it is written.
+     * The client is answered within the slack even if the balancer does not. Prevents a request
+     * that the balancer has lost from staying open for ever.
      */
-    void attempt(String endpoint, long timeoutNs, long writtenBy) {
+    private void startDeadlineTimer(long timeLeftNs) {
+        deadlineTimer =
+                dispatcher
+                        .loop()
+                        .afterReading(
+                                timeLeftNs + dispatcher.responseSlackNs() / 2,
+                                this::deadlineExceeded);
+    }
+
+    /**
+     * Starts an attempt.
+     *
+     * @param timeoutNs how long to wait for its end; 0: until the deadline
+     * @param writtenBy from then on it is not written any more, by the loop's clock
+     */
+    void startAttempt(String endpoint, long timeoutNs, long writtenBy) {
         int attempt = attempts++;
-        calls.meter().attemptBegun(endpoint);
-        long now = calls.now();
-        waitedNs = attempt == 0 ? now - takenAt : waitedNs;
-        long left = deadline - now;
-        boolean spent =
-                client.source() != null
-                        && client.source().hasBegun(); // such a body can't be sent again
-        if (finished || out != null || left <= 0 || spent) {
-            outcome(endpoint, attempt, new AttemptResult(Outcome.NOT_SENT, 0, null, null));
+        dispatcher.metrics().attemptBegun(endpoint);
+        long now = dispatcher.now();
+        if (attempt == 0) {
+            queuedNs = now - admittedAt;
+        }
+        long timeLeftNs = deadline - now;
+        // A streamed body can't be sent a second time.
+        boolean bodyConsumed = client.source() != null && client.source().hasBegun();
+        if (finished || attemptInFlight != null || timeLeftNs <= 0 || bodyConsumed) {
+            attemptEnded(endpoint, attempt, new AttemptResult(Outcome.NOT_SENT, 0, null, null));
             return;
         }
-        long wait = timeoutNs == 0 ? left : Math.min(timeoutNs, left);
-        out =
-                calls.endpoints()
+        attemptInFlight =
+                dispatcher
+                        .endpoints()
                         .attempt(
                                 endpoint,
-                                request,
-                                wait,
+                                endpointRequest,
+                                timeoutNs == 0 ? timeLeftNs : Math.min(timeoutNs, timeLeftNs),
                                 writtenBy,
-                                new AttemptListener() {
-                                    @Override
-                                    public boolean isWanted() {
-                                        // Guards against a loop that runs late: that the client has
-                                        // left lies unread in its socket, or came
-                                        // along with the request.
-                                        reply.look();
-                                        return !finished;
-                                    }
+                                new AttemptEvents(endpoint, attempt));
+    }
 
-                                    @Override
-                                    public void sent() {
-                                        calls.meter().attemptSent();
-                                        if (client.source() != null) {
-                                            bodySent();
-                                        }
-                                    }
+    /** Follows one attempt. */
+    private final class AttemptEvents implements AttemptListener {
+        private final String endpoint;
+        private final int attempt;
+
+        AttemptEvents(String endpoint, int attempt) {
+            this.endpoint = endpoint;
+            this.attempt = attempt;
+        }
+
+        /**
+         * Looks at the client's connection first. Prevents a loop that runs late from sending a
+         * request whose client has disconnected, which is still unread in the socket.
+         */
+        @Override
+        public boolean isWanted() {
+            response.look();
+            return !finished;
+        }
+
+        @Override
+        public void sent() {
+            dispatcher.metrics().attemptSent();
+            if (client.source() != null) {
+                streamedBodySent();
+            }
+        }
 
-                                    @Override
-                                    public ByteSink begins(
-                                            EndpointResponse head,
-                                            long length,
-                                            LoadReport told,
-                                            Runnable more) {
-                                        return begun(
-                                                endpoint,
-                                                attempt,
-                                                told,
-                                                () ->
-                                                        reply.begin(
-                                                                head,
-                                                                length,
-                                                                more,
-                                                                ActiveRequest.this::gone));
-                                    }
+        @Override
+        public ByteSink begins(EndpointResponse head, long length, LoadReport load, Runnable more) {
+            if (finished) {
+                return null; // the client has disconnected
+            }
+            finish();
+            streaming = true;
+            ByteSink sink =
+                    response.begin(head, length, more, ActiveRequest.this::clientDisconnected);
+            streamingBegun(endpoint, attempt, load);
+            return sink;
+        }
 
-                                    @Override
-                                    public void ended(AttemptResult ending) {
-                                        out = null;
-                                        outcome(endpoint, attempt, ending);
-                                    }
-                                });
+        @Override
+        public void ended(AttemptResult result) {
+            attemptInFlight = null;
+            attemptEnded(endpoint, attempt, result);
+        }
     }
 
-    /**
-     * The client's time counts from the last byte of its body, which has only now gone to the
-     * endpoint.
-     */
-    private void bodySent() {
+    /** A client's wait counts from its body's last byte, which has just gone to the endpoint. */
+    private void streamedBodySent() {
         if (!finished) {
-            overdue.remove();
-            overdue =
-                    calls.loop()
-                            .afterReading(
-                                    client.timeLeftNs() + calls.responseSlackNs() / 2,
-                                    this::overdue);
+            deadlineTimer.remove();
+            startDeadlineTimer(client.timeLeftNs());
         }
     }
 
-    /**
-     * A long answer begins: the client has it from here on, and the module makes no further
-     * attempt.
-     */
-    private ByteSink begun(
-            String endpoint, int attempt, LoadReport told, Supplier<ByteSink> begin) {
-        if (finished) {
-            return null; // the client has gone
-        }
-        finish();
-        streams = true;
-        ByteSink sink = begin.get();
-        calls.decisions().event(this, (module, now) -> module.firstByte(now, id, attempt));
-        if (told != null) {
-            calls.decisions()
-                    .event(
+    /** Once the client has the first byte, the balancer makes no further attempt. */
+    private void streamingBegun(String endpoint, int attempt, LoadReport load) {
+        dispatcher.driver().deliver(this, (balancer, now) -> balancer.firstByte(now, id, attempt));
+        if (load != null) {
+            dispatcher
+                    .driver()
+                    .deliver(
                             null,
-                            (module, now) ->
-                                    module.healthChecked(now, endpoint, Outcome.OK, -1, told));
+                            (balancer, now) ->
+                                    balancer.healthChecked(now, endpoint, Outcome.OK, -1, load));
         }
-        return sink;
     }
 
     /**
-     * The outcome: an answer goes to the client at once, then the module hears, and may choose
-     * again.
+     * Passes a successful answer on to the client at once, and then the outcome to the balancer,
+     * which may retry a failed attempt.
      */
-    private void outcome(String endpoint, int attempt, AttemptResult ending) {
-        calls.meter().attemptEnded(endpoint, ending.outcome(), ending.latencyNs(), ending.load());
-        if (streams) {
-            answered(ending.outcome() == Outcome.OK ? RequestResult.SERVED : RequestResult.FAILED);
+    private void attemptEnded(String endpoint, int attempt, AttemptResult result) {
+        boolean succeeded = result.outcome() == Outcome.OK;
+        dispatcher
+                .metrics()
+                .attemptEnded(endpoint, result.outcome(), result.latencyNs(), result.load());
+        if (streaming) {
+            recordAnswer(succeeded ? RequestResult.SERVED : RequestResult.FAILED);
         }
-        if (ending.outcome() == Outcome.OK && !finished) {
+        if (succeeded && !finished) {
             finish();
-            answered(RequestResult.SERVED);
-            reply.served(ending.made());
+            recordAnswer(RequestResult.SERVED);
+            response.served(result.made());
         }
         boolean closed = finished;
-        calls.decisions()
-                .event(
+        dispatcher
+                .driver()
+                .deliver(
                         this,
-                        (module, now) ->
-                                module.outcome(
+                        (balancer, now) ->
+                                balancer.outcome(
                                         now,
                                         id,
                                         attempt,
-                                        ending.outcome(),
-                                        ending.latencyNs(),
+                                        result.outcome(),
+                                        result.latencyNs(),
                                         closed,
-                                        ending.load()));
-        forgetIfDone();
+                                        result.load()));
+        releaseIfDone();
     }
 
-    /** The answer, where no endpoint made one: a refusal. */
+    /**
+     * Rejects the request, unless it is finished: the client may retry.
+     *
+     * @param retryAfterNs when to retry; 0: no advice
+     */
     void refuse(long retryAfterNs) {
         if (!finished) {
             finish();
-            answered(RequestResult.REFUSED);
-            reply.refused(retryAfterNs);
-            forgetIfDone();
+            recordAnswer(RequestResult.REFUSED);
+            response.refused(retryAfterNs);
+            releaseIfDone();
         }
     }
 
-    /** The answer, where no endpoint made one: a failure. */
+    /** Answers with a failure, unless the request is finished. */
     void fail() {
         if (!finished) {
             finish();
-            answered(RequestResult.FAILED);
-            reply.failed();
-            forgetIfDone();
+            recordAnswer(RequestResult.FAILED);
+            response.failed();
+            releaseIfDone();
         }
     }
 
     /**
-     * No answer: the client has gone. What has been written to an endpoint comes to its own end,
-     * all else is not.
+     * The client has disconnected: no answer is owed. A request that has been sent is left to run
+     * to its end, as the endpoint processes it anyway.
      */
-    void gone() {
+    void clientDisconnected() {
         if (!finished) {
-            calls.meter().gone(client.requestClass());
+            dispatcher.metrics().gone(client.requestClass());
         }
         finish();
-        if (out != null && (streams || client.source() != null || !out.isSent())) {
-            out.cancel(); // nobody reads the rest, or sends it, or waits for what has not begun
+        if (attemptInFlight != null
+                && (streaming || client.source() != null || !attemptInFlight.isSent())) {
+            attemptInFlight.cancel();
         }
-        calls.decisions().event(null, (module, now) -> module.gone(now, id));
-        forgetIfDone();
+        dispatcher.driver().deliver(null, (balancer, now) -> balancer.gone(now, id));
+        releaseIfDone();
     }
 
-    /** The module no longer waits for an attempt. */
+    /** The balancer no longer waits for an attempt. */
     void cancel(int attempt) {
-        if (out != null && attempt == attempts - 1) {
-            out.cancel();
+        if (attemptInFlight != null && attempt == attempts - 1) {
+            attemptInFlight.cancel();
         }
     }
 
-    /**
-     * It is not waited for any longer: it has its answer now, and what is out for it is given up.
-     */
+    /** Answers with a failure now, and cancels the attempt in flight. */
     void giveUp() {
         if (!finished) {
             fail();
-            gone();
+            clientDisconnected();
             cancel(attempts - 1);
         }
     }
 
-    private void overdue() {
+    private void deadlineExceeded() {
         if (!finished) {
             LOG.error(
-                    "call {} of class {} was not answered in time",
+                    "request {} of class {} was not answered in time",
                     client.id(),
                     client.requestClass());
             fail();
-            gone();
+            clientDisconnected();
         }
     }
 
-    private void answered(RequestResult answer) {
-        calls.meter().answered(client.requestClass(), answer, calls.now() - takenAt, waitedNs);
+    private void recordAnswer(RequestResult result) {
+        dispatcher
+                .metrics()
+                .answered(client.requestClass(), result, dispatcher.now() - admittedAt, queuedNs);
     }
 
     private void finish() {
         finished = true;
-        overdue.remove();
+        deadlineTimer.remove();
     }
 
-    private void forgetIfDone() {
-        if (finished && out == null) {
-            calls.forget(this, id, client.id());
+    private void releaseIfDone() {
+        if (finished && attemptInFlight == null) {
+            dispatcher.release(this, id, client.id());
         }
     }
 
+    /** Nothing of the request is used any more; called once. */
     void released() {
-        reply.released();
+        response.released();
     }
 }
--- /dev/null
+++ b/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
@@ -0,0 +1,156 @@
+package trailthread.engine.request;
+
+import java.util.function.Predicate;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import trailthread.api.BalancerActions;
+import trailthread.engine.discovery.EndpointListSource;
+import trailthread.engine.endpoint.AttemptResult;
+import trailthread.engine.endpoint.EndpointPool;
+import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.MetricsRecorder;
+
+/** Executes the balancer's actions on requests, endpoints, timers and discovery. */
+final class BalancerActionExecutor implements BalancerActions {
+    private static final Logger LOG = LoggerFactory.getLogger(BalancerActionExecutor.class);
+
+    private final EventLoop loop;
+    private final EndpointPool endpoints;
+    private final MetricsRecorder metrics;
+    private final BalancerDriver driver;
+    private final ActiveRequests requests;
+
+    /** A health check that takes longer has failed. */
+    private long healthCheckTimeoutNs;
+
+    private Predicate<String> mayCheckHealth = endpoint -> true;
+
+    /** Where the list is watched and fetched; null: such actions are ignored. */
+    private EndpointListSource discovery;
+
+    private boolean stopped;
+
+    BalancerActionExecutor(
+            EventLoop loop,
+            EndpointPool endpoints,
+            MetricsRecorder metrics,
+            BalancerDriver driver,
+            ActiveRequests requests) {
+        this.loop = loop;
+        this.endpoints = endpoints;
+        this.metrics = metrics;
+        this.driver = driver;
+        this.requests = requests;
+    }
+
+    void setHealthCheckTimeoutNs(long healthCheckTimeoutNs) {
+        this.healthCheckTimeoutNs = healthCheckTimeoutNs;
+    }
+
+    /** Sets which endpoints' health checks are made when the balancer asks for them. */
+    void setHealthCheckFilter(Predicate<String> mayCheckHealth) {
+        this.mayCheckHealth = mayCheckHealth;
+    }
+
+    void setDiscovery(EndpointListSource discovery) {
+        this.discovery = discovery;
+    }
+
+    /** From now on timers that fire are not delivered. */
+    void stop() {
+        stopped = true;
+    }
+
+    @Override
+    public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
+        ActiveRequest request = requests.get(id);
+        if (request != null) {
+            request.startAttempt(endpoint, timeoutNs, writtenBy);
+        }
+    }
+
+    @Override
+    public void refuse(long id, long retryAfterNs) {
+        ActiveRequest request = requests.get(id);
+        if (request != null) {
+            request.refuse(retryAfterNs);
+        }
+    }
+
+    @Override
+    public void fail(long id) {
+        ActiveRequest request = requests.get(id);
+        if (request != null) {
+            request.fail();
+        }
+    }
+
+    @Override
+    public void cancel(long id, int attempt) {
+        ActiveRequest request = requests.get(id);
+        if (request != null) {
+            request.cancel(attempt);
+        }
+    }
+
+    @Override
+    public void timer(long delayNs, long token) {
+        loop.after(delayNs, () -> timerFired(token));
+    }
+
+    private void timerFired(long token) {
+        if (!stopped) {
+            driver.deliver(null, (balancer, now) -> balancer.timer(now, token));
+        }
+    }
+
+    @Override
+    public void probe(String endpoint) {
+        if (mayCheckHealth.test(endpoint)) {
+            endpoints.probe(
+                    endpoint, healthCheckTimeoutNs, result -> healthChecked(endpoint, result));
+        }
+    }
+
+    private void healthChecked(String endpoint, AttemptResult result) {
+        metrics.healthChecked(endpoint, result.outcome(), result.load());
+        driver.deliver(
+                null,
+                (balancer, now) ->
+                        balancer.healthChecked(
+                                now,
+                                endpoint,
+                                result.outcome(),
+                                result.latencyNs(),
+                                result.load()));
+    }
+
+    @Override
+    public void closeIdle(String endpoint) {
+        endpoints.closeIdle(endpoint);
+    }
+
+    @Override
+    public void tell(int peer, byte[] data) {
+        LOG.warn("the balancer sent a message to a peer, which is dropped: nodes share nothing");
+    }
+
+    @Override
+    public void watch(boolean on) {
+        if (discovery != null) {
+            discovery.watch(on);
+        }
+    }
+
+    @Override
+    public void fetch() {
+        if (discovery != null) {
+            discovery.fetch();
+        }
+    }
+
+    @Override
+    public void log(String text) {
+        LOG.info(text);
+    }
+}
--- a/engine/src/main/java/trailthread/engine/request/BalancerDriver.java
+++ b/engine/src/main/java/trailthread/engine/request/BalancerDriver.java
@@ -8,23 +8,23 @@
 import trailthread.api.BalancerEvents;
 
 /**
- * Brings events to the module. What it asks for while it handles one is queued and done after it,
- * in order: the module must never be entered again from within an event.
+ * Delivers events to the balancer. The actions that it asks for while it handles an event are
+ * queued and run after it, in order: the balancer must never be entered again from within an event.
  */
 final class BalancerDriver {
     private static final Logger LOG = LoggerFactory.getLogger(BalancerDriver.class);
 
-    /** One event, told at this time. */
-    interface Telling {
-        void tell(BalancerEvents module, long now);
+    /** One event; it is delivered at the time given. */
+    interface BalancerEvent {
+        void deliver(BalancerEvents balancer, long now);
     }
 
     private final LongSupplier clock;
-    private final ArrayDeque<Runnable> asked = new ArrayDeque<>();
-    private BalancerEvents module;
-    private boolean busy;
+    private final ArrayDeque<Runnable> queuedActions = new ArrayDeque<>();
+    private BalancerEvents balancer;
+    private boolean runningActions;
 
-    /** When the last event was, for the module. */
+    /** The time given to the balancer with the latest event, ns. */
     private long eventAt;
 
     /**
@@ -35,31 +35,41 @@
         eventAt = clock.getAsLong();
     }
 
-    void setModule(BalancerEvents module) {
-        this.module = module;
+    void setBalancer(BalancerEvents balancer) {
+        this.balancer = balancer;
     }
 
-    /** Tells the module something; {@code call}, if not null, fails should the module throw. */
-    void event(ActiveRequest call, Telling event) {
+    /**
+     * Delivers an event, then runs the actions it led to. An exception of the balancer is logged.
+     *
+     * @param request fails if the balancer throws; null: the event concerns no single request
+     */
+    void deliver(ActiveRequest request, BalancerEvent event) {
         eventAt = clock.getAsLong();
         try {
-            event.tell(module, eventAt);
+            event.deliver(balancer, eventAt);
         } catch (RuntimeException e) {
             LOG.error("the decision module failed", e);
-            if (call != null) {
-                asked.add(call::fail);
+            if (request != null) {
+                queuedActions.add(request::fail);
             }
         }
-        if (busy) {
-            return; // what is under way does the rest
+        if (!runningActions) {
+            runQueuedActions();
         }
-        busy = true;
+    }
+
+    private void runQueuedActions() {
+        runningActions = true;
         try {
-            for (Runnable action = asked.poll(); action != null; action = asked.poll()) {
+            // An action may deliver an event, which appends to the queue.
+            for (Runnable action = queuedActions.poll();
+                    action != null;
+                    action = queuedActions.poll()) {
                 run(action);
             }
         } finally {
-            busy = false;
+            runningActions = false;
         }
     }
 
@@ -71,66 +81,76 @@
         }
     }
 
-    /** The actions that the module sees: each is queued. */
-    BalancerActions queueing(BalancerActions target) {
-        return new BalancerActions() {
-            @Override
-            public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
-                asked.add(() -> target.send(id, timeoutNs, writtenBy, endpoint));
-            }
+    /** The actions to hand to the balancer: each is queued, and later run by the executor given. */
+    BalancerActions queueingActions(BalancerActions executor) {
+        return new QueueingActions(executor);
+    }
 
-            @Override
-            public void refuse(long id, long retryAfterNs) {
-                asked.add(() -> target.refuse(id, retryAfterNs));
-            }
+    private final class QueueingActions implements BalancerActions {
+        private final BalancerActions executor;
 
-            @Override
-            public void fail(long id) {
-                asked.add(() -> target.fail(id));
-            }
+        QueueingActions(BalancerActions executor) {
+            this.executor = executor;
+        }
 
-            @Override
-            public void cancel(long id, int attempt) {
-                asked.add(() -> target.cancel(id, attempt));
-            }
+        @Override
+        public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
+            queuedActions.add(() -> executor.send(id, timeoutNs, writtenBy, endpoint));
+        }
 
-            @Override
-            public void timer(long delayNs, long token) {
-                // Guards against code that runs cold: a delay counts from the event, however long
-                // after it is set.
-                long dueAt = eventAt + delayNs;
-                asked.add(() -> target.timer(dueAt - clock.getAsLong(), token));
-            }
+        @Override
+        public void refuse(long id, long retryAfterNs) {
+            queuedActions.add(() -> executor.refuse(id, retryAfterNs));
+        }
 
-            @Override
-            public void probe(String endpoint) {
-                asked.add(() -> target.probe(endpoint));
-            }
+        @Override
+        public void fail(long id) {
+            queuedActions.add(() -> executor.fail(id));
+        }
 
-            @Override
-            public void closeIdle(String endpoint) {
-                asked.add(() -> target.closeIdle(endpoint));
-            }
+        @Override
+        public void cancel(long id, int attempt) {
+            queuedActions.add(() -> executor.cancel(id, attempt));
+        }
 
-            @Override
-            public void tell(int peer, byte[] data) {
-                asked.add(() -> target.tell(peer, data));
-            }
+        /**
+         * The delay counts from the event. Prevents timers from firing late by the time that the
+         * balancer and the actions before this one took.
+         */
+        @Override
+        public void timer(long delayNs, long token) {
+            long dueAt = eventAt + delayNs;
+            queuedActions.add(() -> executor.timer(dueAt - clock.getAsLong(), token));
+        }
 
-            @Override
-            public void watch(boolean on) {
-                asked.add(() -> target.watch(on));
-            }
+        @Override
+        public void probe(String endpoint) {
+            queuedActions.add(() -> executor.probe(endpoint));
+        }
 
-            @Override
-            public void fetch() {
-                asked.add(target::fetch);
-            }
+        @Override
+        public void closeIdle(String endpoint) {
+            queuedActions.add(() -> executor.closeIdle(endpoint));
+        }
 
-            @Override
-            public void log(String text) {
-                asked.add(() -> target.log(text));
-            }
-        };
+        @Override
+        public void tell(int peer, byte[] data) {
+            queuedActions.add(() -> executor.tell(peer, data));
+        }
+
+        @Override
+        public void watch(boolean on) {
+            queuedActions.add(() -> executor.watch(on));
+        }
+
+        @Override
+        public void fetch() {
+            queuedActions.add(executor::fetch);
+        }
+
+        @Override
+        public void log(String text) {
+            queuedActions.add(() -> executor.log(text));
+        }
     }
 }
--- a/engine/src/main/java/trailthread/engine/request/ClientRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ClientRequest.java
@@ -4,19 +4,19 @@
 import trailthread.engine.http.ByteSource;
 
 /**
- * A client's call, decoded.
+ * A client's request, decoded.
  *
  * @param id the client's X-Correlation-Id
  * @param account the tenant, or null
- * @param timeLeftNs how long the client waits, from when it sent the call
- * @param repeat the client says that it asked before
- * @param workNs the work to expect; 0: not known
- * @param entity what the call concerns; 0: not told
- * @param target path and query as they came
+ * @param timeLeftNs how long the client waits, from when it sent the request
+ * @param repeat whether the client says that this is a retry
+ * @param workNs the expected work, ns; 0: not known
+ * @param entity what the request concerns; 0: not given
+ * @param target path and query as the client sent them
  * @param idempotencyKey or null
- * @param passing what else goes to the endpoint, which may then answer with any status; null:
- *     nothing
- * @param source where the body comes from, if it is not held; else null
+ * @param passing what else is forwarded to the endpoint, which may then answer with any status;
+ *     null: nothing
+ * @param source the body, if it is streamed; null: it is buffered in {@code body}
  */
 public record ClientRequest(
         String id,
@@ -32,7 +32,7 @@
         byte[] body,
         ForwardedHeaders passing,
         ByteSource source) {
-    /** A call whose body is held, or as yet to come. */
+    /** A request whose body is buffered, or is still to be received. */
     public ClientRequest(
             String id,
             String requestClass,
@@ -62,25 +62,17 @@
                 null);
     }
 
-    /** The call with its body, which has come. */
-    public ClientRequest withBody(byte[] whole) {
-        return new ClientRequest(
-                id,
-                requestClass,
-                account,
-                timeLeftNs,
-                repeat,
-                workNs,
-                entity,
-                method,
-                target,
-                idempotencyKey,
-                whole,
-                passing);
+    /** The request with its body, which has been received completely. */
+    public ClientRequest withBody(byte[] received) {
+        return with(received, null);
+    }
+
+    /** The request with a body that is streamed while it is forwarded. */
+    public ClientRequest withSource(ByteSource streamed) {
+        return with(new byte[0], streamed);
     }
 
-    /** The call with a body that comes as it is sent on. */
-    public ClientRequest withSource(ByteSource comes) {
+    private ClientRequest with(byte[] buffered, ByteSource streamed) {
         return new ClientRequest(
                 id,
                 requestClass,
@@ -92,8 +84,8 @@
                 method,
                 target,
                 idempotencyKey,
-                new byte[0],
+                buffered,
                 passing,
-                comes);
+                streamed);
     }
 }
--- a/engine/src/main/java/trailthread/engine/request/ClientResponse.java
+++ b/engine/src/main/java/trailthread/engine/request/ClientResponse.java
@@ -3,37 +3,44 @@
 import trailthread.engine.endpoint.EndpointResponse;
 import trailthread.engine.http.ByteSink;
 
-/** How one call is answered: by exactly one of these. */
+/**
+ * Where the answer to one request goes: exactly one of {@link #served}, {@link #begin}, {@link
+ * #refused} and {@link #failed} is called, unless the client disconnects first.
+ */
 public interface ClientResponse {
-    /** What an endpoint made. */
+    /** Answers with an endpoint's complete response. */
     void served(EndpointResponse made);
 
     /**
-     * A long answer begins that an endpoint makes; the call has its answer then, whatever becomes
-     * of it.
+     * Begins an answer that is streamed from an endpoint. The request counts as answered, even if
+     * the stream breaks later.
      *
-     * @param head without a body
-     * @param length of the body, in bytes; -1: its end will tell
-     * @param more to be run when there is room for more after there was none
-     * @param gone to be run if the client goes away before the end
+     * @param head status and headers, without a body
+     * @param length of the body, in bytes; -1: not known before its end
+     * @param more runs when the client can take more bytes after it could not
+     * @param gone runs if the client disconnects before the end
      */
     ByteSink begin(EndpointResponse head, long length, Runnable more, Runnable gone);
 
     /**
-     * Looks whether the client is still there; what was to run if it goes away has run when this
-     * returns.
+     * Checks whether the client is still connected. If it is not, what is to run on its
+     * disconnection has run when this returns.
      */
     default void look() {}
 
     /**
-     * Nothing of the call is kept any more, its body neither: it has its answer or its client has
-     * gone, and no attempt is out. Told once, after all else.
+     * The engine holds nothing of the request any more, its body included: it is answered or its
+     * client has disconnected, and no attempt is in flight. Called once, after all else.
      */
     default void released() {}
 
-    /** A refusal: trying again is harmless; 0: no advice on when. */
+    /**
+     * Rejects the request; it had no effect, so a retry is safe.
+     *
+     * @param retryAfterNs when to retry; 0: no advice
+     */
     void refused(long retryAfterNs);
 
-    /** The call failed; it may have had its effect. */
+    /** Answers with a failure; the request may have had its effect. */
     void failed();
 }
--- a/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
@@ -1,16 +1,11 @@
 package trailthread.engine.request;
 
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import java.util.function.Predicate;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import trailthread.Balancer;
 import trailthread.api.Admission;
-import trailthread.api.BalancerActions;
 import trailthread.api.EndpointEntry;
 import trailthread.api.ListKind;
 import trailthread.api.RequestClass;
@@ -20,150 +15,162 @@
 import trailthread.engine.loop.EventLoop;
 import trailthread.engine.metrics.MetricsRecorder;
 
-/** The calls at work, between the module that decides on them and the sockets that carry them. */
-public final class RequestDispatcher implements BalancerActions, RequestHandler {
+/**
+ * Carries clients' requests to endpoints as the balancer decides. Everything runs on the loop's
+ * thread.
+ */
+public final class RequestDispatcher implements RequestHandler {
     private static final Logger LOG = LoggerFactory.getLogger(RequestDispatcher.class);
 
     private final EventLoop loop;
     private final EndpointPool endpoints;
-    private final MetricsRecorder meter;
-    private final BalancerDriver decisions;
-    private final Balancer module;
-    private final Map<Long, ActiveRequest> calls = new HashMap<>();
-
-    /** The clients' ids of these. Endpoints tell copies of a call by its id. */
-    private final Set<String> openIds = new HashSet<>();
+    private final MetricsRecorder metrics;
+    private final BalancerDriver driver;
+    private final BalancerActionExecutor actions;
+    private final Balancer balancer;
+    private final ActiveRequests requests = new ActiveRequests();
+    private long lastId;
 
+    /** How far past its deadline a request may still be answered, ns. */
     private long responseSlackNs;
 
-    /** What takes longer to tell its load than the tightest aim is fit for nothing just now. */
-    private long probeWithinNs;
+    /** The latest deadline of any request, by {@link EventLoop#now}. */
+    private long latestDeadline = Long.MAX_VALUE;
 
-    private EndpointListSource list;
+    /** Runs once the last request has ended after {@link #retire}; null before that. */
+    private Runnable whenRetired;
 
-    /** Runs when the last call has ended, and nothing more is done after that; null: it goes on. */
-    private Runnable whenOver;
-
-    private boolean over;
-    private Predicate<String> mayCheckHealth = endpoint -> true;
-    private long lastId;
-
-    /** No call waits for its answer longer, by {@link EventLoop#now}. */
-    private long answeredBy = Long.MAX_VALUE;
+    private boolean retired;
 
+    /**
+     * Makes a dispatcher without requests.
+     *
+     * @param seed of the balancer's random numbers
+     */
     public RequestDispatcher(
             EventLoop loop,
             EndpointPool endpoints,
             Settings settings,
             long seed,
-            MetricsRecorder meter) {
-        this.meter = meter;
+            MetricsRecorder metrics) {
+        this.metrics = metrics;
         this.loop = loop;
         this.endpoints = endpoints;
+        driver = new BalancerDriver(loop::now);
+        actions = new BalancerActionExecutor(loop, endpoints, metrics, driver, requests);
         apply(settings);
-        decisions = new BalancerDriver(loop::now);
-        module = new Balancer(settings, seed, loop.now(), decisions.queueing(this));
-        decisions.setModule(module);
+        balancer = new Balancer(settings, seed, loop.now(), driver.queueingActions(actions));
+        driver.setBalancer(balancer);
     }
 
     private void apply(Settings settings) {
         responseSlackNs = settings.responseSlackNs;
-        probeWithinNs =
+        // An endpoint whose health check takes longer can't meet any latency objective.
+        actions.setHealthCheckTimeoutNs(
                 settings.classes.stream()
                         .mapToLong(RequestClass::latencyObjectiveNs)
                         .min()
-                        .orElseThrow();
+                        .orElseThrow());
     }
 
-    /** Other settings hold from now on; calls under way keep their class. */
+    /** Applies other settings from now on; open requests keep their class. */
     public void retune(Settings settings) {
         apply(settings);
-        decisions.event(null, (events, now) -> module.retune(now, settings));
+        driver.deliver(null, (events, now) -> balancer.retune(now, settings));
     }
 
-    /** Where the module's wishes about the list go; without one they are let be. */
-    public void setDiscovery(EndpointListSource list) {
-        this.list = list;
+    /** Sets where the balancer's requests to watch or fetch the endpoint list go. */
+    public void setDiscovery(EndpointListSource discovery) {
+        actions.setDiscovery(discovery);
     }
 
     /**
-     * No call is taken from now on; those at work come to their ends, and then the module hears of
-     * nothing more.
+     * Ends the dispatcher: the caller admits no more requests, the open ones run to their ends, and
+     * then no more timers are delivered to the balancer.
+     *
+     * @param whenRetired runs once, when no request is left
      */
-    public void retire(Runnable whenOver) {
-        this.whenOver = whenOver;
-        endIfDone();
+    public void retire(Runnable whenRetired) {
+        this.whenRetired = whenRetired;
+        finishRetiring();
+    }
+
+    private void finishRetiring() {
+        if (whenRetired != null && !retired && requests.isEmpty()) {
+            retired = true;
+            actions.stop();
+            whenRetired.run();
+        }
     }
 
     /**
-     * The process may be killed soon: calls taken from now on have their answers by the first time,
-     * and the module plans for that; all have them by the second. By {@link EventLoop#now}, in
-     * nanoseconds.
+     * Bounds deadlines, as the process may be killed soon. Times are by {@link EventLoop#now}, ns.
+     *
+     * @param newOnes the latest deadline of requests that are admitted from now on
+     * @param all when every request still open is given up
      */
     public void answerBy(long newOnes, long all) {
-        answeredBy = newOnes;
-        loop.afterReading(
-                all - now(),
-                () -> {
-                    if (!calls.isEmpty()) {
-                        LOG.warn(
-                                "{} calls are given up: the process may be killed before they have their time",
-                                calls.size());
-                        List.copyOf(calls.values()).forEach(ActiveRequest::giveUp);
-                    }
-                });
+        latestDeadline = newOnes;
+        loop.afterReading(all - now(), this::giveUpOpenRequests);
     }
 
-    private void endIfDone() {
-        if (whenOver != null && !over && calls.isEmpty()) {
-            over = true;
-            whenOver.run();
+    private void giveUpOpenRequests() {
+        if (!requests.isEmpty()) {
+            LOG.warn(
+                    "{} calls are given up: the process may be killed before they have their time",
+                    requests.size());
+            requests.snapshot().forEach(ActiveRequest::giveUp);
         }
     }
 
-    /** Which probes that the module asks for are made; without it, all. */
+    /** Sets which of the health checks that the balancer asks for are made; at first, all. */
     public void setProbes(Predicate<String> mayCheckHealth) {
-        this.mayCheckHealth = mayCheckHealth;
+        actions.setHealthCheckFilter(mayCheckHealth);
     }
 
-    /** Tells the module which calls to take; null: all. */
+    /** Sets which requests the balancer admits; null: all. */
     public void admit(Admission admission) {
-        decisions.event(null, (module, now) -> module.admit(admission));
+        driver.deliver(null, (balancer, now) -> balancer.admit(admission));
     }
 
-    /** How many of the listed endpoints the module avoids just now. */
+    /** How many of the listed endpoints the balancer avoids now. */
     public int avoidedEndpoints() {
-        return module.avoided(now());
+        return balancer.avoided(now());
     }
 
-    /** Brings the module news of the endpoints. */
+    /** Delivers an update of the endpoint list to the balancer. */
     public void list(ListKind kind, List<EndpointEntry> entries) {
-        decisions.event(null, (module, now) -> module.list(now, kind, entries));
+        driver.deliver(null, (balancer, now) -> balancer.list(now, kind, entries));
     }
 
-    /** Tells the module until when the list may be acted on. */
+    /** Sets until when the endpoint list is valid, by {@link EventLoop#now}. */
     public void listLeaseUntil(long until) {
-        decisions.event(null, (module, now) -> module.listLeaseUntil(now, until));
+        driver.deliver(null, (balancer, now) -> balancer.listLeaseUntil(now, until));
     }
 
     @Override
-    public Runnable take(ClientRequest client, long deadline, ClientResponse reply) {
-        openIds.add(client.id());
-        ActiveRequest call =
-                new ActiveRequest(this, ++lastId, client, Math.min(deadline, answeredBy), reply);
-        calls.put(lastId, call);
-        meter.taken(client.requestClass());
-        call.taken();
-        return call::gone;
+    public Runnable take(ClientRequest client, long deadline, ClientResponse response) {
+        long id = ++lastId;
+        ActiveRequest request =
+                new ActiveRequest(this, id, client, Math.min(deadline, latestDeadline), response);
+        requests.add(id, client.id(), request);
+        metrics.taken(client.requestClass());
+        request.start();
+        return request::clientDisconnected;
     }
 
     @Override
-    public boolean isOpen(String id) {
-        return openIds.contains(id);
+    public boolean isOpen(String clientId) {
+        return requests.hasClientId(clientId);
     }
 
-    // ---- what calls need
-    // ---------------------------------------------------------------------------
+    /** Releases a request that has its answer and no attempt in flight; it may come here twice. */
+    void release(ActiveRequest request, long id, String clientId) {
+        if (requests.remove(id, clientId, request)) {
+            request.released();
+            finishRetiring();
+        }
+    }
 
     long now() {
         return loop.now();
@@ -173,12 +180,12 @@
         return loop;
     }
 
-    BalancerDriver decisions() {
-        return decisions;
+    BalancerDriver driver() {
+        return driver;
     }
 
-    MetricsRecorder meter() {
-        return meter;
+    MetricsRecorder metrics() {
+        return metrics;
     }
 
     EndpointPool endpoints() {
@@ -188,109 +195,4 @@
     long responseSlackNs() {
         return responseSlackNs;
     }
-
-    void forget(ActiveRequest call, long id, String clientsId) {
-        if (calls.remove(id, call)) { // a call that has ended may end in a second way
-            openIds.remove(clientsId);
-            call.released();
-            endIfDone();
-        }
-    }
-
-    // ---- actions
-    // -----------------------------------------------------------------------------------
-
-    @Override
-    public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
-        ActiveRequest call = calls.get(id);
-        if (call != null) {
-            call.attempt(endpoint, timeoutNs, writtenBy);
-        }
-    }
-
-    @Override
-    public void refuse(long id, long retryAfterNs) {
-        ActiveRequest call = calls.get(id);
-        if (call != null) {
-            call.refuse(retryAfterNs);
-        }
-    }
-
-    @Override
-    public void fail(long id) {
-        ActiveRequest call = calls.get(id);
-        if (call != null) {
-            call.fail();
-        }
-    }
-
-    @Override
-    public void cancel(long id, int attempt) {
-        ActiveRequest call = calls.get(id);
-        if (call != null) {
-            call.cancel(attempt);
-        }
-    }
-
-    @Override
-    public void timer(long delayNs, long token) {
-        loop.after(
-                delayNs,
-                () -> {
-                    if (!over) {
-                        decisions.event(null, (module, now) -> module.timer(now, token));
-                    }
-                });
-    }
-
-    @Override
-    public void probe(String endpoint) {
-        if (!mayCheckHealth.test(endpoint)) {
-            return;
-        }
-        endpoints.probe(
-                endpoint,
-                probeWithinNs,
-                ending -> {
-                    meter.healthChecked(endpoint, ending.outcome(), ending.load());
-                    decisions.event(
-                            null,
-                            (module, now) ->
-                                    module.healthChecked(
-                                            now,
-                                            endpoint,
-                                            ending.outcome(),
-                                            ending.latencyNs(),
-                                            ending.load()));
-                });
-    }
-
-    @Override
-    public void closeIdle(String endpoint) {
-        endpoints.closeIdle(endpoint);
-    }
-
-    @Override
-    public void tell(int peer, byte[] data) {
-        LOG.warn("the module would tell a peer something: nodes share nothing here");
-    }
-
-    @Override
-    public void watch(boolean on) {
-        if (list != null) {
-            list.watch(on);
-        }
-    }
-
-    @Override
-    public void fetch() {
-        if (list != null) {
-            list.fetch();
-        }
-    }
-
-    @Override
-    public void log(String text) {
-        LOG.info(text);
-    }
 }
--- a/engine/src/main/java/trailthread/engine/request/RequestHandler.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestHandler.java
@@ -1,15 +1,15 @@
 package trailthread.engine.request;
 
-/** Takes the calls that clients make. */
+/** Handles the requests that clients send. */
 public interface RequestHandler {
     /**
-     * A call has come whole; {@code reply} must answer it by its deadline.
+     * Admits a request that has been received; {@code response} answers it by its deadline.
      *
-     * @param deadline when the client goes away, by the node's clock
-     * @return what to run if the client goes away before it is answered
+     * @param deadline when the client stops waiting, by the loop's clock
+     * @return to be run if the client disconnects before it is answered
      */
-    Runnable take(ClientRequest call, long deadline, ClientResponse reply);
+    Runnable take(ClientRequest request, long deadline, ClientResponse response);
 
-    /** Whether a call with this id is at work; another one may not be taken beside it. */
-    boolean isOpen(String id);
+    /** Whether a request with this client's id is open; a second one may not be admitted then. */
+    boolean isOpen(String clientId);
 }
--- a/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
+++ b/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
@@ -9,14 +9,16 @@
 import trailthread.api.BalancerActions;
 import trailthread.api.BalancerEvents;
 
-/** The module is never entered again from within an event, and its failure is one event's. */
+/** The balancer is never entered again from within an event, and its exception ends one event. */
 public class BalancerDriverTest {
     private final List<String> log = new ArrayList<>();
     private long now;
-    private final BalancerDriver decisions = new BalancerDriver(() -> now);
+    private final BalancerDriver driver = new BalancerDriver(() -> now);
 
-    /** Something of this type whose every call is logged by name, and then done. */
-    private <T> T logged(Class<T> type, Runnable then) {
+    /**
+     * An implementation of the interface that logs each method's begin and end, and runs a task.
+     */
+    private <T> T logged(Class<T> type, Runnable task) {
         Class<?>[] types = {type};
         return type.cast(
                 Proxy.newProxyInstance(
@@ -24,7 +26,7 @@
                         types,
                         (proxy, method, args) -> {
                             log.add(method.getName());
-                            then.run();
+                            task.run();
                             log.add("/" + method.getName());
                             return null;
                         }));
@@ -32,35 +34,35 @@
 
     @Test
     public void actionsWaitForTheEventToEnd() {
-        BalancerActions seen =
-                decisions.queueing(
+        BalancerActions actions =
+                driver.queueingActions(
                         logged(
                                 BalancerActions.class,
                                 () -> {
-                                    if (log.size()
-                                            == 3) { // an action that ends at once, as a send to a
-                                        // endpoint that is gone
-                                        decisions.event(null, (module, now) -> module.gone(2, 7));
+                                    // A send that fails at once, as to a removed endpoint.
+                                    if (log.size() == 3) {
+                                        driver.deliver(
+                                                null, (balancer, now) -> balancer.gone(2, 7));
                                     }
                                 }));
-        decisions.setModule(
+        driver.setBalancer(
                 logged(
                         BalancerEvents.class,
                         () -> {
                             if (log.size() == 1) {
-                                seen.send(7, 0, Long.MAX_VALUE, "w");
-                                seen.watch(true);
+                                actions.send(7, 0, Long.MAX_VALUE, "w");
+                                actions.watch(true);
                             }
                         }));
-        decisions.event(null, (module, now) -> module.timer(1, 0));
+        driver.deliver(null, (balancer, now) -> balancer.timer(1, 0));
         assertEquals(
                 List.of("timer", "/timer", "send", "gone", "/gone", "/send", "watch", "/watch"),
                 log);
     }
 
     @Test
-    public void aModuleThatThrowsFailsOneEvent() {
-        decisions.setModule(
+    public void aBalancerThatThrowsFailsOneEvent() {
+        driver.setBalancer(
                 logged(
                         BalancerEvents.class,
                         () -> {
@@ -69,16 +71,16 @@
                                         "scripted: this trace is part of the test");
                             }
                         }));
-        decisions.event(null, (module, now) -> module.timer(1, 0));
-        decisions.event(null, (module, now) -> module.gone(2, 7));
+        driver.deliver(null, (balancer, now) -> balancer.timer(1, 0));
+        driver.deliver(null, (balancer, now) -> balancer.gone(2, 7));
         assertEquals(List.of("timer", "gone", "/gone"), log);
     }
 
     @Test
-    public void aDelayCountsFromTheEventHoweverLateItIsSet() {
+    public void aDelayCountsFromTheEventHoweverLateItsTimerIsSet() {
         List<Object> set = new ArrayList<>();
-        BalancerActions seen =
-                decisions.queueing(
+        BalancerActions actions =
+                driver.queueingActions(
                         (BalancerActions)
                                 Proxy.newProxyInstance(
                                         BalancerActions.class.getClassLoader(),
@@ -88,15 +90,15 @@
                                             set.addAll(List.of(args));
                                             return null;
                                         }));
-        decisions.setModule(
+        driver.setBalancer(
                 logged(
                         BalancerEvents.class,
                         () -> {
-                            now += 7; // the module itself runs cold
-                            seen.timer(100, 1);
-                            seen.timer(100, 2);
+                            now += 7; // the balancer itself takes time
+                            actions.timer(100, 1);
+                            actions.timer(100, 2);
                         }));
-        decisions.event(null, (module, at) -> module.gone(at, 7));
+        driver.deliver(null, (balancer, at) -> balancer.gone(at, 7));
         assertEquals(List.of(93L, 1L, 63L, 2L), set);
     }
 }
--- a/engine/src/test/java/trailthread/engine/request/DisconnectedClientTest.java
+++ b/engine/src/test/java/trailthread/engine/request/DisconnectedClientTest.java
@@ -29,9 +29,9 @@
 import trailthread.engine.loop.EventLoop;
 import trailthread.engine.metrics.MetricsRecorder;
 
-/** What becomes of a call whose client goes away. */
+/** What becomes of a request whose client disconnects. */
 public class DisconnectedClientTest {
-    private static final long LONG_NS = 60_000_000_000L;
+    private static final long TIMEOUT_NS = 60_000_000_000L;
     private final EventLoop loop;
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
@@ -45,12 +45,12 @@
         server.close();
     }
 
-    private static ClientRequest call(String id) {
+    private static ClientRequest request(String id) {
         return new ClientRequest(
-                id, "use", null, LONG_NS, false, 0, 0, "POST", "/use", null, new byte[4], null);
+                id, "use", null, TIMEOUT_NS, false, 0, 0, "POST", "/use", null, new byte[4], null);
     }
 
-    private static ClientResponse anyReply() {
+    private static ClientResponse ignoringResponse() {
         return (ClientResponse)
                 Proxy.newProxyInstance(
                         ClientResponse.class.getClassLoader(),
@@ -58,16 +58,16 @@
                         (proxy, method, args) -> null);
     }
 
-    /** It was written all the same, and ran for nobody. */
+    /** Prevents an endpoint from working for a client that has disconnected. */
     @Test
-    public void whatHasNotBegunIsNotWrittenAnyMore() throws Exception {
+    public void anAttemptThatHasNotBegunIsNotWritten() throws Exception {
         Settings settings = new Settings();
         settings.classes.add(
                 new RequestClass(
                         "use",
-                        LONG_NS,
+                        TIMEOUT_NS,
                         0,
-                        LONG_NS,
+                        TIMEOUT_NS,
                         Idempotency.NOT_IDEMPOTENT,
                         DeduplicationScope.ALL,
                         0,
@@ -75,8 +75,8 @@
                         0));
         EndpointPool endpoints =
                 new EndpointPool(
-                        loop, LONG_NS, LONG_NS, 0, ConnectionLimit.of(4), 0, CpuAccount.NONE);
-        RequestDispatcher calls =
+                        loop, TIMEOUT_NS, TIMEOUT_NS, 0, ConnectionLimit.of(4), 0, CpuAccount.NONE);
+        RequestDispatcher dispatcher =
                 new RequestDispatcher(loop, endpoints, settings, 1, MetricsRecorder.OFF);
         loop.execute(
                 () -> {
@@ -94,13 +94,16 @@
                                                     1,
                                                     0))),
                             loop.now());
-                    calls.list(
+                    dispatcher.list(
                             ListKind.FULL,
                             List.of(new EndpointEntry("w", 1, EndpointState.READY, "a", 0, 0)));
-                    Runnable gone = calls.take(call("left"), loop.now() + LONG_NS, anyReply());
-                    gone.run(); // the attempt has been decided on, and starts after this
-                    assertFalse(calls.isOpen("left"));
-                    calls.take(call("stays"), loop.now() + LONG_NS, anyReply());
+                    Runnable disconnected =
+                            dispatcher.take(
+                                    request("left"), loop.now() + TIMEOUT_NS, ignoringResponse());
+                    // The attempt has been decided on, and starts after this.
+                    disconnected.run();
+                    assertFalse(dispatcher.isOpen("left"));
+                    dispatcher.take(request("stays"), loop.now() + TIMEOUT_NS, ignoringResponse());
                 });
         try (Socket connection = server.accept()) {
             String id =
