--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -23,7 +23,7 @@
 import trailthread.engine.loop.EventLoop;
 import trailthread.engine.metrics.MetricsRecorder;
 import trailthread.engine.quota.Quota;
-import trailthread.engine.quota.TimeShare;
+import trailthread.engine.quota.TimeQuota;
 import trailthread.engine.request.ClientRequest;
 import trailthread.engine.request.ClientResponse;
 import trailthread.engine.request.RequestDispatcher;
@@ -41,7 +41,7 @@
     private final Quota.Party calls;
     private final Quota.Party connections;
     private final Quota.Party bodyBytes;
-    private final TimeShare.Party time;
+    private final TimeQuota.Party time;
     private final EndpointPool endpoints;
     private final RequestDispatcher atWork;
     private final EndpointListSource list;
--- a/engine/src/main/java/trailthread/engine/pool/Shares.java
+++ b/engine/src/main/java/trailthread/engine/pool/Shares.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import trailthread.engine.loop.EventLoop;
 import trailthread.engine.quota.Quota;
-import trailthread.engine.quota.TimeShare;
+import trailthread.engine.quota.TimeQuota;
 
 /** What the pools of a process share, and divide. */
 public final class Shares {
@@ -18,7 +18,7 @@
     final Quota calls;
     final Quota connections;
     final Quota bodyBytes;
-    final TimeShare time;
+    final TimeQuota time;
     private final List<Pool> pools = new ArrayList<>();
 
     /**
@@ -33,7 +33,7 @@
         this.calls = new Quota(calls, WANTED_NS);
         this.connections = new Quota(connections, WANTED_NS);
         this.bodyBytes = new Quota(bodyBytes, WANTED_NS);
-        time = new TimeShare(TIME_SPAN_NS, loop.now());
+        time = new TimeQuota(TIME_SPAN_NS, loop.now());
     }
 
     /** How much of its time the thread was at work for the pools of late, 0 to about 1. */
--- a/engine/src/main/java/trailthread/engine/quota/TimeShare.java
+++ b/engine/src/main/java/trailthread/engine/quota/TimeQuota.java
@@ -9,7 +9,7 @@
  * fades with the time constant of the span, as in a leaky bucket (Turner, "New Directions in
  * Communications", 1986).
  */
-public final class TimeShare {
+public final class TimeQuota {
     /** From this share of the time in use on, there is none to spare. */
     private static final double FULL = 0.9;
 
@@ -23,7 +23,7 @@
      *
      * @param spanNs how far back use counts, in ns
      */
-    public TimeShare(long spanNs, long now) {
+    public TimeQuota(long spanNs, long now) {
         this.spanNs = spanNs;
         at = now;
     }
--- a/engine/src/test/java/trailthread/engine/quota/QuotaTest.java
+++ b/engine/src/test/java/trailthread/engine/quota/QuotaTest.java
@@ -69,9 +69,9 @@
 
     @Test
     public void whileThereIsTimeAllBegin() {
-        TimeShare time = new TimeShare(200 * MS, 0);
-        TimeShare.Party a = time.join(1);
-        TimeShare.Party b = time.join(3);
+        TimeQuota time = new TimeQuota(200 * MS, 0);
+        TimeQuota.Party a = time.join(1);
+        TimeQuota.Party b = time.join(3);
         a.used(100 * MS, 0);
         assertTrue(a.mayBegin(0) && b.mayBegin(0));
         assertEquals(0.5, a.share(0), 0.001);
@@ -80,9 +80,9 @@
 
     @Test
     public void withoutTimeWhoHasHadItsShareBeginsNothing() {
-        TimeShare time = new TimeShare(200 * MS, 0);
-        TimeShare.Party a = time.join(1);
-        TimeShare.Party b = time.join(3);
+        TimeQuota time = new TimeQuota(200 * MS, 0);
+        TimeQuota.Party a = time.join(1);
+        TimeQuota.Party b = time.join(3);
         a.used(100 * MS, 0);
         b.used(100 * MS, 0);
         assertFalse("a quarter is its own", a.mayBegin(0));
