--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -1,6 +1,5 @@
 package trailthread.engine.pool;
 
-import java.nio.ByteBuffer;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -9,55 +8,52 @@
 import org.slf4j.LoggerFactory;
 import trailthread.api.EndpointEntry;
 import trailthread.api.ListKind;
+import trailthread.api.Settings;
 import trailthread.engine.discovery.DiscoveryClient;
 import trailthread.engine.discovery.DiscoveryListener;
 import trailthread.engine.discovery.DiscoveryUpdate;
 import trailthread.engine.discovery.EndpointListFile;
 import trailthread.engine.discovery.EndpointListSource;
 import trailthread.engine.discovery.StaticEndpointList;
-import trailthread.engine.endpoint.ConnectionLimit;
 import trailthread.engine.endpoint.EndpointPool;
-import trailthread.engine.endpoint.EndpointResponse;
-import trailthread.engine.http.ByteSink;
 import trailthread.engine.loop.CpuAccount;
 import trailthread.engine.loop.EventLoop;
 import trailthread.engine.metrics.MetricsRecorder;
-import trailthread.engine.quota.Quota;
-import trailthread.engine.quota.TimeQuota;
 import trailthread.engine.request.ClientRequest;
 import trailthread.engine.request.ClientResponse;
 import trailthread.engine.request.RequestDispatcher;
 import trailthread.engine.request.RequestHandler;
 
 /**
- * One service: its decision module, its endpoints, its calls, and its part of what the process has.
+ * One service: its balancer, endpoints and requests, and its part of the quotas that the pools of
+ * the process share. Everything runs on the loop's thread.
  */
 public final class Pool implements RequestHandler, DiscoveryListener, CpuAccount {
     private static final Logger LOG = LoggerFactory.getLogger(Pool.class);
+    private static final DiscoveryUpdate NO_ENDPOINTS = new DiscoveryUpdate(0, true, List.of());
 
     private final EventLoop loop;
     private final PoolConfig config;
     private final Shares shares;
-    private final Quota.Party calls;
-    private final Quota.Party connections;
-    private final Quota.Party bodyBytes;
-    private final TimeQuota.Party time;
+    private final PoolQuotas quotas;
     private final EndpointPool endpoints;
-    private final RequestDispatcher atWork;
-    private final EndpointListSource list;
-    private final PoolMetrics meter;
+    private final RequestDispatcher dispatcher;
+    private final EndpointListSource discovery;
+    private final PoolMetrics metrics;
 
-    /** Whether the call that the module hears of now is within this pool's part. */
-    private boolean roomForThis;
+    /** Whether the request that is delivered to the balancer now is within the pool's quotas. */
+    private boolean withinQuota;
 
-    private DiscoveryUpdate known = new DiscoveryUpdate(0, true, List.of());
+    private DiscoveryUpdate known = NO_ENDPOINTS;
     private boolean retired;
 
     /**
-     * Makes a pool, which begins with {@link #start}; to be called on the loop's thread.
+     * Makes a pool, which serves from {@link #start} on.
      *
+     * @param seed of its balancer's random numbers
+     * @param operators records its metrics, beside those of the other pools
      * @throws IllegalArgumentException if its guarantees are more than there is, or its settings
-     *     make no sense
+     *     are invalid
      */
     public Pool(
             EventLoop loop,
@@ -68,39 +64,28 @@
         this.loop = loop;
         this.config = config;
         this.shares = shares;
-        calls =
-                shares.calls.join(
-                        config.limits().calls().guaranteed(), config.limits().calls().most());
-        connections =
-                shares.connections.join(
-                        config.limits().connections().guaranteed(),
-                        config.limits().connections().most());
-        bodyBytes =
-                shares.bodyBytes.join(
-                        config.limits().bodyBytes().guaranteed(),
-                        config.limits().bodyBytes().most());
-        time = shares.time.join(config.limits().loopWeight());
-        var settings = config.settings();
+        quotas = new PoolQuotas(shares, config.limits());
+        Settings settings = config.settings();
         endpoints =
                 new EndpointPool(
                         loop,
                         settings.connectTimeoutNs,
                         config.rules().idleCloseNs(),
                         config.rules().drainGraceNs(),
-                        new Room(),
+                        new PoolConnectionLimit(loop, shares, quotas.connections),
                         settings.latencyResolutionNs(),
                         this);
-        meter = new PoolMetrics(config.name(), operators);
-        atWork = new RequestDispatcher(loop, endpoints, settings, seed, meter);
-        atWork.admit((requestClass, overQuota, random) -> roomForThis);
-        list = list(config.source());
-        atWork.setDiscovery(list);
-        shares.joined(this);
+        metrics = new PoolMetrics(config.name(), operators);
+        dispatcher = new RequestDispatcher(loop, endpoints, settings, seed, metrics);
+        dispatcher.admit((requestClass, overQuota, random) -> withinQuota);
+        discovery = discovery(config.source());
+        dispatcher.setDiscovery(discovery);
+        shares.add(this);
     }
 
-    private EndpointListSource list(PoolConfig.Source source) {
-        if (source instanceof PoolConfig.Source.Roster roster) {
-            return new DiscoveryClient(loop, EndpointPool.address(roster.hostPort()), this);
+    private EndpointListSource discovery(PoolConfig.Source source) {
+        if (source instanceof PoolConfig.Source.Roster server) {
+            return new DiscoveryClient(loop, EndpointPool.address(server.hostPort()), this);
         }
         if (source instanceof PoolConfig.Source.ListFile file) {
             return new EndpointListFile(loop, Path.of(file.path()), this);
@@ -111,43 +96,38 @@
     /**
      * Serves from now on.
      *
-     * @param before the list that another pool of this source had, or null
+     * @param before the endpoint list of an earlier pool with this source; null: there was none
      */
     public void start(DiscoveryUpdate before) {
         if (before != null) {
-            list.known(before);
-            listed(ListKind.CACHED, before, loop.now());
+            discovery.known(before);
+            apply(ListKind.CACHED, before, loop.now());
         } else {
-            listed(ListKind.CACHED, known, loop.now());
+            apply(ListKind.CACHED, known, loop.now());
         }
-        list.start();
+        discovery.start();
     }
 
     /**
-     * Takes nothing new from now on; what it has taken it finishes, and then closes all that it
-     * holds.
+     * Shuts down gracefully: admits nothing from now on, finishes its open requests, and then
+     * closes its connections and leaves the quotas.
      */
     public void retire() {
         if (retired) {
             return;
         }
         retired = true;
-        list.close();
-        // Its guarantees are for others from now on; its calls may still need what is left.
-        calls.change(0, config.limits().calls().most());
-        connections.change(0, config.limits().connections().most());
-        bodyBytes.change(0, config.limits().bodyBytes().most());
-        atWork.retire(
-                () -> {
-                    endpoints.update(new DiscoveryUpdate(0, true, List.of()), loop.now());
-                    calls.leave();
-                    connections.leave();
-                    bodyBytes.leave();
-                    time.leave();
-                    shares.left(this);
-                    meter.ended();
-                    LOG.info("pool {} has ended", config.name());
-                });
+        discovery.close();
+        quotas.dropGuarantees();
+        dispatcher.retire(this::lastRequestEnded);
+    }
+
+    private void lastRequestEnded() {
+        endpoints.update(NO_ENDPOINTS, loop.now());
+        quotas.leave();
+        shares.remove(this);
+        metrics.poolRemoved();
+        LOG.info("pool {} has ended", config.name());
     }
 
     /** What it was made from. */
@@ -155,7 +135,7 @@
         return config;
     }
 
-    /** Its endpoints, as it knows them. */
+    /** Its endpoints, as discovery last gave them. */
     public DiscoveryUpdate known() {
         return known;
     }
@@ -165,203 +145,106 @@
         return endpoints.connections();
     }
 
-    /** How many of its endpoints are avoided just now. */
+    /** How many of its endpoints the balancer avoids now. */
     public int avoidedEndpoints() {
-        return atWork.avoidedEndpoints();
+        return dispatcher.avoidedEndpoints();
     }
 
-    /** How many calls it has open. */
+    /** How many requests are open. */
     public long open() {
-        return calls.holds();
+        return quotas.requests.held();
     }
 
-    /** The share of the thread's time that it has used of late. */
+    /** The fraction of the thread's time that it has used of late, 0 to about 1. */
     public double loopShare() {
-        return time.share(loop.now());
+        return quotas.loopTime.fraction(loop.now());
     }
 
-    /** Whether a body of so many bytes may be kept; {@link #giveBody} follows if so. */
+    /** Whether a body of so many bytes may be buffered; {@link #giveBody} follows if so. */
     public boolean takeBody(long bytes) {
-        return bytes == 0 || bodyBytes.take(bytes, loop.now());
+        return quotas.acquireBody(bytes, loop.now());
     }
 
-    /** A body is kept no more. */
+    /** A body is buffered no more. */
     public void giveBody(long bytes) {
-        if (bytes > 0) {
-            bodyBytes.give(bytes);
-        }
+        quotas.releaseBody(bytes);
     }
 
-    // ---- calls
-    // -------------------------------------------------------------------------------------
-
     @Override
-    public Runnable take(ClientRequest call, long deadline, ClientResponse reply) {
-        return take(call, deadline, reply, 0);
+    public Runnable take(ClientRequest request, long deadline, ClientResponse response) {
+        return take(request, deadline, response, 0);
     }
 
     /**
-     * Takes a call. What is past this pool's part the module hears of, and turns away.
+     * Admits a request. One beyond the pool's quotas is delivered to the balancer too, which
+     * rejects it.
      *
-     * @param kept how many bytes were taken for its body, which are given back with its end; -1:
-     *     there was no room
+     * @param bodyBytes how many bytes were acquired for its body; they are released with its end.
+     *     -1: they could not be acquired
      */
-    public Runnable take(ClientRequest call, long deadline, ClientResponse reply, long kept) {
-        Place place = new Place(reply, Math.max(0, kept));
-        charge(
-                () -> {
-                    long now = loop.now();
-                    roomForThis = kept >= 0 && !retired && time.mayBegin(now) && calls.take(1, now);
-                    place.counted = roomForThis;
-                    place.gone = atWork.take(call, deadline, place);
-                });
-        return place;
+    public Runnable take(
+            ClientRequest request, long deadline, ClientResponse response, long bodyBytes) {
+        QuotaReleasingResponse releasing =
+                new QuotaReleasingResponse(response, quotas, Math.max(0, bodyBytes));
+        charge(() -> take(request, deadline, releasing, bodyBytes >= 0));
+        return releasing;
+    }
+
+    private void take(
+            ClientRequest request,
+            long deadline,
+            QuotaReleasingResponse response,
+            boolean bodyWithinQuota) {
+        long now = loop.now();
+        withinQuota =
+                bodyWithinQuota
+                        && !retired
+                        && quotas.loopTime.mayStart(now)
+                        && quotas.requests.acquire(1, now);
+        if (withinQuota) {
+            response.countAsOpen();
+        }
+        response.setWhenDisconnected(dispatcher.take(request, deadline, response));
     }
 
     @Override
-    public boolean isOpen(String id) {
-        return atWork.isOpen(id);
+    public boolean isOpen(String clientId) {
+        return dispatcher.isOpen(clientId);
     }
 
     @Override
     public void spent(long ns) {
-        time.used(ns, loop.now());
+        quotas.loopTime.used(ns, loop.now());
     }
 
-    // ---- endpoints
-    // -----------------------------------------------------------------------------------
-
     @Override
     public void told(DiscoveryUpdate update, long knownSince) {
         if (!retired) {
-            listed(update.reset() ? ListKind.FULL : ListKind.DELTA, update, knownSince);
+            apply(update.reset() ? ListKind.FULL : ListKind.DELTA, update, knownSince);
         }
     }
 
     @Override
     public void failed() {
         if (!retired) {
-            atWork.list(ListKind.FAILED, List.of());
+            dispatcher.list(ListKind.FAILED, List.of());
         }
     }
 
-    private void listed(ListKind kind, DiscoveryUpdate update, long knownSince) {
+    private void apply(ListKind kind, DiscoveryUpdate update, long knownSince) {
         known = update.onto(known);
         endpoints.update(update, knownSince);
         List<EndpointEntry> entries = new ArrayList<>();
         update.instances().forEach(endpoint -> entries.add(endpoint.entry()));
-        meter.listed(kind, entries);
-        atWork.list(kind, entries);
-    }
-
-    /** Closes idle connections, as far as they were lent and others want them. */
-    void giveBackIdle() {
-        long owed = connections.owes(loop.now());
-        if (owed > 0) {
-            endpoints.closeIdle((int) owed);
-        }
-    }
-
-    /**
-     * A call's place among those that the pool may have open, until its answer or its client's end.
-     */
-    private final class Place implements ClientResponse, Runnable {
-        private final ClientResponse reply;
-        private final long bytes;
-        private boolean counted;
-        private Runnable gone;
-        private boolean given;
-
-        Place(ClientResponse reply, long bytes) {
-            this.reply = reply;
-            this.bytes = bytes;
-        }
-
-        private void give() {
-            if (!given) {
-                given = true;
-                giveBody(bytes);
-                if (counted) {
-                    calls.give(1);
-                }
-            }
-        }
-
-        @Override
-        public void served(EndpointResponse made) {
-            give();
-            reply.served(made);
-        }
-
-        @Override
-        public ByteSink begin(
-                EndpointResponse head, long length, Runnable more, Runnable clientGone) {
-            ByteSink sink = reply.begin(head, length, more, clientGone);
-            return new ByteSink() {
-                @Override
-                public boolean piece(ByteBuffer piece) {
-                    return sink.piece(piece);
-                }
-
-                @Override
-                public void end() {
-                    give();
-                    sink.end();
-                }
-
-                @Override
-                public void broken() {
-                    give();
-                    sink.broken();
-                }
-            };
-        }
-
-        @Override
-        public void refused(long retryAfterNs) {
-            give();
-            reply.refused(retryAfterNs);
-        }
-
-        @Override
-        public void failed() {
-            give();
-            reply.failed();
-        }
-
-        @Override
-        public void released() {
-            reply.released();
-        }
-
-        /** The client has gone. */
-        @Override
-        public void run() {
-            give();
-            gone.run();
-        }
+        metrics.listed(kind, entries);
+        dispatcher.list(kind, entries);
     }
 
-    /** The connections that it may have. */
-    private final class Room implements ConnectionLimit {
-        @Override
-        public boolean take() {
-            boolean taken = connections.take(1, loop.now());
-            if (!taken) {
-                shares.connectionWanted();
-                taken = connections.take(1, loop.now());
-            }
-            return taken;
-        }
-
-        @Override
-        public void give() {
-            connections.give(1);
-        }
-
-        @Override
-        public boolean keepsIdle() {
-            return connections.owes(loop.now()) == 0;
+    /** Closes idle connections as far as the pool holds more than its part and others want some. */
+    void closeExcessIdleConnections() {
+        long excess = quotas.connections.excess(loop.now());
+        if (excess > 0) {
+            endpoints.closeIdle((int) excess);
         }
     }
 }
--- a/engine/src/main/java/trailthread/engine/pool/PoolConfig.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolConfig.java
@@ -9,18 +9,18 @@
 import trailthread.api.WeightMeaning;
 
 /**
- * All that makes a pool what it is. Equal ones are one pool: a reload keeps a pool whose
- * configuration is equal to the one before.
+ * The configuration of one pool. A reload keeps a pool whose configuration is equal to the one
+ * before.
  *
  * @param name unique in the process
- * @param profile how its clients and endpoints speak
- * @param source where its list of endpoints comes from
- * @param place where this node stands among those that share the endpoints
- * @param classes its classes of calls; for each {@link Repeats} the first one is the default of
- *     plain calls
+ * @param profile the protocol of its clients and endpoints
+ * @param source where its endpoint list comes from
+ * @param place this node among those that share the endpoints
+ * @param classes its request classes; for each {@link Repeats} the first one is the default of
+ *     plain requests
  * @param tenants those with a quota
- * @param rules what holds for its attempts and refusals
- * @param limits what it may have of what the process has
+ * @param rules for its attempts and rejections
+ * @param limits its parts of the quotas that pools share
  */
 public record PoolConfig(
         String name,
@@ -31,53 +31,59 @@
         List<Tenant> tenants,
         Rules rules,
         Limits limits) {
-    /** How clients and endpoints speak. */
+    /** The protocol of clients and endpoints. */
     public enum Profile {
         /**
-         * Any HTTP/1.1: methods tell what may be repeated, headers pass, endpoints may answer with
-         * any status.
+         * Any HTTP/1.1: the method determines idempotency, headers are forwarded, endpoints may
+         * answer with any status.
          */
         PLAIN,
-        /** The platform's: classes and deadlines in headers of its own, 200 alone is an answer. */
+        /**
+         * The platform's: class and deadline are in its own headers; only status 200 is success.
+         */
         PLATFORM
     }
 
-    /** Where a list of endpoints comes from. */
+    /** Where an endpoint list comes from. */
     public sealed interface Source {
-        /** A roster, watched, at address:port. */
+        /** A discovery server at address:port, which is watched. */
         record Roster(String hostPort) implements Source {}
 
-        /** These endpoints, at address:port, for good. */
+        /** A fixed list of endpoints, each at address:port. */
         record Fixed(List<String> hostPorts) implements Source {
             public Fixed {
                 hostPorts = List.copyOf(hostPorts);
             }
         }
 
-        /** A file that holds what a roster would send; it may be replaced at any moment. */
+        /** A file with what a discovery server would send; it may be replaced at any time. */
         record ListFile(String path) implements Source {}
     }
 
     /**
-     * Where this node stands.
+     * This node among those that share the endpoints.
      *
      * @param zone its own; endpoints of other zones cost more by {@link Rules#crossZonePrice}
-     * @param number from 0 on
-     * @param nodes how many share the endpoints, 1 or more
+     * @param number its own, from 0
+     * @param nodes how many there are, 1 or more
      */
     public record Place(String zone, int number, int nodes) {}
 
-    /** What may be done again. RFC 9110, 9.2; a keyed call carries {@code Idempotency-Key}. */
+    /** Which requests may be retried (RFC 9110, 9.2). */
     public enum Repeats {
+        /** Read-only methods. */
         SAFE,
+        /** Methods that have the same effect however often they are sent. */
         IDEMPOTENT,
+        /** Requests with an {@code Idempotency-Key}. */
         KEYED,
+        /** All others: not idempotent. */
         UNSAFE
     }
 
-    /** A class of calls, as the decision module has it, and what of it may be done again. */
+    /** A request class, as the balancer has it, and which of its requests may be retried. */
     public record ClassConfig(RequestClass rules, Repeats repeats) {
-        /** What the decision module is to think of calls that may be repeated so. */
+        /** The same for the balancer, which does not tell safe from idempotent requests. */
         public static Idempotency idempotency(Repeats repeats) {
             return switch (repeats) {
                 case SAFE, IDEMPOTENT -> Idempotency.IDEMPOTENT;
@@ -88,12 +94,18 @@
     }
 
     /**
-     * What holds for attempts and refusals; times in ns.
+     * Rules for attempts and rejections; times in ns.
      *
      * @param idleCloseNs how long an endpoint leaves an idle connection open
-     * @param drainGraceNs how long after the news of a drain something new may still be sent
+     * @param drainGraceNs how long new requests may still be sent after an endpoint is known to be
+     *     draining
      * @param responseSlackNs how far past a client's deadline an answer still counts
-     * @param maxRetryAfterNs the longest advice on when to return; 0: none is given
+     * @param maxRetryAfterNs the longest Retry-After; 0: none is sent
+     * @param crossZonePrice of an attempt to another zone, as a fraction of the balancer's
+     *     objective
+     * @param slowStartInitialShare the fraction of its capacity that an endpoint has at the start
+     *     of its slow start
+     * @param slowStartNs how long the slow start lasts
      */
     public record Rules(
             int maxAttempts,
@@ -108,16 +120,21 @@
             double slowStartInitialShare,
             long slowStartNs) {}
 
-    /** Of one thing: what is there for it at all times, and the most that it may have. */
+    /**
+     * A pool's part of one quota.
+     *
+     * @param guaranteed the amount that it can always have
+     * @param most its limit
+     */
     public record Part(long guaranteed, long most) {}
 
     /**
-     * Its part of what the process has.
+     * Its parts of the quotas that pools share.
      *
-     * @param calls open at a time
+     * @param calls requests open at a time
      * @param connections to its endpoints
-     * @param bodyBytes of bodies that clients have sent and that are kept for their attempts
-     * @param loopWeight its weight in the division of the one thread's time, above 0
+     * @param bodyBytes of request bodies that are buffered
+     * @param loopWeight its weight in the division of the loop's time, above 0
      */
     public record Limits(Part calls, Part connections, Part bodyBytes, double loopWeight) {}
 
@@ -126,7 +143,7 @@
         tenants = List.copyOf(tenants);
     }
 
-    /** What the decision module is told. */
+    /** The settings of its balancer. */
     Settings settings() {
         Settings s = new Settings();
         s.me = place.number();
@@ -150,20 +167,29 @@
     }
 
     /**
-     * The class of a plain call that may be repeated so and names none: the first that is no laxer.
+     * The class of a plain request that names none: the first for these repeats, else the first
+     * whose requests are not retried.
+     *
+     * @throws IllegalStateException if there is neither
      */
     public ClassConfig defaultClass(Repeats repeats) {
-        for (ClassConfig c : classes) {
-            if (c.repeats() == repeats) {
-                return c;
-            }
+        ClassConfig found = firstClass(repeats);
+        if (found == null) {
+            found = firstClass(Repeats.UNSAFE);
+        }
+        if (found == null) {
+            throw new IllegalStateException(
+                    "pool " + name + " has no class of requests that may not be retried");
         }
+        return found;
+    }
+
+    private ClassConfig firstClass(Repeats repeats) {
         for (ClassConfig c : classes) {
-            if (c.repeats() == Repeats.UNSAFE) {
+            if (c.repeats() == repeats) {
                 return c;
             }
         }
-        throw new IllegalStateException(
-                "pool " + name + " has no class of calls that may not be repeated");
+        return null;
     }
 }
--- a/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
@@ -13,86 +13,89 @@
 import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.metrics.RequestResult;
 
-/** Tells the operators' meter of one pool: classes and endpoints are called pool/name there. */
+/** Records one pool's metrics among those of all pools, with classes and endpoints as pool/name. */
 final class PoolMetrics implements MetricsRecorder {
     private final String prefix;
-    private final MetricsRecorder operators;
+    private final MetricsRecorder recorder;
+
+    /** The pool's endpoints, by their names without the prefix. */
     private final Map<String, EndpointEntry> listed = new HashMap<>();
 
-    PoolMetrics(String pool, MetricsRecorder operators) {
+    PoolMetrics(String pool, MetricsRecorder recorder) {
         this.prefix = pool + "/";
-        this.operators = operators;
+        this.recorder = recorder;
     }
 
     @Override
     public void taken(String requestClass) {
-        operators.taken(prefix + requestClass);
+        recorder.taken(prefix + requestClass);
     }
 
     @Override
-    public void answered(String requestClass, RequestResult answer, long afterNs, long waitedNs) {
-        operators.answered(prefix + requestClass, answer, afterNs, waitedNs);
+    public void answered(String requestClass, RequestResult result, long latencyNs, long queuedNs) {
+        recorder.answered(prefix + requestClass, result, latencyNs, queuedNs);
     }
 
     @Override
     public void gone(String requestClass) {
-        operators.gone(prefix + requestClass);
+        recorder.gone(prefix + requestClass);
     }
 
     @Override
-    public void rejected(RejectionReason why) {
-        operators.rejected(why);
+    public void rejected(RejectionReason reason) {
+        recorder.rejected(reason);
     }
 
     @Override
     public void attemptBegun(String endpoint) {
-        operators.attemptBegun(prefix + endpoint);
+        recorder.attemptBegun(prefix + endpoint);
     }
 
     @Override
     public void attemptSent() {
-        operators.attemptSent();
+        recorder.attemptSent();
     }
 
     @Override
     public void attemptEnded(String endpoint, Outcome outcome, long latencyNs, LoadReport load) {
-        operators.attemptEnded(prefix + endpoint, outcome, latencyNs, load);
+        recorder.attemptEnded(prefix + endpoint, outcome, latencyNs, load);
     }
 
     @Override
     public void healthChecked(String endpoint, Outcome outcome, LoadReport load) {
-        operators.healthChecked(prefix + endpoint, outcome, load);
+        recorder.healthChecked(prefix + endpoint, outcome, load);
     }
 
     /**
-     * The meter holds the endpoints of all pools, so a whole list of one is told as what changed.
+     * Records a full list as the changes to the one before: the metrics hold the endpoints of all
+     * pools, and a full list of one would remove the others.
      */
     @Override
     public void listed(ListKind kind, List<EndpointEntry> entries) {
         List<EndpointEntry> changes = new ArrayList<>();
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
-            Map<String, EndpointEntry> left = new HashMap<>(listed);
-            entries.forEach(entry -> left.remove(entry.endpoint()));
-            left.values().forEach(entry -> changes.add(named(entry, EndpointState.GONE)));
+            Map<String, EndpointEntry> removed = new HashMap<>(listed);
+            entries.forEach(entry -> removed.remove(entry.endpoint()));
+            removed.values().forEach(entry -> changes.add(withPrefix(entry, EndpointState.GONE)));
             listed.clear();
         }
         for (EndpointEntry entry : entries) {
-            changes.add(named(entry, entry.state()));
+            changes.add(withPrefix(entry, entry.state()));
             if (entry.state() == EndpointState.GONE) {
                 listed.remove(entry.endpoint());
             } else {
                 listed.put(entry.endpoint(), entry);
             }
         }
-        operators.listed(ListKind.DELTA, changes);
+        recorder.listed(ListKind.DELTA, changes);
     }
 
-    /** The pool is no more, nor are its endpoints. */
-    void ended() {
+    /** Removes the pool's endpoints from the metrics. */
+    void poolRemoved() {
         listed(ListKind.FULL, List.of());
     }
 
-    private EndpointEntry named(EndpointEntry entry, EndpointState state) {
+    private EndpointEntry withPrefix(EndpointEntry entry, EndpointState state) {
         return new EndpointEntry(
                 prefix + entry.endpoint(),
                 entry.weight(),
@@ -103,12 +106,12 @@
     }
 
     @Override
-    public void reloaded(boolean taken) {
-        operators.reloaded(taken);
+    public void reloaded(boolean applied) {
+        recorder.reloaded(applied);
     }
 
     @Override
     public void levelEntered(long now, String level) {
-        operators.levelEntered(now, level);
+        recorder.levelEntered(now, level);
     }
 }
--- a/engine/src/main/java/trailthread/engine/pool/ServicesConfig.java
+++ b/engine/src/main/java/trailthread/engine/pool/ServicesConfig.java
@@ -6,11 +6,11 @@
 /**
  * The services of a process.
  *
- * @param calls that all pools together may have open
+ * @param calls requests that all pools together may have open
  * @param connections to endpoints
- * @param bodyBytes of clients' bodies kept for their attempts
- * @param pools their guarantees are no more than these
- * @param routes each to one of the pools; no two of them tie
+ * @param bodyBytes of request bodies that are buffered
+ * @param pools their guarantees add up to no more than these
+ * @param routes each to one of the pools; no two of them conflict
  */
 public record ServicesConfig(
         long calls, long connections, long bodyBytes, List<PoolConfig> pools, List<Route> routes) {
--- a/engine/src/main/java/trailthread/engine/pool/Shares.java
+++ b/engine/src/main/java/trailthread/engine/pool/Shares.java
@@ -6,53 +6,55 @@
 import trailthread.engine.quota.Quota;
 import trailthread.engine.quota.TimeQuota;
 
-/** What the pools of a process share, and divide. */
+/** The quotas that the pools of a process share. */
 public final class Shares {
-    /** How long a pool that was not lent what it wanted counts as wanting: a few of its calls. */
-    private static final long WANTED_NS = 1_000_000_000L;
+    /** How long a pool that asked to borrow counts as wanting some: several of its requests. */
+    private static final long DEMAND_NS = 1_000_000_000L;
 
-    /** Time on the thread counts back so far: long against a turn, short against a deadline. */
-    private static final long TIME_SPAN_NS = 200_000_000L;
+    /** Decay of the loop time in use: long against one task, short against a deadline. */
+    private static final long LOOP_TIME_DECAY_NS = 200_000_000L;
 
     private final EventLoop loop;
-    final Quota calls;
+    final Quota requests;
     final Quota connections;
     final Quota bodyBytes;
-    final TimeQuota time;
+    final TimeQuota loopTime;
     private final List<Pool> pools = new ArrayList<>();
 
     /**
-     * Makes shares that no pool has any of yet.
+     * Makes quotas without members.
      *
-     * @param calls open at a time, over all pools
+     * @param requests open at a time, over all pools
      * @param connections to endpoints
-     * @param bodyBytes of bodies kept
+     * @param bodyBytes of buffered bodies
      */
-    public Shares(EventLoop loop, long calls, long connections, long bodyBytes) {
+    public Shares(EventLoop loop, long requests, long connections, long bodyBytes) {
         this.loop = loop;
-        this.calls = new Quota(calls, WANTED_NS);
-        this.connections = new Quota(connections, WANTED_NS);
-        this.bodyBytes = new Quota(bodyBytes, WANTED_NS);
-        time = new TimeQuota(TIME_SPAN_NS, loop.now());
+        this.requests = new Quota(requests, DEMAND_NS);
+        this.connections = new Quota(connections, DEMAND_NS);
+        this.bodyBytes = new Quota(bodyBytes, DEMAND_NS);
+        loopTime = new TimeQuota(LOOP_TIME_DECAY_NS, loop.now());
     }
 
-    /** How much of its time the thread was at work for the pools of late, 0 to about 1. */
+    /** The fraction of its time that the thread worked for the pools of late, 0 to about 1. */
     public double busy() {
-        return time.busy(loop.now());
+        return loopTime.busy(loop.now());
     }
 
-    void joined(Pool pool) {
+    void add(Pool pool) {
         pools.add(pool);
     }
 
-    void left(Pool pool) {
+    void remove(Pool pool) {
         pools.remove(pool);
     }
 
-    /** A pool was not lent a connection: those that owe some give back what idles. */
-    void connectionWanted() {
+    /**
+     * Closes idle connections of the pools that hold more than their part, as another wants one.
+     */
+    void reclaimIdleConnections() {
         for (int i = 0; i < pools.size(); i++) {
-            pools.get(i).giveBackIdle();
+            pools.get(i).closeExcessIdleConnections();
         }
     }
 }
--- a/engine/src/main/java/trailthread/engine/pool/package-info.java
+++ b/engine/src/main/java/trailthread/engine/pool/package-info.java
@@ -1,6 +1,5 @@
 /**
- * Pools: each a service of its own, with its decision module, its list of endpoints and its part of
- * what the process has. A pool hears nothing of the others; what they share is divided by {@link
- * trailthread.engine.quota}.
+ * Pools: each is a service of its own, with its balancer, endpoint list and quotas. A pool knows
+ * nothing of the others; {@link trailthread.engine.quota} divides what they share.
  */
 package trailthread.engine.pool;
--- a/engine/src/main/java/trailthread/engine/quota/Quota.java
+++ b/engine/src/main/java/trailthread/engine/quota/Quota.java
@@ -4,202 +4,219 @@
 import java.util.List;
 
 /**
- * Divides one thing that there is only so much of: calls, connections, bytes. Each party has a
- * guaranteed part, which nobody else ever holds, so it is there at once. What no guarantee covers
- * is the common rest, and is lent: to one party whole while it alone wants it, else in equal parts.
- * Who holds more than its equal part when another comes to want some owes the difference, and is
- * lent nothing until that is back; how soon it gives back is its own matter (a connection that
- * idles at once, a call with its end).
+ * Divides a limited resource, such as open requests, connections or bytes, between members. Each
+ * member has a guaranteed amount, which nobody else ever holds, so it can be acquired at any time.
+ * What no guarantee covers is lent: to one member alone as long as no other wants any, else in
+ * equal parts. A member that holds more than its equal part when another wants some is to return
+ * the excess, and is lent nothing until it has; how soon it can is its own matter (an idle
+ * connection at once, a request when it ends).
  *
- * <p>Guarantees that are never lent leave some unused while their parties rest. The other way,
- * lending them with notice, makes a guarantee worth the longest call's length at the worst moment;
- * see docs/design/pools.md.
+ * <p>Guaranteed amounts that are never lent stay unused while their members are idle. If they were
+ * lent, a member would have to wait for the longest request of another in the worst case; see
+ * docs/design/pools.md.
  */
 public final class Quota {
     private final long total;
-    private final long wantedNs;
-    private final List<Party> parties = new ArrayList<>();
+    private final long demandNs;
+    private final List<Member> members = new ArrayList<>();
 
-    /** Of all parties, those that have left too. */
+    /** What all members hold, those that have left included. */
     private long used;
 
-    /** What parties hold past their guarantees. */
+    /** What members hold beyond their guarantees. */
     private long lent;
 
     /**
-     * Makes one that nobody shares yet.
+     * Makes a quota without members.
      *
-     * @param total how much there is, above 0
-     * @param wantedNs how long a party that was not lent what it wanted counts as wanting, in ns
+     * @param total the amount to divide, above 0
+     * @param demandNs how long a member that asked to borrow counts as wanting some, ns, above 0
+     * @throws IllegalArgumentException if either is out of range
      */
-    public Quota(long total, long wantedNs) {
-        if (total <= 0 || wantedNs <= 0) {
+    public Quota(long total, long demandNs) {
+        if (total <= 0 || demandNs <= 0) {
             throw new IllegalArgumentException("a quota of nothing, or wanted for no time");
         }
         this.total = total;
-        this.wantedNs = wantedNs;
+        this.demandNs = demandNs;
     }
 
     /**
-     * Adds a party.
+     * Adds a member.
      *
-     * @param guaranteed at least 0; over all parties no more than there is
-     * @param most what it may hold at most, its guaranteed part included
-     * @throws IllegalArgumentException if the guarantees come to more than there is
+     * @param guaranteed at least 0
+     * @param limit the most that it may hold, its guaranteed amount included
+     * @throws IllegalArgumentException if the guarantees add up to more than the total, or the
+     *     limit is below the guarantee
      */
-    public Party join(long guaranteed, long most) {
-        if (guaranteed < 0 || most < guaranteed || guaranteed > unpromised()) {
+    public Member join(long guaranteed, long limit) {
+        if (guaranteed < 0 || limit < guaranteed || guaranteed > unreserved()) {
             throw new IllegalArgumentException(
                     "guaranteed "
                             + guaranteed
                             + ", at most "
-                            + most
+                            + limit
                             + ", of "
-                            + unpromised()
+                            + unreserved()
                             + " that are not promised");
         }
-        Party party = new Party(guaranteed, most);
-        parties.add(party);
-        return party;
+        Member member = new Member(guaranteed, limit);
+        members.add(member);
+        return member;
     }
 
     /** What no guarantee covers. */
-    public long unpromised() {
-        long rest = total;
-        for (Party party : parties) {
-            rest -= party.guaranteed;
+    public long unreserved() {
+        long unreserved = total;
+        for (Member member : members) {
+            unreserved -= member.guaranteed;
         }
-        return rest;
+        return unreserved;
     }
 
-    /** How much there is in all. */
+    /** The amount that is divided. */
     public long total() {
         return total;
     }
 
-    /** How much is held in all. */
+    /** What is held in all. */
     public long used() {
         return used;
     }
 
-    /** One that shares. */
-    public final class Party {
+    /** One of those that share the quota. */
+    public final class Member {
         private long guaranteed;
-        private long most;
-        private long holds;
+        private long limit;
+        private long held;
 
-        /** Until when it counts as wanting some of the rest. */
-        private long wantsUntil = Long.MIN_VALUE;
+        /** Until when it counts as wanting to borrow. */
+        private long demandUntil = Long.MIN_VALUE;
 
-        private Party(long guaranteed, long most) {
+        private Member(long guaranteed, long limit) {
             this.guaranteed = guaranteed;
-            this.most = most;
+            this.limit = limit;
         }
 
         /**
-         * Takes some, if it may have it.
+         * Acquires some, if the member may have it; {@link #release} returns it.
          *
          * @param amount above 0
          * @param now in ns, never before an earlier one
+         * @return whether it was acquired
          */
-        public boolean take(long amount, long now) {
-            long borrows = Math.max(0, holds + amount - guaranteed) - borrowed();
-            if (borrows > 0 && !mayBorrow(amount, borrows, now)) {
+        public boolean acquire(long amount, long now) {
+            long toBorrow = Math.max(0, held + amount - guaranteed) - borrowed();
+            if (toBorrow > 0 && !mayBorrow(amount, toBorrow, now)) {
                 return false;
             }
-            // Short only where parties that left, or were given less, have not given all back yet.
+            // Exceeded only while members that left, or were resized, still hold what is promised
+            // to others now.
             if (used + amount > total) {
                 return false;
             }
-            holds += amount;
+            held += amount;
             used += amount;
-            lent += borrows;
+            lent += toBorrow;
             return true;
         }
 
-        private boolean mayBorrow(long amount, long borrows, long now) {
-            if (holds + amount > most) {
+        private boolean mayBorrow(long amount, long toBorrow, long now) {
+            if (held + amount > limit) {
                 return false;
             }
-            long rest = unpromised();
-            wantsUntil = now + wantedNs;
-            return lent + borrows <= rest
-                    && borrowed() + borrows <= Math.max(borrows, part(rest, now));
+            long lendable = unreserved();
+            demandUntil = now + demandNs;
+            return lent + toBorrow <= lendable
+                    && borrowed() + toBorrow <= Math.max(toBorrow, equalPart(lendable, now));
         }
 
-        /** Its part of the rest, by how many want some. */
-        private long part(long rest, long now) {
+        /** An equal part for each member that wants to borrow. */
+        private long equalPart(long lendable, long now) {
             int wanting = 0;
-            for (Party party : parties) {
-                wanting += party.wantsUntil > now ? 1 : 0;
+            for (Member member : members) {
+                if (member.demandUntil > now) {
+                    wanting++;
+                }
             }
-            return rest / Math.max(1, wanting);
+            return lendable / Math.max(1, wanting);
         }
 
-        /** Gives some back. */
-        public void give(long amount) {
-            if (amount > holds) {
-                throw new IllegalStateException("gives " + amount + " back and holds " + holds);
+        /**
+         * Returns some.
+         *
+         * @throws IllegalStateException if the member holds less
+         */
+        public void release(long amount) {
+            if (amount > held) {
+                throw new IllegalStateException("gives " + amount + " back and holds " + held);
             }
             long before = borrowed();
-            holds -= amount;
+            held -= amount;
             used -= amount;
             lent -= before - borrowed();
         }
 
         /**
-         * How much of what it was lent it is to give back as soon as it can, because others want
-         * some.
+         * How much of what it has borrowed the member is to return as soon as it can, because
+         * others want some.
          */
-        public long owes(long now) {
-            boolean othersWant = false;
-            for (Party party : parties) {
-                othersWant |= party != this && party.wantsUntil > now;
-            }
-            if (!othersWant || borrowed() == 0) {
+        public long excess(long now) {
+            if (borrowed() == 0 || !othersWantSome(now)) {
                 return 0;
             }
-            long wantedUntil = wantsUntil;
-            wantsUntil = Long.MAX_VALUE; // what it holds it wants
-            long part = part(unpromised(), now);
-            wantsUntil = wantedUntil;
+            long savedDemand = demandUntil;
+            demandUntil = Long.MAX_VALUE; // it counts as wanting what it holds
+            long part = equalPart(unreserved(), now);
+            demandUntil = savedDemand;
             return Math.max(0, borrowed() - part);
         }
 
+        private boolean othersWantSome(long now) {
+            for (Member member : members) {
+                if (member != this && member.demandUntil > now) {
+                    return true;
+                }
+            }
+            return false;
+        }
+
         /** What it holds. */
-        public long holds() {
-            return holds;
+        public long held() {
+            return held;
         }
 
-        /** What it holds past its guaranteed part. */
+        /** What it holds beyond its guarantee. */
         public long borrowed() {
-            return Math.max(0, holds - guaranteed);
+            return Math.max(0, held - guaranteed);
         }
 
         /**
-         * Has other bounds from now on; what it holds past them it keeps until it gives it back.
+         * Changes its bounds. What it holds beyond them it keeps until it releases it.
+         *
+         * @throws IllegalArgumentException as {@link Quota#join} does
          */
-        public void change(long guaranteed, long most) {
+        public void resize(long guaranteed, long limit) {
             if (guaranteed < 0
-                    || most < guaranteed
-                    || guaranteed > unpromised() + this.guaranteed) {
+                    || limit < guaranteed
+                    || guaranteed > unreserved() + this.guaranteed) {
                 throw new IllegalArgumentException(
-                        "guaranteed " + guaranteed + ", at most " + most);
+                        "guaranteed " + guaranteed + ", at most " + limit);
             }
             long before = borrowed();
             this.guaranteed = guaranteed;
-            this.most = most;
+            this.limit = limit;
             lent += borrowed() - before;
         }
 
-        /** Takes no more from now on; what it holds it gives back in time. */
+        /** Acquires nothing more; what it holds it still releases. */
         public void leave() {
             long before = borrowed();
             guaranteed = 0;
-            most = 0;
-            wantsUntil = Long.MIN_VALUE;
+            limit = 0;
+            demandUntil = Long.MIN_VALUE;
             lent += borrowed() - before;
-            parties.remove(this);
+            members.remove(this);
         }
     }
 }
--- a/engine/src/main/java/trailthread/engine/quota/TimeQuota.java
+++ b/engine/src/main/java/trailthread/engine/quota/TimeQuota.java
@@ -4,99 +4,105 @@
 import java.util.List;
 
 /**
- * Divides the time of one thread. While it has time left, each party takes what it needs; once it
- * has none, a party that has used more than its share of late begins nothing new. What is used
- * fades with the time constant of the span, as in a leaky bucket (Turner, "New Directions in
+ * Divides the time of one thread between members by weight. While the thread is not saturated, each
+ * member uses what it needs; once it is, a member that has used more than its part of late starts
+ * nothing new. Use decays exponentially, as in a leaky bucket (Turner, "New Directions in
  * Communications", 1986).
  */
 public final class TimeQuota {
-    /** From this share of the time in use on, there is none to spare. */
-    private static final double FULL = 0.9;
+    /** The fraction of the time in use from which on the thread counts as saturated. */
+    private static final double SATURATED = 0.9;
 
-    private final double spanNs;
-    private final List<Party> parties = new ArrayList<>();
+    private final double decayNs;
+    private final List<Member> members = new ArrayList<>();
     private double usedNs;
-    private long at;
+    private long decayedAt;
 
     /**
-     * Makes one that nobody shares yet.
+     * Makes a quota without members.
      *
-     * @param spanNs how far back use counts, in ns
+     * @param decayNs the time constant by which use decays, ns
+     * @param now in ns
      */
-    public TimeQuota(long spanNs, long now) {
-        this.spanNs = spanNs;
-        at = now;
+    public TimeQuota(long decayNs, long now) {
+        this.decayNs = decayNs;
+        decayedAt = now;
     }
 
-    /** Adds a party of this weight against the others', above 0. */
-    public Party join(double weight) {
+    /**
+     * Adds a member.
+     *
+     * @param weight against the other members' weights, above 0
+     * @throws IllegalArgumentException if it is not above 0
+     */
+    public Member join(double weight) {
         if (!(weight > 0)) {
             throw new IllegalArgumentException("a weight of " + weight);
         }
-        Party party = new Party(weight);
-        parties.add(party);
-        return party;
+        Member member = new Member(weight);
+        members.add(member);
+        return member;
     }
 
-    /** The share of the thread's time that all parties together use, 0 to about 1. */
+    /** The fraction of the thread's time that all members together use, 0 to about 1. */
     public double busy(long now) {
-        fade(now);
-        return usedNs / spanNs;
+        decay(now);
+        return usedNs / decayNs;
     }
 
-    private void fade(long now) {
-        if (now > at) {
-            double kept = Math.exp(-(now - at) / spanNs);
-            usedNs *= kept;
-            for (int i = 0; i < parties.size(); i++) {
-                parties.get(i).ownNs *= kept;
+    private void decay(long now) {
+        if (now > decayedAt) {
+            double factor = Math.exp(-(now - decayedAt) / decayNs);
+            usedNs *= factor;
+            for (int i = 0; i < members.size(); i++) {
+                members.get(i).ownNs *= factor;
             }
-            at = now;
+            decayedAt = now;
         }
     }
 
-    /** One that shares. */
-    public final class Party {
+    /** One of those that share the thread. */
+    public final class Member {
         private double weight;
         private double ownNs;
 
-        private Party(double weight) {
+        private Member(double weight) {
             this.weight = weight;
         }
 
-        /** Some time was used for it. */
+        /** Adds time that the thread has worked for it, ns. */
         public void used(long ns, long now) {
-            fade(now);
+            decay(now);
             ownNs += ns;
             usedNs += ns;
         }
 
-        /** Whether something new may be begun for it. */
-        public boolean mayBegin(long now) {
-            if (busy(now) < FULL) {
+        /** Whether something new may be started for it. */
+        public boolean mayStart(long now) {
+            if (busy(now) < SATURATED) {
                 return true;
             }
             double weights = 0;
-            for (int i = 0; i < parties.size(); i++) {
-                weights += parties.get(i).weight;
+            for (int i = 0; i < members.size(); i++) {
+                weights += members.get(i).weight;
             }
             return ownNs <= usedNs * weight / weights;
         }
 
-        /** The share of the thread's time that it uses, 0 to about 1. */
-        public double share(long now) {
-            fade(now);
-            return ownNs / spanNs;
+        /** The fraction of the thread's time that it uses, 0 to about 1. */
+        public double fraction(long now) {
+            decay(now);
+            return ownNs / decayNs;
         }
 
-        /** Has another weight from now on. */
-        public void change(double weight) {
+        /** Sets another weight, above 0. */
+        public void setWeight(double weight) {
             this.weight = weight;
         }
 
-        /** Uses none from now on. */
+        /** Uses no time from now on. */
         public void leave() {
-            parties.remove(this);
+            members.remove(this);
         }
     }
 }
--- a/engine/src/main/java/trailthread/engine/quota/package-info.java
+++ b/engine/src/main/java/trailthread/engine/quota/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Who may have what of the things that pools share: pure, without I/O; time is handed in.
- * docs/pools.md has the rules for operators, docs/design/pools.md what else was weighed.
+ * Quotas on what pools share. No I/O and no clock: time is passed in. docs/pools.md has the rules
+ * for operators, docs/design/pools.md the alternatives.
  */
 package trailthread.engine.quota;
--- a/engine/src/test/java/trailthread/engine/quota/AnyQuotaTest.java
+++ b/engine/src/test/java/trailthread/engine/quota/AnyQuotaTest.java
@@ -10,76 +10,79 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Quotas under any run of takes and gives. */
+/** Quotas under random sequences of acquire and release. */
 class AnyQuotaTest {
     private static final long MS = 1_000_000;
 
     @Property(tries = 500)
-    void noMoreIsGivenOutThanThereIsAndNoGuaranteeStarves(
+    void heldNeverExceedsTheTotalAndGuaranteesHold(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 6) int n,
             @ForAll @IntRange(min = 1, max = 200) int total) {
         Random random = new Random(seed);
         Quota quota = new Quota(total, 100 * MS);
-        List<Quota.Party> parties = new ArrayList<>();
+        List<Quota.Member> members = new ArrayList<>();
         int[] guaranteed = new int[n];
-        int[] most = new int[n];
+        int[] limit = new int[n];
         for (int i = 0; i < n; i++) {
-            guaranteed[i] = random.nextInt((int) quota.unpromised() + 1);
-            most[i] = guaranteed[i] + random.nextInt(total - guaranteed[i] + 1);
-            parties.add(quota.join(guaranteed[i], most[i]));
+            guaranteed[i] = random.nextInt((int) quota.unreserved() + 1);
+            limit[i] = guaranteed[i] + random.nextInt(total - guaranteed[i] + 1);
+            members.add(quota.join(guaranteed[i], limit[i]));
         }
         long now = 0;
         for (int step = 0; step < 400; step++) {
             now += random.nextInt((int) (20 * MS));
             int i = random.nextInt(n);
-            Quota.Party party = parties.get(i);
+            Quota.Member member = members.get(i);
             if (random.nextInt(3) > 0) {
                 long amount = 1L + random.nextInt(3);
-                boolean within = party.holds() + amount <= guaranteed[i];
-                boolean taken = party.take(amount, now);
-                assertTrue(taken || !within, "a guarantee that was not kept");
-            } else if (party.holds() > 0) {
-                party.give(1 + random.nextInt((int) party.holds()));
+                boolean within = member.held() + amount <= guaranteed[i];
+                boolean taken = member.acquire(amount, now);
+                assertTrue(taken || !within, "a guaranteed amount was not granted");
+            } else if (member.held() > 0) {
+                member.release(1 + random.nextInt((int) member.held()));
             }
-            long sum = parties.stream().mapToLong(Quota.Party::holds).sum();
+            long sum = members.stream().mapToLong(Quota.Member::held).sum();
             assertEquals(sum, quota.used());
-            assertTrue(sum <= total, "given out " + sum + " of " + total);
-            assertTrue(party.holds() <= most[i], "past the most");
+            assertTrue(sum <= total, "held " + sum + " of " + total);
+            assertTrue(member.held() <= limit[i], "past the limit");
         }
-        parties.forEach(party -> party.give(party.holds()));
+        members.forEach(member -> member.release(member.held()));
         assertEquals(0, quota.used());
     }
 
-    /** Who comes late has its part as soon as the others have given back what they owe. */
+    /** A late member has its part as soon as the others have returned their excess. */
     @Property(tries = 300)
-    void whatIsOwedIsEnoughForWhoWants(
+    void returnedExcessIsEnoughForTheOthersDemand(
             @ForAll @IntRange(min = 2, max = 5) int n,
             @ForAll @IntRange(min = 10, max = 100) int total,
             @ForAll @IntRange(min = 0, max = 3) int guaranteed) {
         Quota quota = new Quota(total, 100 * MS);
-        List<Quota.Party> parties = new ArrayList<>();
+        List<Quota.Member> members = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            parties.add(quota.join(Math.min(guaranteed, total / n), total));
+            members.add(quota.join(Math.min(guaranteed, total / n), total));
         }
-        Quota.Party greedy = parties.get(0);
-        while (greedy.take(1, 0)) {
-            assertEquals(0, greedy.owes(0), "nobody else wants any");
+        Quota.Member greedy = members.get(0);
+        while (greedy.acquire(1, 0)) {
+            assertEquals(0, greedy.excess(0), "no other member wants any");
         }
-        assertEquals(0, quota.unpromised() - greedy.borrowed());
-        Quota.Party late = parties.get(n - 1);
-        long part = quota.unpromised() / 2;
+        assertEquals(0, quota.unreserved() - greedy.borrowed());
+        Quota.Member late = members.get(n - 1);
+        long part = quota.unreserved() / 2;
         for (long now = MS; late.borrowed() < part; now += MS) {
-            if (!late.take(1, now)) {
-                long owed = greedy.owes(now);
+            if (!late.acquire(1, now)) {
+                long excess = greedy.excess(now);
                 assertTrue(
-                        owed > 0,
-                        "wanted, and nobody owes any: has " + late.borrowed() + " of " + part);
-                greedy.give(owed);
-                assertTrue(!greedy.take(greedy.holds() + 1, now), "what is owed is not lent again");
-                assertTrue(late.take(1, now), "given back, and not lent");
+                        excess > 0,
+                        "wanted, and no member has an excess: has "
+                                + late.borrowed()
+                                + " of "
+                                + part);
+                greedy.release(excess);
+                assertTrue(!greedy.acquire(greedy.held() + 1, now), "an excess is not lent again");
+                assertTrue(late.acquire(1, now), "returned, and not lent");
             }
         }
-        assertTrue(greedy.borrowed() >= part, "gave back more than its part");
+        assertTrue(greedy.borrowed() >= part, "returned more than its excess");
     }
 }
