--- a/engine/src/main/java/trailthread/engine/metrics/MetricsRecorder.java
+++ b/engine/src/main/java/trailthread/engine/metrics/MetricsRecorder.java
@@ -6,33 +6,33 @@
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
 
-/** Hears what happens in the node, on the loop's thread, and returns at once. */
+/** Records what happens in the node; called on the loop's thread, it must not block. */
 public interface MetricsRecorder {
-    /** Where nobody wants to know. */
+    /** Records nothing. */
     MetricsRecorder OFF = new NoopMetricsRecorder();
 
     /**
-     * A call was taken: it has come whole or, where its body is passed on, its body has begun to
-     * find no room. It ends with {@link #answered} or {@link #gone}, once; a long answer ends with
-     * its last byte from the endpoint.
+     * A request was admitted: it has been received completely or, if its body is streamed, up to
+     * what can be buffered. {@link #answered} or {@link #gone} follows, once; for a streamed answer
+     * with its last byte from the endpoint.
      */
     void taken(String requestClass);
 
     /**
-     * A call that was taken has its answer.
+     * An admitted request was answered.
      *
-     * @param afterNs from its taking to the answer
-     * @param waitedNs from its taking to its first attempt; -1: there was none
+     * @param latencyNs from its admission to the answer
+     * @param queuedNs from its admission to its first attempt; -1: there was none
      */
-    void answered(String requestClass, RequestResult answer, long afterNs, long waitedNs);
+    void answered(String requestClass, RequestResult result, long latencyNs, long queuedNs);
 
-    /** The client of a call that was taken has gone before its answer. */
+    /** The client of an admitted request disconnected before its answer. */
     void gone(String requestClass);
 
-    /** A request was answered without being taken as a call. */
-    void rejected(RejectionReason why);
+    /** A request was answered without being admitted. */
+    void rejected(RejectionReason reason);
 
-    /** An attempt is to be made at an endpoint; its end follows, once. */
+    /** An attempt begins; its end follows, once. */
     void attemptBegun(String endpoint);
 
     /** An attempt's last byte has been written to its endpoint. */
@@ -41,26 +41,26 @@
     /**
      * An attempt has ended.
      *
-     * @param latencyNs -1 where the node can't tell its own lateness from it
-     * @param load what the endpoint told of itself with it, or null
+     * @param latencyNs -1 if the endpoint's part of it can't be told from the node's own lateness
+     * @param load the load report that came with the answer, or null
      */
     void attemptEnded(String endpoint, Outcome outcome, long latencyNs, LoadReport load);
 
     /**
-     * A probe has ended.
+     * A health check has ended.
      *
-     * @param load what the endpoint told of itself, or null
+     * @param load the endpoint's load report, or null
      */
     void healthChecked(String endpoint, Outcome outcome, LoadReport load);
 
-    /** News of the endpoints, as the decision module gets it. */
+    /** The endpoint list was updated, as the balancer gets it. */
     void listed(ListKind kind, List<EndpointEntry> entries);
 
-    /** A configuration was read at a reload, and was taken over or not. */
-    void reloaded(boolean taken);
+    /** The configuration was read again, and applied or not. */
+    void reloaded(boolean applied);
 
     /**
-     * The node serves at this level from now on; the level it has already changes nothing.
+     * The node is at this degradation level from now on; no change if it was before.
      *
      * @param now Unix time in nanoseconds
      */
--- a/engine/src/main/java/trailthread/engine/metrics/NodeControl.java
+++ b/engine/src/main/java/trailthread/engine/metrics/NodeControl.java
@@ -1,10 +1,18 @@
 package trailthread.engine.metrics;
 
-/** What operators may do to the node, on the loop's thread. */
+/** What operators may do to the node; called on the loop's thread. */
 public interface NodeControl {
-    /** Leads clients away; calls under way come to their ends. Whether it does, or did already. */
+    /**
+     * Starts draining: clients are asked to go elsewhere, open requests are finished.
+     *
+     * @return whether the node is draining now
+     */
     boolean drain();
 
-    /** Ends the drain; whether the node takes clients again, or never stopped. */
+    /**
+     * Stops draining.
+     *
+     * @return whether the node admits clients now
+     */
     boolean resume();
 }
--- a/engine/src/main/java/trailthread/engine/metrics/NodeStatus.java
+++ b/engine/src/main/java/trailthread/engine/metrics/NodeStatus.java
@@ -3,26 +3,27 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the node says of itself when asked, on the loop's thread and at once. */
+/** The node's state on request; called on the loop's thread, it must not block. */
 public interface NodeStatus {
-    /** Whether the front may send clients here. */
+    /** Whether clients may be sent here. */
     boolean isReady();
 
-    /** Every level of service, from the full one to the least. */
+    /** Every degradation level, from full service to the least. */
     List<String> levels();
 
     /**
-     * What the level rests on, by names that end in their unit, such as {@code lateness_seconds}.
+     * The readings that determine the level, by names that end in their unit, such as {@code
+     * lateness_seconds}.
      */
     Map<String, Double> readings();
 
-    /** How many connections to clients there are in each state; each is in one. */
+    /** How many connections to clients there are by state; each is in one. */
     Map<String, Integer> clientConnections();
 
-    /** How many connections to endpoints there are in each state; each is in one. */
+    /** How many connections to endpoints there are by state; each is in one. */
     Map<String, Integer> endpointConnections();
 
-    /** How many of the listed endpoints the node avoids just now. */
+    /** How many of the listed endpoints the balancer avoids now. */
     int avoidedEndpoints();
 
     /** How many file descriptors the node may hold. */
--- a/engine/src/main/java/trailthread/engine/metrics/NoopMetricsRecorder.java
+++ b/engine/src/main/java/trailthread/engine/metrics/NoopMetricsRecorder.java
@@ -6,19 +6,20 @@
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
 
-/** Keeps nothing. */
+/** Records nothing. */
 final class NoopMetricsRecorder implements MetricsRecorder {
     @Override
     public void taken(String requestClass) {}
 
     @Override
-    public void answered(String requestClass, RequestResult answer, long afterNs, long waitedNs) {}
+    public void answered(
+            String requestClass, RequestResult result, long latencyNs, long queuedNs) {}
 
     @Override
     public void gone(String requestClass) {}
 
     @Override
-    public void rejected(RejectionReason why) {}
+    public void rejected(RejectionReason reason) {}
 
     @Override
     public void attemptBegun(String endpoint) {}
@@ -36,7 +37,7 @@
     public void listed(ListKind kind, List<EndpointEntry> entries) {}
 
     @Override
-    public void reloaded(boolean taken) {}
+    public void reloaded(boolean applied) {}
 
     @Override
     public void levelEntered(long now, String level) {}
--- a/engine/src/main/java/trailthread/engine/metrics/RejectionReason.java
+++ b/engine/src/main/java/trailthread/engine/metrics/RejectionReason.java
@@ -1,13 +1,13 @@
 package trailthread.engine.metrics;
 
-/** Why a client's request was answered without being taken as a call. */
+/** Why a client's request was answered without being admitted. */
 public enum RejectionReason {
-    /** It is no call of the protocol. */
+    /** It does not conform to the protocol. */
     BAD_REQUEST,
-    /** Its body is larger than any call's. */
+    /** Its body is larger than is allowed. */
     TOO_LARGE,
-    /** A call with its id is at work. */
+    /** A request with its id is open. */
     CONFLICT,
-    /** No route takes it. */
+    /** No route matches it. */
     NO_ROUTE
 }
--- a/engine/src/main/java/trailthread/engine/metrics/RequestResult.java
+++ b/engine/src/main/java/trailthread/engine/metrics/RequestResult.java
@@ -1,11 +1,11 @@
 package trailthread.engine.metrics;
 
-/** How a call that was taken was answered. */
+/** How an admitted request was answered. */
 public enum RequestResult {
-    /** With what an endpoint made. */
+    /** With an endpoint's response. */
     SERVED,
-    /** With a refusal: trying again is harmless. */
+    /** Rejected: it had no effect, so a retry is safe. */
     REFUSED,
-    /** With a failure. */
+    /** With a failure: it may have had its effect. */
     FAILED
 }
