--- a/engine/src/main/java/trailthread/engine/loop/CpuAccount.java
+++ b/engine/src/main/java/trailthread/engine/loop/CpuAccount.java
@@ -1,13 +1,13 @@
 package trailthread.engine.loop;
 
-/** Whom the thread works for: hears how long, where somebody wants to know. */
+/** Accounts for the thread's time that is spent on one owner, such as a pool. */
 public interface CpuAccount {
-    /** Nobody wants to know. */
+    /** Accounts for nothing, and does not read the clock. */
     CpuAccount NONE =
             new CpuAccount() {
                 @Override
                 public void spent(long ns) {
-                    // nobody wants to know
+                    // not accounted for
                 }
 
                 @Override
@@ -16,10 +16,10 @@
                 }
             };
 
-    /** The thread has worked so long for it. */
+    /** Adds time that the thread has spent on the owner, ns. */
     void spent(long ns);
 
-    /** Runs a task for it. */
+    /** Runs a task on the owner's account. */
     default void charge(Runnable task) {
         long begun = System.nanoTime();
         try {
--- a/engine/src/main/java/trailthread/engine/loop/EventLoop.java
+++ b/engine/src/main/java/trailthread/engine/loop/EventLoop.java
@@ -14,45 +14,61 @@
 import org.xnio.nio.NioXnioProvider;
 
 /**
- * The one thread that runs the node: its sockets, its timers, its clock and its buffers. Everything
- * in the node but the start and the signal handler runs here, so nothing needs a lock.
+ * The one I/O thread of the node, with its sockets, timers, clock and buffers. Everything but
+ * start-up and the signal handler runs on it, so nothing needs a lock, and nothing may block.
  */
 public final class EventLoop {
     /**
-     * Of one long message, so much is read or written at most before all other sockets that are
-     * ready are served. More than any message that is held whole, so that these are read in one go.
+     * The most that is read or written of one message before all other sockets that are ready are
+     * served, bytes. More than any message that is buffered completely, so that these are read at
+     * once.
      */
     public static final int MOST_IN_TURN_BYTES = 128 * 1024;
 
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
     private static final int BUFFER_BYTES = 16 * 1024;
 
-    /** Buffers kept for use again; more are made when needed and let go afterwards. */
-    private static final int BUFFERS_KEPT = 256;
+    /** Buffers kept for reuse; more are allocated when needed, and freed afterwards. */
+    private static final int POOLED_BUFFERS = 256;
 
+    private static final int POOLED_BUFFERS_PER_THREAD = 16;
+
+    /** From this lateness on, a timer waits until the sockets have been served. */
     private static final long LATE_NS = 4_000_000L;
+
     private static final int STACK_BYTES = 256 * 1024;
 
     private final XnioWorker worker;
     private final XnioIoThread thread;
-    private final LoopLatency turns = new LoopLatency(System.nanoTime());
-    private final TimerWheel wheel = new TimerWheel(System.nanoTime());
-    private XnioExecutor.Key wake;
-    private long wakesAt;
-    private SocketPass sockets;
+    private final LoopLatency latency = new LoopLatency(System.nanoTime());
+    private final TimerWheel timers = new TimerWheel(System.nanoTime());
+
+    /** XNIO's timer for the next tick that holds timers, or null. */
+    private XnioExecutor.Key wakeUp;
+
+    private long wakeUpAt;
+
+    /** Made when it is first needed, as it holds two descriptors. */
+    private SocketPass socketPass;
+
     private final ByteBufferPool buffers =
-            new DefaultByteBufferPool(true, BUFFER_BYTES, BUFFERS_KEPT, 16);
+            new DefaultByteBufferPool(
+                    true, BUFFER_BYTES, POOLED_BUFFERS, POOLED_BUFFERS_PER_THREAD);
 
     /**
-     * Wall time is read once and goes on by the monotonic clock: it must not jump under a running
-     * node.
+     * From the monotonic clock to Unix time, ns. Read once: prevents steps of the wall clock from
+     * moving deadlines of a running node.
      */
-    private final long offset = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
+    private final long clockOffset = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
 
-    /** Starts the thread. */
+    /**
+     * Starts the thread.
+     *
+     * @throws IOException if XNIO can't open its selector
+     */
     public EventLoop(String name) throws IOException {
-        // Named, as a look for it would open every jar, and each would stay a descriptor of the
-        // node.
+        // The provider is named here: to find one as a service, Java would open every jar, and keep
+        // a descriptor of each.
         worker =
                 new NioXnioProvider()
                         .getInstance()
@@ -67,132 +83,123 @@
         thread = worker.getIoThread(0);
     }
 
+    /** XNIO's worker, which owns the thread. */
     public XnioWorker worker() {
         return worker;
     }
 
+    /** The I/O thread. */
     public XnioIoThread thread() {
         return thread;
     }
 
+    /** The pool of buffers for sockets. */
     public ByteBufferPool buffers() {
         return buffers;
     }
 
     /** Unix time in nanoseconds. */
     public long now() {
-        return offset + System.nanoTime();
+        return clockOffset + System.nanoTime();
     }
 
-    /** Runs a task on the thread, after what is running now. */
+    /** Runs a task on the thread, after the running one; may be called on any thread. */
     public void execute(Runnable task) {
         thread.execute(() -> run(task));
     }
 
     /**
-     * Runs a task on the thread once the delay is over; the key takes it back. To be called on the
-     * thread.
+     * Runs a task on the thread once the delay is over. To be called on the thread.
      *
+     * @return cancels the task
      * @throws IllegalStateException on another thread
      */
     public XnioExecutor.Key after(long delayNs, Runnable task) {
         if (Thread.currentThread() != thread) {
             throw new IllegalStateException("a timer is set from another thread");
         }
-        TimerWheel.Timer timer = wheel.set(System.nanoTime() + Math.max(0, delayNs), task);
-        wakeAt(TimerWheel.tickOf(timer.dueAt) << TimerWheel.TICK_BITS);
+        TimerWheel.Timer timer = timers.schedule(System.nanoTime() + Math.max(0, delayNs), task);
+        wakeUpBy(TimerWheel.tickOf(timer.dueAt) << TimerWheel.TICK_BITS);
         return timer;
     }
 
-    /** The thread looks at its timers by then. */
-    private void wakeAt(long at) {
-        if (wake != null && wakesAt <= at) {
+    /** Runs the timers that are due at this time, by the monotonic clock, or earlier. */
+    private void wakeUpBy(long at) {
+        if (wakeUp != null && wakeUpAt <= at) {
             return;
         }
-        if (wake != null) {
-            wake.remove();
+        if (wakeUp != null) {
+            wakeUp.remove();
         }
-        wakesAt = at;
-        // Rounded up, as XNIO drops what is less than a millisecond, and would run the task again
-        // and again.
+        wakeUpAt = at;
+        // Rounded up: XNIO rounds down to milliseconds, and would run the task again and again
+        // before the tick.
         long delayMs = Math.max(0, at - System.nanoTime() + 999_999) / 1_000_000;
-        wake = thread.executeAfter(this::runTimers, delayMs, TimeUnit.MILLISECONDS);
+        wakeUp = thread.executeAfter(this::runTimers, delayMs, TimeUnit.MILLISECONDS);
     }
 
     private void runTimers() {
-        wake = null;
-        for (TimerWheel.Timer timer : wheel.due(System.nanoTime())) {
-            Runnable task = timer.take();
+        wakeUp = null;
+        for (TimerWheel.Timer timer : timers.removeDue(System.nanoTime())) {
+            Runnable task = timer.takeTask();
             if (task != null) {
-                turns.timer(timer.dueAt, System.nanoTime());
+                latency.timerRuns(timer.dueAt, System.nanoTime());
                 runSafely(task);
             }
         }
-        wakeAt(wheel.nextAt());
-        if (turns.unseenNs(System.nanoTime()) > LATE_NS) {
-            afterSockets(
-                    () -> {}); // a look that is known of: without one, the quiet to come would pass
-            // for lateness
+        wakeUpBy(timers.nextTickAt());
+        if (latency.unpolledNs(System.nanoTime()) > LATE_NS) {
+            // Makes the next poll known. Prevents idle time after a long task from being recorded
+            // as lateness.
+            afterSockets(() -> {});
         }
     }
 
     /**
-     * The same for the end of a wait for a peer. Guards against a loop that runs late: timers go
-     * before sockets, so what the peer has sent in time would be found only after it was given up.
+     * As {@link #after}, for the timeout of a wait for a peer: if the timer runs late, the sockets
+     * are served first. Prevents a peer from timing out that has sent its input in time, as timers
+     * run before sockets.
      */
     public XnioExecutor.Key afterReading(long delayNs, Runnable task) {
-        Wait wait = new Wait();
-        long dueAt = System.nanoTime() + delayNs;
-        wait.key =
-                after(
-                        delayNs,
-                        () -> {
-                            if (System.nanoTime() - dueAt < LATE_NS) {
-                                task.run();
-                            } else {
-                                afterSockets(wait.lateTask(task));
-                            }
-                        });
-        return wait;
+        TimeoutAfterReading timeout = new TimeoutAfterReading(System.nanoTime() + delayNs, task);
+        timeout.key = after(delayNs, timeout);
+        return timeout;
     }
 
     /** Runs a task once every socket that is ready by now has been served. */
     public void afterSockets(Runnable task) {
-        if (sockets == null) {
-            sockets = new SocketPass(thread, this::servesSocket, this::runSafely);
+        if (socketPass == null) {
+            socketPass = new SocketPass(thread, this::servesSocket, this::runSafely);
         }
-        sockets.after(task);
+        socketPass.after(task);
     }
 
-    /**
-     * Says that a socket is being served, so that the time at which the sockets were looked at is
-     * known.
-     */
+    /** To be called when a socket is about to be served, so that the time of the poll is known. */
     public void servesSocket() {
-        if (turns.serves(System.nanoTime())) {
-            thread.execute(() -> turns.served(System.nanoTime()));
+        if (latency.serveSocket(System.nanoTime())) {
+            thread.execute(() -> latency.socketsServed(System.nanoTime()));
         }
     }
 
-    /** What the thread knows of its own lateness. */
+    /** How late the thread runs. */
     public LoopLatency turns() {
-        return turns;
+        return latency;
     }
 
     /**
-     * When what is read now can first have come, by {@link #now}: it may have waited for this
-     * thread.
+     * The earliest time at which input that is read now can have arrived, by {@link #now}: it may
+     * have waited for this thread.
      */
     public long cameNotBefore() {
-        return offset + turns.notBefore();
+        return clockOffset + latency.arrivedNotBefore();
     }
 
-    /** When what is read now had come by, by {@link #now}. */
+    /** The latest time at which input that is read now can have arrived, by {@link #now}. */
     public long cameBy() {
-        return offset + turns.lookedAt(System.nanoTime());
+        return clockOffset + latency.arrivedBy(System.nanoTime());
     }
 
-    /** One that throws must not take along those after it. */
+    /** Runs a task and logs its exception, so that those after it run too. */
     private void runSafely(Runnable task) {
         try {
             run(task);
@@ -201,27 +208,41 @@
         }
     }
 
-    /** Runs what XNIO has called as a task, and not as it serves a socket. */
+    /** Runs a task; for calls by XNIO other than those that serve a socket. */
     public void run(Runnable task) {
-        turns.runs(System.nanoTime());
+        latency.beginTask(System.nanoTime());
         try {
             task.run();
         } finally {
-            turns.ran(System.nanoTime());
+            latency.endTask(System.nanoTime());
         }
     }
 
-    /** A wait that may be drawn out until the sockets have been served. */
-    private static final class Wait implements XnioExecutor.Key {
+    /** Runs its task when it is due or, if that is late, once the sockets have been served. */
+    private final class TimeoutAfterReading implements XnioExecutor.Key, Runnable {
+        private final long dueAt;
+        private final Runnable task;
         private XnioExecutor.Key key;
         private boolean removed;
 
-        private Runnable lateTask(Runnable task) {
-            return () -> {
-                if (!removed) {
-                    task.run();
-                }
-            };
+        TimeoutAfterReading(long dueAt, Runnable task) {
+            this.dueAt = dueAt;
+            this.task = task;
+        }
+
+        @Override
+        public void run() {
+            if (System.nanoTime() - dueAt < LATE_NS) {
+                task.run();
+            } else {
+                afterSockets(this::runUnlessRemoved);
+            }
+        }
+
+        private void runUnlessRemoved() {
+            if (!removed) {
+                task.run();
+            }
         }
 
         @Override
--- a/engine/src/main/java/trailthread/engine/loop/LoopLatency.java
+++ b/engine/src/main/java/trailthread/engine/loop/LoopLatency.java
@@ -1,118 +1,124 @@
 package trailthread.engine.loop;
 
 /**
- * What the I/O thread knows of its own lateness; pure: time is handed in, as the monotonic clock
- * has it, in nanoseconds.
+ * Measures how late the I/O thread runs, and bounds when the input that it reads arrived. All times
+ * are passed in, by the monotonic clock, in nanoseconds.
  *
- * <p>The thread takes turns: it runs what is due, looks at its sockets, and serves those that are
- * ready. What comes meanwhile waits for the next look, and nothing tells how long it has waited.
- * But it cannot have been there at the look before, or it would have been served then; and if the
- * thread slept in its look, what it then finds is what woke it. So each piece that is read has two
- * bounds on when it came, and what lies between them is the node's own, not the peer's.
+ * <p>In each iteration the thread runs the tasks that are due, polls its sockets, and serves those
+ * that are ready. Input that arrives meanwhile waits for the next poll, and the socket does not
+ * tell for how long. But it can't have been there at the poll before, or it would have been served
+ * then; and if the thread blocked in its poll, the input that it then finds has just woken it. So
+ * the arrival of each input lies between two bounds. The time between them is the node's own
+ * lateness, not the peer's.
  */
 public final class LoopLatency {
     /**
-     * A look that takes longer, and longer than the turn before, has slept. Guards against a thread
-     * that is put off its core between its turn and its look: what passes for a sleep then hides no
-     * more.
+     * The thread has blocked in a poll if this took longer, and longer than the iteration before.
+     * Prevents a thread that loses its core for a moment between an iteration and its poll from
+     * hiding the lateness of a longer iteration.
      */
-    private static final long SLEPT_NS = 100_000L;
+    private static final long LEAST_BLOCKED_NS = 100_000L;
 
-    /** Half-life of the worst lateness seen: a pause counts for some seconds, not for minutes. */
+    /** Half-life of the worst lateness: a pause counts for some seconds, not for minutes. */
     private static final double HALF_LIFE_NS = 1e9;
 
-    private boolean serving;
-    private boolean running;
-    private long lookedAt;
-    private long notBefore;
-    private long ranUntil;
-    private double worst;
+    private boolean servingSockets;
+    private boolean runningTask;
+
+    /** When the sockets were last polled, as far as is known. */
+    private long polledAt;
+
+    /** The lower bound for input of the sockets that are being served. */
+    private long arrivedNotBefore;
+
+    /** When the last task, or the last pass over the sockets, ended. */
+    private long busyUntil;
+
+    private double worstLatenessNs;
     private long worstAt;
 
     LoopLatency(long now) {
-        lookedAt = now;
-        ranUntil = now;
+        polledAt = now;
+        busyUntil = now;
     }
 
     /**
-     * A socket is being served; true for the first one of a turn, after which {@link #served} is
-     * owed.
+     * A socket is about to be served.
+     *
+     * @return true for the first one after a poll; {@link #socketsServed} must follow then
      */
-    boolean serves(long now) {
-        if (serving || running) {
-            return false; // a task that reads by the way has not looked at the other sockets
+    boolean serveSocket(long now) {
+        if (servingSockets || runningTask) {
+            return false; // a read within a task says nothing of the other sockets
         }
-        serving = true;
-        if (hasSlept(now)) {
-            notBefore = now;
+        servingSockets = true;
+        if (hasBlocked(now)) {
+            arrivedNotBefore = now;
         } else {
-            notBefore = lookedAt;
-            late(now - lookedAt, now); // what came right after the last look has waited so long
+            arrivedNotBefore = polledAt;
+            record(now - polledAt, now); // input right after the last poll has waited so long
         }
-        lookedAt = now;
+        polledAt = now;
         return true;
     }
 
     /** All sockets that were ready have been served. */
-    void served(long now) {
-        serving = false;
-        ranUntil = now;
+    void socketsServed(long now) {
+        servingSockets = false;
+        busyUntil = now;
     }
 
-    /** A task is run. If the thread has slept until now, its last look found no socket ready. */
-    void runs(long now) {
-        if (!serving && hasSlept(now)) {
-            lookedAt = now;
+    /** A task begins. If the thread has blocked until now, its last poll found no socket ready. */
+    void beginTask(long now) {
+        if (!servingSockets && hasBlocked(now)) {
+            polledAt = now;
         }
-        running = true;
+        runningTask = true;
     }
 
-    /**
-     * For how long it may not have looked at its sockets, in nanoseconds. Once that is longer than
-     * the gaps between its tasks, no gap tells of a sleep any more, and it grows until a socket is
-     * served.
-     */
-    long unseenNs(long now) {
-        return serving || hasSlept(now) ? 0 : now - lookedAt;
+    /** The task has ended. */
+    void endTask(long now) {
+        runningTask = false;
+        busyUntil = now;
     }
 
-    private boolean hasSlept(long now) {
-        return now - ranUntil > Math.max(SLEPT_NS, ranUntil - lookedAt);
+    /**
+     * For how long the sockets may not have been polled, in nanoseconds. Once this is longer than
+     * the gaps between tasks, no gap is taken for a blocked poll any more, and it grows until a
+     * socket is served.
+     */
+    long unpolledNs(long now) {
+        return servingSockets || hasBlocked(now) ? 0 : now - polledAt;
     }
 
-    /** It has been run. */
-    void ran(long now) {
-        running = false;
-        ranUntil = now;
+    private boolean hasBlocked(long now) {
+        return now - busyUntil > Math.max(LEAST_BLOCKED_NS, busyUntil - polledAt);
     }
 
-    /** A timer that was due runs only now. */
-    void timer(long dueAt, long now) {
-        late(now - dueAt, now);
+    /** A timer that was due runs now. */
+    void timerRuns(long dueAt, long now) {
+        record(now - dueAt, now);
     }
 
-    private void late(long lateness, long now) {
-        if (lateness > latenessNs(now)) {
-            worst = lateness;
+    private void record(long latenessNs, long now) {
+        if (latenessNs > latenessNs(now)) {
+            worstLatenessNs = latenessNs;
             worstAt = now;
         }
     }
 
-    /** The worst lateness of late, in nanoseconds, fading by half each second. */
+    /** The worst recent lateness, in nanoseconds; it decays by half each second. */
     public long latenessNs(long now) {
-        return (long) (worst * Math.pow(0.5, (now - worstAt) / HALF_LIFE_NS));
+        return (long) (worstLatenessNs * Math.pow(0.5, (now - worstAt) / HALF_LIFE_NS));
     }
 
-    /**
-     * When the sockets that are being served were looked at; outside of that, for what is read by
-     * the way, it is now.
-     */
-    long lookedAt(long now) {
-        return serving && !running ? lookedAt : now;
+    /** By when input that is read now had arrived: the poll, or now for a read within a task. */
+    long arrivedBy(long now) {
+        return servingSockets && !runningTask ? polledAt : now;
     }
 
-    /** Before this, nothing that is read now can have come. */
-    long notBefore() {
-        return serving && !running ? notBefore : lookedAt;
+    /** Input that is read now can't have arrived before this. */
+    long arrivedNotBefore() {
+        return servingSockets && !runningTask ? arrivedNotBefore : polledAt;
     }
 }
--- a/engine/src/main/java/trailthread/engine/loop/Seconds.java
+++ b/engine/src/main/java/trailthread/engine/loop/Seconds.java
@@ -1,17 +1,17 @@
 package trailthread.engine.loop;
 
-/** Durations as the protocol writes them: seconds with decimals. */
+/** Durations as the protocol writes them: seconds with a decimal point. */
 public final class Seconds {
-    /** Nobody waits longer; a larger figure would overflow what is counted in nanoseconds. */
-    private static final double LONGEST = 3600;
+    /** Longer durations are invalid; they could overflow when counted in nanoseconds. */
+    private static final double MAX_SECONDS = 3600;
 
-    private static final int MOST_LETTERS = 20;
+    private static final int MAX_CHARACTERS = 20;
 
     private Seconds() {}
 
-    /** The nanoseconds, or -1 if this is no duration of a sensible length. */
+    /** The duration in nanoseconds, or -1 if the text is not one or is over an hour. */
     public static long parse(String text) {
-        if (text.isEmpty() || text.length() > MOST_LETTERS) {
+        if (text.isEmpty() || text.length() > MAX_CHARACTERS) {
             return -1;
         }
         for (int i = 0; i < text.length(); i++) {
@@ -22,16 +22,22 @@
         }
         try {
             double seconds = Double.parseDouble(text);
-            return seconds <= LONGEST ? Math.round(seconds * 1e9) : -1;
+            return seconds <= MAX_SECONDS ? Math.round(seconds * 1e9) : -1;
         } catch (NumberFormatException e) {
             return -1;
         }
     }
 
-    /** Whole milliseconds, rounded down, and never below nothing. */
+    /** Seconds with three decimals, rounded down; {@code 0.000} for negative durations. */
     public static String format(long ns) {
         long ms = Math.max(0, ns) / 1_000_000;
-        long rest = ms % 1000;
-        return ms / 1000 + (rest < 10 ? ".00" : rest < 100 ? ".0" : ".") + rest;
+        long decimals = ms % 1000;
+        String point = ".";
+        if (decimals < 10) {
+            point = ".00";
+        } else if (decimals < 100) {
+            point = ".0";
+        }
+        return ms / 1000 + point + decimals;
     }
 }
--- a/engine/src/main/java/trailthread/engine/loop/SocketPass.java
+++ b/engine/src/main/java/trailthread/engine/loop/SocketPass.java
@@ -13,22 +13,21 @@
 
 /**
  * Runs tasks once all sockets that are ready have been served. XNIO runs every task and every due
- * timer before it looks at the sockets, however often they put one another off; a byte on a pipe of
- * the thread's own is found in the look that finds all the others.
+ * timer before it polls the sockets, also those that tasks schedule meanwhile. A byte written to a
+ * pipe that the thread itself reads is found in the same poll as all other input.
  */
 final class SocketPass {
     private final XnioIoThread thread;
     private final Consumer<Runnable> runner;
     private final StreamSourceChannel source;
     private final StreamSinkChannel sink;
-    private List<Runnable> waiting = new ArrayList<>();
+    private List<Runnable> tasks = new ArrayList<>();
 
     /**
-     * @param served is told of each look, while it is under way
-     * @param runner runs one task; a task that throws must not take along the others, which end
-     *     waits
+     * @param socketServed runs whenever the pipe is served, as for any other socket
+     * @param runner runs one task, and must catch its exceptions, so that the other tasks run
      */
-    SocketPass(XnioIoThread thread, Runnable served, Consumer<Runnable> runner) {
+    SocketPass(XnioIoThread thread, Runnable socketServed, Consumer<Runnable> runner) {
         this.thread = thread;
         this.runner = runner;
         try {
@@ -42,15 +41,16 @@
         source.getReadSetter()
                 .set(
                         readable -> {
-                            served.run();
-                            looked();
+                            socketServed.run();
+                            pipeReadable();
                         });
         source.resumeReads();
     }
 
+    /** Runs a task once the sockets that are ready by now have been served. */
     void after(Runnable task) {
-        waiting.add(task);
-        if (waiting.size() == 1) {
+        tasks.add(task);
+        if (tasks.size() == 1) {
             try {
                 sink.write(ByteBuffer.allocate(1)); // one byte at a time always fits
             } catch (IOException e) {
@@ -60,10 +60,10 @@
     }
 
     /**
-     * This look found the byte; the tasks run when the others that it found have been served, and
-     * when what these have put off until after the look, as a connect that came up, is done.
+     * The poll has found the byte. The tasks run after the other sockets that it found have been
+     * served, and after tasks that these queued, such as the completion of a connect.
      */
-    private void looked() {
+    private void pipeReadable() {
         try {
             if (source.read(ByteBuffer.allocate(1)) <= 0) {
                 return;
@@ -71,8 +71,8 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        List<Runnable> due = waiting;
-        waiting = new ArrayList<>();
+        List<Runnable> due = tasks;
+        tasks = new ArrayList<>();
         thread.execute(() -> thread.execute(() -> due.forEach(runner)));
     }
 }
--- a/engine/src/main/java/trailthread/engine/loop/TimerWheel.java
+++ b/engine/src/main/java/trailthread/engine/loop/TimerWheel.java
@@ -6,26 +6,28 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Timers in slots by the time at which they are due (a hashed timing wheel: Varghese and Lauck,
- * "Hashed and hierarchical timing wheels", SOSP 1987). Setting one and taking it back cost the same
- * however many there are: each call sets four, takes three of them back, and thousands are out at a
- * time. Time is handed in, in nanoseconds of the monotonic clock. No timer runs early; one runs up
- * to a tick late.
+ * A hashed timing wheel (Varghese and Lauck, "Hashed and hierarchical timing wheels", SOSP 1987):
+ * timers are kept in slots by the tick at which they are due. Scheduling and cancelling take
+ * constant time: each request schedules four timers and cancels three of them, and thousands are
+ * pending at a time. Times are passed in, in nanoseconds of the monotonic clock. No timer is due
+ * early; one is due up to a tick late.
  */
 final class TimerWheel {
-    static final int TICK_BITS = 20; // a millisecond
+    /** A tick lasts two to this power of nanoseconds, about a millisecond. */
+    static final int TICK_BITS = 20;
+
     private static final int SLOTS = 2048;
 
-    /** A timer; {@link #remove} takes it back. */
+    /** A pending timer; {@link #remove} cancels it. */
     static final class Timer implements XnioExecutor.Key {
         final long dueAt;
 
-        /** Null once it has run or was taken back. */
+        /** Null once it has run or was cancelled. */
         private Runnable task;
 
         private final Slot slot;
-        private Timer before;
-        private Timer after;
+        private Timer previous;
+        private Timer next;
 
         private Timer(long dueAt, Runnable task, Slot slot) {
             this.dueAt = dueAt;
@@ -33,15 +35,15 @@
             this.slot = slot;
         }
 
-        /** Whether it was still to run. */
+        /** Cancels the timer; whether it was still to run. */
         @Override
         public boolean remove() {
             slot.unlink(this);
-            return take() != null;
+            return takeTask() != null;
         }
 
-        /** What is to run, once. */
-        Runnable take() {
+        /** The task to run, the first time; then, or after a cancellation, null. */
+        Runnable takeTask() {
             Runnable taken = task;
             task = null;
             return taken;
@@ -49,45 +51,45 @@
     }
 
     /**
-     * Timers of one tick, and of those a whole turn of the wheel earlier or later, as they were
-     * set.
+     * The timers of one tick, and of those a revolution of the wheel earlier or later, in the order
+     * in which they were scheduled: a doubly linked list.
      */
     private static final class Slot {
         private Timer first;
         private Timer last;
 
-        void link(Timer t) {
-            t.before = last;
+        void link(Timer timer) {
+            timer.previous = last;
             if (last == null) {
-                first = t;
+                first = timer;
             } else {
-                last.after = t;
+                last.next = timer;
             }
-            last = t;
+            last = timer;
         }
 
-        void unlink(Timer t) {
-            if (t.before == null && first != t) {
-                return; // it is out
+        void unlink(Timer timer) {
+            if (timer.previous == null && first != timer) {
+                return; // it is not linked any more
             }
-            if (t.before == null) {
-                first = t.after;
+            if (timer.previous == null) {
+                first = timer.next;
             } else {
-                t.before.after = t.after;
+                timer.previous.next = timer.next;
             }
-            if (t.after == null) {
-                last = t.before;
+            if (timer.next == null) {
+                last = timer.previous;
             } else {
-                t.after.before = t.before;
+                timer.next.previous = timer.previous;
             }
-            t.before = null;
-            t.after = null;
+            timer.previous = null;
+            timer.next = null;
         }
     }
 
     private final Slot[] slots = new Slot[SLOTS];
 
-    /** All ticks up to this one have been looked at. */
+    /** The timers of all ticks up to this one have been removed as due. */
     private long tick;
 
     TimerWheel(long now) {
@@ -97,28 +99,28 @@
         }
     }
 
-    /** The tick at whose beginning the time has come. */
+    /** The first tick that begins at this time or later. */
     static long tickOf(long dueAt) {
         return (dueAt + (1L << TICK_BITS) - 1) >> TICK_BITS;
     }
 
-    /** Sets a timer; one that is overdue already is due at the next tick. */
-    Timer set(long dueAt, Runnable task) {
+    /** Schedules a timer; one that is overdue already is due at the next tick. */
+    Timer schedule(long dueAt, Runnable task) {
         Slot slot = slots[(int) (Math.max(tickOf(dueAt), tick + 1) % SLOTS)];
         Timer timer = new Timer(dueAt, task, slot);
         slot.link(timer);
         return timer;
     }
 
-    /** Takes out what is due by now, in the order of the ticks at which it was. */
-    List<Timer> due(long now) {
+    /** Removes the timers that are due by now, in the order of their ticks. */
+    List<Timer> removeDue(long now) {
         List<Timer> due = new ArrayList<>();
         long until = now >> TICK_BITS;
-        boolean turned = until - tick >= SLOTS;
+        boolean revolved = until - tick >= SLOTS;
         for (long t = Math.max(tick + 1, until - SLOTS + 1); t <= until; t++) {
             Slot slot = slots[(int) (t % SLOTS)];
             for (Timer timer = slot.first; timer != null; ) {
-                Timer next = timer.after;
+                Timer next = timer.next;
                 if (tickOf(timer.dueAt) <= until) {
                     slot.unlink(timer);
                     due.add(timer);
@@ -126,7 +128,7 @@
                 timer = next;
             }
         }
-        if (turned) { // after a pause, slots stand for several ticks each
+        if (revolved) { // after a pause, a slot holds the timers of several ticks
             due.sort(Comparator.comparingLong(timer -> tickOf(timer.dueAt)));
         }
         tick = Math.max(tick, until);
@@ -134,10 +136,10 @@
     }
 
     /**
-     * The time of the next tick that holds timers, at the latest a turn of the wheel from now;
-     * perhaps none of them is due then.
+     * The time of the next tick whose slot holds timers, at the latest a revolution from now. These
+     * may be due in a later revolution only.
      */
-    long nextAt() {
+    long nextTickAt() {
         long t = tick + 1;
         while (t < tick + SLOTS && slots[(int) (t % SLOTS)].first == null) {
             t++;
--- a/engine/src/test/java/trailthread/engine/loop/MeterCost.java
+++ b/engine/src/test/java/trailthread/engine/loop/MeterCost.java
@@ -1,34 +1,33 @@
 package trailthread.engine.loop;
 
 /**
- * What the loop's knowledge of its own lateness costs: a turn with one socket and four tasks, as
- * for one call alone, with and without the meter. Run by hand: {@code java -cp ...
- * trailthread.engine.loop.MeterCost}.
+ * Measures the cost of {@link LoopLatency}: an iteration with one socket and four tasks, as for a
+ * single request. Run by hand: {@code java -cp ... trailthread.engine.loop.MeterCost}.
  */
 public final class MeterCost {
-    private static final int TURNS = 5_000_000;
+    private static final int ITERATIONS = 5_000_000;
     private static final int TASKS = 4;
 
     private MeterCost() {}
 
-    /** Prints nanoseconds for each turn, a few times, as the first ones warm up. */
+    /** Prints nanoseconds an iteration, several times, as the first runs warm up. */
     public static void main(String[] args) {
         for (int round = 0; round < 5; round++) {
-            LoopLatency turns = new LoopLatency(System.nanoTime());
+            LoopLatency latency = new LoopLatency(System.nanoTime());
             long began = System.nanoTime();
-            for (int i = 0; i < TURNS; i++) {
-                if (turns.serves(System.nanoTime())) {
-                    turns.served(System.nanoTime());
+            for (int i = 0; i < ITERATIONS; i++) {
+                if (latency.serveSocket(System.nanoTime())) {
+                    latency.socketsServed(System.nanoTime());
                 }
                 for (int task = 0; task < TASKS; task++) {
-                    turns.runs(System.nanoTime());
-                    turns.ran(System.nanoTime());
+                    latency.beginTask(System.nanoTime());
+                    latency.endTask(System.nanoTime());
                 }
             }
             System.out.println(
-                    (System.nanoTime() - began) / TURNS
-                            + " ns a turn, lateness "
-                            + turns.latenessNs(System.nanoTime())
+                    (System.nanoTime() - began) / ITERATIONS
+                            + " ns an iteration, lateness "
+                            + latency.latenessNs(System.nanoTime())
                             + " ns");
         }
     }
--- a/engine/src/test/java/trailthread/engine/loop/SecondsTest.java
+++ b/engine/src/test/java/trailthread/engine/loop/SecondsTest.java
@@ -7,7 +7,7 @@
 /** Durations as the protocol writes them. */
 public class SecondsTest {
     @Test
-    public void durationsAreRead() {
+    public void parsesDurations() {
         Object[][] cases = {
             {"0.480", 480_000_000L},
             {"0", 0L},
@@ -34,7 +34,7 @@
     }
 
     @Test
-    public void durationsAreWritten() {
+    public void formatsDurations() {
         Object[][] cases = {
             {0L, "0.000"},
             {-5L, "0.000"},
--- a/engine/src/test/java/trailthread/engine/loop/TimerWheelTest.java
+++ b/engine/src/test/java/trailthread/engine/loop/TimerWheelTest.java
@@ -9,23 +9,23 @@
 import java.util.SplittableRandom;
 import org.junit.Test;
 
-/** The wheel against a plain list of timers, for many histories. */
+/** The wheel against a plain list of timers, with random schedules. */
 public class TimerWheelTest {
     private static final long MS = 1_000_000L;
 
-    private record Set(TimerWheel.Timer timer, int number) {}
+    private record Pending(TimerWheel.Timer timer, int number) {}
 
     @Test
-    public void eachRunsOnceInItsTickAndNeverEarly() {
+    public void eachTimerIsDueOnceInItsTickAndNeverEarly() {
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             long now = random.nextLong(1L << 50);
             TimerWheel wheel = new TimerWheel(now);
-            List<Set> pending = new ArrayList<>();
+            List<Pending> pending = new ArrayList<>();
             for (int step = 0; step < 300; step++) {
                 for (int i = random.nextInt(4); i > 0; i--) {
                     long delay = random.nextLong(random.nextInt(5) == 0 ? 9_000 * MS : 40 * MS);
-                    pending.add(new Set(wheel.set(now + delay, () -> {}), step));
+                    pending.add(new Pending(wheel.schedule(now + delay, () -> {}), step));
                 }
                 if (!pending.isEmpty() && random.nextInt(3) == 0) {
                     assertTrue(pending.remove(random.nextInt(pending.size())).timer.remove());
@@ -35,7 +35,7 @@
                         pending.stream()
                                 .allMatch(
                                         s ->
-                                                wheel.nextAt()
+                                                wheel.nextTickAt()
                                                         <= TimerWheel.tickOf(s.timer.dueAt)
                                                                 << TimerWheel.TICK_BITS));
                 now +=
@@ -43,7 +43,7 @@
                                 ? random.nextLong(10_000 * MS)
                                 : random.nextLong(3 * MS);
                 long tick = now >> TimerWheel.TICK_BITS;
-                List<TimerWheel.Timer> due = wheel.due(now);
+                List<TimerWheel.Timer> due = wheel.removeDue(now);
                 long last = 0;
                 for (TimerWheel.Timer timer : due) {
                     assertTrue(timer.dueAt <= now);
@@ -59,23 +59,23 @@
     }
 
     @Test
-    public void oneThatIsDueCanStillBeTakenBack() {
+    public void aDueTimerCanStillBeCancelled() {
         TimerWheel wheel = new TimerWheel(0);
-        wheel.set(MS, () -> {});
-        TimerWheel.Timer second = wheel.set(MS, () -> {});
-        List<TimerWheel.Timer> due = wheel.due(2 * MS);
+        wheel.schedule(MS, () -> {});
+        TimerWheel.Timer second = wheel.schedule(MS, () -> {});
+        List<TimerWheel.Timer> due = wheel.removeDue(2 * MS);
         assertEquals(2, due.size());
-        assertTrue(due.get(0).take() != null);
+        assertTrue(due.get(0).takeTask() != null);
         assertTrue("before it has run", second.remove());
-        assertTrue(second.take() == null);
+        assertTrue(second.takeTask() == null);
         assertFalse(second.remove());
     }
 
     @Test
-    public void oneThatIsOverdueWhenItIsSetRunsNext() {
+    public void aTimerScheduledOverdueIsDueAtTheNextTick() {
         TimerWheel wheel = new TimerWheel(500 * MS);
-        wheel.set(100 * MS, () -> {});
-        assertTrue(wheel.nextAt() <= 501 * MS);
-        assertEquals(1, wheel.due(501 * MS).size());
+        wheel.schedule(100 * MS, () -> {});
+        assertTrue(wheel.nextTickAt() <= 501 * MS);
+        assertEquals(1, wheel.removeDue(501 * MS).size());
     }
 }
