--- a/engine/src/main/java/trailthread/engine/routes/BadTargetException.java
+++ b/engine/src/main/java/trailthread/engine/routes/BadTargetException.java
@@ -1,8 +1,8 @@
 package trailthread.engine.routes;
 
 /**
- * A request whose target or host two readers could understand differently, or that no server may be
- * sent.
+ * A request target or Host header that is invalid, or that two parsers could read differently. Made
+ * without a stack trace: clients can cause it at any rate.
  */
 public final class BadTargetException extends Exception {
     private static final long serialVersionUID = 1;
--- a/engine/src/main/java/trailthread/engine/routes/HostPattern.java
+++ b/engine/src/main/java/trailthread/engine/routes/HostPattern.java
@@ -3,26 +3,30 @@
 import java.util.Locale;
 
 /**
- * The hosts that a route takes: one, all below a name, or any. A wildcard stands for one label or
- * more, as in the Gateway API of Kubernetes (HTTPRoute, "hostnames").
+ * The hosts that a route matches: one, all subdomains of a name, or any. A wildcard stands for one
+ * label or more, as in the Gateway API of Kubernetes (HTTPRoute, "hostnames").
  *
- * @param kind how much it takes
- * @param name the host, or the name after {@code *.}; empty for any. In small letters
+ * @param kind how many hosts it matches
+ * @param name the host, or the name after {@code *.}, in lower case; empty for any
  */
 public record HostPattern(Kind kind, String name) {
-    /** From the most specific on. */
+    /** How many hosts a pattern matches, the most specific kind first. */
     public enum Kind {
+        /** One host. */
         EXACT,
+        /** All subdomains of a name. */
         WILDCARD,
+        /** All hosts. */
         ANY
     }
 
+    /** Matches all hosts. */
     public static final HostPattern ANYTHING = new HostPattern(Kind.ANY, "");
 
     /**
-     * Reads a pattern: {@code sim.example.org}, {@code *.example.org} or {@code *}.
+     * Parses a pattern: {@code sim.example.org}, {@code *.example.org} or {@code *}.
      *
-     * @throws IllegalArgumentException saying what was expected
+     * @throws IllegalArgumentException that says what was expected
      */
     public static HostPattern parse(String text) {
         if (text.equals("*")) {
@@ -37,8 +41,8 @@
         return new HostPattern(wildcard ? Kind.WILDCARD : Kind.EXACT, name);
     }
 
-    /** Whether it takes this host, as {@link Target#host()} has it. */
-    public boolean takes(String host) {
+    /** Whether it matches this host, in the form of {@link Target#host()}. */
+    public boolean matches(String host) {
         return switch (kind) {
             case EXACT -> host.equals(name);
             case WILDCARD ->
@@ -50,14 +54,14 @@
     }
 
     /**
-     * How many labels a name has: of two wildcards that take a host, the longer one is more
+     * How many labels the name has: of two wildcards that match a host, the longer one is more
      * specific.
      */
     int labels() {
         return name.isEmpty() ? 0 : 1 + (int) name.chars().filter(c -> c == '.').count();
     }
 
-    /** Some host that it takes. */
+    /** A host that it matches. */
     String example() {
         return switch (kind) {
             case EXACT -> name;
--- a/engine/src/main/java/trailthread/engine/routes/HostSyntax.java
+++ b/engine/src/main/java/trailthread/engine/routes/HostSyntax.java
@@ -1,41 +1,53 @@
 package trailthread.engine.routes;
 
 /**
- * What a host may look like: a name of RFC 1123 letters (an underscore too, as it is in use), or an
- * address.
+ * The syntax of hosts: names of RFC 1123 with underscores, which are in use, and IPv6 addresses.
  */
 final class HostSyntax {
-    private static final int LONGEST_NAME = 253;
-    private static final int LONGEST_LABEL = 63;
+    private static final int MAX_NAME_LENGTH = 253;
+    private static final int MAX_LABEL_LENGTH = 63;
 
     private HostSyntax() {}
 
-    /** A name in small letters, without a trailing dot. Dotted numbers are names, too. */
+    /** Whether it is a name in lower case without a trailing dot; IPv4 addresses are names, too. */
     static boolean isName(String text) {
-        if (text.isEmpty() || text.length() > LONGEST_NAME) {
+        if (text.isEmpty() || text.length() > MAX_NAME_LENGTH) {
             return false;
         }
-        int label = 0;
+        int labelLength = 0;
         for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
-            boolean inner =
-                    c == '-' && label > 0 && i + 1 < text.length() && text.charAt(i + 1) != '.';
-            if (c == '.'
-                    ? label == 0
-                    : !((c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '_' || inner)) {
-                return false;
-            }
-            label = c == '.' ? 0 : label + 1;
-            if (label > LONGEST_LABEL) {
-                return false;
+            if (text.charAt(i) == '.') {
+                if (labelLength == 0) {
+                    return false;
+                }
+                labelLength = 0;
+            } else {
+                labelLength++;
+                if (labelLength > MAX_LABEL_LENGTH || !isLabelCharacter(text, i)) {
+                    return false;
+                }
             }
         }
-        return label > 0;
+        return labelLength > 0;
+    }
+
+    private static boolean isLabelCharacter(String text, int i) {
+        char c = text.charAt(i);
+        return (c >= 'a' && c <= 'z')
+                || (c >= '0' && c <= '9')
+                || c == '_'
+                || (c == '-' && isWithinLabel(text, i));
+    }
+
+    /** Whether the character is neither the first nor the last one of its label. */
+    private static boolean isWithinLabel(String text, int i) {
+        return i > 0
+                && text.charAt(i - 1) != '.'
+                && i + 1 < text.length()
+                && text.charAt(i + 1) != '.';
     }
 
-    /**
-     * An IPv6 address in brackets, as RFC 3986 has it, by its letters; nothing here looks it up.
-     */
+    /** Whether it is an IPv6 address in brackets (RFC 3986), judged by its characters alone. */
     static boolean isAddress(String text) {
         if (text.length() < 4 || text.charAt(0) != '[' || text.charAt(text.length() - 1) != ']') {
             return false;
--- a/engine/src/main/java/trailthread/engine/routes/PathPattern.java
+++ b/engine/src/main/java/trailthread/engine/routes/PathPattern.java
@@ -3,74 +3,89 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.regex.Pattern;
 
 /**
- * The paths that a route takes: {@code /a/b} itself, {@code /a/{id}} with any one segment in its
- * place, or {@code /a/**} with all that is under it. Whole segments only: {@code /a/**} takes
- * {@code /a}, {@code /a/} and {@code /a/b}, and not {@code /ab}.
+ * The paths that a route matches: {@code /a/b} itself, {@code /a/{id}} with any non-empty segment
+ * in its place, or {@code /a/**} with all paths below it. Segments match as a unit: {@code /a/**}
+ * matches {@code /a}, {@code /a/} and {@code /a/b}, and not {@code /ab}.
  *
- * @param segments the literal segments as {@link Target#segments()} has them; null for any one
+ * @param segments the literal segments in the form of {@link Target#segments()}; null: any segment
  * @param prefix whether further segments may follow
  */
 public record PathPattern(List<String> segments, boolean prefix) {
     private static final String REST = "**";
+    private static final Pattern PARAMETER = Pattern.compile("\\{[A-Za-z][A-Za-z0-9_]*}");
+
+    /** What a pattern has in one place, the most specific first. */
+    private enum Rank {
+        LITERAL,
+        PARAMETER,
+        END,
+        REST
+    }
 
     /**
-     * Reads a pattern.
+     * Parses a pattern.
      *
-     * @throws IllegalArgumentException saying what was expected
+     * @throws IllegalArgumentException that says what was expected
      */
     public static PathPattern parse(String text) {
-        List<String> segments = new ArrayList<>();
         boolean prefix = text.endsWith("/" + REST);
         String fixed = prefix ? text.substring(0, text.length() - REST.length() - 1) : text;
+        if (prefix && fixed.isEmpty()) {
+            return new PathPattern(List.of(), true);
+        }
         try {
-            if (!prefix || !fixed.isEmpty()) {
-                // What stands in braces is no part of a target: read as a letter, and taken for any
-                // segment.
-                List<String> read =
-                        Target.segments(fixed.replaceAll("\\{[A-Za-z][A-Za-z0-9_]*}", "x"));
-                String[] written = fixed.substring(1).split("/", -1);
-                for (int i = 0; i < written.length; i++) {
-                    boolean any = written[i].startsWith("{") && written[i].endsWith("}");
-                    if ((!any && written[i].indexOf('{') >= 0) || written[i].indexOf('*') >= 0) {
-                        throw new IllegalArgumentException(
-                                "{name} or ** for whole segments, ** at the end");
-                    }
-                    segments.add(any ? null : read.get(i));
-                }
-            }
+            return new PathPattern(Collections.unmodifiableList(parseSegments(fixed)), prefix);
         } catch (BadTargetException e) {
             throw new IllegalArgumentException("a path as a request has it: " + e.getMessage(), e);
         }
-        return new PathPattern(Collections.unmodifiableList(segments), prefix);
     }
 
-    /** Whether it takes a path of these segments. */
-    public boolean takes(List<String> path) {
+    private static List<String> parseSegments(String path) throws BadTargetException {
+        // Braces are not allowed in a target, so a letter stands in for each parameter.
+        List<String> parsed = Target.segments(PARAMETER.matcher(path).replaceAll("x"));
+        String[] written = path.substring(1).split("/", -1);
+        List<String> segments = new ArrayList<>();
+        for (int i = 0; i < written.length; i++) {
+            boolean isParameter = written[i].startsWith("{") && written[i].endsWith("}");
+            if ((!isParameter && written[i].indexOf('{') >= 0) || written[i].indexOf('*') >= 0) {
+                throw new IllegalArgumentException(
+                        "{name} or ** for whole segments, ** at the end");
+            }
+            segments.add(isParameter ? null : parsed.get(i));
+        }
+        return segments;
+    }
+
+    /** Whether it matches a path of these segments. */
+    public boolean matches(List<String> path) {
         if (path.size() < segments.size() || (!prefix && path.size() > segments.size())) {
             return false;
         }
         for (int i = 0; i < segments.size(); i++) {
-            String wanted = segments.get(i);
-            if (wanted == null ? path.get(i).isEmpty() : !wanted.equals(path.get(i))) {
+            if (!matches(segments.get(i), path.get(i))) {
                 return false;
             }
         }
         return true;
     }
 
+    private static boolean matches(String required, String segment) {
+        return required == null ? !segment.isEmpty() : required.equals(segment);
+    }
+
     /**
-     * Which of two that take the same path is more specific: at the first segment in which they
-     * differ, a literal goes before any segment, that before the end, and an end before all that
-     * may follow.
+     * Orders patterns that match the same path, the most specific first. The first place in which
+     * they differ decides: a literal goes before a parameter, that before the end, and the end
+     * before {@code **}.
      */
     static int compare(PathPattern a, PathPattern b) {
         for (int i = 0; ; i++) {
-            int first = a.rankAt(i);
-            int second = b.rankAt(i);
-            if (first != second) {
-                return Integer.compare(first, second);
+            int order = a.rankAt(i).compareTo(b.rankAt(i));
+            if (order != 0) {
+                return order;
             }
             if (i >= a.segments.size()) {
                 return 0;
@@ -78,14 +93,14 @@
         }
     }
 
-    private int rankAt(int i) {
+    private Rank rankAt(int i) {
         if (i >= segments.size()) {
-            return prefix ? 3 : 2;
+            return prefix ? Rank.REST : Rank.END;
         }
-        return segments.get(i) == null ? 1 : 0;
+        return segments.get(i) == null ? Rank.PARAMETER : Rank.LITERAL;
     }
 
-    /** Some path that it takes. */
+    /** A path that it matches. */
     String example() {
         StringBuilder path = new StringBuilder();
         for (String segment : segments) {
--- a/engine/src/main/java/trailthread/engine/routes/Route.java
+++ b/engine/src/main/java/trailthread/engine/routes/Route.java
@@ -5,15 +5,14 @@
 import java.util.Set;
 
 /**
- * One route: the requests that it takes, and the pool that they go to.
+ * One route: the requests that it matches, and the pool that they go to.
  *
  * @param name unique in its table
- * @param methods those that it takes; empty: any
- * @param headers names in small letters, and the value that each must have; {@link #PRESENT}: any
- *     value
+ * @param methods those that match; empty: any
+ * @param headers lower-case names, and the value that each must have; {@link #PRESENT}: any value
  * @param requestClass the class that the client must have named; null: any or none
  * @param pool the name of a pool
- * @param assigns the class of its calls, whatever the client names; null: the client's or the
+ * @param assigns the class of its requests, whatever the client names; null: the client's or the
  *     method's
  */
 public record Route(
@@ -25,13 +24,19 @@
         String requestClass,
         String pool,
         String assigns) {
-    /** For a header that must be given, with whatever value. */
+    /** The value of a header that must be present, with any value. */
     public static final String PRESENT = "*";
 
+    /** More than any number of headers can add to the rank of a route without methods. */
+    private static final int METHOD_RANK = 1 << 16;
+
+    private static final int HEADER_RANK = 2;
+    private static final int CLASS_RANK = 1;
+
     /**
-     * The written order: of those that take a request, the first in this order has it. Host (exact,
-     * the longest wildcard, any), path (see {@link PathPattern#compare}), a method named, more
-     * headers, a class named.
+     * Of the routes that match a request, the first in this order has it: by host (exact, the
+     * longest wildcard, any), path (see {@link PathPattern#compare}), methods, number of headers,
+     * class.
      */
     static final Comparator<Route> MOST_SPECIFIC_FIRST =
             Comparator.comparing((Route r) -> r.host.kind())
@@ -39,66 +44,73 @@
                     .thenComparing(Route::path, PathPattern::compare)
                     .thenComparing(Route::compareConditions);
 
+    public Route {
+        methods = Set.copyOf(methods);
+        headers = Map.copyOf(headers);
+    }
+
     /** The order among routes of one host and path. */
     static int compareConditions(Route a, Route b) {
         return Integer.compare(b.rank(), a.rank());
     }
 
-    public Route {
-        methods = Set.copyOf(methods);
-        headers = Map.copyOf(headers);
+    private int rank() {
+        return (methods.isEmpty() ? 0 : METHOD_RANK)
+                + HEADER_RANK * headers.size()
+                + (requestClass == null ? 0 : CLASS_RANK);
     }
 
-    private int rank() {
-        return (methods.isEmpty() ? 0 : 1 << 16)
-                + 2 * headers.size()
-                + (requestClass == null ? 0 : 1);
+    /** Whether the request matches. */
+    boolean matches(RouteQuery query) {
+        return host.matches(query.host()) && path.matches(query.path()) && matchesConditions(query);
     }
 
-    /** Whether it takes the request. */
-    boolean takes(RouteQuery asked) {
-        return refusal(asked) == null;
+    /** Whether the request matches, if its host and path do. */
+    boolean matchesConditions(RouteQuery query) {
+        return matchesMethod(query) && matchesClass(query) && mismatchedHeader(query) == null;
     }
 
-    /** Whether it takes the request, if host and path suit. */
-    boolean takesConditions(RouteQuery asked) {
-        if ((!methods.isEmpty() && !methods.contains(asked.method()))
-                || (requestClass != null && !requestClass.equals(asked.requestClass()))) {
-            return false;
-        }
-        for (Map.Entry<String, String> wanted : headers.entrySet()) {
-            String value = asked.header().apply(wanted.getKey());
+    private boolean matchesMethod(RouteQuery query) {
+        return methods.isEmpty() || methods.contains(query.method());
+    }
+
+    private boolean matchesClass(RouteQuery query) {
+        return requestClass == null || requestClass.equals(query.requestClass());
+    }
+
+    /** The first header that does not match, with the value it must have; null: all match. */
+    private Map.Entry<String, String> mismatchedHeader(RouteQuery query) {
+        for (Map.Entry<String, String> required : headers.entrySet()) {
+            String value = query.header().apply(required.getKey());
             if (value == null
-                    || (!wanted.getValue().equals(PRESENT) && !wanted.getValue().equals(value))) {
-                return false;
+                    || (!required.getValue().equals(PRESENT)
+                            && !required.getValue().equals(value))) {
+                return required;
             }
         }
-        return true;
+        return null;
     }
 
-    /** Why it does not take the request, for people; null: it does. */
-    public String refusal(RouteQuery asked) {
-        if (!host.takes(asked.host())) {
+    /** Why the request does not match, for people; null: it does. */
+    String mismatch(RouteQuery query) {
+        if (!host.matches(query.host())) {
             return "host is not " + host;
         }
-        if (!path.takes(asked.path())) {
+        if (!path.matches(query.path())) {
             return "path is not " + path;
         }
-        if (!methods.isEmpty() && !methods.contains(asked.method())) {
+        if (!matchesMethod(query)) {
             return "method is none of " + String.join(", ", methods.stream().sorted().toList());
         }
-        if (requestClass != null && !requestClass.equals(asked.requestClass())) {
+        if (!matchesClass(query)) {
             return "class is not " + requestClass;
         }
-        for (Map.Entry<String, String> wanted : headers.entrySet()) {
-            String value = asked.header().apply(wanted.getKey());
-            if (value == null) {
-                return "header " + wanted.getKey() + " is not given once";
-            }
-            if (!wanted.getValue().equals(PRESENT) && !wanted.getValue().equals(value)) {
-                return "header " + wanted.getKey() + " is not " + wanted.getValue();
-            }
+        Map.Entry<String, String> header = mismatchedHeader(query);
+        if (header == null) {
+            return null;
         }
-        return null;
+        return query.header().apply(header.getKey()) == null
+                ? "header " + header.getKey() + " is not given once"
+                : "header " + header.getKey() + " is not " + header.getValue();
     }
 }
--- a/engine/src/main/java/trailthread/engine/routes/RouteConflict.java
+++ b/engine/src/main/java/trailthread/engine/routes/RouteConflict.java
@@ -2,68 +2,86 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
 
 /**
- * Two routes of a table of which neither is more specific, and that both take some request: which
- * of them had it would hang on the order in the file.
+ * Two routes that match the same request, and neither of them is more specific: which one had it
+ * would depend on their order in the file.
  *
  * @param example such a request, as {@code METHOD host/path} and its headers
  */
 public record RouteConflict(Route first, Route second, String example) {
+    private static final String ANY_METHOD_EXAMPLE = "GET";
+    private static final String ANY_VALUE_EXAMPLE = "x";
+
     /**
-     * The conflict between two routes of one host and path, or null if no request suits both or one
-     * goes first.
+     * The conflict between two routes of one host and path; empty if no request matches both, or
+     * one of them is more specific.
      */
-    static RouteConflict between(Route a, Route b) {
-        if (Route.compareConditions(a, b) != 0) {
-            return null;
+    static Optional<RouteConflict> between(Route a, Route b) {
+        if (Route.compareConditions(a, b) != 0 || classesDiffer(a, b)) {
+            return Optional.empty();
+        }
+        Optional<String> method = commonMethod(a, b);
+        Optional<Map<String, String>> headers = commonHeaders(a, b);
+        if (method.isEmpty() || headers.isEmpty()) {
+            return Optional.empty();
+        }
+        String requestClass = a.requestClass() == null ? b.requestClass() : a.requestClass();
+        String example =
+                method.get()
+                        + " "
+                        + a.host().example()
+                        + a.path().example()
+                        + text(headers.get())
+                        + (requestClass == null ? "" : ", class " + requestClass);
+        return Optional.of(new RouteConflict(a, b, example));
+    }
+
+    private static boolean classesDiffer(Route a, Route b) {
+        return a.requestClass() != null
+                && b.requestClass() != null
+                && !a.requestClass().equals(b.requestClass());
+    }
+
+    /** A method that both match, if there is one: the first by name. */
+    private static Optional<String> commonMethod(Route a, Route b) {
+        if (a.methods().isEmpty() && b.methods().isEmpty()) {
+            return Optional.of(ANY_METHOD_EXAMPLE);
         }
         Set<String> methods = new TreeSet<>(a.methods().isEmpty() ? b.methods() : a.methods());
         if (!a.methods().isEmpty() && !b.methods().isEmpty()) {
             methods.retainAll(b.methods());
         }
-        boolean noMethod = methods.isEmpty() && !(a.methods().isEmpty() && b.methods().isEmpty());
-        boolean noClass =
-                a.requestClass() != null
-                        && b.requestClass() != null
-                        && !a.requestClass().equals(b.requestClass());
+        return methods.stream().findFirst();
+    }
+
+    /** Headers that both match, if they don't require different values of one. */
+    private static Optional<Map<String, String>> commonHeaders(Route a, Route b) {
         Map<String, String> headers = new LinkedHashMap<>(a.headers());
         for (Map.Entry<String, String> other : b.headers().entrySet()) {
             String own = headers.get(other.getKey());
             if (own == null || own.equals(Route.PRESENT)) {
                 headers.put(other.getKey(), other.getValue());
             } else if (!other.getValue().equals(Route.PRESENT) && !other.getValue().equals(own)) {
-                return null;
+                return Optional.empty();
             }
         }
-        if (noMethod || noClass) {
-            return null;
-        }
-        String requestClass = a.requestClass() == null ? b.requestClass() : a.requestClass();
-        String named =
-                headers.entrySet().stream()
-                        .sorted(Map.Entry.comparingByKey())
-                        .map(
-                                h ->
-                                        ", "
-                                                + h.getKey()
-                                                + ": "
-                                                + (h.getValue().equals(Route.PRESENT)
-                                                        ? "x"
-                                                        : h.getValue()))
-                        .collect(Collectors.joining());
-        return new RouteConflict(
-                a,
-                b,
-                (methods.isEmpty() ? "GET" : methods.iterator().next())
-                        + " "
-                        + a.host().example()
-                        + a.path().example()
-                        + named
-                        + (requestClass == null ? "" : ", class " + requestClass));
+        return Optional.of(headers);
+    }
+
+    private static String text(Map<String, String> headers) {
+        return headers.entrySet().stream()
+                .sorted(Map.Entry.comparingByKey())
+                .map(header -> ", " + header.getKey() + ": " + exampleValue(header.getValue()))
+                .collect(Collectors.joining());
+    }
+
+    private static String exampleValue(String required) {
+        return required.equals(Route.PRESENT) ? ANY_VALUE_EXAMPLE : required;
     }
 
     @Override
--- a/engine/src/main/java/trailthread/engine/routes/RouteQuery.java
+++ b/engine/src/main/java/trailthread/engine/routes/RouteQuery.java
@@ -4,11 +4,12 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A request as far as routes look at it.
+ * The parts of a request that routes match.
  *
- * @param host as {@link Target#host()} has it
- * @param path the segments, as {@link Target#segments()} has them
- * @param header a header's only value by its name in small letters, or null
+ * @param host in the form of {@link Target#host()}
+ * @param path the segments, in the form of {@link Target#segments()}
+ * @param header a header's value by its name in lower case; null if it is missing or given more
+ *     than once
  * @param requestClass the class that the client named, or null
  */
 public record RouteQuery(
--- a/engine/src/main/java/trailthread/engine/routes/RouteTable.java
+++ b/engine/src/main/java/trailthread/engine/routes/RouteTable.java
@@ -6,53 +6,54 @@
 import java.util.Map;
 
 /**
- * Finds the most specific route that takes a request. Hosts are looked up by name, paths segment by
- * segment, so a match takes as long as the path is deep, however many routes there are. Never
- * changed once it is made.
+ * Finds the most specific route that matches a request. Hosts are looked up by name and paths in a
+ * trie of segments, so that the time grows with the depth of the path and not with the number of
+ * routes. Immutable.
  */
 public final class RouteTable {
-    /** What is under one place in the paths of one host. */
+    /** A node of the trie of one host's paths. */
     private static final class Node {
         private Map<String, Node> literals = Map.of();
-        private Node anySegment;
+        private Node parameter;
 
-        /**
-         * Routes that end here, and those that take all from here on, each the most specific first.
-         */
+        /** Routes whose path ends here, the most specific first. */
         private final List<Route> ends = new ArrayList<>(1);
 
+        /** Routes that match all paths from here on, the most specific first. */
         private final List<Route> prefixes = new ArrayList<>(1);
 
-        Node literal(String segment) {
+        /** The child for a segment of a pattern, null for a parameter; it is added if missing. */
+        Node childFor(String segment) {
+            if (segment == null) {
+                parameter = parameter == null ? new Node() : parameter;
+                return parameter;
+            }
             if (literals.isEmpty()) {
                 literals = new HashMap<>();
             }
             return literals.computeIfAbsent(segment, name -> new Node());
         }
 
-        Node any() {
-            anySegment = anySegment == null ? new Node() : anySegment;
-            return anySegment;
-        }
-
-        /** The first that takes the request, in the order of {@link PathPattern#compare}. */
-        Route match(RouteQuery asked, int depth) {
-            if (depth == asked.path().size()) {
-                Route end = first(ends, asked);
-                return end != null ? end : first(prefixes, asked);
+        /**
+         * The first route that matches the request, in the order of {@link PathPattern#compare}.
+         */
+        Route match(RouteQuery query, int depth) {
+            if (depth == query.path().size()) {
+                Route end = first(ends, query);
+                return end != null ? end : first(prefixes, query);
             }
-            String segment = asked.path().get(depth);
+            String segment = query.path().get(depth);
             Node literal = literals.get(segment);
-            Route found = literal == null ? null : literal.match(asked, depth + 1);
-            if (found == null && anySegment != null && !segment.isEmpty()) {
-                found = anySegment.match(asked, depth + 1);
+            Route found = literal == null ? null : literal.match(query, depth + 1);
+            if (found == null && parameter != null && !segment.isEmpty()) {
+                found = parameter.match(query, depth + 1);
             }
-            return found != null ? found : first(prefixes, asked);
+            return found != null ? found : first(prefixes, query);
         }
 
-        private static Route first(List<Route> routes, RouteQuery asked) {
+        private static Route first(List<Route> routes, RouteQuery query) {
             for (int i = 0; i < routes.size(); i++) {
-                if (routes.get(i).takesConditions(asked)) {
+                if (routes.get(i).matchesConditions(query)) {
                     return routes.get(i);
                 }
             }
@@ -66,7 +67,7 @@
     private final Node anyHost = new Node();
     private final List<RouteConflict> conflicts = new ArrayList<>();
 
-    /** Makes a table; whether it is of use, {@link #conflicts} says. */
+    /** Makes a table, which is to be used only if it has no {@link #conflicts}. */
     public RouteTable(List<Route> routes) {
         List<Route> sorted = new ArrayList<>(routes);
         sorted.sort(Route.MOST_SPECIFIC_FIRST);
@@ -85,25 +86,19 @@
                     case ANY -> anyHost;
                 };
         for (String segment : route.path().segments()) {
-            node = segment == null ? node.any() : node.literal(segment);
+            node = node.childFor(segment);
         }
         List<Route> same = route.path().prefix() ? node.prefixes : node.ends;
-        // Sorted before: those of the same rank are the last ones.
+        // Routes are added in order: those of the same rank are the last ones.
         for (int i = same.size() - 1;
                 i >= 0 && Route.compareConditions(same.get(i), route) == 0;
                 i--) {
-            RouteConflict conflict = RouteConflict.between(same.get(i), route);
-            if (conflict != null) {
-                conflicts.add(conflict);
-            }
+            RouteConflict.between(same.get(i), route).ifPresent(conflicts::add);
         }
         same.add(route);
     }
 
-    /**
-     * All pairs of routes of which neither goes before the other; a table with any is not to be
-     * used.
-     */
+    /** All pairs of routes that match the same request and of which neither is more specific. */
     public List<RouteConflict> conflicts() {
         return List.copyOf(conflicts);
     }
@@ -113,40 +108,47 @@
         return routes;
     }
 
-    /** The most specific route that takes the request, or null. */
-    public Route match(RouteQuery asked) {
-        Node node = exact.get(asked.host());
-        Route found = node == null ? null : node.match(asked, 0);
+    /** The most specific route that matches the request, or null. */
+    public Route match(RouteQuery query) {
+        Node node = exact.get(query.host());
+        Route found = node == null ? null : node.match(query, 0);
         if (found == null && !wildcards.isEmpty()) {
-            String host = asked.host();
-            for (int dot = host.indexOf('.');
-                    dot >= 0 && found == null;
-                    dot = host.indexOf('.', dot + 1)) {
-                node = wildcards.get(host.substring(dot + 1));
-                found = node == null ? null : node.match(asked, 0);
+            found = matchWildcard(query);
+        }
+        return found != null ? found : anyHost.match(query, 0);
+    }
+
+    /** Tries the wildcards of the host, from the longest on. */
+    private Route matchWildcard(RouteQuery query) {
+        String host = query.host();
+        for (int dot = host.indexOf('.'); dot >= 0; dot = host.indexOf('.', dot + 1)) {
+            Node node = wildcards.get(host.substring(dot + 1));
+            Route found = node == null ? null : node.match(query, 0);
+            if (found != null) {
+                return found;
             }
         }
-        return found != null ? found : anyHost.match(asked, 0);
+        return null;
     }
 
-    /** Why each route has the request or not, for people, in the order in which they are asked. */
-    @SuppressWarnings("ReferenceEquality") // routes are compared as entries of this table
-    public List<String> explain(RouteQuery asked) {
-        Route winner = match(asked);
+    /** Why each route has the request or not, for people; the most specific route first. */
+    public List<String> explain(RouteQuery query) {
+        Route winner = match(query);
         List<String> lines = new ArrayList<>();
         for (Route route : routes) {
-            String refusal = route.refusal(asked);
-            lines.add(
-                    route.name()
-                            + ": "
-                            + (route == winner
-                                    ? "takes it, for pool " + route.pool()
-                                    : refusal != null
-                                            ? refusal
-                                            : "takes it, too, but "
-                                                    + winner.name()
-                                                    + " is more specific"));
+            lines.add(route.name() + ": " + explain(route, query, winner));
         }
         return lines;
     }
+
+    @SuppressWarnings("ReferenceEquality") // routes are compared as entries of this table
+    private static String explain(Route route, RouteQuery query, Route winner) {
+        if (route == winner) {
+            return "takes it, for pool " + route.pool();
+        }
+        String mismatch = route.mismatch(query);
+        return mismatch != null
+                ? mismatch
+                : "takes it, too, but " + winner.name() + " is more specific";
+    }
 }
--- a/engine/src/main/java/trailthread/engine/routes/Target.java
+++ b/engine/src/main/java/trailthread/engine/routes/Target.java
@@ -5,33 +5,40 @@
 import java.util.Locale;
 
 /**
- * What a request asks for: the host, and the path and query as they go to the endpoint, letter for
- * letter. Routed on is exactly what the endpoint will read, so whatever two readers could see
- * differently is refused: dot segments (also encoded), empty segments but for the last, {@code ;}
- * parameters, encoded {@code /} and {@code \}, control letters. Of RFC 9112 (3.2), RFC 9110 (4.2,
- * 7.2) and RFC 3986 (3.3, 6.2.2); docs/routes.md has the table.
+ * A request's target: the host, and the path and query as they are forwarded to the endpoint,
+ * unchanged. Routing must see exactly what the endpoint will read. So everything that two parsers
+ * could read differently is rejected: dot segments (also percent-encoded), empty segments but for
+ * the last, {@code ;} parameters, percent-encoded {@code /} and {@code \}, control characters.
+ * After RFC 9112 (3.2), RFC 9110 (4.2, 7.2) and RFC 3986 (3.3, 6.2.2); docs/routes.md has the
+ * table.
  *
- * @param host in small letters, without port and trailing dot; empty where the request named none
+ * @param host in lower case, without port and trailing dot; empty if the request has none
  *     (HTTP/1.0)
- * @param origin path and query as they came, beginning with {@code /}
- * @param segments of the path, for comparing: what is encoded without need is decoded, all other
- *     hex digits large
+ * @param origin path and query as they were received, beginning with {@code /}
+ * @param segments of the path, normalized for comparison: unreserved characters are decoded, and
+ *     the hex digits of all others are in upper case
  */
 public record Target(String host, String origin, List<String> segments) {
-    /**
-     * Letters of a path that stand for themselves besides letters and digits (RFC 3986, pchar,
-     * without ";").
-     */
-    private static final String PATH_MARKS = "-._~!$&'()*+,=:@";
+    private static final List<String> SCHEMES = List.of("http://", "https://");
+    private static final int MAX_PORT_DIGITS = 5;
+    private static final char DELETE = 0x7f;
+
+    /** Unreserved characters besides letters and digits (RFC 3986, 2.3). */
+    private static final String UNRESERVED_MARKS = "-._~";
 
+    /** Characters of a path besides letters, digits and {@code %} (RFC 3986, pchar without ";"). */
+    private static final String PATH_MARKS = UNRESERVED_MARKS + "!$&'()*+,=:@";
+
+    /** Characters of a query besides letters and digits: those of RFC 3986, and some in use. */
     private static final String QUERY_MARKS = PATH_MARKS + ";/?%[]|^`{}\"<>\\";
 
     /**
-     * Reads a request line's target and the Host header.
+     * Parses a request line's target and the Host header.
      *
      * @param hosts the values of all Host headers
-     * @param needsHost whether one must be given, as in HTTP/1.1
-     * @throws BadTargetException if it can't be routed for certain; such a request is answered 400
+     * @param needsHost whether one is required, as in HTTP/1.1
+     * @throws BadTargetException if the target is invalid or ambiguous; such a request is answered
+     *     400
      */
     public static Target parse(String method, String target, List<String> hosts, boolean needsHost)
             throws BadTargetException {
@@ -41,49 +48,55 @@
         if (hosts.isEmpty() && needsHost) {
             throw new BadTargetException("no Host");
         }
-        String host = hosts.isEmpty() ? "" : host(hosts.get(0));
+        String host = hosts.isEmpty() ? "" : parseHost(hosts.get(0));
         if (method.equals("CONNECT")) {
             throw new BadTargetException("no tunnels here");
         }
-        String origin = target;
-        if (!target.startsWith("/")) {
-            int authority = schemeEnd(target);
-            int path = endOfAuthority(target, authority);
-            String named = host(target.substring(authority, path));
-            if (named.isEmpty()) {
-                throw new BadTargetException("an absolute target without a host");
-            }
-            // RFC 9112, 3.2: a client MUST name the same; the endpoint is sent the one and is
-            // routed
-            // to by the other.
-            if (!hosts.isEmpty() && !named.equals(host)) {
-                throw new BadTargetException("a target and a Host that differ");
-            }
-            host = named;
-            origin =
-                    target.startsWith("/", path)
-                            ? target.substring(path)
-                            : "/" + target.substring(path);
+        return target.startsWith("/")
+                ? parseOrigin(host, target)
+                : parseAbsolute(target, hosts.isEmpty() ? null : host);
+    }
+
+    /**
+     * Parses a target in absolute form. It must name the same host as the Host header (RFC 9112,
+     * 3.2): prevents a request from being routed by one and served by the other.
+     *
+     * @param hostHeader the host of the Host header; null: there is none
+     */
+    private static Target parseAbsolute(String target, String hostHeader)
+            throws BadTargetException {
+        int authority = schemeEnd(target);
+        int path = authorityEnd(target, authority);
+        String host = parseHost(target.substring(authority, path));
+        if (host.isEmpty()) {
+            throw new BadTargetException("an absolute target without a host");
+        }
+        if (hostHeader != null && !host.equals(hostHeader)) {
+            throw new BadTargetException("a target and a Host that differ");
         }
+        String origin = target.substring(path);
+        return parseOrigin(host, origin.startsWith("/") ? origin : "/" + origin);
+    }
+
+    private static Target parseOrigin(String host, String origin) throws BadTargetException {
         int query = origin.indexOf('?');
-        String path = query < 0 ? origin : origin.substring(0, query);
         if (query >= 0) {
             checkQuery(origin, query + 1);
         }
+        String path = query < 0 ? origin : origin.substring(0, query);
         return new Target(host, origin, segments(path));
     }
 
     private static int schemeEnd(String target) throws BadTargetException {
-        if (target.regionMatches(true, 0, "http://", 0, 7)) {
-            return 7;
-        }
-        if (target.regionMatches(true, 0, "https://", 0, 8)) {
-            return 8;
+        for (String scheme : SCHEMES) {
+            if (target.regionMatches(true, 0, scheme, 0, scheme.length())) {
+                return scheme.length();
+            }
         }
         throw new BadTargetException("a target in neither origin nor absolute form");
     }
 
-    private static int endOfAuthority(String target, int from) {
+    private static int authorityEnd(String target, int from) {
         int i = from;
         while (i < target.length() && target.charAt(i) != '/' && target.charAt(i) != '?') {
             i++;
@@ -91,16 +104,16 @@
         return i;
     }
 
-    /** Host and port as in a Host header: the host alone, in the form that patterns have. */
-    private static String host(String written) throws BadTargetException {
-        if (written.isEmpty()) {
+    /** Parses host and port as in a Host header; the host alone, in the form that patterns have. */
+    private static String parseHost(String authority) throws BadTargetException {
+        if (authority.isEmpty()) {
             return ""; // RFC 9112, 3.2: empty where the target has no authority
         }
-        int bracket = written.lastIndexOf(']');
-        int colon = written.indexOf(':', Math.max(0, bracket));
-        String host = colon < 0 ? written : written.substring(0, colon);
-        String port = colon < 0 ? "" : written.substring(colon + 1);
-        if (port.length() > 5 || !port.chars().allMatch(c -> c >= '0' && c <= '9')) {
+        int bracket = authority.lastIndexOf(']');
+        int colon = authority.indexOf(':', Math.max(0, bracket));
+        String host = colon < 0 ? authority : authority.substring(0, colon);
+        String port = colon < 0 ? "" : authority.substring(colon + 1);
+        if (port.length() > MAX_PORT_DIGITS || !port.chars().allMatch(c -> c >= '0' && c <= '9')) {
             throw new BadTargetException("a port that is none");
         }
         host = host.toLowerCase(Locale.ROOT);
@@ -121,14 +134,17 @@
         }
     }
 
-    /** The segments of a path, in the form for comparing. */
+    /** The segments of a path, normalized for comparison. */
     static List<String> segments(String path) throws BadTargetException {
         if (!path.startsWith("/")) {
             throw new BadTargetException("a path that does not begin with /");
         }
         List<String> segments = new ArrayList<>();
-        for (int from = 1, to = path.indexOf('/', 1); from > 0; to = path.indexOf('/', from)) {
-            String segment = segment(path, from, to < 0 ? path.length() : to);
+        int from = 1;
+        int to;
+        do {
+            to = path.indexOf('/', from);
+            String segment = normalize(path, from, to < 0 ? path.length() : to);
             if (segment.isEmpty() && to >= 0) {
                 throw new BadTargetException("an empty segment: some readers drop it");
             }
@@ -137,34 +153,40 @@
             }
             segments.add(segment);
             from = to + 1;
-        }
+        } while (to >= 0);
         return segments;
     }
 
-    private static String segment(String path, int from, int to) throws BadTargetException {
-        StringBuilder read = null;
+    /** The segment at these places, which is copied only if it has percent-encoded characters. */
+    private static String normalize(String path, int from, int to) throws BadTargetException {
+        StringBuilder normalized = null;
         for (int i = from; i < to; i++) {
             char c = path.charAt(i);
             if (c == '%') {
-                read = read == null ? new StringBuilder(path.substring(from, i)) : read;
-                i = decode(path, i, to, read);
+                normalized =
+                        normalized == null
+                                ? new StringBuilder(path.substring(from, i))
+                                : normalized;
+                i = normalizeEncoded(path, i, to, normalized);
             } else if (!isPlain(c, PATH_MARKS)) {
                 throw new BadTargetException(
                         c == ';'
                                 ? "a path parameter: some readers take it out"
                                 : "a letter in the path that must be encoded");
-            } else if (read != null) {
-                read.append(c);
+            } else if (normalized != null) {
+                normalized.append(c);
             }
         }
-        return read == null ? path.substring(from, to) : read.toString();
+        return normalized == null ? path.substring(from, to) : normalized.toString();
     }
 
     /**
-     * RFC 3986, 6.2.2: what stands for itself is decoded, of all else the hex digits are made
-     * large.
+     * Normalizes a percent-encoded character (RFC 3986, 6.2.2): an unreserved one is decoded, and
+     * the hex digits of all others are put in upper case.
+     *
+     * @return where its last digit is
      */
-    private static int decode(String path, int at, int to, StringBuilder read)
+    private static int normalizeEncoded(String path, int at, int to, StringBuilder normalized)
             throws BadTargetException {
         int high = at + 2 < to ? Character.digit(path.charAt(at + 1), 16) : -1;
         int low = at + 2 < to ? Character.digit(path.charAt(at + 2), 16) : -1;
@@ -175,19 +197,21 @@
         if (c == '/' || c == '\\') {
             throw new BadTargetException("an encoded slash: some readers split there");
         }
-        if (c < ' ' || c == 0x7f) {
+        if (c < ' ' || c == DELETE) {
             throw new BadTargetException("an encoded control letter");
         }
-        if (isPlain(c, "-._~")) {
-            read.append(c);
+        if (isPlain(c, UNRESERVED_MARKS)) {
+            normalized.append(c);
         } else {
-            read.append(path, at, at + 1)
+            normalized
+                    .append(path, at, at + 1)
                     .append(Character.toUpperCase(path.charAt(at + 1)))
                     .append(Character.toUpperCase(path.charAt(at + 2)));
         }
         return at + 2;
     }
 
+    /** Whether it is an ASCII letter or digit, or one of the marks. */
     private static boolean isPlain(char c, String marks) {
         return (c >= 'a' && c <= 'z')
                 || (c >= 'A' && c <= 'Z')
--- a/engine/src/main/java/trailthread/engine/routes/package-info.java
+++ b/engine/src/main/java/trailthread/engine/routes/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which pool a request goes to: pure, without I/O, clock or chance. {@link Target} reads what a
- * client asked for, {@link Route} says what one route takes, {@link RouteTable} finds the most
- * specific that takes a request. docs/routes.md has the rules for operators.
+ * Which pool a request is routed to. No I/O, no clock, no random numbers. {@link Target} parses
+ * what a client requests, {@link Route} says which requests one route matches, {@link RouteTable}
+ * finds the most specific one. docs/routes.md has the rules for operators.
  */
 package trailthread.engine.routes;
--- a/engine/src/test/java/trailthread/engine/routes/AnyRoutesTest.java
+++ b/engine/src/test/java/trailthread/engine/routes/AnyRoutesTest.java
@@ -15,31 +15,26 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/**
- * The table against the plainest matcher: all routes in the written order, the first that takes the
- * request.
- */
+/** The table against a linear matcher: the first route that matches, in the documented order. */
 class AnyRoutesTest {
     private static final List<String> SEGMENTS = List.of("a", "b", "c", "");
 
-    /**
-     * The written order once more, compared in its own way: by letters that sort as the order
-     * wants.
-     */
-    private static String rank(Route r) {
-        StringBuilder rank = new StringBuilder();
-        rank.append(
-                        r.host().kind() == HostPattern.Kind.EXACT
-                                ? "0"
-                                : r.host().kind() == HostPattern.Kind.ANY
-                                        ? "2"
-                                        : "1" + (char) ('z' - r.host().name().split("\\.").length))
+    /** The documented order in another implementation: as text that sorts in this order. */
+    private static String sortKey(Route r) {
+        StringBuilder key = new StringBuilder();
+        key.append(
+                        switch (r.host().kind()) {
+                            case EXACT -> "0";
+                            case WILDCARD ->
+                                    "1" + (char) ('z' - r.host().name().split("\\.").length);
+                            case ANY -> "2";
+                        })
                 .append('|');
         for (String segment : r.path().segments()) {
-            rank.append(segment == null ? 'B' : 'A');
+            key.append(segment == null ? 'B' : 'A');
         }
-        rank.append(r.path().prefix() ? 'D' : 'C');
-        return rank.append(r.methods().isEmpty() ? '1' : '0')
+        key.append(r.path().prefix() ? 'D' : 'C');
+        return key.append(r.methods().isEmpty() ? '1' : '0')
                 .append((char) ('z' - r.headers().size()))
                 .append(r.requestClass() == null ? '1' : '0')
                 .toString();
@@ -48,23 +43,26 @@
     @Property(tries = 2000)
     @SuppressWarnings("ReferenceEquality") // which entry of the table, not one equal to it
     void theTableAgreesWithALinearMatcher(
-            @ForAll("tables") List<Route> routes, @ForAll("requests") RouteQuery asked) {
+            @ForAll("tables") List<Route> routes, @ForAll("requests") RouteQuery query) {
         RouteTable table = new RouteTable(routes);
         List<Route> sorted = new ArrayList<>(routes);
-        sorted.sort(Comparator.comparing(AnyRoutesTest::rank));
-        Route first = sorted.stream().filter(r -> r.takes(asked)).findFirst().orElse(null);
-        Route found = table.match(asked);
-        // Of routes that tie either may have it; that they tie was told.
-        boolean tie =
-                first != found && first != null && found != null && rank(first).equals(rank(found));
-        if (tie) {
+        sorted.sort(Comparator.comparing(AnyRoutesTest::sortKey));
+        Route first = sorted.stream().filter(r -> r.matches(query)).findFirst().orElse(null);
+        Route found = table.match(query);
+        // Of routes that conflict either may be found, if the table reports the conflict.
+        boolean conflict =
+                first != found
+                        && first != null
+                        && found != null
+                        && sortKey(first).equals(sortKey(found));
+        if (conflict) {
             assertTrue(
                     table.conflicts().stream()
                             .anyMatch(
                                     c ->
                                             Set.of(c.first(), c.second())
                                                     .equals(Set.of(first, found))),
-                    "a tie that was not told: " + first + found);
+                    "a conflict that is not reported: " + first + found);
         } else {
             assertEquals(first, found);
         }
@@ -72,12 +70,16 @@
 
     @Property(tries = 2000)
     void aTableWithoutConflictsHasOneFirstRouteForAnyRequest(
-            @ForAll("tables") List<Route> routes, @ForAll("requests") RouteQuery asked) {
+            @ForAll("tables") List<Route> routes, @ForAll("requests") RouteQuery query) {
         RouteTable table = new RouteTable(routes);
-        Route found = table.match(asked);
-        long equals =
-                routes.stream().filter(r -> r.takes(asked) && rank(r).equals(rank(found))).count();
-        assertTrue(equals <= 1 || !table.conflicts().isEmpty(), "tied: " + equals);
+        Route found = table.match(query);
+        long equallySpecific =
+                routes.stream()
+                        .filter(r -> r.matches(query) && sortKey(r).equals(sortKey(found)))
+                        .count();
+        assertTrue(
+                equallySpecific <= 1 || !table.conflicts().isEmpty(),
+                "conflicting: " + equallySpecific);
     }
 
     @Provide
@@ -88,14 +90,7 @@
                 Combinators.combine(
                                 Arbitraries.of("a", "b", "{v}").list().ofMaxSize(4),
                                 Arbitraries.of(true, false))
-                        .as(
-                                (segments, prefix) ->
-                                        PathPattern.parse(
-                                                segments.isEmpty()
-                                                        ? prefix ? "/**" : "/"
-                                                        : "/"
-                                                                + String.join("/", segments)
-                                                                + (prefix ? "/**" : "")));
+                        .as((segments, prefix) -> PathPattern.parse(path(segments, prefix)));
         Arbitrary<Set<String>> methods = Arbitraries.of("GET", "POST").set().ofMaxSize(2);
         Arbitrary<Map<String, String>> headers =
                 Arbitraries.maps(Arbitraries.of("h", "i"), Arbitraries.of("1", "2", Route.PRESENT))
@@ -115,6 +110,13 @@
                 .uniqueElements(Route::name);
     }
 
+    private static String path(List<String> segments, boolean prefix) {
+        if (segments.isEmpty()) {
+            return prefix ? "/**" : "/";
+        }
+        return "/" + String.join("/", segments) + (prefix ? "/**" : "");
+    }
+
     @Provide
     Arbitrary<RouteQuery> requests() {
         return Combinators.combine(
--- a/engine/src/test/java/trailthread/engine/routes/RouteTableTest.java
+++ b/engine/src/test/java/trailthread/engine/routes/RouteTableTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.junit.Test;
 
-/** The written order, case by case; {@link AnyRoutesTest} has the generated ones. */
+/** The documented order, case by case; {@link AnyRoutesTest} has generated tables. */
 public class RouteTableTest {
     private static Route route(String name, String host, String path) {
         return route(name, host, path, Set.of(), Map.of(), null);
@@ -42,45 +42,45 @@
                 host, Target.segments(path), "GET", headers::get, headers.get("class"));
     }
 
-    private static String taker(
+    private static String matching(
             List<Route> routes, String host, String path, Map<String, String> headers)
             throws BadTargetException {
-        List<Route> turned = new ArrayList<>(routes);
-        Collections.reverse(turned);
+        List<Route> reversed = new ArrayList<>(routes);
+        Collections.reverse(reversed);
         Route first = new RouteTable(routes).match(get(host, path, headers));
-        Route second = new RouteTable(turned).match(get(host, path, headers));
+        Route second = new RouteTable(reversed).match(get(host, path, headers));
         assertEquals("the order in the file does not matter", first, second);
         return first == null ? null : first.name();
     }
 
     @Test
-    public void hostsBeforePaths() throws Exception {
+    public void hostsDecideBeforePaths() throws Exception {
         List<Route> routes =
                 List.of(
                         route("exact", "a.b.example", "/x/**"),
                         route("near", "*.b.example", "/x/y"),
                         route("far", "*.example", "/**"),
                         route("any", "*", "/x/y/z"));
-        assertEquals("exact", taker(routes, "a.b.example", "/x/y", Map.of()));
+        assertEquals("exact", matching(routes, "a.b.example", "/x/y", Map.of()));
         assertEquals(
                 "falls back where no path suits",
                 "far",
-                taker(routes, "a.b.example", "/z", Map.of()));
-        assertEquals("near", taker(routes, "c.b.example", "/x/y", Map.of()));
-        assertEquals("near", taker(routes, "d.c.b.example", "/x/y", Map.of()));
+                matching(routes, "a.b.example", "/z", Map.of()));
+        assertEquals("near", matching(routes, "c.b.example", "/x/y", Map.of()));
+        assertEquals("near", matching(routes, "d.c.b.example", "/x/y", Map.of()));
         assertEquals(
                 "a wildcard stands for a label at least",
                 "far",
-                taker(routes, "b.example", "/x/y", Map.of()));
-        assertEquals("any", taker(routes, "example", "/x/y/z", Map.of()));
-        assertNull(taker(routes, "example", "/x", Map.of()));
+                matching(routes, "b.example", "/x/y", Map.of()));
+        assertEquals("any", matching(routes, "example", "/x/y/z", Map.of()));
+        assertNull(matching(routes, "example", "/x", Map.of()));
         assertNull(
                 "not within a label",
-                taker(List.of(route("w", "*.b.example", "/**")), "ab.example", "/", Map.of()));
+                matching(List.of(route("w", "*.b.example", "/**")), "ab.example", "/", Map.of()));
     }
 
     @Test
-    public void pathsSegmentBySegment() throws Exception {
+    public void pathsAreComparedSegmentBySegment() throws Exception {
         List<Route> routes =
                 List.of(
                         route("literal", "*", "/a/b"),
@@ -89,22 +89,22 @@
                         route("deep", "*", "/{x}/b/c"),
                         route("root", "*", "/"),
                         route("all", "*", "/**"));
-        assertEquals("literal", taker(routes, "h", "/a/b", Map.of()));
-        assertEquals("template", taker(routes, "h", "/a/c", Map.of()));
-        assertEquals("prefix", taker(routes, "h", "/a", Map.of()));
+        assertEquals("literal", matching(routes, "h", "/a/b", Map.of()));
+        assertEquals("template", matching(routes, "h", "/a/c", Map.of()));
+        assertEquals("prefix", matching(routes, "h", "/a", Map.of()));
         assertEquals(
                 "an empty segment is not any segment",
                 "prefix",
-                taker(routes, "h", "/a/", Map.of()));
-        assertEquals("prefix", taker(routes, "h", "/a/b/c", Map.of()));
-        assertEquals("deep", taker(routes, "h", "/z/b/c", Map.of()));
-        assertEquals("root", taker(routes, "h", "/", Map.of()));
-        assertEquals("whole segments only", "all", taker(routes, "h", "/ab", Map.of()));
-        assertEquals("encoded without need", "literal", taker(routes, "h", "/%61/b", Map.of()));
+                matching(routes, "h", "/a/", Map.of()));
+        assertEquals("prefix", matching(routes, "h", "/a/b/c", Map.of()));
+        assertEquals("deep", matching(routes, "h", "/z/b/c", Map.of()));
+        assertEquals("root", matching(routes, "h", "/", Map.of()));
+        assertEquals("whole segments only", "all", matching(routes, "h", "/ab", Map.of()));
+        assertEquals("encoded without need", "literal", matching(routes, "h", "/%61/b", Map.of()));
     }
 
     @Test
-    public void conditionsLast() throws Exception {
+    public void conditionsDecideLast() throws Exception {
         List<Route> routes =
                 List.of(
                         route("plain", "*", "/a"),
@@ -125,20 +125,20 @@
                                 Map.of("x-beta", "1", "x-two", "2"),
                                 "read"),
                         route("post", "*", "/a", Set.of("POST"), Map.of(), null));
-        assertEquals("get", taker(routes, "h", "/a", Map.of()));
+        assertEquals("get", matching(routes, "h", "/a", Map.of()));
         assertEquals(
                 "a method goes before a header",
                 "get",
-                taker(routes, "h", "/a", Map.of("x-beta", "1")));
-        assertEquals("both", taker(routes, "h", "/a", Map.of("x-beta", "1", "x-two", "2")));
+                matching(routes, "h", "/a", Map.of("x-beta", "1")));
+        assertEquals("both", matching(routes, "h", "/a", Map.of("x-beta", "1", "x-two", "2")));
         assertEquals(
                 "classed",
-                taker(routes, "h", "/a", Map.of("x-beta", "1", "x-two", "2", "class", "read")));
+                matching(routes, "h", "/a", Map.of("x-beta", "1", "x-two", "2", "class", "read")));
         assertEquals(List.of(), new RouteTable(routes).conflicts());
     }
 
     @Test
-    public void tiesAreTold() {
+    public void reportsConflicts() {
         Route a = route("a", "*.example", "/x/{id}", Set.of("GET", "PUT"), Map.of("h", "*"), null);
         Route b =
                 route(
@@ -155,28 +155,30 @@
                 conflicts.get(0).toString());
         assertTrue(
                 "other methods",
-                none(a, route("c", "*.example", "/x/{z}", Set.of("POST"), Map.of("h", "*"), null)));
+                noConflict(
+                        a,
+                        route("c", "*.example", "/x/{z}", Set.of("POST"), Map.of("h", "*"), null)));
         assertTrue(
                 "other values",
-                none(
+                noConflict(
                         route("d", "*", "/", Set.of(), Map.of("h", "1"), null),
                         route("e", "*", "/", Set.of(), Map.of("h", "2"), null)));
         assertTrue(
                 "other classes",
-                none(
+                noConflict(
                         route("f", "*", "/", Set.of(), Map.of(), "x"),
                         route("g", "*", "/", Set.of(), Map.of(), "y")));
         assertTrue(
                 "one more header",
-                none(a, route("h", "*.example", "/x/{id}", Set.of("GET"), Map.of(), null)));
+                noConflict(a, route("h", "*.example", "/x/{id}", Set.of("GET"), Map.of(), null)));
     }
 
-    private static boolean none(Route... routes) {
+    private static boolean noConflict(Route... routes) {
         return new RouteTable(List.of(routes)).conflicts().isEmpty();
     }
 
     @Test
-    public void itSaysWhyTheOthersDoNotHaveIt() throws Exception {
+    public void explainsWhyTheOtherRoutesDoNotMatch() throws Exception {
         List<Route> routes =
                 List.of(
                         route("a", "a.example", "/x"),
@@ -193,7 +195,7 @@
     }
 
     @Test
-    public void patternsThatAreNone() {
+    public void rejectsInvalidPatterns() {
         for (String path :
                 new String[] {
                     "", "a", "/a//b", "/a/../b", "/a*", "/*", "/**/a", "/{", "/{}", "/a{b}",
--- a/engine/src/test/java/trailthread/engine/routes/TargetTest.java
+++ b/engine/src/test/java/trailthread/engine/routes/TargetTest.java
@@ -7,23 +7,23 @@
 import java.util.List;
 import org.junit.Test;
 
-/** What requests ask for, and what is refused because two readers could see it differently. */
+/** Parsing of targets, and rejection of those that two parsers could read differently. */
 public class TargetTest {
-    private static Target read(String target, String... hosts) throws BadTargetException {
+    private static Target parse(String target, String... hosts) throws BadTargetException {
         return Target.parse("GET", target, Arrays.asList(hosts), true);
     }
 
-    private static void refused(String why, String target, String... hosts) {
+    private static void rejects(String message, String target, String... hosts) {
         BadTargetException e =
                 assertThrows(
                         target + " " + Arrays.toString(hosts),
                         BadTargetException.class,
-                        () -> read(target, hosts));
-        assertEquals(target, why, e.getMessage());
+                        () -> parse(target, hosts));
+        assertEquals(target, message, e.getMessage());
     }
 
     @Test
-    public void hosts() throws Exception {
+    public void parsesHosts() throws Exception {
         String[][] table = {
             {"a.example", "a.example"},
             {"A.Example", "a.example"},
@@ -39,7 +39,7 @@
             {"", ""}
         };
         for (String[] row : table) {
-            assertEquals(row[0], row[1], read("/", row[0]).host());
+            assertEquals(row[0], row[1], parse("/", row[0]).host());
         }
         String[] bad = {
             "a..b",
@@ -61,35 +61,35 @@
             "a\tb"
         };
         for (String host : bad) {
-            assertThrows(host, BadTargetException.class, () -> read("/", host));
+            assertThrows(host, BadTargetException.class, () -> parse("/", host));
         }
     }
 
     @Test
-    public void oneHostExactly() throws Exception {
-        refused("more than one Host", "/", "a", "a");
-        refused("no Host", "/");
+    public void acceptsOneHostOnly() throws Exception {
+        rejects("more than one Host", "/", "a", "a");
+        rejects("no Host", "/");
         assertEquals("", Target.parse("GET", "/", List.of(), false).host());
     }
 
     @Test
-    public void anAbsoluteTargetNamesTheSameHost() throws Exception {
+    public void anAbsoluteTargetMustNameTheSameHost() throws Exception {
         assertEquals(
                 new Target("b.example", "/x?y", List.of("x")),
-                read("http://B.example:80/x?y", "b.example"));
+                parse("http://B.example:80/x?y", "b.example"));
         assertEquals(
                 new Target("b.example", "/?y", List.of("")),
-                read("HTTP://b.example?y", "B.example."));
+                parse("HTTP://b.example?y", "B.example."));
         assertEquals(
-                new Target("b.example", "/", List.of("")), read("https://b.example", "b.example"));
+                new Target("b.example", "/", List.of("")), parse("https://b.example", "b.example"));
         assertEquals("b", Target.parse("GET", "http://b/", List.of(), false).host());
-        refused("a target and a Host that differ", "http://b.example/", "a.example");
-        refused("a target and a Host that differ", "http://b.example/", "");
-        refused("an absolute target without a host", "http:///x", "a");
-        refused("a target in neither origin nor absolute form", "ftp://a/x", "a");
-        refused("a target in neither origin nor absolute form", "*", "a");
-        refused("a target in neither origin nor absolute form", "x", "a");
-        refused("a host that is none", "http://u@b.example/", "a");
+        rejects("a target and a Host that differ", "http://b.example/", "a.example");
+        rejects("a target and a Host that differ", "http://b.example/", "");
+        rejects("an absolute target without a host", "http:///x", "a");
+        rejects("a target in neither origin nor absolute form", "ftp://a/x", "a");
+        rejects("a target in neither origin nor absolute form", "*", "a");
+        rejects("a target in neither origin nor absolute form", "x", "a");
+        rejects("a host that is none", "http://u@b.example/", "a");
         BadTargetException e =
                 assertThrows(
                         BadTargetException.class,
@@ -98,7 +98,7 @@
     }
 
     @Test
-    public void pathsForComparing() throws Exception {
+    public void normalizesPaths() throws Exception {
         Object[][] table = {
             {"/", List.of("")},
             {"/a", List.of("a")},
@@ -114,32 +114,31 @@
             {"/a?/../;//", List.of("a")}
         };
         for (Object[] row : table) {
-            assertEquals(row[0].toString(), row[1], read((String) row[0], "a").segments());
-            assertEquals(
-                    "passed on letter for letter", row[0], read((String) row[0], "a").origin());
+            assertEquals(row[0].toString(), row[1], parse((String) row[0], "a").segments());
+            assertEquals("forwarded unchanged", row[0], parse((String) row[0], "a").origin());
         }
     }
 
     @Test
-    public void whatTwoReadersCouldSeeDifferentlyIsRefused() {
-        refused("a dot segment: some readers take it out", "/a/../b", "a");
-        refused("a dot segment: some readers take it out", "/a/%2e%2E/b", "a");
-        refused("a dot segment: some readers take it out", "/.", "a");
-        refused("an empty segment: some readers drop it", "//a", "a");
-        refused("an empty segment: some readers drop it", "/a//b", "a");
-        refused("a path parameter: some readers take it out", "/a;x=1/b", "a");
-        refused("an encoded slash: some readers split there", "/a%2fb", "a");
-        refused("an encoded slash: some readers split there", "/a%5Cb", "a");
-        refused("an encoded control letter", "/a%00", "a");
-        refused("an encoded control letter", "/a%0d%0a", "a");
-        refused("a % without two hex digits", "/a%", "a");
-        refused("a % without two hex digits", "/a%4", "a");
-        refused("a % without two hex digits", "/a%4g", "a");
-        refused("a letter in the path that must be encoded", "/a\\b", "a");
-        refused("a letter in the path that must be encoded", "/a b", "a");
-        refused("a letter in the path that must be encoded", "/\u00fc", "a");
-        refused("a letter in the path that must be encoded", "/a#b", "a");
-        refused("a letter in the query that must be encoded", "/a?b c", "a");
-        refused("a letter in the query that must be encoded", "/a?b#c", "a");
+    public void rejectsWhatTwoParsersCouldReadDifferently() {
+        rejects("a dot segment: some readers take it out", "/a/../b", "a");
+        rejects("a dot segment: some readers take it out", "/a/%2e%2E/b", "a");
+        rejects("a dot segment: some readers take it out", "/.", "a");
+        rejects("an empty segment: some readers drop it", "//a", "a");
+        rejects("an empty segment: some readers drop it", "/a//b", "a");
+        rejects("a path parameter: some readers take it out", "/a;x=1/b", "a");
+        rejects("an encoded slash: some readers split there", "/a%2fb", "a");
+        rejects("an encoded slash: some readers split there", "/a%5Cb", "a");
+        rejects("an encoded control letter", "/a%00", "a");
+        rejects("an encoded control letter", "/a%0d%0a", "a");
+        rejects("a % without two hex digits", "/a%", "a");
+        rejects("a % without two hex digits", "/a%4", "a");
+        rejects("a % without two hex digits", "/a%4g", "a");
+        rejects("a letter in the path that must be encoded", "/a\\b", "a");
+        rejects("a letter in the path that must be encoded", "/a b", "a");
+        rejects("a letter in the path that must be encoded", "/\u00fc", "a");
+        rejects("a letter in the path that must be encoded", "/a#b", "a");
+        rejects("a letter in the query that must be encoded", "/a?b c", "a");
+        rejects("a letter in the query that must be encoded", "/a?b#c", "a");
     }
 }
