--- a/engine/src/main/java/trailthread/engine/degradation/CpuThrottling.java
+++ b/engine/src/main/java/trailthread/engine/degradation/CpuThrottling.java
@@ -7,25 +7,30 @@
 import java.nio.file.Path;
 
 /**
- * For which share of the time the thread that reads this could run and was not let, by the second
- * figure of /proc/thread-self/schedstat, nanoseconds (the kernel's
- * Documentation/scheduler/sched-stats). Of the thread that opens it, as /proc/self tells only of
- * the one that started the virtual machine, which waits for good. The kernel makes the file from
- * memory: a read of it waits for no disk.
+ * The fraction of the time in which a thread was runnable and had no CPU, by the second field of
+ * /proc/thread-self/schedstat, in nanoseconds (the kernel's Documentation/scheduler/sched-stats).
+ * It is that of the thread that opens the file; /proc/self would be the JVM's first thread, which
+ * always waits. The kernel makes the file from memory, so a read does not block.
  */
 final class CpuThrottling {
-    private static final int MOST_BYTES = 128;
+    /** The longest content of the file. */
+    private static final int MAX_BYTES = 128;
 
+    /** Null if it can't be opened. */
     private final FileChannel file;
-    private final ByteBuffer buffer = ByteBuffer.allocate(MOST_BYTES);
-    private long lastWaited = -1;
-    private long lastAt;
+
+    private final ByteBuffer buffer = ByteBuffer.allocate(MAX_BYTES);
+
+    /** The thread's time on the run queue when it was last read, ns; -1: not known. */
+    private long lastWaitedNs = -1;
+
+    private long lastReadAt;
 
     private CpuThrottling(FileChannel file) {
         this.file = file;
     }
 
-    /** Of the calling thread; it holds a descriptor from now on, where there is such a file. */
+    /** For the calling thread; keeps a file descriptor open, if there is such a file. */
     static CpuThrottling open() {
         return open(Path.of("/proc/thread-self/schedstat"));
     }
@@ -38,27 +43,32 @@
         }
     }
 
-    /** The share since it was last asked, 0 to 1; NaN where that is not known. */
-    double share(long now) {
-        long waited = waited();
-        boolean known = waited >= 0 && lastWaited >= 0 && now > lastAt;
-        double share = known ? (double) (waited - lastWaited) / (now - lastAt) : Double.NaN;
-        lastWaited = waited;
-        lastAt = now;
-        return Double.isNaN(share) ? share : Math.min(1, Math.max(0, share));
+    /** The fraction since the last call, 0 to 1; NaN if it is not known. */
+    double fraction(long now) {
+        long waitedNs = waitedNs();
+        boolean known = waitedNs >= 0 && lastWaitedNs >= 0 && now > lastReadAt;
+        double fraction = Double.NaN;
+        if (known) {
+            double measured = (double) (waitedNs - lastWaitedNs) / (now - lastReadAt);
+            fraction = Math.min(1, Math.max(0, measured));
+        }
+        lastWaitedNs = waitedNs;
+        lastReadAt = now;
+        return fraction;
     }
 
-    private long waited() {
+    /** The thread's time on the run queue, ns; -1: not known. */
+    private long waitedNs() {
         if (file == null) {
             return -1;
         }
         try {
             buffer.clear();
             int length = file.read(buffer, 0);
-            String[] figures =
+            String[] fields =
                     new String(buffer.array(), 0, Math.max(0, length), StandardCharsets.US_ASCII)
                             .split(" ");
-            return figures.length > 1 ? Long.parseLong(figures[1]) : -1;
+            return fields.length > 1 ? Long.parseLong(fields[1]) : -1;
         } catch (IOException | NumberFormatException e) {
             return -1;
         }
--- a/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
+++ b/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
@@ -13,9 +13,7 @@
 import trailthread.api.EndpointEntry;
 import trailthread.api.ListKind;
 import trailthread.api.LoadReport;
-import trailthread.api.LoadReportSource;
 import trailthread.api.Outcome;
-import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 import trailthread.degradation.Change;
 import trailthread.degradation.Change.Cause;
@@ -24,70 +22,57 @@
 import trailthread.degradation.Reading;
 import trailthread.degradation.Readings;
 import trailthread.engine.loop.EventLoop;
+import trailthread.engine.metrics.ForwardingMetricsRecorder;
 import trailthread.engine.metrics.MetricsRecorder;
-import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.metrics.RequestResult;
 
 /**
- * The node's level of service: gathers the readings, four times a second, and does what the level
- * says. It hears the node's events as a meter before the operators'. A node without levels makes
- * none, and then loads no class of this package.
+ * Runs the node's degradation levels: takes readings four times a second, and sheds requests and
+ * thins health checks as the level says. It observes the node's events as a metrics recorder before
+ * that of the operators. A node without levels makes none, and then loads no class of this package.
  */
-public final class DegradationService implements MetricsRecorder {
+public final class DegradationService extends ForwardingMetricsRecorder {
     private static final Logger LOG = LoggerFactory.getLogger(DegradationService.class);
-    private static final long EVERY_NS = 250_000_000L;
+    private static final long PERIOD_NS = 250_000_000L;
+    private static final double NS_PER_SECOND = 1e9;
 
     private final EventLoop loop;
     private final DegradationConfig config;
-    private final MetricsRecorder next;
-    private final LoadReportSource reports;
     private final DegradationController levels;
-    private final FailingEndpointRate failing;
-    private final LoadReportAge reportAge;
-    private final StarvationRate starved;
-    private final MemoryInUse memory = new MemoryInUse();
-    private final HealthCheckThinning probes = new HealthCheckThinning();
-    private CpuThrottling cpu;
-    private DoubleSupplier descriptors;
+    private final ReadingsCollector collector;
+    private final HealthCheckThinning healthChecks = new HealthCheckThinning();
     private Consumer<Admission> admit;
+
+    /** The latest readings; null before the first. */
     private Readings readings;
 
-    /** When the next readings are to be taken: how late they are tells how late the loop runs. */
+    /** When the next readings are due; how late they are taken is itself a reading. */
     private long dueAt;
 
     /**
-     * Makes one at full service, which reads nothing yet.
+     * Makes one at full service; it takes readings from {@link #start} on.
      *
-     * @param next hears all that this one hears, and of the levels
+     * @param next records all events after this one, and the levels
      */
     public DegradationService(
             EventLoop loop, DegradationConfig config, Settings settings, MetricsRecorder next) {
+        super(next);
         this.loop = loop;
         this.config = config;
-        this.next = next;
-        reports = settings.reports;
         levels = new DegradationController(config.plan(), config.order());
-        failing =
-                new FailingEndpointRate(
-                        settings.classes.stream()
-                                .mapToLong(RequestClass::latencyObjectiveNs)
-                                .min()
-                                .orElseThrow());
-        reportAge = new LoadReportAge(loop.now());
-        starved = new StarvationRate(settings.classes, config.order(), loop.now());
+        collector = new ReadingsCollector(settings, config.order(), loop.now());
     }
 
     /**
-     * Reads from now on; on the loop's thread.
+     * Takes readings from now on; to be called on the loop's thread.
      *
-     * @param descriptors the share in use, 0 to 1
-     * @param admit is told which calls are to be taken; null: all
+     * @param descriptors the fraction of file descriptors in use, 0 to 1
+     * @param admit receives which requests are to be admitted at each new level; null: all
      */
     public void start(DoubleSupplier descriptors, Consumer<Admission> admit) {
-        this.descriptors = descriptors;
         this.admit = admit;
-        cpu = CpuThrottling.open();
-        next.levelEntered(loop.now(), levels.level().name());
+        collector.start(descriptors);
+        levelEntered(loop.now(), levels.level().name());
         dueAt = loop.now();
         read();
     }
@@ -97,142 +82,88 @@
         return config.plan().levels.stream().map(DegradationLevel::name).toList();
     }
 
-    /** The last readings, by names that end in their unit; NaN where one is not known. */
+    /** The latest readings, by names that end in their unit; NaN if one is not known. */
     public Map<String, Double> readings() {
         Map<String, Double> named = new LinkedHashMap<>();
         if (readings != null) {
             for (Reading reading : Reading.values()) {
-                double value = reading.of(readings);
                 named.put(
                         reading.word() + (reading.isShare() ? "_ratio" : "_seconds"),
-                        reading.isShare() ? value : value / 1e9);
+                        inUnits(reading, reading.of(readings)));
             }
         }
         return named;
     }
 
-    /** Whether a probe that the module asks for is made. */
+    /** Whether a health check that the balancer asks for is made. */
     public boolean probes(String endpoint) {
-        return probes.passes(endpoint, levels.allowance().probeFactor());
+        return healthChecks.permits(endpoint, levels.allowance().probeFactor());
     }
 
     private void read() {
         long now = loop.now();
-        Runtime runtime = Runtime.getRuntime();
-        long used = memory.sampled(runtime.totalMemory() - runtime.freeMemory());
-        double ageNs = reports == LoadReportSource.NONE ? Double.NaN : reportAge.ns();
-        readings =
-                new Readings(
-                        now,
-                        failing.share(now),
-                        ageNs,
-                        Math.max(0, now - dueAt),
-                        descriptors.getAsDouble(),
-                        (double) used / runtime.maxMemory(),
-                        starved.share(now),
-                        cpu.share(now));
-        levels.read(readings).ifPresent(this::changed);
-        dueAt = loop.now() + EVERY_NS;
-        loop.after(EVERY_NS, this::read);
+        readings = collector.read(now, Math.max(0, now - dueAt));
+        levels.read(readings).ifPresent(this::levelChanged);
+        dueAt = loop.now() + PERIOD_NS;
+        loop.after(PERIOD_NS, this::read);
     }
 
-    private void changed(Change change) {
+    private void levelChanged(Change change) {
         LOG.atInfo()
                 .addKeyValue("from", change.from())
                 .addKeyValue("to", change.to())
                 .addKeyValue("reading", joined(change, cause -> cause.reading().word()))
-                .addKeyValue("value", joined(change, cause -> inUnits(cause, cause.value())))
-                .addKeyValue("bound", joined(change, cause -> inUnits(cause, cause.bound())))
+                .addKeyValue("value", joined(change, cause -> text(cause, cause.value())))
+                .addKeyValue("bound", joined(change, cause -> text(cause, cause.bound())))
                 .log(change.toString());
-        next.levelEntered(loop.now(), change.to());
-        // Without one, the module draws no number for each call.
-        admit.accept(levels.level().reach() == DegradationLevel.Reach.NONE ? null : this::takes);
+        levelEntered(loop.now(), change.to());
+        // Without a filter, the balancer draws no random number for each request.
+        boolean admitsAll = levels.level().reach() == DegradationLevel.Reach.NONE;
+        admit.accept(admitsAll ? null : this::admits);
     }
 
     private static String joined(Change change, Function<Cause, String> part) {
         return change.causes().stream().map(part).collect(Collectors.joining(","));
     }
 
-    private static String inUnits(Cause cause, double value) {
-        return Double.toString(cause.reading().isShare() ? value : value / 1e9);
-    }
-
-    private boolean takes(String requestClass, boolean overQuota, double random) {
-        boolean taken = levels.allowance().takes(requestClass, overQuota, random);
-        if (!taken) {
-            starved.shed(requestClass);
-        }
-        return taken;
-    }
-
-    // ---- events
-    // ------------------------------------------------------------------------------------
-
-    @Override
-    public void taken(String requestClass) {
-        next.taken(requestClass);
-    }
-
-    @Override
-    public void answered(String requestClass, RequestResult answer, long afterNs, long waitedNs) {
-        starved.answered(requestClass, answer, waitedNs, loop.now());
-        next.answered(requestClass, answer, afterNs, waitedNs);
-    }
-
-    @Override
-    public void gone(String requestClass) {
-        next.gone(requestClass);
+    private static String text(Cause cause, double value) {
+        return Double.toString(inUnits(cause.reading(), value));
     }
 
-    @Override
-    public void rejected(RejectionReason why) {
-        next.rejected(why);
+    /** A fraction as it is, nanoseconds as seconds. */
+    private static double inUnits(Reading reading, double value) {
+        return reading.isShare() ? value : value / NS_PER_SECOND;
     }
 
-    @Override
-    public void attemptBegun(String endpoint) {
-        next.attemptBegun(endpoint);
+    private boolean admits(String requestClass, boolean overQuota, double random) {
+        boolean admitted = levels.allowance().takes(requestClass, overQuota, random);
+        if (!admitted) {
+            collector.shed(requestClass);
+        }
+        return admitted;
     }
 
     @Override
-    public void attemptSent() {
-        next.attemptSent();
+    public void answered(String requestClass, RequestResult result, long latencyNs, long queuedNs) {
+        collector.answered(requestClass, result, queuedNs, loop.now());
+        super.answered(requestClass, result, latencyNs, queuedNs);
     }
 
     @Override
     public void attemptEnded(String endpoint, Outcome outcome, long latencyNs, LoadReport load) {
-        failing.ended(endpoint, outcome, latencyNs, loop.now());
-        told(load, reports == LoadReportSource.ANSWERS && outcome == Outcome.OK);
-        next.attemptEnded(endpoint, outcome, latencyNs, load);
+        collector.attemptEnded(endpoint, outcome, latencyNs, load, loop.now());
+        super.attemptEnded(endpoint, outcome, latencyNs, load);
     }
 
     @Override
     public void healthChecked(String endpoint, Outcome outcome, LoadReport load) {
-        told(load, reports == LoadReportSource.PROBES);
-        next.healthChecked(endpoint, outcome, load);
-    }
-
-    @Override
-    public void reloaded(boolean taken) {
-        next.reloaded(taken);
+        collector.healthChecked(load, loop.now());
+        super.healthChecked(endpoint, outcome, load);
     }
 
     @Override
     public void listed(ListKind kind, List<EndpointEntry> entries) {
-        failing.listed(kind, entries);
-        next.listed(kind, entries);
-    }
-
-    @Override
-    public void levelEntered(long now, String level) {
-        next.levelEntered(now, level);
-    }
-
-    private void told(LoadReport load, boolean owed) {
-        if (load != null) {
-            reportAge.reported(loop.now());
-        } else if (owed) {
-            reportAge.missed(loop.now());
-        }
+        collector.listed(kind, entries);
+        super.listed(kind, entries);
     }
 }
--- a/engine/src/main/java/trailthread/engine/degradation/FailingEndpointRate.java
+++ b/engine/src/main/java/trailthread/engine/degradation/FailingEndpointRate.java
@@ -9,81 +9,89 @@
 import trailthread.api.Outcome;
 
 /**
- * Which share of the ready endpoints fails; pure.
+ * The fraction of ready endpoints that are failing.
  *
- * <p>The rule: of an endpoint's last nine attempts that told of it, more than a third failed, and
- * at least two. An attempt has failed if it ended in an error, a refused or a broken connection,
- * and quickly: within the tightest aim. Time-outs are no such sign, as slow endpoints are not
- * failing ones; nor is an endpoint that turns calls away because it is full. An endpoint without
- * any attempt for a minute no longer counts as failing.
+ * <p>An endpoint is failing if more than a third of its last nine conclusive attempts failed, and
+ * at least two. An attempt failed if it ended in an error, a refused or a broken connection, and
+ * quickly: within the tightest latency objective. Timeouts are not conclusive, as a slow endpoint
+ * is not a failing one; nor are rejections, as an endpoint at its limit is not either. An endpoint
+ * without an attempt for a minute is no longer failing.
  */
 final class FailingEndpointRate {
-    private static final int ATTEMPTS = 9;
-    private static final int LEAST_FAILED = 2;
-    private static final long FORGOTTEN_NS = 60_000_000_000L;
+    private static final int MAX_ATTEMPTS = 9;
+    private static final int MIN_FAILED = 2;
+    private static final long EXPIRY_NS = 60_000_000_000L;
 
-    private final long quickNs;
+    private final long maxQuickNs;
     private final Map<String, AttemptHistory> endpoints = new HashMap<>();
 
     /** The last attempts at one endpoint. */
     private static final class AttemptHistory {
-        EndpointState state;
+        private EndpointState state;
 
-        /** Its last attempts, the latest in the lowest bit; 1: it failed. */
-        int failed;
+        /** The last attempts, the latest in the lowest bit; 1: it failed. */
+        private int failures;
 
-        int count;
-        long at;
+        private int attempts;
+        private long lastAttemptAt;
+
+        void add(boolean failed, long now) {
+            failures = (failures << 1 | (failed ? 1 : 0)) & (1 << MAX_ATTEMPTS) - 1;
+            attempts = Math.min(MAX_ATTEMPTS, attempts + 1);
+            lastAttemptAt = now;
+        }
+
+        boolean isFailing(long now) {
+            int failed = Integer.bitCount(failures);
+            return failed >= MIN_FAILED && 3 * failed > attempts && now - lastAttemptAt < EXPIRY_NS;
+        }
     }
 
     /**
-     * @param quickNs what takes longer has not failed quickly
+     * @param maxQuickNs how long an attempt that fails quickly takes at most, ns
      */
-    FailingEndpointRate(long quickNs) {
-        this.quickNs = quickNs;
+    FailingEndpointRate(long maxQuickNs) {
+        this.maxQuickNs = maxQuickNs;
     }
 
-    /** News of the endpoints. */
+    /** The endpoint list was updated. */
     void listed(ListKind kind, List<EndpointEntry> entries) {
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
-            endpoints.values().forEach(record -> record.state = EndpointState.GONE);
+            endpoints.values().forEach(history -> history.state = EndpointState.GONE);
         }
         for (EndpointEntry entry : entries) {
             endpoints.computeIfAbsent(entry.endpoint(), name -> new AttemptHistory()).state =
                     entry.state();
         }
-        endpoints.values().removeIf(record -> record.state == EndpointState.GONE);
+        endpoints.values().removeIf(history -> history.state == EndpointState.GONE);
     }
 
     /**
      * An attempt has ended.
      *
-     * @param latencyNs -1 where it is not known: that was no time-out, and passes for quick
+     * @param latencyNs -1 if it is not known: it was no timeout then, and counts as quick
      */
-    void ended(String endpoint, Outcome outcome, long latencyNs, long now) {
-        AttemptHistory record = endpoints.get(endpoint);
+    void attemptEnded(String endpoint, Outcome outcome, long latencyNs, long now) {
+        AttemptHistory history = endpoints.get(endpoint);
         boolean failed =
                 outcome == Outcome.ERROR
                         || outcome == Outcome.CONNECT_FAILED
                         || outcome == Outcome.RESET;
-        if (record != null && (failed || outcome == Outcome.OK)) {
-            boolean quickly = failed && latencyNs <= quickNs;
-            record.failed = (record.failed << 1 | (quickly ? 1 : 0)) & (1 << ATTEMPTS) - 1;
-            record.count = Math.min(ATTEMPTS, record.count + 1);
-            record.at = now;
+        if (history != null && (failed || outcome == Outcome.OK)) {
+            history.add(failed && latencyNs <= maxQuickNs, now);
         }
     }
 
-    /** The share of ready endpoints that fail, 0 to 1; NaN where none is ready. */
-    double share(long now) {
+    /** The fraction, 0 to 1; NaN if no endpoint is ready. */
+    double rate(long now) {
         int ready = 0;
         int failing = 0;
-        for (AttemptHistory record : endpoints.values()) {
-            if (record.state == EndpointState.READY) {
+        for (AttemptHistory history : endpoints.values()) {
+            if (history.state == EndpointState.READY) {
                 ready++;
-                int failed = Integer.bitCount(record.failed);
-                boolean fails = failed >= LEAST_FAILED && 3 * failed > record.count;
-                failing += fails && now - record.at < FORGOTTEN_NS ? 1 : 0;
+                if (history.isFailing(now)) {
+                    failing++;
+                }
             }
         }
         return ready == 0 ? Double.NaN : (double) failing / ready;
--- a/engine/src/main/java/trailthread/engine/degradation/HealthCheckThinning.java
+++ b/engine/src/main/java/trailthread/engine/degradation/HealthCheckThinning.java
@@ -4,20 +4,26 @@
 import java.util.Map;
 
 /**
- * Lets one probe in so many through, endpoint by endpoint: the module takes them in turn, so that
- * one in two of all would leave out the same half of the endpoints for ever. Pure.
+ * Permits one of several health checks of each endpoint. Counts by endpoint: the balancer checks
+ * endpoints in turn, so that one in two of all checks would always leave out the same endpoints.
  */
 final class HealthCheckThinning {
-    private final Map<String, Double> saved = new HashMap<>();
+    /** What each endpoint has accumulated towards its next check, below 1. */
+    private final Map<String, Double> credits = new HashMap<>();
 
-    /** Whether a probe is made, where their period is to be multiplied by this. */
-    boolean passes(String endpoint, double factor) {
+    /**
+     * Whether a health check is made.
+     *
+     * @param factor what the period of health checks is multiplied by, 1 or more
+     */
+    boolean permits(String endpoint, double factor) {
         if (factor <= 1) {
-            saved.clear();
+            credits.clear();
             return true;
         }
-        double now = saved.getOrDefault(endpoint, 1 - 1 / factor) + 1 / factor;
-        saved.put(endpoint, now >= 1 ? now - 1 : now);
-        return now >= 1;
+        double credit = credits.getOrDefault(endpoint, 1 - 1 / factor) + 1 / factor;
+        boolean permitted = credit >= 1;
+        credits.put(endpoint, permitted ? credit - 1 : credit);
+        return permitted;
     }
 }
--- a/engine/src/main/java/trailthread/engine/degradation/LoadReportAge.java
+++ b/engine/src/main/java/trailthread/engine/degradation/LoadReportAge.java
@@ -1,9 +1,9 @@
 package trailthread.engine.degradation;
 
 /**
- * How old the youngest load report of any endpoint was when one was last owed and did not come;
- * pure. Time in which none is owed does not count, or a node without calls would see its reports
- * grow old.
+ * The age of the latest load report of any endpoint, at the time when one was last expected and did
+ * not come. Time in which none is expected does not count: prevents reports from growing old on a
+ * node without requests.
  */
 final class LoadReportAge {
     private long reportedAt;
@@ -14,18 +14,18 @@
         missedAt = now;
     }
 
-    /** An endpoint has told of its load. */
+    /** An endpoint has reported its load. */
     void reported(long now) {
         reportedAt = now;
     }
 
-    /** An endpoint should have told of its load, and did not. */
+    /** A load report was expected and did not come. */
     void missed(long now) {
         missedAt = now;
     }
 
     /** The age, ns; 0 while reports come. */
-    long ns() {
+    long ageNs() {
         return Math.max(0, missedAt - reportedAt);
     }
 }
--- a/engine/src/main/java/trailthread/engine/degradation/MemoryInUse.java
+++ b/engine/src/main/java/trailthread/engine/degradation/MemoryInUse.java
@@ -1,22 +1,24 @@
 package trailthread.engine.degradation;
 
 /**
- * How much memory was in use after the last collection, as far as samples tell: use falls at no
- * other time. The virtual machine's management beans know it exactly, but cost megabytes. Pure.
+ * Estimates from samples how much memory was in use after the last garbage collection: the use
+ * falls at no other time. The JVM's management beans know it exactly, but take megabytes.
  */
 final class MemoryInUse {
-    private long last = Long.MAX_VALUE;
+    private long lastSample = Long.MAX_VALUE;
     private long afterCollection;
 
     /**
-     * Takes a sample in, bytes in use; what was in use after the last fall, by the sample that
-     * showed it.
+     * Adds a sample.
+     *
+     * @param used bytes in use now
+     * @return bytes in use after the last collection, by the first sample after it
      */
-    long sampled(long used) {
-        if (used < last) {
+    long sample(long used) {
+        if (used < lastSample) {
             afterCollection = used;
         }
-        last = used;
+        lastSample = used;
         return afterCollection;
     }
 }
--- a/engine/src/main/java/trailthread/engine/degradation/StarvationRate.java
+++ b/engine/src/main/java/trailthread/engine/degradation/StarvationRate.java
@@ -9,53 +9,58 @@
 import trailthread.engine.metrics.RequestResult;
 
 /**
- * Which share of guarded calls lacked an endpoint of late: not served, or first sent to one later
- * than a tenth of their aim after they came; pure. Those that a level has shed are left out, or it
- * would hold itself.
+ * The fraction of recent requests of guarded classes that lacked an endpoint: they were not served,
+ * or queued for longer than a tenth of their latency objective before their first attempt. Requests
+ * that a degradation level has shed do not count: prevents a level from holding itself.
  */
 final class StarvationRate {
-    private static final double SPAN_NS = 10e9;
-    private static final long AIM_PARTS = 10;
+    private static final double DECAY_NS = 10e9;
+    private static final long OBJECTIVE_PARTS = 10;
 
-    private final DecayingShare lately;
+    private final DecayingShare starved;
 
-    /** The longest that a call of a guarded class may wait for an endpoint, ns. */
-    private final Map<String, Long> mostWaitNs = new HashMap<>();
+    /** How long a request of a guarded class may be queued, ns. */
+    private final Map<String, Long> maxQueuedNs = new HashMap<>();
 
-    /** Guarded calls that were shed and have not had their answer. */
+    /** How many requests of a class were shed whose rejection has not been recorded yet. */
     private final Map<String, Integer> shed = new HashMap<>();
 
     StarvationRate(List<RequestClass> classes, SheddingOrder order, long now) {
-        lately = new DecayingShare(SPAN_NS, now);
+        starved = new DecayingShare(DECAY_NS, now);
         for (RequestClass c : classes) {
             if (order.isGuarded(c.name())) {
-                mostWaitNs.put(c.name(), c.latencyObjectiveNs() / AIM_PARTS);
+                maxQueuedNs.put(c.name(), c.latencyObjectiveNs() / OBJECTIVE_PARTS);
             }
         }
     }
 
-    /** A call is shed; its refusal follows. */
+    /** A request was shed; its rejection follows. */
     void shed(String requestClass) {
         shed.merge(requestClass, 1, Integer::sum);
     }
 
     /**
-     * A call has its answer.
+     * A request was answered.
      *
-     * @param waitedNs from its coming to its first attempt; -1: there was none
+     * @param queuedNs from its admission to its first attempt; -1: there was none
      */
-    void answered(String requestClass, RequestResult answer, long waitedNs, long now) {
-        if (answer == RequestResult.REFUSED
-                && waitedNs < 0
-                && shed.getOrDefault(requestClass, 0) > 0) {
+    void answered(String requestClass, RequestResult result, long queuedNs, long now) {
+        if (wasShed(requestClass, result, queuedNs)) {
             shed.merge(requestClass, -1, Integer::sum);
-        } else if (mostWaitNs.containsKey(requestClass)) {
-            lately.count(
-                    now, answer != RequestResult.SERVED || waitedNs > mostWaitNs.get(requestClass));
+        } else if (maxQueuedNs.containsKey(requestClass)) {
+            boolean late = queuedNs > maxQueuedNs.get(requestClass);
+            starved.count(now, result != RequestResult.SERVED || late);
         }
     }
 
-    double share(long now) {
-        return lately.share(now);
+    private boolean wasShed(String requestClass, RequestResult result, long queuedNs) {
+        return result == RequestResult.REFUSED
+                && queuedNs < 0
+                && shed.getOrDefault(requestClass, 0) > 0;
+    }
+
+    /** The fraction, 0 to 1. */
+    double rate(long now) {
+        return starved.share(now);
     }
 }
--- a/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
@@ -9,61 +9,50 @@
 import trailthread.api.ListKind;
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
+import trailthread.engine.metrics.ForwardingMetricsRecorder;
 import trailthread.engine.metrics.MetricsRecorder;
-import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.metrics.RequestResult;
 
-/** Records one pool's metrics among those of all pools, with classes and endpoints as pool/name. */
-final class PoolMetrics implements MetricsRecorder {
+/** Records one pool's metrics among those of all pools: classes and endpoints are pool/name. */
+final class PoolMetrics extends ForwardingMetricsRecorder {
     private final String prefix;
-    private final MetricsRecorder recorder;
 
     /** The pool's endpoints, by their names without the prefix. */
     private final Map<String, EndpointEntry> listed = new HashMap<>();
 
     PoolMetrics(String pool, MetricsRecorder recorder) {
+        super(recorder);
         this.prefix = pool + "/";
-        this.recorder = recorder;
     }
 
     @Override
     public void taken(String requestClass) {
-        recorder.taken(prefix + requestClass);
+        super.taken(prefix + requestClass);
     }
 
     @Override
     public void answered(String requestClass, RequestResult result, long latencyNs, long queuedNs) {
-        recorder.answered(prefix + requestClass, result, latencyNs, queuedNs);
+        super.answered(prefix + requestClass, result, latencyNs, queuedNs);
     }
 
     @Override
     public void gone(String requestClass) {
-        recorder.gone(prefix + requestClass);
-    }
-
-    @Override
-    public void rejected(RejectionReason reason) {
-        recorder.rejected(reason);
+        super.gone(prefix + requestClass);
     }
 
     @Override
     public void attemptBegun(String endpoint) {
-        recorder.attemptBegun(prefix + endpoint);
-    }
-
-    @Override
-    public void attemptSent() {
-        recorder.attemptSent();
+        super.attemptBegun(prefix + endpoint);
     }
 
     @Override
     public void attemptEnded(String endpoint, Outcome outcome, long latencyNs, LoadReport load) {
-        recorder.attemptEnded(prefix + endpoint, outcome, latencyNs, load);
+        super.attemptEnded(prefix + endpoint, outcome, latencyNs, load);
     }
 
     @Override
     public void healthChecked(String endpoint, Outcome outcome, LoadReport load) {
-        recorder.healthChecked(prefix + endpoint, outcome, load);
+        super.healthChecked(prefix + endpoint, outcome, load);
     }
 
     /**
@@ -87,7 +76,7 @@
                 listed.put(entry.endpoint(), entry);
             }
         }
-        recorder.listed(ListKind.DELTA, changes);
+        super.listed(ListKind.DELTA, changes);
     }
 
     /** Removes the pool's endpoints from the metrics. */
@@ -104,14 +93,4 @@
                 entry.readyAtNs(),
                 entry.cell());
     }
-
-    @Override
-    public void reloaded(boolean applied) {
-        recorder.reloaded(applied);
-    }
-
-    @Override
-    public void levelEntered(long now, String level) {
-        recorder.levelEntered(now, level);
-    }
 }
--- a/engine/src/test/java/trailthread/engine/degradation/DegradationConfigTest.java
+++ b/engine/src/test/java/trailthread/engine/degradation/DegradationConfigTest.java
@@ -18,7 +18,7 @@
 import trailthread.api.RequestClass;
 import trailthread.degradation.DegradationPlan;
 
-/** The keys of the levels, and the operators' page that names them. */
+/** The keys of the levels, and the operators' page that documents them. */
 public class DegradationConfigTest {
     private static final List<RequestClass> CLASSES =
             List.of(
@@ -34,25 +34,25 @@
                             0));
 
     @Test
-    public void thePageForOperatorsNamesEveryKeyAndNoOther() throws Exception {
+    public void docsNameEveryKeyAndNoOther() throws Exception {
         Set<String> known = new TreeSet<>();
-        for (String key : DegradationConfig.known()) {
+        for (String key : DegradationConfig.knownKeys()) {
             known.add(
                     key.replaceFirst("^(lean|reduced|essential)\\.", "LEVEL.")
                             .replaceFirst("\\.[a-z_]+\\.", ".READING."));
         }
         assertTrue(known.toString(), known.contains("LEVEL.READING.hold_s"));
-        Set<String> named =
+        Set<String> documented =
                 Pattern.compile("(?m)^\\| `levels\\.([A-Za-z_.]+)` \\|")
                         .matcher(Files.readString(Path.of("../docs/levels.md")))
                         .results()
                         .map((MatchResult row) -> row.group(1))
                         .collect(Collectors.toCollection(TreeSet::new));
-        assertEquals(known, named);
+        assertEquals(known, documented);
     }
 
     @Test
-    public void whatIsNotGivenIsTheDefault() {
+    public void missingKeysHaveDefaults() {
         DegradationConfig config =
                 DegradationConfig.parse(Map.of("on", "true", "keep", "0.5"), CLASSES);
         assertEquals(DegradationPlan.defaults(), config.plan().levels);
--- a/engine/src/test/java/trailthread/engine/degradation/ReadingsTest.java
+++ b/engine/src/test/java/trailthread/engine/degradation/ReadingsTest.java
@@ -18,10 +18,10 @@
 import trailthread.degradation.SheddingOrder;
 import trailthread.engine.metrics.RequestResult;
 
-/** How each reading is made of what the node sees. */
+/** How each reading is derived from events and samples. */
 public class ReadingsTest {
     private static final long MS = 1_000_000L;
-    private static final double NONE = 0;
+    private static final double EXACT = 0;
 
     private static List<EndpointEntry> entries(EndpointState state, String... names) {
         List<EndpointEntry> entries = new ArrayList<>();
@@ -32,7 +32,7 @@
     }
 
     @Test
-    public void aEndpointFailsIfMoreThanAThirdOfItsLastAttemptsFailedQuickly() {
+    public void anEndpointIsFailingIfOverAThirdOfItsLastAttemptsFailedQuickly() {
         Object[][] cases = {
             {"", 0.0},
             {"e", 0.0},
@@ -65,39 +65,39 @@
                             default -> Outcome.ERROR;
                         };
                 long latency = how == 's' ? 101 * MS : how == 'u' ? -1 : MS;
-                failing.ended("w0", outcome, latency, 0);
-                failing.ended("w2", outcome, latency, 0);
-                failing.ended("unknown", outcome, latency, 0);
+                failing.attemptEnded("w0", outcome, latency, 0);
+                failing.attemptEnded("w2", outcome, latency, 0);
+                failing.attemptEnded("unknown", outcome, latency, 0);
             }
-            assertEquals((String) c[0], (double) c[1], failing.share(59_000 * MS), NONE);
-            assertEquals("forgotten", 0, failing.share(60_000 * MS), NONE);
+            assertEquals((String) c[0], (double) c[1], failing.rate(59_000 * MS), EXACT);
+            assertEquals("expired", 0, failing.rate(60_000 * MS), EXACT);
         }
     }
 
     @Test
-    public void whereNoEndpointIsReadyTheShareIsUnknown() {
+    public void withoutReadyEndpointsTheFailingRateIsUnknown() {
         FailingEndpointRate failing = new FailingEndpointRate(MS);
-        assertTrue(Double.isNaN(failing.share(0)));
+        assertTrue(Double.isNaN(failing.rate(0)));
         failing.listed(ListKind.FULL, entries(EndpointState.READY, "w0"));
-        assertEquals(0, failing.share(0), NONE);
+        assertEquals(0, failing.rate(0), EXACT);
         failing.listed(ListKind.FULL, entries(EndpointState.DRAINING, "w1"));
-        assertTrue(Double.isNaN(failing.share(0)));
+        assertTrue(Double.isNaN(failing.rate(0)));
     }
 
     @Test
-    public void reportsGrowOldOnlyWhileTheyAreOwed() {
+    public void reportsAgeOnlyWhileTheyAreExpected() {
         LoadReportAge age = new LoadReportAge(5);
-        assertEquals(0, age.ns());
+        assertEquals(0, age.ageNs());
         age.missed(9);
-        assertEquals(4, age.ns());
+        assertEquals(4, age.ageNs());
         age.reported(10);
-        assertEquals(0, age.ns());
+        assertEquals(0, age.ageNs());
         age.missed(17);
-        assertEquals(7, age.ns());
+        assertEquals(7, age.ageNs());
     }
 
     @Test
-    public void guardedCallsThatLackAEndpointAreStarvedUnlessTheyWereShed() {
+    public void guardedRequestsThatLackAnEndpointAreStarvedUnlessTheyWereShed() {
         List<RequestClass> classes =
                 List.of(
                         new RequestClass(
@@ -127,7 +127,7 @@
         starved.answered("use", RequestResult.SERVED, 10 * MS, 0);
         starved.shed("use");
         starved.answered("use", RequestResult.REFUSED, -1, 0);
-        assertEquals(0, starved.share(0), NONE);
+        assertEquals(0, starved.rate(0), EXACT);
         double before = 0;
         Object[][] cases = {
             {RequestResult.REFUSED, -1L},
@@ -136,22 +136,22 @@
         };
         for (Object[] c : cases) {
             starved.answered("use", (RequestResult) c[0], (long) c[1], 0);
-            assertTrue(c[0] + " counts", starved.share(0) > before);
-            before = starved.share(0);
+            assertTrue(c[0] + " counts", starved.rate(0) > before);
+            before = starved.rate(0);
         }
     }
 
     @Test
-    public void memoryIsWhatWasInUseAfterTheLastFall() {
+    public void memoryIsWhatWasInUseAfterTheLastCollection() {
         MemoryInUse memory = new MemoryInUse();
         long[][] cases = {{50, 50}, {90, 50}, {60, 60}, {60, 60}, {99, 60}, {20, 20}};
         for (long[] c : cases) {
-            assertEquals(c[1], memory.sampled(c[0]));
+            assertEquals(c[1], memory.sample(c[0]));
         }
     }
 
     @Test
-    public void cpuWithheldIsReadFromTheSecondFigure() throws Exception {
+    public void cpuThrottlingIsReadFromTheSecondField() throws Exception {
         Path file = Files.createTempFile("schedstat", "");
         try {
             String[][] cases = {
@@ -169,24 +169,24 @@
             for (String[] c : cases) {
                 Files.writeString(file, c[0]);
                 now += 100;
-                assertEquals(c[0], c[1], Double.toString(cpu.share(now)));
+                assertEquals(c[0], c[1], Double.toString(cpu.fraction(now)));
             }
         } finally {
             Files.delete(file);
         }
-        assertTrue(Double.isNaN(CpuThrottling.open(Path.of("/nowhere/at/all")).share(1)));
+        assertTrue(Double.isNaN(CpuThrottling.open(Path.of("/nowhere/at/all")).fraction(1)));
     }
 
     @Test
-    public void thinnedProbesReachEveryEndpoint() {
+    public void thinnedHealthChecksReachEveryEndpoint() {
         HealthCheckThinning thinning = new HealthCheckThinning();
         for (double factor : new double[] {1, 2, 4}) {
             for (String endpoint : List.of("w0", "w1")) {
-                int made = 0;
+                int permitted = 0;
                 for (int i = 0; i < 8; i++) {
-                    made += thinning.passes(endpoint, factor) ? 1 : 0;
+                    permitted += thinning.permits(endpoint, factor) ? 1 : 0;
                 }
-                assertEquals(8 / factor, made, NONE);
+                assertEquals(8 / factor, permitted, EXACT);
             }
         }
     }
