--- a/engine/src/main/java/trailthread/engine/routes/PathPattern.java
+++ b/engine/src/main/java/trailthread/engine/routes/PathPattern.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import java.util.regex.Pattern;
 
 /**
  * The paths that a route matches: {@code /a/b} itself, {@code /a/{id}} with any non-empty segment
@@ -15,7 +14,7 @@
  */
 public record PathPattern(List<String> segments, boolean prefix) {
     private static final String REST = "**";
-    private static final Pattern PARAMETER = Pattern.compile("\\{[A-Za-z][A-Za-z0-9_]*}");
+    private static final String PARAMETER_REGEX = "\\{[A-Za-z][A-Za-z0-9_]*}";
 
     /** What a pattern has in one place, the most specific first. */
     private enum Rank {
@@ -44,8 +43,8 @@
     }
 
     private static List<String> parseSegments(String path) throws BadTargetException {
-        // Braces are not allowed in a target, so a letter stands in for each parameter.
-        List<String> parsed = Target.segments(PARAMETER.matcher(path).replaceAll("x"));
+        // Braces are not allowed in a target, so each parameter is replaced by a literal.
+        List<String> parsed = Target.segments(path.replaceAll(PARAMETER_REGEX, "x"));
         String[] written = path.substring(1).split("/", -1);
         List<String> segments = new ArrayList<>();
         for (int i = 0; i < written.length; i++) {
