--- a/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
+++ b/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
@@ -95,7 +95,7 @@
         return named;
     }
 
-    /** Whether a health check that the balancer asks for is made. */
+    /** Whether a health check that the balancer requests is made. */
     public boolean probes(String endpoint) {
         return healthChecks.permits(endpoint, levels.allowance().probeFactor());
     }
--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -186,11 +186,11 @@
             ClientRequest request, long deadline, ClientResponse response, long bodyBytes) {
         QuotaReleasingResponse releasing =
                 new QuotaReleasingResponse(response, quotas, Math.max(0, bodyBytes));
-        charge(() -> take(request, deadline, releasing, bodyBytes >= 0));
+        charge(() -> admit(request, deadline, releasing, bodyBytes >= 0));
         return releasing;
     }
 
-    private void take(
+    private void admit(
             ClientRequest request,
             long deadline,
             QuotaReleasingResponse response,
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -11,6 +11,7 @@
 import trailthread.engine.endpoint.EndpointRequest;
 import trailthread.engine.endpoint.EndpointResponse;
 import trailthread.engine.http.ByteSink;
+import trailthread.engine.metrics.MetricsRecorder;
 import trailthread.engine.metrics.RequestResult;
 
 /**
@@ -21,6 +22,8 @@
     private static final Logger LOG = LoggerFactory.getLogger(ActiveRequest.class);
 
     private final RequestDispatcher dispatcher;
+    private final BalancerDriver driver;
+    private final MetricsRecorder metrics;
     private final long id;
     private final ClientRequest client;
     private final long deadline;
@@ -38,7 +41,7 @@
     /** The attempt in flight, or null. */
     private Attempt attemptInFlight;
 
-    /** No answer is owed any more: it was given, has begun, or the client has disconnected. */
+    /** No answer is to be sent any more: it was sent or begun, or the client has disconnected. */
     private boolean finished;
 
     /** The answer is streamed to the client while the attempt goes on. */
@@ -51,6 +54,8 @@
             long deadline,
             ClientResponse response) {
         this.dispatcher = dispatcher;
+        driver = dispatcher.driver();
+        metrics = dispatcher.metrics();
         this.id = id;
         this.client = client;
         this.deadline = deadline;
@@ -72,20 +77,18 @@
     /** Starts the deadline timer and delivers the request to the balancer. */
     void start() {
         startDeadlineTimer(deadline - admittedAt);
-        dispatcher
-                .driver()
-                .deliver(
-                        this,
-                        (balancer, now) ->
-                                balancer.request(
-                                        now,
-                                        id,
-                                        client.requestClass(),
-                                        client.workNs(),
-                                        deadline,
-                                        client.account(),
-                                        client.repeat(),
-                                        client.entity()));
+        driver.deliver(
+                this,
+                (balancer, now) ->
+                        balancer.request(
+                                now,
+                                id,
+                                client.requestClass(),
+                                client.workNs(),
+                                deadline,
+                                client.account(),
+                                client.repeat(),
+                                client.entity()));
     }
 
     /**
@@ -109,7 +112,7 @@
      */
     void startAttempt(String endpoint, long timeoutNs, long writtenBy) {
         int attempt = attempts++;
-        dispatcher.metrics().attemptBegun(endpoint);
+        metrics.attemptBegun(endpoint);
         long now = dispatcher.now();
         if (attempt == 0) {
             queuedNs = now - admittedAt;
@@ -154,7 +157,7 @@
 
         @Override
         public void sent() {
-            dispatcher.metrics().attemptSent();
+            metrics.attemptSent();
             if (client.source() != null) {
                 streamedBodySent();
             }
@@ -180,7 +183,7 @@
         }
     }
 
-    /** A client's wait counts from its body's last byte, which has just gone to the endpoint. */
+    /** The deadline counts from the body's last byte, which has just been sent to the endpoint. */
     private void streamedBodySent() {
         if (!finished) {
             deadlineTimer.remove();
@@ -190,14 +193,10 @@
 
     /** Once the client has the first byte, the balancer makes no further attempt. */
     private void streamingBegun(String endpoint, int attempt, LoadReport load) {
-        dispatcher.driver().deliver(this, (balancer, now) -> balancer.firstByte(now, id, attempt));
+        driver.deliver(this, (balancer, now) -> balancer.firstByte(now, id, attempt));
         if (load != null) {
-            dispatcher
-                    .driver()
-                    .deliver(
-                            null,
-                            (balancer, now) ->
-                                    balancer.healthChecked(now, endpoint, Outcome.OK, -1, load));
+            driver.deliver(
+                    (balancer, now) -> balancer.healthChecked(now, endpoint, Outcome.OK, -1, load));
         }
     }
 
@@ -207,9 +206,7 @@
      */
     private void attemptEnded(String endpoint, int attempt, AttemptResult result) {
         boolean succeeded = result.outcome() == Outcome.OK;
-        dispatcher
-                .metrics()
-                .attemptEnded(endpoint, result.outcome(), result.latencyNs(), result.load());
+        metrics.attemptEnded(endpoint, result.outcome(), result.latencyNs(), result.load());
         if (streaming) {
             recordAnswer(succeeded ? RequestResult.SERVED : RequestResult.FAILED);
         }
@@ -219,19 +216,17 @@
             response.served(result.made());
         }
         boolean closed = finished;
-        dispatcher
-                .driver()
-                .deliver(
-                        this,
-                        (balancer, now) ->
-                                balancer.outcome(
-                                        now,
-                                        id,
-                                        attempt,
-                                        result.outcome(),
-                                        result.latencyNs(),
-                                        closed,
-                                        result.load()));
+        driver.deliver(
+                this,
+                (balancer, now) ->
+                        balancer.outcome(
+                                now,
+                                id,
+                                attempt,
+                                result.outcome(),
+                                result.latencyNs(),
+                                closed,
+                                result.load()));
         releaseIfDone();
     }
 
@@ -260,19 +255,19 @@
     }
 
     /**
-     * The client has disconnected: no answer is owed. A request that has been sent is left to run
+     * The client has disconnected: no answer is sent. A request that has been sent is left to run
      * to its end, as the endpoint processes it anyway.
      */
     void clientDisconnected() {
         if (!finished) {
-            dispatcher.metrics().gone(client.requestClass());
+            metrics.gone(client.requestClass());
         }
         finish();
         if (attemptInFlight != null
                 && (streaming || client.source() != null || !attemptInFlight.isSent())) {
             attemptInFlight.cancel();
         }
-        dispatcher.driver().deliver(null, (balancer, now) -> balancer.gone(now, id));
+        driver.deliver((balancer, now) -> balancer.gone(now, id));
         releaseIfDone();
     }
 
@@ -304,9 +299,7 @@
     }
 
     private void recordAnswer(RequestResult result) {
-        dispatcher
-                .metrics()
-                .answered(client.requestClass(), result, dispatcher.now() - admittedAt, queuedNs);
+        metrics.answered(client.requestClass(), result, dispatcher.now() - admittedAt, queuedNs);
     }
 
     private void finish() {
--- a/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
+++ b/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
@@ -47,7 +47,7 @@
         this.healthCheckTimeoutNs = healthCheckTimeoutNs;
     }
 
-    /** Sets which endpoints' health checks are made when the balancer asks for them. */
+    /** Sets which of the health checks that the balancer requests are made. */
     void setHealthCheckFilter(Predicate<String> mayCheckHealth) {
         this.mayCheckHealth = mayCheckHealth;
     }
@@ -100,7 +100,7 @@
 
     private void timerFired(long token) {
         if (!stopped) {
-            driver.deliver(null, (balancer, now) -> balancer.timer(now, token));
+            driver.deliver((balancer, now) -> balancer.timer(now, token));
         }
     }
 
@@ -115,7 +115,6 @@
     private void healthChecked(String endpoint, AttemptResult result) {
         metrics.healthChecked(endpoint, result.outcome(), result.load());
         driver.deliver(
-                null,
                 (balancer, now) ->
                         balancer.healthChecked(
                                 now,
--- a/engine/src/main/java/trailthread/engine/request/BalancerDriver.java
+++ b/engine/src/main/java/trailthread/engine/request/BalancerDriver.java
@@ -8,13 +8,13 @@
 import trailthread.api.BalancerEvents;
 
 /**
- * Delivers events to the balancer. The actions that it asks for while it handles an event are
+ * Delivers events to the balancer. The actions that it requests while it handles an event are
  * queued and run after it, in order: the balancer must never be entered again from within an event.
  */
 final class BalancerDriver {
     private static final Logger LOG = LoggerFactory.getLogger(BalancerDriver.class);
 
-    /** One event; it is delivered at the time given. */
+    /** An event that can be delivered to the balancer. */
     interface BalancerEvent {
         void deliver(BalancerEvents balancer, long now);
     }
@@ -24,7 +24,7 @@
     private BalancerEvents balancer;
     private boolean runningActions;
 
-    /** The time given to the balancer with the latest event, ns. */
+    /** The time of the latest event, ns. */
     private long eventAt;
 
     /**
@@ -39,10 +39,15 @@
         this.balancer = balancer;
     }
 
+    /** Delivers an event that concerns no single request; see the other method. */
+    void deliver(BalancerEvent event) {
+        deliver(null, event);
+    }
+
     /**
      * Delivers an event, then runs the actions it led to. An exception of the balancer is logged.
      *
-     * @param request fails if the balancer throws; null: the event concerns no single request
+     * @param request fails if the balancer throws; null: none does
      */
     void deliver(ActiveRequest request, BalancerEvent event) {
         eventAt = clock.getAsLong();
@@ -81,7 +86,7 @@
         }
     }
 
-    /** The actions to hand to the balancer: each is queued, and later run by the executor given. */
+    /** The actions to pass to the balancer: each is queued, and run by the executor later. */
     BalancerActions queueingActions(BalancerActions executor) {
         return new QueueingActions(executor);
     }
--- a/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
@@ -76,7 +76,7 @@
     /** Applies other settings from now on; open requests keep their class. */
     public void retune(Settings settings) {
         apply(settings);
-        driver.deliver(null, (events, now) -> balancer.retune(now, settings));
+        driver.deliver((events, now) -> balancer.retune(now, settings));
     }
 
     /** Sets where the balancer's requests to watch or fetch the endpoint list go. */
@@ -123,14 +123,14 @@
         }
     }
 
-    /** Sets which of the health checks that the balancer asks for are made; at first, all. */
+    /** Sets which of the health checks that the balancer requests are made; at first, all. */
     public void setProbes(Predicate<String> mayCheckHealth) {
         actions.setHealthCheckFilter(mayCheckHealth);
     }
 
     /** Sets which requests the balancer admits; null: all. */
     public void admit(Admission admission) {
-        driver.deliver(null, (balancer, now) -> balancer.admit(admission));
+        driver.deliver((balancer, now) -> balancer.admit(admission));
     }
 
     /** How many of the listed endpoints the balancer avoids now. */
@@ -140,12 +140,12 @@
 
     /** Delivers an update of the endpoint list to the balancer. */
     public void list(ListKind kind, List<EndpointEntry> entries) {
-        driver.deliver(null, (balancer, now) -> balancer.list(now, kind, entries));
+        driver.deliver((balancer, now) -> balancer.list(now, kind, entries));
     }
 
     /** Sets until when the endpoint list is valid, by {@link EventLoop#now}. */
     public void listLeaseUntil(long until) {
-        driver.deliver(null, (balancer, now) -> balancer.listLeaseUntil(now, until));
+        driver.deliver((balancer, now) -> balancer.listLeaseUntil(now, until));
     }
 
     @Override
--- a/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
+++ b/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
@@ -41,8 +41,7 @@
                                 () -> {
                                     // A send that fails at once, as to a removed endpoint.
                                     if (log.size() == 3) {
-                                        driver.deliver(
-                                                null, (balancer, now) -> balancer.gone(2, 7));
+                                        driver.deliver((balancer, now) -> balancer.gone(2, 7));
                                     }
                                 }));
         driver.setBalancer(
@@ -54,7 +53,7 @@
                                 actions.watch(true);
                             }
                         }));
-        driver.deliver(null, (balancer, now) -> balancer.timer(1, 0));
+        driver.deliver((balancer, now) -> balancer.timer(1, 0));
         assertEquals(
                 List.of("timer", "/timer", "send", "gone", "/gone", "/send", "watch", "/watch"),
                 log);
@@ -71,8 +70,8 @@
                                         "scripted: this trace is part of the test");
                             }
                         }));
-        driver.deliver(null, (balancer, now) -> balancer.timer(1, 0));
-        driver.deliver(null, (balancer, now) -> balancer.gone(2, 7));
+        driver.deliver((balancer, now) -> balancer.timer(1, 0));
+        driver.deliver((balancer, now) -> balancer.gone(2, 7));
         assertEquals(List.of("timer", "gone", "/gone"), log);
     }
 
@@ -98,7 +97,7 @@
                             actions.timer(100, 1);
                             actions.timer(100, 2);
                         }));
-        driver.deliver(null, (balancer, at) -> balancer.gone(at, 7));
+        driver.deliver((balancer, at) -> balancer.gone(at, 7));
         assertEquals(List.of(93L, 1L, 63L, 2L), set);
     }
 }
