--- a/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
@@ -9,90 +9,82 @@
 import trailthread.api.ListKind;
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
+import trailthread.engine.metrics.ForwardingMetricsRecorder;
 import trailthread.engine.metrics.MetricsRecorder;
-import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.metrics.RequestResult;
 
-/** Tells the operators' meter of one pool: classes and endpoints are called pool/name there. */
-final class PoolMetrics implements MetricsRecorder {
+/** Records one pool's metrics among those of all pools: classes and endpoints are pool/name. */
+final class PoolMetrics extends ForwardingMetricsRecorder {
     private final String prefix;
-    private final MetricsRecorder operators;
+
+    /** The pool's endpoints, by their names without the prefix. */
     private final Map<String, EndpointEntry> listed = new HashMap<>();
 
-    PoolMetrics(String pool, MetricsRecorder operators) {
+    PoolMetrics(String pool, MetricsRecorder recorder) {
+        super(recorder);
         this.prefix = pool + "/";
-        this.operators = operators;
     }
 
     @Override
     public void taken(String requestClass) {
-        operators.taken(prefix + requestClass);
+        super.taken(prefix + requestClass);
     }
 
     @Override
-    public void answered(String requestClass, RequestResult answer, long afterNs, long waitedNs) {
-        operators.answered(prefix + requestClass, answer, afterNs, waitedNs);
+    public void answered(String requestClass, RequestResult result, long latencyNs, long queuedNs) {
+        super.answered(prefix + requestClass, result, latencyNs, queuedNs);
     }
 
     @Override
     public void gone(String requestClass) {
-        operators.gone(prefix + requestClass);
-    }
-
-    @Override
-    public void rejected(RejectionReason why) {
-        operators.rejected(why);
+        super.gone(prefix + requestClass);
     }
 
     @Override
     public void attemptBegun(String endpoint) {
-        operators.attemptBegun(prefix + endpoint);
-    }
-
-    @Override
-    public void attemptSent() {
-        operators.attemptSent();
+        super.attemptBegun(prefix + endpoint);
     }
 
     @Override
     public void attemptEnded(String endpoint, Outcome outcome, long latencyNs, LoadReport load) {
-        operators.attemptEnded(prefix + endpoint, outcome, latencyNs, load);
+        super.attemptEnded(prefix + endpoint, outcome, latencyNs, load);
     }
 
     @Override
     public void healthChecked(String endpoint, Outcome outcome, LoadReport load) {
-        operators.healthChecked(prefix + endpoint, outcome, load);
+        super.healthChecked(prefix + endpoint, outcome, load);
     }
 
     /**
-     * The meter holds the endpoints of all pools, so a whole list of one is told as what changed.
+     * Records a full list as the changes to the one before: the metrics hold the endpoints of all
+     * pools, and a full list of one would remove the others.
      */
     @Override
     public void listed(ListKind kind, List<EndpointEntry> entries) {
         List<EndpointEntry> changes = new ArrayList<>();
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
-            Map<String, EndpointEntry> left = new HashMap<>(listed);
-            entries.forEach(entry -> left.remove(entry.endpoint()));
-            left.values().forEach(entry -> changes.add(named(entry, EndpointState.GONE)));
+            Map<String, EndpointEntry> removed = new HashMap<>(listed);
+            entries.forEach(entry -> removed.remove(entry.endpoint()));
+            removed.values().forEach(entry -> changes.add(withPrefix(entry, EndpointState.GONE)));
             listed.clear();
         }
         for (EndpointEntry entry : entries) {
-            changes.add(named(entry, entry.state()));
+            changes.add(withPrefix(entry, entry.state()));
             if (entry.state() == EndpointState.GONE) {
                 listed.remove(entry.endpoint());
             } else {
                 listed.put(entry.endpoint(), entry);
             }
         }
-        operators.listed(ListKind.DELTA, changes);
+        super.listed(ListKind.DELTA, changes);
     }
 
-    /** The pool is no more, nor are its endpoints. */
-    void ended() {
+    /** Removes the pool's endpoints from the metrics. */
+    void poolRemoved() {
         listed(ListKind.FULL, List.of());
     }
 
-    private EndpointEntry named(EndpointEntry entry, EndpointState state) {
+    private EndpointEntry withPrefix(EndpointEntry entry, EndpointState state) {
         return new EndpointEntry(
                 prefix + entry.endpoint(),
                 entry.weight(),
@@ -101,14 +93,4 @@
                 entry.readyAtNs(),
                 entry.cell());
     }
-
-    @Override
-    public void reloaded(boolean taken) {
-        operators.reloaded(taken);
-    }
-
-    @Override
-    public void levelEntered(long now, String level) {
-        operators.levelEntered(now, level);
-    }
 }
