--- a/decisions/src/test/java/trailthread/RulesTest.java
+++ b/decisions/src/test/java/trailthread/BalancerRulesTest.java
@@ -17,7 +17,7 @@
 import trailthread.api.Settings;
 
 /** The four rules, each by the guard that keeps it. */
-class RulesTest {
+class BalancerRulesTest {
     private static final long MS = Script.MS;
     private final Script s = new Script(Script.settings(), 1);
 
--- a/decisions/src/test/java/trailthread/LotteryTest.java
+++ b/decisions/src/test/java/trailthread/EndpointChoiceTest.java
@@ -20,7 +20,7 @@
 import trailthread.api.Settings;
 
 /** Where requests go on the ordinary path, and the named departures from it. */
-class LotteryTest {
+class EndpointChoiceTest {
     private static final long MS = Script.MS;
 
     /**
@@ -480,7 +480,7 @@
         s.balancer.list(s.now, ListKind.CACHED, List.of(Script.ready("a")));
         s.pass(
                 settings.pollIntervalNs
-                        / 300); // all nodes' first calls are spread: see ListCallsTest
+                        / 300); // all nodes' first calls are spread: see ListPollTest
         assertEquals(1, s.watches);
         s.balancer.list(s.now, ListKind.FAILED, List.of());
         s.pass(settings.pollIntervalNs / 2);
--- a/decisions/src/test/java/trailthread/GuardsTest.java
+++ b/decisions/src/test/java/trailthread/FaultHandlingTest.java
@@ -15,7 +15,7 @@
 import trailthread.api.Tenant;
 
 /** One test for each guard that no other test would miss. */
-final class GuardsTest {
+final class FaultHandlingTest {
     private static String backendOf(Script s, long id) {
         return s.sendsOf(id).get(0).endpoint();
     }
--- a/decisions/src/test/java/trailthread/ListCallsTest.java
+++ b/decisions/src/test/java/trailthread/ListPollTest.java
@@ -15,7 +15,7 @@
  * Calls for the list that fail at all nodes at once, in virtual time: discovery handles one after
  * another, and one that has waited for too long in vain.
  */
-public class ListCallsTest {
+public class ListPollTest {
     private static final int PERIOD_S = 10;
     private static final long NEWS_DUE_MS = 6_000;
 
--- a/decisions/src/test/java/trailthread/UnconfirmedListTest.java
+++ b/decisions/src/test/java/trailthread/ListWithoutLeaseTest.java
@@ -7,11 +7,11 @@
 import trailthread.api.Outcome;
 
 /** What the module does while the list may not be acted on. */
-public class UnconfirmedListTest {
+public class ListWithoutLeaseTest {
     private static final long MS = 1_000_000L;
     private final Script script = new Script(Script.settings(), 1);
 
-    public UnconfirmedListTest() {
+    public ListWithoutLeaseTest() {
         script.endpoints("a", "b", "c");
     }
 
--- a/decisions/src/test/java/trailthread/ReportTest.java
+++ b/decisions/src/test/java/trailthread/LoadReportTest.java
@@ -7,7 +7,7 @@
 import trailthread.api.Outcome;
 
 /** The design's correction: own sends since the report that the tickets rest on. */
-public class ReportTest {
+public class LoadReportTest {
     private static final int TURNS = 4000;
 
     /** How often the second of two requests goes where the first is not. */
--- a/decisions/src/test/java/trailthread/NotesTest.java
+++ b/decisions/src/test/java/trailthread/OperatorLogTest.java
@@ -10,7 +10,7 @@
 import trailthread.api.Outcome;
 
 /** The lines for staff: those that on-call.md names, and few of them. */
-final class NotesTest {
+final class OperatorLogTest {
     private static long lines(Script s, String start) {
         return s.log.stream().filter(line -> line.startsWith(start)).count();
     }
--- a/decisions/src/test/java/trailthread/HeldTest.java
+++ b/decisions/src/test/java/trailthread/QueueingTest.java
@@ -16,10 +16,10 @@
  * A request that nobody means to send any more is answered at once; it was once held to its
  * deadline.
  */
-public class HeldTest {
+public class QueueingTest {
     private final Script s;
 
-    public HeldTest() {
+    public QueueingTest() {
         Settings settings = new Settings();
         settings.retryAfter = true;
         settings.maxRetryAfterNs = 500 * MS;
--- a/decisions/src/test/java/trailthread/RandomRulesTest.java
+++ b/decisions/src/test/java/trailthread/RandomizedRulesTest.java
@@ -24,7 +24,7 @@
 /**
  * Random legal events; the rules are checked from outside after each step. Nothing is simulated.
  */
-class RandomRulesTest {
+class RandomizedRulesTest {
     private static final long MS = Script.MS;
     private static final Outcome[] ENDS = {
         Outcome.OK,
--- a/decisions/src/test/java/trailthread/RepeatsTest.java
+++ b/decisions/src/test/java/trailthread/RetryTest.java
@@ -15,7 +15,7 @@
  * What follows an attempt's end, by outcome and class: another one, and until when; a refusal; a
  * failure.
  */
-public class RepeatsTest {
+public class RetryTest {
     private static final long MS = Script.MS;
     private static final List<String> CLASSES =
             List.of("safe", "keyed", "keyed-everywhere", "unsafe");
--- a/decisions/src/test/java/trailthread/ColdBudgetTest.java
+++ b/decisions/src/test/java/trailthread/SlowStartBudgetTest.java
@@ -16,7 +16,7 @@
  * What cold endpoints are sent: no more than they bear, and that much as long as the lottery draws
  * them.
  */
-public class ColdBudgetTest {
+public class SlowStartBudgetTest {
     private static final int REQUESTS = 2_000;
     private static final int WARM = 20;
     private static final int COLD = 10;
--- a/decisions/src/test/java/trailthread/ColdFleetTest.java
+++ b/decisions/src/test/java/trailthread/SlowStartFleetTest.java
@@ -22,7 +22,7 @@
  * Half of the workers start anew under a burst, and nodes do not talk: what all of them send to one
  * of these, in virtual time, against what the settings let it bear.
  */
-public class ColdFleetTest {
+public class SlowStartFleetTest {
     private static final int WORKERS = 24;
     private static final int STARTED = 12;
 
