--- a/decisions/src/test/java/trailthread/AdmissionTest.java
+++ b/decisions/src/test/java/trailthread/AdmissionTest.java
@@ -10,12 +10,12 @@
 import trailthread.api.Settings;
 import trailthread.api.Tenant;
 
-/** What the host does not allow is turned away at once, and nothing else is. */
+/** Requests that the host does not admit are rejected at once, and no others. */
 public class AdmissionTest {
     private final Settings settings = Script.settings();
 
     @Test
-    public void whatIsNotTakenIsRefusedAtOnceWithAdvice() {
+    public void rejectsWhatIsNotAdmittedAtOnceWithRetryAfter() {
         settings.retryAfter = true;
         settings.maxRetryAfterNs = 500 * MS;
         Script s = new Script(settings, 3);
@@ -27,18 +27,18 @@
                     return !requestClass.equals("safe");
                 });
         long shed = s.request("safe");
-        long taken = s.request("unsafe");
+        long admitted = s.request("unsafe");
         assertEquals(List.of(shed), s.refused);
         assertTrue(s.stayAway > 0);
         assertTrue(s.sendsOf(shed).isEmpty());
-        assertEquals(1, s.sendsOf(taken).size());
+        assertEquals(1, s.sendsOf(admitted).size());
         assertTrue(drawn.size() == 2 && drawn.stream().allMatch(d -> d >= 0 && d < 1));
         s.balancer.admit(null);
         assertEquals(1, s.sendsOf(s.request("safe")).size());
     }
 
     @Test
-    public void itHearsWhetherTheTenantIsOverItsQuota() {
+    public void admissionLearnsWhetherTheTenantIsOverItsQuota() {
         settings.tenants.add(new Tenant("acme", 1, 1));
         Script s = new Script(settings, 3);
         s.endpoints("a", "b");
@@ -48,9 +48,9 @@
         assertEquals(List.of(2L), s.refused);
     }
 
-    /** Runs that were recorded before there was an admission must come out as they did. */
+    /** Replays of recorded runs without an admission must give the same actions. */
     @Test
-    public void withoutOneNothingIsDrawnForIt() {
+    public void drawsNoRandomNumberWithoutAnAdmission() {
         Script with = new Script(settings, 3);
         with.balancer.admit((requestClass, overQuota, random) -> true);
         with.balancer.admit(null);
--- a/decisions/src/test/java/trailthread/BalancerRulesTest.java
+++ b/decisions/src/test/java/trailthread/BalancerRulesTest.java
@@ -16,7 +16,7 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/** The four rules, each by the guard that keeps it. */
+/** The rules for queueing, retries, attempts in flight and endpoints that leave, one by one. */
 class BalancerRulesTest {
     private static final long MS = Script.MS;
     private final Script s = new Script(Script.settings(), 1);
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aRequestWithNoBackendIsHeldThenRefusedInTime() {
+    void aRequestWithoutAnEndpointIsQueuedThenRejectedInTime() {
         s.endpoints();
         long id = s.request("safe");
         s.pass(900 * MS);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aHeldRequestGoesOutWhenABackendAppears() {
+    void aQueuedRequestIsSentWhenAnEndpointAppears() {
         s.endpoints();
         long id = s.request("unsafe");
         s.pass(50 * MS);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void anUnsafeRequestThatMayHaveRunFailsAndIsNeitherRepeatedNorRefused() {
+    void aNonIdempotentRequestThatMayHaveRunFailsAndIsNeitherRetriedNorRejected() {
         s.endpoints("a", "b");
         for (Outcome o : List.of(Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)) {
             long id = s.request("unsafe");
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void anUnsafeRequestThatNeverRanIsRepeatedElsewhere() {
+    void aNonIdempotentRequestThatNeverRanIsRetriedAtAnotherEndpoint() {
         s.endpoints("a", "b");
         long id = s.request("unsafe");
         s.end(id, Outcome.REJECTED);
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void anUnsafeRequestInFlightAtItsDeadlineFails() {
+    void aNonIdempotentRequestInFlightAtItsDeadlineFails() {
         s.endpoints("a");
         long id = s.request("unsafe");
         s.pass(1100 * MS);
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void aKeyedRequestThatMayHaveRunStaysInItsGroup() {
+    void aKeyedRequestThatMayHaveRunStaysInItsDeduplicationCell() {
         for (int seed = 0; seed < 30; seed++) {
             Script t = new Script(Script.settings(), seed);
             t.balancer.list(
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aKeyedRequestIsNotRepeatedPastItsWindow() {
+    void aKeyedRequestIsNotRetriedPastItsDeduplicationWindow() {
         Settings settings = Script.settings();
         settings.classes.add(
                 new RequestClass(
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void repeatsOfWhatMayHaveRunStayWithinABudget() {
+    void retriesOfWhatMayHaveRunStayWithinTheBudget() {
         s.endpoints("a", "b", "c");
         int sends = 0;
         for (int i = 0; i < 200; i++) {
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void aRequestHasNoMoreAttemptsThanAllowed() {
+    void aRequestHasNoMoreThanTheMaximumOfAttempts() {
         s.endpoints("a", "b", "c", "d", "e", "f");
         long id = s.request("safe");
         for (int k = 0; k < 6 && s.sendsOf(id).size() > k; k++) {
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void aRequestTheClientLeftIsAnsweredNoMore() {
+    void aRequestOfADisconnectedClientIsNotAnswered() {
         s.endpoints("a", "b");
         long id = s.request("safe");
         s.balancer.gone(s.now, id);
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void aStreamThatBeganHasNoDeadlineAndIsNotRepeated() {
+    void aStreamedResponseHasNoDeadlineAndIsNotRetried() {
         s.endpoints("a", "b");
         long id = s.request("safe");
         s.balancer.firstByte(s.now, id, 0);
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void absurdReportsAreIgnored() {
+    void loadReportsThatAreNotFiniteOrNegativeAreIgnored() {
         s.endpoints("a", "b");
         for (double queue : new double[] {Double.NaN, -5, Double.POSITIVE_INFINITY}) {
             long id = s.request("safe");
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void aDrainingBackendGetsNothingMoreAtOnce() {
+    void aDrainingEndpointGetsNoMoreRequests() {
         s.endpoints("a", "b");
         s.delta(new EndpointEntry("a", 1, EndpointState.DRAINING, "here", 0, 0));
         for (int i = 0; i < 50; i++) {
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void aBackendMissingFromAFullListGetsNothingMore() {
+    void anEndpointMissingFromAFullListGetsNoMoreRequests() {
         s.endpoints("a", "b");
         s.endpoints("b");
         for (int i = 0; i < 20; i++) {
@@ -204,9 +204,9 @@
         }
     }
 
-    /** Nothing known: all nodes together send a cold endpoint about one in a mean aim. */
+    /** With no latency known, all nodes together send about one request in a mean objective. */
     @Test
-    void aColdBackendIsSentLittleByManyNodesTogether() {
+    void manyNodesTogetherSendLittleToAnEndpointInSlowStart() {
         int sent = 0;
         for (int node = 0; node < 40; node++) {
             Settings settings = Script.settings();
@@ -225,11 +225,11 @@
             }
             sent += n.sends.size();
         }
-        assertTrue(sent >= 5 && sent <= 60, "by 40 nodes in ten aims: " + sent);
+        assertTrue(sent >= 5 && sent <= 60, "by 40 nodes in ten objectives: " + sent);
     }
 
     @Test
-    void settingsThatMakeNoSenseAreNamed() {
+    void invalidSettingsAreRejectedByName() {
         Settings none = new Settings();
         IllegalArgumentException e =
                 assertThrows(IllegalArgumentException.class, () -> new Balancer(none, 1, 0, s));
--- a/decisions/src/test/java/trailthread/EndpointChoiceTest.java
+++ b/decisions/src/test/java/trailthread/EndpointChoiceTest.java
@@ -19,7 +19,7 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/** Where requests go on the ordinary path, and the named departures from it. */
+/** Which endpoint a request goes to, through the balancer as a whole. */
 class EndpointChoiceTest {
     private static final long MS = Script.MS;
 
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void equalBackendsShareEvenly() {
+    void equalEndpointsGetEqualShares() {
         Script s = new Script(Script.settings(), 7);
         s.endpoints("a", "b");
         Map<String, Integer> counts = serve(s, 2000, 20 * MS, 20 * MS);
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void ownSendsSinceTheReportCountAgainstABackend() {
+    void ownSendsSinceTheReportReduceTheTickets() {
         Script s = new Script(Script.settings(), 3);
         s.endpoints("a", "b");
         serve(s, 100, 20 * MS, 20 * MS);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aSlowBackendGetsFewTickets() {
+    void aSlowEndpointGetsFewTickets() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a", "b");
         Map<String, Integer> counts = serve(s, 600, 15 * MS, 90 * MS);
@@ -98,10 +98,11 @@
     }
 
     /**
-     * What was away while all grew quicker, by less than matters to anybody, was never drawn again.
+     * Prevents an endpoint that was draining while the others became slightly faster from never
+     * being drawn again.
      */
     @Test
-    void differencesThatMatterToNobodyLeaveNobodyOut() {
+    void latencyDifferencesBelowTheResolutionExcludeNoEndpoint() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a", "b");
         serve(s, 200, MS / 2, MS / 2);
@@ -114,7 +115,7 @@
     }
 
     @Test
-    void aBackendThatFailsFastIsEjectedAndTriedAgainLater() {
+    void anEndpointThatFailsFastIsEjectedAndTriedAgainLater() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a", "b", "c");
         int toA = 0;
@@ -142,7 +143,7 @@
     }
 
     @Test
-    void aNodeThatSeesAllFailEjectsNone() {
+    void aNodeThatSeesAllEndpointsFailEjectsNone() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a", "b");
         for (int i = 0; i < 30; i++) {
@@ -154,7 +155,7 @@
     }
 
     @Test
-    void aFullBackendIsNotHammered() {
+    void aFullEndpointIsNotFlooded() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a");
         int sends = 0;
@@ -170,23 +171,23 @@
     }
 
     @Test
-    void aSilentBackendGetsNothingMore() {
+    void anEndpointThatDoesNotRespondGetsNoMoreRequests() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a", "b");
         serve(s, 200, 20 * MS, 20 * MS);
         long stuck = s.request("safe");
-        String silent = s.sendsOf(stuck).get(0).endpoint();
+        String unresponsive = s.sendsOf(stuck).get(0).endpoint();
         s.pass(300 * MS);
         for (int i = 0; i < 20; i++) {
             long id = s.request("safe");
-            assertNotEquals(silent, s.sendsOf(id).get(0).endpoint());
+            assertNotEquals(unresponsive, s.sendsOf(id).get(0).endpoint());
             s.pass(20 * MS);
             s.end(id, Outcome.OK);
         }
     }
 
     @Test
-    void aJammedBackendRestsAndIsTriedAgain() {
+    void aJammedEndpointRestsAndIsTriedAgain() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a", "b");
         serve(s, 300, 20 * MS, 20 * MS);
@@ -207,7 +208,7 @@
     }
 
     @Test
-    void limitsDoNotStickWhileAnswersAreQuick() {
+    void limitsGrowWhileResponsesAreFast() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a");
         for (int i = 0; i < 40; i++) {
@@ -225,11 +226,12 @@
             s.request("safe");
         }
         assertTrue(
-                s.sends.size() - sent >= 8, "room after quick answers: " + (s.sends.size() - sent));
+                s.sends.size() - sent >= 8,
+                "sent at once after fast responses: " + (s.sends.size() - sent));
     }
 
     @Test
-    void onlySafeAttemptsAreCalledOffEarly() {
+    void onlyIdempotentAttemptsHaveATimeout() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a", "b");
         serve(s, 100, 20 * MS, 20 * MS);
@@ -244,7 +246,7 @@
     }
 
     @Test
-    void reportedRequestsInHandDoNotCloseABackend() {
+    void reportedInFlightRequestsDoNotCloseAnEndpoint() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a");
         for (int i = 0; i < 100; i++) {
@@ -257,7 +259,7 @@
     }
 
     @Test
-    void aLongStreamDoesNotMakeItsBackendLookSlow() {
+    void aLongStreamDoesNotMakeItsEndpointLookSlow() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a", "b");
         serve(s, 100, 20 * MS, 20 * MS);
@@ -273,7 +275,7 @@
     }
 
     @Test
-    void backendsThatReportOnlyToProbesAreProbedInTurn() {
+    void endpointsThatReportOnlyToHealthChecksAreCheckedInTurn() {
         Settings settings = Script.settings();
         settings.reports = LoadReportSource.PROBES;
         settings.mayCheckHealth = true;
@@ -285,28 +287,30 @@
             assertTrue(asked.contains("probe " + name), asked);
         }
         settings.mayCheckHealth = false;
-        Script silent = new Script(settings, 5);
-        silent.endpoints("a");
-        silent.pass(5000 * MS);
-        assertTrue(!silent.transcript.toString().contains("probe"), "probes need permission");
+        Script withoutPermission = new Script(settings, 5);
+        withoutPermission.endpoints("a");
+        withoutPermission.pass(5000 * MS);
+        assertTrue(
+                !withoutPermission.transcript.toString().contains("probe"),
+                "probes need permission");
     }
 
     @Test
-    void crowdedBackendsAreSparedAndTheRestIsHeld() {
+    void requestsOverTheConcurrencyLimitAreQueued() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a");
         serve(s, 100, 30 * MS, 30 * MS);
         for (int i = 0; i < 50; i++) {
             s.request("unsafe");
         }
-        long out = s.sends.size() - 100L;
-        assertTrue(out >= 1 && out <= 4, "sent at once: " + out);
+        long sentAtOnce = s.sends.size() - 100L;
+        assertTrue(sentAtOnce >= 1 && sentAtOnce <= 4, "sent at once: " + sentAtOnce);
         s.pass(1500 * MS);
-        assertEquals(50 - out, s.refused.size(), "held work is refused, not failed");
+        assertEquals(50 - sentAtOnce, s.refused.size(), "queued requests are rejected, not failed");
     }
 
     @Test
-    void theMoreValuableGoesFirst() {
+    void theRequestWithTheLargerPriorityWeightGoesFirst() {
         Settings settings = Script.settings();
         settings.classes.add(
                 new RequestClass(
@@ -321,16 +325,16 @@
                         0.2));
         Script s = new Script(settings, 5);
         s.endpoints();
-        long cheap = s.request("safe");
-        long dear = s.request("dear");
+        long light = s.request("safe");
+        long heavy = s.request("dear");
         s.delta(new EndpointEntry("a", 1, EndpointState.READY, "here", s.now, 0));
-        s.pass(250 * MS); // a cold endpoint's first comes within an aim
-        assertEquals(1, s.sendsOf(dear).size());
-        assertEquals(0, s.sendsOf(cheap).size());
+        s.pass(250 * MS); // an endpoint in slow start gets its first request within an objective
+        assertEquals(1, s.sendsOf(heavy).size());
+        assertEquals(0, s.sendsOf(light).size());
     }
 
     @Test
-    void manyNodesTakePartOfABackendEach() {
+    void eachOfManyNodesTakesAShareOfAnEndpoint() {
         Settings settings = Script.settings();
         settings.nodes = 40;
         Script s = new Script(settings, 5);
@@ -359,7 +363,7 @@
     }
 
     @Test
-    void theLocalZoneIsPreferredByItsPrice() {
+    void theLocalZoneIsPreferredByTheCrossZonePrice() {
         Settings settings = Script.settings();
         settings.zone = "here";
         settings.crossZonePrice = 0.06;
@@ -375,35 +379,35 @@
     }
 
     @Test
-    void aWarmKeyHasAHome() {
+    void aKeyGoesToItsHomeEndpoint() {
         Settings settings = Script.settings();
         settings.keyAffinity = true;
         Script s = new Script(settings, 5);
         s.endpoints("a", "b", "c", "d", "e", "f");
         serve(s, 300, 20 * MS, 20 * MS);
-        Map<String, Integer> counts = whereAKeyGoes(s, 20);
+        Map<String, Integer> counts = endpointsOfOneKey(s, 20);
         assertTrue(counts.size() <= 3, "a key in: " + counts);
         assertTrue(counts.values().stream().anyMatch(n -> n > 160), "a key in: " + counts);
     }
 
     /**
-     * Every node alone cannot see what all send to a popular key's home; its share of the traffic
-     * tells.
+     * No node sees what all nodes send to the home of a popular key, but each sees the key's share
+     * of the traffic.
      */
     @Test
-    void aPopularKeyHasSeveralHomes() {
+    void aPopularKeyHasSeveralHomeEndpoints() {
         Settings settings = Script.settings();
         settings.keyAffinity = true;
         Script s = new Script(settings, 5);
         s.endpoints("a", "b", "c", "d", "e", "f");
         serve(s, 300, 20 * MS, 20 * MS);
-        Map<String, Integer> counts = whereAKeyGoes(s, 1);
+        Map<String, Integer> counts = endpointsOfOneKey(s, 1);
         int most = counts.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
         assertTrue(counts.size() >= 3 && most < 120, "half of the traffic in: " + counts);
     }
 
-    /** Where one key goes, two hundred times, amid so many others for each. */
-    private static Map<String, Integer> whereAKeyGoes(Script s, int others) {
+    /** How often each endpoint gets one key, for 200 requests amid so many others for each. */
+    private static Map<String, Integer> endpointsOfOneKey(Script s, int others) {
         Map<String, Integer> counts = new TreeMap<>();
         for (int i = 0; i < 200 * (1 + others); i++) {
             long id = 100_000L + i;
@@ -420,7 +424,7 @@
     }
 
     @Test
-    void aPopularKeySpillsPastItsFairPart() {
+    void aPopularKeySpillsOverTheLoadBound() {
         Settings settings = Script.settings();
         settings.keyAffinity = true;
         Script s = new Script(settings, 5);
@@ -435,7 +439,7 @@
     }
 
     @Test
-    void aKeyKeepsItsHomeWhenAnotherBackendLeaves() {
+    void aKeyKeepsItsHomeWhenAnotherEndpointIsRemoved() {
         Settings settings = Script.settings();
         settings.keyAffinity = true;
         Script s = new Script(settings, 5);
@@ -451,7 +455,7 @@
         assertTrue(kept > 0.9 * before.size(), before + " and after " + after);
     }
 
-    /** Where most draws of each of 40 keys go. */
+    /** The endpoint that gets most requests of each of 40 keys. */
     private static Map<Long, String> homes(Script s, long firstId) {
         Map<Long, String> homes = new TreeMap<>();
         for (long key = 1; key <= 40; key++) {
@@ -473,14 +477,14 @@
     }
 
     @Test
-    void anUnwatchedListIsAskedForAgain() {
+    void aListWithoutAWatchIsPolledAgain() {
         Settings settings = Script.settings();
         settings.listIsPolled = true;
         Script s = new Script(settings, 5);
         s.balancer.list(s.now, ListKind.CACHED, List.of(Script.ready("a")));
         s.pass(
                 settings.pollIntervalNs
-                        / 300); // all nodes' first calls are spread: see ListPollTest
+                        / 300); // the first polls of all nodes are spread: see ListPollTest
         assertEquals(1, s.watches);
         s.balancer.list(s.now, ListKind.FAILED, List.of());
         s.pass(settings.pollIntervalNs / 2);
--- a/decisions/src/test/java/trailthread/FaultHandlingTest.java
+++ b/decisions/src/test/java/trailthread/FaultHandlingTest.java
@@ -14,9 +14,9 @@
 import trailthread.api.Settings;
 import trailthread.api.Tenant;
 
-/** One test for each guard that no other test would miss. */
+/** Faults and overload: one test for each protection that no other test covers. */
 final class FaultHandlingTest {
-    private static String backendOf(Script s, long id) {
+    private static String endpointOf(Script s, long id) {
         return s.sendsOf(id).get(0).endpoint();
     }
 
@@ -32,7 +32,7 @@
                 s.pass(200 * MS);
                 continue;
             }
-            toA += backendOf(s, id).equals("a") ? 1 : 0;
+            toA += endpointOf(s, id).equals("a") ? 1 : 0;
             s.pass(latency);
             s.end(id, Outcome.OK);
         }
@@ -40,21 +40,21 @@
     }
 
     @Test
-    void theNewestHeldRequestGoesFirst() {
+    void theNewestQueuedRequestGoesFirst() {
         Settings settings = Script.settings();
         settings.nodes = 4; // this node begins with one at a time
         Script s = new Script(settings, 5);
         s.endpoints();
-        long old = s.request("safe");
+        long oldest = s.request("safe");
         s.pass(50 * MS);
-        long young = s.request("safe");
+        long newest = s.request("safe");
         s.delta(Script.ready("a"));
-        assertEquals(1, s.sendsOf(young).size());
-        assertEquals(0, s.sendsOf(old).size());
+        assertEquals(1, s.sendsOf(newest).size());
+        assertEquals(0, s.sendsOf(oldest).size());
     }
 
     @Test
-    void trafficPastItsQuotaWaitsBehindTrafficWithin() {
+    void requestsOverQuotaWaitBehindThoseWithinIt() {
         Settings settings = Script.settings();
         settings.nodes = 4;
         settings.overQuotaWeight = 0.1;
@@ -72,12 +72,12 @@
     }
 
     @Test
-    void aRestartedBackendStartsWithACleanRecord() {
+    void aRestartClearsTheFailureRecordOfAnEndpoint() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a", "b", "c");
         for (int i = 0; i < 100; i++) {
             long id = s.request("unsafe");
-            boolean bad = backendOf(s, id).equals("a");
+            boolean bad = endpointOf(s, id).equals("a");
             s.pass(bad ? MS : 20 * MS);
             s.end(id, bad ? Outcome.ERROR : Outcome.OK);
         }
@@ -85,7 +85,7 @@
         int toA = 0;
         for (int i = 0; i < 30; i++) {
             long id = s.request("unsafe");
-            toA += backendOf(s, id).equals("a") ? 1 : 0;
+            toA += endpointOf(s, id).equals("a") ? 1 : 0;
             s.pass(20 * MS);
             s.end(id, Outcome.OK);
         }
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void aQuickRepeatGoesElsewhere() {
+    void aQuickRetryGoesToAnotherEndpoint() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a", "b");
         for (int i = 0; i < 20; i++) {
@@ -101,7 +101,7 @@
             s.pass(MS);
             s.end(id, Outcome.ERROR);
             assertEquals(2, s.sendsOf(id).size());
-            assertNotEquals(backendOf(s, id), s.sendsOf(id).get(1).endpoint());
+            assertNotEquals(endpointOf(s, id), s.sendsOf(id).get(1).endpoint());
             s.pass(20 * MS);
             s.end(id, Outcome.OK);
             serve(s, 20, 20 * MS);
@@ -109,13 +109,13 @@
     }
 
     @Test
-    void aBackendThatErrsNowAndThenGetsLess() {
+    void anEndpointThatFailsSometimesGetsFewerRequests() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a", "b");
         int toA = 0;
         for (int i = 0; i < 400; i++) {
             long id = s.request("unsafe");
-            boolean a = backendOf(s, id).equals("a");
+            boolean a = endpointOf(s, id).equals("a");
             toA += a ? 1 : 0;
             s.pass(20 * MS);
             s.end(id, a && toA % 2 == 0 ? Outcome.ERROR : Outcome.OK);
@@ -124,34 +124,34 @@
     }
 
     @Test
-    void aPartThatOthersFillGrowsSmaller() {
+    void theLimitShrinksWhileOtherNodesFillTheEndpoint() {
         Settings settings = Script.settings();
         settings.nodes = 8;
         Script s = new Script(settings, 5);
         s.endpoints("a");
         serve(s, 100, 20 * MS);
-        List<Script.Send> out = new ArrayList<>();
-        int late = 0;
+        List<Script.Send> inFlight = new ArrayList<>();
+        int sentLate = 0;
         for (int tick = 0; tick < 600; tick++) {
             int before = s.sends.size();
             s.request("safe");
             s.pass(10 * MS);
-            out.addAll(s.sends.subList(before, s.sends.size()));
-            for (Script.Send x : List.copyOf(out)) {
-                if (x.at() + 44 * MS <= s.now) { // 2.2 of its idle latency, whatever this node does
+            inFlight.addAll(s.sends.subList(before, s.sends.size()));
+            for (Script.Send x : List.copyOf(inFlight)) {
+                if (x.at() + 44 * MS <= s.now) { // 2.2 idle latencies, whatever this node does
                     int sent = s.sends.size();
                     s.balancer.outcome(s.now, x.id(), x.attempt(), Outcome.OK, 44 * MS, true, null);
-                    out.remove(x);
-                    out.addAll(s.sends.subList(sent, s.sends.size()));
+                    inFlight.remove(x);
+                    inFlight.addAll(s.sends.subList(sent, s.sends.size()));
                 }
             }
-            late += tick >= 400 ? s.sends.size() - before : 0;
+            sentLate += tick >= 400 ? s.sends.size() - before : 0;
         }
-        assertTrue(late < 20, "sends in two seconds: " + late);
+        assertTrue(sentLate < 20, "sends in two seconds: " + sentLate);
     }
 
     @Test
-    void aColdBackendGetsTicketsInStepWithItsShare() {
+    void anEndpointInSlowStartGetsTicketsInProportionToItsCapacity() {
         Settings settings = Script.settings();
         settings.slowStartNs = 300_000 * MS;
         Script s = new Script(settings, 5);
@@ -159,11 +159,11 @@
         serve(s, 100, 20 * MS);
         s.delta(new EndpointEntry("a", 1, EndpointState.READY, "here", s.now - 30_000 * MS, 0));
         int toA = serve(s, 300, 20 * MS);
-        assertTrue(toA > 10 && toA < 90, "of 300 to the cold one: " + toA);
+        assertTrue(toA > 10 && toA < 90, "of 300 to the one in slow start: " + toA);
     }
 
     @Test
-    void aSlowSpellDoesNotPassForIdle() {
+    void slowResponsesAreNotTakenForTheIdleLatency() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a");
         serve(s, 300, 20 * MS);
--- a/decisions/src/test/java/trailthread/FleetTest.java
+++ b/decisions/src/test/java/trailthread/FleetTest.java
@@ -19,7 +19,7 @@
 import trailthread.api.Settings;
 import trailthread.api.WeightMeaning;
 
-/** Many nodes, each seeing little: what they do one by one must add up. */
+/** What many nodes, each with few requests, do together without communicating. */
 class FleetTest {
     private static final long MS = Script.MS;
     private static final int NODES = 200;
@@ -43,7 +43,7 @@
         return entries;
     }
 
-    /** The endpoints that a node uses for this many requests on end. */
+    /** The endpoints that a node uses for so many requests, one after another. */
     private static Set<String> used(Script s, int requests) {
         Set<String> used = new HashSet<>();
         for (int i = 0; i < requests; i++) {
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void whereConnectionsArePricedEachNodeKeepsToAPartAndTheBackendsAreSharedEvenly() {
+    void withAConnectionPriceEachNodeUsesASubsetAndEndpointsAreSharedEvenly() {
         Map<String, Integer> users = new TreeMap<>();
         for (int me = 0; me < NODES; me++) {
             Script s = new Script(settings(me, 0.05), me);
@@ -74,14 +74,14 @@
     }
 
     @Test
-    void whereConnectionsAreFreeANodeUsesAll() {
+    void withFreeConnectionsANodeUsesAllEndpoints() {
         Script s = new Script(settings(7, 0), 7);
         s.balancer.list(s.now, ListKind.FULL, entries(0, 20));
         assertEquals(20, used(s, 400).size());
     }
 
     @Test
-    void oneNewBackendMovesFewNodes() {
+    void aNewEndpointChangesTheSubsetOfFewNodes() {
         int moved = 0;
         for (int me = 0; me < NODES; me++) {
             Script s = new Script(settings(me, 0.05), me);
@@ -96,18 +96,16 @@
     }
 
     @Test
-    void aPartThatIsStruckIsFilledUpWithOthers() {
+    void aSubsetThatFailsIsFilledUpWithOtherEndpoints() {
         Script s = new Script(settings(3, 0.05), 3);
         s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
-        Set<String> struck = used(s, 80);
+        Set<String> failing = used(s, 80);
         Set<String> others = new HashSet<>();
-        for (int i = 0;
-                i < 400;
-                i++) { // those of its first part fail all; it must find ones that do not
+        for (int i = 0; i < 400; i++) { // every endpoint of the first subset fails
             long id = s.request("unsafe");
             s.pass(100 * MS);
             for (Script.Send send : List.copyOf(s.sendsOf(id))) {
-                boolean fails = struck.contains(send.endpoint());
+                boolean fails = failing.contains(send.endpoint());
                 s.end(id, fails ? Outcome.ERROR : Outcome.OK);
                 if (!fails) {
                     others.add(send.endpoint());
@@ -117,28 +115,32 @@
         assertTrue(others.size() >= 2, "others found: " + others);
     }
 
-    /** A crowd shows in the answers of some endpoints long before each has answered this node. */
+    /** Responses of some endpoints show an overload long before each has responded to this node. */
     @Test
-    void slowAnswersOfSomeBackendsCutWhatIsOutAtAll() {
-        assertTrue(outAfter(400 * MS, Outcome.OK) < outAfter(20 * MS, Outcome.OK), "slow answers");
-        int failing = outAfter(600 * MS, Outcome.ERROR);
-        assertTrue(outAfter(600 * MS, Outcome.TIMEOUT) < failing, "time-outs");
+    void slowResponsesOfSomeEndpointsCutAllInFlight() {
+        assertTrue(
+                burstAfter(400 * MS, Outcome.OK) < burstAfter(20 * MS, Outcome.OK),
+                "slow responses");
+        int failing = burstAfter(600 * MS, Outcome.ERROR);
+        assertTrue(burstAfter(600 * MS, Outcome.TIMEOUT) < failing, "time-outs");
     }
 
-    /** Limits of endpoints that said nothing are cut too: a quick answer does not open them all. */
+    /**
+     * Limits of endpoints without responses are cut too, so one quick response opens few of them.
+     */
     @Test
-    void aCrowdSeenElsewhereIsNotForgottenAtOnce() {
+    void overloadOfOtherEndpointsIsNotForgottenAtOnce() {
         Script calm = new Script(settings(3, 0), 3);
         Script after = new Script(settings(3, 0), 3);
         for (Script s : List.of(calm, after)) {
             s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
-            run(s, 12, s == calm ? 20 * MS : 400 * MS);
-            run(s, 12, 20 * MS);
+            serve(s, 12, s == calm ? 20 * MS : 400 * MS);
+            serve(s, 12, 20 * MS);
         }
         assertTrue(burst(after) < burst(calm), "sent at once after a crowd, and without");
     }
 
-    private static void run(Script s, int requests, long latency) {
+    private static void serve(Script s, int requests, long latency) {
         for (int i = 0; i < requests; i++) {
             long id = s.request("unsafe");
             s.pass(latency);
@@ -157,7 +159,7 @@
     }
 
     @Test
-    void sizesAreTakenFromWeightsThatFallWithLoadAndTheirFallIsNot() {
+    void liveWeightsGiveTheSizeOfAnEndpointButNotItsLoad() {
         Settings settings = Script.settings();
         settings.weights = WeightMeaning.LIVE;
         Script s = new Script(settings, 5);
@@ -174,14 +176,14 @@
                         EndpointState.READY,
                         "here",
                         0,
-                        0)); // all nodes hear this at once
-        run(s, 300, 20 * MS);
+                        0)); // all nodes receive this at the same time
+        serve(s, 300, 20 * MS);
         long big = s.sends.stream().filter(x -> x.endpoint().equals("big")).count();
         assertTrue(big > 180 && big < 240, "of 300 to one twice as large: " + big);
     }
 
-    /** How many of thirty requests at once are sent, after forty that took this long. */
-    private static int outAfter(long latency, Outcome outcome) {
+    /** How many of thirty simultaneous requests are sent, after forty that took this long. */
+    private static int burstAfter(long latency, Outcome outcome) {
         Script s = new Script(settings(3, 0), 3);
         s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
         for (int i = 0; i < 40; i++) {
@@ -196,14 +198,14 @@
     }
 
     @Test
-    void theReportedServiceTimeTellsASlowBackendFromOneAnswer() {
+    void theReportedServiceTimeIdentifiesASlowEndpoint() {
         Script s = new Script(settings(3, 0), 3);
         s.balancer.list(s.now, ListKind.FULL, entries(0, 4));
         String slow = "10.0.0.0:80";
         Map<String, Integer> sends = new HashMap<>();
         for (int i = 0; i < 400; i++) {
             long id = s.request("safe");
-            s.pass(50 * MS); // answers themselves take the same everywhere
+            s.pass(50 * MS); // the latency seen here is the same for all endpoints
             if (!s.sendsOf(id).isEmpty()) {
                 String b = s.sendsOf(id).get(0).endpoint();
                 sends.merge(b, 1, Integer::sum);
@@ -219,7 +221,7 @@
     }
 
     @Test
-    void aBackendThatTurnsAwayGetsFewerTicketsThoughItAnswersAtOnce() {
+    void anEndpointThatRejectsGetsFewerTicketsThoughItRespondsAtOnce() {
         Script s = new Script(settings(3, 0), 3);
         s.balancer.list(s.now, ListKind.FULL, entries(0, 8));
         Map<String, Integer> sends = new HashMap<>();
@@ -242,23 +244,23 @@
     }
 
     @Test
-    void refusedClientsAreToldToStayAwayOnlyWhereTheyListen() {
-        for (boolean listens : new boolean[] {true, false}) {
+    void rejectionsCarryRetryAfterOnlyIfClientsHonourIt() {
+        for (boolean honoursRetryAfter : new boolean[] {true, false}) {
             Settings settings = Script.settings();
-            settings.retryAfter = listens;
+            settings.retryAfter = honoursRetryAfter;
             settings.maxRetryAfterNs = 500 * MS;
             Script s = new Script(settings, 5);
             s.endpoints();
             s.request("safe");
             s.pass(1000 * MS);
             assertEquals(1, s.refused.size());
-            assertEquals(listens, s.stayAway > 0);
+            assertEquals(honoursRetryAfter, s.stayAway > 0);
             assertTrue(s.stayAway <= 500 * MS, "at most what they heed: " + s.stayAway);
         }
     }
 
     @Test
-    void nodesThatHearOfANewBackendAtOnceDoNotSendAtOnce() {
+    void nodesThatLearnOfANewEndpointTogetherDoNotSendTogether() {
         int atOnce = 0;
         for (int me = 0; me < NODES; me++) {
             Script s = new Script(settings(me, 0), me);
--- a/decisions/src/test/java/trailthread/ListLeaseTest.java
+++ b/decisions/src/test/java/trailthread/ListLeaseTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.Test;
 
-/** What renews the lease on the list, and for how long. */
+/** What renews the lease on the endpoint list, and for how long. */
 public class ListLeaseTest {
     private static final long MS = 1_000_000L;
     private static final long GRACE_NS = 500 * MS;
@@ -15,33 +15,33 @@
     private final ListLease lease = new ListLease(GRACE_NS, false);
 
     @Test
-    public void aStartHoldsNone() {
+    public void noLeaseIsHeldAtTheStart() {
         assertFalse(lease.isHeld(NOW));
         assertEquals(Long.MIN_VALUE, lease.until());
     }
 
     @Test
-    public void whatDiscoveryHasConfirmedIsGoodUntilNewsIsDueAndTheGraceIsOver() {
+    public void aConfirmedListIsValidUntilTheNextIsDueAndTheGraceIsOver() {
         lease.confirmed(NOW);
         assertTrue(lease.isHeld(NOW + LEASE_NS - 1));
         assertFalse(lease.isHeld(NOW + LEASE_NS));
     }
 
     @Test
-    public void whatWasConfirmedBeforeTakesNothingBack() {
+    public void anEarlierConfirmationDoesNotShortenTheLease() {
         lease.confirmed(NOW);
         lease.confirmed(NOW - 1);
         assertEquals(NOW + LEASE_NS, lease.until());
     }
 
     @Test
-    public void aDiscoveryThatCannotBeReachedTellsNothing() {
+    public void unreachableDiscoveryRenewsTheLease() {
         lease.callFailed(NOW - ListLease.QUEUED_NS + 1, NOW);
         assertEquals(NOW + LEASE_NS, lease.until());
     }
 
     @Test
-    public void aStartsFirstCallThatWaitsInVainMayHaveMetACrowd() {
+    public void theFirstPollThatTimesOutDoesNotRenewTheLease() {
         lease.callFailed(NOW - ListLease.QUEUED_NS, NOW);
         assertFalse(lease.isHeld(NOW));
         long next = NOW + 5_000 * MS;
@@ -50,7 +50,7 @@
     }
 
     @Test
-    public void anOutageIsOutlastedByCallsThatWaitInVain() {
+    public void pollsThatTimeOutRenewTheLeaseDuringAnOutage() {
         lease.confirmed(NOW);
         for (long at = NOW + 5_000 * MS; at < NOW + 60_000 * MS; at += 6_000 * MS) {
             assertTrue(lease.isHeld(at));
@@ -59,14 +59,14 @@
     }
 
     @Test
-    public void aGraceThatIsShorterThanAHoldUpIsNone() {
+    public void aGraceShorterThanAHoldUpCountsAsNone() {
         lease.retune(ListLease.HELD_UP_NS / 2, false);
         lease.confirmed(NOW);
         assertEquals(NOW + ListLease.NEWS_DUE_NS, lease.until());
     }
 
     @Test
-    public void whatAnAgentPushesIsGoodOnceHeardAndForAsLongAsListsArePushed() {
+    public void aPushedListIsValidForAsLongAsListsArePushed() {
         lease.retune(GRACE_NS, true);
         assertFalse(lease.isHeld(NOW));
         lease.callFailed(NOW - 2 * ListLease.QUEUED_NS, NOW);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    public void anotherAgentIsHeardFourSecondsAfterTheMove() {
+    public void aMoveToAnotherAgentBoundsTheLease() {
         lease.retune(GRACE_NS, true);
         lease.confirmed(NOW);
         lease.moved(NOW + 10_000 * MS);
--- a/decisions/src/test/java/trailthread/ListPollTest.java
+++ b/decisions/src/test/java/trailthread/ListPollTest.java
@@ -12,20 +12,20 @@
 import trailthread.api.Settings;
 
 /**
- * Calls for the list that fail at all nodes at once, in virtual time: discovery handles one after
- * another, and one that has waited for too long in vain.
+ * Polls of the endpoint list that fail at all nodes at once, in virtual time: discovery serves them
+ * one after another, also those that have timed out while they waited.
  */
 public class ListPollTest {
-    private static final int PERIOD_S = 10;
-    private static final long NEWS_DUE_MS = 6_000;
+    private static final int POLL_INTERVAL_S = 10;
+    private static final long LIST_DUE_MS = 6_000;
 
-    /** What has waited so long fails. */
-    private static final long WAITS_MS = 2_000;
+    /** A poll that waits for longer fails. */
+    private static final long POLL_TIMEOUT_MS = 2_000;
 
     private static final int TICK_MS = 10;
 
-    /** From a process's start to its first event. */
-    private static final int STARTS_MS = 1_400;
+    /** Time from the start of a process to its first event. */
+    private static final int START_UP_MS = 1_400;
 
     /** Nodes whose watches have just broken. */
     private static List<Script> fleet(int count) {
@@ -34,7 +34,7 @@
         return nodes;
     }
 
-    /** Nodes that have just been told their first list. */
+    /** Nodes that have just received their first list. */
     private static List<Script> fleet(int count, ListKind first) {
         List<Script> nodes = new ArrayList<>();
         for (int me = 0; me < count; me++) {
@@ -48,7 +48,7 @@
         settings.nodes = count;
         settings.me = me;
         settings.listIsPolled = true;
-        settings.pollIntervalNs = PERIOD_S * 1000 * MS;
+        settings.pollIntervalNs = POLL_INTERVAL_S * 1000 * MS;
         Script s = new Script(settings, seed);
         s.now += startsMs * MS;
         s.balancer.list(s.now, first, List.of(Script.ready("a")));
@@ -56,103 +56,106 @@
     }
 
     /**
-     * In each second of a minute: a fleet's calls once its watches have broken, which all wait in
-     * vain.
+     * The number of polls in each second of a minute, by a fleet whose watches have broken and
+     * whose polls all time out.
      */
-    private static int[] callsThatWaitInVain(int count, long waitsMs) {
-        int[] calls = new int[60];
+    private static int[] pollsThatTimeOut(int count, long pollTimeoutMs) {
+        int[] polls = new int[60];
         for (Script s : fleet(count)) {
             int last = 0;
             for (int tick = 0; tick < 600; tick++) {
                 int before = s.watches;
                 s.pass(100 * MS);
                 if (s.watches > before) {
-                    calls[tick / 10]++;
-                    assertTrue("deemed told at four periods", tick - last < 4 * 10 * PERIOD_S);
+                    polls[tick / 10]++;
+                    assertTrue(
+                            "polls within four intervals", tick - last < 4 * 10 * POLL_INTERVAL_S);
                     last = tick;
-                    tick += (int) waitsMs / 100;
-                    s.pass(waitsMs * MS);
+                    tick += (int) pollTimeoutMs / 100;
+                    s.pass(pollTimeoutMs * MS);
                     s.balancer.list(s.now, ListKind.FAILED, List.of());
                 }
             }
         }
-        return calls;
+        return polls;
     }
 
     /**
-     * All came back within a second, and again every 2.5 s: the calls of one wave died behind the
-     * last.
+     * Prevents a fleet from polling in step, so that the polls of each wave time out behind those
+     * of the one before.
      */
     @Test
-    public void theyComeBackSpreadAndEverSlower() {
+    public void pollsAfterABrokenWatchAreSpreadAndBackOff() {
         int count = 96;
-        for (long waitsMs : new long[] {WAITS_MS, 3_500}) { // and past when the module asks anew
-            int[] calls = callsThatWaitInVain(count, waitsMs);
-            String all = Arrays.toString(calls);
-            assertTrue(all, Arrays.stream(calls).max().orElseThrow() <= count / 3);
-            int inFirstPeriod = Arrays.stream(calls, 0, PERIOD_S).sum();
-            assertTrue("most call within a period: " + all, inFirstPeriod > count / 2);
+        for (long pollTimeoutMs :
+                new long[] {POLL_TIMEOUT_MS, 3_500}) { // longer than the first backoff
+            int[] polls = pollsThatTimeOut(count, pollTimeoutMs);
+            String all = Arrays.toString(polls);
+            assertTrue(all, Arrays.stream(polls).max().orElseThrow() <= count / 3);
+            int inFirstPeriod = Arrays.stream(polls, 0, POLL_INTERVAL_S).sum();
+            assertTrue("most poll within an interval: " + all, inFirstPeriod > count / 2);
             assertTrue(
-                    "one in two periods: " + all,
-                    Arrays.stream(calls, 20, 60).sum() < count * 40 / PERIOD_S);
+                    "one poll in two intervals: " + all,
+                    Arrays.stream(polls, 20, 60).sum() < count * 40 / POLL_INTERVAL_S);
         }
     }
 
     /**
-     * By when each node has the list, in milliseconds from the moment at which discovery can be
-     * reached.
+     * When each node receives the list, in milliseconds from the moment at which discovery can be
+     * reached, sorted.
      *
-     * @param downMs it is down for so long from now on, and calls fail at once
-     * @param handleMs it takes so long for a call, also for one that has waited in vain if that is
-     *     said
+     * @param downMs for how long discovery is down from now on; polls fail at once meanwhile
+     * @param handleMs how long discovery takes to serve one poll
+     * @param servesTimedOutPolls whether it spends that time on polls that have timed out, too
      */
-    private static int[] knownAfter(
-            List<Script> nodes, int downMs, double handleMs, boolean alsoInVain) {
-        return knownAfter(nodes, downMs, handleMs, WAITS_MS, alsoInVain, 0, 0, 0);
+    private static int[] listReceivedAfterMs(
+            List<Script> nodes, int downMs, double handleMs, boolean servesTimedOutPolls) {
+        return listReceivedAfterMs(
+                nodes, downMs, handleMs, POLL_TIMEOUT_MS, servesTimedOutPolls, 0, 0, 0);
     }
 
     /**
      * The same where some of the nodes are killed and start again.
      *
-     * @param waitsMs a call that waits for longer fails
-     * @param hangsMs so long before discovery can be reached, calls wait in vain as well
-     * @param killed how many, the first ones
-     * @param killedMs when, from the moment at which discovery can be reached
+     * @param pollTimeoutMs a poll that waits for longer fails
+     * @param hangsMs for how long before discovery can be reached polls time out, not fail at once
+     * @param killed how many nodes, from the first on
+     * @param killedMs when they are killed, from the moment at which discovery can be reached
      */
-    private static int[] knownAfter(
+    private static int[] listReceivedAfterMs(
             List<Script> nodes,
             int downMs,
             double handleMs,
-            long waitsMs,
-            boolean alsoInVain,
+            long pollTimeoutMs,
+            boolean servesTimedOutPolls,
             int hangsMs,
             int killed,
             int killedMs) {
         int count = nodes.size();
-        int[] known = new int[count];
+        int[] receivedAt = new int[count];
         int[] endsAt = new int[count];
         boolean[] fails = new boolean[count];
         double free = downMs;
         for (int at = 0, left = count; left > 0 && at < downMs + 120_000; at += TICK_MS) {
             int killedFor = at - downMs - killedMs;
             for (int i = 0; i < count; i++) {
-                if (i < killed && killedFor >= 0 && killedFor < STARTS_MS) {
-                    left += known[i] > 0 ? 1 : 0;
-                    known[i] = 0;
+                if (i < killed && killedFor >= 0 && killedFor < START_UP_MS) {
+                    left += receivedAt[i] > 0 ? 1 : 0;
+                    receivedAt[i] = 0;
                     endsAt[i] = 0;
                     continue;
                 }
-                if (i < killed && killedFor == STARTS_MS) {
+                if (i < killed && killedFor == START_UP_MS) {
                     nodes.set(i, node(i, count + i, count, ListKind.CACHED, at));
                 }
                 Script s = nodes.get(i);
-                if (known[i] > 0) {
+                if (receivedAt[i] > 0) {
                     continue;
                 }
                 if (endsAt[i] > 0 && at >= endsAt[i]) {
                     endsAt[i] = 0;
                     if (!fails[i]) {
-                        known[i] = at - downMs;
+                        receivedAt[i] = at - downMs;
                         left--;
                         continue;
                     }
@@ -162,29 +165,34 @@
                 s.pass(TICK_MS * MS);
                 if (s.watches > before && endsAt[i] == 0) {
                     double waits = Math.max(0, free - at);
-                    fails[i] = at < downMs || waits > waitsMs;
+                    fails[i] = at < downMs || waits > pollTimeoutMs;
                     boolean down = at < downMs;
                     double waitedFor =
                             !down
-                                    ? Math.min(waitsMs, waits + handleMs)
-                                    : at >= downMs - hangsMs ? waitsMs : 0;
+                                    ? Math.min(pollTimeoutMs, waits + handleMs)
+                                    : at >= downMs - hangsMs ? pollTimeoutMs : 0;
                     endsAt[i] = at + TICK_MS + (int) waitedFor;
-                    free = down || (fails[i] && !alsoInVain) ? free : Math.max(free, at) + handleMs;
+                    free =
+                            down || (fails[i] && !servesTimedOutPolls)
+                                    ? free
+                                    : Math.max(free, at) + handleMs;
                 }
             }
         }
-        return Arrays.stream(known).map(ms -> ms == 0 ? Integer.MAX_VALUE : ms).sorted().toArray();
+        return Arrays.stream(receivedAt)
+                .map(ms -> ms == 0 ? Integer.MAX_VALUE : ms)
+                .sorted()
+                .toArray();
     }
 
     /**
-     * With 120 nodes, four in ten had the list then, as they paused for up to 36 s after some
-     * failures; and where discovery takes 6 s for all, no more of them: most called right after its
-     * return.
+     * Prevents backoffs from growing past the time in which the list is due, and nodes from polling
+     * together when discovery returns.
      */
     @Test
-    public void newsIsKnownWhenItIsDue() {
-        int[][] cases = { // nodes, discovery is down for, and handles all their calls in:
-            // milliseconds
+    public void theListIsReceivedWhenItIsDue() {
+        int[][] cases = { // number of nodes, how long discovery is down (ms), how long it takes to
+            // serve all polls (ms)
             {3, 0, 800},
             {3, 8_000, 800},
             {3, 30_000, 800},
@@ -196,37 +204,39 @@
             {120, 8_000, 5_800},
         };
         for (int[] c : cases) {
-            for (boolean alsoInVain : new boolean[] {false, true}) {
-                int[] known = knownAfter(fleet(c[0]), c[1], (double) c[2] / c[0], alsoInVain);
-                long inTime = IntStream.of(known).filter(ms -> ms <= NEWS_DUE_MS).count();
-                String all = Arrays.toString(c) + ": " + Arrays.toString(known);
+            for (boolean servesTimedOutPolls : new boolean[] {false, true}) {
+                int[] receivedAt =
+                        listReceivedAfterMs(
+                                fleet(c[0]), c[1], (double) c[2] / c[0], servesTimedOutPolls);
+                long inTime = IntStream.of(receivedAt).filter(ms -> ms <= LIST_DUE_MS).count();
+                String all = Arrays.toString(c) + ": " + Arrays.toString(receivedAt);
                 assertTrue(all, inTime >= 0.97 * c[0]);
-                assertTrue(all, known[c[0] - 1] < 2 * PERIOD_S * 1000);
+                assertTrue(all, receivedAt[c[0] - 1] < 2 * POLL_INTERVAL_S * 1000);
             }
         }
     }
 
     /**
-     * Most of a fleet is killed and starts again at once. All called in the same moment: discovery
-     * served some, and went on with the rest, in vain, when these had waited for too long.
+     * Most of a fleet is killed and starts again at once. Prevents all from polling in the same
+     * moment, so that most polls time out while discovery serves the first.
      */
     @Test
-    public void nodesThatStartTogetherKnowTheListInTime() {
+    public void nodesThatStartTogetherReceiveTheListInTime() {
         for (int count : new int[] {1, 12, 84}) {
-            for (boolean alsoInVain : new boolean[] {false, true}) {
+            for (boolean servesTimedOutPolls : new boolean[] {false, true}) {
                 List<Script> nodes = fleet(120, ListKind.CACHED).subList(0, count);
-                int[] known = knownAfter(nodes, 0, 50, alsoInVain);
-                assertTrue(Arrays.toString(known), known[count - 1] < NEWS_DUE_MS);
+                int[] receivedAt = listReceivedAfterMs(nodes, 0, 50, servesTimedOutPolls);
+                assertTrue(Arrays.toString(receivedAt), receivedAt[count - 1] < LIST_DUE_MS);
             }
         }
     }
 
     /**
-     * Discovery comes back, and soon after that most nodes are killed. The calls of those that
-     * started met those that had waited in vain: a third of the fleet had no list when it was due.
+     * Discovery returns, and soon after that most nodes are killed. Prevents the polls of those
+     * that start again from timing out behind the ones before.
      */
     @Test
-    public void whereMostAreKilledOnceDiscoveryIsBackAllKnowInTime() {
+    public void nodesKilledAfterAnOutageReceiveTheListInTime() {
         int count = 109;
         int killedMs = 3_700;
         int fleets = 8;
@@ -238,18 +248,21 @@
                     nodes.add(node(me, 1_000 * i + me, count, ListKind.FULL, 0));
                 }
                 nodes.forEach(s -> s.balancer.list(s.now, ListKind.FAILED, List.of()));
-                int[] known = knownAfter(nodes, 8_000, 58, 1_500, true, hangsMs, 76, killedMs);
-                inTime += IntStream.of(known).filter(ms -> ms <= killedMs + NEWS_DUE_MS).count();
+                int[] receivedAt =
+                        listReceivedAfterMs(nodes, 8_000, 58, 1_500, true, hangsMs, 76, killedMs);
+                inTime +=
+                        IntStream.of(receivedAt).filter(ms -> ms <= killedMs + LIST_DUE_MS).count();
             }
             assertTrue(hangsMs + ": " + inTime, inTime >= 0.97 * count * fleets);
         }
     }
 
     /**
-     * With an asking period of an hour, a hundred nodes had a quarter of one for their first calls.
+     * Prevents a long poll interval from delaying the first poll past the time when the list is
+     * due.
      */
     @Test
-    public void aStartAsksBeforeNewsIsDueHoweverLongThePeriodIs() {
+    public void aStartingNodePollsInTimeWhateverThePollInterval() {
         Settings settings = Script.settings();
         settings.nodes = 100;
         settings.listIsPolled = true;
@@ -257,14 +270,14 @@
         for (int seed = 0; seed < 100; seed++) {
             Script s = new Script(settings, seed);
             s.balancer.list(s.now, ListKind.CACHED, List.of(Script.ready("a")));
-            s.pass(NEWS_DUE_MS * MS);
+            s.pass(LIST_DUE_MS * MS);
             assertTrue("seed " + seed, s.watches > 0);
         }
     }
 
-    /** A node alone would call an address that answers nobody some twenty times a second. */
+    /** Prevents a single node from polling an address that never responds many times a second. */
     @Test
-    public void aNodeAloneDoesNotCallAllTheTime() {
+    public void aSingleNodeBacksOff() {
         Script s = fleet(1).get(0);
         for (int at = 0; at < 60_000; at += TICK_MS) {
             int before = s.watches;
@@ -273,17 +286,20 @@
                 s.balancer.list(s.now, ListKind.FAILED, List.of());
             }
         }
-        assertTrue(s.watches + " calls in a minute", s.watches > 10 && s.watches < 180);
+        assertTrue(s.watches + " polls in a minute", s.watches > 10 && s.watches < 180);
     }
 
-    /** Discovery takes longer for all of them than news may: nobody waits for good. */
+    /** Discovery needs longer for all polls than the list is due in; no node waits for ever. */
     @Test
-    public void aFleetThatAsksForMoreThanDiscoveryBearsIsServedAllTheSame() {
+    public void aFleetLargerThanDiscoveryCanServeReceivesTheListInTheEnd() {
         for (int downMs : new int[] {0, 8_000}) {
-            for (boolean alsoInVain : new boolean[] {false, true}) {
-                int[] known = knownAfter(fleet(120), downMs, 8_000 / 120.0, alsoInVain);
-                assertTrue(Arrays.toString(known), known[119] < 6 * PERIOD_S * 1000);
-                assertTrue(Arrays.toString(known), known[60] < 2 * PERIOD_S * 1000);
+            for (boolean servesTimedOutPolls : new boolean[] {false, true}) {
+                int[] receivedAt =
+                        listReceivedAfterMs(fleet(120), downMs, 8_000 / 120.0, servesTimedOutPolls);
+                assertTrue(
+                        Arrays.toString(receivedAt), receivedAt[119] < 6 * POLL_INTERVAL_S * 1000);
+                assertTrue(
+                        Arrays.toString(receivedAt), receivedAt[60] < 2 * POLL_INTERVAL_S * 1000);
             }
         }
     }
--- a/decisions/src/test/java/trailthread/ListWithoutLeaseTest.java
+++ b/decisions/src/test/java/trailthread/ListWithoutLeaseTest.java
@@ -6,7 +6,7 @@
 import org.junit.Test;
 import trailthread.api.Outcome;
 
-/** What the module does while the list may not be acted on. */
+/** What the balancer does while it holds no lease on the endpoint list. */
 public class ListWithoutLeaseTest {
     private static final long MS = 1_000_000L;
     private final Script script = new Script(Script.settings(), 1);
@@ -16,7 +16,7 @@
     }
 
     @Test
-    public void requestsWaitForAQuarterOfTheirTimeAndAreRefused() {
+    public void requestsWaitForAQuarterOfTheirTimeAndAreRejected() {
         script.balancer.listLeaseUntil(script.now, Long.MIN_VALUE);
         long id = script.request("unsafe");
         script.pass(249 * MS); // of 1,000
@@ -27,7 +27,7 @@
     }
 
     @Test
-    public void theyAreSentOnceTheListIsConfirmed() {
+    public void queuedRequestsAreSentOnceTheListIsConfirmed() {
         script.balancer.listLeaseUntil(script.now, Long.MIN_VALUE);
         long id = script.request("unsafe");
         script.pass(100 * MS);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void nothingIsSentAgainAfterTheListHasRunOut() {
+    public void nothingIsRetriedAfterTheLeaseHasExpired() {
         script.balancer.listLeaseUntil(script.now, script.now + 50 * MS);
         long id = script.request("safe");
         script.pass(50 * MS);
--- a/decisions/src/test/java/trailthread/LostAnswerTest.java
+++ b/decisions/src/test/java/trailthread/LostAnswerTest.java
@@ -8,7 +8,7 @@
 import org.junit.Test;
 import trailthread.api.Outcome;
 
-/** What a time-out says of an endpoint. */
+/** What a time-out and a lost response show of an endpoint. */
 public class LostAnswerTest {
     private final Script s = new Script(Script.settings(), 7);
 
@@ -20,7 +20,7 @@
         }
     }
 
-    private boolean rested() {
+    private boolean isResting() {
         return s.log.stream().anyMatch(line -> line.startsWith("resting"));
     }
 
@@ -30,32 +30,29 @@
         s.end(id, Outcome.TIMEOUT);
     }
 
-    /**
-     * A network that loses answers struck all endpoints alike, one after the other: soon none was
-     * open.
-     */
+    /** Prevents a network that loses responses from closing all endpoints, one after the other. */
     @Test
-    public void oneLostAnswerDoesNotPassForAJam() {
+    public void oneLostResponseDoesNotShowAJam() {
         s.endpoints("a", "b", "c", "d");
         serve(200);
         timeOut();
-        assertTrue(s.log.toString(), !rested());
+        assertTrue(s.log.toString(), !isResting());
     }
 
-    /** In a jam nothing else comes back, so those that follow must count. */
+    /** A jammed endpoint gives no other sign, so time-outs after the first must count. */
     @Test
-    public void timeOutsInARowStillDo() {
+    public void timeoutsInARowShowAJam() {
         s.endpoints("a", "b", "c", "d");
         serve(200);
-        for (int i = 0; i < 12 && !rested(); i++) {
+        for (int i = 0; i < 12 && !isResting(); i++) {
             timeOut();
         }
-        assertTrue(s.log.toString(), rested());
+        assertTrue(s.log.toString(), isResting());
     }
 
-    /** One lost answer closed its endpoint until the client quit: 25 usual times here. */
+    /** Prevents one lost response from closing its endpoint until the client gives up. */
     @Test
-    public void aSilentBackendGetsASafeTrialInBetween() {
+    public void anEndpointThatDoesNotRespondGetsAnIdempotentTrial() {
         s.endpoints("a");
         serve(200);
         s.request("unsafe");
@@ -65,13 +62,13 @@
         assertEquals(1, s.sendsOf(trial).size());
         s.pass(20 * MS);
         s.end(trial, Outcome.OK);
-        assertEquals("the one that waited goes out", 1, s.sendsOf(trial - 1).size());
+        assertEquals("the one that waited is sent", 1, s.sendsOf(trial - 1).size());
         assertEquals(1, s.sendsOf(s.request("unsafe")).size());
     }
 
-    /** Three milliseconds are nothing where the aim is 200, though answers usually take one. */
+    /** Delays below the latency resolution (200 ms / 50) are ignored, however fast the endpoint. */
     @Test
-    public void aQuickBackendIsNotSilentAtOnce() {
+    public void aFastEndpointIsNotTakenForOneThatDoesNotRespond() {
         s.endpoints("a");
         for (int i = 0; i < 200; i++) {
             long id = s.request("unsafe");
@@ -83,9 +80,9 @@
         assertEquals(1, s.sendsOf(s.request("unsafe")).size());
     }
 
-    /** A frozen endpoint answers none of its trials, and gets fewer and fewer. */
+    /** Each trial without a response doubles the wait for the next. */
     @Test
-    public void trialsOfASilentBackendGrowRare() {
+    public void trialsOfAnEndpointThatDoesNotRespondBackOff() {
         s.endpoints("a");
         serve(200);
         int before = s.sends.size();
@@ -97,24 +94,24 @@
         assertTrue("sent in a second: " + trials, trials >= 3 && trials <= 8);
     }
 
-    /** With one answer in five lost, what waits for them once filled the limits. */
+    /** Prevents lost responses, one in five here, from filling the concurrency limits. */
     @Test
-    public void whatALaterAnswerOvertookFillsNoLimit() {
+    public void attemptsOvertakenByALaterResponseFillNoLimit() {
         s.endpoints("a", "b");
         serve(400);
         int refused = s.refused.size();
-        ArrayDeque<Script.Send> out = new ArrayDeque<>();
+        ArrayDeque<Script.Send> inFlight = new ArrayDeque<>();
         int seen = s.sends.size();
         for (int i = 0; i < 600; i++) {
             s.request("unsafe");
             s.pass(10 * MS);
             for (; seen < s.sends.size(); seen++) {
                 if (s.sends.get(seen).id() % 5 != 0) {
-                    out.add(s.sends.get(seen));
+                    inFlight.add(s.sends.get(seen));
                 }
             }
-            while (!out.isEmpty() && out.peek().at() <= s.now - 20 * MS) {
-                s.end(out.remove().id(), Outcome.OK);
+            while (!inFlight.isEmpty() && inFlight.peek().at() <= s.now - 20 * MS) {
+                s.end(inFlight.remove().id(), Outcome.OK);
             }
         }
         assertTrue(
--- a/decisions/src/test/java/trailthread/OperatorLogTest.java
+++ b/decisions/src/test/java/trailthread/OperatorLogTest.java
@@ -9,14 +9,14 @@
 import trailthread.api.ListKind;
 import trailthread.api.Outcome;
 
-/** The lines for staff: those that on-call.md names, and few of them. */
+/** The log lines for operators that on-call.md names, at a limited rate. */
 final class OperatorLogTest {
     private static long lines(Script s, String start) {
         return s.log.stream().filter(line -> line.startsWith(start)).count();
     }
 
     @Test
-    void quietServiceSaysNothing() {
+    void normalServiceLogsNothing() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a", "b");
         for (int i = 0; i < 200; i++) {
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void anEjectionIsToldWithItsBackend() {
+    void anEjectionIsLoggedWithItsEndpoint() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a", "b", "c");
         for (int i = 0; i < 100; i++) {
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aNodeThatSeesMostFailSaysSoOnceInAWhile() {
+    void suspendedEjectionIsLoggedAtALimitedRate() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a", "b");
         long from = s.now;
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aJammedBackendIsTold() {
+    void aJammedEndpointIsLogged() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a", "b");
         for (int i = 0; i < 500; i++) {
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void requestsTurnedAwayAreToldOnceInAWhile() {
+    void rejectionsAreLoggedAtALimitedRate() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints();
         for (int i = 0; i < 50; i++) {
@@ -80,12 +80,12 @@
         }
         s.pass(3000 * MS);
         assertEquals(50, s.refused.size());
-        long told = lines(s, "turning requests away: no backend is open, held ");
-        assertTrue(told >= 1 && told <= 2, s.log.toString());
+        long logged = lines(s, "turning requests away: no backend is open, held ");
+        assertTrue(logged >= 1 && logged <= 2, s.log.toString());
     }
 
     @Test
-    void aFailedListCallIsTold() {
+    void aFailedListPollIsLoggedOnce() {
         Script s = new Script(Script.settings(), 5);
         s.endpoints("a", "b");
         s.balancer.list(s.now, ListKind.FAILED, List.of());
--- a/decisions/src/test/java/trailthread/QueueingTest.java
+++ b/decisions/src/test/java/trailthread/QueueingTest.java
@@ -13,7 +13,7 @@
 import trailthread.api.Settings;
 
 /**
- * A request that nobody means to send any more is answered at once; it was once held to its
+ * Queued requests are answered as soon as they can no longer be sent usefully, not at their
  * deadline.
  */
 public class QueueingTest {
@@ -50,7 +50,7 @@
     }
 
     @Test
-    public void pastItsAimItIsRefusedWithAdvice() {
+    public void aQueuedRequestIsRejectedWithRetryAfterAtItsLatencyObjective() {
         s.endpoints();
         long id = s.request("unsafe");
         s.pass(199 * MS);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    public void aLateRejectionWithNowhereToGoIsAnsweredThere() {
+    public void aRequestRejectedByItsEndpointAfterTheObjectiveIsAnsweredAtOnce() {
         s.endpoints("a");
         long id = s.request("unsafe");
         s.pass(250 * MS);
@@ -70,9 +70,9 @@
         assertEquals(List.of(id), s.refused);
     }
 
-    /** With no endpoint ready the node once rested for many latencies after its last outcome. */
+    /** Prevents a node without ready endpoints from pausing for many latencies. */
     @Test
-    public void itGoesOutAsSoonAsABackendIsReadyAgain() {
+    public void aQueuedRetryIsSentAsSoonAsAnEndpointIsReady() {
         s.endpoints("a");
         long id = s.request("keyed");
         s.endpoints();
@@ -83,7 +83,7 @@
     }
 
     @Test
-    public void pastTheWindowThatDropsRepeatsItFails() {
+    public void aQueuedRetryFailsAtTheEndOfTheDeduplicationWindow() {
         s.endpoints("a");
         long id = s.request("keyed");
         s.endpoints();
@@ -94,9 +94,9 @@
         assertEquals("it may have run, so it is not refused", List.of(id), s.failed);
     }
 
-    /** Idle latencies of 95 ms, past the usual share of the aim, 80: nobody is crowded. */
+    /** Idle latencies of 95 ms exceed the target of 0.4 objectives (80 ms) without any overload. */
     @Test
-    public void nothingIsHeldBackFromWorkersThatAreFar() {
+    public void requestsToDistantEndpointsAreNotQueued() {
         Script s = new Script(Script.settings(), 7);
         s.endpoints("a", "b");
         int ended = 0;
--- a/decisions/src/test/java/trailthread/RandomizedRulesTest.java
+++ b/decisions/src/test/java/trailthread/RandomizedRulesTest.java
@@ -21,12 +21,10 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/**
- * Random legal events; the rules are checked from outside after each step. Nothing is simulated.
- */
+/** Random legal events; the rules are checked from outside after each step. */
 class RandomizedRulesTest {
     private static final long MS = Script.MS;
-    private static final Outcome[] ENDS = {
+    private static final Outcome[] OUTCOMES = {
         Outcome.OK,
         Outcome.OK,
         Outcome.OK,
@@ -37,24 +35,24 @@
         Outcome.RESET
     };
 
-    private static final class Asked {
+    private static final class ClientRequest {
         long deadline;
         RequestClass rules;
         boolean ended;
         final List<Script.Send> sends = new ArrayList<>();
-        final List<Outcome> fates = new ArrayList<>();
+        final List<Outcome> outcomes = new ArrayList<>();
     }
 
-    private final Map<Long, Asked> asked = new HashMap<>();
-    private final Map<String, EndpointEntry> list = new HashMap<>();
+    private final Map<Long, ClientRequest> requests = new HashMap<>();
+    private final Map<String, EndpointEntry> endpoints = new HashMap<>();
     private Settings settings;
     private Script s;
-    private int seen;
-    private final Set<Long> answered = new HashSet<>();
+    private int sendsSeen;
+    private final Set<Long> answeredIds = new HashSet<>();
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
-    void theRulesHold(int seed) {
+    void theRulesHoldForRandomEvents(int seed) {
         Random random = new Random(seed);
         settings = Script.settings();
         settings.classes.add(keyed("keyed-all", DeduplicationScope.ALL, 400 * MS));
@@ -66,16 +64,16 @@
         s = new Script(settings, seed);
         for (int i = 0; i < 8; i++) {
             EndpointEntry e = entry(i, EndpointState.READY, 0);
-            list.put(e.endpoint(), e);
+            endpoints.put(e.endpoint(), e);
         }
-        s.balancer.list(s.now, ListKind.CACHED, new ArrayList<>(list.values()));
+        s.balancer.list(s.now, ListKind.CACHED, new ArrayList<>(endpoints.values()));
         for (int step = 0; step < 6000; step++) {
             step(random);
             check();
         }
         s.pass(5000 * MS);
         check();
-        asked.forEach((id, a) -> assertTrue(a.ended, "no final answer for " + id));
+        requests.forEach((id, a) -> assertTrue(a.ended, "no final answer for " + id));
     }
 
     private static RequestClass keyed(String name, DeduplicationScope group, long window) {
@@ -88,33 +86,33 @@
     }
 
     private void step(Random random) {
-        int what = random.nextInt(100);
-        if (what < 45) {
+        int event = random.nextInt(100);
+        if (event < 45) {
             RequestClass c = settings.classes.get(random.nextInt(settings.classes.size()));
-            Asked a = new Asked();
+            ClientRequest a = new ClientRequest();
             a.rules = c;
             a.deadline = s.now + (long) (c.deadlineNs() * (0.3 + 0.7 * random.nextDouble()));
             long id = s.nextId++;
-            asked.put(id, a);
+            requests.put(id, a);
             s.balancer.request(s.now, id, c.name(), 0, a.deadline, null, false, random.nextInt(50));
-        } else if (what < 85) {
+        } else if (event < 85) {
             endOne(random);
-        } else if (what < 88) {
+        } else if (event < 88) {
             int i = random.nextInt(8);
             EndpointState state = EndpointState.values()[random.nextInt(3)];
             EndpointEntry e = entry(i, state, random.nextBoolean() ? s.now : 0);
-            list.put(e.endpoint(), e);
+            endpoints.put(e.endpoint(), e);
             s.balancer.list(s.now, ListKind.DELTA, List.of(e));
-        } else if (what < 89) {
+        } else if (event < 89) {
             s.balancer.list(s.now, ListKind.FAILED, List.of());
-        } else if (what < 91) {
-            asked.keySet().stream()
-                    .filter(id -> !asked.get(id).ended)
+        } else if (event < 91) {
+            requests.keySet().stream()
+                    .filter(id -> !requests.get(id).ended)
                     .sorted()
                     .findFirst()
                     .ifPresent(
                             id -> {
-                                asked.get(id).ended = true;
+                                requests.get(id).ended = true;
                                 s.balancer.gone(s.now, id);
                             });
         } else {
@@ -123,12 +121,12 @@
     }
 
     private void endOne(Random random) {
-        for (Long id : asked.keySet().stream().sorted().toList()) {
-            Asked a = asked.get(id);
+        for (Long id : requests.keySet().stream().sorted().toList()) {
+            ClientRequest a = requests.get(id);
             for (int k = 0; k < a.sends.size(); k++) {
-                if (a.fates.get(k) == null && random.nextInt(4) == 0) {
-                    Outcome o = ENDS[random.nextInt(ENDS.length)];
-                    a.fates.set(k, o);
+                if (a.outcomes.get(k) == null && random.nextInt(4) == 0) {
+                    Outcome o = OUTCOMES[random.nextInt(OUTCOMES.length)];
+                    a.outcomes.set(k, o);
                     boolean closes = a.ended || o == Outcome.OK;
                     a.ended |= o == Outcome.OK;
                     s.balancer.outcome(
@@ -139,25 +137,25 @@
         }
     }
 
-    /** Looks at what the balancer asked for since the last step. */
+    /** Checks the actions of the balancer since the last step. */
     private void check() {
-        for (; seen < s.sends.size(); seen++) {
-            Script.Send send = s.sends.get(seen);
-            Asked a = asked.get(send.id());
+        for (; sendsSeen < s.sends.size(); sendsSeen++) {
+            Script.Send send = s.sends.get(sendsSeen);
+            ClientRequest a = requests.get(send.id());
             assertFalse(a.ended, "a send after the end of " + send.id());
             assertTrue(a.sends.size() < settings.maxAttempts, "too many attempts of " + send.id());
-            checkEffect(a, send);
+            checkRetryIsHarmless(a, send);
             assertTrue(
-                    list.get(send.endpoint()).state() == EndpointState.READY,
+                    endpoints.get(send.endpoint()).state() == EndpointState.READY,
                     "a send to a drained " + send);
             a.sends.add(send);
-            a.fates.add(null);
+            a.outcomes.add(null);
         }
         for (Long id : s.refused) {
-            if (answered.add(id)) {
-                Asked a = asked.get(id);
-                answer(a, id);
-                boolean mayHaveRun = a.fates.stream().anyMatch(o -> o == null || o.mayHaveRun());
+            if (answeredIds.add(id)) {
+                ClientRequest a = requests.get(id);
+                recordAnswer(a, id);
+                boolean mayHaveRun = a.outcomes.stream().anyMatch(o -> o == null || o.mayHaveRun());
                 boolean harmless =
                         a.rules.idempotency() == Idempotency.IDEMPOTENT
                                 || !mayHaveRun
@@ -167,26 +165,26 @@
             }
         }
         for (Long id : s.failed) {
-            if (answered.add(id)) {
-                answer(asked.get(id), id);
+            if (answeredIds.add(id)) {
+                recordAnswer(requests.get(id), id);
             }
         }
-        assertTrue(answered.size() == s.refused.size() + s.failed.size(), "two final answers");
-        asked.forEach(
+        assertTrue(answeredIds.size() == s.refused.size() + s.failed.size(), "two final answers");
+        requests.forEach(
                 (id, a) ->
                         assertTrue(
                                 a.ended || s.now <= a.deadline + settings.responseSlackNs,
                                 "unanswered past its time: " + id));
     }
 
-    private void answer(Asked a, long id) {
+    private void recordAnswer(ClientRequest a, long id) {
         assertFalse(a.ended, "a second final answer for " + id);
         a.ended = true;
     }
 
-    private void checkEffect(Asked a, Script.Send send) {
+    private void checkRetryIsHarmless(ClientRequest a, Script.Send send) {
         for (int k = 0; k < a.sends.size(); k++) {
-            Outcome o = a.fates.get(k);
+            Outcome o = a.outcomes.get(k);
             assertTrue(o != null || settings.mayHedge, "overlapping attempts of " + send.id());
             if (o != null && !o.mayHaveRun()) {
                 continue;
@@ -195,8 +193,8 @@
                 throw new AssertionError("a repeat of unsafe " + send.id());
             }
             if (a.rules.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
-                EndpointEntry was = list.get(a.sends.get(k).endpoint());
-                EndpointEntry is = list.get(send.endpoint());
+                EndpointEntry was = endpoints.get(a.sends.get(k).endpoint());
+                EndpointEntry is = endpoints.get(send.endpoint());
                 assertTrue(
                         send.at() < a.sends.get(k).at() + a.rules.deduplicationWindowNs(),
                         "past the window");
--- a/decisions/src/test/java/trailthread/RetryTest.java
+++ b/decisions/src/test/java/trailthread/RetryTest.java
@@ -12,8 +12,8 @@
 import trailthread.api.Settings;
 
 /**
- * What follows an attempt's end, by outcome and class: another one, and until when; a refusal; a
- * failure.
+ * What follows the end of an attempt, by outcome and class: a retry and until when it may be
+ * written, a rejection, or a failure.
  */
 public class RetryTest {
     private static final long MS = Script.MS;
@@ -25,14 +25,14 @@
             List.of(Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED);
 
     private static RequestClass keyed(
-            String name, DeduplicationScope group, long deduplicationWindowNs) {
+            String name, DeduplicationScope scope, long deduplicationWindowNs) {
         return new RequestClass(
                 name,
                 200 * MS,
                 0,
                 1000 * MS,
                 Idempotency.IDEMPOTENCY_KEY,
-                group,
+                scope,
                 deduplicationWindowNs,
                 1,
                 0.2);
@@ -48,43 +48,43 @@
     }
 
     @Test
-    public void whatNeverRanIsSentAgainOrRefused() {
+    public void anAttemptThatNeverRanIsRetriedOrTheRequestRejected() {
         for (Outcome outcome : NEVER_RAN) {
             for (String name : CLASSES) {
-                assertEquals(name + " " + outcome, "again", after(name, outcome, 3));
-                assertEquals(name + " " + outcome, "refused", after(name, outcome, 1));
+                assertEquals(name + " " + outcome, "retried", resultAfter(name, outcome, 3));
+                assertEquals(name + " " + outcome, "refused", resultAfter(name, outcome, 1));
             }
         }
     }
 
     @Test
-    public void whatMayHaveRunIsSentAgainOrRefusedByItsClass() {
+    public void anAttemptThatMayHaveRunIsRetriedByTheIdempotencyOfItsClass() {
         for (Outcome outcome : MAY_HAVE_RUN) {
             String[][] cases = {
-                {"safe", "again", "refused"},
-                {"keyed", "again", "failed"},
-                {"keyed-everywhere", "again", "refused"},
+                {"safe", "retried", "refused"},
+                {"keyed", "retried", "failed"},
+                {"keyed-everywhere", "retried", "refused"},
                 {"unsafe", "failed", "failed"}
             };
             for (String[] c : cases) {
-                assertEquals(c[0] + " " + outcome, c[1], after(c[0], outcome, 3));
-                assertEquals(c[0] + " " + outcome, c[2], after(c[0], outcome, 1));
+                assertEquals(c[0] + " " + outcome, c[1], resultAfter(c[0], outcome, 3));
+                assertEquals(c[0] + " " + outcome, c[2], resultAfter(c[0], outcome, 1));
             }
         }
     }
 
-    private static String after(String name, Outcome outcome, int attempts) {
+    private static String resultAfter(String name, Outcome outcome, int attempts) {
         Script s = script(attempts);
         long id = s.request(name);
         s.end(id, outcome);
-        return s.sendsOf(id).size() > 1 ? "again" : s.refused.contains(id) ? "refused" : "failed";
+        return s.sendsOf(id).size() > 1 ? "retried" : s.refused.contains(id) ? "refused" : "failed";
     }
 
-    /** Its window was looked at when it was decided, and may have passed when it was written. */
+    /** Prevents a retry from being written after the window, though it was decided within it. */
     @Test
-    public void aRepeatIsWrittenWithinTheWindowOfTheFirstThatMayHaveRun() {
+    public void aRetryIsWrittenWithinTheDeduplicationWindowOfTheFirstThatMayHaveRun() {
         for (String name : CLASSES) {
-            for (boolean ran : new boolean[] {true, false}) {
+            for (boolean mayHaveRun : new boolean[] {true, false}) {
                 Settings settings = Script.settings();
                 settings.classes.removeIf(c -> c.name().equals("keyed"));
                 settings.classes.add(keyed("keyed", DeduplicationScope.CELL, 400 * MS));
@@ -98,13 +98,16 @@
                 s.end(id, Outcome.REJECTED);
                 long second = s.now;
                 s.pass(20 * MS);
-                s.end(id, ran && !name.equals("unsafe") ? Outcome.ERROR : Outcome.REJECTED);
+                s.end(id, mayHaveRun && !name.equals("unsafe") ? Outcome.ERROR : Outcome.REJECTED);
                 List<Script.Send> sends = s.sendsOf(id);
                 assertTrue(name, sends.size() >= 3);
-                boolean bound = ran && name.startsWith("keyed");
+                boolean isBoundByWindow = mayHaveRun && name.startsWith("keyed");
                 assertEquals(name, deadline, sends.get(0).writtenBy());
                 assertEquals(name, deadline, sends.get(1).writtenBy());
-                assertEquals(name, bound ? second + 400 * MS : deadline, sends.get(2).writtenBy());
+                assertEquals(
+                        name,
+                        isBoundByWindow ? second + 400 * MS : deadline,
+                        sends.get(2).writtenBy());
             }
         }
     }
--- a/decisions/src/test/java/trailthread/SlowStartBudgetTest.java
+++ b/decisions/src/test/java/trailthread/SlowStartBudgetTest.java
@@ -13,38 +13,39 @@
 import trailthread.api.Settings;
 
 /**
- * What cold endpoints are sent: no more than they bear, and that much as long as the lottery draws
- * them.
+ * What endpoints in slow start are sent: no more than they can serve, and all of that while the
+ * lottery draws them.
  */
 public class SlowStartBudgetTest {
     private static final int REQUESTS = 2_000;
-    private static final int WARM = 20;
-    private static final int COLD = 10;
+    private static final int WARM_ENDPOINTS = 20;
+    private static final int STARTING_ENDPOINTS = 10;
 
     /**
-     * Of the requests to a fleet of which a third has just started, at half its pace, the share to
-     * these.
+     * The share of requests that goes to endpoints in slow start, which are a third of the fleet
+     * and can serve half as much as warm ones.
      */
-    private static double shareOfTheCold(long seed) {
+    private static double shareOfStartingEndpoints(long seed) {
         Settings settings = Script.settings();
         settings.nodes = 90;
         settings.slowStartInitialShare = 0.5;
         settings.slowStartNs = 100_000_000 * MS;
         Script s = new Script(settings, seed);
         List<EndpointEntry> entries = new ArrayList<>();
-        for (int i = 0; i < WARM; i++) {
+        for (int i = 0; i < WARM_ENDPOINTS; i++) {
             entries.add(Script.ready("warm-" + i));
         }
-        for (int i = 0; i < COLD; i++) {
-            entries.add(new EndpointEntry("cold-" + i, 1, EndpointState.READY, "here", s.now, 0));
+        for (int i = 0; i < STARTING_ENDPOINTS; i++) {
+            entries.add(
+                    new EndpointEntry("starting-" + i, 1, EndpointState.READY, "here", s.now, 0));
         }
         s.balancer.list(s.now, ListKind.FULL, entries);
-        serve(s, 200); // what it serves is what its budget rests on
+        serve(s, 200); // the token bucket fills with what this node has seen served
         int before = s.sends.size();
         serve(s, REQUESTS);
         return s.sends.stream()
                         .skip(before)
-                        .filter(send -> send.endpoint().startsWith("cold"))
+                        .filter(send -> send.endpoint().startsWith("starting"))
                         .count()
                 / (double) REQUESTS;
     }
@@ -58,12 +59,12 @@
         }
     }
 
-    /** With a bucket for each, which stood full until it was drawn, it was 0.05. */
+    /** Prevents a full token bucket of one endpoint from starving the others in slow start. */
     @Test
-    public void manyThatAreColdAtOnceGetTheirFairPart() {
-        double fair = COLD * 0.5 / (WARM + COLD * 0.5);
+    public void manyStartingEndpointsGetTheirFairShare() {
+        double fair = STARTING_ENDPOINTS * 0.5 / (WARM_ENDPOINTS + STARTING_ENDPOINTS * 0.5);
         for (long seed = 1; seed <= 3; seed++) {
-            double share = shareOfTheCold(seed);
+            double share = shareOfStartingEndpoints(seed);
             assertTrue("of " + fair + ": " + share, share > 0.4 * fair);
             assertTrue("of " + fair + ": " + share, share < 1.3 * fair);
         }
