--- /dev/null
+++ b/decisions/src/test/java/trailthread/RequestQueueTest.java
@@ -0,0 +1,133 @@
+package trailthread;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trailthread.WiredModules.MS;
+import static trailthread.WiredModules.NOW;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import trailthread.api.DeduplicationScope;
+import trailthread.api.Idempotency;
+import trailthread.api.Outcome;
+import trailthread.api.RequestClass;
+import trailthread.api.Settings;
+
+/** In which order queued requests are sent, and which leave the queue unsent. */
+class RequestQueueTest {
+    private final WiredModules modules = new WiredModules(settings());
+    private final FairShare fairShare = new FairShare();
+    private final PriorityPolicy priorities =
+            new PriorityPolicy(modules.settings, modules.means, fairShare, NOW);
+    private final List<Request> tried = new ArrayList<>();
+    private final List<Request> sent = new ArrayList<>();
+    private final Set<Request> blocked = new HashSet<>();
+    private final Set<Request> late = new HashSet<>();
+    private int most = Integer.MAX_VALUE;
+    private final RequestQueue queue =
+            new RequestQueue(
+                    modules.settings,
+                    priorities,
+                    modules.actions,
+                    modules.random,
+                    this::send,
+                    (request, now) -> late.contains(request));
+
+    RequestQueueTest() {
+        fairShare.retune(modules.settings, NOW);
+    }
+
+    /** With a class of ten times the priority weight of the others. */
+    private static Settings settings() {
+        Settings settings = Script.settings();
+        settings.classes.add(
+                new RequestClass(
+                        "heavy",
+                        200 * MS,
+                        0,
+                        1000 * MS,
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        10,
+                        0.2));
+        return settings;
+    }
+
+    private boolean send(Request request, long now) {
+        tried.add(request);
+        return !blocked.contains(request) && sent.size() < most && sent.add(request);
+    }
+
+    private Request add(String requestClass, Outcome firstAttempt) {
+        RequestClassStats stats = fairShare.requestClass(requestClass);
+        Request request = modules.request(stats, null, 0, NOW + 1000 * MS);
+        priorities.arrived(request, NOW);
+        if (firstAttempt != null) {
+            modules.attempt(request, WiredModules.endpoint("a", 0), firstAttempt, NOW);
+        }
+        queue.add(request);
+        return request;
+    }
+
+    @Test
+    void theLaneThatAddsMostGoesFirstAndInALaneTheNewest() {
+        Request oldHeavy = add("heavy", null);
+        Request newHeavy = add("heavy", null);
+        Request oldSafe = add("safe", null);
+        Request newSafe = add("safe", null);
+        queue.release(NOW);
+        assertEquals(List.of(newHeavy, oldHeavy, newSafe, oldSafe), sent);
+        assertTrue(queue.isEmpty());
+    }
+
+    /** A retry may be bound to endpoints that are closed; a first attempt is not. */
+    @Test
+    void aRetryThatNoEndpointIsOpenToDoesNotBlockFirstAttempts() {
+        Request retry = add("heavy", Outcome.ERROR);
+        Request first = add("safe", null);
+        blocked.add(retry);
+        queue.release(NOW);
+        assertEquals(List.of(first), sent);
+        assertEquals(1, queue.size());
+    }
+
+    @Test
+    void theReleaseEndsAtAnIdempotentFirstAttemptThatNoEndpointIsOpenTo() {
+        add("safe", null);
+        Request heavy = add("heavy", null);
+        most = 0;
+        queue.release(NOW);
+        assertEquals(List.of(heavy), tried);
+        assertEquals(2, queue.size());
+    }
+
+    @Test
+    void finishedAndLateRequestsLeaveTheQueueUnsent() {
+        Request finished = add("safe", null);
+        Request open = add("safe", null);
+        finished.finished = true;
+        late.add(add("safe", null));
+        queue.release(NOW);
+        assertEquals(List.of(open), tried);
+        assertTrue(queue.isEmpty());
+    }
+
+    /** A twentieth of the objective of 200 ms, by up to a fifth shorter or longer. */
+    @Test
+    void oneTimerAtATimeReleasesWhatIsQueued() {
+        add("safe", null);
+        add("safe", null);
+        List<Script.Timer> timers = modules.actions.timers;
+        assertEquals(1, timers.size());
+        long delayNs = timers.get(0).at() - modules.actions.now;
+        assertTrue(delayNs >= 8 * MS && delayNs <= 12 * MS, "delay " + delayNs);
+        most = 1;
+        queue.timerDue(NOW + delayNs);
+        assertEquals(1, sent.size());
+        assertEquals(2, timers.size(), "a timer for the one that is left");
+    }
+}
