--- a/decisions/src/test/java/trailthread/ActiveSettingsTest.java
+++ b/decisions/src/test/java/trailthread/ActiveSettingsTest.java
@@ -14,7 +14,8 @@
 /** What is derived from the settings, and which stay in force. */
 class ActiveSettingsTest {
     private static Settings with(long objectiveNs, long deadlineNs) {
-        Settings settings = Script.settings(); // objectives of 200 ms, deadlines of 1,000 ms
+        Settings settings =
+                ScriptedBalancer.settings(); // objectives of 200 ms, deadlines of 1,000 ms
         settings.classes.add(
                 new RequestClass(
                         "other",
--- a/decisions/src/test/java/trailthread/AdmissionControllerTest.java
+++ b/decisions/src/test/java/trailthread/AdmissionControllerTest.java
@@ -24,7 +24,7 @@
 
     /** With a class of which late answers earn nothing. */
     private static Settings settings() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.classes.add(
                 new RequestClass(
                         "prompt",
--- a/decisions/src/test/java/trailthread/AdmissionTest.java
+++ b/decisions/src/test/java/trailthread/AdmissionTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
-import static trailthread.Script.MS;
+import static trailthread.ScriptedBalancer.MS;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -12,13 +12,13 @@
 
 /** Requests that the host does not admit are rejected at once, and no others. */
 public class AdmissionTest {
-    private final Settings settings = Script.settings();
+    private final Settings settings = ScriptedBalancer.settings();
 
     @Test
     public void rejectsWhatIsNotAdmittedAtOnceWithRetryAfter() {
         settings.retryAfter = true;
         settings.maxRetryAfterNs = 500 * MS;
-        Script s = new Script(settings, 3);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 3);
         s.endpoints("a", "b");
         List<Double> drawn = new ArrayList<>();
         s.balancer.admit(
@@ -40,7 +40,7 @@
     @Test
     public void admissionLearnsWhetherTheTenantIsOverItsQuota() {
         settings.tenants.add(new Tenant("acme", 1, 1));
-        Script s = new Script(settings, 3);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 3);
         s.endpoints("a", "b");
         s.balancer.admit((requestClass, overQuota, random) -> !overQuota);
         s.balancer.request(s.now, 1, "safe", 0, s.now + 1000 * MS, "acme", false, 0);
@@ -51,11 +51,11 @@
     /** Replays of recorded runs without an admission must give the same actions. */
     @Test
     public void drawsNoRandomNumberWithoutAnAdmission() {
-        Script with = new Script(settings, 3);
+        ScriptedBalancer with = new ScriptedBalancer(settings, 3);
         with.balancer.admit((requestClass, overQuota, random) -> true);
         with.balancer.admit(null);
-        Script without = new Script(settings, 3);
-        for (Script s : List.of(with, without)) {
+        ScriptedBalancer without = new ScriptedBalancer(settings, 3);
+        for (ScriptedBalancer s : List.of(with, without)) {
             s.endpoints("a", "b", "c");
             for (int i = 0; i < 20; i++) {
                 s.request("safe");
--- a/decisions/src/test/java/trailthread/AttemptSenderTest.java
+++ b/decisions/src/test/java/trailthread/AttemptSenderTest.java
@@ -30,7 +30,7 @@
         modules.use(1, warm);
         Request request = modules.request("unsafe");
         assertTrue(sender.trySend(request, NOW));
-        Script.Send send = modules.actions.sends.get(0);
+        ScriptedBalancer.Send send = modules.actions.sends.get(0);
         assertEquals("a", send.endpoint());
         assertEquals(request.deadline, send.writtenBy());
         assertEquals(1, modules.inFlight.total());
--- a/decisions/src/test/java/trailthread/BalancerRulesTest.java
+++ b/decisions/src/test/java/trailthread/BalancerRulesTest.java
@@ -18,8 +18,8 @@
 
 /** The rules for queueing, retries, attempts in flight and endpoints that leave, one by one. */
 class BalancerRulesTest {
-    private static final long MS = Script.MS;
-    private final Script s = new Script(Script.settings(), 1);
+    private static final long MS = ScriptedBalancer.MS;
+    private final ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 1);
 
     private static EndpointEntry inCell(String name, int cell) {
         return new EndpointEntry(name, 1, EndpointState.READY, "here", 0, cell);
@@ -79,7 +79,7 @@
     @Test
     void aKeyedRequestThatMayHaveRunStaysInItsDeduplicationCell() {
         for (int seed = 0; seed < 30; seed++) {
-            Script t = new Script(Script.settings(), seed);
+            ScriptedBalancer t = new ScriptedBalancer(ScriptedBalancer.settings(), seed);
             t.balancer.list(
                     t.now,
                     ListKind.FULL,
@@ -95,7 +95,7 @@
 
     @Test
     void aKeyedRequestIsNotRetriedPastItsDeduplicationWindow() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.classes.add(
                 new RequestClass(
                         "brief",
@@ -107,7 +107,7 @@
                         300 * MS,
                         1,
                         0.2));
-        Script t = new Script(settings, 1);
+        ScriptedBalancer t = new ScriptedBalancer(settings, 1);
         t.endpoints("a", "b");
         long early = t.request("brief");
         t.pass(50 * MS);
@@ -176,7 +176,7 @@
         for (double queue : new double[] {Double.NaN, -5, Double.POSITIVE_INFINITY}) {
             long id = s.request("safe");
             s.pass(20 * MS);
-            s.end(id, Outcome.OK, Script.queue(queue));
+            s.end(id, Outcome.OK, ScriptedBalancer.queue(queue));
         }
         long id = s.request("safe");
         assertEquals(1, s.sendsOf(id).size());
@@ -209,15 +209,15 @@
     void manyNodesTogetherSendLittleToAnEndpointInSlowStart() {
         int sent = 0;
         for (int node = 0; node < 40; node++) {
-            Settings settings = Script.settings();
+            Settings settings = ScriptedBalancer.settings();
             settings.nodes = 40;
             settings.me = node;
-            Script n = new Script(settings, node);
+            ScriptedBalancer n = new ScriptedBalancer(settings, node);
             n.delta(new EndpointEntry("a", 1, EndpointState.READY, "here", n.now, 0));
             for (int i = 0; i < 20; i++) { // each node has more than enough to send
                 n.request("safe");
                 n.pass(100 * MS);
-                for (Script.Send send : List.copyOf(n.sends)) {
+                for (ScriptedBalancer.Send send : List.copyOf(n.sends)) {
                     if (n.sendsOf(send.id()).size() == 1 && send.at() + 100 * MS >= n.now) {
                         n.end(send.id(), Outcome.OK);
                     }
--- a/decisions/src/test/java/trailthread/EmbeddingTest.java
+++ b/decisions/src/test/java/trailthread/EmbeddingTest.java
@@ -16,7 +16,7 @@
 class EmbeddingTest {
     @Test
     void theReadmeExampleSendsItsRequest() {
-        Script actions = new Script(Script.settings(), 1);
+        ScriptedBalancer actions = new ScriptedBalancer(ScriptedBalancer.settings(), 1);
         long now = 5;
         long seed = 7;
 
--- a/decisions/src/test/java/trailthread/EndpointChoiceTest.java
+++ b/decisions/src/test/java/trailthread/EndpointChoiceTest.java
@@ -21,14 +21,14 @@
 
 /** Which endpoint a request goes to, through the balancer as a whole. */
 class EndpointChoiceTest {
-    private static final long MS = Script.MS;
+    private static final long MS = ScriptedBalancer.MS;
 
     /**
      * Serves one request after another, each in {@code latencies} by endpoint, and counts the
      * sends.
      */
     private static Map<String, Integer> serve(
-            Script s, int requests, long aLatency, long bLatency) {
+            ScriptedBalancer s, int requests, long aLatency, long bLatency) {
         Map<String, Integer> counts = new TreeMap<>();
         for (int i = 0; i < requests; i++) {
             long id = s.request("safe");
@@ -38,14 +38,14 @@
             String endpoint = s.sendsOf(id).get(0).endpoint();
             counts.merge(endpoint, 1, Integer::sum);
             s.pass(endpoint.equals("a") ? aLatency : bLatency);
-            s.end(id, Outcome.OK, Script.queue(0));
+            s.end(id, Outcome.OK, ScriptedBalancer.queue(0));
         }
         return counts;
     }
 
     @Test
     void equalEndpointsGetEqualShares() {
-        Script s = new Script(Script.settings(), 7);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 7);
         s.endpoints("a", "b");
         Map<String, Integer> counts = serve(s, 2000, 20 * MS, 20 * MS);
         assertEquals(1000, counts.get("a"), 150);
@@ -53,7 +53,7 @@
 
     @Test
     void ticketsFollowTheReportedQueue() {
-        Script s = new Script(Script.settings(), 7);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 7);
         s.endpoints("a", "b");
         serve(s, 400, 20 * MS, 20 * MS);
         int toA = 0;
@@ -62,7 +62,7 @@
             String endpoint = s.sendsOf(id).get(0).endpoint();
             toA += endpoint.equals("a") ? 1 : 0;
             s.pass(20 * MS);
-            s.end(id, Outcome.OK, Script.queue(endpoint.equals("a") ? 0.8 : 0));
+            s.end(id, Outcome.OK, ScriptedBalancer.queue(endpoint.equals("a") ? 0.8 : 0));
         }
         // tickets 1/1.8 against 1/1: 36 in 100
         assertEquals(0.36, toA / 1500.0, 0.06);
@@ -70,7 +70,7 @@
 
     @Test
     void ownSendsSinceTheReportReduceTheTickets() {
-        Script s = new Script(Script.settings(), 3);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 3);
         s.endpoints("a", "b");
         serve(s, 100, 20 * MS, 20 * MS);
         int other = 0;
@@ -82,8 +82,8 @@
                             ? 0
                             : 1;
             s.pass(20 * MS);
-            s.end(first, Outcome.OK, Script.queue(0));
-            s.end(second, Outcome.OK, Script.queue(0));
+            s.end(first, Outcome.OK, ScriptedBalancer.queue(0));
+            s.end(second, Outcome.OK, ScriptedBalancer.queue(0));
         }
         // one outstanding against none: tickets 1/2 against 1, so two in three go to the other
         assertTrue(other > 400 * 0.58, "to the other: " + other);
@@ -91,7 +91,7 @@
 
     @Test
     void aSlowEndpointGetsFewTickets() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         Map<String, Integer> counts = serve(s, 600, 15 * MS, 90 * MS);
         assertTrue(counts.get("b") < 60, "to the slow one: " + counts);
@@ -103,12 +103,12 @@
      */
     @Test
     void latencyDifferencesBelowTheResolutionExcludeNoEndpoint() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         serve(s, 200, MS / 2, MS / 2);
         s.delta(new EndpointEntry("b", 1, EndpointState.DRAINING, "here", 0, 0));
         serve(s, 2000, MS / 15, MS / 15);
-        s.delta(Script.ready("b"));
+        s.delta(ScriptedBalancer.ready("b"));
         s.pass(10_000 * MS);
         Map<String, Integer> counts = serve(s, 2000, MS / 15, MS / 15);
         assertTrue(counts.getOrDefault("b", 0) > 500, "to the one that was away: " + counts);
@@ -116,7 +116,7 @@
 
     @Test
     void anEndpointThatFailsFastIsEjectedAndTriedAgainLater() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b", "c");
         int toA = 0;
         for (int i = 0; i < 300; i++) {
@@ -144,7 +144,7 @@
 
     @Test
     void aNodeThatSeesAllEndpointsFailEjectsNone() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         for (int i = 0; i < 30; i++) {
             long id = s.request("unsafe");
@@ -156,7 +156,7 @@
 
     @Test
     void aFullEndpointIsNotFlooded() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a");
         int sends = 0;
         for (int i = 0; i < 100; i++) {
@@ -172,7 +172,7 @@
 
     @Test
     void anEndpointThatDoesNotRespondGetsNoMoreRequests() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         serve(s, 200, 20 * MS, 20 * MS);
         long stuck = s.request("safe");
@@ -188,7 +188,7 @@
 
     @Test
     void aJammedEndpointRestsAndIsTriedAgain() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         serve(s, 300, 20 * MS, 20 * MS);
         for (int i = 0; i < 200; i++) {
@@ -209,16 +209,22 @@
 
     @Test
     void limitsGrowWhileResponsesAreFast() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a");
         for (int i = 0; i < 40; i++) {
             for (int k = 0; k < 12; k++) {
                 s.request("safe");
             }
             s.pass(20 * MS);
-            for (Script.Send x : List.copyOf(s.sends)) {
+            for (ScriptedBalancer.Send x : List.copyOf(s.sends)) {
                 s.balancer.outcome(
-                        s.now, x.id(), x.attempt(), Outcome.OK, 20 * MS, true, Script.queue(0));
+                        s.now,
+                        x.id(),
+                        x.attempt(),
+                        Outcome.OK,
+                        20 * MS,
+                        true,
+                        ScriptedBalancer.queue(0));
             }
         }
         int sent = s.sends.size();
@@ -232,7 +238,7 @@
 
     @Test
     void onlyIdempotentAttemptsHaveATimeout() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         serve(s, 100, 20 * MS, 20 * MS);
         String before = s.transcript.toString();
@@ -247,7 +253,7 @@
 
     @Test
     void reportedInFlightRequestsDoNotCloseAnEndpoint() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a");
         for (int i = 0; i < 100; i++) {
             long id = s.request("safe");
@@ -260,7 +266,7 @@
 
     @Test
     void aLongStreamDoesNotMakeItsEndpointLookSlow() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         serve(s, 100, 20 * MS, 20 * MS);
         for (int i = 0; i < 20; i++) {
@@ -276,10 +282,10 @@
 
     @Test
     void endpointsThatReportOnlyToHealthChecksAreCheckedInTurn() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.reports = LoadReportSource.PROBES;
         settings.mayCheckHealth = true;
-        Script s = new Script(settings, 5);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints("a", "b", "c");
         s.pass(5000 * MS);
         String asked = s.transcript.toString();
@@ -287,7 +293,7 @@
             assertTrue(asked.contains("probe " + name), asked);
         }
         settings.mayCheckHealth = false;
-        Script withoutPermission = new Script(settings, 5);
+        ScriptedBalancer withoutPermission = new ScriptedBalancer(settings, 5);
         withoutPermission.endpoints("a");
         withoutPermission.pass(5000 * MS);
         assertTrue(
@@ -297,7 +303,7 @@
 
     @Test
     void requestsOverTheConcurrencyLimitAreQueued() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a");
         serve(s, 100, 30 * MS, 30 * MS);
         for (int i = 0; i < 50; i++) {
@@ -311,7 +317,7 @@
 
     @Test
     void theRequestWithTheLargerPriorityWeightGoesFirst() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.classes.add(
                 new RequestClass(
                         "dear",
@@ -323,7 +329,7 @@
                         0,
                         10,
                         0.2));
-        Script s = new Script(settings, 5);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints();
         long light = s.request("safe");
         long heavy = s.request("dear");
@@ -335,9 +341,9 @@
 
     @Test
     void eachOfManyNodesTakesAShareOfAnEndpoint() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.nodes = 40;
-        Script s = new Script(settings, 5);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints("a");
         int sent = 0;
         for (int i = 0; i < 10; i++) {
@@ -353,7 +359,7 @@
 
     @Test
     void aRequestTooLateToServeIsNotSent() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a");
         serve(s, 50, 60 * MS, 60 * MS);
         s.balancer.request(s.now, 9999, "safe", 0, s.now + 10 * MS, null, false, 0);
@@ -364,15 +370,15 @@
 
     @Test
     void theLocalZoneIsPreferredByTheCrossZonePrice() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.zone = "here";
         settings.crossZonePrice = 0.06;
-        Script s = new Script(settings, 5);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.balancer.list(
                 s.now,
                 ListKind.FULL,
                 List.of(
-                        Script.ready("a"),
+                        ScriptedBalancer.ready("a"),
                         new EndpointEntry("b", 1, EndpointState.READY, "there", 0, 1)));
         Map<String, Integer> counts = serve(s, 200, 20 * MS, 20 * MS);
         assertTrue(counts.getOrDefault("b", 0) < 40, counts.toString());
@@ -380,9 +386,9 @@
 
     @Test
     void aKeyGoesToItsHomeEndpoint() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.keyAffinity = true;
-        Script s = new Script(settings, 5);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints("a", "b", "c", "d", "e", "f");
         serve(s, 300, 20 * MS, 20 * MS);
         Map<String, Integer> counts = endpointsOfOneKey(s, 20);
@@ -396,9 +402,9 @@
      */
     @Test
     void aPopularKeyHasSeveralHomeEndpoints() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.keyAffinity = true;
-        Script s = new Script(settings, 5);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints("a", "b", "c", "d", "e", "f");
         serve(s, 300, 20 * MS, 20 * MS);
         Map<String, Integer> counts = endpointsOfOneKey(s, 1);
@@ -407,7 +413,7 @@
     }
 
     /** How often each endpoint gets one key, for 200 requests amid so many others for each. */
-    private static Map<String, Integer> endpointsOfOneKey(Script s, int others) {
+    private static Map<String, Integer> endpointsOfOneKey(ScriptedBalancer s, int others) {
         Map<String, Integer> counts = new TreeMap<>();
         for (int i = 0; i < 200 * (1 + others); i++) {
             long id = 100_000L + i;
@@ -425,9 +431,9 @@
 
     @Test
     void aPopularKeySpillsOverTheLoadBound() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.keyAffinity = true;
-        Script s = new Script(settings, 5);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints("a", "b", "c", "d", "e", "f");
         Map<String, Integer> counts = new TreeMap<>();
         for (int i = 0; i < 6; i++) {
@@ -440,9 +446,9 @@
 
     @Test
     void aKeyKeepsItsHomeWhenAnotherEndpointIsRemoved() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.keyAffinity = true;
-        Script s = new Script(settings, 5);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints("a", "b", "c", "d", "e", "f");
         Map<Long, String> before = homes(s, 100_000);
         s.delta(new EndpointEntry("c", 1, EndpointState.GONE, "here", 0, 0));
@@ -456,7 +462,7 @@
     }
 
     /** The endpoint that gets most requests of each of 40 keys. */
-    private static Map<Long, String> homes(Script s, long firstId) {
+    private static Map<Long, String> homes(ScriptedBalancer s, long firstId) {
         Map<Long, String> homes = new TreeMap<>();
         for (long key = 1; key <= 40; key++) {
             TreeMap<String, Integer> counts = new TreeMap<>();
@@ -478,10 +484,10 @@
 
     @Test
     void aListWithoutAWatchIsPolledAgain() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.listIsPolled = true;
-        Script s = new Script(settings, 5);
-        s.balancer.list(s.now, ListKind.CACHED, List.of(Script.ready("a")));
+        ScriptedBalancer s = new ScriptedBalancer(settings, 5);
+        s.balancer.list(s.now, ListKind.CACHED, List.of(ScriptedBalancer.ready("a")));
         s.pass(
                 settings.pollIntervalNs
                         / 300); // the first polls of all nodes are spread: see ListPollTest
@@ -499,7 +505,7 @@
     void identicalEventsGiveIdenticalActions() {
         StringBuilder[] transcripts = new StringBuilder[2];
         for (int run = 0; run < 2; run++) {
-            Script s = new Script(Script.settings(), 99);
+            ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 99);
             s.endpoints("a", "b", "c");
             serve(s, 300, 20 * MS, 30 * MS);
             transcripts[run] = s.transcript;
--- a/decisions/src/test/java/trailthread/FairShareTest.java
+++ b/decisions/src/test/java/trailthread/FairShareTest.java
@@ -13,7 +13,7 @@
 
 /** Which class and tenant is the worst-served, across changes of the settings. */
 class FairShareTest {
-    private final Settings settings = Script.settings();
+    private final Settings settings = ScriptedBalancer.settings();
     private final FairShare fairShare = new FairShare();
 
     FairShareTest() {
--- a/decisions/src/test/java/trailthread/FaultHandlingTest.java
+++ b/decisions/src/test/java/trailthread/FaultHandlingTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static trailthread.Script.MS;
+import static trailthread.ScriptedBalancer.MS;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -16,12 +16,12 @@
 
 /** Faults and overload: one test for each protection that no other test covers. */
 final class FaultHandlingTest {
-    private static String endpointOf(Script s, long id) {
+    private static String endpointOf(ScriptedBalancer s, long id) {
         return s.sendsOf(id).get(0).endpoint();
     }
 
     /** Sends one request after another; returns how many went to "a". */
-    private static int serve(Script s, int requests, long latency) {
+    private static int serve(ScriptedBalancer s, int requests, long latency) {
         int toA = 0;
         for (int i = 0; i < requests; i++) {
             long id = s.request("safe");
@@ -41,39 +41,39 @@
 
     @Test
     void theNewestQueuedRequestGoesFirst() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.nodes = 4; // this node begins with one at a time
-        Script s = new Script(settings, 5);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints();
         long oldest = s.request("safe");
         s.pass(50 * MS);
         long newest = s.request("safe");
-        s.delta(Script.ready("a"));
+        s.delta(ScriptedBalancer.ready("a"));
         assertEquals(1, s.sendsOf(newest).size());
         assertEquals(0, s.sendsOf(oldest).size());
     }
 
     @Test
     void requestsOverQuotaWaitBehindThoseWithinIt() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.nodes = 4;
         settings.overQuotaWeight = 0.1;
         settings.tenants.add(new Tenant("t", 2, 1)); // one in two seconds at this node
-        Script s = new Script(settings, 5);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints("a");
         serve(s, 20, 20 * MS);
         s.delta(new EndpointEntry("a", 1, EndpointState.GONE, "here", 0, 0));
         s.balancer.request(s.now, 1001, "safe", 0, s.now + 1000 * MS, "t", false, 0);
         s.pass(50 * MS);
         s.balancer.request(s.now, 1002, "safe", 0, s.now + 1000 * MS, "t", false, 0);
-        s.delta(Script.ready("a"));
+        s.delta(ScriptedBalancer.ready("a"));
         assertEquals(1, s.sendsOf(1001).size(), "within");
         assertEquals(0, s.sendsOf(1002).size(), "past it");
     }
 
     @Test
     void aRestartClearsTheFailureRecordOfAnEndpoint() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b", "c");
         for (int i = 0; i < 100; i++) {
             long id = s.request("unsafe");
@@ -94,7 +94,7 @@
 
     @Test
     void aQuickRetryGoesToAnotherEndpoint() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         for (int i = 0; i < 20; i++) {
             long id = s.request("safe");
@@ -110,7 +110,7 @@
 
     @Test
     void anEndpointThatFailsSometimesGetsFewerRequests() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         int toA = 0;
         for (int i = 0; i < 400; i++) {
@@ -125,19 +125,19 @@
 
     @Test
     void theLimitShrinksWhileOtherNodesFillTheEndpoint() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.nodes = 8;
-        Script s = new Script(settings, 5);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints("a");
         serve(s, 100, 20 * MS);
-        List<Script.Send> inFlight = new ArrayList<>();
+        List<ScriptedBalancer.Send> inFlight = new ArrayList<>();
         int sentLate = 0;
         for (int tick = 0; tick < 600; tick++) {
             int before = s.sends.size();
             s.request("safe");
             s.pass(10 * MS);
             inFlight.addAll(s.sends.subList(before, s.sends.size()));
-            for (Script.Send x : List.copyOf(inFlight)) {
+            for (ScriptedBalancer.Send x : List.copyOf(inFlight)) {
                 if (x.at() + 44 * MS <= s.now) { // 2.2 idle latencies, whatever this node does
                     int sent = s.sends.size();
                     s.balancer.outcome(s.now, x.id(), x.attempt(), Outcome.OK, 44 * MS, true, null);
@@ -152,9 +152,9 @@
 
     @Test
     void anEndpointInSlowStartGetsTicketsInProportionToItsCapacity() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.slowStartNs = 300_000 * MS;
-        Script s = new Script(settings, 5);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints("b");
         serve(s, 100, 20 * MS);
         s.delta(new EndpointEntry("a", 1, EndpointState.READY, "here", s.now - 30_000 * MS, 0));
@@ -164,7 +164,7 @@
 
     @Test
     void slowResponsesAreNotTakenForTheIdleLatency() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a");
         serve(s, 300, 20 * MS);
         serve(s, 300, 34 * MS);
--- a/decisions/src/test/java/trailthread/FinalResponderTest.java
+++ b/decisions/src/test/java/trailthread/FinalResponderTest.java
@@ -12,7 +12,7 @@
 
 /** Refusals, failures and the spread of Retry-After. */
 class FinalResponderTest {
-    private final Settings settings = Script.settings();
+    private final Settings settings = ScriptedBalancer.settings();
     private final WiredModules modules = new WiredModules(settings);
     private final FinalResponder responder =
             new FinalResponder(modules.settings, modules.actions, modules.random);
--- a/decisions/src/test/java/trailthread/FleetTest.java
+++ b/decisions/src/test/java/trailthread/FleetTest.java
@@ -21,11 +21,11 @@
 
 /** What many nodes, each with few requests, do together without communicating. */
 class FleetTest {
-    private static final long MS = Script.MS;
+    private static final long MS = ScriptedBalancer.MS;
     private static final int NODES = 200;
 
     private static Settings settings(int me, double connectionPrice) {
-        Settings s = Script.settings();
+        Settings s = ScriptedBalancer.settings();
         s.nodes = NODES;
         s.me = me;
         s.connectionPrice = connectionPrice;
@@ -44,12 +44,12 @@
     }
 
     /** The endpoints that a node uses for so many requests, one after another. */
-    private static Set<String> used(Script s, int requests) {
+    private static Set<String> used(ScriptedBalancer s, int requests) {
         Set<String> used = new HashSet<>();
         for (int i = 0; i < requests; i++) {
             long id = s.request("safe");
             s.pass(100 * MS);
-            for (Script.Send send : s.sendsOf(id)) {
+            for (ScriptedBalancer.Send send : s.sendsOf(id)) {
                 used.add(send.endpoint());
                 s.end(id, Outcome.OK);
             }
@@ -61,7 +61,7 @@
     void withAConnectionPriceEachNodeUsesASubsetAndEndpointsAreSharedEvenly() {
         Map<String, Integer> users = new TreeMap<>();
         for (int me = 0; me < NODES; me++) {
-            Script s = new Script(settings(me, 0.05), me);
+            ScriptedBalancer s = new ScriptedBalancer(settings(me, 0.05), me);
             s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
             Set<String> used = used(s, 60);
             assertTrue(used.size() >= 2 && used.size() <= 6, "node " + me + " uses " + used.size());
@@ -75,7 +75,7 @@
 
     @Test
     void withFreeConnectionsANodeUsesAllEndpoints() {
-        Script s = new Script(settings(7, 0), 7);
+        ScriptedBalancer s = new ScriptedBalancer(settings(7, 0), 7);
         s.balancer.list(s.now, ListKind.FULL, entries(0, 20));
         assertEquals(20, used(s, 400).size());
     }
@@ -84,7 +84,7 @@
     void aNewEndpointChangesTheSubsetOfFewNodes() {
         int moved = 0;
         for (int me = 0; me < NODES; me++) {
-            Script s = new Script(settings(me, 0.05), me);
+            ScriptedBalancer s = new ScriptedBalancer(settings(me, 0.05), me);
             s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
             Set<String> before = used(s, 80);
             s.balancer.list(s.now, ListKind.FULL, entries(0, 41));
@@ -97,14 +97,14 @@
 
     @Test
     void aSubsetThatFailsIsFilledUpWithOtherEndpoints() {
-        Script s = new Script(settings(3, 0.05), 3);
+        ScriptedBalancer s = new ScriptedBalancer(settings(3, 0.05), 3);
         s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
         Set<String> failing = used(s, 80);
         Set<String> others = new HashSet<>();
         for (int i = 0; i < 400; i++) { // every endpoint of the first subset fails
             long id = s.request("unsafe");
             s.pass(100 * MS);
-            for (Script.Send send : List.copyOf(s.sendsOf(id))) {
+            for (ScriptedBalancer.Send send : List.copyOf(s.sendsOf(id))) {
                 boolean fails = failing.contains(send.endpoint());
                 s.end(id, fails ? Outcome.ERROR : Outcome.OK);
                 if (!fails) {
@@ -130,9 +130,9 @@
      */
     @Test
     void overloadOfOtherEndpointsIsNotForgottenAtOnce() {
-        Script calm = new Script(settings(3, 0), 3);
-        Script after = new Script(settings(3, 0), 3);
-        for (Script s : List.of(calm, after)) {
+        ScriptedBalancer calm = new ScriptedBalancer(settings(3, 0), 3);
+        ScriptedBalancer after = new ScriptedBalancer(settings(3, 0), 3);
+        for (ScriptedBalancer s : List.of(calm, after)) {
             s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
             serve(s, 12, s == calm ? 20 * MS : 400 * MS);
             serve(s, 12, 20 * MS);
@@ -140,7 +140,7 @@
         assertTrue(burst(after) < burst(calm), "sent at once after a crowd, and without");
     }
 
-    private static void serve(Script s, int requests, long latency) {
+    private static void serve(ScriptedBalancer s, int requests, long latency) {
         for (int i = 0; i < requests; i++) {
             long id = s.request("unsafe");
             s.pass(latency);
@@ -150,7 +150,7 @@
         }
     }
 
-    private static int burst(Script s) {
+    private static int burst(ScriptedBalancer s) {
         int before = s.sends.size();
         for (int i = 0; i < 30; i++) {
             s.request("unsafe");
@@ -160,9 +160,9 @@
 
     @Test
     void liveWeightsGiveTheSizeOfAnEndpointButNotItsLoad() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.weights = WeightMeaning.LIVE;
-        Script s = new Script(settings, 5);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.balancer.list(
                 s.now,
                 ListKind.FULL,
@@ -184,7 +184,7 @@
 
     /** How many of thirty simultaneous requests are sent, after forty that took this long. */
     private static int burstAfter(long latency, Outcome outcome) {
-        Script s = new Script(settings(3, 0), 3);
+        ScriptedBalancer s = new ScriptedBalancer(settings(3, 0), 3);
         s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
         for (int i = 0; i < 40; i++) {
             long id = s.request("unsafe");
@@ -199,7 +199,7 @@
 
     @Test
     void theReportedServiceTimeIdentifiesASlowEndpoint() {
-        Script s = new Script(settings(3, 0), 3);
+        ScriptedBalancer s = new ScriptedBalancer(settings(3, 0), 3);
         s.balancer.list(s.now, ListKind.FULL, entries(0, 4));
         String slow = "10.0.0.0:80";
         Map<String, Integer> sends = new HashMap<>();
@@ -222,7 +222,7 @@
 
     @Test
     void anEndpointThatRejectsGetsFewerTicketsThoughItRespondsAtOnce() {
-        Script s = new Script(settings(3, 0), 3);
+        ScriptedBalancer s = new ScriptedBalancer(settings(3, 0), 3);
         s.balancer.list(s.now, ListKind.FULL, entries(0, 8));
         Map<String, Integer> sends = new HashMap<>();
         String full = "10.0.0.0:80";
@@ -246,10 +246,10 @@
     @Test
     void rejectionsCarryRetryAfterOnlyIfClientsHonourIt() {
         for (boolean honoursRetryAfter : new boolean[] {true, false}) {
-            Settings settings = Script.settings();
+            Settings settings = ScriptedBalancer.settings();
             settings.retryAfter = honoursRetryAfter;
             settings.maxRetryAfterNs = 500 * MS;
-            Script s = new Script(settings, 5);
+            ScriptedBalancer s = new ScriptedBalancer(settings, 5);
             s.endpoints();
             s.request("safe");
             s.pass(1000 * MS);
@@ -263,7 +263,7 @@
     void nodesThatLearnOfANewEndpointTogetherDoNotSendTogether() {
         int atOnce = 0;
         for (int me = 0; me < NODES; me++) {
-            Script s = new Script(settings(me, 0), me);
+            ScriptedBalancer s = new ScriptedBalancer(settings(me, 0), me);
             s.balancer.list(
                     s.now,
                     ListKind.FULL,
--- a/decisions/src/test/java/trailthread/KeyAffinityTest.java
+++ b/decisions/src/test/java/trailthread/KeyAffinityTest.java
@@ -66,7 +66,7 @@
 
     @Test
     void anEndpointIsHomeToKeysInProportionToItsNominalWeight() {
-        Settings weighted = Script.settings();
+        Settings weighted = ScriptedBalancer.settings();
         weighted.weights = WeightMeaning.NOMINAL;
         KeyAffinity byWeight = new KeyAffinity(new ActiveSettings(weighted), new RandomSource(1));
         EndpointEntry large = new EndpointEntry("d", 3, EndpointState.READY, "here", 0, 0);
--- a/decisions/src/test/java/trailthread/ListPollTest.java
+++ b/decisions/src/test/java/trailthread/ListPollTest.java
@@ -1,7 +1,7 @@
 package trailthread;
 
 import static org.junit.Assert.assertTrue;
-import static trailthread.Script.MS;
+import static trailthread.ScriptedBalancer.MS;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -28,30 +28,31 @@
     private static final int START_UP_MS = 1_400;
 
     /** Nodes whose watches have just broken. */
-    private static List<Script> fleet(int count) {
-        List<Script> nodes = fleet(count, ListKind.FULL);
+    private static List<ScriptedBalancer> fleet(int count) {
+        List<ScriptedBalancer> nodes = fleet(count, ListKind.FULL);
         nodes.forEach(s -> s.balancer.list(s.now, ListKind.FAILED, List.of()));
         return nodes;
     }
 
     /** Nodes that have just received their first list. */
-    private static List<Script> fleet(int count, ListKind first) {
-        List<Script> nodes = new ArrayList<>();
+    private static List<ScriptedBalancer> fleet(int count, ListKind first) {
+        List<ScriptedBalancer> nodes = new ArrayList<>();
         for (int me = 0; me < count; me++) {
             nodes.add(node(me, me, count, first, 0));
         }
         return nodes;
     }
 
-    private static Script node(int me, int seed, int count, ListKind first, int startsMs) {
-        Settings settings = Script.settings();
+    private static ScriptedBalancer node(
+            int me, int seed, int count, ListKind first, int startsMs) {
+        Settings settings = ScriptedBalancer.settings();
         settings.nodes = count;
         settings.me = me;
         settings.listIsPolled = true;
         settings.pollIntervalNs = POLL_INTERVAL_S * 1000 * MS;
-        Script s = new Script(settings, seed);
+        ScriptedBalancer s = new ScriptedBalancer(settings, seed);
         s.now += startsMs * MS;
-        s.balancer.list(s.now, first, List.of(Script.ready("a")));
+        s.balancer.list(s.now, first, List.of(ScriptedBalancer.ready("a")));
         return s;
     }
 
@@ -61,7 +62,7 @@
      */
     private static int[] pollsThatTimeOut(int count, long pollTimeoutMs) {
         int[] polls = new int[60];
-        for (Script s : fleet(count)) {
+        for (ScriptedBalancer s : fleet(count)) {
             int last = 0;
             for (int tick = 0; tick < 600; tick++) {
                 int before = s.watches;
@@ -109,7 +110,10 @@
      * @param servesTimedOutPolls whether it spends that time on polls that have timed out, too
      */
     private static int[] listReceivedAfterMs(
-            List<Script> nodes, int downMs, double handleMs, boolean servesTimedOutPolls) {
+            List<ScriptedBalancer> nodes,
+            int downMs,
+            double handleMs,
+            boolean servesTimedOutPolls) {
         return listReceivedAfterMs(
                 nodes, downMs, handleMs, POLL_TIMEOUT_MS, servesTimedOutPolls, 0, 0, 0);
     }
@@ -123,7 +127,7 @@
      * @param killedMs when they are killed, from the moment at which discovery can be reached
      */
     private static int[] listReceivedAfterMs(
-            List<Script> nodes,
+            List<ScriptedBalancer> nodes,
             int downMs,
             double handleMs,
             long pollTimeoutMs,
@@ -148,7 +152,7 @@
                 if (i < killed && killedFor == START_UP_MS) {
                     nodes.set(i, node(i, count + i, count, ListKind.CACHED, at));
                 }
-                Script s = nodes.get(i);
+                ScriptedBalancer s = nodes.get(i);
                 if (receivedAt[i] > 0) {
                     continue;
                 }
@@ -224,7 +228,7 @@
     public void nodesThatStartTogetherReceiveTheListInTime() {
         for (int count : new int[] {1, 12, 84}) {
             for (boolean servesTimedOutPolls : new boolean[] {false, true}) {
-                List<Script> nodes = fleet(120, ListKind.CACHED).subList(0, count);
+                List<ScriptedBalancer> nodes = fleet(120, ListKind.CACHED).subList(0, count);
                 int[] receivedAt = listReceivedAfterMs(nodes, 0, 50, servesTimedOutPolls);
                 assertTrue(Arrays.toString(receivedAt), receivedAt[count - 1] < LIST_DUE_MS);
             }
@@ -243,7 +247,7 @@
         for (int hangsMs : new int[] {0, 2_500}) {
             long inTime = 0;
             for (int i = 0; i < fleets; i++) {
-                List<Script> nodes = new ArrayList<>();
+                List<ScriptedBalancer> nodes = new ArrayList<>();
                 for (int me = 0; me < count; me++) {
                     nodes.add(node(me, 1_000 * i + me, count, ListKind.FULL, 0));
                 }
@@ -263,13 +267,13 @@
      */
     @Test
     public void aStartingNodePollsInTimeWhateverThePollInterval() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.nodes = 100;
         settings.listIsPolled = true;
         settings.pollIntervalNs = 3_600_000 * MS;
         for (int seed = 0; seed < 100; seed++) {
-            Script s = new Script(settings, seed);
-            s.balancer.list(s.now, ListKind.CACHED, List.of(Script.ready("a")));
+            ScriptedBalancer s = new ScriptedBalancer(settings, seed);
+            s.balancer.list(s.now, ListKind.CACHED, List.of(ScriptedBalancer.ready("a")));
             s.pass(LIST_DUE_MS * MS);
             assertTrue("seed " + seed, s.watches > 0);
         }
@@ -278,7 +282,7 @@
     /** Prevents a single node from polling an address that never responds many times a second. */
     @Test
     public void aSingleNodeBacksOff() {
-        Script s = fleet(1).get(0);
+        ScriptedBalancer s = fleet(1).get(0);
         for (int at = 0; at < 60_000; at += TICK_MS) {
             int before = s.watches;
             s.pass(TICK_MS * MS);
--- a/decisions/src/test/java/trailthread/ListWithoutLeaseTest.java
+++ b/decisions/src/test/java/trailthread/ListWithoutLeaseTest.java
@@ -9,7 +9,7 @@
 /** What the balancer does while it holds no lease on the endpoint list. */
 public class ListWithoutLeaseTest {
     private static final long MS = 1_000_000L;
-    private final Script script = new Script(Script.settings(), 1);
+    private final ScriptedBalancer script = new ScriptedBalancer(ScriptedBalancer.settings(), 1);
 
     public ListWithoutLeaseTest() {
         script.endpoints("a", "b", "c");
--- a/decisions/src/test/java/trailthread/LoadReportTest.java
+++ b/decisions/src/test/java/trailthread/LoadReportTest.java
@@ -1,7 +1,7 @@
 package trailthread;
 
 import static org.junit.Assert.assertTrue;
-import static trailthread.Script.MS;
+import static trailthread.ScriptedBalancer.MS;
 
 import org.junit.Test;
 import trailthread.api.Outcome;
@@ -12,7 +12,7 @@
 
     /** How often the second of two requests goes to another endpoint than the first. */
     private static int toOtherEndpoint(boolean freshReport) {
-        Script s = new Script(Script.settings(), 3);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 3);
         s.endpoints("a", "b");
         int toOtherEndpoint = 0;
         for (int i = 0; i < PAIRS; i++) {
@@ -20,7 +20,11 @@
             String firstEndpoint = s.sendsOf(first).get(0).endpoint();
             if (freshReport) {
                 s.balancer.healthChecked(
-                        s.now, firstEndpoint, Outcome.OK, MS, Script.queue(0.001 * (i % 2)));
+                        s.now,
+                        firstEndpoint,
+                        Outcome.OK,
+                        MS,
+                        ScriptedBalancer.queue(0.001 * (i % 2)));
             }
             long second = s.request("safe");
             toOtherEndpoint += s.sendsOf(second).get(0).endpoint().equals(firstEndpoint) ? 0 : 1;
--- a/decisions/src/test/java/trailthread/LostAnswerTest.java
+++ b/decisions/src/test/java/trailthread/LostResponseTest.java
@@ -2,15 +2,15 @@
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
-import static trailthread.Script.MS;
+import static trailthread.ScriptedBalancer.MS;
 
 import java.util.ArrayDeque;
 import org.junit.Test;
 import trailthread.api.Outcome;
 
 /** What a time-out and a lost response show of an endpoint. */
-public class LostAnswerTest {
-    private final Script s = new Script(Script.settings(), 7);
+public class LostResponseTest {
+    private final ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 7);
 
     private void serve(int requests) {
         for (int i = 0; i < requests; i++) {
@@ -100,7 +100,7 @@
         s.endpoints("a", "b");
         serve(400);
         int refused = s.refused.size();
-        ArrayDeque<Script.Send> inFlight = new ArrayDeque<>();
+        ArrayDeque<ScriptedBalancer.Send> inFlight = new ArrayDeque<>();
         int seen = s.sends.size();
         for (int i = 0; i < 600; i++) {
             s.request("unsafe");
--- a/decisions/src/test/java/trailthread/OperatorLogTest.java
+++ b/decisions/src/test/java/trailthread/OperatorLogTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static trailthread.Script.MS;
+import static trailthread.ScriptedBalancer.MS;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -11,13 +11,13 @@
 
 /** The log lines for operators that on-call.md names, at a limited rate. */
 final class OperatorLogTest {
-    private static long lines(Script s, String start) {
+    private static long lines(ScriptedBalancer s, String start) {
         return s.log.stream().filter(line -> line.startsWith(start)).count();
     }
 
     @Test
     void normalServiceLogsNothing() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         for (int i = 0; i < 200; i++) {
             long id = s.request("safe");
@@ -29,7 +29,7 @@
 
     @Test
     void anEjectionIsLoggedWithItsEndpoint() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b", "c");
         for (int i = 0; i < 100; i++) {
             long id = s.request("unsafe");
@@ -42,7 +42,7 @@
 
     @Test
     void suspendedEjectionIsLoggedAtALimitedRate() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         long from = s.now;
         for (int i = 0; i < 300; i++) {
@@ -58,7 +58,7 @@
 
     @Test
     void aJammedEndpointIsLogged() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         for (int i = 0; i < 500; i++) {
             long id = s.request("safe");
@@ -72,7 +72,7 @@
 
     @Test
     void rejectionsAreLoggedAtALimitedRate() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints();
         for (int i = 0; i < 50; i++) {
             s.request("safe");
@@ -86,7 +86,7 @@
 
     @Test
     void aFailedListPollIsLoggedOnce() {
-        Script s = new Script(Script.settings(), 5);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         s.balancer.list(s.now, ListKind.FAILED, List.of());
         s.balancer.list(s.now, ListKind.FAILED, List.of());
--- a/decisions/src/test/java/trailthread/PriorityPolicyTest.java
+++ b/decisions/src/test/java/trailthread/PriorityPolicyTest.java
@@ -11,7 +11,7 @@
 
 /** Objectives are 200 ms; a late answer earns 0.2 of the weight of 1. */
 class PriorityPolicyTest {
-    private final Settings settings = Script.settings();
+    private final Settings settings = ScriptedBalancer.settings();
     private final WiredModules modules = new WiredModules(settings);
     private final FairShare fairShare = new FairShare();
     private final PriorityPolicy priorities =
--- a/decisions/src/test/java/trailthread/QueueingTest.java
+++ b/decisions/src/test/java/trailthread/QueueingTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
-import static trailthread.Script.MS;
+import static trailthread.ScriptedBalancer.MS;
 
 import java.util.List;
 import org.junit.Test;
@@ -17,7 +17,7 @@
  * deadline.
  */
 public class QueueingTest {
-    private final Script s;
+    private final ScriptedBalancer s;
 
     public QueueingTest() {
         Settings settings = new Settings();
@@ -46,7 +46,7 @@
                         300 * MS,
                         1,
                         0));
-        s = new Script(settings, 7);
+        s = new ScriptedBalancer(settings, 7);
     }
 
     @Test
@@ -97,7 +97,7 @@
     /** Idle latencies of 95 ms exceed the target of 0.4 objectives (80 ms) without any overload. */
     @Test
     public void requestsToDistantEndpointsAreNotQueued() {
-        Script s = new Script(Script.settings(), 7);
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 7);
         s.endpoints("a", "b");
         int ended = 0;
         for (int step = 0; step < 4000; step++) {
--- a/decisions/src/test/java/trailthread/RandomizedRulesTest.java
+++ b/decisions/src/test/java/trailthread/RandomizedRulesTest.java
@@ -23,7 +23,7 @@
 
 /** Random legal events; the rules are checked from outside after each step. */
 class RandomizedRulesTest {
-    private static final long MS = Script.MS;
+    private static final long MS = ScriptedBalancer.MS;
     private static final Outcome[] OUTCOMES = {
         Outcome.OK,
         Outcome.OK,
@@ -39,14 +39,14 @@
         long deadline;
         RequestClass rules;
         boolean ended;
-        final List<Script.Send> sends = new ArrayList<>();
+        final List<ScriptedBalancer.Send> sends = new ArrayList<>();
         final List<Outcome> outcomes = new ArrayList<>();
     }
 
     private final Map<Long, ClientRequest> requests = new HashMap<>();
     private final Map<String, EndpointEntry> endpoints = new HashMap<>();
     private Settings settings;
-    private Script s;
+    private ScriptedBalancer s;
     private int sendsSeen;
     private final Set<Long> answeredIds = new HashSet<>();
 
@@ -54,14 +54,14 @@
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
     void theRulesHoldForRandomEvents(int seed) {
         Random random = new Random(seed);
-        settings = Script.settings();
+        settings = ScriptedBalancer.settings();
         settings.classes.add(keyed("keyed-all", DeduplicationScope.ALL, 400 * MS));
         settings.classes.add(keyed("keyed-zone", DeduplicationScope.ZONE, 2000 * MS));
         settings.mayHedge = seed % 2 == 0;
         settings.listIsPolled = seed % 3 == 0;
         settings.keyAffinity = seed % 4 == 0;
         settings.zone = "z0";
-        s = new Script(settings, seed);
+        s = new ScriptedBalancer(settings, seed);
         for (int i = 0; i < 8; i++) {
             EndpointEntry e = entry(i, EndpointState.READY, 0);
             endpoints.put(e.endpoint(), e);
@@ -130,7 +130,13 @@
                     boolean closes = a.ended || o == Outcome.OK;
                     a.ended |= o == Outcome.OK;
                     s.balancer.outcome(
-                            s.now, id, k, o, s.now - a.sends.get(k).at(), closes, Script.queue(0));
+                            s.now,
+                            id,
+                            k,
+                            o,
+                            s.now - a.sends.get(k).at(),
+                            closes,
+                            ScriptedBalancer.queue(0));
                     return;
                 }
             }
@@ -140,7 +146,7 @@
     /** Checks the actions of the balancer since the last step. */
     private void check() {
         for (; sendsSeen < s.sends.size(); sendsSeen++) {
-            Script.Send send = s.sends.get(sendsSeen);
+            ScriptedBalancer.Send send = s.sends.get(sendsSeen);
             ClientRequest a = requests.get(send.id());
             assertFalse(a.ended, "a send after the end of " + send.id());
             assertTrue(a.sends.size() < settings.maxAttempts, "too many attempts of " + send.id());
@@ -182,7 +188,7 @@
         a.ended = true;
     }
 
-    private void checkRetryIsHarmless(ClientRequest a, Script.Send send) {
+    private void checkRetryIsHarmless(ClientRequest a, ScriptedBalancer.Send send) {
         for (int k = 0; k < a.sends.size(); k++) {
             Outcome o = a.outcomes.get(k);
             assertTrue(o != null || settings.mayHedge, "overlapping attempts of " + send.id());
--- a/decisions/src/test/java/trailthread/RequestQueueTest.java
+++ b/decisions/src/test/java/trailthread/RequestQueueTest.java
@@ -42,7 +42,7 @@
 
     /** With a class of ten times the priority weight of the others. */
     private static Settings settings() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.classes.add(
                 new RequestClass(
                         "heavy",
@@ -121,7 +121,7 @@
     void oneTimerAtATimeReleasesWhatIsQueued() {
         add("safe", null);
         add("safe", null);
-        List<Script.Timer> timers = modules.actions.timers;
+        List<ScriptedBalancer.Timer> timers = modules.actions.timers;
         assertEquals(1, timers.size());
         long delayNs = timers.get(0).at() - modules.actions.now;
         assertTrue(delayNs >= 8 * MS && delayNs <= 12 * MS, "delay " + delayNs);
--- a/decisions/src/test/java/trailthread/RequestTest.java
+++ b/decisions/src/test/java/trailthread/RequestTest.java
@@ -21,7 +21,7 @@
 
     /** With a class whose objective grows by twice the work. */
     private static Settings settings() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.classes.add(
                 new RequestClass(
                         "scaled",
--- a/decisions/src/test/java/trailthread/RetryPolicyTest.java
+++ b/decisions/src/test/java/trailthread/RetryPolicyTest.java
@@ -20,7 +20,7 @@
 
     /** With a class of a deduplication window of 400 ms that all endpoints share. */
     private static Settings settings() {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.connectTimeoutNs = 100 * MS;
         settings.classes.add(
                 new RequestClass(
--- a/decisions/src/test/java/trailthread/RetryTest.java
+++ b/decisions/src/test/java/trailthread/RetryTest.java
@@ -16,7 +16,7 @@
  * written, a rejection, or a failure.
  */
 public class RetryTest {
-    private static final long MS = Script.MS;
+    private static final long MS = ScriptedBalancer.MS;
     private static final List<String> CLASSES =
             List.of("safe", "keyed", "keyed-everywhere", "unsafe");
     private static final List<Outcome> NEVER_RAN =
@@ -38,11 +38,11 @@
                 0.2);
     }
 
-    private static Script script(int attempts) {
-        Settings settings = Script.settings();
+    private static ScriptedBalancer script(int attempts) {
+        Settings settings = ScriptedBalancer.settings();
         settings.classes.add(keyed("keyed-everywhere", DeduplicationScope.ALL, 2000 * MS));
         settings.maxAttempts = attempts;
-        Script script = new Script(settings, 1);
+        ScriptedBalancer script = new ScriptedBalancer(settings, 1);
         script.endpoints("a", "b");
         return script;
     }
@@ -74,7 +74,7 @@
     }
 
     private static String resultAfter(String name, Outcome outcome, int attempts) {
-        Script s = script(attempts);
+        ScriptedBalancer s = script(attempts);
         long id = s.request(name);
         s.end(id, outcome);
         return s.sendsOf(id).size() > 1 ? "retried" : s.refused.contains(id) ? "refused" : "failed";
@@ -85,12 +85,12 @@
     public void aRetryIsWrittenWithinTheDeduplicationWindowOfTheFirstThatMayHaveRun() {
         for (String name : CLASSES) {
             for (boolean mayHaveRun : new boolean[] {true, false}) {
-                Settings settings = Script.settings();
+                Settings settings = ScriptedBalancer.settings();
                 settings.classes.removeIf(c -> c.name().equals("keyed"));
                 settings.classes.add(keyed("keyed", DeduplicationScope.CELL, 400 * MS));
                 settings.classes.add(keyed("keyed-everywhere", DeduplicationScope.ALL, 400 * MS));
                 settings.maxAttempts = 6;
-                Script s = new Script(settings, 1);
+                ScriptedBalancer s = new ScriptedBalancer(settings, 1);
                 s.endpoints("a", "b", "c", "d");
                 long id = s.request(name);
                 long deadline = s.now + 1000 * MS;
@@ -99,7 +99,7 @@
                 long second = s.now;
                 s.pass(20 * MS);
                 s.end(id, mayHaveRun && !name.equals("unsafe") ? Outcome.ERROR : Outcome.REJECTED);
-                List<Script.Send> sends = s.sendsOf(id);
+                List<ScriptedBalancer.Send> sends = s.sendsOf(id);
                 assertTrue(name, sends.size() >= 3);
                 boolean isBoundByWindow = mayHaveRun && name.startsWith("keyed");
                 assertEquals(name, deadline, sends.get(0).writtenBy());
--- a/decisions/src/test/java/trailthread/Script.java
+++ b/decisions/src/test/java/trailthread/ScriptedBalancer.java
@@ -14,7 +14,7 @@
 import trailthread.api.Settings;
 
 /** A balancer with a scripted clock; what it asks for is recorded, nothing is simulated. */
-final class Script implements BalancerActions {
+final class ScriptedBalancer implements BalancerActions {
     static final long MS = 1_000_000L;
 
     /** One send, in the order of its request's. */
@@ -39,7 +39,7 @@
     long nextId = 1;
     final Balancer balancer;
 
-    Script(Settings settings, long seed) {
+    ScriptedBalancer(Settings settings, long seed) {
         balancer = new Balancer(settings, seed, now, this);
     }
 
--- a/decisions/src/test/java/trailthread/SlowStartBudgetTest.java
+++ b/decisions/src/test/java/trailthread/SlowStartBudgetTest.java
@@ -1,7 +1,7 @@
 package trailthread;
 
 import static org.junit.Assert.assertTrue;
-import static trailthread.Script.MS;
+import static trailthread.ScriptedBalancer.MS;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -26,14 +26,14 @@
      * and can serve half as much as warm ones.
      */
     private static double shareOfStartingEndpoints(long seed) {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.nodes = 90;
         settings.slowStartInitialShare = 0.5;
         settings.slowStartNs = 100_000_000 * MS;
-        Script s = new Script(settings, seed);
+        ScriptedBalancer s = new ScriptedBalancer(settings, seed);
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < WARM_ENDPOINTS; i++) {
-            entries.add(Script.ready("warm-" + i));
+            entries.add(ScriptedBalancer.ready("warm-" + i));
         }
         for (int i = 0; i < STARTING_ENDPOINTS; i++) {
             entries.add(
@@ -50,7 +50,7 @@
                 / (double) REQUESTS;
     }
 
-    private static void serve(Script s, int requests) {
+    private static void serve(ScriptedBalancer s, int requests) {
         for (int i = 0; i < requests; i++) {
             long id = s.request("safe");
             s.pass(20 * MS);
--- a/decisions/src/test/java/trailthread/SlowStartFleetTest.java
+++ b/decisions/src/test/java/trailthread/SlowStartFleetTest.java
@@ -1,7 +1,7 @@
 package trailthread;
 
 import static org.junit.Assert.assertTrue;
-import static trailthread.Script.MS;
+import static trailthread.ScriptedBalancer.MS;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -44,7 +44,7 @@
      */
     private static void simulateNode(
             int nodes, int node, long seed, Map<String, NavigableMap<Long, Integer>> sent) {
-        Settings settings = Script.settings();
+        Settings settings = ScriptedBalancer.settings();
         settings.nodes = nodes;
         settings.me = node;
         settings.overloadMultiple = OVERLOAD_MULTIPLE;
@@ -52,7 +52,7 @@
         settings.slowStartInitialShare = INITIAL_SHARE;
         settings.slowStartNs = SLOW_START_MS * MS;
         SplittableRandom random = new SplittableRandom(seed * 1_000 + node);
-        Script s = new Script(settings, random.nextLong());
+        ScriptedBalancer s = new ScriptedBalancer(settings, random.nextLong());
         long start = s.now;
         announceEndpoints(s, 0);
         double trafficFactor = 2 * random.nextDouble(); // traffic is spread unevenly
@@ -76,7 +76,7 @@
                 s.request("safe");
             }
             for (; sendsSeen < s.sends.size(); sendsSeen++) {
-                Script.Send send = s.sends.get(sendsSeen);
+                ScriptedBalancer.Send send = s.sends.get(sendsSeen);
                 responses.add(new Response(at + 15 + random.nextInt(15), send.id()));
                 if (send.endpoint().startsWith("restarted")) {
                     sent.computeIfAbsent(send.endpoint(), none -> new TreeMap<>())
@@ -86,12 +86,12 @@
         }
     }
 
-    private static void announceEndpoints(Script s, long readyAt) {
+    private static void announceEndpoints(ScriptedBalancer s, long readyAt) {
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
             entries.add(
                     readyAt == 0 || i >= RESTARTED_ENDPOINTS
-                            ? Script.ready("warm-" + i)
+                            ? ScriptedBalancer.ready("warm-" + i)
                             : new EndpointEntry(
                                     "restarted-" + i, 1, EndpointState.READY, "here", readyAt, 0));
         }
--- a/decisions/src/test/java/trailthread/WiredModules.java
+++ b/decisions/src/test/java/trailthread/WiredModules.java
@@ -9,12 +9,12 @@
 
 /** The modules that most others need, wired as in {@link Balancer}; actions are recorded. */
 final class WiredModules {
-    static final long MS = Script.MS;
+    static final long MS = ScriptedBalancer.MS;
 
     /** When the modules are made, by the clock of the events. */
     static final long NOW = 1_000_000_000_000L;
 
-    final Script actions;
+    final ScriptedBalancer actions;
     final ActiveSettings settings;
     final RandomSource random = new RandomSource(1);
     final EndpointSubset subset = new EndpointSubset();
@@ -31,11 +31,11 @@
     private int nextId = 1;
 
     WiredModules() {
-        this(Script.settings());
+        this(ScriptedBalancer.settings());
     }
 
     WiredModules(Settings initial) {
-        actions = new Script(initial, 1);
+        actions = new ScriptedBalancer(initial, 1);
         settings = new ActiveSettings(initial);
         means = new WorkloadMeans(settings.tightestObjectiveNs());
         estimator = new LoadEstimator(settings, means);
