--- a/decisions/src/test/java/trailthread/AdmissionTest.java
+++ b/decisions/src/test/java/trailthread/AdmissionTest.java
@@ -29,7 +29,7 @@
         long shed = s.request("safe");
         long admitted = s.request("unsafe");
         assertEquals(List.of(shed), s.refused);
-        assertTrue(s.stayAway > 0);
+        assertTrue(s.lastRetryAfterNs > 0);
         assertTrue(s.sendsOf(shed).isEmpty());
         assertEquals(1, s.sendsOf(admitted).size());
         assertTrue(drawn.size() == 2 && drawn.stream().allMatch(d -> d >= 0 && d < 1));
--- a/decisions/src/test/java/trailthread/FinalResponderTest.java
+++ b/decisions/src/test/java/trailthread/FinalResponderTest.java
@@ -42,8 +42,8 @@
         long most = 0;
         for (int i = 0; i < 200; i++) {
             answered("safe", Outcome.REJECTED);
-            least = Math.min(least, modules.actions.stayAway);
-            most = Math.max(most, modules.actions.stayAway);
+            least = Math.min(least, modules.actions.lastRetryAfterNs);
+            most = Math.max(most, modules.actions.lastRetryAfterNs);
         }
         assertTrue(least >= 400 * MS && least < 420 * MS, "least " + least);
         assertTrue(most <= 600 * MS && most > 580 * MS, "most " + most);
@@ -53,6 +53,6 @@
     void noAdviceIsGivenToClientsThatDoNotHonourIt() {
         settings.maxRetryAfterNs = 600 * MS;
         answered("safe", Outcome.REJECTED);
-        assertEquals(0, modules.actions.stayAway);
+        assertEquals(0, modules.actions.lastRetryAfterNs);
     }
 }
--- a/decisions/src/test/java/trailthread/FleetTest.java
+++ b/decisions/src/test/java/trailthread/FleetTest.java
@@ -254,8 +254,10 @@
             s.request("safe");
             s.pass(1000 * MS);
             assertEquals(1, s.refused.size());
-            assertEquals(honoursRetryAfter, s.stayAway > 0);
-            assertTrue(s.stayAway <= 500 * MS, "at most what they heed: " + s.stayAway);
+            assertEquals(honoursRetryAfter, s.lastRetryAfterNs > 0);
+            assertTrue(
+                    s.lastRetryAfterNs <= 500 * MS,
+                    "at most what they heed: " + s.lastRetryAfterNs);
         }
     }
 
--- a/decisions/src/test/java/trailthread/ListPollTest.java
+++ b/decisions/src/test/java/trailthread/ListPollTest.java
@@ -22,11 +22,6 @@
     /** A poll that waits for longer fails. */
     private static final long POLL_TIMEOUT_MS = 2_000;
 
-    private static final int TICK_MS = 10;
-
-    /** Time from the start of a process to its first event. */
-    private static final int START_UP_MS = 1_400;
-
     /** Nodes whose watches have just broken. */
     private static List<ScriptedBalancer> fleet(int count) {
         List<ScriptedBalancer> nodes = fleet(count, ListKind.FULL);
@@ -102,91 +97,13 @@
     }
 
     /**
-     * When each node receives the list, in milliseconds from the moment at which discovery can be
-     * reached, sorted.
-     *
-     * @param downMs for how long discovery is down from now on; polls fail at once meanwhile
-     * @param handleMs how long discovery takes to serve one poll
-     * @param servesTimedOutPolls whether it spends that time on polls that have timed out, too
+     * As {@link SimulatedDiscovery#receivedAfterMs}, with polls that wait for up to two seconds.
      */
     private static int[] listReceivedAfterMs(
-            List<ScriptedBalancer> nodes,
-            int downMs,
-            double handleMs,
-            boolean servesTimedOutPolls) {
-        return listReceivedAfterMs(
-                nodes, downMs, handleMs, POLL_TIMEOUT_MS, servesTimedOutPolls, 0, 0, 0);
-    }
-
-    /**
-     * The same where some of the nodes are killed and start again.
-     *
-     * @param pollTimeoutMs a poll that waits for longer fails
-     * @param hangsMs for how long before discovery can be reached polls time out, not fail at once
-     * @param killed how many nodes, from the first on
-     * @param killedMs when they are killed, from the moment at which discovery can be reached
-     */
-    private static int[] listReceivedAfterMs(
-            List<ScriptedBalancer> nodes,
-            int downMs,
-            double handleMs,
-            long pollTimeoutMs,
-            boolean servesTimedOutPolls,
-            int hangsMs,
-            int killed,
-            int killedMs) {
-        int count = nodes.size();
-        int[] receivedAt = new int[count];
-        int[] endsAt = new int[count];
-        boolean[] fails = new boolean[count];
-        double free = downMs;
-        for (int at = 0, left = count; left > 0 && at < downMs + 120_000; at += TICK_MS) {
-            int killedFor = at - downMs - killedMs;
-            for (int i = 0; i < count; i++) {
-                if (i < killed && killedFor >= 0 && killedFor < START_UP_MS) {
-                    left += receivedAt[i] > 0 ? 1 : 0;
-                    receivedAt[i] = 0;
-                    endsAt[i] = 0;
-                    continue;
-                }
-                if (i < killed && killedFor == START_UP_MS) {
-                    nodes.set(i, node(i, count + i, count, ListKind.CACHED, at));
-                }
-                ScriptedBalancer s = nodes.get(i);
-                if (receivedAt[i] > 0) {
-                    continue;
-                }
-                if (endsAt[i] > 0 && at >= endsAt[i]) {
-                    endsAt[i] = 0;
-                    if (!fails[i]) {
-                        receivedAt[i] = at - downMs;
-                        left--;
-                        continue;
-                    }
-                    s.balancer.list(s.now, ListKind.FAILED, List.of());
-                }
-                int before = s.watches;
-                s.pass(TICK_MS * MS);
-                if (s.watches > before && endsAt[i] == 0) {
-                    double waits = Math.max(0, free - at);
-                    fails[i] = at < downMs || waits > pollTimeoutMs;
-                    boolean down = at < downMs;
-                    double waitedFor =
-                            !down
-                                    ? Math.min(pollTimeoutMs, waits + handleMs)
-                                    : at >= downMs - hangsMs ? pollTimeoutMs : 0;
-                    endsAt[i] = at + TICK_MS + (int) waitedFor;
-                    free =
-                            down || (fails[i] && !servesTimedOutPolls)
-                                    ? free
-                                    : Math.max(free, at) + handleMs;
-                }
-            }
-        }
-        return Arrays.stream(receivedAt)
-                .map(ms -> ms == 0 ? Integer.MAX_VALUE : ms)
-                .sorted()
-                .toArray();
+            List<ScriptedBalancer> nodes, int downMs, double serveMs, boolean servesTimedOutPolls) {
+        SimulatedDiscovery.Outage outage = new SimulatedDiscovery.Outage(downMs, 0);
+        return new SimulatedDiscovery(serveMs, POLL_TIMEOUT_MS, servesTimedOutPolls, outage)
+                .receivedAfterMs(nodes);
     }
 
     /**
@@ -252,8 +169,14 @@
                     nodes.add(node(me, 1_000 * i + me, count, ListKind.FULL, 0));
                 }
                 nodes.forEach(s -> s.balancer.list(s.now, ListKind.FAILED, List.of()));
-                int[] receivedAt =
-                        listReceivedAfterMs(nodes, 8_000, 58, 1_500, true, hangsMs, 76, killedMs);
+                SimulatedDiscovery discovery =
+                        new SimulatedDiscovery(
+                                58, 1_500, true, new SimulatedDiscovery.Outage(8_000, hangsMs));
+                discovery.kill(
+                        76,
+                        killedMs,
+                        (me, atMs) -> node(me, count + me, count, ListKind.CACHED, atMs));
+                int[] receivedAt = discovery.receivedAfterMs(nodes);
                 inTime +=
                         IntStream.of(receivedAt).filter(ms -> ms <= killedMs + LIST_DUE_MS).count();
             }
@@ -283,9 +206,9 @@
     @Test
     public void aSingleNodeBacksOff() {
         ScriptedBalancer s = fleet(1).get(0);
-        for (int at = 0; at < 60_000; at += TICK_MS) {
+        for (int at = 0; at < 60_000; at += SimulatedDiscovery.TICK_MS) {
             int before = s.watches;
-            s.pass(TICK_MS * MS);
+            s.pass(SimulatedDiscovery.TICK_MS * MS);
             if (s.watches > before) {
                 s.balancer.list(s.now, ListKind.FAILED, List.of());
             }
--- a/decisions/src/test/java/trailthread/QueueingTest.java
+++ b/decisions/src/test/java/trailthread/QueueingTest.java
@@ -57,7 +57,7 @@
         assertTrue("it may yet earn", s.refused.isEmpty());
         s.pass(MS);
         assertEquals(List.of(id), s.refused);
-        assertTrue(s.stayAway > 0);
+        assertTrue(s.lastRetryAfterNs > 0);
     }
 
     @Test
--- a/decisions/src/test/java/trailthread/ScriptedBalancer.java
+++ b/decisions/src/test/java/trailthread/ScriptedBalancer.java
@@ -13,14 +13,20 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/** A balancer with a scripted clock; what it asks for is recorded, nothing is simulated. */
+/** A balancer with a scripted clock. Its actions are recorded; no endpoint is simulated. */
 final class ScriptedBalancer implements BalancerActions {
     static final long MS = 1_000_000L;
 
-    /** One send, in the order of its request's. */
+    /**
+     * One attempt that the balancer has sent.
+     *
+     * @param at when, by the clock of the events
+     * @param attempt its number in the request, from 0 on
+     * @param writtenBy until when it may be written
+     */
     record Send(long id, String endpoint, long at, int attempt, long writtenBy) {}
 
-    /** One timer that is still to come due. */
+    /** One timer that is not due yet. */
     record Timer(long at, long token) {}
 
     final List<Send> sends = new ArrayList<>();
@@ -32,8 +38,8 @@
     final StringBuilder transcript = new StringBuilder();
     int watches;
 
-    /** What the last refused client was told. */
-    long stayAway;
+    /** The Retry-After of the last refusal, in nanoseconds; 0: none. */
+    long lastRetryAfterNs;
 
     long now = 1_000_000_000_000L;
     long nextId = 1;
@@ -103,7 +109,7 @@
         return id;
     }
 
-    /** Sends of one request so far. */
+    /** The attempts of one request that have been sent so far. */
     List<Send> sendsOf(long id) {
         return sends.stream().filter(s -> s.id() == id).toList();
     }
@@ -112,7 +118,7 @@
         end(id, outcome, null);
     }
 
-    /** Ends the last attempt of a request. */
+    /** Ends the last attempt of a request, with the load report that came with its response. */
     void end(long id, Outcome outcome, LoadReport load) {
         Send last = sendsOf(id).get(sendsOf(id).size() - 1);
         balancer.outcome(
@@ -123,7 +129,7 @@
         return new LoadReport(Double.NaN, queue, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
-    /** Moves the clock on, delivering timers as they come due. */
+    /** Advances the clock, and delivers timers as they become due. */
     void pass(long ns) {
         long until = now + ns;
         while (true) {
@@ -159,7 +165,7 @@
     @Override
     public void refuse(long id, long retryAfterNs) {
         refused.add(id);
-        stayAway = retryAfterNs;
+        lastRetryAfterNs = retryAfterNs;
         transcript.append("refuse ").append(id).append('\n');
     }
 
