--- a/decisions/src/test/java/trailthread/SlowStartFleetTest.java
+++ b/decisions/src/test/java/trailthread/SlowStartFleetTest.java
@@ -33,6 +33,15 @@
     private static final long END_AT_MS = 27_000;
     private static final long OVERLOAD_WINDOW_MS = 3_000;
     private static final double OVERLOAD_MULTIPLE = 1;
+
+    /** Requests as a share of what all endpoints can serve when warm, before and after. */
+    private static final double LOAD_BEFORE = 0.5;
+
+    private static final double LOAD_AFTER = 0.8;
+
+    private static final int STEP_MS = 5;
+    private static final double STEP_S = 0.005;
+
     private static final double INITIAL_SHARE = 0.2;
     private static final long SLOW_START_MS = 10_000;
 
@@ -60,7 +69,7 @@
                 new PriorityQueue<>((a, b) -> Long.compare(a.at(), b.at()));
         int sendsSeen = 0;
         boolean restarted = false;
-        for (long at = 0; at < END_AT_MS; at += 5) {
+        for (long at = 0; at < END_AT_MS; at += STEP_MS) {
             s.pass(start + at * MS - s.now);
             if (!restarted && at >= RESTART_AT_MS) {
                 restarted = true;
@@ -69,10 +78,9 @@
             while (!responses.isEmpty() && responses.peek().at() <= at) {
                 s.end(responses.poll().id(), Outcome.OK);
             }
-            double load =
-                    at < RESTART_AT_MS ? 0.5 : 0.8; // share of all endpoints' capacity when warm
+            double load = at < RESTART_AT_MS ? LOAD_BEFORE : LOAD_AFTER;
             if (random.nextDouble()
-                    < load * trafficFactor * ENDPOINTS * WARM_CAPACITY_PER_S / nodes * 0.005) {
+                    < load * trafficFactor * ENDPOINTS * WARM_CAPACITY_PER_S / nodes * STEP_S) {
                 s.request("safe");
             }
             for (; sendsSeen < s.sends.size(); sendsSeen++) {
@@ -110,36 +118,25 @@
                     simulateNode(nodes, node, seed, sent);
                 }
                 assertTrue("restarted endpoints are used", sent.size() == RESTARTED_ENDPOINTS);
-                for (Map.Entry<String, NavigableMap<Long, Integer>> e : sent.entrySet()) {
-                    for (long at : e.getValue().keySet()) {
-                        int count =
-                                e
-                                        .getValue()
-                                        .subMap(at - OVERLOAD_WINDOW_MS, false, at, true)
-                                        .values()
-                                        .stream()
-                                        .mapToInt(Integer::intValue)
-                                        .sum();
-                        double age = Math.min(1, (double) (at - RESTART_AT_MS) / SLOW_START_MS);
-                        double capacityShare = INITIAL_SHARE + (1 - INITIAL_SHARE) * age;
-                        double capacity =
-                                OVERLOAD_MULTIPLE
-                                        * capacityShare
-                                        * WARM_CAPACITY_PER_S
-                                        * OVERLOAD_WINDOW_MS
-                                        / 1_000;
-                        assertTrue(
-                                nodes
-                                        + " nodes sent it "
-                                        + count
-                                        + " by "
-                                        + at
-                                        + " ms, its capacity is "
-                                        + capacity,
-                                count <= capacity + 2 * Math.sqrt(capacity) + 2);
-                    }
-                }
+                sent.values().forEach(sends -> assertNeverOverloaded(nodes, sends));
             }
         }
     }
+
+    /** Checks the number of sends in each overload window that ends with a send. */
+    private static void assertNeverOverloaded(int nodes, NavigableMap<Long, Integer> sends) {
+        for (long at : sends.keySet()) {
+            int count =
+                    sends.subMap(at - OVERLOAD_WINDOW_MS, false, at, true).values().stream()
+                            .mapToInt(Integer::intValue)
+                            .sum();
+            double age = Math.min(1, (double) (at - RESTART_AT_MS) / SLOW_START_MS);
+            double capacityShare = INITIAL_SHARE + (1 - INITIAL_SHARE) * age;
+            double perSecond = OVERLOAD_MULTIPLE * capacityShare * WARM_CAPACITY_PER_S;
+            double capacity = perSecond * OVERLOAD_WINDOW_MS / 1_000;
+            assertTrue(
+                    nodes + " nodes sent " + count + " by " + at + " ms, capacity " + capacity,
+                    count <= capacity + 2 * Math.sqrt(capacity) + 2);
+        }
+    }
 }
