--- a/decisions/src/test/java/trailthread/FaultHandlingTest.java
+++ b/decisions/src/test/java/trailthread/FaultHandlingTest.java
@@ -7,6 +7,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import org.junit.jupiter.api.Test;
 import trailthread.api.EndpointEntry;
 import trailthread.api.EndpointState;
@@ -175,4 +176,97 @@
         }
         assertTrue(s.sends.size() - before <= 1, "at once: " + (s.sends.size() - before));
     }
+
+    @Test
+    void anEndpointThatFailsFastIsEjectedAndTriedAgainLater() {
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
+        s.endpoints("a", "b", "c");
+        int toA = 0;
+        for (int i = 0; i < 300; i++) {
+            long id = s.request("unsafe");
+            if (s.sendsOf(id).get(0).endpoint().equals("a")) {
+                toA++;
+                s.pass(MS);
+                s.end(id, Outcome.ERROR);
+            } else {
+                s.pass(20 * MS);
+                s.end(id, Outcome.OK);
+            }
+        }
+        assertTrue(toA <= 3, "unsafe sends to the failing one: " + toA);
+        s.pass(20_000 * MS);
+        boolean tried = false;
+        for (int i = 0; i < 50 && !tried; i++) {
+            long id = s.request("safe");
+            tried = s.sendsOf(id).get(0).endpoint().equals("a");
+            s.pass(20 * MS);
+            s.end(id, Outcome.OK);
+        }
+        assertTrue(tried, "half-open trial");
+    }
+
+    @Test
+    void aNodeThatSeesAllEndpointsFailEjectsNone() {
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
+        s.endpoints("a", "b");
+        for (int i = 0; i < 30; i++) {
+            long id = s.request("unsafe");
+            s.pass(300 * MS);
+            assertEquals(1, s.sendsOf(id).size(), "request " + i);
+            s.end(id, Outcome.ERROR);
+        }
+    }
+
+    @Test
+    void aFullEndpointIsNotFlooded() {
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
+        s.endpoints("a");
+        int sends = 0;
+        for (int i = 0; i < 100; i++) {
+            long id = s.request("safe");
+            if (!s.sendsOf(id).isEmpty()) {
+                s.end(id, Outcome.REJECTED);
+                sends++;
+            }
+            s.pass(MS);
+        }
+        assertTrue(sends < 20, "sends to a full backend in 100 ms: " + sends);
+    }
+
+    @Test
+    void anEndpointThatDoesNotRespondGetsNoMoreRequests() {
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
+        s.endpoints("a", "b");
+        EndpointChoiceTest.serve(s, 200, 20 * MS, 20 * MS);
+        long stuck = s.request("safe");
+        String unresponsive = s.sendsOf(stuck).get(0).endpoint();
+        s.pass(300 * MS);
+        for (int i = 0; i < 20; i++) {
+            long id = s.request("safe");
+            assertNotEquals(unresponsive, s.sendsOf(id).get(0).endpoint());
+            s.pass(20 * MS);
+            s.end(id, Outcome.OK);
+        }
+    }
+
+    @Test
+    void aJammedEndpointRestsAndIsTriedAgain() {
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
+        s.endpoints("a", "b");
+        EndpointChoiceTest.serve(s, 300, 20 * MS, 20 * MS);
+        for (int i = 0; i < 200; i++) {
+            long id = s.request("safe");
+            s.pass(s.sendsOf(id).get(0).endpoint().equals("a") ? 150 * MS : 20 * MS);
+            s.end(id, Outcome.OK);
+        }
+        int before = (int) s.sends.stream().filter(x -> x.endpoint().equals("a")).count();
+        long from = s.now;
+        EndpointChoiceTest.serve(s, 100, 150 * MS, 20 * MS);
+        int during = (int) s.sends.stream().filter(x -> x.endpoint().equals("a")).count() - before;
+        assertTrue(
+                during <= 3, "sends to a jammed one in " + (s.now - from) / MS + " ms: " + during);
+        s.pass(20_000 * MS);
+        Map<String, Integer> after = EndpointChoiceTest.serve(s, 400, 20 * MS, 20 * MS);
+        assertTrue(after.getOrDefault("a", 0) > 50, "after it recovered: " + after);
+    }
 }
