--- a/decisions/src/test/java/trailthread/AdmissionTest.java
+++ b/decisions/src/test/java/trailthread/AdmissionTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
-import static trailthread.Script.MS;
+import static trailthread.ScriptedBalancer.MS;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,15 +10,15 @@
 import trailthread.api.Settings;
 import trailthread.api.Tenant;
 
-/** What the host does not allow is turned away at once, and nothing else is. */
+/** Requests that the host does not admit are rejected at once, and no others. */
 public class AdmissionTest {
-    private final Settings settings = Script.settings();
+    private final Settings settings = ScriptedBalancer.settings();
 
     @Test
-    public void whatIsNotTakenIsRefusedAtOnceWithAdvice() {
+    public void rejectsWhatIsNotAdmittedAtOnceWithRetryAfter() {
         settings.retryAfter = true;
         settings.maxRetryAfterNs = 500 * MS;
-        Script s = new Script(settings, 3);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 3);
         s.endpoints("a", "b");
         List<Double> drawn = new ArrayList<>();
         s.balancer.admit(
@@ -27,20 +27,20 @@
                     return !requestClass.equals("safe");
                 });
         long shed = s.request("safe");
-        long taken = s.request("unsafe");
+        long admitted = s.request("unsafe");
         assertEquals(List.of(shed), s.refused);
-        assertTrue(s.stayAway > 0);
+        assertTrue(s.lastRetryAfterNs > 0);
         assertTrue(s.sendsOf(shed).isEmpty());
-        assertEquals(1, s.sendsOf(taken).size());
+        assertEquals(1, s.sendsOf(admitted).size());
         assertTrue(drawn.size() == 2 && drawn.stream().allMatch(d -> d >= 0 && d < 1));
         s.balancer.admit(null);
         assertEquals(1, s.sendsOf(s.request("safe")).size());
     }
 
     @Test
-    public void itHearsWhetherTheTenantIsOverItsQuota() {
+    public void admissionLearnsWhetherTheTenantIsOverItsQuota() {
         settings.tenants.add(new Tenant("acme", 1, 1));
-        Script s = new Script(settings, 3);
+        ScriptedBalancer s = new ScriptedBalancer(settings, 3);
         s.endpoints("a", "b");
         s.balancer.admit((requestClass, overQuota, random) -> !overQuota);
         s.balancer.request(s.now, 1, "safe", 0, s.now + 1000 * MS, "acme", false, 0);
@@ -48,14 +48,14 @@
         assertEquals(List.of(2L), s.refused);
     }
 
-    /** Runs that were recorded before there was an admission must come out as they did. */
+    /** Replays of recorded runs without an admission must give the same actions. */
     @Test
-    public void withoutOneNothingIsDrawnForIt() {
-        Script with = new Script(settings, 3);
+    public void drawsNoRandomNumberWithoutAnAdmission() {
+        ScriptedBalancer with = new ScriptedBalancer(settings, 3);
         with.balancer.admit((requestClass, overQuota, random) -> true);
         with.balancer.admit(null);
-        Script without = new Script(settings, 3);
-        for (Script s : List.of(with, without)) {
+        ScriptedBalancer without = new ScriptedBalancer(settings, 3);
+        for (ScriptedBalancer s : List.of(with, without)) {
             s.endpoints("a", "b", "c");
             for (int i = 0; i < 20; i++) {
                 s.request("safe");
--- a/decisions/src/test/java/trailthread/RulesTest.java
+++ b/decisions/src/test/java/trailthread/BalancerRulesTest.java
@@ -16,17 +16,17 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/** The four rules, each by the guard that keeps it. */
-class RulesTest {
-    private static final long MS = Script.MS;
-    private final Script s = new Script(Script.settings(), 1);
+/** The rules for queueing, retries, attempts in flight and endpoints that leave, one by one. */
+class BalancerRulesTest {
+    private static final long MS = ScriptedBalancer.MS;
+    private final ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 1);
 
     private static EndpointEntry inCell(String name, int cell) {
         return new EndpointEntry(name, 1, EndpointState.READY, "here", 0, cell);
     }
 
     @Test
-    void aRequestWithNoBackendIsHeldThenRefusedInTime() {
+    void aRequestWithoutAnEndpointIsQueuedThenRejectedInTime() {
         s.endpoints();
         long id = s.request("safe");
         s.pass(900 * MS);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aHeldRequestGoesOutWhenABackendAppears() {
+    void aQueuedRequestIsSentWhenAnEndpointAppears() {
         s.endpoints();
         long id = s.request("unsafe");
         s.pass(50 * MS);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void anUnsafeRequestThatMayHaveRunFailsAndIsNeitherRepeatedNorRefused() {
+    void aNonIdempotentRequestThatMayHaveRunFailsAndIsNeitherRetriedNorRejected() {
         s.endpoints("a", "b");
         for (Outcome o : List.of(Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)) {
             long id = s.request("unsafe");
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void anUnsafeRequestThatNeverRanIsRepeatedElsewhere() {
+    void aNonIdempotentRequestThatNeverRanIsRetriedAtAnotherEndpoint() {
         s.endpoints("a", "b");
         long id = s.request("unsafe");
         s.end(id, Outcome.REJECTED);
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void anUnsafeRequestInFlightAtItsDeadlineFails() {
+    void aNonIdempotentRequestInFlightAtItsDeadlineFails() {
         s.endpoints("a");
         long id = s.request("unsafe");
         s.pass(1100 * MS);
@@ -77,9 +77,9 @@
     }
 
     @Test
-    void aKeyedRequestThatMayHaveRunStaysInItsGroup() {
+    void aKeyedRequestThatMayHaveRunStaysInItsDeduplicationCell() {
         for (int seed = 0; seed < 30; seed++) {
-            Script t = new Script(Script.settings(), seed);
+            ScriptedBalancer t = new ScriptedBalancer(ScriptedBalancer.settings(), seed);
             t.balancer.list(
                     t.now,
                     ListKind.FULL,
@@ -94,8 +94,8 @@
     }
 
     @Test
-    void aKeyedRequestIsNotRepeatedPastItsWindow() {
-        Settings settings = Script.settings();
+    void aKeyedRequestIsNotRetriedPastItsDeduplicationWindow() {
+        Settings settings = ScriptedBalancer.settings();
         settings.classes.add(
                 new RequestClass(
                         "brief",
@@ -107,7 +107,7 @@
                         300 * MS,
                         1,
                         0.2));
-        Script t = new Script(settings, 1);
+        ScriptedBalancer t = new ScriptedBalancer(settings, 1);
         t.endpoints("a", "b");
         long early = t.request("brief");
         t.pass(50 * MS);
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void repeatsOfWhatMayHaveRunStayWithinABudget() {
+    void retriesOfWhatMayHaveRunStayWithinTheBudget() {
         s.endpoints("a", "b", "c");
         int sends = 0;
         for (int i = 0; i < 200; i++) {
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void aRequestHasNoMoreAttemptsThanAllowed() {
+    void aRequestHasNoMoreThanTheMaximumOfAttempts() {
         s.endpoints("a", "b", "c", "d", "e", "f");
         long id = s.request("safe");
         for (int k = 0; k < 6 && s.sendsOf(id).size() > k; k++) {
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void aRequestTheClientLeftIsAnsweredNoMore() {
+    void aRequestOfADisconnectedClientIsNotAnswered() {
         s.endpoints("a", "b");
         long id = s.request("safe");
         s.balancer.gone(s.now, id);
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void aStreamThatBeganHasNoDeadlineAndIsNotRepeated() {
+    void aStreamedResponseHasNoDeadlineAndIsNotRetried() {
         s.endpoints("a", "b");
         long id = s.request("safe");
         s.balancer.firstByte(s.now, id, 0);
@@ -171,19 +171,19 @@
     }
 
     @Test
-    void absurdReportsAreIgnored() {
+    void loadReportsThatAreNotFiniteOrNegativeAreIgnored() {
         s.endpoints("a", "b");
         for (double queue : new double[] {Double.NaN, -5, Double.POSITIVE_INFINITY}) {
             long id = s.request("safe");
             s.pass(20 * MS);
-            s.end(id, Outcome.OK, Script.queue(queue));
+            s.end(id, Outcome.OK, ScriptedBalancer.queue(queue));
         }
         long id = s.request("safe");
         assertEquals(1, s.sendsOf(id).size());
     }
 
     @Test
-    void aDrainingBackendGetsNothingMoreAtOnce() {
+    void aDrainingEndpointGetsNoMoreRequests() {
         s.endpoints("a", "b");
         s.delta(new EndpointEntry("a", 1, EndpointState.DRAINING, "here", 0, 0));
         for (int i = 0; i < 50; i++) {
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void aBackendMissingFromAFullListGetsNothingMore() {
+    void anEndpointMissingFromAFullListGetsNoMoreRequests() {
         s.endpoints("a", "b");
         s.endpoints("b");
         for (int i = 0; i < 20; i++) {
@@ -204,20 +204,20 @@
         }
     }
 
-    /** Nothing known: all nodes together send a cold endpoint about one in a mean aim. */
+    /** With no latency known, all nodes together send about one request in a mean objective. */
     @Test
-    void aColdBackendIsSentLittleByManyNodesTogether() {
+    void manyNodesTogetherSendLittleToAnEndpointInSlowStart() {
         int sent = 0;
         for (int node = 0; node < 40; node++) {
-            Settings settings = Script.settings();
+            Settings settings = ScriptedBalancer.settings();
             settings.nodes = 40;
             settings.me = node;
-            Script n = new Script(settings, node);
+            ScriptedBalancer n = new ScriptedBalancer(settings, node);
             n.delta(new EndpointEntry("a", 1, EndpointState.READY, "here", n.now, 0));
             for (int i = 0; i < 20; i++) { // each node has more than enough to send
                 n.request("safe");
                 n.pass(100 * MS);
-                for (Script.Send send : List.copyOf(n.sends)) {
+                for (ScriptedBalancer.Send send : List.copyOf(n.sends)) {
                     if (n.sendsOf(send.id()).size() == 1 && send.at() + 100 * MS >= n.now) {
                         n.end(send.id(), Outcome.OK);
                     }
@@ -225,11 +225,11 @@
             }
             sent += n.sends.size();
         }
-        assertTrue(sent >= 5 && sent <= 60, "by 40 nodes in ten aims: " + sent);
+        assertTrue(sent >= 5 && sent <= 60, "by 40 nodes in ten objectives: " + sent);
     }
 
     @Test
-    void settingsThatMakeNoSenseAreNamed() {
+    void invalidSettingsAreRejectedByName() {
         Settings none = new Settings();
         IllegalArgumentException e =
                 assertThrows(IllegalArgumentException.class, () -> new Balancer(none, 1, 0, s));
--- a/decisions/src/test/java/trailthread/NotesTest.java
+++ b/decisions/src/test/java/trailthread/OperatorLogTest.java
@@ -2,22 +2,22 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static trailthread.Script.MS;
+import static trailthread.ScriptedBalancer.MS;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import trailthread.api.ListKind;
 import trailthread.api.Outcome;
 
-/** The lines for staff: those that on-call.md names, and few of them. */
-final class NotesTest {
-    private static long lines(Script s, String start) {
+/** The log lines for operators that on-call.md names, at a limited rate. */
+final class OperatorLogTest {
+    private static long lines(ScriptedBalancer s, String start) {
         return s.log.stream().filter(line -> line.startsWith(start)).count();
     }
 
     @Test
-    void quietServiceSaysNothing() {
-        Script s = new Script(Script.settings(), 5);
+    void normalServiceLogsNothing() {
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         for (int i = 0; i < 200; i++) {
             long id = s.request("safe");
@@ -28,8 +28,8 @@
     }
 
     @Test
-    void anEjectionIsToldWithItsBackend() {
-        Script s = new Script(Script.settings(), 5);
+    void anEjectionIsLoggedWithItsEndpoint() {
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b", "c");
         for (int i = 0; i < 100; i++) {
             long id = s.request("unsafe");
@@ -41,8 +41,8 @@
     }
 
     @Test
-    void aNodeThatSeesMostFailSaysSoOnceInAWhile() {
-        Script s = new Script(Script.settings(), 5);
+    void suspendedEjectionIsLoggedAtALimitedRate() {
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         long from = s.now;
         for (int i = 0; i < 300; i++) {
@@ -57,8 +57,8 @@
     }
 
     @Test
-    void aJammedBackendIsTold() {
-        Script s = new Script(Script.settings(), 5);
+    void aJammedEndpointIsLogged() {
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         for (int i = 0; i < 500; i++) {
             long id = s.request("safe");
@@ -71,8 +71,8 @@
     }
 
     @Test
-    void requestsTurnedAwayAreToldOnceInAWhile() {
-        Script s = new Script(Script.settings(), 5);
+    void rejectionsAreLoggedAtALimitedRate() {
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints();
         for (int i = 0; i < 50; i++) {
             s.request("safe");
@@ -80,13 +80,13 @@
         }
         s.pass(3000 * MS);
         assertEquals(50, s.refused.size());
-        long told = lines(s, "turning requests away: no backend is open, held ");
-        assertTrue(told >= 1 && told <= 2, s.log.toString());
+        long logged = lines(s, "turning requests away: no backend is open, held ");
+        assertTrue(logged >= 1 && logged <= 2, s.log.toString());
     }
 
     @Test
-    void aFailedListCallIsTold() {
-        Script s = new Script(Script.settings(), 5);
+    void aFailedListPollIsLoggedOnce() {
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         s.balancer.list(s.now, ListKind.FAILED, List.of());
         s.balancer.list(s.now, ListKind.FAILED, List.of());
--- a/decisions/src/test/java/trailthread/HeldTest.java
+++ b/decisions/src/test/java/trailthread/QueueingTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
-import static trailthread.Script.MS;
+import static trailthread.ScriptedBalancer.MS;
 
 import java.util.List;
 import org.junit.Test;
@@ -13,13 +13,13 @@
 import trailthread.api.Settings;
 
 /**
- * A request that nobody means to send any more is answered at once; it was once held to its
+ * Queued requests are answered as soon as they can no longer be sent usefully, not at their
  * deadline.
  */
-public class HeldTest {
-    private final Script s;
+public class QueueingTest {
+    private final ScriptedBalancer s;
 
-    public HeldTest() {
+    public QueueingTest() {
         Settings settings = new Settings();
         settings.retryAfter = true;
         settings.maxRetryAfterNs = 500 * MS;
@@ -46,22 +46,22 @@
                         300 * MS,
                         1,
                         0));
-        s = new Script(settings, 7);
+        s = new ScriptedBalancer(settings, 7);
     }
 
     @Test
-    public void pastItsAimItIsRefusedWithAdvice() {
+    public void aQueuedRequestIsRejectedWithRetryAfterAtItsLatencyObjective() {
         s.endpoints();
         long id = s.request("unsafe");
         s.pass(199 * MS);
         assertTrue("it may yet earn", s.refused.isEmpty());
         s.pass(MS);
         assertEquals(List.of(id), s.refused);
-        assertTrue(s.stayAway > 0);
+        assertTrue(s.lastRetryAfterNs > 0);
     }
 
     @Test
-    public void aLateRejectionWithNowhereToGoIsAnsweredThere() {
+    public void aRequestRejectedByItsEndpointAfterTheObjectiveIsAnsweredAtOnce() {
         s.endpoints("a");
         long id = s.request("unsafe");
         s.pass(250 * MS);
@@ -70,9 +70,9 @@
         assertEquals(List.of(id), s.refused);
     }
 
-    /** With no endpoint ready the node once rested for many latencies after its last outcome. */
+    /** Prevents a node without ready endpoints from pausing for many latencies. */
     @Test
-    public void itGoesOutAsSoonAsABackendIsReadyAgain() {
+    public void aQueuedRetryIsSentAsSoonAsAnEndpointIsReady() {
         s.endpoints("a");
         long id = s.request("keyed");
         s.endpoints();
@@ -83,7 +83,7 @@
     }
 
     @Test
-    public void pastTheWindowThatDropsRepeatsItFails() {
+    public void aQueuedRetryFailsAtTheEndOfTheDeduplicationWindow() {
         s.endpoints("a");
         long id = s.request("keyed");
         s.endpoints();
@@ -94,10 +94,10 @@
         assertEquals("it may have run, so it is not refused", List.of(id), s.failed);
     }
 
-    /** Idle latencies of 95 ms, past the usual share of the aim, 80: nobody is crowded. */
+    /** Idle latencies of 95 ms exceed the target of 0.4 objectives (80 ms) without any overload. */
     @Test
-    public void nothingIsHeldBackFromWorkersThatAreFar() {
-        Script s = new Script(Script.settings(), 7);
+    public void requestsToDistantEndpointsAreNotQueued() {
+        ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 7);
         s.endpoints("a", "b");
         int ended = 0;
         for (int step = 0; step < 4000; step++) {
