--- /dev/null
+++ b/decisions/src/test/java/trailthread/HealthCheckerTest.java
@@ -0,0 +1,99 @@
+package trailthread;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trailthread.ModuleFixture.MS;
+import static trailthread.ModuleFixture.NOW;
+import static trailthread.ModuleFixture.entry;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import trailthread.api.EndpointEntry;
+import trailthread.api.EndpointState;
+import trailthread.api.ListKind;
+import trailthread.api.LoadReportSource;
+
+/** The turns of health checks: who is checked, and how often. */
+final class HealthCheckerTest {
+    private final ModuleFixture modules = new ModuleFixture();
+    private final EndpointList list = new EndpointList(modules.slowStart);
+    private final HealthChecker checker =
+            new HealthChecker(
+                    modules.active,
+                    modules.means,
+                    list,
+                    modules.slowStart,
+                    modules.recorder,
+                    modules.random);
+
+    @BeforeEach
+    void wantChecks() {
+        modules.settings.mayCheckHealth = true;
+        modules.settings.reports = LoadReportSource.PROBES;
+    }
+
+    private void list(EndpointEntry... entries) {
+        list.update(ListKind.FULL, List.of(entries), NOW);
+    }
+
+    private List<String> checked() {
+        return modules.recorder
+                .transcript
+                .toString()
+                .lines()
+                .filter(line -> line.startsWith("probe "))
+                .map(line -> line.substring("probe ".length()))
+                .toList();
+    }
+
+    private void assertDelay(double least, double most) {
+        double delay = modules.lastDelayNs();
+        assertTrue(delay >= least && delay <= most, "" + delay);
+    }
+
+    @Test
+    void eachWarmEndpointIsCheckedOnceInFourObjectives() {
+        list(
+                Script.ready("a"),
+                entry("warming", EndpointState.READY, NOW - MS),
+                entry("draining", EndpointState.DRAINING, 0),
+                Script.ready("b"));
+        checker.startIfWanted(NOW);
+        for (int turn = 1; turn < 8; turn++) {
+            assertDelay(0.8 * 200 * MS, 1.2 * 200 * MS);
+            checker.checkNext(NOW);
+        }
+        assertEquals(List.of("a", "b", "a", "b"), checked());
+    }
+
+    @Test
+    void checksBeginOnceAndOnlyWhereReportsComeWithThem() {
+        list(Script.ready("a"));
+        modules.settings.reports = LoadReportSource.NONE;
+        checker.startIfWanted(NOW);
+        modules.settings.reports = LoadReportSource.PROBES;
+        modules.settings.mayCheckHealth = false;
+        checker.startIfWanted(NOW);
+        assertEquals(0, modules.recorder.timers.size());
+        modules.settings.mayCheckHealth = true;
+        checker.startIfWanted(NOW);
+        checker.startIfWanted(NOW);
+        assertEquals(1, modules.recorder.timers.size());
+        assertEquals(List.of("a"), checked());
+    }
+
+    @Test
+    void timerIsNeverShorterThanATickAndGoesOnWithAnEmptyList() {
+        checker.startIfWanted(NOW);
+        assertDelay(0.8 * 800 * MS, 1.2 * 800 * MS);
+        List<EndpointEntry> many = new ArrayList<>();
+        for (int i = 0; i < 8000; i++) {
+            many.add(Script.ready("e" + i));
+        }
+        list.update(ListKind.FULL, many, NOW);
+        checker.checkNext(NOW);
+        assertDelay(0.8 * MS, 1.2 * MS);
+    }
+}
