--- /dev/null
+++ b/decisions/src/test/java/trailthread/ConcurrencyLimiterTest.java
@@ -0,0 +1,118 @@
+package trailthread;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trailthread.ModuleFixture.MS;
+import static trailthread.ModuleFixture.NOW;
+import static trailthread.ModuleFixture.entry;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import trailthread.api.EndpointState;
+
+/** The target latency is 0.4 * 200 ms = 80 ms, unless the idle latency says otherwise. */
+final class ConcurrencyLimiterTest {
+    private final ModuleFixture modules = new ModuleFixture();
+    private final ConcurrencyLimiter limiter = modules.limiter;
+
+    private List<Endpoint> start(double sharers, String... names) {
+        List<Endpoint> endpoints = modules.shared(sharers, names);
+        limiter.initialise();
+        limiter.updateTotal(NOW);
+        return endpoints;
+    }
+
+    /** The limit in attempts: the capacity of an endpoint without any delay. */
+    private double limit(Endpoint endpoint) {
+        return limiter.capacity(endpoint, 1);
+    }
+
+    private double limitAfter(double latencyMs, int inFlight) {
+        ConcurrencyLimiterTest fresh = new ConcurrencyLimiterTest();
+        Endpoint endpoint = fresh.start(1, "a").get(0);
+        for (int i = 0; i < inFlight; i++) {
+            fresh.modules.begin(endpoint, NOW);
+        }
+        fresh.modules.respond(endpoint, 1, latencyMs * MS, NOW);
+        fresh.limiter.adjust(endpoint, NOW);
+        return fresh.limit(endpoint);
+    }
+
+    @Test
+    void nodesStartWithFourAttemptsTogether() {
+        assertEquals(4, limit(start(1, "a").get(0)));
+        assertEquals(0.25, limit(start(16, "a", "b", "c", "d").get(0)));
+        // Up to twice that, so that the node may have one in flight.
+        assertEquals(0.5, limit(start(16, "a").get(0)));
+        assertEquals(1, limit(start(6, "a").get(0)));
+    }
+
+    @Test
+    void limitGrowsAdditivelyUnderTheTargetAndShrinksByTheExcessOverIt() {
+        assertEquals(4 + 0.7 / 4, limitAfter(40, 3), 1e-9);
+        assertEquals(4, limitAfter(40, 0), 1e-9); // not used, so not raised
+        assertEquals(4 * (1 - 0.1 * 0.5), limitAfter(120, 3), 1e-9);
+        assertEquals(4 * (1 - 0.1), limitAfter(800, 3), 1e-9);
+        assertEquals(1 * (1 - 0.1), limitAfter(800, 0), 1e-9); // it had reached only 1 of its 4
+    }
+
+    @Test
+    void rejectionCutsTheLimitToItsFloor() {
+        Endpoint endpoint = start(1, "a").get(0);
+        limiter.recordRejection(endpoint);
+        assertEquals(0.7, limit(endpoint), 1e-9);
+        for (int i = 0; i < 20; i++) {
+            limiter.recordRejection(endpoint);
+        }
+        assertEquals(1.0 / 16, limit(endpoint), 1e-9);
+    }
+
+    /** 20 ms idle allows 1.8 * 20 = 36 ms; 100 ms idle is far away and allows 130 ms. */
+    @Test
+    void targetLatencyIsBoundedByTheIdleLatency() {
+        List<Endpoint> endpoints = start(1, "near", "far");
+        modules.respond(endpoints.get(0), 13, 20 * MS, NOW);
+        modules.respond(endpoints.get(1), 13, 100 * MS, NOW);
+        assertEquals(2, limiter.capacity(endpoints.get(0), 18 * MS), 1e-6);
+        assertEquals(2, limiter.capacity(endpoints.get(1), 65 * MS), 1e-6);
+    }
+
+    /** Else all nodes would pour it on the few that look free. Each endpoint's limit is 1 here. */
+    @Test
+    void capacityOfEjectedEndpointsIsNotLentToTheOthers() {
+        List<Endpoint> endpoints = start(4, "a", "b", "c", "d");
+        modules.begin(endpoints.get(0), NOW);
+        modules.begin(endpoints.get(1), NOW);
+        assertTrue(limiter.isOpen(endpoints.get(2), 1, NOW));
+        modules.fail(endpoints.get(2), 3, NOW);
+        modules.fail(endpoints.get(3), 3, NOW);
+        limiter.updateTotal(NOW);
+        assertFalse(limiter.isOpen(endpoints.get(2), 1, NOW));
+        modules.fail(endpoints.get(1), 3, NOW); // most fail: ejection is suspended
+        limiter.updateTotal(NOW);
+        assertTrue(limiter.isOpen(endpoints.get(2), 1, NOW));
+    }
+
+    @Test
+    void reportedQueueAndAttemptsInFlightFillAnEndpoint() {
+        Endpoint endpoint = start(1, "a").get(0);
+        endpoint.load.record(Script.queue(4), NOW); // smoothed to 2
+        assertTrue(limiter.isOpen(endpoint, 0.1, NOW)); // one attempt is always possible
+        modules.begin(endpoint, NOW);
+        assertFalse(limiter.isOpen(endpoint, 3, NOW));
+        assertTrue(limiter.isOpen(endpoint, 3.1, NOW));
+    }
+
+    /** A total of 1/2 is an attempt for half of the time: 80 ms of pause for 80 ms of latency. */
+    @Test
+    void nodeWithATotalUnderOnePausesBetweenAttempts() {
+        Endpoint endpoint = start(16, "a").get(0);
+        limiter.attemptEnded(endpoint, NOW);
+        assertFalse(limiter.isOpen(endpoint, 1, NOW + 63 * MS));
+        assertTrue(limiter.isOpen(endpoint, 1, NOW + 97 * MS));
+        endpoint.update(entry("a", EndpointState.DRAINING, 0)); // no endpoint is no reason to pause
+        limiter.attemptEnded(endpoint, NOW + 200 * MS);
+        assertTrue(limiter.isOpen(endpoint, 1, NOW + 200 * MS));
+    }
+}
--- a/decisions/src/test/java/trailthread/EndpointDirectoryTest.java
+++ b/decisions/src/test/java/trailthread/EndpointDirectoryTest.java
@@ -13,6 +13,7 @@
 import trailthread.api.EndpointEntry;
 import trailthread.api.EndpointState;
 import trailthread.api.ListKind;
+import trailthread.api.LoadReportSource;
 
 /** What a list event brings about: subset, limits, polls and log lines. */
 final class EndpointDirectoryTest {
@@ -45,6 +46,7 @@
         assertEquals(
                 List.of("list call failed: going on with the last list of 2"),
                 modules.recorder.log);
+        assertEquals(2, modules.recorder.timers.size());
         directory.listFailed(NOW + SECOND);
         assertEquals(2, modules.recorder.log.size());
     }
@@ -60,6 +62,19 @@
                 List.of(directory.get("e1"), directory.get("new")), modules.subset.endpoints());
         // Four attempts of all nodes together, and this node is the only one.
         assertEquals(4, modules.limiter.capacity(directory.get("new"), 1));
+        modules.begin(directory.get("e1"), NOW);
+        assertTrue(modules.limiter.isOpen(directory.get("new"), 4, NOW));
+    }
+
+    @Test
+    void cachedListIsPolledForAndHealthChecksBegin() {
+        modules.settings.listIsPolled = true;
+        modules.settings.mayCheckHealth = true;
+        modules.settings.reports = LoadReportSource.PROBES;
+        directory.update(ListKind.CACHED, List.of(Script.ready("a")), NOW);
+        List<TimerKind> timers =
+                modules.recorder.timers.stream().map(timer -> TimerKind.of(timer.token())).toList();
+        assertEquals(List.of(TimerKind.LIST_POLL, TimerKind.HEALTH_CHECK), timers);
     }
 
     @Test
--- /dev/null
+++ b/decisions/src/test/java/trailthread/InFlightTrackerTest.java
@@ -0,0 +1,83 @@
+package trailthread;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trailthread.ModuleFixture.MS;
+import static trailthread.ModuleFixture.NOW;
+import static trailthread.ModuleFixture.SECOND;
+
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import trailthread.api.Outcome;
+
+/** The usual latency is 20 ms: silent attempts are lost after 50 ms, overtaken ones after 100. */
+final class InFlightTrackerTest {
+    private final ModuleFixture modules = new ModuleFixture();
+    private final InFlightTracker inFlight = modules.inFlight;
+    private final Endpoint endpoint = ModuleFixture.endpoint("a");
+
+    @BeforeEach
+    void recordUsualLatency() {
+        modules.means.recordLatency(20 * MS);
+    }
+
+    private void assertCounts(int counted, int unanswered, long now) {
+        inFlight.releaseLost(now);
+        assertEquals(counted, endpoint.inFlight.count());
+        assertEquals(counted, inFlight.total());
+        assertEquals(unanswered, endpoint.inFlight.unanswered());
+    }
+
+    @Test
+    void silentAttemptIsLostAfterATimeThatDoublesForEachBeforeIt() {
+        long now = NOW;
+        int lost = 0;
+        for (long multiple : new long[] {1, 2, 4, 8, 16, 32, 32}) {
+            modules.begin(endpoint, now);
+            assertCounts(1, lost, now + multiple * 50 * MS - 1);
+            now += multiple * 50 * MS;
+            lost++;
+            assertCounts(0, lost, now);
+        }
+    }
+
+    @Test
+    void overtakenAttemptHasMoreTimeAndLeavesNoDoubt() {
+        modules.begin(endpoint, NOW);
+        Attempt later = modules.begin(endpoint, NOW + MS);
+        later.outcome = Outcome.OK;
+        inFlight.end(later, NOW + 20 * MS);
+        inFlight.answered(later);
+        assertCounts(1, 0, NOW + 100 * MS - 1);
+        assertCounts(0, 0, NOW + 100 * MS);
+    }
+
+    @Test
+    void attemptThatEndsAfterItSeemedLostIsNotTakenOffTwice() {
+        Attempt lost = modules.begin(endpoint, NOW);
+        Attempt streaming = modules.begin(endpoint, NOW + 49 * MS);
+        assertCounts(1, 1, NOW + 50 * MS);
+        inFlight.end(lost, NOW + 60 * MS);
+        assertCounts(1, 0, NOW + 60 * MS);
+        inFlight.release(streaming);
+        inFlight.end(streaming, NOW + 70 * MS);
+        assertCounts(0, 0, NOW + 70 * MS);
+    }
+
+    @Test
+    void endpointWithALostAttemptGetsOnlyAnIdempotentTrial() {
+        modules.begin(endpoint, NOW);
+        inFlight.releaseLost(NOW + 50 * MS);
+        assertFalse(modules.outliers.permits(endpoint, modules.request(2), NOW + 50 * MS));
+        assertTrue(modules.outliers.permits(endpoint, modules.request(0), NOW + 50 * MS));
+    }
+
+    @Test
+    void nothingIsLostWhileNoLatencyIsKnown() {
+        InFlightTracker fresh = new InFlightTracker(modules.active, new WorkloadMeans(200 * MS));
+        fresh.begin(modules.request(0), endpoint, NOW);
+        fresh.releaseLost(NOW + 1000 * SECOND);
+        assertEquals(1, fresh.total());
+    }
+}
--- a/decisions/src/test/java/trailthread/ListPollScheduleTest.java
+++ b/decisions/src/test/java/trailthread/ListPollScheduleTest.java
@@ -47,6 +47,9 @@
         modules.settings.nodes = 1;
         schedule.received(ListKind.CACHED);
         assertDelay(0, 0);
+        modules.settings.listIsPolled = false;
+        schedule.received(ListKind.CACHED);
+        assertEquals(2, modules.recorder.timers.size());
     }
 
     @Test
@@ -55,6 +58,8 @@
             schedule.failed(NOW);
             assertDelay(0.8 * 4, 1.2 * 4);
         }
+        pollInVain(2 * SECOND); // the first in vain: no backoff yet
+        assertDelay(0.8 * 2, 1.2 * 2);
         modules.settings.nodes = 1;
         schedule.failed(NOW);
         assertDelay(0.8, 1.2);
@@ -85,6 +90,29 @@
         }
     }
 
+    /** Watches break for all nodes at once: the next polls are spread evenly over 4 s. */
+    @Test
+    void brokenWatchIsFollowedByASpreadPollAndTheListHasEndedTheBackoff() {
+        double afterWatch = 0;
+        double afterPoll = 0;
+        int seeds = 400;
+        for (int seed = 0; seed < seeds; seed++) {
+            schedule = schedule(seed);
+            schedule.received(ListKind.CACHED);
+            pollInVain(2 * SECOND);
+            pollInVain(2 * SECOND);
+            schedule.received(ListKind.FULL);
+            schedule.failed(NOW);
+            assertDelay(0, 1.2 * 4);
+            afterWatch += modules.lastDelayNs() / 1e9 / seeds;
+            pollInVain(2 * SECOND);
+            afterPoll += modules.lastDelayNs() / 1e9 / seeds;
+        }
+        // 3 percent standard error of the mean
+        assertEquals(2, afterWatch, 0.25);
+        assertEquals(4 - 2, afterPoll, 0.1);
+    }
+
     @Test
     void pollWithoutAnAnswerIsRepeatedAndAnOldTimerDoesNothing() {
         schedule.received(ListKind.CACHED);
--- /dev/null
+++ b/decisions/src/test/java/trailthread/OutlierDetectorTest.java
@@ -0,0 +1,92 @@
+package trailthread;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trailthread.ModuleFixture.MS;
+import static trailthread.ModuleFixture.NOW;
+import static trailthread.ModuleFixture.entry;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import trailthread.api.EndpointState;
+
+/** The tightest objective is 200 ms and the longest deadline 1 s; delays have 20 percent jitter. */
+final class OutlierDetectorTest {
+    private final ModuleFixture modules = new ModuleFixture();
+    private final OutlierDetector outliers = modules.outliers;
+    private final List<Endpoint> endpoints = modules.shared(1, "a", "b", "c", "d");
+    private final Endpoint endpoint = endpoints.get(0);
+    private final Request idempotent = modules.request(0);
+    private final Request unsafe = modules.request(2);
+
+    private void assertClosedFor(long ns, long now) {
+        assertFalse(outliers.permits(endpoint, idempotent, now + (long) (0.79 * ns)));
+        assertTrue(outliers.permits(endpoint, idempotent, now + (long) (1.21 * ns)));
+    }
+
+    @Test
+    void threeFailuresInARowEjectForAnObjectiveAndEachFurtherOneDoublesIt() {
+        modules.fail(endpoint, 2, NOW);
+        outliers.recordSuccess(endpoint);
+        modules.fail(endpoint, 2, NOW);
+        assertTrue(outliers.permits(endpoint, unsafe, NOW));
+        modules.fail(endpoint, 1, NOW);
+        assertClosedFor(200 * MS, NOW);
+        modules.fail(endpoint, 1, NOW);
+        assertClosedFor(400 * MS, NOW);
+        modules.fail(endpoint, 10, NOW);
+        assertClosedFor(32 * 200 * MS, NOW);
+    }
+
+    @Test
+    void halfOpenEndpointGetsOneIdempotentAttemptAtATime() {
+        modules.fail(endpoint, 3, NOW);
+        long halfOpen = NOW + 241 * MS;
+        assertFalse(outliers.permits(endpoint, unsafe, halfOpen));
+        Attempt trial = modules.begin(endpoint, halfOpen);
+        assertFalse(outliers.permits(endpoint, idempotent, halfOpen));
+        modules.inFlight.end(trial, halfOpen);
+        outliers.recordSuccess(endpoint);
+        assertTrue(outliers.permits(endpoint, unsafe, halfOpen));
+    }
+
+    /** An idle latency of 20 ms and a present one of far more than 2.5 times that. */
+    @Test
+    void jammedEndpointRestsLongerForEachSlowTrialAndNotOnceItIsFast() {
+        modules.respond(endpoint, 50, 20 * MS, NOW);
+        assertFalse(outliers.restIfJammed(endpoint, NOW));
+        modules.respond(endpoint, 30, 400 * MS, NOW);
+        long now = NOW;
+        for (long restNs : new long[] {1500 * MS, 3000 * MS, 6000 * MS, 6000 * MS}) {
+            assertTrue(outliers.restIfJammed(endpoint, now));
+            assertFalse(outliers.restIfJammed(endpoint, now)); // it rests already
+            assertClosedFor(restNs, now);
+            now += 2 * restNs;
+            modules.respond(endpoint, 1, 400 * MS, now);
+        }
+        modules.respond(endpoint, 40, 20 * MS, now);
+        assertFalse(outliers.restIfJammed(endpoint, now));
+        assertTrue(outliers.permits(endpoint, unsafe, now));
+    }
+
+    @Test
+    void nodeThatIsCutOffEjectsNone() {
+        modules.fail(endpoints.get(0), 3, NOW);
+        modules.fail(endpoints.get(1), 3, NOW);
+        assertFalse(outliers.checkSuspended(NOW));
+        assertEquals(2, outliers.countAvoided(endpoints, NOW));
+        assertEquals(0, outliers.countAvoided(endpoints, NOW + 241 * MS));
+        // A third that is jammed may not rest, as more than half would be avoided.
+        modules.respond(endpoints.get(2), 50, 20 * MS, NOW);
+        modules.respond(endpoints.get(2), 30, 400 * MS, NOW);
+        assertFalse(outliers.restIfJammed(endpoints.get(2), NOW));
+        modules.fail(endpoints.get(2), 3, NOW);
+        assertTrue(outliers.checkSuspended(NOW));
+        assertEquals(
+                "ejecting none: most of 4 backends fail; is this node cut off?",
+                modules.recorder.log.get(1));
+        endpoints.get(3).update(entry("d", EndpointState.DRAINING, 0));
+        assertEquals(1, outliers.countAvoided(endpoints, NOW));
+    }
+}
