--- a/decisions/src/test/java/trailthread/ConcurrencyLimiterTest.java
+++ b/decisions/src/test/java/trailthread/ConcurrencyLimiterTest.java
@@ -102,7 +102,7 @@
         modules.respond(endpoints.get(1), 13, 100 * MS, NOW);
         assertEquals(2, limiter.capacity(near, 18 * MS), 1e-6);
         assertEquals(2, limiter.capacity(endpoints.get(1), 65 * MS), 1e-6);
-        near.load.record(Script.queue(4), NOW); // smoothed to 2
+        near.load.record(ScriptedBalancer.queue(4), NOW); // smoothed to 2
         assertTrue(limiter.isOpen(near, 0.1, NOW)); // one attempt is always possible
         modules.begin(near, NOW);
         assertFalse(limiter.isOpen(near, 3, NOW));
--- a/decisions/src/test/java/trailthread/EndpointDirectoryTest.java
+++ b/decisions/src/test/java/trailthread/EndpointDirectoryTest.java
@@ -32,7 +32,9 @@
 
     private void list(int endpoints) {
         List<EndpointEntry> entries =
-                IntStream.range(0, endpoints).mapToObj(i -> Script.ready("e" + i)).toList();
+                IntStream.range(0, endpoints)
+                        .mapToObj(i -> ScriptedBalancer.ready("e" + i))
+                        .toList();
         directory.update(ListKind.FULL, entries, NOW);
     }
 
@@ -56,7 +58,7 @@
         list(2);
         directory.update(
                 ListKind.DELTA,
-                List.of(entry("e0", EndpointState.GONE, 0), Script.ready("new")),
+                List.of(entry("e0", EndpointState.GONE, 0), ScriptedBalancer.ready("new")),
                 NOW);
         assertEquals(
                 List.of(directory.get("e1"), directory.get("new")), modules.subset.endpoints());
@@ -71,7 +73,7 @@
         modules.settings.listIsPolled = true;
         modules.settings.mayCheckHealth = true;
         modules.settings.reports = LoadReportSource.PROBES;
-        directory.update(ListKind.CACHED, List.of(Script.ready("a")), NOW);
+        directory.update(ListKind.CACHED, List.of(ScriptedBalancer.ready("a")), NOW);
         List<TimerKind> timers =
                 modules.recorder.timers.stream().map(timer -> TimerKind.of(timer.token())).toList();
         assertEquals(List.of(TimerKind.LIST_POLL, TimerKind.HEALTH_CHECK), timers);
--- a/decisions/src/test/java/trailthread/EndpointListTest.java
+++ b/decisions/src/test/java/trailthread/EndpointListTest.java
@@ -19,7 +19,7 @@
     private final EndpointList list = new EndpointList(new ModuleFixture().slowStart);
 
     private void update(ListKind kind, String... names) {
-        list.update(kind, List.of(names).stream().map(Script::ready).toList(), NOW);
+        list.update(kind, List.of(names).stream().map(ScriptedBalancer::ready).toList(), NOW);
     }
 
     private void delta(String name, EndpointState state, long readyAtNs) {
--- a/decisions/src/test/java/trailthread/HealthCheckerTest.java
+++ b/decisions/src/test/java/trailthread/HealthCheckerTest.java
@@ -56,10 +56,10 @@
     @Test
     void eachWarmEndpointIsCheckedOnceInFourObjectives() {
         list(
-                Script.ready("a"),
+                ScriptedBalancer.ready("a"),
                 entry("warming", EndpointState.READY, NOW - MS),
                 entry("draining", EndpointState.DRAINING, 0),
-                Script.ready("b"));
+                ScriptedBalancer.ready("b"));
         checker.startIfWanted(NOW);
         for (int turn = 1; turn < 8; turn++) {
             assertDelay(0.8 * 200 * MS, 1.2 * 200 * MS);
@@ -70,7 +70,7 @@
 
     @Test
     void checksBeginOnceAndOnlyWhereReportsComeWithThem() {
-        list(Script.ready("a"));
+        list(ScriptedBalancer.ready("a"));
         modules.settings.reports = LoadReportSource.NONE;
         checker.startIfWanted(NOW);
         modules.settings.reports = LoadReportSource.PROBES;
@@ -90,7 +90,7 @@
         assertDelay(0.8 * 800 * MS, 1.2 * 800 * MS);
         List<EndpointEntry> many = new ArrayList<>();
         for (int i = 0; i < 8000; i++) {
-            many.add(Script.ready("e" + i));
+            many.add(ScriptedBalancer.ready("e" + i));
         }
         list.update(ListKind.FULL, many, NOW);
         checker.checkNext(NOW);
--- a/decisions/src/test/java/trailthread/InFlightTrackerTest.java
+++ b/decisions/src/test/java/trailthread/InFlightTrackerTest.java
@@ -58,7 +58,7 @@
 
     @Test
     void attemptThatEndsAfterItSeemedLostIsNotTakenOffTwice() {
-        endpoint.load.record(Script.queue(0), NOW);
+        endpoint.load.record(ScriptedBalancer.queue(0), NOW);
         Attempt lost = modules.begin(endpoint, NOW);
         Attempt streaming = modules.begin(endpoint, NOW + 49 * MS);
         assertCounts(1, 1, NOW + 50 * MS);
--- a/decisions/src/test/java/trailthread/LoadEstimatorTest.java
+++ b/decisions/src/test/java/trailthread/LoadEstimatorTest.java
@@ -80,7 +80,7 @@
     /** A queue of 3 is smoothed to 1.5, so one more request waits for 2.5 places. */
     @Test
     void predictionIsThePlaceInTheQueueTimesThePaceAndThePriceOfAnotherZone() {
-        a.load.record(Script.queue(3), NOW);
+        a.load.record(ScriptedBalancer.queue(3), NOW);
         assertEquals(25 * MS, estimator.predictedNs(a, 10 * MS), 1);
         modules.settings.crossZonePrice = 0.05;
         assertEquals(25 * MS, estimator.predictedNs(a, 10 * MS), 1);
--- a/decisions/src/test/java/trailthread/ModuleFixture.java
+++ b/decisions/src/test/java/trailthread/ModuleFixture.java
@@ -8,19 +8,19 @@
 
 /**
  * The modules of a balancer without their coordinator, for tests of one module at a time. The
- * settings are those of {@link Script#settings}: every class has an objective of 200 ms and a
- * deadline of 1 s.
+ * settings are those of {@link ScriptedBalancer#settings}: every class has an objective of 200 ms
+ * and a deadline of 1 s.
  */
 final class ModuleFixture {
-    static final long MS = Script.MS;
+    static final long MS = ScriptedBalancer.MS;
     static final long SECOND = 1000 * MS;
     static final long NOW = 1_000_000_000_000L;
 
-    final Settings settings = Script.settings();
+    final Settings settings = ScriptedBalancer.settings();
     final ActiveSettings active = new ActiveSettings(settings);
 
     /** Records the actions; its own balancer is not used. */
-    final Script recorder = new Script(settings, 1);
+    final ScriptedBalancer recorder = new ScriptedBalancer(settings, 1);
 
     final RandomSource random;
     final WorkloadMeans means = new WorkloadMeans(active.tightestObjectiveNs());
