--- a/adapter/src/main/java/trailthread/adapter/EventDispatcher.java
+++ b/adapter/src/main/java/trailthread/adapter/EventDispatcher.java
@@ -94,7 +94,7 @@
 
     private void clientDisconnected(BalancerEvents balancer, long now) {
         reader.requireFieldCount(2, 2, WireMessages.CLIENT_DISCONNECTED);
-        balancer.gone(now, reader.number(1, "ref"));
+        balancer.clientDisconnected(now, reader.number(1, "ref"));
     }
 
     private void timerDue(BalancerEvents balancer, long now) {
--- a/adapter/src/main/java/trailthread/adapter/WireActions.java
+++ b/adapter/src/main/java/trailthread/adapter/WireActions.java
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public void probe(String endpoint) {
+    public void checkHealth(String endpoint) {
         writer.beginMessage(instance, WireMessages.HEALTH_CHECK);
         writer.nameField(endpoint);
         writer.endMessage();
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         writer.beginMessage(instance, WireMessages.SEND_TO_PEER);
         writer.numberField(peer);
         writer.hexField(data);
--- a/adapter/src/test/java/trailthread/adapter/WireActionsTest.java
+++ b/adapter/src/test/java/trailthread/adapter/WireActionsTest.java
@@ -24,10 +24,10 @@
         actions.refuse(7, 5);
         actions.fail(8);
         actions.cancel(7, 1);
-        actions.probe("h:2");
+        actions.checkHealth("h:2");
         actions.closeIdle("h:3");
-        actions.tell(-1, new byte[] {0, (byte) 0xaf});
-        actions.tell(2, new byte[0]);
+        actions.sendToPeer(-1, new byte[] {0, (byte) 0xaf});
+        actions.sendToPeer(2, new byte[0]);
         actions.watch(true);
         actions.watch(false);
         actions.fetch();
--- a/command/src/test/java/trailthread/command/PoolIsolationTest.java
+++ b/command/src/test/java/trailthread/command/PoolIsolationTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
+import trailthread.testkit.ScriptedServer;
 
 /** A pool that is overloaded or hangs does not affect the others. */
 public class PoolIsolationTest extends WithTwoServices {
@@ -58,7 +58,7 @@
         marks.setScript(
                 asked -> {
                     try {
-                        never.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+                        never.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         throw new AssertionError(e);
                     }
@@ -147,7 +147,7 @@
         marks.setScript(
                 asked -> {
                     try {
-                        answer.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+                        answer.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         throw new AssertionError(e);
                     }
--- a/command/src/test/java/trailthread/command/ServicesTest.java
+++ b/command/src/test/java/trailthread/command/ServicesTest.java
@@ -17,8 +17,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /** Several services behind one address, over real sockets. */
 public class ServicesTest extends WithTwoServices {
@@ -170,7 +170,7 @@
         assertSame(
                 "what the old pool held is closed",
                 toMarks,
-                marks.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+                marks.closed.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
     }
 
     @Test
@@ -180,7 +180,7 @@
         marks.setScript(
                 asked -> {
                     try {
-                        answer.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+                        answer.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         throw new AssertionError(e);
                     }
@@ -221,11 +221,11 @@
         Path list = Files.createTempFile("workers", ".json");
         Path next = Files.createTempFile("workers", ".json");
         try {
-            Files.writeString(list, Stage.list(1, true, "active", sim));
+            Files.writeString(list, TestCluster.list(1, true, "active", sim));
             stage.serve(file("file = \"" + list + "\"", endpoints(marks)));
             Message answer = ask("GET", "/x", "sim.example.org", "");
             assertEquals(stage.log.toString(), "sim", answer.body());
-            String complete = Stage.list(2, true, "active", marks);
+            String complete = TestCluster.list(2, true, "active", marks);
             Files.writeString(list, complete.substring(0, complete.length() / 2));
             stage.logged("can't be used");
             assertEquals("sim", ask("GET", "/x", "sim.example.org", "").body());
@@ -243,7 +243,7 @@
     public void requestsAreRejectedWithoutEndpointsAndWithADrainingOneOnly() throws Exception {
         Path list = Files.createTempFile("workers", ".json");
         try {
-            Files.writeString(list, Stage.list(1, true, "active"));
+            Files.writeString(list, TestCluster.list(1, true, "active"));
             String keys = "file = \"" + list + "\"\n";
             stage.serve(
                     file(keys, endpoints(marks))
@@ -253,7 +253,7 @@
             Message refused = ask("GET", "/x", "sim.example.org", "");
             assertEquals(stage.log.toString(), 503, refused.status());
             assertNotNull(refused.header("Retry-After"));
-            Files.writeString(list, Stage.list(2, true, "leaving", sim));
+            Files.writeString(list, TestCluster.list(2, true, "leaving", sim));
             for (int i = 0;
                     i < 4;
                     i++) { // for longer than the interval at which the file is checked
--- a/command/src/test/java/trailthread/command/WithTwoServices.java
+++ b/command/src/test/java/trailthread/command/WithTwoServices.java
@@ -4,19 +4,19 @@
 import java.net.Socket;
 import org.junit.After;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /** The program with two services, sim and marks, each with one scripted endpoint. */
 public abstract class WithTwoServices {
-    final Stage stage;
-    final Peer sim;
-    final Peer marks;
+    final TestCluster stage;
+    final ScriptedServer sim;
+    final ScriptedServer marks;
 
     WithTwoServices() throws Exception {
-        stage = new Stage();
-        sim = stage.add(Peer.serving("sim"));
-        marks = stage.add(Peer.serving("marks"));
+        stage = new TestCluster();
+        sim = stage.add(ScriptedServer.serving("sim"));
+        marks = stage.add(ScriptedServer.serving("marks"));
     }
 
     @After
@@ -39,9 +39,9 @@
     }
 
     /** The key that lists a pool's endpoints. */
-    static String endpoints(Peer... peers) {
+    static String endpoints(ScriptedServer... peers) {
         StringBuilder list = new StringBuilder("workers = [");
-        for (Peer peer : peers) {
+        for (ScriptedServer peer : peers) {
             list.append('"').append(peer.hostPort()).append("\",");
         }
         return list.append("]\n").toString();
--- a/configuration/src/main/java/trailthread/configuration/PoolsReader.java
+++ b/configuration/src/main/java/trailthread/configuration/PoolsReader.java
@@ -33,8 +33,8 @@
     private static final List<Choice<LoadReportSource>> REPORT_SOURCES =
             List.of(
                     new Choice<>("none", LoadReportSource.NONE),
-                    new Choice<>("answers", LoadReportSource.ANSWERS),
-                    new Choice<>("probes", LoadReportSource.PROBES));
+                    new Choice<>("answers", LoadReportSource.RESPONSES),
+                    new Choice<>("probes", LoadReportSource.HEALTH_CHECKS));
 
     private final FaultCollector faults;
     private final LimitsReader limits;
--- a/daemon/src/main/java/trailthread/daemon/DecisionWarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/DecisionWarmUp.java
@@ -125,13 +125,13 @@
     public void cancel(long request, int attempt) {}
 
     @Override
-    public void probe(String endpoint) {}
+    public void checkHealth(String endpoint) {}
 
     @Override
     public void closeIdle(String endpoint) {}
 
     @Override
-    public void tell(int peer, byte[] data) {}
+    public void sendToPeer(int peer, byte[] data) {}
 
     @Override
     public void watch(boolean on) {}
--- a/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
+++ b/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
@@ -113,8 +113,8 @@
     }
 
     @Override
-    public void callFailed(long waitedSince) {
-        lease.callFailed(waitedSince, loop.now());
+    public void pollFailed(long waitedSince) {
+        lease.pollFailed(waitedSince, loop.now());
         publishLease();
     }
 
--- a/daemon/src/main/java/trailthread/daemon/NodeConfigParser.java
+++ b/daemon/src/main/java/trailthread/daemon/NodeConfigParser.java
@@ -146,8 +146,8 @@
                 descriptorLimit,
                 knownEndpoints,
                 parsed,
-                settings.whole("limits.idle_close_ns", DEFAULT_IDLE_CLOSE_NS),
-                settings.whole("safety.drain_grace_ns", DEFAULT_DRAIN_GRACE_NS),
+                settings.wholeNumber("limits.idle_close_ns", DEFAULT_IDLE_CLOSE_NS),
+                settings.wholeNumber("safety.drain_grace_ns", DEFAULT_DRAIN_GRACE_NS),
                 adminHostPort == null
                         ? null
                         : address("management", adminHostPort, MIN_LISTEN_PORT),
--- a/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
+++ b/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
@@ -18,8 +18,8 @@
 import trailthread.engine.loop.EventLoop;
 import trailthread.engine.metrics.MetricsRecorder;
 import trailthread.engine.metrics.NodeStatus;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /**
  * Without an admin server and degradation levels, a node has no class, thread or descriptor for
@@ -112,7 +112,7 @@
         Process program = builder.start();
         try {
             String text = "";
-            for (int i = 0; i < 100 * Peer.LONGEST_WAIT_S && !text.contains(until); i++) {
+            for (int i = 0; i < 100 * ScriptedServer.LONGEST_WAIT_S && !text.contains(until); i++) {
                 program.waitFor(10, TimeUnit.MILLISECONDS);
                 text = Files.readString(log, StandardCharsets.ISO_8859_1);
             }
@@ -146,10 +146,10 @@
 
     @Test
     public void theNodeLoadsNothingOfIt() throws Exception {
-        Stage stage = new Stage();
+        TestCluster stage = new TestCluster();
         Path config = Files.createTempFile("trailthread", ".json");
         try {
-            Files.writeString(config, stage.config(Stage.SETTINGS));
+            Files.writeString(config, stage.config(TestCluster.SETTINGS));
             String log =
                     run(
                             "serves on",
--- a/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
@@ -8,15 +8,15 @@
 import org.junit.After;
 import org.junit.Test;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /** How the node serves its clients, over real sockets. */
 public class ClientSideTest {
-    private final Stage stage;
+    private final TestCluster stage;
 
     public ClientSideTest() throws Exception {
-        stage = new Stage();
+        stage = new TestCluster();
     }
 
     @After
@@ -27,12 +27,12 @@
     @Test
     public void requestAndResponsePassUnchanged() throws Exception {
         String body = "bench \u00ff\u0000 and readings";
-        Peer endpoint = stage.add(Peer.serving(body));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving(body));
+        stage.start(TestCluster.SETTINGS, endpoint);
         Socket client = stage.connect();
         String query = "/a%2Fb;c=1//d?x=%20&&y=+%3D";
 
-        String text = Stage.request("action", query, "X-Other: 1\r\n");
+        String text = TestCluster.request("action", query, "X-Other: 1\r\n");
         for (int i = 0; i < 2; i++) { // both connections are kept alive
             Message.send(client, text);
             Message response = Message.read(client);
@@ -55,9 +55,9 @@
 
     @Test
     public void aMalformedRequestIsRejectedAndReachesNoEndpoint() throws Exception {
-        Peer endpoint = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, endpoint);
-        String good = Stage.request("use", "", "");
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
+        String good = TestCluster.request("use", "", "");
         String[] bad = {
             good.replace("X-Service-Class: use", "X-Service-Class: other"),
             good.replace("POST /use", "POST /state"),
@@ -91,7 +91,7 @@
 
     @Test
     public void aRequestWithoutEndpointIsRejectedWithRetryAfter() throws Exception {
-        stage.start(Stage.SETTINGS.replace("\"aim_ns\":10000000000", "\"aim_ns\":100000000"));
+        stage.start(TestCluster.SETTINGS.replace("\"aim_ns\":10000000000", "\"aim_ns\":100000000"));
         Message response = stage.call("use");
         assertEquals(503, response.status());
         double wait = Double.parseDouble(response.header("Retry-After"));
@@ -103,17 +103,17 @@
      */
     @Test
     public void requestsOfADisconnectedClientAreDropped() throws Exception {
-        Peer endpoint = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS);
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        stage.start(TestCluster.SETTINGS);
         Message watch = stage.discovery.asked();
         Socket gone = stage.connect();
-        Message.send(gone, Stage.request("use", "", ""));
+        Message.send(gone, TestCluster.request("use", "", ""));
         stage.call("other"); // its response comes after the first request was read
         gone.close();
         Thread.sleep(100); // the close must come before the list
-        Stage.line(watch, Stage.list(2, true, "active", endpoint));
+        TestCluster.line(watch, TestCluster.list(2, true, "active", endpoint));
         Socket client = stage.connect();
-        Message.send(client, Stage.request("use", "?second", ""));
+        Message.send(client, TestCluster.request("use", "?second", ""));
         assertEquals("made", Message.read(client).body());
         assertEquals("POST /use?second HTTP/1.1", endpoint.asked().start());
         endpoint.wasNotAsked();
@@ -125,10 +125,10 @@
      */
     @Test
     public void aRequestWithAnIdInFlightIsRejected() throws Exception {
-        Peer endpoint = stage.add(new Peer(request -> {}));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(new ScriptedServer(request -> {}));
+        stage.start(TestCluster.SETTINGS, endpoint);
         Socket first = stage.connect();
-        String text = Stage.request("use", "", "");
+        String text = TestCluster.request("use", "", "");
         Message.send(first, text);
         Message asked = endpoint.asked();
         Socket second = stage.connect();
@@ -145,7 +145,7 @@
     @Test
     public void moreClientsThanConnectionsAreAllServed() throws Exception {
         stage.sockets = 96; // 28 connections to clients
-        stage.start(Stage.SETTINGS, stage.add(Peer.serving("made")));
+        stage.start(TestCluster.SETTINGS, stage.add(ScriptedServer.serving("made")));
         for (int i = 0; i < 60; i++) {
             assertEquals("made", stage.call("use").body()); // and the connection stays open
         }
@@ -158,8 +158,8 @@
     @Test
     public void idleConnectionsAndIncompleteRequestsBlockNobody() throws Exception {
         stage.sockets = 96;
-        stage.start(Stage.SETTINGS, stage.add(Peer.serving("made")));
-        String text = Stage.request("use", "", "");
+        stage.start(TestCluster.SETTINGS, stage.add(ScriptedServer.serving("made")));
+        String text = TestCluster.request("use", "", "");
         Socket[] useless = new Socket[60];
         for (int i = 0; i < useless.length; i++) {
             useless[i] = stage.connect();
@@ -173,9 +173,9 @@
 
     @Test
     public void aPipelinedRequestIsHandledNext() throws Exception {
-        Peer endpoint =
+        ScriptedServer endpoint =
                 stage.add(
-                        new Peer(
+                        new ScriptedServer(
                                 request -> {
                                     Message.send(
                                             request.connection(),
@@ -183,9 +183,11 @@
                                     // to this one
                                     request.answer("200 OK", "", request.start());
                                 }));
-        stage.start(Stage.SETTINGS, endpoint);
+        stage.start(TestCluster.SETTINGS, endpoint);
         Socket client = stage.connect();
-        Message.send(client, Stage.request("use", "?1", "") + Stage.request("use", "?2", ""));
+        Message.send(
+                client,
+                TestCluster.request("use", "?1", "") + TestCluster.request("use", "?2", ""));
         assertEquals("POST /use?1 HTTP/1.1", Message.read(client).body());
         assertEquals("POST /use?2 HTTP/1.1", Message.read(client).body());
         client.shutdownOutput();
--- a/daemon/src/test/java/trailthread/daemon/CorruptResponseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CorruptResponseTest.java
@@ -10,18 +10,18 @@
 import org.junit.After;
 import org.junit.Test;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /** How the node handles corrupt responses, and bytes after a response. */
 public class CorruptResponseTest {
     private static final String MADE = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade";
     private static final String ENDLESS = "X-More: " + "x".repeat(1000) + "\r\n";
 
-    private final Stage stage;
+    private final TestCluster stage;
 
     public CorruptResponseTest() throws Exception {
-        stage = new Stage();
+        stage = new TestCluster();
     }
 
     @After
@@ -43,12 +43,12 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfour\r\nmade\r\n0\r\n\r\n",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nb2d05e00\r\nmade",
         };
-        Peer endpoint = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
         for (String response : corrupt) {
             endpoint.setScript(request -> Message.send(request.connection(), response));
             assertEquals(response, 502, stage.call("use").status());
-            Socket closed = endpoint.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+            Socket closed = endpoint.closed.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
             assertEquals(response, endpoint.asked().connection(), closed);
             endpoint.setScript(request -> request.answer("200 OK", "", "made"));
             assertEquals("made", stage.call("state").body());
@@ -62,8 +62,8 @@
     @Test
     public void bytesAfterAResponseNeverReachTheNextRequest() throws Exception {
         String[] more = {MADE.replace("made", "copy"), "noise", "\r\n"};
-        Peer endpoint = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
         for (String rest : more) {
             endpoint.setScript(request -> Message.send(request.connection(), MADE + rest));
             assertEquals("made", stage.call("use").body());
@@ -77,12 +77,12 @@
     /** Bytes that arrive while the connection is idle in the pool. */
     @Test
     public void aConnectionWithUnsolicitedBytesIsClosed() throws Exception {
-        Peer endpoint = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
         assertEquals("made", stage.call("use").body());
         Socket idle = endpoint.asked().connection();
         Message.send(idle, MADE.replace("made", "copy"));
-        assertEquals(idle, endpoint.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertEquals(idle, endpoint.closed.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
         assertEquals("made", stage.call("use").body());
         assertNotEquals(idle, endpoint.asked().connection());
     }
@@ -96,8 +96,8 @@
             MADE.replace("\r\n\r\n", "\r\nX-Backend-Load: {{{{\u0001\u00ff\r\n\r\n"),
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x\r\nma\r\n2\r\nde\r\n0\r\nA: b\r\n\r\n",
         };
-        Peer endpoint = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
         for (String response : valid) {
             endpoint.setScript(request -> sendInPieces(request.connection(), response));
             assertEquals(response, "made", stage.call("use").body());
--- a/daemon/src/test/java/trailthread/daemon/CrowdTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CrowdTest.java
@@ -17,8 +17,8 @@
 import java.util.regex.Pattern;
 import org.junit.After;
 import org.junit.Test;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /** Every client gets a response if ten times as many connect as there is capacity for. */
 public class CrowdTest {
@@ -29,12 +29,12 @@
     private static final long LIMIT_NS = 120_000_000_000L;
     private static final Pattern LENGTH = Pattern.compile("(?i)\r\nContent-Length: *(\\d+)");
 
-    private final Stage stage;
+    private final TestCluster stage;
     private final Selector selector = Selector.open();
     private int answered;
 
     public CrowdTest() throws Exception {
-        stage = new Stage();
+        stage = new TestCluster();
     }
 
     @After
@@ -65,7 +65,8 @@
                 if (key.isConnectable()) {
                     channel.finishConnect();
                     byte[] call =
-                            Stage.request("state", "", "").getBytes(StandardCharsets.ISO_8859_1);
+                            TestCluster.request("state", "", "")
+                                    .getBytes(StandardCharsets.ISO_8859_1);
                     assertEquals("sent at once", call.length, channel.write(ByteBuffer.wrap(call)));
                     key.interestOps(SelectionKey.OP_READ);
                     return;
@@ -119,18 +120,18 @@
     public void idleClientsAtTheDescriptorLimitBlockNeitherDiscoveryNorRequests() throws Exception {
         stage.sockets = 128;
         stage.discovery.setScript(request -> request.answer("503 Busy", "", ""));
-        stage.start(Stage.SETTINGS, stage.add(Peer.serving("before")));
+        stage.start(TestCluster.SETTINGS, stage.add(ScriptedServer.serving("before")));
         stage.logged("discovery answers 503");
         for (int i = 0; i < 3 * stage.sockets; i++) {
             stage.connect();
         }
         assertEquals("before", stage.call("state").body());
         assertTrue(stage.descriptors() + " held", stage.descriptors() <= stage.sockets);
-        Peer after = stage.add(Peer.serving("after"));
+        ScriptedServer after = stage.add(ScriptedServer.serving("after"));
         stage.discovery.setScript(
                 request -> {
-                    Stage.watch(request);
-                    Stage.line(request, Stage.list(2, true, "active", after));
+                    TestCluster.watch(request);
+                    TestCluster.line(request, TestCluster.list(2, true, "active", after));
                 });
         stage.logged("discovery is back, at generation 2");
         for (int i = 0; i < stage.sockets; i++) {
@@ -144,7 +145,9 @@
     public void everyClientOfACrowdGetsACompleteResponse() throws Exception {
         stage.sockets = 382; // 200 connections to clients
         stage.start(
-                Stage.SETTINGS, stage.add(Peer.serving("made")), stage.add(Peer.serving("made")));
+                TestCluster.SETTINGS,
+                stage.add(ScriptedServer.serving("made")),
+                stage.add(ScriptedServer.serving("made")));
         UnixOperatingSystemMXBean system =
                 (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         long free = system.getMaxFileDescriptorCount() - system.getOpenFileDescriptorCount();
--- a/daemon/src/test/java/trailthread/daemon/DegradationControllerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DegradationControllerTest.java
@@ -10,8 +10,8 @@
 import org.junit.After;
 import org.junit.Test;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /**
  * Degradation levels in the real program: polls are shed, requests that are not idempotent are
@@ -27,10 +27,10 @@
             """
             "lateness":{"hold_s":3600},"memory":{"hold_s":3600},"cpu_withheld":{"hold_s":3600}""";
 
-    private final Stage stage;
+    private final TestCluster stage;
 
     public DegradationControllerTest() throws Exception {
-        stage = new Stage();
+        stage = new TestCluster();
     }
 
     @After
@@ -58,8 +58,9 @@
                  "reduced":{"least_shed":1,"least_stay_s":300,
                   "starved":{"enter":0.01,"leave":0.0001,"hold_s":0},SLOW}},"""
                         .replace("SLOW", SLOW);
-        Peer endpoint = stage.add(new Peer(request -> request.answer("500 Error", "", "")));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint =
+                stage.add(new ScriptedServer(request -> request.answer("500 Error", "", "")));
+        stage.start(TestCluster.SETTINGS, endpoint);
         int node = stage.port;
         assertTrue(metrics().contains("trailthread_level{trailthread_level=\"normal\"} 1"));
         stage.port = node;
--- a/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
@@ -7,20 +7,20 @@
 import org.junit.After;
 import org.junit.Test;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /** How the node follows discovery, and keeps its list without it, over real sockets. */
 public class DiscoverySideTest {
     private static final long PIECE_MS = 500;
-    private final Stage stage;
-    private final Peer first;
-    private final Peer second;
+    private final TestCluster stage;
+    private final ScriptedServer first;
+    private final ScriptedServer second;
 
     public DiscoverySideTest() throws Exception {
-        stage = new Stage();
-        first = stage.add(Peer.serving("first"));
-        second = stage.add(Peer.serving("second"));
+        stage = new TestCluster();
+        first = stage.add(ScriptedServer.serving("first"));
+        second = stage.add(ScriptedServer.serving("second"));
     }
 
     @After
@@ -34,14 +34,14 @@
 
     @Test
     public void changesAreAppliedAndWatchesNameTheKnownGeneration() throws Exception {
-        stage.start(Stage.SETTINGS, first);
+        stage.start(TestCluster.SETTINGS, first);
         Message watch = stage.discovery.asked();
         assertEquals("GET /v1/endpoints?stream=1&index=1 HTTP/1.1", watch.start());
         assertEquals("the list known before serves", "first", stage.call("use").body());
 
-        Stage.line(watch, "");
-        Stage.line(watch, as("w1", Stage.list(7, false, "active", second)));
-        Stage.line(watch, Stage.list(8, false, "leaving", first));
+        TestCluster.line(watch, "");
+        TestCluster.line(watch, as("w1", TestCluster.list(7, false, "active", second)));
+        TestCluster.line(watch, TestCluster.list(8, false, "leaving", first));
         stage.call("other"); // its response comes after the lines of discovery were read
         while (!stage.call("use").body().equals("second")) {
             assertTrue("the drain is applied in time", first.requests.size() < 100);
@@ -58,8 +58,9 @@
 
     @Test
     public void aCompleteListReplacesTheKnownOne() throws Exception {
-        stage.start(Stage.SETTINGS, first);
-        Stage.line(stage.discovery.asked(), as("w1", Stage.list(2, true, "active", second)));
+        stage.start(TestCluster.SETTINGS, first);
+        TestCluster.line(
+                stage.discovery.asked(), as("w1", TestCluster.list(2, true, "active", second)));
         while (!stage.call("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
@@ -71,9 +72,9 @@
     /** Prevents the first line of an indented list from being parsed alone. */
     @Test
     public void anIndentedListIsRead() throws Exception {
-        stage.start(Stage.SETTINGS, first);
-        String list = as("w1", Stage.list(2, true, "active", second));
-        Stage.line(
+        stage.start(TestCluster.SETTINGS, first);
+        String list = as("w1", TestCluster.list(2, true, "active", second));
+        TestCluster.line(
                 stage.discovery.asked(),
                 list.replace("{", "{\n  ").replace(",", ",\n  ").replace("}", "\n}"));
         while (!stage.call("use").body().equals("second")) {
@@ -84,10 +85,11 @@
 
     @Test
     public void aMalformedUpdateEndsTheWatchAndTheListIsKept() throws Exception {
-        stage.start(Stage.SETTINGS, first);
+        stage.start(TestCluster.SETTINGS, first);
         Message watch = stage.discovery.asked();
-        Stage.line(
-                watch, Stage.list(9, true, "active", second).replace("\"hostPort\"", "\"other\""));
+        TestCluster.line(
+                watch,
+                TestCluster.list(9, true, "active", second).replace("\"hostPort\"", "\"other\""));
         assertEquals(
                 "GET /v1/endpoints?stream=1&index=1 HTTP/1.1", stage.discovery.asked().start());
         assertEquals("first", stage.call("use").body());
@@ -100,11 +102,11 @@
                     if (stage.discovery.requests.size() == 1) {
                         request.answer("503 Busy", "", "");
                     } else {
-                        Stage.watch(request);
-                        Stage.line(request, Stage.list(2, true, "active", second));
+                        TestCluster.watch(request);
+                        TestCluster.line(request, TestCluster.list(2, true, "active", second));
                     }
                 });
-        stage.start(Stage.SETTINGS);
+        stage.start(TestCluster.SETTINGS);
         stage.logged("answers 503");
         assertEquals("second", stage.call("use").body());
     }
@@ -113,17 +115,18 @@
     @Test
     public void whereListsArePushedAWatchIsKeptOpenUnasked() throws Exception {
         stage.start(
-                Stage.SETTINGS.replace("\"discovery\":\"on_request\"", "\"discovery\":\"pushed\""),
+                TestCluster.SETTINGS.replace(
+                        "\"discovery\":\"on_request\"", "\"discovery\":\"pushed\""),
                 first);
         Message watch = stage.discovery.asked();
-        Stage.line(watch, as("w1", Stage.list(2, true, "active", second)));
+        TestCluster.line(watch, as("w1", TestCluster.list(2, true, "active", second)));
         while (!stage.call("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
         stage.discovery.setScript(
                 request -> {
-                    Stage.watch(request);
-                    Stage.line(request, Stage.list(3, true, "active", first));
+                    TestCluster.watch(request);
+                    TestCluster.line(request, TestCluster.list(3, true, "active", first));
                 });
         watch.connection().close();
         while (!stage.call("use").body().equals("first")) {
@@ -137,18 +140,18 @@
      */
     @Test
     public void aMoveDuringThePauseAfterAFailureIsAskedAtOnce() throws Exception {
-        Peer moved =
+        ScriptedServer moved =
                 stage.add(
-                        new Peer(
+                        new ScriptedServer(
                                 request -> {
-                                    Stage.watch(request);
-                                    Stage.line(
+                                    TestCluster.watch(request);
+                                    TestCluster.line(
                                             request,
-                                            as("w1", Stage.list(2, true, "active", second)));
+                                            as("w1", TestCluster.list(2, true, "active", second)));
                                 }));
         stage.discovery.setScript(request -> request.answer("503 Busy", "", ""));
         String anHour =
-                Stage.SETTINGS.replace(
+                TestCluster.SETTINGS.replace(
                         "\"ask_every_ns\":1000000000", "\"ask_every_ns\":3600000000000000");
         stage.start(anHour, first);
         stage.logged("answers 503");
@@ -161,9 +164,9 @@
     /** If the network is cut, the watch stays open, but heartbeats stop. */
     @Test
     public void aSilentWatchIsClosed() throws Exception {
-        stage.start(Stage.SETTINGS, first);
+        stage.start(TestCluster.SETTINGS, first);
         Message watch = stage.discovery.asked();
-        Stage.line(watch, "");
+        TestCluster.line(watch, "");
         stage.logged("is silent");
         stage.discovery.asked();
         assertEquals("first", stage.call("use").body());
@@ -177,11 +180,13 @@
     public void aSlowListIsReadToItsEnd() throws Exception {
         stage.discovery.setScript(
                 request -> {
-                    Stage.watch(request);
+                    TestCluster.watch(request);
                     comesInPieces(
-                            request, as("w1", Stage.list(2, true, "active", second)) + "\n", 10);
+                            request,
+                            as("w1", TestCluster.list(2, true, "active", second)) + "\n",
+                            10);
                 });
-        stage.start(Stage.SETTINGS, first);
+        stage.start(TestCluster.SETTINGS, first);
         while (!stage.call("use").body().equals("second")) {
             assertEquals("one request", 1, stage.discovery.requests.size());
         }
@@ -194,10 +199,10 @@
     public void anEndlessListIsAborted() throws Exception {
         stage.discovery.setScript(
                 request -> {
-                    Stage.watch(request);
+                    TestCluster.watch(request);
                     comesInPieces(request, "{\"generation\":2," + " ".repeat(1_000), 500);
                 });
-        stage.start(Stage.SETTINGS, first);
+        stage.start(TestCluster.SETTINGS, first);
         stage.logged("is silent");
     }
 
@@ -226,23 +231,23 @@
      */
     @Test
     public void onSighupTheWatchMovesAndAllElseStays() throws Exception {
-        stage.start(Stage.SETTINGS, first);
+        stage.start(TestCluster.SETTINGS, first);
         Message watch = stage.discovery.asked();
-        Stage.line(watch, as("w1", Stage.list(7, true, "active", second)));
+        TestCluster.line(watch, as("w1", TestCluster.list(7, true, "active", second)));
         while (!stage.call("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
-        Peer moved = stage.add(new Peer(Stage::watchUnchanged));
+        ScriptedServer moved = stage.add(new ScriptedServer(TestCluster::watchUnchanged));
         stage.reload("{\"name\":");
         stage.logged("configuration not taken over: name");
         for (int i = 0; i < 3; i++) { // several in a row have the effect of one
-            stage.reload(stage.config(moved, Stage.SETTINGS, first));
+            stage.reload(stage.config(moved, TestCluster.SETTINGS, first));
         }
         Message movedWatch = moved.asked();
         assertEquals("GET /v1/endpoints?stream=1&index=7 HTTP/1.1", movedWatch.start());
         watch.connection().close();
         assertEquals("the list is kept", "second", stage.call("use").body());
-        Stage.line(movedWatch, Stage.list(8, true, "active", first));
+        TestCluster.line(movedWatch, TestCluster.list(8, true, "active", first));
         while (!stage.call("use").body().equals("first")) {
             assertTrue(second.requests.size() < 100);
         }
--- a/daemon/src/test/java/trailthread/daemon/DrainTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTest.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.Test;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /** A drain moves clients away without losing requests; after a resume they are served again. */
 public class DrainTest extends WithAdminServer {
@@ -22,11 +22,11 @@
     @Test
     public void requestsAreServedAndConnectionsCloseWithTheirResponsesOrIdle() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        Peer endpoint = stage.add(Peer.servingAfter(answer, "made"));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(ScriptedServer.servingAfter(answer, "made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
         assertEquals(200, ready().status());
         Socket busy = stage.connect();
-        Message.send(busy, Stage.request("use", "", ""));
+        Message.send(busy, TestCluster.request("use", "", ""));
         endpoint.asked();
         Socket idle = stage.connect();
         Message.send(idle, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -36,7 +36,7 @@
         assertEquals(503, stage.manage("GET", "/-/ready").status());
         assertEquals("idle connections are closed", -1, idle.getInputStream().read());
         Socket late = stage.connect();
-        Message.send(late, Stage.request("use", "", ""));
+        Message.send(late, TestCluster.request("use", "", ""));
         endpoint.asked();
         answer.countDown();
         for (Socket client : new Socket[] {busy, late}) {
--- a/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
@@ -20,7 +20,7 @@
 import trailthread.engine.request.ClientResponse;
 import trailthread.engine.request.RequestHandler;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
+import trailthread.testkit.ScriptedServer;
 
 /** Drain, resume and shutdown in each state, as one table. */
 public class DrainTransitionsTest {
@@ -63,7 +63,7 @@
     private <T> T onLoop(Supplier<T> does) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(() -> done.complete(does.get()));
-        return done.get(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+        return done.get(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
     }
 
     private static String says(Drain drain, String event) {
@@ -103,7 +103,7 @@
             assertEquals(events + ": ready", row[2], onLoop(listener::isReady));
             Thread.sleep(ANSWERS_HAVE_ENDED_MS);
             try (Socket client = new Socket(at.getAddress(), at.getPort())) {
-                client.setSoTimeout(1000 * Peer.LONGEST_WAIT_S);
+                client.setSoTimeout(1000 * ScriptedServer.LONGEST_WAIT_S);
                 Message.send(client, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 Message answer = Message.read(client);
                 assertEquals(events, (boolean) row[2] ? 200 : 503, answer.status());
--- a/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
@@ -15,15 +15,15 @@
 import org.junit.After;
 import org.junit.Test;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /** What the node sends to endpoints, and how it handles their responses, over real sockets. */
 public class EndpointSideTest {
-    private final Stage stage;
+    private final TestCluster stage;
 
     public EndpointSideTest() throws Exception {
-        stage = new Stage();
+        stage = new TestCluster();
     }
 
     @After
@@ -34,9 +34,9 @@
     /**
      * Starts a node with two endpoints. The first request runs the script, all others are served.
      */
-    private Peer[] startWithFirstRequest(Peer.Script act) throws Exception {
+    private ScriptedServer[] startWithFirstRequest(ScriptedServer.Script act) throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        Peer.Script script =
+        ScriptedServer.Script script =
                 request -> {
                     if (asked.getAndIncrement() == 0) {
                         act.act(request);
@@ -44,18 +44,20 @@
                         request.answer("200 OK", "", "made");
                     }
                 };
-        Peer[] endpoints = {stage.add(new Peer(script)), stage.add(new Peer(script))};
-        stage.start(Stage.SETTINGS, endpoints);
+        ScriptedServer[] endpoints = {
+            stage.add(new ScriptedServer(script)), stage.add(new ScriptedServer(script))
+        };
+        stage.start(TestCluster.SETTINGS, endpoints);
         return endpoints;
     }
 
-    private static int asked(Peer... endpoints) {
+    private static int asked(ScriptedServer... endpoints) {
         return endpoints[0].requests.size() + endpoints[1].requests.size();
     }
 
     @Test
     public void anUnprocessedRequestIsRetriedElsewhere() throws Exception {
-        Peer[] endpoints =
+        ScriptedServer[] endpoints =
                 startWithFirstRequest(
                         request -> request.answer("503 Full", "X-Unprocessed: 1\r\n", ""));
         assertEquals("made", stage.call("use").body());
@@ -64,9 +66,9 @@
 
     @Test
     public void aRequestWhoseConnectionIsRefusedIsRetriedElsewhere() throws Exception {
-        Peer gone = new Peer(request -> {});
-        Peer endpoint = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, gone, endpoint);
+        ScriptedServer gone = new ScriptedServer(request -> {});
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        stage.start(TestCluster.SETTINGS, gone, endpoint);
         gone.close();
         for (int i = 0; i < 5; i++) {
             assertEquals("made", stage.call("use").body());
@@ -75,7 +77,7 @@
 
     @Test
     public void anIdempotentRequestIsRetried() throws Exception {
-        Peer[] endpoints = startWithFirstRequest(request -> request.connection().close());
+        ScriptedServer[] endpoints = startWithFirstRequest(request -> request.connection().close());
         assertEquals("made", stage.call("state").body());
         assertEquals(2, asked(endpoints));
     }
@@ -86,7 +88,7 @@
      */
     @Test
     public void aRequestThatIsNotIdempotentAndMayHaveRunIsNotRetried() throws Exception {
-        List<Peer.Script> failures = new ArrayList<>();
+        List<ScriptedServer.Script> failures = new ArrayList<>();
         for (String status : List.of("500 Error", "503 Busy", "429 Many", "404 Unknown")) {
             failures.add(
                     request -> request.answer(status, "X-Other: 1\r\n", "x".repeat(64 * 1024 + 1)));
@@ -106,9 +108,11 @@
                     });
         }
         AtomicInteger turn = new AtomicInteger();
-        Peer endpoint =
-                stage.add(new Peer(request -> failures.get(turn.getAndIncrement()).act(request)));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint =
+                stage.add(
+                        new ScriptedServer(
+                                request -> failures.get(turn.getAndIncrement()).act(request)));
+        stage.start(TestCluster.SETTINGS, endpoint);
         for (int i = 0; i < failures.size(); i++) {
             assertEquals("way " + i, 502, stage.call("use").status());
             assertEquals("way " + i, i + 1, endpoint.requests.size());
@@ -121,17 +125,18 @@
      */
     @Test
     public void aTimedOutAttemptIsClosedBeforeTheNextIsSent() throws Exception {
-        Peer[] endpoints = startWithFirstRequest(request -> request.answer("200 OK", "", "made"));
+        ScriptedServer[] endpoints =
+                startWithFirstRequest(request -> request.answer("200 OK", "", "made"));
         assertEquals(
                 "made",
                 stage.call("state")
                         .body()); // the module now has a latency estimate for its timeouts
-        Peer.Script silent = request -> {};
+        ScriptedServer.Script silent = request -> {};
         List<Integer> closedBefore = new ArrayList<>();
-        for (Peer endpoint : endpoints) {
+        for (ScriptedServer endpoint : endpoints) {
             endpoint.setScript(
                     request -> {
-                        for (Peer other : endpoints) {
+                        for (ScriptedServer other : endpoints) {
                             other.setScript(
                                     second -> {
                                         closedBefore.add(closed(endpoints));
@@ -148,7 +153,7 @@
     /**
      * Waits for the number of closed connections, as a peer records a close on a thread of its own.
      */
-    private static int closed(Peer... endpoints) throws IOException {
+    private static int closed(ScriptedServer... endpoints) throws IOException {
         try {
             for (int i = 0;
                     i < 500 && endpoints[0].closed.size() + endpoints[1].closed.size() == 0;
@@ -163,11 +168,11 @@
 
     @Test
     public void idleConnectionsAreClosedBeforeTheEndpointClosesThem() throws Exception {
-        Peer endpoint = stage.add(Peer.serving("made"));
-        String settings = Stage.SETTINGS.replace("idle_close_ns\":60", "idle_close_ns\":1");
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        String settings = TestCluster.SETTINGS.replace("idle_close_ns\":60", "idle_close_ns\":1");
         stage.start(settings, endpoint);
         assertEquals("made", stage.call("use").body());
-        Socket idle = endpoint.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+        Socket idle = endpoint.closed.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
         assertEquals(endpoint.asked().connection(), idle);
         assertEquals("made", stage.call("use").body());
         assertNotEquals(idle, endpoint.asked().connection());
@@ -176,11 +181,11 @@
     /** At the descriptor limit, an idle connection is closed for one to another endpoint. */
     @Test
     public void moreEndpointsThanConnectionsAreAllReached() throws Exception {
-        Peer[] endpoints = new Peer[20];
+        ScriptedServer[] endpoints = new ScriptedServer[20];
         for (int i = 0; i < endpoints.length; i++) {
             endpoints[i] =
                     stage.add(
-                            new Peer(
+                            new ScriptedServer(
                                     request -> {
                                         LockSupport.parkNanos(
                                                 5_000_000); // a clear difference, so that each
@@ -189,13 +194,13 @@
                                     }));
         }
         stage.sockets = 96; // 16 connections to endpoints
-        stage.start(Stage.SETTINGS, endpoints);
+        stage.start(TestCluster.SETTINGS, endpoints);
         Socket client = stage.connect();
         for (int i = 0; i < 500; i++) {
-            Message.send(client, Stage.request("use", "", ""));
+            Message.send(client, TestCluster.request("use", "", ""));
             assertEquals("made", Message.read(client).body());
         }
-        for (Peer endpoint : endpoints) {
+        for (ScriptedServer endpoint : endpoints) {
             endpoint.asked();
         }
     }
@@ -203,23 +208,23 @@
     /** The drain is announced while a connect hangs; what counts is the request's first byte. */
     @Test
     public void nothingIsSentToAnEndpointThatBeganToDrain() throws Exception {
-        Peer serving = stage.add(Peer.serving("made"));
+        ScriptedServer serving = stage.add(ScriptedServer.serving("made"));
         try (ServerSocket hanging = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> fill = new ArrayList<>(); // fills its backlog, so that a connect hangs
             while (fill.size() < 2) {
                 fill.add(new Socket(InetAddress.getLoopbackAddress(), hanging.getLocalPort()));
             }
             String list =
-                    Stage.list(1, true, "active", serving)
+                    TestCluster.list(1, true, "active", serving)
                             .replace(serving.hostPort(), "127.0.0.1:" + hanging.getLocalPort());
-            stage.start(Stage.SETTINGS);
+            stage.start(TestCluster.SETTINGS);
             Message watch = stage.discovery.asked();
-            Stage.line(watch, list);
+            TestCluster.line(watch, list);
             Socket client = stage.connect();
-            Message.send(client, Stage.request("use", "", ""));
+            Message.send(client, TestCluster.request("use", "", ""));
             Thread.sleep(
                     200); // the connect hangs by now; if not, the test passes without proving much
-            Stage.line(
+            TestCluster.line(
                     watch,
                     list.replace("active", "leaving").replace("generation\":1", "generation\":2"));
             stage.call("other");
@@ -227,7 +232,8 @@
                 hanging.accept().close();
             }
             try (Socket late = hanging.accept()) { // the connect completes, seconds later
-                Stage.line(watch, Stage.list(3, true, "active", serving).replace("w0", "w1"));
+                TestCluster.line(
+                        watch, TestCluster.list(3, true, "active", serving).replace("w0", "w1"));
                 assertEquals("made", Message.read(client).body());
                 late.setSoTimeout(1);
                 assertEquals("nothing was sent", 0, late.getInputStream().available());
--- a/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
+++ b/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
@@ -17,8 +17,8 @@
 import org.junit.After;
 import org.junit.Test;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /**
  * Each admitted request gets one complete response before a kill at the earliest time that the
@@ -35,7 +35,7 @@
 
     private static final String[] CLASSES = {"use", "state", "action"};
     private static final Pattern ID = Pattern.compile("X-Correlation-Id: (\\w+)");
-    private final Stage stage;
+    private final TestCluster stage;
     private final Set<String> receivedIds = ConcurrentHashMap.newKeySet();
     private final Queue<String> faults = new ConcurrentLinkedQueue<>();
     private final AtomicInteger lateResponses = new AtomicInteger();
@@ -43,7 +43,7 @@
     private volatile boolean killed;
 
     public GracefulShutdownTest() throws Exception {
-        stage = new Stage();
+        stage = new TestCluster();
     }
 
     @After
@@ -52,16 +52,16 @@
     }
 
     private static String settings(int deadlineMs) {
-        return Stage.SETTINGS
+        return TestCluster.SETTINGS
                 .replace("\"aim_ns\":10000000000", "\"aim_ns\":" + deadlineMs * 800_000L)
                 .replace(
                         "\"deadline_ns\":20000000000", "\"deadline_ns\":" + deadlineMs * 1_000_000L)
                 .replace("\"window_ns\":20000000000", "\"window_ns\":" + deadlineMs * 1_000_000L);
     }
 
-    private Peer endpoint() throws IOException {
+    private ScriptedServer endpoint() throws IOException {
         return stage.add(
-                new Peer(
+                new ScriptedServer(
                         request -> {
                             receivedIds.add(request.header("X-Correlation-Id"));
                             if (!endpointsHang) {
@@ -71,7 +71,7 @@
     }
 
     private static String requestText(int number, int deadlineMs) {
-        return Stage.request(CLASSES[number % CLASSES.length], "", "")
+        return TestCluster.request(CLASSES[number % CLASSES.length], "", "")
                 .replace("Left: 20.000", "Left: " + deadlineMs / 1000.0);
     }
 
@@ -221,7 +221,7 @@
     public void afterSighupHasShortenedDeadlines() throws Exception {
         runUndisturbed(
                 () -> {
-                    Peer endpoint = endpoint();
+                    ScriptedServer endpoint = endpoint();
                     stage.start(settings(4_000), endpoint);
                     stage.reload(stage.config(settings(300), endpoint));
                     stage.logged("configuration taken over");
--- a/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
@@ -22,8 +22,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.Test;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /** Long responses and bodies: more than fit into memory, in all framings, from slow peers. */
 public class LongMessagesTest extends WithAdminServer {
@@ -90,7 +90,7 @@
     @Test
     public void longResponsesPassInEveryFraming() throws Exception {
         byte[] made = bytes(LONG);
-        List<Peer.Script> forms =
+        List<ScriptedServer.Script> forms =
                 List.of(
                         request -> {
                             Message.send(
@@ -110,16 +110,16 @@
                             request.connection().getOutputStream().write(made);
                             request.connection().shutdownOutput();
                         });
-        Peer endpoint = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, endpoint);
-        for (Peer.Script form : forms) {
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
+        for (ScriptedServer.Script form : forms) {
             endpoint.setScript(form);
             Socket client = stage.connect();
-            Message.send(client, Stage.request("use", "", ""));
+            Message.send(client, TestCluster.request("use", "", ""));
             endpoint.asked();
             assertArrayEquals(made, read(client));
             endpoint.setScript(request -> request.answer("200 OK", "", "next"));
-            Message.send(client, Stage.request("use", "", ""));
+            Message.send(client, TestCluster.request("use", "", ""));
             assertEquals("the connection goes on", "next", Message.read(client).body());
             endpoint.asked();
         }
@@ -128,9 +128,9 @@
     @Test
     public void moreResponsesThanFitIntoMemoryForSlowClients() throws Exception {
         byte[] made = bytes(8 * LONG);
-        Peer endpoint =
+        ScriptedServer endpoint =
                 stage.add(
-                        new Peer(
+                        new ScriptedServer(
                                 request -> {
                                     if (request.start().startsWith("GET")) {
                                         request.answer("200 OK", "", "short");
@@ -141,11 +141,11 @@
                                         request.connection().getOutputStream().write(made);
                                     }
                                 }));
-        stage.start(Stage.SETTINGS, endpoint);
+        stage.start(TestCluster.SETTINGS, endpoint);
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 6; i++) { // 192 MB, with a heap of 64 MB
             clients.add(stage.connect());
-            Message.send(clients.get(i), Stage.request("use", "", ""));
+            Message.send(clients.get(i), TestCluster.request("use", "", ""));
             endpoint.asked();
         }
         assertEquals("others are served meanwhile", "short", stage.call("state").body());
@@ -159,8 +159,8 @@
     @Test
     public void aTruncatedResponseIsNotComplete() throws Exception {
         byte[] made = bytes(LONG);
-        Peer endpoint = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
         for (String framing :
                 List.of(
                         "Content-Length: " + 2 * LONG + "\r\n",
@@ -182,7 +182,7 @@
                         request.connection().close();
                     });
             Socket client = stage.connect();
-            Message.send(client, Stage.request("use", "", ""));
+            Message.send(client, TestCluster.request("use", "", ""));
             endpoint.asked();
             try {
                 read(client);
@@ -197,9 +197,9 @@
     public void longBodiesAreRetriedAndChunkedBodiesGetALength() throws Exception {
         String body = new String(bytes(LONG), StandardCharsets.ISO_8859_1);
         AtomicInteger asked = new AtomicInteger();
-        Peer endpoint =
+        ScriptedServer endpoint =
                 stage.add(
-                        new Peer(
+                        new ScriptedServer(
                                 request -> {
                                     boolean first = asked.incrementAndGet() == 1;
                                     request.answer(
@@ -207,9 +207,10 @@
                                             first ? "X-Unprocessed: 1\r\n" : "",
                                             first ? "" : "made");
                                 }));
-        stage.start(Stage.SETTINGS, endpoint);
+        stage.start(TestCluster.SETTINGS, endpoint);
         String head =
-                Stage.request("use", "", "").replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "");
+                TestCluster.request("use", "", "")
+                        .replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "");
         Socket told = stage.connect();
         Message.send(told, head + "Expect: 100-continue\r\nContent-Length: " + LONG + "\r\n\r\n");
         assertEquals("HTTP/1.1 100 Continue", Message.read(told).start());
@@ -220,7 +221,7 @@
         Socket chunked = stage.connect();
         Message.send(
                 chunked,
-                Stage.request("use", "", "")
+                TestCluster.request("use", "", "")
                         .replaceFirst(
                                 "(?s)Content-Length: 4\r\n\r\npour",
                                 "Transfer-Encoding: chunked\r\n\r\n"));
@@ -232,7 +233,8 @@
 
     /** The head of a request, with the header that frames its body. */
     private static String head(String framing) {
-        return Stage.request("use", "", "").replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "")
+        return TestCluster.request("use", "", "")
+                        .replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "")
                 + framing
                 + "\r\n\r\n";
     }
@@ -245,15 +247,15 @@
     public void theMemoryOfDisconnectedClientsIsReleased() throws Exception {
         Semaphore answers = new Semaphore(0);
         Semaphore answered = new Semaphore(0);
-        Peer endpoint =
+        ScriptedServer endpoint =
                 stage.add(
-                        new Peer(
+                        new ScriptedServer(
                                 request -> {
                                     answers.acquireUninterruptibly();
                                     request.answer("200 OK", "", "made");
                                     answered.release();
                                 }));
-        stage.start(Stage.SETTINGS, endpoint);
+        stage.start(TestCluster.SETTINGS, endpoint);
         String body =
                 new String(bytes(3 * LONG), StandardCharsets.ISO_8859_1); // the limit allows one
         for (int i = 0; i < 5; i++) {
@@ -288,8 +290,8 @@
 
     @Test
     public void bodiesThatExceedTheMemoryAreStreamed() throws Exception {
-        Peer endpoint = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
         byte[] most = bytes(30 * 1024 * 1024); // below the limit of a body, above that of all
         String body = new String(most, StandardCharsets.ISO_8859_1);
         for (String framing :
@@ -304,7 +306,7 @@
             }
             assertEquals(framing, "made", Message.read(client).body());
             assertEquals(body, endpoint.asked().body());
-            Message.send(client, Stage.request("use", "", ""));
+            Message.send(client, TestCluster.request("use", "", ""));
             assertEquals("the connection goes on", "made", Message.read(client).body());
             endpoint.asked();
         }
@@ -313,8 +315,8 @@
 
     @Test
     public void aRejectionOfAStreamedBodyIsForwardedWithoutRetry() throws Exception {
-        Peer elsewhere = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS);
+        ScriptedServer elsewhere = stage.add(ScriptedServer.serving("made"));
+        stage.start(TestCluster.SETTINGS);
         CountDownLatch rejected = new CountDownLatch(1);
         try (ServerSocket early = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Thread thread =
@@ -332,15 +334,15 @@
                                 }
                             });
             thread.start();
-            Stage.line(
+            TestCluster.line(
                     stage.discovery.asked(),
-                    Stage.list(2, true, "active", elsewhere)
+                    TestCluster.list(2, true, "active", elsewhere)
                             .replace(elsewhere.hostPort(), "127.0.0.1:" + early.getLocalPort()));
             stage.awaitFigure("app_cluster_size 1");
             Socket client = stage.connect();
             Message.send(client, head("Content-Length: " + 30 * 1024 * 1024));
             Message.send(client, "x".repeat(100_000));
-            assertTrue(rejected.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+            assertTrue(rejected.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
             Message refused = Message.read(client);
             assertEquals("nothing has run: the module refuses", 503, refused.status());
             assertEquals("close", refused.header("Connection"));
@@ -351,15 +353,16 @@
 
     @Test
     public void aTruncatedBodyIsNoRequest() throws Exception {
-        Peer endpoint = stage.add(new Peer(request -> request.answer("200 OK", "", "made")));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint =
+                stage.add(new ScriptedServer(request -> request.answer("200 OK", "", "made")));
+        stage.start(TestCluster.SETTINGS, endpoint);
         Socket client = stage.connect();
         Message.send(client, head("Content-Length: " + 30 * 1024 * 1024));
         Message.send(client, "x".repeat(2_000_000));
         client.close();
         assertTrue(
                 "the worker's connection ends",
-                endpoint.closed.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS) != null);
+                endpoint.closed.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS) != null);
         endpoint.wasNotAsked();
         stage.awaitFigure("app_current 0");
         assertEquals("made", stage.call("use").body());
@@ -367,8 +370,8 @@
 
     @Test
     public void aMalformedRequestIsNotBuffered() throws Exception {
-        Peer endpoint = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
         Socket noCall = stage.connect();
         Message.send(
                 noCall,
--- a/daemon/src/test/java/trailthread/daemon/MetricsOverSocketsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/MetricsOverSocketsTest.java
@@ -7,21 +7,21 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.Test;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /** The metrics match what scripted peers saw, however requests end. */
 public class MetricsOverSocketsTest extends WithAdminServer {
     @Test
     public void eachRequestIsCountedOnce() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
-        Peer endpoint = stage.add(Peer.serving("made"));
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
         endpoint.setScript(
                 request -> {
                     switch (request.start().replaceAll(".*how=(\\w+) .*", "$1")) {
                         case "reset" -> request.connection().close();
                         case "error" -> request.answer("500 Error", "", "");
-                        case "held" -> Peer.await(over);
+                        case "held" -> ScriptedServer.await(over);
                         case "long" -> {
                             Message.send(
                                     request.connection(),
@@ -32,7 +32,7 @@
                         default -> request.answer("200 OK", "", "made");
                     }
                 });
-        stage.start(Stage.SETTINGS, endpoint);
+        stage.start(TestCluster.SETTINGS, endpoint);
         stage.awaitFigure("app_answered{group=\"use\"} 0");
         int sends = 0;
         for (String how : new String[] {"reset", "error", "served"}) {
@@ -40,14 +40,14 @@
             sends++;
         }
         Socket cut = stage.connect();
-        Message.send(cut, Stage.request("use", "?how=long", ""));
+        Message.send(cut, TestCluster.request("use", "?how=long", ""));
         int came = cut.getInputStream().readAllBytes().length;
         assertTrue("passed on until it broke off: " + came, came > 64 * 1024 && came < 200_000);
         assertEquals("its time is over", 502, ask("held", "0.500").status());
         sends += 2;
         stage.awaitFigure("app_current 0");
         Socket leaves = stage.connect();
-        Message.send(leaves, Stage.request("use", "?how=held", ""));
+        Message.send(leaves, TestCluster.request("use", "?how=held", ""));
         stage.awaitFigure("app_current 1");
         stage.awaitFigure("app_sends " + ++sends);
         leaves.close();
@@ -63,7 +63,8 @@
 
     private Message ask(String how, String seconds) throws Exception {
         Socket client = stage.connect();
-        Message.send(client, Stage.request("use", "?how=" + how, "").replace("20.000", seconds));
+        Message.send(
+                client, TestCluster.request("use", "?how=" + how, "").replace("20.000", seconds));
         return Message.read(client);
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
@@ -15,15 +15,15 @@
 import org.junit.Test;
 import trailthread.testkit.Holder;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /** A process replaces another one on an inherited socket, and no request is lost. */
 public class NewVersionTest {
     private static final String SERVES = "serves on";
     private static final int REQUESTS = 50;
 
-    private final Stage stage = new Stage();
+    private final TestCluster stage = new TestCluster();
     private final Holder holder = stage.add(new Holder());
     private final Path config = Files.createTempFile("trailthread", ".json");
 
@@ -52,22 +52,22 @@
     @Test
     public void theOldProcessFinishesItsRequestsAndTheNewOneTakesOver() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        Peer endpoint =
+        ScriptedServer endpoint =
                 stage.add(
-                        new Peer(
+                        new ScriptedServer(
                                 request -> {
                                     if (request.start().startsWith("POST /use")) {
-                                        Peer.await(answer);
+                                        ScriptedServer.await(answer);
                                     }
                                     request.answer("200 OK", "", "made");
                                 }));
-        Files.writeString(config, stage.config(Stage.SETTINGS, endpoint));
+        Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
         long old = start();
         holder.logged(SERVES, 1);
         Socket atWork = stage.connect();
-        Message.send(atWork, Stage.request("use", "", ""));
+        Message.send(atWork, TestCluster.request("use", "", ""));
         Socket idle = stage.connect();
-        Message.send(idle, Stage.request("state", "", ""));
+        Message.send(idle, TestCluster.request("state", "", ""));
         assertEquals("made", Message.read(idle).body());
         start();
         holder.logged(SERVES, 2);
@@ -88,7 +88,7 @@
         Message served = Message.read(atWork);
         assertEquals("made", served.body());
         assertEquals("close", served.header("Connection"));
-        ended.get(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+        ended.get(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
         assertEquals("made", stage.call("state").body());
         assertEquals(
                 "endpoints received only clients' requests",
@@ -102,8 +102,8 @@
 
     @Test
     public void aNewProcessThatDiesChangesNothing() throws Exception {
-        Peer endpoint = stage.add(Peer.serving("made"));
-        Files.writeString(config, stage.config(Stage.SETTINGS, endpoint));
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
         start();
         holder.logged(SERVES, 1);
         for (int i = 2; i < 4; i++) {
@@ -118,26 +118,27 @@
         for (int i = 0; i < REQUESTS; i++) {
             assertEquals("made", stage.call("use").body());
         }
-        assertEquals(200, Stage.manage(adminPort(1), "GET", "/-/ready").status());
+        assertEquals(200, TestCluster.manage(adminPort(1), "GET", "/-/ready").status());
     }
 
     @Test
     public void severalUpgradesInARowAlsoDuringADrain() throws Exception {
-        Peer endpoint = stage.add(Peer.serving("made"));
-        Files.writeString(config, stage.config(Stage.SETTINGS, endpoint));
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
         long old = start();
         holder.logged(SERVES, 1);
         for (int i = 2; i < 5; i++) {
             boolean drained = i == 3;
             if (drained) {
-                assertEquals(200, Stage.manage(adminPort(i - 1), "POST", "/-/drain").status());
+                assertEquals(
+                        200, TestCluster.manage(adminPort(i - 1), "POST", "/-/drain").status());
             }
             long next = start();
             holder.logged(SERVES, i);
-            assertEquals(200, Stage.manage(adminPort(i), "GET", "/-/ready").status());
+            assertEquals(200, TestCluster.manage(adminPort(i), "GET", "/-/ready").status());
             assertEquals(
                     drained ? 503 : 200,
-                    Stage.manage(adminPort(i - 1), "GET", "/-/ready").status());
+                    TestCluster.manage(adminPort(i - 1), "GET", "/-/ready").status());
             Holder.terminate(old);
             assertEquals("made", stage.call("use").body());
             old = next;
@@ -147,7 +148,7 @@
     @Test
     public void anUnusableDescriptorIsReported() throws Exception {
         for (String descriptor : List.of("0", "3", "x")) {
-            Files.writeString(config, stage.config(Stage.SETTINGS));
+            Files.writeString(config, stage.config(TestCluster.SETTINGS));
             ProcessBuilder builder =
                     new ProcessBuilder(
                                     Path.of(System.getProperty("java.home"), "bin", "java")
--- a/daemon/src/test/java/trailthread/daemon/NewsDueTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewsDueTest.java
@@ -18,8 +18,8 @@
 import trailthread.engine.discovery.DiscoveryUpdate;
 import trailthread.engine.loop.EventLoop;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /**
  * Since when an update counts as known that arrived, or was due, before it was read. The grace
@@ -28,7 +28,7 @@
 public class NewsDueTest {
     private static final long MS = 1_000_000L;
     private static final long UPDATE_DUE_MS = 6_000;
-    private final Peer peer;
+    private final ScriptedServer peer;
     private final EventLoop loop;
     private final DiscoveryClient discovery;
     private final BlockingQueue<Long> knownSince = new LinkedBlockingQueue<>();
@@ -37,10 +37,10 @@
 
     public NewsDueTest() throws Exception {
         peer =
-                new Peer(
+                new ScriptedServer(
                         request -> {
-                            Stage.watch(request);
-                            Stage.line(request, Stage.list(1, true, "active"));
+                            TestCluster.watch(request);
+                            TestCluster.line(request, TestCluster.list(1, true, "active"));
                         });
         loop = new EventLoop("news");
         String[] hostPort = peer.hostPort().split(":");
@@ -71,7 +71,7 @@
     }
 
     private long known() throws InterruptedException {
-        Long since = knownSince.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+        Long since = knownSince.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
         assertNotNull("a list was to come", since);
         return since;
     }
@@ -80,7 +80,7 @@
     public void anUpdateReadLateIsKnownSinceItArrived() throws Exception {
         Message watch = peer.asked();
         known();
-        long arrivedBy = sendUnread(watch, Stage.list(2, true, "leaving"));
+        long arrivedBy = sendUnread(watch, TestCluster.list(2, true, "leaving"));
         assertTrue("known since it came", known() <= arrivedBy);
     }
 
@@ -91,10 +91,10 @@
         loop.execute(
                 () -> {
                     held.countDown();
-                    Peer.await(resume);
+                    ScriptedServer.await(resume);
                 });
-        Peer.await(held);
-        Stage.line(watch, line);
+        ScriptedServer.await(held);
+        TestCluster.line(watch, line);
         final long arrivedBy = loop.now();
         Thread.sleep(300);
         resume.countDown();
@@ -125,11 +125,13 @@
         known();
         peer.setScript(
                 request -> {
-                    Stage.watch(request);
-                    Stage.line(request, "");
+                    TestCluster.watch(request);
+                    TestCluster.line(request, "");
                 });
         watch.connection().close();
-        assertNotNull("its end is noticed", failures.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertNotNull(
+                "its end is noticed",
+                failures.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
         loop.execute(() -> discovery.watch(true));
         known();
         updates.remove();
@@ -137,7 +139,9 @@
     }
 
     private void assertUpdateDueAfterSilenceSince(long silentSince) throws InterruptedException {
-        assertNotNull("silence is noticed", failures.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertNotNull(
+                "silence is noticed",
+                failures.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
         long passedMs = (loop.now() - silentSince) / MS;
         Thread.sleep(Math.max(0, UPDATE_DUE_MS + 1_000 - passedMs));
         loop.execute(() -> discovery.watch(true));
--- a/daemon/src/test/java/trailthread/daemon/NodeConfigTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NodeConfigTest.java
@@ -15,7 +15,7 @@
 import trailthread.api.Idempotency;
 import trailthread.degradation.Reading;
 import trailthread.engine.degradation.DegradationConfig;
-import trailthread.testkit.Stage;
+import trailthread.testkit.TestCluster;
 
 /** Parsing, validation and reload of a node's configuration. */
 public class NodeConfigTest {
@@ -25,7 +25,7 @@
                     + "\"limits\":{\"cores\":1.0,\"sockets\":300},\"new\":[{}],"
                     + "\"known\":{\"generation\":4,\"reset\":true,\"instances\":[]},"
                     + "\"settings\":{"
-                    + Stage.SETTINGS
+                    + TestCluster.SETTINGS
                     + "}}";
 
     private static NodeConfig parse(String json, Map<String, String> environment)
--- a/daemon/src/test/java/trailthread/daemon/PauseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/PauseTest.java
@@ -13,8 +13,8 @@
 import org.junit.After;
 import org.junit.Test;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /** No request is lost or runs twice while the node or endpoints are stopped. */
 public class PauseTest {
@@ -24,14 +24,14 @@
 
     /** Short objectives and deadlines, so that the module soon uses a silent endpoint again. */
     private static final String QUICK =
-            Stage.SETTINGS
+            TestCluster.SETTINGS
                     .replace("\"aim_ns\":10000000000", "\"aim_ns\":500000000")
                     .replace("\"deadline_ns\":20000000000", "\"deadline_ns\":2000000000");
 
-    private final Stage stage;
+    private final TestCluster stage;
 
     public PauseTest() throws Exception {
-        stage = new Stage();
+        stage = new TestCluster();
     }
 
     @After
@@ -40,7 +40,7 @@
     }
 
     private Socket send(Socket client, int number) throws Exception {
-        Message.send(client, Stage.request(number % 2 == 0 ? "use" : "state", "", ""));
+        Message.send(client, TestCluster.request(number % 2 == 0 ? "use" : "state", "", ""));
         return client;
     }
 
@@ -53,9 +53,9 @@
     }
 
     /** Counts the requests that endpoints received, and checks that none came twice. */
-    private static int ranOnce(Peer... endpoints) {
+    private static int ranOnce(ScriptedServer... endpoints) {
         Set<String> ids = new HashSet<>();
-        for (Peer endpoint : endpoints) {
+        for (ScriptedServer endpoint : endpoints) {
             for (Message request : endpoint.requests) {
                 assertTrue("ran twice: " + request, ids.add(request.header("X-Correlation-Id")));
             }
@@ -66,8 +66,10 @@
     @Test
     public void requestsSentToAStoppedNodeAreServedAndRunOnce() throws Exception {
         stage.sockets = 96; // 28 connections to clients: fewer than come
-        Peer[] endpoints = {stage.add(Peer.serving("made")), stage.add(Peer.serving("made"))};
-        stage.start(Stage.SETTINGS, endpoints);
+        ScriptedServer[] endpoints = {
+            stage.add(ScriptedServer.serving("made")), stage.add(ScriptedServer.serving("made"))
+        };
+        stage.start(TestCluster.SETTINGS, endpoints);
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < KEPT; i++) {
             clients.add(send(stage.connect(), i));
@@ -75,12 +77,12 @@
         }
         CountDownLatch goOn = new CountDownLatch(1);
         CountDownLatch out = new CountDownLatch(IN_FLIGHT);
-        for (Peer endpoint : endpoints) {
+        for (ScriptedServer endpoint : endpoints) {
             endpoint.setScript(
                     request -> {
                         out.countDown();
                         try {
-                            goOn.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+                            goOn.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
                         } catch (InterruptedException e) {
                             throw new AssertionError(e);
                         }
@@ -90,7 +92,9 @@
         for (int i = 0; i < IN_FLIGHT; i++) {
             clients.add(send(stage.connect(), i));
         }
-        assertTrue("requests are in flight", out.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertTrue(
+                "requests are in flight",
+                out.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
 
         stage.signal("STOP");
         goOn.countDown();
@@ -111,28 +115,28 @@
 
     @Test
     public void silentEndpointsBlockNothingAndAreUsedAgainOnceTheyRespond() throws Exception {
-        Peer.Script serves = request -> request.answer("200 OK", "", "made");
-        Peer[] endpoints = {
-            stage.add(new Peer(serves)),
-            stage.add(new Peer(serves)),
-            stage.add(new Peer(serves)),
-            stage.add(new Peer(serves))
+        ScriptedServer.Script serves = request -> request.answer("200 OK", "", "made");
+        ScriptedServer[] endpoints = {
+            stage.add(new ScriptedServer(serves)),
+            stage.add(new ScriptedServer(serves)),
+            stage.add(new ScriptedServer(serves)),
+            stage.add(new ScriptedServer(serves))
         };
         stage.start(QUICK, endpoints);
         for (int i = 0; i < 200; i++) {
             assertEquals(200, stage.call("state").status());
         }
-        for (Peer endpoint : endpoints) {
+        for (ScriptedServer endpoint : endpoints) {
             endpoint.requests.clear();
         }
-        Peer[] silent = {endpoints[0], endpoints[1]};
-        for (Peer endpoint : silent) {
+        ScriptedServer[] silent = {endpoints[0], endpoints[1]};
+        for (ScriptedServer endpoint : silent) {
             endpoint.setScript(request -> {});
         }
         List<Socket> users = new ArrayList<>();
         while (silent[0].requests.isEmpty() && silent[1].requests.isEmpty()) {
             Socket user = stage.connect();
-            Message.send(user, Stage.request("use", "", "").replace("Left: 20", "Left: 3"));
+            Message.send(user, TestCluster.request("use", "", "").replace("Left: 20", "Left: 3"));
             users.add(user);
             Thread.sleep(10);
         }
@@ -145,11 +149,12 @@
         for (int i = 0; i < 20; i++) {
             assertEquals("made", stage.call("state").body());
         }
-        for (Peer endpoint : silent) {
+        for (ScriptedServer endpoint : silent) {
             endpoint.setScript(serves);
             endpoint.requests.clear();
         }
-        long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * Peer.LONGEST_WAIT_S);
+        long limit =
+                System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * ScriptedServer.LONGEST_WAIT_S);
         while (silent[0].requests.isEmpty() || silent[1].requests.isEmpty()) {
             assertTrue("used again", System.nanoTime() < limit);
             assertEquals("made", stage.call("state").body());
--- a/daemon/src/test/java/trailthread/daemon/RetuneTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RetuneTest.java
@@ -7,27 +7,27 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.Test;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /** Reloading settings at SIGHUP: all of them are applied, or none. */
 public class RetuneTest extends WithAdminServer {
     private static final String OTHERS =
-            Stage.SETTINGS
+            TestCluster.SETTINGS
                     .replace("\"name\":\"use\"", "\"name\":\"study\"")
                     .replace("\"most_tries\":6", "\"most_tries\":1");
 
     @Test
     public void classesAreAddedAndRemovedAndRequestsInFlightKeepTheirs() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        Peer endpoint = stage.add(Peer.servingAfter(answer, "made"));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(ScriptedServer.servingAfter(answer, "made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
         assertEquals(400, stage.call("study").status());
         Socket atWork = stage.connect();
-        Message.send(atWork, Stage.request("use", "", ""));
+        Message.send(atWork, TestCluster.request("use", "", ""));
         endpoint.asked();
         Socket half = stage.connect();
-        String request = Stage.request("use", "", "");
+        String request = TestCluster.request("use", "", "");
         Message.send(half, request.substring(0, request.length() - 2));
         stage.call("none"); // the node has read what was sent before
         stage.reload(stage.config(OTHERS, endpoint));
@@ -45,9 +45,11 @@
 
     @Test
     public void fewerAttemptsApplyAtOnce() throws Exception {
-        Peer endpoint = stage.add(new Peer(request -> request.answer("500 Error", "", "")));
-        Peer other = stage.add(new Peer(request -> request.answer("500 Error", "", "")));
-        stage.start(Stage.SETTINGS, endpoint, other);
+        ScriptedServer endpoint =
+                stage.add(new ScriptedServer(request -> request.answer("500 Error", "", "")));
+        ScriptedServer other =
+                stage.add(new ScriptedServer(request -> request.answer("500 Error", "", "")));
+        stage.start(TestCluster.SETTINGS, endpoint, other);
         assertTrue(
                 "more than one attempt",
                 stage.call("state").status() >= 500
@@ -61,17 +63,17 @@
 
     @Test
     public void severalReloadsInARowEndWithTheNewestFile() throws Exception {
-        Peer endpoint = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
         for (int i = 0; i < 20; i++) {
-            stage.reload(stage.config(i % 2 == 0 ? OTHERS : Stage.SETTINGS, endpoint));
+            stage.reload(stage.config(i % 2 == 0 ? OTHERS : TestCluster.SETTINGS, endpoint));
         }
         stage.reload(
                 stage.config(
                         OTHERS.replace("\"study\"", "\"newest\""),
                         endpoint)); // no other file has that class
         boolean newest = false;
-        for (int i = 0; !newest && i < 10 * Peer.LONGEST_WAIT_S; i++) {
+        for (int i = 0; !newest && i < 10 * ScriptedServer.LONGEST_WAIT_S; i++) {
             newest = stage.call("newest").status() == 200;
             Thread.sleep(newest ? 0 : 100);
         }
@@ -86,8 +88,8 @@
 
     @Test
     public void aBrokenFileChangesNothing() throws Exception {
-        Peer endpoint = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
         String good = stage.config(OTHERS, endpoint);
         String[] broken = {
             "",
--- a/daemon/src/test/java/trailthread/daemon/RollingRestartTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RollingRestartTest.java
@@ -20,8 +20,8 @@
 import org.junit.After;
 import org.junit.Test;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /** No request is lost or runs twice in a rolling restart of two nodes under load. */
 public class RollingRestartTest {
@@ -30,7 +30,7 @@
     private static final int STOPPED_MS = 100;
     private static final int SLOW_MS = 400;
     private static final Pattern ID = Pattern.compile("X-Correlation-Id: (\\w+)");
-    private final Stage[] nodes = new Stage[2];
+    private final TestCluster[] nodes = new TestCluster[2];
 
     /** How often each id ran at the endpoints. */
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
@@ -49,7 +49,7 @@
     @After
     public void end() throws Exception {
         over = true;
-        for (Stage node : nodes) {
+        for (TestCluster node : nodes) {
             node.end();
         }
     }
@@ -78,7 +78,7 @@
                 for (int i = 0; !over; i++) {
                     String requestClass = i % 2 == 0 ? "use" : "state";
                     int attempts = 1;
-                    while (!isAnswered(Stage.request(requestClass, "", ""))
+                    while (!isAnswered(TestCluster.request(requestClass, "", ""))
                             && attempts++ < MAX_ATTEMPTS) {
                         at = 1 - at;
                         sleep(5);
@@ -103,7 +103,7 @@
                 } catch (ConnectException e) {
                     return false;
                 }
-                connection.setSoTimeout(1000 * Peer.LONGEST_WAIT_S);
+                connection.setSoTimeout(1000 * ScriptedServer.LONGEST_WAIT_S);
             }
             Matcher id = ID.matcher(requestText);
             assertTrue(id.find());
@@ -156,7 +156,7 @@
     }
 
     /** Stops the node's process and lets it go on, again and again, until it has ended. */
-    private static Thread slowDown(Stage node) {
+    private static Thread slowDown(TestCluster node) {
         Thread thread =
                 new Thread(
                         () -> {
@@ -176,12 +176,12 @@
     }
 
     private void restartInTurn() throws Exception {
-        Peer[] endpoints = new Peer[2];
+        ScriptedServer[] endpoints = new ScriptedServer[2];
         for (int i = 0; i < 2; i++) {
-            nodes[i] = new Stage();
+            nodes[i] = new TestCluster();
             endpoints[i] =
                     nodes[i].add(
-                            new Peer(
+                            new ScriptedServer(
                                     request -> {
                                         runs.merge(
                                                 request.header("X-Correlation-Id"),
@@ -191,21 +191,21 @@
                                         request.answer("200 OK", "", "made");
                                     }));
         }
-        for (Stage node : nodes) {
-            node.start(Stage.SETTINGS, endpoints);
+        for (TestCluster node : nodes) {
+            node.start(TestCluster.SETTINGS, endpoints);
         }
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             clients.add(new Client(i));
             clients.get(i).start();
         }
-        for (Stage node : nodes) {
+        for (TestCluster node : nodes) {
             Thread.sleep(1000);
             Thread slowDown = slowed ? slowDown(node) : new Thread();
             node.terminate();
             assertEquals(0, node.exitStatus());
             slowDown.join();
-            node.start(Stage.SETTINGS, endpoints);
+            node.start(TestCluster.SETTINGS, endpoints);
         }
         Thread.sleep(500);
         over = true;
--- a/daemon/src/test/java/trailthread/daemon/StaleListTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StaleListTest.java
@@ -9,8 +9,8 @@
 import org.junit.After;
 import org.junit.Test;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /**
  * The endpoint list is a lease: each sign of life of discovery renews it, and a process that has
@@ -26,15 +26,15 @@
     /** How long after a change it counts as announced. */
     private static final long NEWS_DUE_MS = 6_000;
 
-    private final Stage stage;
-    private final Peer gone;
-    private final Peer present;
+    private final TestCluster stage;
+    private final ScriptedServer gone;
+    private final ScriptedServer present;
     private final CountDownLatch answers = new CountDownLatch(1);
 
     public StaleListTest() throws Exception {
-        stage = new Stage();
-        gone = stage.add(Peer.serving("gone"));
-        present = stage.add(Peer.serving("present"));
+        stage = new TestCluster();
+        gone = stage.add(ScriptedServer.serving("gone"));
+        present = stage.add(ScriptedServer.serving("present"));
     }
 
     @After
@@ -43,8 +43,8 @@
         stage.end();
     }
 
-    private Peer[] thousands(Peer peer) {
-        Peer[] servers = new Peer[SERVERS];
+    private ScriptedServer[] thousands(ScriptedServer peer) {
+        ScriptedServer[] servers = new ScriptedServer[SERVERS];
         Arrays.fill(servers, peer);
         return servers;
     }
@@ -53,9 +53,10 @@
     private void crowd() {
         stage.discovery.setScript(
                 request -> {
-                    Peer.await(answers);
-                    Stage.watch(request);
-                    Stage.line(request, Stage.list(14, true, "active", thousands(present)));
+                    ScriptedServer.await(answers);
+                    TestCluster.watch(request);
+                    TestCluster.line(
+                            request, TestCluster.list(14, true, "active", thousands(present)));
                 });
     }
 
@@ -66,7 +67,7 @@
     }
 
     private void awaitServedBy(String server) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peer.LONGEST_WAIT_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(ScriptedServer.LONGEST_WAIT_S);
         while (!stage.call("use").body().equals(server)) {
             assertTrue("served in the end", System.nanoTime() < until);
             Thread.sleep(20);
@@ -76,7 +77,7 @@
     @Test
     public void aNewProcessDoesNotUseTheListOfThePreviousOne() throws Exception {
         crowd();
-        stage.start(Stage.SETTINGS, thousands(gone));
+        stage.start(TestCluster.SETTINGS, thousands(gone));
         assertRefused();
         answers.countDown();
         awaitServedBy("present");
@@ -91,10 +92,10 @@
     public void aListWithoutConfirmationExpires() throws Exception {
         stage.discovery.setScript(
                 request -> {
-                    Stage.watch(request);
-                    Stage.line(request, Stage.list(1, true, "active", gone));
+                    TestCluster.watch(request);
+                    TestCluster.line(request, TestCluster.list(1, true, "active", gone));
                 });
-        stage.start(Stage.SETTINGS, gone);
+        stage.start(TestCluster.SETTINGS, gone);
         Message watch = stage.discovery.asked();
         awaitServedBy("gone");
         crowd();
@@ -112,10 +113,10 @@
     public void theListIsKeptWhileDiscoveryIsDown() throws Exception {
         stage.discovery.setScript(
                 request -> {
-                    Stage.watch(request);
-                    Stage.line(request, Stage.list(1, true, "active", present));
+                    TestCluster.watch(request);
+                    TestCluster.line(request, TestCluster.list(1, true, "active", present));
                 });
-        stage.start(Stage.SETTINGS, present);
+        stage.start(TestCluster.SETTINGS, present);
         awaitServedBy("present");
         stage.discovery.close();
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(2 * NEWS_DUE_MS);
--- a/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
@@ -11,15 +11,15 @@
 import org.junit.After;
 import org.junit.Test;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /** Start, failed start and shutdown of the program. */
 public class StartAndStopTest {
-    private final Stage stage;
+    private final TestCluster stage;
 
     public StartAndStopTest() throws Exception {
-        stage = new Stage();
+        stage = new TestCluster();
     }
 
     @After
@@ -29,8 +29,8 @@
 
     @Test
     public void itIsReadyOnceItServesAndTheWarmUpReachesNoEndpoint() throws Exception {
-        Peer endpoint = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
         Socket front = stage.connect();
         Message.send(front, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals(200, Message.read(front).status());
@@ -43,12 +43,12 @@
      */
     @Test
     public void aWarmUpRequestReadTooLateReachesNoEndpoint() throws Exception {
-        Peer endpoint = stage.add(Peer.serving("made"));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
         Socket late = stage.connect();
         Message.send(
                 late,
-                Stage.request("use", "", "")
+                TestCluster.request("use", "", "")
                         .replaceFirst(
                                 "X-Correlation-Id: .*",
                                 "X-Correlation-Id: warm-up-8c1f30d27a5be964-1"));
@@ -60,9 +60,12 @@
     /** The nodes of a busy fleet need this one soon; in an idle fleet it may warm up for longer. */
     @Test
     public void aStartIsShorterIfEndpointsAreBusy() throws Exception {
-        String probes = Stage.SETTINGS.replace("\"limits\":{", "\"limits\":{\"probes\":true,");
+        String probes =
+                TestCluster.SETTINGS.replace("\"limits\":{", "\"limits\":{\"probes\":true,");
         for (int inflight : new int[] {3, 0}) {
-            Peer endpoint = stage.add(Peer.serving("{\"inflight\":" + inflight + ",\"queue\":0}"));
+            ScriptedServer endpoint =
+                    stage.add(
+                            ScriptedServer.serving("{\"inflight\":" + inflight + ",\"queue\":0}"));
             stage.start(probes, endpoint);
             assertEquals("GET /status/load HTTP/1.1", endpoint.asked().start());
             String line = stage.logged("warmed up");
@@ -77,11 +80,11 @@
     public void aSighupDuringTheStartIsRemembered() throws Exception {
         try (OutputStream out = stage.startAtPipe()) {
             stage.signal("HUP");
-            out.write(stage.config(Stage.SETTINGS).getBytes(StandardCharsets.UTF_8));
+            out.write(stage.config(TestCluster.SETTINGS).getBytes(StandardCharsets.UTF_8));
         }
         stage.logged("serves on");
         try (OutputStream out = stage.pipe()) { // read once more
-            out.write(stage.config(Stage.SETTINGS).getBytes(StandardCharsets.UTF_8));
+            out.write(stage.config(TestCluster.SETTINGS).getBytes(StandardCharsets.UTF_8));
         }
         stage.logged("configuration taken over");
     }
@@ -93,14 +96,14 @@
     @Test
     public void callsTakenUnderLongerDeadlinesAreWaitedFor() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        Peer endpoint = stage.add(Peer.servingAfter(answer, "made"));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(ScriptedServer.servingAfter(answer, "made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
         Socket client = stage.connect();
-        Message.send(client, Stage.request("use", "", ""));
+        Message.send(client, TestCluster.request("use", "", ""));
         endpoint.asked();
         stage.reload(
                 stage.config(
-                        Stage.SETTINGS.replace(
+                        TestCluster.SETTINGS.replace(
                                 "\"deadline_ns\":20000000000", "\"deadline_ns\":100000000"),
                         endpoint));
         stage.logged("configuration taken over");
@@ -115,15 +118,15 @@
     @Test
     public void onSigtermItServesOnThenFinishesItsRequestsAndExitsWithZero() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        Peer endpoint = stage.add(Peer.servingAfter(answer, "made"));
-        stage.start(Stage.SETTINGS, endpoint);
+        ScriptedServer endpoint = stage.add(ScriptedServer.servingAfter(answer, "made"));
+        stage.start(TestCluster.SETTINGS, endpoint);
         Socket before = stage.connect();
-        Message.send(before, Stage.request("use", "", ""));
+        Message.send(before, TestCluster.request("use", "", ""));
         endpoint.asked();
         stage.terminate();
         stage.logged("stops");
         Socket after = stage.connect();
-        Message.send(after, Stage.request("use", "", ""));
+        Message.send(after, TestCluster.request("use", "", ""));
         endpoint.asked();
         Socket idle = stage.connect();
         Message.send(idle, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -140,7 +143,7 @@
 
     @Test
     public void startErrorsAreReportedInOneLine() throws Exception {
-        String good = stage.config(Stage.SETTINGS);
+        String good = stage.config(TestCluster.SETTINGS);
         String[][] cases = {
             {good.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""), "listen"},
             {good.replace("\"seed\":\"8c", "\"seed\":\"xx"), "seed"},
--- a/daemon/src/test/java/trailthread/daemon/UnreadNewsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UnreadNewsTest.java
@@ -22,8 +22,8 @@
 import trailthread.engine.loop.CpuAccount;
 import trailthread.engine.loop.EventLoop;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /**
  * A drain counts as announced once discovery has written it, even if it is not read yet because the
@@ -38,12 +38,12 @@
 
     private static final long HELD_MS = 400;
     private final EventLoop loop = new EventLoop("unread");
-    private final Peer server = Peer.serving("made");
-    private final Peer peer =
-            new Peer(
+    private final ScriptedServer server = ScriptedServer.serving("made");
+    private final ScriptedServer peer =
+            new ScriptedServer(
                     request -> {
-                        Stage.watch(request);
-                        Stage.line(request, Stage.list(1, true, "active", server));
+                        TestCluster.watch(request);
+                        TestCluster.line(request, TestCluster.list(1, true, "active", server));
                     });
     private final BlockingQueue<DiscoveryUpdate> updates = new LinkedBlockingQueue<>();
     private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
@@ -77,7 +77,7 @@
     public UnreadNewsTest() throws Exception {
         endpoints.setNews(discovery::readNews);
         loop.execute(() -> discovery.watch(true));
-        assertNotNull(updates.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertNotNull(updates.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
     }
 
     @After
@@ -87,7 +87,7 @@
         loop.worker().shutdownNow();
     }
 
-    private static InetSocketAddress address(Peer of) {
+    private static InetSocketAddress address(ScriptedServer of) {
         return EndpointPool.address(of.hostPort());
     }
 
@@ -100,7 +100,7 @@
     }
 
     private Outcome awaitOutcome() throws InterruptedException {
-        AttemptResult ending = results.poll(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+        AttemptResult ending = results.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
         assertNotNull("the attempt was to end", ending);
         return ending.outcome();
     }
@@ -119,10 +119,10 @@
                 () -> {
                     attempt(); // runs after this task, and before the sockets are polled
                     held.countDown();
-                    Peer.await(goOn);
+                    ScriptedServer.await(goOn);
                 });
-        Peer.await(held);
-        Stage.line(watch, Stage.list(2, false, "leaving", server));
+        ScriptedServer.await(held);
+        TestCluster.line(watch, TestCluster.list(2, false, "leaving", server));
         Thread.sleep(HELD_MS);
         goOn.countDown();
         assertEquals(Outcome.NOT_SENT, awaitOutcome());
--- a/daemon/src/test/java/trailthread/daemon/WithAdminServer.java
+++ b/daemon/src/test/java/trailthread/daemon/WithAdminServer.java
@@ -2,15 +2,15 @@
 
 import org.junit.After;
 import org.junit.Before;
-import trailthread.testkit.Stage;
+import trailthread.testkit.TestCluster;
 
 /** A node with a door for its operators, which each test starts with settings of its own. */
 abstract class WithAdminServer {
-    Stage stage;
+    TestCluster stage;
 
     @Before
     public void begin() throws Exception {
-        stage = new Stage();
+        stage = new TestCluster();
         stage.more = "\"management\":\"127.0.0.1:0\",";
     }
 
--- a/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
@@ -32,8 +32,8 @@
 import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.request.RequestDispatcher;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
-import trailthread.testkit.Stage;
+import trailthread.testkit.ScriptedServer;
+import trailthread.testkit.TestCluster;
 
 /**
  * Clients that disconnect at each moment at which their request waits: it is not forwarded to an
@@ -42,7 +42,7 @@
 public class LeavingClientTest {
     private static final long LONG_NS = 20_000_000_000L;
     private final EventLoop loop;
-    private final Peer endpoint;
+    private final ScriptedServer endpoint;
     private final Settings settings = new Settings();
     private RequestDispatcher dispatcher;
     private EndpointPool endpoints;
@@ -51,7 +51,7 @@
 
     public LeavingClientTest() throws IOException {
         loop = new EventLoop("leaving");
-        endpoint = Peer.serving("made");
+        endpoint = ScriptedServer.serving("made");
     }
 
     @Before
@@ -109,7 +109,7 @@
 
     private Socket connect() throws IOException {
         Socket client = new Socket(address.getAddress(), address.getPort());
-        client.setSoTimeout(1000 * Peer.LONGEST_WAIT_S);
+        client.setSoTimeout(1000 * ScriptedServer.LONGEST_WAIT_S);
         return client;
     }
 
@@ -135,7 +135,7 @@
                             open[0] = dispatcher.isOpen(id);
                             looked.countDown();
                         });
-                Peer.await(looked);
+                ScriptedServer.await(looked);
                 inFlight = open[0];
             }
         }
@@ -148,7 +148,7 @@
     /** Another client's request is served, and is the first that the endpoint has received. */
     private void onlyOneWhoStaysIsServed() throws Exception {
         try (Socket stays = connect()) {
-            String request = Stage.request("use", "?stays", "");
+            String request = TestCluster.request("use", "?stays", "");
             Message.send(stays, request);
             assertEquals("made", Message.read(stays).body());
             assertEquals(id(request), endpoint.asked().header("X-Correlation-Id"));
@@ -162,9 +162,9 @@
     public void whoLeavesUnreadIsNotServed() throws Exception {
         CountDownLatch goOn = new CountDownLatch(1);
         loop.execute(this::list);
-        loop.execute(() -> Peer.await(goOn));
+        loop.execute(() -> ScriptedServer.await(goOn));
         Socket client = connect();
-        Message.send(client, Stage.request("use", "", ""));
+        Message.send(client, TestCluster.request("use", "", ""));
         client.close();
         goOn.countDown();
         onlyOneWhoStaysIsServed();
@@ -175,11 +175,11 @@
     public void whoLeavesBeforeALateLoopLooksIsNotServed() throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
             Socket client = connect();
-            String request = Stage.request("use", "", "");
+            String request = TestCluster.request("use", "", "");
             Message.send(client, request);
             awaitInFlight(id(request));
             CountDownLatch goOn = new CountDownLatch(1);
-            loop.execute(() -> Peer.await(goOn));
+            loop.execute(() -> ScriptedServer.await(goOn));
             loop.execute(this::list); // runs before the sockets are read
             client.setSoLinger(resets, 0);
             client.close();
@@ -193,9 +193,9 @@
     @Test
     public void whoLeavesBehindFurtherBytesIsNotServed() throws Exception {
         for (String bytes :
-                new String[] {"x", Stage.request("use", "?next", ""), "x".repeat(100_000)}) {
+                new String[] {"x", TestCluster.request("use", "?next", ""), "x".repeat(100_000)}) {
             Socket client = connect();
-            String request = Stage.request("use", "", "");
+            String request = TestCluster.request("use", "", "");
             Message.send(client, request);
             awaitInFlight(id(request));
             Message.send(client, bytes);
@@ -214,17 +214,17 @@
         CountDownLatch rejected = new CountDownLatch(1);
         endpoint.setScript(
                 request -> {
-                    Peer.await(rejected);
+                    ScriptedServer.await(rejected);
                     endpoint.setScript(next -> next.answer("200 OK", "", "made"));
                     request.answer("503 Busy", "X-Unprocessed: 1\r\n", "");
                 });
         Socket client = connect();
-        String request = Stage.request("use", "", "");
+        String request = TestCluster.request("use", "", "");
         loop.execute(this::list);
         Message.send(client, request);
         assertEquals(id(request), endpoint.asked().header("X-Correlation-Id"));
         CountDownLatch goOn = new CountDownLatch(1);
-        loop.execute(() -> Peer.await(goOn));
+        loop.execute(() -> ScriptedServer.await(goOn));
         client.close();
         rejected.countDown();
         goOn.countDown();
@@ -236,14 +236,14 @@
     public void whoLeavesDuringAConnectIsNotServed() throws Exception {
         CountDownLatch goOn = new CountDownLatch(1);
         Socket client = connect();
-        String request = Stage.request("use", "", "");
+        String request = TestCluster.request("use", "", "");
         Message.send(client, request);
         awaitInFlight(id(request));
         loop.execute(
                 () -> {
                     endpoints.closeIdle(1);
                     list(); // an endpoint is selected, and a connection begun
-                    loop.execute(() -> Peer.await(goOn)); // it is established meanwhile
+                    loop.execute(() -> ScriptedServer.await(goOn)); // it is established meanwhile
                 });
         client.close();
         goOn.countDown();
@@ -253,7 +253,7 @@
     @Test
     public void whoLeavesWithHalfABodyIsNeverTaken() throws Exception {
         Socket client = connect();
-        String request = Stage.request("use", "", "");
+        String request = TestCluster.request("use", "", "");
         Message.send(client, request.substring(0, request.length() - 2));
         loop.execute(this::list);
         client.close();
@@ -264,8 +264,8 @@
     @Test
     public void aCallSentAheadInPiecesIsWhole() throws Exception {
         try (Socket client = connect()) {
-            String first = Stage.request("use", "?1", "");
-            String ahead = Stage.request("use", "?2", "");
+            String first = TestCluster.request("use", "?1", "");
+            String ahead = TestCluster.request("use", "?2", "");
             Message.send(client, first + ahead.substring(0, 40));
             awaitInFlight(id(first));
             for (int at = 40; at < ahead.length(); at += 40) {
@@ -289,7 +289,7 @@
         for (int count : new int[] {300, 3_000}) { // about 50 KB, and more than is kept at a time
             try (Socket client = connect()) {
                 List<String> requests =
-                        Stream.generate(() -> Stage.request("use", "?ahead", ""))
+                        Stream.generate(() -> TestCluster.request("use", "?ahead", ""))
                                 .limit(count)
                                 .toList();
                 Message.send(client, requests.get(0));
@@ -320,10 +320,12 @@
     public void theLastAnswerIsTheLastCallsWhereSomeAreSentAhead() throws Exception {
         loop.execute(() -> listener.endWithAnswers(true));
         try (Socket client = connect()) {
-            String first = Stage.request("use", "?1", "");
+            String first = TestCluster.request("use", "?1", "");
             Message.send(
                     client,
-                    first + Stage.request("use", "?2", "") + Stage.request("use", "?3", ""));
+                    first
+                            + TestCluster.request("use", "?2", "")
+                            + TestCluster.request("use", "?3", ""));
             awaitInFlight(id(first));
             loop.execute(this::list);
             for (String last : new String[] {null, null, "close"}) {
@@ -361,7 +363,7 @@
         for (String path : new String[] {"/ready", "/nowhere"}) {
             try (Socket client = connect()) {
                 String rejected = "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
-                Message.send(client, rejected + Stage.request("use", "", "") + rejected);
+                Message.send(client, rejected + TestCluster.request("use", "", "") + rejected);
                 assertNull(Message.read(client).header("Connection"));
                 assertEquals("made", Message.read(client).body());
                 assertEquals("close", Message.read(client).header("Connection"));
--- a/decisions/src/main/java/trailthread/AdmissionController.java
+++ b/decisions/src/main/java/trailthread/AdmissionController.java
@@ -44,7 +44,7 @@
     /** Whether the host admits the request. */
     boolean admits(Request request) {
         return admission == null
-                || admission.takes(
+                || admission.admits(
                         request.requestClass.rules.name(), request.overQuota, random.uniform());
     }
 
--- a/decisions/src/main/java/trailthread/Balancer.java
+++ b/decisions/src/main/java/trailthread/Balancer.java
@@ -178,7 +178,7 @@
     }
 
     @Override
-    public void gone(long now, long id) {
+    public void clientDisconnected(long now, long id) {
         Request request = requests.get(id);
         if (request != null) {
             request.finished = true;
--- a/decisions/src/main/java/trailthread/HealthChecker.java
+++ b/decisions/src/main/java/trailthread/HealthChecker.java
@@ -39,7 +39,7 @@
     /** Begins, once, where the settings want it. */
     void startIfWanted(long now) {
         Settings s = settings.get();
-        if (!running && s.mayCheckHealth && s.reports == LoadReportSource.PROBES) {
+        if (!running && s.mayCheckHealth && s.reports == LoadReportSource.HEALTH_CHECKS) {
             running = true;
             checkNext(now);
         }
@@ -52,7 +52,7 @@
             Endpoint endpoint = list.all().get(next % endpoints);
             next++;
             if (endpoint.isReady() && slowStart.isWarm(endpoint, now)) {
-                actions.probe(endpoint.name);
+                actions.checkHealth(endpoint.name);
             }
         }
         double periodNs = PERIOD_OBJECTIVES * means.objectiveNs() / Math.max(1, endpoints);
--- a/decisions/src/main/java/trailthread/ListLease.java
+++ b/decisions/src/main/java/trailthread/ListLease.java
@@ -3,18 +3,18 @@
 /**
  * A lease on the endpoint list: until when a node may send requests by the list that it holds.
  *
- * <p>A node counts as notified of a change {@link #NEWS_DUE_NS} after discovery had it, whether or
- * not the update arrived, unless discovery could not be reached. So the lease is renewed by each
- * sign of life of a watch, and by proof that discovery cannot be reached; it lasts for that time
- * and the grace of draining endpoints. A process that has just started holds no lease: how old its
- * first list is, is not known.
+ * <p>A node counts as notified of a change {@link #NOTIFICATION_DUE_NS} after discovery had it,
+ * whether or not the update arrived, unless discovery could not be reached. So the lease is renewed
+ * by each sign of life of a watch, and by proof that discovery cannot be reached; it lasts for that
+ * time and the grace of draining endpoints. A process that has just started holds no lease: how old
+ * its first list is, is not known.
  *
  * <p>No I/O and no clock of its own: times are passed in, in ns of one monotonic clock, which may
  * start anywhere.
  */
 public final class ListLease {
     /** A node counts as notified of a change after this time, ns. */
-    public static final long NEWS_DUE_NS = 6_000_000_000L;
+    public static final long NOTIFICATION_DUE_NS = 6_000_000_000L;
 
     /**
      * The longest time that a node is expected to be suspended between reading its clock and
@@ -26,7 +26,7 @@
      * A poll of discovery that fails sooner than this did not wait in a queue: discovery is down,
      * or cannot be reached; ns.
      */
-    public static final long QUEUED_NS = 1_200_000_000L;
+    public static final long QUEUED_POLL_NS = 1_200_000_000L;
 
     /**
      * Where an agent pushes the list, a node counts as notified of changes by another agent this
@@ -99,8 +99,8 @@
      *
      * @param waitedSince since when the poll may have waited at discovery
      */
-    public void callFailed(long waitedSince, long now) {
-        boolean queued = now - waitedSince >= QUEUED_NS;
+    public void pollFailed(long waitedSince, long now) {
+        boolean queued = now - waitedSince >= QUEUED_POLL_NS;
         if (pushed || renewed || !queued || queuedPollFailed) {
             confirmed(now);
         }
@@ -121,7 +121,7 @@
             return Long.MIN_VALUE;
         }
         if (!pushed) {
-            return renewedAt + NEWS_DUE_NS + graceNs;
+            return renewedAt + NOTIFICATION_DUE_NS + graceNs;
         }
         return sourceSwitched ? sourceSwitchedAt + SOURCE_SWITCH_NS + graceNs : Long.MAX_VALUE;
     }
--- a/decisions/src/main/java/trailthread/ListPollSchedule.java
+++ b/decisions/src/main/java/trailthread/ListPollSchedule.java
@@ -23,7 +23,7 @@
     /** The least time before a poll that failed at once is repeated, in nanoseconds. */
     private static final double LEAST_RETRY_NS = 1e9;
 
-    /** The longest such time; with jitter within {@link ListLease#NEWS_DUE_NS}. */
+    /** The longest such time; with jitter within {@link ListLease#NOTIFICATION_DUE_NS}. */
     private static final double MOST_RETRY_NS = 5e9;
 
     /** First polls, of a start or after a broken watch, are spread over this, in nanoseconds. */
@@ -56,7 +56,7 @@
     void failed(long now) {
         double waitedNs = polledAt == Long.MAX_VALUE ? 0 : now - polledAt;
         polledAt = Long.MAX_VALUE;
-        boolean inVain = waitedNs > ListLease.QUEUED_NS;
+        boolean inVain = waitedNs > ListLease.QUEUED_POLL_NS;
         if (inVain && failedPolls > 0) {
             pollIn((0.5 + random.uniform()) * backoffNs());
         } else {
--- a/decisions/src/main/java/trailthread/SubsetSelector.java
+++ b/decisions/src/main/java/trailthread/SubsetSelector.java
@@ -102,7 +102,7 @@
     private void selectFromRing(
             List<Endpoint> ring, double wanted, List<Endpoint> selected, long now) {
         int count = ring.size();
-        int start = (int) (GOLDEN_RATIO * (settings.get().me + 1) % 1 * count);
+        int start = (int) (GOLDEN_RATIO * (settings.get().nodeIndex + 1) % 1 * count);
         double left = wanted;
         for (int i = 0; i < count && left > NEGLIGIBLE; i++) {
             Endpoint endpoint = ring.get((start + i) % count);
--- a/decisions/src/main/java/trailthread/api/Admission.java
+++ b/decisions/src/main/java/trailthread/api/Admission.java
@@ -8,5 +8,5 @@
      * @param overQuota its tenant has used up this node's part of its quota
      * @param random uniform in [0, 1), drawn for this request
      */
-    boolean takes(String requestClass, boolean overQuota, double random);
+    boolean admits(String requestClass, boolean overQuota, double random);
 }
--- a/decisions/src/main/java/trailthread/api/BalancerActions.java
+++ b/decisions/src/main/java/trailthread/api/BalancerActions.java
@@ -29,13 +29,13 @@
     void timer(long delayNs, long token);
 
     /** Check an endpoint's health; {@link BalancerEvents#healthChecked} brings the result. */
-    void probe(String endpoint);
+    void checkHealth(String endpoint);
 
     /** Close idle connections to an endpoint. */
     void closeIdle(String endpoint);
 
     /** Send a message to another node, or to all (-1). */
-    void tell(int peer, byte[] data);
+    void sendToPeer(int peer, byte[] data);
 
     /** Watch the endpoint list, or stop watching. */
     void watch(boolean on);
--- a/decisions/src/main/java/trailthread/api/BalancerEvents.java
+++ b/decisions/src/main/java/trailthread/api/BalancerEvents.java
@@ -48,7 +48,7 @@
             LoadReport load);
 
     /** The client has disconnected; no answer is owed. */
-    void gone(long now, long id);
+    void clientDisconnected(long now, long id);
 
     /** A timer set by {@link BalancerActions#timer} is due. */
     void timer(long now, long token);
--- a/decisions/src/main/java/trailthread/api/LoadReportSource.java
+++ b/decisions/src/main/java/trailthread/api/LoadReportSource.java
@@ -3,9 +3,9 @@
 /** How load reports reach the node. */
 public enum LoadReportSource {
     /** With the responses to requests. */
-    ANSWERS,
+    RESPONSES,
     /** Only with the responses to health checks. */
-    PROBES,
+    HEALTH_CHECKS,
     /** Not at all. */
     NONE
 }
--- a/decisions/src/main/java/trailthread/api/Settings.java
+++ b/decisions/src/main/java/trailthread/api/Settings.java
@@ -14,7 +14,7 @@
     public long tickNs = 1_000_000;
 
     /** This node's number, from 0. */
-    public int me;
+    public int nodeIndex;
 
     /** How many nodes there are. */
     public int nodes = 1;
--- a/decisions/src/main/java/trailthread/degradation/DegradationPlan.java
+++ b/decisions/src/main/java/trailthread/degradation/DegradationPlan.java
@@ -48,7 +48,7 @@
      * Once all such readings are low, one class less is shed in this time, ns. It is long, as load
      * returns with each class.
      */
-    public long overloadWindowNs = 60 * S;
+    public long recoveryNs = 60 * S;
 
     /**
      * Share of a class's requests that is admitted while the class is shed, above 0. An ejected
@@ -111,7 +111,7 @@
         requireNs(halfLifeNs, 1, "halfLifeNs");
         requireNs(mostStayNs, 1, "mostStayNs");
         requireNs(riseNs, 1, "riseNs");
-        requireNs(overloadWindowNs, 1, "fallNs"); // as the key: fall_s
+        requireNs(recoveryNs, 1, "fallNs"); // as the key: fall_s
         require(keep > 0 && keep <= 1, "keep: not in (0, 1]");
     }
 
--- a/decisions/src/main/java/trailthread/degradation/SheddingDepth.java
+++ b/decisions/src/main/java/trailthread/degradation/SheddingDepth.java
@@ -8,10 +8,10 @@
  *
  * <p>Under high pressure, what is not yet shed of the level's reach falls by the factor 1/e in
  * {@link DegradationPlan#riseNs}; under low pressure the depth falls by one class in {@link
- * DegradationPlan#overloadWindowNs}; in between it stands. So the depth settles at what the
- * endpoints bear, and a level need not be left and entered in search of it. What is admitted grows
- * by addition and is cut by multiplication: nodes that share endpoints then end at like depths,
- * where otherwise one sheds all and another nothing (Chiu and Jain, 1989).
+ * DegradationPlan#recoveryNs}; in between it stands. So the depth settles at what the endpoints
+ * bear, and a level need not be left and entered in search of it. What is admitted grows by
+ * addition and is cut by multiplication: nodes that share endpoints then end at like depths, where
+ * otherwise one sheds all and another nothing (Chiu and Jain, 1989).
  */
 final class SheddingDepth {
     private final DegradationPlan plan;
@@ -46,7 +46,7 @@
         if (pressure == Pressure.HIGH) {
             classes = max - (max - classes) * Math.exp(-(double) step / plan.riseNs);
         } else if (pressure == Pressure.LOW) {
-            classes -= (double) step / plan.overloadWindowNs;
+            classes -= (double) step / plan.recoveryNs;
         }
         double min = level.minDepth(maxDepthAbove);
         classes = Math.min(max, Math.max(min, classes));
--- a/decisions/src/main/java/trailthread/degradation/SheddingPolicy.java
+++ b/decisions/src/main/java/trailthread/degradation/SheddingPolicy.java
@@ -53,7 +53,7 @@
      * @param overQuota whether its tenant has used up its quota
      * @param random uniform in [0, 1), drawn for this request
      */
-    public boolean takes(String requestClass, boolean overQuota, double random) {
+    public boolean admits(String requestClass, boolean overQuota, double random) {
         return random < share(requestClass, overQuota);
     }
 
--- a/decisions/src/main/java/trailthread/settings/SettingsParser.java
+++ b/decisions/src/main/java/trailthread/settings/SettingsParser.java
@@ -66,14 +66,14 @@
     }
 
     private void parseNode(Settings settings) {
-        settings.tickNs = whole("tick_ns", settings.tickNs);
-        settings.me = (int) whole("me", settings.me);
-        settings.nodes = (int) whole("replicas_of_me", settings.nodes);
+        settings.tickNs = wholeNumber("tick_ns", settings.tickNs);
+        settings.nodeIndex = (int) wholeNumber("me", settings.nodeIndex);
+        settings.nodes = (int) wholeNumber("replicas_of_me", settings.nodes);
         settings.zone = values.getOrDefault("zone", settings.zone);
     }
 
     private void parseClasses(Settings settings) {
-        long count = whole("categories.count", 0);
+        long count = wholeNumber("categories.count", 0);
         for (int i = 0; i < count; i++) {
             settings.classes.add(requestClass("categories." + i + "."));
         }
@@ -82,12 +82,12 @@
     private RequestClass requestClass(String prefix) {
         return new RequestClass(
                 required(prefix + "name"),
-                whole(prefix + "aim_ns", 0),
+                wholeNumber(prefix + "aim_ns", 0),
                 decimal(prefix + "aim_stretch", 0),
-                whole(prefix + "deadline_ns", 0),
+                wholeNumber(prefix + "deadline_ns", 0),
                 idempotency(prefix + "semantics"),
                 deduplicationScope(prefix + "group"),
-                whole(prefix + "window_ns", 0),
+                wholeNumber(prefix + "window_ns", 0),
                 decimal(prefix + "gain", 1),
                 decimal(prefix + "late_value", 0));
     }
@@ -111,7 +111,7 @@
     }
 
     private void parseTenants(Settings settings) {
-        long count = whole("tenants.count", 0);
+        long count = wholeNumber("tenants.count", 0);
         for (int i = 0; i < count; i++) {
             String prefix = "tenants." + i + ".";
             settings.tenants.add(
@@ -138,10 +138,12 @@
         settings.mayCheckHealth = flag("limits.probes", settings.mayCheckHealth);
         settings.mayGossip = flag("limits.peers", settings.mayGossip);
         settings.mayHedge = flag("limits.second_copies", settings.mayHedge);
-        settings.maxAttempts = (int) whole("limits.most_tries", settings.maxAttempts);
+        settings.maxAttempts = (int) wholeNumber("limits.most_tries", settings.maxAttempts);
         settings.retryAfter = flag("limits.retry_after", settings.retryAfter);
-        settings.maxRetryAfterNs = whole("limits.max_retry_after_ns", settings.maxRetryAfterNs);
-        settings.connectTimeoutNs = whole("limits.dial_timeout_ns", settings.connectTimeoutNs);
+        settings.maxRetryAfterNs =
+                wholeNumber("limits.max_retry_after_ns", settings.maxRetryAfterNs);
+        settings.connectTimeoutNs =
+                wholeNumber("limits.dial_timeout_ns", settings.connectTimeoutNs);
     }
 
     private void parseSources(Settings settings) {
@@ -162,20 +164,20 @@
 
     private static LoadReportSource loadReportSource(String word) {
         return switch (word) {
-            case "piggyback" -> LoadReportSource.ANSWERS;
-            case "pull" -> LoadReportSource.PROBES;
+            case "piggyback" -> LoadReportSource.RESPONSES;
+            case "pull" -> LoadReportSource.HEALTH_CHECKS;
             default -> LoadReportSource.NONE;
         };
     }
 
     private void parseSafety(Settings settings) {
-        settings.responseSlackNs = whole("safety.answer_slack_ns", settings.responseSlackNs);
-        settings.pollIntervalNs = whole("safety.ask_every_ns", settings.pollIntervalNs);
+        settings.responseSlackNs = wholeNumber("safety.answer_slack_ns", settings.responseSlackNs);
+        settings.pollIntervalNs = wholeNumber("safety.ask_every_ns", settings.pollIntervalNs);
         settings.slowStartInitialShare =
                 decimal("safety.start_capacity", settings.slowStartInitialShare);
-        settings.slowStartNs = whole("safety.cold_ns", settings.slowStartNs);
+        settings.slowStartNs = wholeNumber("safety.cold_ns", settings.slowStartNs);
         settings.overloadMultiple = decimal("safety.fall_multiple", settings.overloadMultiple);
-        settings.overloadWindowNs = whole("safety.fall_ns", settings.overloadWindowNs);
+        settings.overloadWindowNs = wholeNumber("safety.fall_ns", settings.overloadWindowNs);
     }
 
     private String required(String path) {
@@ -192,7 +194,7 @@
      *
      * @throws SettingException if the value is not a whole number
      */
-    public long whole(String path, long defaultValue) {
+    public long wholeNumber(String path, long defaultValue) {
         String value = values.get(path);
         if (value == null) {
             return defaultValue;
--- a/decisions/src/test/java/trailthread/BalancerRulesTest.java
+++ b/decisions/src/test/java/trailthread/BalancerRulesTest.java
@@ -152,7 +152,7 @@
     void aRequestOfADisconnectedClientIsNotAnswered() {
         s.endpoints("a", "b");
         long id = s.request("safe");
-        s.balancer.gone(s.now, id);
+        s.balancer.clientDisconnected(s.now, id);
         s.end(id, Outcome.ERROR);
         s.pass(2000 * MS);
         assertEquals(1, s.sendsOf(id).size());
@@ -211,7 +211,7 @@
         for (int node = 0; node < 40; node++) {
             Settings settings = ScriptedBalancer.settings();
             settings.nodes = 40;
-            settings.me = node;
+            settings.nodeIndex = node;
             ScriptedBalancer n = new ScriptedBalancer(settings, node);
             n.delta(new EndpointEntry("a", 1, EndpointState.READY, "here", n.now, 0));
             for (int i = 0; i < 20; i++) { // each node has more than enough to send
--- a/decisions/src/test/java/trailthread/EndpointChoiceTest.java
+++ b/decisions/src/test/java/trailthread/EndpointChoiceTest.java
@@ -189,7 +189,7 @@
     @Test
     void endpointsThatReportOnlyToHealthChecksAreCheckedInTurn() {
         Settings settings = ScriptedBalancer.settings();
-        settings.reports = LoadReportSource.PROBES;
+        settings.reports = LoadReportSource.HEALTH_CHECKS;
         settings.mayCheckHealth = true;
         ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints("a", "b", "c");
--- a/decisions/src/test/java/trailthread/EndpointDirectoryTest.java
+++ b/decisions/src/test/java/trailthread/EndpointDirectoryTest.java
@@ -72,7 +72,7 @@
     void cachedListIsPolledForAndHealthChecksBegin() {
         modules.settings.listIsPolled = true;
         modules.settings.mayCheckHealth = true;
-        modules.settings.reports = LoadReportSource.PROBES;
+        modules.settings.reports = LoadReportSource.HEALTH_CHECKS;
         directory.update(ListKind.CACHED, List.of(ScriptedBalancer.ready("a")), NOW);
         List<TimerKind> timers =
                 modules.recorder.timers.stream().map(timer -> TimerKind.of(timer.token())).toList();
--- a/decisions/src/test/java/trailthread/FleetTest.java
+++ b/decisions/src/test/java/trailthread/FleetTest.java
@@ -27,7 +27,7 @@
     private static Settings settings(int me, double connectionPrice) {
         Settings s = ScriptedBalancer.settings();
         s.nodes = NODES;
-        s.me = me;
+        s.nodeIndex = me;
         s.connectionPrice = connectionPrice;
         return s;
     }
--- a/decisions/src/test/java/trailthread/HealthCheckerTest.java
+++ b/decisions/src/test/java/trailthread/HealthCheckerTest.java
@@ -31,7 +31,7 @@
     @BeforeEach
     void wantChecks() {
         modules.settings.mayCheckHealth = true;
-        modules.settings.reports = LoadReportSource.PROBES;
+        modules.settings.reports = LoadReportSource.HEALTH_CHECKS;
     }
 
     private void list(EndpointEntry... entries) {
@@ -73,7 +73,7 @@
         list(ScriptedBalancer.ready("a"));
         modules.settings.reports = LoadReportSource.NONE;
         checker.startIfWanted(NOW);
-        modules.settings.reports = LoadReportSource.PROBES;
+        modules.settings.reports = LoadReportSource.HEALTH_CHECKS;
         modules.settings.mayCheckHealth = false;
         checker.startIfWanted(NOW);
         assertEquals(0, modules.recorder.timers.size());
--- a/decisions/src/test/java/trailthread/ListLeaseTest.java
+++ b/decisions/src/test/java/trailthread/ListLeaseTest.java
@@ -11,7 +11,7 @@
     private static final long MS = 1_000_000L;
     private static final long GRACE_NS = 500 * MS;
     private static final long LEASE_NS =
-            ListLease.NEWS_DUE_NS + GRACE_NS - ListLease.MAX_WRITE_DELAY_NS;
+            ListLease.NOTIFICATION_DUE_NS + GRACE_NS - ListLease.MAX_WRITE_DELAY_NS;
     private static final long NOW = -7_000_000 * MS; // the clock may start anywhere
     private final ListLease lease = new ListLease(GRACE_NS, false);
 
@@ -37,16 +37,16 @@
 
     @Test
     public void aPollThatFailsAtOnceRenewsTheLease() {
-        lease.callFailed(NOW - ListLease.QUEUED_NS + 1, NOW);
+        lease.pollFailed(NOW - ListLease.QUEUED_POLL_NS + 1, NOW);
         assertEquals(NOW + LEASE_NS, lease.until());
     }
 
     @Test
     public void theFirstQueuedPollThatFailsAfterAStartRenewsNothing() {
-        lease.callFailed(NOW - ListLease.QUEUED_NS, NOW);
+        lease.pollFailed(NOW - ListLease.QUEUED_POLL_NS, NOW);
         assertFalse(lease.isHeld(NOW));
         long next = NOW + 5_000 * MS;
-        lease.callFailed(next - ListLease.QUEUED_NS, next);
+        lease.pollFailed(next - ListLease.QUEUED_POLL_NS, next);
         assertEquals(next + LEASE_NS, lease.until());
     }
 
@@ -55,7 +55,7 @@
         lease.confirmed(NOW);
         for (long at = NOW + 5_000 * MS; at < NOW + 60_000 * MS; at += 6_000 * MS) {
             assertTrue(lease.isHeld(at));
-            lease.callFailed(at - 2 * ListLease.QUEUED_NS, at);
+            lease.pollFailed(at - 2 * ListLease.QUEUED_POLL_NS, at);
         }
     }
 
@@ -63,14 +63,14 @@
     public void aGraceShorterThanTheWriteDelayCountsAsNone() {
         lease.retune(ListLease.MAX_WRITE_DELAY_NS / 2, false);
         lease.confirmed(NOW);
-        assertEquals(NOW + ListLease.NEWS_DUE_NS, lease.until());
+        assertEquals(NOW + ListLease.NOTIFICATION_DUE_NS, lease.until());
     }
 
     @Test
     public void aPushedListIsLeasedWithoutEndForAsLongAsListsArePushed() {
         lease.retune(GRACE_NS, true);
         assertFalse(lease.isHeld(NOW));
-        lease.callFailed(NOW - 2 * ListLease.QUEUED_NS, NOW);
+        lease.pollFailed(NOW - 2 * ListLease.QUEUED_POLL_NS, NOW);
         assertEquals(Long.MAX_VALUE, lease.until());
         lease.retune(GRACE_NS, false);
         assertEquals(NOW + LEASE_NS, lease.until());
--- a/decisions/src/test/java/trailthread/ListPollScheduleTest.java
+++ b/decisions/src/test/java/trailthread/ListPollScheduleTest.java
@@ -65,7 +65,7 @@
         assertDelay(0.8, 1.2);
         modules.settings.nodes = 1000;
         schedule.failed(NOW);
-        assertDelay(0.8 * 5, ListLease.NEWS_DUE_NS / 1e9);
+        assertDelay(0.8 * 5, ListLease.NOTIFICATION_DUE_NS / 1e9);
     }
 
     /**
--- a/decisions/src/test/java/trailthread/ListPollTest.java
+++ b/decisions/src/test/java/trailthread/ListPollTest.java
@@ -42,7 +42,7 @@
             int me, int seed, int count, ListKind first, int startsMs) {
         Settings settings = ScriptedBalancer.settings();
         settings.nodes = count;
-        settings.me = me;
+        settings.nodeIndex = me;
         settings.listIsPolled = true;
         settings.pollIntervalNs = POLL_INTERVAL_S * 1000 * MS;
         ScriptedBalancer s = new ScriptedBalancer(settings, seed);
--- a/decisions/src/test/java/trailthread/RandomizedRulesTest.java
+++ b/decisions/src/test/java/trailthread/RandomizedRulesTest.java
@@ -114,7 +114,7 @@
                     .ifPresent(
                             id -> {
                                 requests.get(id).ended = true;
-                                s.balancer.gone(s.now, id);
+                                s.balancer.clientDisconnected(s.now, id);
                             });
         } else {
             s.pass((1 + random.nextInt(20)) * MS);
--- a/decisions/src/test/java/trailthread/ScriptedBalancer.java
+++ b/decisions/src/test/java/trailthread/ScriptedBalancer.java
@@ -188,7 +188,7 @@
     }
 
     @Override
-    public void probe(String endpoint) {
+    public void checkHealth(String endpoint) {
         transcript.append("probe ").append(endpoint).append('\n');
     }
 
@@ -198,7 +198,7 @@
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         transcript.append("tell ").append(peer).append('\n');
     }
 
--- a/decisions/src/test/java/trailthread/SlowStartFleetTest.java
+++ b/decisions/src/test/java/trailthread/SlowStartFleetTest.java
@@ -55,7 +55,7 @@
             int nodes, int node, long seed, Map<String, NavigableMap<Long, Integer>> sent) {
         Settings settings = ScriptedBalancer.settings();
         settings.nodes = nodes;
-        settings.me = node;
+        settings.nodeIndex = node;
         settings.overloadMultiple = OVERLOAD_MULTIPLE;
         settings.overloadWindowNs = OVERLOAD_WINDOW_MS * MS;
         settings.slowStartInitialShare = INITIAL_SHARE;
--- a/decisions/src/test/java/trailthread/SubsetSelectorTest.java
+++ b/decisions/src/test/java/trailthread/SubsetSelectorTest.java
@@ -65,7 +65,7 @@
         list(100, 0);
         Map<String, Integer> nodesOf = new HashMap<>();
         for (int node = 0; node < 50; node++) {
-            modules.settings.me = node;
+            modules.settings.nodeIndex = node;
             selector.select(NOW);
             assertEquals(20, modules.subset.size());
             assertEquals(10, modules.subset.sharers(), 1e-9);
--- a/decisions/src/test/java/trailthread/degradation/Fleet.java
+++ b/decisions/src/test/java/trailthread/degradation/Fleet.java
@@ -52,7 +52,7 @@
         }
         Settings settings = settings();
         for (int i = 0; i < NODES; i++) {
-            settings.me = i;
+            settings.nodeIndex = i;
             nodes.add(
                     new SimulatedNode(
                             scenario, withLevels, settings, clock, random, endpoints, results));
@@ -95,7 +95,7 @@
     private static Settings settings() {
         Settings settings = new Settings();
         settings.nodes = NODES;
-        settings.reports = LoadReportSource.ANSWERS;
+        settings.reports = LoadReportSource.RESPONSES;
         settings.connectTimeoutNs = 100 * MS;
         settings.classes.add(
                 new RequestClass(
--- a/decisions/src/test/java/trailthread/degradation/SheddingPolicyTest.java
+++ b/decisions/src/test/java/trailthread/degradation/SheddingPolicyTest.java
@@ -60,8 +60,8 @@
             assertEquals(names[i], over[i], policy.share(names[i], true), 1e-12);
         }
         assertEquals("the balancer reports it", 1, policy.share("unknown", true), 0);
-        assertTrue(policy.takes("s0", false, 0.549));
-        assertFalse(policy.takes("s0", false, 0.551));
+        assertTrue(policy.admits("s0", false, 0.549));
+        assertFalse(policy.admits("s0", false, 0.551));
     }
 
     @Test
--- a/decisions/src/test/java/trailthread/degradation/SimulatedNode.java
+++ b/decisions/src/test/java/trailthread/degradation/SimulatedNode.java
@@ -131,12 +131,12 @@
     }
 
     private boolean isAdmitted(RequestClass requestClass) {
-        return controller.allowance().takes(requestClass.name(), false, random.nextDouble());
+        return controller.allowance().admits(requestClass.name(), false, random.nextDouble());
     }
 
     private void passDeadline(long id) {
         end(id, false);
-        balancer.gone(clock.now(), id);
+        balancer.clientDisconnected(clock.now(), id);
     }
 
     private void end(long id, boolean answered) {
@@ -228,13 +228,13 @@
     public void cancel(long id, int attempt) {}
 
     @Override
-    public void probe(String endpoint) {}
+    public void checkHealth(String endpoint) {}
 
     @Override
     public void closeIdle(String endpoint) {}
 
     @Override
-    public void tell(int peer, byte[] data) {}
+    public void sendToPeer(int peer, byte[] data) {}
 
     @Override
     public void watch(boolean on) {}
--- a/decisions/src/test/java/trailthread/settings/SettingsParserTest.java
+++ b/decisions/src/test/java/trailthread/settings/SettingsParserTest.java
@@ -84,7 +84,7 @@
                         .parse();
         assertTrue(settings.listIsPolled);
         assertEquals(WeightMeaning.ROUGH, settings.weights);
-        assertEquals(LoadReportSource.PROBES, settings.reports);
+        assertEquals(LoadReportSource.HEALTH_CHECKS, settings.reports);
         assertTrue(settings.mayCheckHealth);
         assertTrue(settings.mayCancel);
         assertFalse(settings.mayHedge);
@@ -92,9 +92,9 @@
 
     @Test
     void wholeNumbersMayBeWrittenWithDecimals() {
-        assertEquals(5, parser("a=5.0").whole("a", 1));
-        assertEquals(1, parser().whole("a", 1));
-        assertThrows(SettingException.class, () -> parser("a=5.5").whole("a", 1));
+        assertEquals(5, parser("a=5.0").wholeNumber("a", 1));
+        assertEquals(1, parser().wholeNumber("a", 1));
+        assertThrows(SettingException.class, () -> parser("a=5.5").wholeNumber("a", 1));
     }
 
     @ParameterizedTest
--- a/engine/src/main/java/trailthread/engine/degradation/DegradationConfig.java
+++ b/engine/src/main/java/trailthread/engine/degradation/DegradationConfig.java
@@ -80,7 +80,7 @@
         plan.halfLifeNs = settings.durationNs("half_life_s", plan.halfLifeNs);
         plan.mostStayNs = settings.durationNs("most_stay_s", plan.mostStayNs);
         plan.riseNs = settings.durationNs("rise_s", plan.riseNs);
-        plan.overloadWindowNs = settings.durationNs("fall_s", plan.overloadWindowNs);
+        plan.recoveryNs = settings.durationNs("fall_s", plan.recoveryNs);
         plan.keep = settings.number("keep", plan.keep);
         // The first level is full service, which has no settings.
         for (int i = 1; i < plan.levels.size(); i++) {
--- a/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
+++ b/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
@@ -136,7 +136,7 @@
     }
 
     private boolean admits(String requestClass, boolean overQuota, double random) {
-        boolean admitted = levels.allowance().takes(requestClass, overQuota, random);
+        boolean admitted = levels.allowance().admits(requestClass, overQuota, random);
         if (!admitted) {
             collector.shed(requestClass);
         }
--- a/engine/src/main/java/trailthread/engine/degradation/ReadingsCollector.java
+++ b/engine/src/main/java/trailthread/engine/degradation/ReadingsCollector.java
@@ -89,7 +89,7 @@
      */
     void attemptEnded(String endpoint, Outcome outcome, long latencyNs, LoadReport load, long now) {
         failing.attemptEnded(endpoint, outcome, latencyNs, now);
-        boolean expected = reports == LoadReportSource.ANSWERS && outcome == Outcome.OK;
+        boolean expected = reports == LoadReportSource.RESPONSES && outcome == Outcome.OK;
         loadReported(load, expected, now);
     }
 
@@ -99,7 +99,7 @@
      * @param load the endpoint's load report, or null
      */
     void healthChecked(LoadReport load, long now) {
-        loadReported(load, reports == LoadReportSource.PROBES, now);
+        loadReported(load, reports == LoadReportSource.HEALTH_CHECKS, now);
     }
 
     private void loadReported(LoadReport load, boolean expected, long now) {
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
@@ -167,7 +167,7 @@
                 LOG.info("discovery is back, at generation {}", generation);
                 failing = false;
             }
-            long dueAt = confirmedAt + ListLease.NEWS_DUE_NS;
+            long dueAt = confirmedAt + ListLease.NOTIFICATION_DUE_NS;
             listener.told(update, Math.min(loop.cameNotBefore(), dueAt));
         }
 
@@ -188,7 +188,7 @@
             logFirstFailure(exchange, reason);
             boolean provesOutage = pushed ? !exchange.hasReceived() : exchange.wasRejected();
             if (provesOutage) {
-                listener.callFailed(exchange.waitedSince());
+                listener.pollFailed(exchange.waitedSince());
             }
             if (exchange.isWatch()) {
                 watch = null;
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryExchange.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryExchange.java
@@ -61,7 +61,7 @@
      * Longer than a list of thousands of endpoints takes on a fraction of a core. By then the
      * changes that the object holds count as received anyway.
      */
-    private static final long OBJECT_TIMEOUT_NS = ListLease.NEWS_DUE_NS;
+    private static final long OBJECT_TIMEOUT_NS = ListLease.NOTIFICATION_DUE_NS;
 
     /** A socket that was read within this time is not read again before a request is sent. */
     private static final long FRESH_READ_NS = 20_000_000L;
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryListener.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryListener.java
@@ -30,7 +30,7 @@
      * @param waitedSince since when the request may have waited at discovery, by the loop's clock
      *     in nanoseconds
      */
-    default void callFailed(long waitedSince) {
+    default void pollFailed(long waitedSince) {
         // only listeners that hold the list as a lease need this
     }
 }
--- a/engine/src/main/java/trailthread/engine/pool/PoolConfig.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolConfig.java
@@ -146,7 +146,7 @@
     /** The settings of its balancer. */
     Settings settings() {
         Settings s = new Settings();
-        s.me = place.number();
+        s.nodeIndex = place.number();
         s.nodes = place.nodes();
         s.zone = place.zone();
         classes.forEach(c -> s.classes.add(c.rules()));
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -267,7 +267,7 @@
                 && (streaming || client.source() != null || !attemptInFlight.isSent())) {
             attemptInFlight.cancel();
         }
-        driver.deliver((balancer, now) -> balancer.gone(now, id));
+        driver.deliver((balancer, now) -> balancer.clientDisconnected(now, id));
         releaseIfDone();
     }
 
--- a/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
+++ b/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
@@ -105,7 +105,7 @@
     }
 
     @Override
-    public void probe(String endpoint) {
+    public void checkHealth(String endpoint) {
         if (mayCheckHealth.test(endpoint)) {
             endpoints.probe(
                     endpoint, healthCheckTimeoutNs, result -> healthChecked(endpoint, result));
@@ -130,7 +130,7 @@
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         LOG.warn("the balancer sent a message to a peer, which is dropped: nodes share nothing");
     }
 
--- a/engine/src/main/java/trailthread/engine/request/BalancerDriver.java
+++ b/engine/src/main/java/trailthread/engine/request/BalancerDriver.java
@@ -129,8 +129,8 @@
         }
 
         @Override
-        public void probe(String endpoint) {
-            queuedActions.add(() -> executor.probe(endpoint));
+        public void checkHealth(String endpoint) {
+            queuedActions.add(() -> executor.checkHealth(endpoint));
         }
 
         @Override
@@ -139,8 +139,8 @@
         }
 
         @Override
-        public void tell(int peer, byte[] data) {
-            queuedActions.add(() -> executor.tell(peer, data));
+        public void sendToPeer(int peer, byte[] data) {
+            queuedActions.add(() -> executor.sendToPeer(peer, data));
         }
 
         @Override
--- a/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
+++ b/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
@@ -41,7 +41,9 @@
                                 () -> {
                                     // A send that fails at once, as to a removed endpoint.
                                     if (log.size() == 3) {
-                                        driver.deliver((balancer, now) -> balancer.gone(2, 7));
+                                        driver.deliver(
+                                                (balancer, now) ->
+                                                        balancer.clientDisconnected(2, 7));
                                     }
                                 }));
         driver.setBalancer(
@@ -71,7 +73,7 @@
                             }
                         }));
         driver.deliver((balancer, now) -> balancer.timer(1, 0));
-        driver.deliver((balancer, now) -> balancer.gone(2, 7));
+        driver.deliver((balancer, now) -> balancer.clientDisconnected(2, 7));
         assertEquals(List.of("timer", "gone", "/gone"), log);
     }
 
@@ -97,7 +99,7 @@
                             actions.timer(100, 1);
                             actions.timer(100, 2);
                         }));
-        driver.deliver((balancer, at) -> balancer.gone(at, 7));
+        driver.deliver((balancer, at) -> balancer.clientDisconnected(at, 7));
         assertEquals(List.of(93L, 1L, 63L, 2L), set);
     }
 }
--- a/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
@@ -230,7 +230,7 @@
     }
 
     @Override
-    public void gone(long now, long id) {
+    public void clientDisconnected(long now, long id) {
         Request request = requests.remove(id);
         if (request != null && !request.sent.isEmpty()) {
             Endpoint endpoint = request.sent.get(request.sent.size() - 1);
--- a/lab/src/main/java/trailthread/lab/baseline/Prequal.java
+++ b/lab/src/main/java/trailthread/lab/baseline/Prequal.java
@@ -83,7 +83,7 @@
     Endpoint choose(List<Endpoint> among, RequestClass rules, long now) {
         if (settings.mayCheckHealth) {
             for (int i = 0; i < PROBES; i++) {
-                actions.probe(ready().get(random.nextInt(ready().size())).name);
+                actions.checkHealth(ready().get(random.nextInt(ready().size())).name);
             }
         }
         pool.removeIf(p -> now - p.at > PROBE_LIVES_NS);
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
@@ -258,7 +258,7 @@
         }
         call.finished = true;
         call.ask.saw(ClientRequest.Seen.NOTHING, 0);
-        input(() -> event((m, now) -> m.gone(now, call.id)));
+        input(() -> event((m, now) -> m.clientDisconnected(now, call.id)));
         forgetIfDone(call);
     }
 
@@ -453,7 +453,7 @@
     }
 
     @Override
-    public void probe(String endpoint) {
+    public void checkHealth(String endpoint) {
         asked.add(
                 () -> {
                     SimulatedServer worker = worker(endpoint);
@@ -538,7 +538,7 @@
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         throw new BalancerFailureException(
                 world.now(), number, "a message to a peer: nodes share nothing here");
     }
--- a/lab/src/main/java/trailthread/lab/simulation/Simulation.java
+++ b/lab/src/main/java/trailthread/lab/simulation/Simulation.java
@@ -299,7 +299,7 @@
         Settings s = new Settings();
         var rules = scenario.rules();
         s.tickNs = 1;
-        s.me = node.number;
+        s.nodeIndex = node.number;
         s.nodes = scenario.nodes();
         s.zone = node.zone;
         scenario.classes().forEach(c -> s.classes.add(c.rules()));
@@ -312,7 +312,7 @@
         s.maxRetryAfterNs = rules.maxRetryAfterNs();
         s.connectTimeoutNs = network().dialNs();
         s.listIsPolled = true;
-        s.reports = scenario.fleet().reports() ? LoadReportSource.ANSWERS : LoadReportSource.NONE;
+        s.reports = scenario.fleet().reports() ? LoadReportSource.RESPONSES : LoadReportSource.NONE;
         s.responseSlackNs = rules.responseSlackNs();
         var cold = scenario.fleet().law().cold();
         s.slowStartInitialShare = cold.share();
--- a/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
@@ -19,7 +19,7 @@
 import org.junit.Test;
 import trailthread.lab.scenario.ScenarioReader;
 import trailthread.testkit.Message;
-import trailthread.testkit.Peer;
+import trailthread.testkit.ScriptedServer;
 
 /** The stand-ins do on sockets what the scenario says. */
 public class EmulatedServerTest {
@@ -67,7 +67,7 @@
                             }
                         });
         loop.start();
-        assertTrue(begun.await(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertTrue(begun.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
     }
 
     private void watchEnd() {
@@ -92,7 +92,7 @@
                 new Socket(
                         InetAddress.getLoopbackAddress(),
                         Integer.parseInt(hostPort.substring(hostPort.indexOf(':') + 1)));
-        socket.setSoTimeout(1000 * Peer.LONGEST_WAIT_S);
+        socket.setSoTimeout(1000 * ScriptedServer.LONGEST_WAIT_S);
         open.add(socket);
         return socket;
     }
--- a/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
@@ -184,8 +184,8 @@
         }
 
         @Override
-        public void probe(String endpoint) {
-            to.probe(endpoint);
+        public void checkHealth(String endpoint) {
+            to.checkHealth(endpoint);
         }
 
         @Override
@@ -194,8 +194,8 @@
         }
 
         @Override
-        public void tell(int peer, byte[] data) {
-            to.tell(peer, data);
+        public void sendToPeer(int peer, byte[] data) {
+            to.sendToPeer(peer, data);
         }
 
         @Override
--- a/testkit/src/main/java/trailthread/testkit/Peer.java
+++ b/testkit/src/main/java/trailthread/testkit/ScriptedServer.java
@@ -20,7 +20,7 @@
  * A scripted HTTP server on loopback, such as an endpoint or a discovery service. It records each
  * request and lets its script respond.
  */
-public final class Peer implements Closeable {
+public final class ScriptedServer implements Closeable {
     /** How long tests wait for something that must happen, in seconds. */
     public static final int LONGEST_WAIT_S = 30;
 
@@ -41,20 +41,20 @@
     private volatile Script script;
 
     /** Starts a server on a free port. */
-    public Peer(Script script) throws IOException {
+    public ScriptedServer(Script script) throws IOException {
         this.script = script;
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         thread(this::accept);
     }
 
     /** A server that responds to every request with this body. */
-    public static Peer serving(String body) throws IOException {
-        return new Peer(request -> request.answer("200 OK", "", body));
+    public static ScriptedServer serving(String body) throws IOException {
+        return new ScriptedServer(request -> request.answer("200 OK", "", body));
     }
 
     /** A server that responds to every request with this body, once the latch is open. */
-    public static Peer servingAfter(CountDownLatch open, String body) throws IOException {
-        return new Peer(
+    public static ScriptedServer servingAfter(CountDownLatch open, String body) throws IOException {
+        return new ScriptedServer(
                 request -> {
                     await(open);
                     request.answer("200 OK", "", body);
--- a/testkit/src/main/java/trailthread/testkit/Stage.java
+++ b/testkit/src/main/java/trailthread/testkit/TestCluster.java
@@ -24,7 +24,7 @@
  * A test cluster: the real program, run as a process, with scripted endpoints, a scripted discovery
  * service and clients, all on loopback.
  */
-public final class Stage {
+public final class TestCluster {
     private static final Pattern SERVES = Pattern.compile("serves on .*:(\\d+)");
 
     private static final Pattern ADMIN_SERVER = Pattern.compile("operators are told on .*:(\\d+)");
@@ -44,12 +44,12 @@
             "safety":{"drain_grace_ns":0,"ask_every_ns":1000000000}""";
 
     private static final int POLL_MS = 10;
-    private static final int MAX_POLLS = 1000 * Peer.LONGEST_WAIT_S / POLL_MS;
+    private static final int MAX_POLLS = 1000 * ScriptedServer.LONGEST_WAIT_S / POLL_MS;
 
     private static final AtomicLong LAST_ID = new AtomicLong(0x9b1f03aa5c7e2d40L);
 
     /** The discovery service; its watches report no changes unless a test scripts it. */
-    public final Peer discovery = new Peer(Stage::watchUnchanged);
+    public final ScriptedServer discovery = new ScriptedServer(TestCluster::watchUnchanged);
 
     /** The lines that the program has written since it was started last. */
     public final List<String> log = new CopyOnWriteArrayList<>();
@@ -68,7 +68,7 @@
     public volatile int port;
 
     /** Makes a cluster whose program is not started. */
-    public Stage() throws IOException {
+    public TestCluster() throws IOException {
         open.add(discovery);
     }
 
@@ -78,7 +78,8 @@
      *
      * @param known the endpoints in the configuration
      */
-    public Stage start(String settings, Peer... known) throws IOException, InterruptedException {
+    public TestCluster start(String settings, ScriptedServer... known)
+            throws IOException, InterruptedException {
         log.clear();
         run(config(settings, known), "serve");
         awaitServing();
@@ -86,7 +87,7 @@
     }
 
     /** Starts the program with an operator's file, and waits until it serves. */
-    public Stage serve(String toml) throws IOException, InterruptedException {
+    public TestCluster serve(String toml) throws IOException, InterruptedException {
         log.clear();
         runClass(toml, List.of("trailthread.command.Trailthread", "serve", config.toString()));
         awaitServing();
@@ -100,12 +101,12 @@
     }
 
     /** A node's configuration with these settings and known endpoints. */
-    public String config(String settings, Peer... known) {
+    public String config(String settings, ScriptedServer... known) {
         return config(discovery, settings, known);
     }
 
     /** A node's configuration with another discovery service. */
-    public String config(Peer discovery, String settings, Peer... known) {
+    public String config(ScriptedServer discovery, String settings, ScriptedServer... known) {
         return "{"
                 + more
                 + "\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
@@ -178,7 +179,8 @@
     }
 
     /** A message of discovery that lists these endpoints, named w0, w1 and so on, all in cell 0. */
-    public static String list(int generation, boolean reset, String lifecycle, Peer... endpoints) {
+    public static String list(
+            int generation, boolean reset, String lifecycle, ScriptedServer... endpoints) {
         StringBuilder entries = new StringBuilder();
         for (int i = 0; i < endpoints.length; i++) {
             entries.append(i == 0 ? "" : ",")
@@ -220,7 +222,7 @@
     /** Opens a connection of a client; it is closed at the end. */
     public Socket connect() throws IOException {
         Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
-        client.setSoTimeout(1000 * Peer.LONGEST_WAIT_S);
+        client.setSoTimeout(1000 * ScriptedServer.LONGEST_WAIT_S);
         open.add(client);
         return client;
     }
@@ -242,7 +244,7 @@
     /** Sends a request to the admin server on this port. */
     public static Message manage(int adminPort, String method, String path) throws IOException {
         try (Socket operator = new Socket(InetAddress.getLoopbackAddress(), adminPort)) {
-            operator.setSoTimeout(1000 * Peer.LONGEST_WAIT_S);
+            operator.setSoTimeout(1000 * ScriptedServer.LONGEST_WAIT_S);
             Message.send(operator, method + " " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
             return Message.read(operator);
         }
@@ -315,7 +317,9 @@
 
     /** Waits for the program to end, and returns its exit status. */
     public int exitStatus() throws InterruptedException {
-        assertTrue("the program was to end", node.waitFor(Peer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertTrue(
+                "the program was to end",
+                node.waitFor(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
         return node.exitValue();
     }
 
