--- a/command/src/main/java/trailthread/command/CheckCommand.java
+++ b/command/src/main/java/trailthread/command/CheckCommand.java
@@ -100,7 +100,7 @@
     }
 
     private static String describe(Source source) {
-        if (source instanceof Source.Roster discovery) {
+        if (source instanceof Source.Discovery discovery) {
             return "by the roster at " + discovery.hostPort();
         }
         if (source instanceof Source.ListFile list) {
--- a/configuration/src/main/java/trailthread/configuration/PoolsReader.java
+++ b/configuration/src/main/java/trailthread/configuration/PoolsReader.java
@@ -142,7 +142,7 @@
             pool.fault(null, "one of workers, file and roster", found);
         }
         if (pool.has(Key.POOL_DISCOVERY)) {
-            return new Source.Roster(pool.address(Key.POOL_DISCOVERY, 1));
+            return new Source.Discovery(pool.address(Key.POOL_DISCOVERY, 1));
         }
         if (pool.has(Key.POOL_FILE)) {
             return new Source.ListFile(pool.text(Key.POOL_FILE, ""));
--- a/daemon/src/main/java/trailthread/daemon/Drain.java
+++ b/daemon/src/main/java/trailthread/daemon/Drain.java
@@ -67,13 +67,13 @@
 
     private void closeWithResponses(int number) {
         if (isInProgress(number)) {
-            listener.endWithAnswers(true);
+            listener.closeAfterResponse(true);
         }
     }
 
     private void closeIdle(int number) {
         if (isInProgress(number)) {
-            listener.endUnused();
+            listener.closeUnused();
             loop.after(CLOSE_IDLE_INTERVAL_NS, () -> closeIdle(number));
         }
     }
@@ -83,7 +83,7 @@
         if (draining && !ended) {
             draining = false;
             LOG.info("takes clients again");
-            listener.endWithAnswers(false);
+            listener.closeAfterResponse(false);
             listener.setDrained(false);
         }
         return !ended;
--- a/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
+++ b/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
@@ -97,7 +97,7 @@
     }
 
     @Override
-    public void told(DiscoveryUpdate update, long knownSince) {
+    public void updated(DiscoveryUpdate update, long knownSince) {
         update(update.reset() ? ListKind.FULL : ListKind.DELTA, update, knownSince);
     }
 
--- a/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
+++ b/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
@@ -88,8 +88,9 @@
         requests.answerBy(requestedAt + plan.answeredNs(), requestedAt + planForAll.answeredNs());
         long elapsedNs = loop.now() - requestedAt;
         // If another process accepts for this node, clients reach it as soon as they reconnect.
-        long closeWithResponsesNs = listener.leavesToOthers() ? 0 : plan.closeWithResponsesNs();
-        loop.after(closeWithResponsesNs - elapsedNs, () -> listener.endWithAnswers(true));
+        long closeWithResponsesNs =
+                listener.stopAcceptingIfShared() ? 0 : plan.closeWithResponsesNs();
+        loop.after(closeWithResponsesNs - elapsedNs, () -> listener.closeAfterResponse(true));
         loop.after(plan.closeNs() - elapsedNs, () -> listener.close(done::countDown));
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -83,22 +83,22 @@
                         new ListLease(config.drainGraceNs(), !config.settings().listIsPolled));
         discovery = new DiscoveryClient(loop, config.discoveryAddress(), endpointList);
         requests.setDiscovery(discovery);
-        endpoints.setNews(discovery::readNews);
+        endpoints.setUpdateReader(discovery::readArrivedUpdates);
         loopbackWarmUp = new LoopbackWarmUp(loop, config, requests);
         frontend = new PlatformFrontend(config.settings().classes, loopbackWarmUp);
-        int activeClients = (int) (ACTIVE_CLIENTS_SHARE * descriptors.limit());
         listener =
                 new HttpListener(
-                        loop,
-                        descriptors.forClients(),
-                        Math.min(descriptors.forClients(), activeClients),
-                        frontend,
-                        metrics);
+                        loop, descriptors.forClients(), maxActiveClients(), frontend, metrics);
         drain = new Drain(loop, listener);
         shutdown = new GracefulShutdown(loop, listener, drain, requests::answerBy);
         shutdown.waitsFor(config.longestDeadlineNs());
     }
 
+    private int maxActiveClients() {
+        int activeClients = (int) (ACTIVE_CLIENTS_SHARE * descriptors.limit());
+        return Math.min(descriptors.forClients(), activeClients);
+    }
+
     private AdminServer adminServer(NodeConfig config) throws IOException {
         if (config.adminAddress() == null) {
             return null;
--- a/daemon/src/main/java/trailthread/daemon/listener/BodyReader.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/BodyReader.java
@@ -150,7 +150,7 @@
     private void readAvailable() {
         try (var pooled = loop.buffers().allocate()) {
             ByteBuffer bytes = pooled.getBuffer();
-            for (long read = 0; read < EventLoop.MOST_IN_TURN_BYTES; read += bytes.capacity()) {
+            for (long read = 0; read < EventLoop.MAX_BYTES_PER_PASS; read += bytes.capacity()) {
                 bytes.clear();
                 int count = channel.read(bytes);
                 if (count < 0) {
--- a/daemon/src/main/java/trailthread/daemon/listener/ClientConnections.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ClientConnections.java
@@ -78,7 +78,7 @@
     /** Those whose last response has been written; their clients are to read it and to close. */
     private final Set<ClientConnection> leaving = new LinkedHashSet<>();
 
-    private boolean endWithAnswers;
+    private boolean closeAfterResponse;
 
     /** Runs once no connection is open; null unless all are to end. */
     private Runnable whenNone;
@@ -97,7 +97,7 @@
     private void checkRegularly() {
         closeUnusedInCrowd();
         if (whenNone != null) {
-            endUnused();
+            closeUnused();
         }
         loop.after(CHECK_INTERVAL_NS, this::checkRegularly);
     }
@@ -146,7 +146,7 @@
 
     /** Whether the response to the request on this connection is to end it. */
     boolean endsWithAnswer(ClientConnection client) {
-        if (endWithAnswers) {
+        if (closeAfterResponse) {
             return true;
         }
         return idle.size() > ENDING_IDLE_SHARE * limit
@@ -156,12 +156,12 @@
     }
 
     /** Sets whether every response ends its connection. */
-    void endWithAnswers(boolean end) {
-        endWithAnswers = end;
+    void closeAfterResponse(boolean end) {
+        closeAfterResponse = end;
     }
 
     /** Ends the idle connections, and the silent ones that have had time to send a request. */
-    void endUnused() {
+    void closeUnused() {
         long now = loop.now();
         endWhileOver(NO_SHARE, idle.longestIdleFirst(), now, REST_TIMEOUT_NS);
         endWhileOver(NO_SHARE, silent, now - SILENT_GRACE_NS, REST_TIMEOUT_NS);
@@ -169,14 +169,14 @@
 
     /**
      * Ends all connections: unused ones within some time, the others with their responses, see
-     * {@link #endWithAnswers}.
+     * {@link #closeAfterResponse}.
      *
      * @param whenNone runs when none is left, and not before: requests that lie unread would be
      *     reset with the process
      */
     void endAll(Runnable whenNone) {
         this.whenNone = whenNone;
-        endUnused();
+        closeUnused();
         notifyIfNone();
     }
 
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
@@ -100,7 +100,7 @@
      *
      * @return whether they do
      */
-    public boolean leavesToOthers() {
+    public boolean stopAcceptingIfShared() {
         if (shared) {
             server.suspendAccepts();
         }
@@ -143,7 +143,7 @@
      * Replaces the frontend. A request whose body is still being read is decoded again with the new
      * one when it is complete.
      */
-    public void setFront(RequestFrontend frontend) {
+    public void setFrontend(RequestFrontend frontend) {
         receiver.setFrontend(frontend);
     }
 
@@ -161,8 +161,8 @@
      * Closes connections that carry no request, without losing one; a connection that has just been
      * opened has time to send its first.
      */
-    public void endUnused() {
-        connections.endUnused();
+    public void closeUnused() {
+        connections.closeUnused();
     }
 
     /** The number of connections by state. */
@@ -179,8 +179,8 @@
      * Sets whether each connection ends with its next response, so that clients connect to another
      * node.
      */
-    public void endWithAnswers(boolean end) {
-        connections.endWithAnswers(end);
+    public void closeAfterResponse(boolean end) {
+        connections.closeAfterResponse(end);
     }
 
     /**
@@ -197,7 +197,7 @@
     }
 
     private void stopAccepting(Runnable whenDone) {
-        if (!leavesToOthers()) {
+        if (!stopAcceptingIfShared()) {
             IoUtils.safeClose(server);
         }
         // The loop has yet to open what the accepting thread handed over last.
--- a/daemon/src/main/java/trailthread/daemon/listener/PipelinedBytes.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PipelinedBytes.java
@@ -60,7 +60,7 @@
         StreamSourceConduit source = connection.getOriginalSourceConduit();
         try (PooledByteBuffer pooled = connection.getByteBufferPool().allocate()) {
             ByteBuffer piece = pooled.getBuffer();
-            int leftInTurn = EventLoop.MOST_IN_TURN_BYTES;
+            int leftInTurn = EventLoop.MAX_BYTES_PER_PASS;
             int count;
             do {
                 int free = freeBytes(connection, memory);
--- a/daemon/src/main/java/trailthread/daemon/listener/RequestReceiver.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/RequestReceiver.java
@@ -191,7 +191,7 @@
             long bodyBytes = BodyMemoryLimit.reservationFor(request.body().length);
             HttpResponseWriter response = responseWriter(bodyBytes, () -> {});
             // The client's time runs from its last byte, which may have waited for this loop.
-            long deadline = loop.cameNotBefore() + request.timeLeftNs();
+            long deadline = loop.arrivedNotBefore() + request.timeLeftNs();
             Runnable onClientGone =
                     head.handler().handle(request, deadline, response, reservedBytes);
             response.watchClient(onClientGone);
--- a/daemon/src/main/java/trailthread/daemon/listener/ServiceFrontend.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ServiceFrontend.java
@@ -142,12 +142,12 @@
 
         @Override
         public boolean reserveBody(long bytes) {
-            return pool.takeBody(bytes);
+            return pool.reserveBody(bytes);
         }
 
         @Override
         public void releaseBody(long bytes) {
-            pool.giveBody(bytes);
+            pool.releaseBody(bytes);
         }
 
         @Override
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -201,7 +201,7 @@
         PoolSet.Change change = pools.apply(services.pools());
         file = next;
         RouteTable routes = new RouteTable(services.routes());
-        listener.setFront(new ServiceFrontend(routes, pools.byName(), this::newId));
+        listener.setFrontend(new ServiceFrontend(routes, pools.byName(), this::newId));
         LOG.info(
                 "{} pools kept, {} begun, {} ending; {} routes",
                 change.kept(),
--- a/daemon/src/test/java/trailthread/daemon/UnreadNewsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UnreadUpdatesTest.java
@@ -29,7 +29,7 @@
  * A drain counts as announced once discovery has written it, even if it is not read yet because the
  * loop is late or the list is long.
  */
-public class UnreadNewsTest {
+public class UnreadUpdatesTest {
     private static final long MS = 1_000_000L;
     private static final long WITHIN_NS = 30_000 * MS;
 
@@ -63,7 +63,7 @@
                     address(peer),
                     new DiscoveryListener() {
                         @Override
-                        public void told(DiscoveryUpdate update, long knownSince) {
+                        public void updated(DiscoveryUpdate update, long knownSince) {
                             endpoints.update(update, knownSince);
                             updates.add(update);
                         }
@@ -74,8 +74,8 @@
                         }
                     });
 
-    public UnreadNewsTest() throws Exception {
-        endpoints.setNews(discovery::readNews);
+    public UnreadUpdatesTest() throws Exception {
+        endpoints.setUpdateReader(discovery::readArrivedUpdates);
         loop.execute(() -> discovery.watch(true));
         assertNotNull(updates.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
     }
--- a/daemon/src/test/java/trailthread/daemon/NewsDueTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UpdateDueTest.java
@@ -25,7 +25,7 @@
  * Since when an update counts as known that arrived, or was due, before it was read. The grace
  * period of a drain begins then.
  */
-public class NewsDueTest {
+public class UpdateDueTest {
     private static final long MS = 1_000_000L;
     private static final long UPDATE_DUE_MS = 6_000;
     private final ScriptedServer peer;
@@ -35,7 +35,7 @@
     private final BlockingQueue<DiscoveryUpdate> updates = new LinkedBlockingQueue<>();
     private final BlockingQueue<Long> failures = new LinkedBlockingQueue<>();
 
-    public NewsDueTest() throws Exception {
+    public UpdateDueTest() throws Exception {
         peer =
                 new ScriptedServer(
                         request -> {
@@ -51,9 +51,9 @@
                                 InetAddress.getLoopbackAddress(), Integer.parseInt(hostPort[1])),
                         new DiscoveryListener() {
                             @Override
-                            public void told(DiscoveryUpdate update, long since) {
+                            public void updated(DiscoveryUpdate update, long since) {
+                                updates.add(update); // before the time, which the tests await
                                 knownSince.add(since);
-                                updates.add(update);
                             }
 
                             @Override
--- a/daemon/src/test/java/trailthread/daemon/listener/EndByMomentTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/EndByMomentTest.java
@@ -133,7 +133,7 @@
     public void aGracefulShutdown() throws Exception {
         assertEachIsEnded(
                 () -> {
-                    listener.endWithAnswers(true);
+                    listener.closeAfterResponse(true);
                     listener.close(noneOpen::countDown);
                 });
         assertTrue("all connections have ended", noneOpen.await(30, TimeUnit.SECONDS));
@@ -143,13 +143,13 @@
     public void aDrain() throws Exception {
         assertEachIsEnded(
                 () -> {
-                    listener.endWithAnswers(true);
+                    listener.closeAfterResponse(true);
                     endUnusedRepeatedly();
                 });
     }
 
     private void endUnusedRepeatedly() {
-        listener.endUnused();
+        listener.closeUnused();
         loop.after(100_000_000L, this::endUnusedRepeatedly);
     }
 
--- a/daemon/src/test/java/trailthread/daemon/listener/LateLoopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LateLoopTest.java
@@ -174,7 +174,7 @@
     @Test
     public void aCallThatLiesUnreadBehindTheLastAnswerIsAnswered() throws Exception {
         heldBack = new CompletableFuture<>();
-        loop.execute(() -> listener.endWithAnswers(true));
+        loop.execute(() -> listener.closeAfterResponse(true));
         Socket client = connect();
         send(client);
         ClientResponse response = heldBack.get(30, TimeUnit.SECONDS);
@@ -325,7 +325,7 @@
         whileLoopIsBlocked(
                 300,
                 () -> {
-                    loop.execute(() -> listener.endWithAnswers(true));
+                    loop.execute(() -> listener.closeAfterResponse(true));
                     loop.execute(() -> listener.close(done::countDown));
                     send(idle);
                     for (int i = 0; i < 5; i++) {
@@ -376,10 +376,10 @@
         }
         CountDownLatch closing = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(1);
-        loop.execute(() -> listener.endWithAnswers(true));
+        loop.execute(() -> listener.closeAfterResponse(true));
         loop.execute(
                 () -> {
-                    listener.endUnused();
+                    listener.closeUnused();
                     listener.close(done::countDown);
                     closing.countDown();
                 });
--- a/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
@@ -318,7 +318,7 @@
     /** A last response ended the connection, although complete requests had come behind its own. */
     @Test
     public void theLastAnswerIsTheLastCallsWhereSomeAreSentAhead() throws Exception {
-        loop.execute(() -> listener.endWithAnswers(true));
+        loop.execute(() -> listener.closeAfterResponse(true));
         try (Socket client = connect()) {
             String first = TestCluster.request("use", "?1", "");
             Message.send(
@@ -344,7 +344,7 @@
     @Test
     public void theLastAnswerIsTheLastCallsBehindWhatIsNoCall() throws Exception {
         RequestFrontend platform = new PlatformFrontend(settings.classes, dispatcher);
-        listener.setFront(
+        listener.setFrontend(
                 new RequestFrontend() {
                     @Override
                     public String readyPath() {
@@ -358,7 +358,7 @@
                                 : platform.decode(exchange);
                     }
                 });
-        loop.execute(() -> listener.endWithAnswers(true));
+        loop.execute(() -> listener.closeAfterResponse(true));
         loop.execute(this::list);
         for (String path : new String[] {"/ready", "/nowhere"}) {
             try (Socket client = connect()) {
--- a/decisions/src/main/java/trailthread/RetryPolicy.java
+++ b/decisions/src/main/java/trailthread/RetryPolicy.java
@@ -62,7 +62,7 @@
     /**
      * How long to wait for an attempt that has just been sent, in nanoseconds; 0: until the client
      * gives up. An endpoint that accepts and never answers would hold a request to its end. But
-     * only a request that can be retried then is worth giving up on.
+     * only a request that can be retried then is given up.
      */
     long timeoutNs(Request request, Endpoint endpoint, long now) {
         boolean canRetry =
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
@@ -144,7 +144,7 @@
      * Reads updates that have arrived on the watch and were not read yet: the rest of a long list,
      * or any where the loop runs late. To be called before a request is written to an endpoint.
      */
-    public void readNews() {
+    public void readArrivedUpdates() {
         if (watch != null) {
             watch.readArrived();
         }
@@ -168,7 +168,7 @@
                 failing = false;
             }
             long dueAt = confirmedAt + ListLease.NOTIFICATION_DUE_NS;
-            listener.told(update, Math.min(loop.cameNotBefore(), dueAt));
+            listener.updated(update, Math.min(loop.arrivedNotBefore(), dueAt));
         }
 
         @Override
@@ -179,7 +179,7 @@
         @Override
         public void confirmed() {
             // The sign of life may have lain unread; it says nothing of changes made meanwhile.
-            confirmedAt = loop.cameNotBefore();
+            confirmedAt = loop.arrivedNotBefore();
             listener.confirmed(confirmedAt);
         }
 
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryExchange.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryExchange.java
@@ -147,7 +147,7 @@
      */
     void readArrived() {
         long now = loop.now();
-        boolean isStale = now - Math.max(lastReadAt, loop.cameNotBefore()) > FRESH_READ_NS;
+        boolean isStale = now - Math.max(lastReadAt, loop.arrivedNotBefore()) > FRESH_READ_NS;
         if (connection != null && (isStale || objects.isWithinObject())) {
             lastReadAt = now;
             connection.readArrived();
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryListener.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryListener.java
@@ -8,7 +8,7 @@
      * @param knownSince since when it counts as known, by the loop's clock in nanoseconds; may be
      *     earlier than now, as the update may have arrived, or have been due, before it was read
      */
-    void told(DiscoveryUpdate update, long knownSince);
+    void updated(DiscoveryUpdate update, long knownSince);
 
     /** A watch or a fetch failed; the list received before stays valid. */
     void failed();
--- a/engine/src/main/java/trailthread/engine/endpoint/Attempt.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/Attempt.java
@@ -220,8 +220,8 @@
         if (isStreaming()) {
             return LatencySampler.UNKNOWN;
         }
-        long atLeastNs = loop.cameNotBefore() - sentAt;
-        long atMostNs = loop.cameBy() - sentAt;
+        long atLeastNs = loop.arrivedNotBefore() - sentAt;
+        long atMostNs = loop.arrivedBy() - sentAt;
         if (request.isProbe()) {
             return atMostNs; // not a sample of what requests usually take
         }
--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptResult.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptResult.java
@@ -9,7 +9,7 @@
  * @param latencyNs the endpoint's latency in nanoseconds; negative: not known. Where no complete
  *     response came, how long the attempt took
  * @param load the endpoint's load report, or null
- * @param made the endpoint's response if the outcome is OK, else null
+ * @param response the endpoint's response if the outcome is OK, else null
  */
 public record AttemptResult(
-        Outcome outcome, long latencyNs, LoadReport load, EndpointResponse made) {}
+        Outcome outcome, long latencyNs, LoadReport load, EndpointResponse response) {}
--- a/engine/src/main/java/trailthread/engine/endpoint/ConnectionLimit.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionLimit.java
@@ -12,7 +12,7 @@
     void give();
 
     /** Returns whether a connection may be kept while it is idle, as no one else needs it more. */
-    boolean keepsIdle();
+    boolean mayKeepIdle();
 
     /** Returns a limit of a fixed number of connections. */
     static ConnectionLimit of(int max) {
--- a/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
@@ -193,7 +193,7 @@
 
     /** Returns a connection to the pool, or closes it if it cannot carry another request. */
     void release(Endpoint endpoint, HttpConnection connection) {
-        if (!endpoint.listed || !limit.keepsIdle()) {
+        if (!endpoint.listed || !limit.mayKeepIdle()) {
             connection.close();
         }
         if (!connection.isIdle()) {
--- a/engine/src/main/java/trailthread/engine/endpoint/EndpointPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointPool.java
@@ -115,7 +115,7 @@
     }
 
     /** Sets what reads the list updates that have arrived; it is run before each request. */
-    public void setNews(Runnable reader) {
+    public void setUpdateReader(Runnable reader) {
         connections.setUpdateReader(reader);
     }
 
--- a/engine/src/main/java/trailthread/engine/endpoint/FixedConnectionLimit.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/FixedConnectionLimit.java
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public boolean keepsIdle() {
+    public boolean mayKeepIdle() {
         return true;
     }
 }
--- a/engine/src/main/java/trailthread/engine/endpoint/LoadReportParser.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/LoadReportParser.java
@@ -24,44 +24,56 @@
         if (json == null) {
             return null;
         }
+        JsonReader in = new JsonReader(new StringReader(json));
+        in.setStrictness(Strictness.STRICT);
+        try {
+            LoadReport report = read(in);
+            boolean ends = in.peek() == JsonToken.END_DOCUMENT;
+            return ends && isPlausible(report) ? report : null;
+        } catch (IOException | IllegalStateException | NumberFormatException e) {
+            return null;
+        }
+    }
+
+    private static LoadReport read(JsonReader in) throws IOException {
         double inflight = Double.NaN;
         double queue = Double.NaN;
         double util = Double.NaN;
         double latencyMs = Double.NaN;
         double qps = Double.NaN;
         double eps = Double.NaN;
-        JsonReader in = new JsonReader(new StringReader(json));
-        in.setStrictness(Strictness.STRICT);
-        try {
-            in.beginObject();
-            while (in.hasNext()) {
-                String name = in.nextName();
-                if (in.peek() != JsonToken.NUMBER) {
-                    in.skipValue();
-                    continue;
-                }
-                switch (name) {
-                    case "inflight" -> inflight = in.nextDouble();
-                    case "queue" -> queue = in.nextDouble();
-                    case "util" -> util = in.nextDouble();
-                    case "latency_ms" -> latencyMs = in.nextDouble();
-                    case "qps" -> qps = in.nextDouble();
-                    case "eps" -> eps = in.nextDouble();
-                    default -> in.skipValue();
-                }
-            }
-            in.endObject();
-            if (in.peek() != JsonToken.END_DOCUMENT) {
-                return null;
+        in.beginObject();
+        while (in.hasNext()) {
+            String name = in.nextName();
+            if (in.peek() != JsonToken.NUMBER) {
+                in.skipValue();
+                continue;
             }
-        } catch (IOException | IllegalStateException | NumberFormatException e) {
-            return null;
-        }
-        for (double value : new double[] {inflight, queue, util, latencyMs, qps, eps}) {
-            if (value < 0 || value > MAX_VALUE) {
-                return null;
+            switch (name) {
+                case "inflight" -> inflight = in.nextDouble();
+                case "queue" -> queue = in.nextDouble();
+                case "util" -> util = in.nextDouble();
+                case "latency_ms" -> latencyMs = in.nextDouble();
+                case "qps" -> qps = in.nextDouble();
+                case "eps" -> eps = in.nextDouble();
+                default -> in.skipValue();
             }
         }
+        in.endObject();
         return new LoadReport(inflight, queue, util, latencyMs, qps, eps);
     }
+
+    private static boolean isPlausible(LoadReport report) {
+        return isPlausible(report.inflight())
+                && isPlausible(report.queue())
+                && isPlausible(report.util())
+                && isPlausible(report.latencyMs())
+                && isPlausible(report.qps())
+                && isPlausible(report.eps());
+    }
+
+    /** Whether a value is absent (NaN) or within its range. */
+    private static boolean isPlausible(double value) {
+        return !(value < 0 || value > MAX_VALUE);
+    }
 }
--- a/engine/src/main/java/trailthread/engine/http/HttpConnection.java
+++ b/engine/src/main/java/trailthread/engine/http/HttpConnection.java
@@ -50,7 +50,7 @@
         source.setReadListener(
                 readable -> {
                     loop.servesSocket();
-                    account.charge(() -> read(EventLoop.MOST_IN_TURN_BYTES));
+                    account.charge(() -> read(EventLoop.MAX_BYTES_PER_PASS));
                 });
         source.resumeReads();
         writer = new RequestWriter(loop, connection.getSinkChannel(), new WriterListener());
--- a/engine/src/main/java/trailthread/engine/http/RequestWriter.java
+++ b/engine/src/main/java/trailthread/engine/http/RequestWriter.java
@@ -91,7 +91,7 @@
         if (bytes == null) {
             return true;
         }
-        int end = bytes.position() + EventLoop.MOST_IN_TURN_BYTES;
+        int end = bytes.position() + EventLoop.MAX_BYTES_PER_PASS;
         while (bytes.hasRemaining()) {
             if (bytes.position() >= end) {
                 return false;
--- a/engine/src/main/java/trailthread/engine/loop/EventLoop.java
+++ b/engine/src/main/java/trailthread/engine/loop/EventLoop.java
@@ -23,7 +23,7 @@
      * served, bytes. More than any message that is buffered completely, so that these are read at
      * once.
      */
-    public static final int MOST_IN_TURN_BYTES = 128 * 1024;
+    public static final int MAX_BYTES_PER_PASS = 128 * 1024;
 
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
     private static final int BUFFER_BYTES = 16 * 1024;
@@ -190,12 +190,12 @@
      * The earliest time at which input that is read now can have arrived, by {@link #now}: it may
      * have waited for this thread.
      */
-    public long cameNotBefore() {
+    public long arrivedNotBefore() {
         return clockOffset + latency.arrivedNotBefore();
     }
 
     /** The latest time at which input that is read now can have arrived, by {@link #now}. */
-    public long cameBy() {
+    public long arrivedBy() {
         return clockOffset + latency.arrivedBy(System.nanoTime());
     }
 
--- a/engine/src/main/java/trailthread/engine/metrics/MetricsRecorder.java
+++ b/engine/src/main/java/trailthread/engine/metrics/MetricsRecorder.java
@@ -41,7 +41,8 @@
     /**
      * An attempt has ended.
      *
-     * @param latencyNs -1 if the endpoint's part of it can't be told from the node's own lateness
+     * @param latencyNs -1 if the endpoint's part of it can't be separated from the node's own
+     *     lateness
      * @param load the load report that came with the answer, or null
      */
     void attemptEnded(String endpoint, Outcome outcome, long latencyNs, LoadReport load);
--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -84,7 +84,7 @@
     }
 
     private EndpointListSource discovery(PoolConfig.Source source) {
-        if (source instanceof PoolConfig.Source.Roster server) {
+        if (source instanceof PoolConfig.Source.Discovery server) {
             return new DiscoveryClient(loop, EndpointPool.address(server.hostPort()), this);
         }
         if (source instanceof PoolConfig.Source.ListFile file) {
@@ -160,13 +160,13 @@
         return quotas.loopTime.fraction(loop.now());
     }
 
-    /** Whether a body of so many bytes may be buffered; {@link #giveBody} follows if so. */
-    public boolean takeBody(long bytes) {
+    /** Whether a body of so many bytes may be buffered; {@link #releaseBody} follows if so. */
+    public boolean reserveBody(long bytes) {
         return quotas.acquireBody(bytes, loop.now());
     }
 
     /** A body is buffered no more. */
-    public void giveBody(long bytes) {
+    public void releaseBody(long bytes) {
         quotas.releaseBody(bytes);
     }
 
@@ -218,7 +218,7 @@
     }
 
     @Override
-    public void told(DiscoveryUpdate update, long knownSince) {
+    public void updated(DiscoveryUpdate update, long knownSince) {
         if (!retired) {
             apply(update.reset() ? ListKind.FULL : ListKind.DELTA, update, knownSince);
         }
--- a/engine/src/main/java/trailthread/engine/pool/PoolConfig.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolConfig.java
@@ -47,7 +47,7 @@
     /** Where an endpoint list comes from. */
     public sealed interface Source {
         /** A discovery server at address:port, which is watched. */
-        record Roster(String hostPort) implements Source {}
+        record Discovery(String hostPort) implements Source {}
 
         /** A fixed list of endpoints, each at address:port. */
         record Fixed(List<String> hostPorts) implements Source {
@@ -157,7 +157,7 @@
         s.retryAfter = rules.maxRetryAfterNs() > 0;
         s.maxRetryAfterNs = rules.maxRetryAfterNs();
         s.connectTimeoutNs = rules.connectTimeoutNs();
-        s.listIsPolled = source instanceof Source.Roster;
+        s.listIsPolled = source instanceof Source.Discovery;
         s.weights = WeightMeaning.NOMINAL;
         s.reports = rules.reports();
         s.responseSlackNs = rules.responseSlackNs();
--- a/engine/src/main/java/trailthread/engine/pool/PoolConnectionLimit.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolConnectionLimit.java
@@ -31,7 +31,7 @@
     }
 
     @Override
-    public boolean keepsIdle() {
+    public boolean mayKeepIdle() {
         return connections.excess(loop.now()) == 0;
     }
 }
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -213,7 +213,7 @@
         if (succeeded && !finished) {
             finish();
             recordAnswer(RequestResult.SERVED);
-            response.served(result.made());
+            response.served(result.response());
         }
         boolean closed = finished;
         driver.deliver(
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
@@ -141,7 +141,7 @@
                                         node,
                                         () -> {
                                             if (!over) {
-                                                node.keepsIdle(worker, life);
+                                                node.mayKeepIdle(worker, life);
                                                 connected = false;
                                                 end(
                                                         answer == Answer.OK
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
@@ -340,7 +340,7 @@
         return connections.pollLast() != null;
     }
 
-    void keepsIdle(SimulatedServer worker, int of) {
+    void mayKeepIdle(SimulatedServer worker, int of) {
         if (worker.process().life() == of) {
             idle.computeIfAbsent(worker, w -> new ArrayDeque<>())
                     .addLast(new Idle(of, world.now()));
