--- a/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
+++ b/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
@@ -80,7 +80,7 @@
         LOG.info("{} stops", name);
         drain.end();
         listener.setReady(false);
-        long latenessNs = loop.turns().latenessNs(System.nanoTime());
+        long latenessNs = loop.latency().latenessNs(System.nanoTime());
         // The platform does not say whether a reload changes the deadlines it counts by, so new
         // requests are planned by the newest ones.
         ShutdownPlan plan = ShutdownPlan.of(deadlineInForceNs, latenessNs);
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
@@ -192,7 +192,7 @@
     public void close(Runnable whenDone) {
         // The thread that accepts is late when the loop is. Connections that wait to be accepted
         // would be reset with the listening socket, and their requests lost.
-        boolean late = loop.turns().latenessNs(System.nanoTime()) > LATE_NS;
+        boolean late = loop.latency().latenessNs(System.nanoTime()) > LATE_NS;
         loop.after(late ? ACCEPT_GRACE_NS : 0, () -> stopAccepting(whenDone));
     }
 
--- a/decisions/src/main/java/trailthread/AttemptSender.java
+++ b/decisions/src/main/java/trailthread/AttemptSender.java
@@ -29,12 +29,15 @@
         this.actions = actions;
     }
 
-    /** Whether an attempt has been sent. */
+    /**
+     * Whether an attempt has been sent. Not without a lease on the list, nor if the request may
+     * have no attempt now, nor if no endpoint is open to it or too little time is left.
+     */
     boolean trySend(Request request, long now) {
         if (!admissions.hasListLease(now)) {
             return false;
         }
-        boolean ejectionSuspended = outliers.checkSuspended(now);
+        boolean ejectionSuspended = outliers.isSuspendedLogged(now);
         if (!retries.permitsAttempt(request, now)) {
             return false;
         }
@@ -49,6 +52,7 @@
     }
 
     private void send(Request request, Endpoint endpoint, long now) {
+        // Before begin: the new attempt will count as one that may have run.
         long writtenBy = retries.writtenBy(request);
         inFlight.begin(request, endpoint, now);
         slowStart.spend(endpoint, now);
--- a/decisions/src/main/java/trailthread/Balancer.java
+++ b/decisions/src/main/java/trailthread/Balancer.java
@@ -17,10 +17,11 @@
  * trailthread.api}. A state machine: time comes with the events, randomness from the seed. Not
  * thread-safe.
  *
- * <p>The life of a request: {@link #request} → {@link AdmissionController} → {@link EndpointPicker}
- * or, if no endpoint is open, {@link RequestQueue} → {@link AttemptSender} → {@link #outcome} →
- * done, or a retry by {@link RetryPolicy}. Each module keeps its own state; this class only calls
- * them in order.
+ * <p>The life of a request: {@link #request}; {@link AdmissionController}; {@link AttemptSender}
+ * with {@link EndpointPicker}, or {@link RequestQueue} if others wait or no endpoint is open;
+ * {@link #outcome} with {@link AttemptRecorder}; then done, a retry by {@link RetryPolicy}, or the
+ * final answer by {@link FinalResponder}. Modules keep their own state; this class calls them in
+ * order.
  */
 public final class Balancer implements BalancerEvents {
     private final BalancerActions actions;
@@ -165,10 +166,10 @@
         endpoints.refreshSubset(now);
         priorities.arrived(request, now);
         if (!admissions.admits(request)) {
-            answerUnserved(request);
+            refuseOrFail(request);
             return;
         }
-        setDeadlineTimer(request, now);
+        setSendableTimer(request, now);
         if (!queue.isEmpty()) {
             enqueue(request, now);
             queue.release(now);
@@ -190,7 +191,7 @@
     public void timer(long now, long token) {
         long id = TimerKind.id(token);
         switch (TimerKind.of(token)) {
-            case REQUEST_DEADLINE -> deadlineTimerDue(requests.get(id), now);
+            case SENDABLE_UNTIL -> sendableTimerDue(requests.get(id), now);
             case LIST_POLL -> endpoints.pollTimerDue(id, now);
             case QUEUE_RELEASE -> queue.timerDue(now);
             case HEALTH_CHECK -> endpoints.healthCheckTimerDue(now);
@@ -198,15 +199,15 @@
         }
     }
 
-    private void setDeadlineTimer(Request request, long now) {
+    private void setSendableTimer(Request request, long now) {
         long delayNs = admissions.sendableUntil(request, now) - now;
-        actions.timer(delayNs, TimerKind.REQUEST_DEADLINE.token(request.id));
+        actions.timer(delayNs, TimerKind.SENDABLE_UNTIL.token(request.id));
     }
 
-    private void deadlineTimerDue(Request request, long now) {
+    private void sendableTimerDue(Request request, long now) {
         boolean isOpen = request != null && !request.finished && !request.streaming;
         if (isOpen && !rejectIfLate(request, now)) {
-            setDeadlineTimer(request, now);
+            setSendableTimer(request, now);
         }
     }
 
@@ -218,7 +219,7 @@
 
     private void enqueue(Request request, long now) {
         if (!rejectIfLate(request, now)) {
-            setDeadlineTimer(request, now);
+            setSendableTimer(request, now);
             queue.add(request);
         }
     }
@@ -227,14 +228,14 @@
         if (!admissions.isTooLate(request, now)) {
             return false;
         }
-        if (!queue.isEmpty() && log.permits(RateLimitedLog.Kind.REJECTING, now)) {
+        if (!queue.isEmpty() && log.tryAcquire(RateLimitedLog.Kind.REJECTING, now)) {
             log.write("turning requests away: no backend is open, held " + queue.size());
         }
-        answerUnserved(request);
+        refuseOrFail(request);
         return true;
     }
 
-    private void answerUnserved(Request request) {
+    private void refuseOrFail(Request request) {
         responder.answer(request);
         forgetIfOver(request);
     }
@@ -285,10 +286,10 @@
     }
 
     private void retry(Request request, long now) {
-        if (retries.tryRetry(request, now)) {
+        if (retries.acquireRetry(request, now)) {
             sendOrEnqueue(request, now);
         } else {
-            answerUnserved(request);
+            refuseOrFail(request);
         }
     }
 }
--- a/decisions/src/main/java/trailthread/Endpoint.java
+++ b/decisions/src/main/java/trailthread/Endpoint.java
@@ -5,7 +5,7 @@
 
 /**
  * One endpoint as this node sees it: its list entry, and a part for each module that keeps state by
- * endpoint. Only the module that owns a part writes it.
+ * endpoint.
  */
 final class Endpoint {
     final String name;
--- a/decisions/src/main/java/trailthread/EndpointDirectory.java
+++ b/decisions/src/main/java/trailthread/EndpointDirectory.java
@@ -40,7 +40,7 @@
     /** A poll or a watch has failed; the list stays. */
     void listFailed(long now) {
         polls.failed(now);
-        if (log.permits(RateLimitedLog.Kind.LIST_FAILED, now)) {
+        if (log.tryAcquire(RateLimitedLog.Kind.LIST_FAILED, now)) {
             log.write("list call failed: going on with the last list of " + list.size());
         }
     }
--- a/decisions/src/main/java/trailthread/OutlierDetector.java
+++ b/decisions/src/main/java/trailthread/OutlierDetector.java
@@ -105,7 +105,7 @@
         int doublings = Math.min(health.failures - FAILURES_TO_EJECT, MOST_EJECTION_DOUBLINGS);
         double ejectedNs = (double) settings.tightestObjectiveNs() * (1 << doublings);
         health.ejectedUntil = now + random.jittered(ejectedNs);
-        if (log.permits(RateLimitedLog.Kind.EJECTED, now)) {
+        if (log.tryAcquire(RateLimitedLog.Kind.EJECTED, now)) {
             log.write("ejected " + endpoint.name + " after failures in a row: " + health.failures);
         }
     }
@@ -130,7 +130,7 @@
         double restNs = REST_DEADLINES * settings.longestDeadlineNs() * (1 << doublings);
         health.ejectedUntil = now + random.jittered(restNs);
         health.rests++;
-        if (log.permits(RateLimitedLog.Kind.JAMMED, now)) {
+        if (log.tryAcquire(RateLimitedLog.Kind.JAMMED, now)) {
             long idleLatencies = Math.round(estimator.latencyNs(endpoint, now) / idleNs);
             log.write(
                     "resting "
@@ -163,9 +163,9 @@
     }
 
     /** As {@link #isSuspended}, and logs it. */
-    boolean checkSuspended(long now) {
+    boolean isSuspendedLogged(long now) {
         boolean suspended = isSuspended();
-        if (suspended && log.permits(RateLimitedLog.Kind.EJECTION_SUSPENDED, now)) {
+        if (suspended && log.tryAcquire(RateLimitedLog.Kind.EJECTION_SUSPENDED, now)) {
             int all = subset.size();
             log.write("ejecting none: most of " + all + " backends fail; is this node cut off?");
         }
--- a/decisions/src/main/java/trailthread/RateLimitedLog.java
+++ b/decisions/src/main/java/trailthread/RateLimitedLog.java
@@ -26,8 +26,8 @@
         Arrays.fill(writtenAt, now - settings.longestDeadlineNs());
     }
 
-    /** Whether a line of this kind may be written now; the caller writes it if so. */
-    boolean permits(Kind kind, long now) {
+    /** Whether a line of this kind may be written now; it counts as written then. */
+    boolean tryAcquire(Kind kind, long now) {
         boolean due = now - writtenAt[kind.ordinal()] >= settings.longestDeadlineNs();
         if (due) {
             writtenAt[kind.ordinal()] = now;
--- a/decisions/src/main/java/trailthread/RetryPolicy.java
+++ b/decisions/src/main/java/trailthread/RetryPolicy.java
@@ -40,10 +40,10 @@
     }
 
     /**
-     * Whether a request whose attempts have all failed may have another, and pays for it from the
-     * budget if they may have run.
+     * Whether a request whose attempts have all failed may have another. Pays for it from the
+     * budget if they may have run; that is not returned if no endpoint opens in time.
      */
-    boolean tryRetry(Request request, long now) {
+    boolean acquireRetry(Request request, long now) {
         boolean mayHaveRun = request.firstThatMayHaveRun() != null;
         if (!permitsAttempt(request, now) || (mayHaveRun && !budget.permitsRetry())) {
             return false;
--- a/decisions/src/main/java/trailthread/TimerKind.java
+++ b/decisions/src/main/java/trailthread/TimerKind.java
@@ -2,8 +2,8 @@
 
 /** What a timer is for: kept in the low bits of its token, with an id in the rest. */
 enum TimerKind {
-    /** A request can't be served in time any more; the id is the request's. */
-    REQUEST_DEADLINE,
+    /** A request may not be sent any more, see {@link AdmissionController}; the id is its own. */
+    SENDABLE_UNTIL,
     /** The endpoint list is to be polled; the id counts the schedules made. */
     LIST_POLL,
     /** Queued requests are looked at again. */
--- a/decisions/src/main/java/trailthread/api/BalancerActions.java
+++ b/decisions/src/main/java/trailthread/api/BalancerActions.java
@@ -1,6 +1,10 @@
 package trailthread.api;
 
-/** What the balancer asks of its host, in order, within the event that is being handled. */
+/**
+ * What the balancer asks of its host, in order, within the event that is being handled. {@link
+ * trailthread.Balancer} never calls {@link #cancel}, {@link #closeIdle}, {@link #sendToPeer} and
+ * {@link #fetch}; other policies behind this interface may.
+ */
 public interface BalancerActions {
     /**
      * Start an attempt. The attempts of a request are numbered from 0.
@@ -15,7 +19,7 @@
     /**
      * Final answer: rejected, and harmless to send again.
      *
-     * @param retryAfterNs the client's advice on when; 0: none
+     * @param retryAfterNs advice to the client on when to retry; 0: none
      */
     void refuse(long id, long retryAfterNs);
 
--- a/decisions/src/main/java/trailthread/api/Settings.java
+++ b/decisions/src/main/java/trailthread/api/Settings.java
@@ -49,16 +49,16 @@
     /** Price of a hundred open connections to each endpoint, over all nodes. */
     public double connectionPrice;
 
-    /** Attempts may be cancelled. */
+    /** Attempts may be cancelled. The balancer makes no use of it. */
     public boolean mayCancel;
 
     /** Endpoints may be sent health checks. */
     public boolean mayCheckHealth;
 
-    /** Nodes may send each other messages. */
+    /** Nodes may send each other messages. The balancer makes no use of it. */
     public boolean mayGossip;
 
-    /** A request may have several attempts in flight. */
+    /** A request may have several attempts in flight. The balancer makes no use of it. */
     public boolean mayHedge;
 
     /** Attempts for each request, the first one included. */
--- a/decisions/src/test/java/trailthread/OutlierDetectorTest.java
+++ b/decisions/src/test/java/trailthread/OutlierDetectorTest.java
@@ -84,7 +84,7 @@
     void nodeThatIsCutOffEjectsNone() {
         modules.fail(endpoints.get(0), 3, NOW);
         modules.fail(endpoints.get(1), 3, NOW);
-        assertFalse(outliers.checkSuspended(NOW));
+        assertFalse(outliers.isSuspendedLogged(NOW));
         assertEquals(2, outliers.countAvoided(endpoints, NOW));
         assertEquals(0, outliers.countAvoided(endpoints, NOW + 241 * MS));
         // A third that is jammed may not rest, as more than half would be avoided.
@@ -92,7 +92,7 @@
         modules.respond(endpoints.get(2), 30, 400 * MS, NOW);
         assertFalse(outliers.restIfJammed(endpoints.get(2), NOW));
         modules.fail(endpoints.get(2), 3, NOW);
-        assertTrue(outliers.checkSuspended(NOW));
+        assertTrue(outliers.isSuspendedLogged(NOW));
         assertEquals(
                 "ejecting none: most of 4 backends fail; is this node cut off?",
                 modules.recorder.log.get(1));
--- a/decisions/src/test/java/trailthread/RateLimitedLogTest.java
+++ b/decisions/src/test/java/trailthread/RateLimitedLogTest.java
@@ -15,16 +15,16 @@
 
     @Test
     void aLineOfAKindIsPermittedOnceInALongestDeadline() {
-        assertTrue(log.permits(Kind.EJECTED, NOW));
-        assertFalse(log.permits(Kind.EJECTED, NOW + 1000 * MS - 1));
-        assertTrue(log.permits(Kind.EJECTED, NOW + 1000 * MS));
-        assertFalse(log.permits(Kind.EJECTED, NOW + 1000 * MS));
+        assertTrue(log.tryAcquire(Kind.EJECTED, NOW));
+        assertFalse(log.tryAcquire(Kind.EJECTED, NOW + 1000 * MS - 1));
+        assertTrue(log.tryAcquire(Kind.EJECTED, NOW + 1000 * MS));
+        assertFalse(log.tryAcquire(Kind.EJECTED, NOW + 1000 * MS));
     }
 
     @Test
     void aLineOfOneKindDoesNotHoldUpAnother() {
         for (Kind kind : Kind.values()) {
-            assertTrue(log.permits(kind, NOW), kind.name());
+            assertTrue(log.tryAcquire(kind, NOW), kind.name());
         }
     }
 }
--- a/decisions/src/test/java/trailthread/RetryPolicyTest.java
+++ b/decisions/src/test/java/trailthread/RetryPolicyTest.java
@@ -67,11 +67,11 @@
     @Test
     void onlyRetriesOfWhatMayHaveRunArePaidFromTheBudget() {
         for (int i = 0; i < 20; i++) {
-            assertTrue(modules.retries.tryRetry(after("safe", Outcome.REJECTED), NOW));
-            assertTrue(modules.retries.tryRetry(after("safe", Outcome.ERROR), NOW));
+            assertTrue(modules.retries.acquireRetry(after("safe", Outcome.REJECTED), NOW));
+            assertTrue(modules.retries.acquireRetry(after("safe", Outcome.ERROR), NOW));
         }
-        assertFalse(modules.retries.tryRetry(after("safe", Outcome.ERROR), NOW));
-        assertTrue(modules.retries.tryRetry(after("safe", Outcome.REJECTED), NOW));
+        assertFalse(modules.retries.acquireRetry(after("safe", Outcome.ERROR), NOW));
+        assertTrue(modules.retries.acquireRetry(after("safe", Outcome.REJECTED), NOW));
     }
 
     /** Five latencies of 20 ms, if two more are left after that; else a retry would be in vain. */
--- a/engine/src/main/java/trailthread/engine/endpoint/Attempt.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/Attempt.java
@@ -116,8 +116,8 @@
         long now = loop.now();
         if (!maySend || now >= deadline || !mayBeWritten() || !listener.isWanted()) {
             // Checked again right before the write, as things may have changed since the attempt
-            // was decided: the endpoint drains, it no longer recognizes a retry as one, or the
-            // client has disconnected.
+            // was decided: the endpoint drains, the deduplication window has passed, or the client
+            // has disconnected.
             connections.release(endpoint, to);
             end(Outcome.NOT_SENT);
             return;
--- a/engine/src/main/java/trailthread/engine/loop/EventLoop.java
+++ b/engine/src/main/java/trailthread/engine/loop/EventLoop.java
@@ -182,7 +182,7 @@
     }
 
     /** How late the thread runs. */
-    public LoopLatency turns() {
+    public LoopLatency latency() {
         return latency;
     }
 
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -92,8 +92,8 @@
     }
 
     /**
-     * The client is answered within the slack even if the balancer does not. Prevents a request
-     * that the balancer has lost from staying open for ever.
+     * A backstop: the balancer's own timer and the attempt's timeout fire before it. Prevents a
+     * request that the balancer has lost from staying open for ever.
      */
     private void startDeadlineTimer(long timeLeftNs) {
         deadlineTimer =
--- a/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
+++ b/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
@@ -57,7 +57,15 @@
                         }));
         driver.deliver((balancer, now) -> balancer.timer(1, 0));
         assertEquals(
-                List.of("timer", "/timer", "send", "gone", "/gone", "/send", "watch", "/watch"),
+                List.of(
+                        "timer",
+                        "/timer",
+                        "send",
+                        "clientDisconnected",
+                        "/clientDisconnected",
+                        "/send",
+                        "watch",
+                        "/watch"),
                 log);
     }
 
@@ -74,7 +82,7 @@
                         }));
         driver.deliver((balancer, now) -> balancer.timer(1, 0));
         driver.deliver((balancer, now) -> balancer.clientDisconnected(2, 7));
-        assertEquals(List.of("timer", "gone", "/gone"), log);
+        assertEquals(List.of("timer", "clientDisconnected", "/clientDisconnected"), log);
     }
 
     @Test
