--- a/Makefile
+++ b/Makefile
@@ -29,7 +29,7 @@
 FILE ?= deploy/operator.example.toml
 STANDINS ?= 8 20 9001 4 50 9002
 run: build
-	java -Xmx32m -cp benchmarks/target/classes trailthread.benchmark.PacedWorkers $(STANDINS) & \
+	java -Xmx32m -cp benchmarks/target/classes trailthread.benchmark.ConcurrencyLimitedServers $(STANDINS) & \
 	trap "kill $$!" EXIT; bin/trailthread serve $(FILE)
 
 # The platform's node, as the platform starts it.
@@ -40,13 +40,13 @@
 BENCH_ARGS ?= --rounds 1 --seconds 3 --warm-up 2
 bench: build
 	java -cp "benchmarks/target/classes:$$(cat benchmarks/target/classpath)" \
-		trailthread.benchmark.Comparison $(BENCH_ARGS)
+		trailthread.benchmark.ProxyComparison $(BENCH_ARGS)
 
 # Whether one pool feels another's overload: docs/pools.md.
 ISOLATION_ARGS ?= --rounds 1 --seconds 10
 isolation: build
 	java -cp "benchmarks/target/classes:$$(cat benchmarks/target/classpath)" \
-		trailthread.benchmark.Isolation $(ISOLATION_ARGS)
+		trailthread.benchmark.PoolIsolation $(ISOLATION_ARGS)
 
 # Microbenchmarks; JMH_ARGS are JMH's own: a name, -f forks, -i iterations, -rf json.
 JMH_ARGS ?= -f 1 -wi 3 -i 5 -w 1 -r 1
--- a/benchmarks/src/main/java/trailthread/benchmark/Child.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/ChildProcess.java
@@ -15,7 +15,7 @@
 /**
  * A program started for the benchmark, pinned to a core if one is given; closing ends it at once.
  */
-final class Child implements AutoCloseable {
+final class ChildProcess implements AutoCloseable {
     private static final String END = "(end)";
 
     private final List<String> command;
@@ -27,7 +27,8 @@
      * @param core or a negative number: any
      * @param environment what is set besides that of this program
      */
-    Child(int core, Map<String, String> environment, List<String> command) throws IOException {
+    ChildProcess(int core, Map<String, String> environment, List<String> command)
+            throws IOException {
         this.command = command;
         List<String> words = new ArrayList<>();
         if (core >= 0) {
--- a/benchmarks/src/main/java/trailthread/benchmark/PacedWorkers.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/ConcurrencyLimitedServers.java
@@ -12,12 +12,12 @@
 /**
  * Workers that take a fixed time for each call and do so many at once; the rest waits in its turn.
  */
-final class PacedWorkers {
+final class ConcurrencyLimitedServers {
     private static final byte[] ANSWER =
             "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nanswer"
                     .getBytes(StandardCharsets.US_ASCII);
 
-    private PacedWorkers() {}
+    private ConcurrencyLimitedServers() {}
 
     /**
      * Takes slots, milliseconds and port (0: any that is free) of each worker in turn; prints their
--- a/benchmarks/src/main/java/trailthread/benchmark/LoadGenerator.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/LoadGenerator.java
@@ -94,7 +94,7 @@
             sentAt = System.nanoTime();
             waits = true;
             try {
-                InstantWorkers.writeWhole(channel, out.flip());
+                StubServers.writeWhole(channel, out.flip());
             } catch (IOException e) {
                 ended(0, false);
             }
@@ -176,7 +176,7 @@
         while (clients.stream().anyMatch(c -> c.waits)) {
             work(clients);
         }
-        System.out.println(Turn.of(served, refused, failed, reopened, seconds).format());
+        System.out.println(Measurement.of(served, refused, failed, reopened, seconds).format());
     }
 
     private void workUntil(List<Client> clients, long end) throws IOException {
--- a/benchmarks/src/main/java/trailthread/benchmark/Turn.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/Measurement.java
@@ -15,7 +15,7 @@
  * @param reopened connections that were closed, and opened again
  * @param seconds over which the calls were begun
  */
-record Turn(
+record Measurement(
         long served,
         long slow,
         long refused,
@@ -31,9 +31,10 @@
 
     private static final String PREFIX = "turn";
 
-    static Turn of(Histogram served, long refused, long failed, long reopened, double seconds) {
+    static Measurement of(
+            Histogram served, long refused, long failed, long reopened, double seconds) {
         long slow = served.getTotalCount() - served.getCountBetweenValues(0, SLOW_NS);
-        return new Turn(
+        return new Measurement(
                 served.getTotalCount(),
                 slow,
                 refused,
@@ -47,13 +48,13 @@
     }
 
     /** The figures out of one line. */
-    static Turn parse(String line) {
+    static Measurement parse(String line) {
         Map<String, String> figures = new HashMap<>();
         for (String pair : line.substring(PREFIX.length() + 1).split(" ")) {
             int equals = pair.indexOf('=');
             figures.put(pair.substring(0, equals), pair.substring(equals + 1));
         }
-        return new Turn(
+        return new Measurement(
                 whole(figures, "served"),
                 whole(figures, "slow"),
                 whole(figures, "refused"),
--- a/benchmarks/src/main/java/trailthread/benchmark/RunCommand.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/NodeCommand.java
@@ -7,10 +7,10 @@
 import java.util.regex.Pattern;
 
 /** The command that the platform runs a node with, as deploy/balancer.toml has it; pure. */
-final class RunCommand {
+final class NodeCommand {
     private static final Pattern RUN = Pattern.compile("(?m)^run = \"exec (.*)\"$");
 
-    private RunCommand() {}
+    private NodeCommand() {}
 
     /**
      * The words of the command.
--- a/benchmarks/src/main/java/trailthread/benchmark/PacedLoad.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/OpenLoopLoad.java
@@ -17,7 +17,7 @@
  * their latency counts from then (Tene, "How NOT to Measure Latency"). A call that no connection
  * was free for in time counts as late.
  */
-final class PacedLoad {
+final class OpenLoopLoad {
     private static final long LATE_NS = 5_000_000;
 
     final Histogram served = new ConcurrentHistogram(60_000_000_000L, 3);
@@ -38,7 +38,7 @@
      *
      * @param warmUpNs what is sent in this time is not counted
      */
-    PacedLoad(int port, String host, double perSecond, long warmUpNs, long forNs) {
+    OpenLoopLoad(int port, String host, double perSecond, long warmUpNs, long forNs) {
         this.port = port;
         this.perSecond = perSecond;
         request =
@@ -49,7 +49,7 @@
         endsAt = countFrom + forNs;
     }
 
-    PacedLoad begin(int connections) {
+    OpenLoopLoad begin(int connections) {
         threads = new Thread[connections];
         for (int i = 0; i < connections; i++) {
             threads[i] = new Thread(this::send);
--- a/benchmarks/src/main/java/trailthread/benchmark/Isolation.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/PoolIsolation.java
@@ -14,7 +14,7 @@
  * and while {@code marks.example.org} is offered a multiple of what its worker can do. Two pools in
  * one node on one core.
  */
-public final class Isolation {
+public final class PoolIsolation {
     private static final Map<String, String> DEFAULTS =
             Map.of(
                     "rounds",
@@ -60,7 +60,7 @@
             pool = "marks"
             """;
 
-    private Isolation() {}
+    private PoolIsolation() {}
 
     /** Runs it; the options are pairs of --name value. */
     public static void main(String[] args) throws IOException, InterruptedException {
@@ -68,7 +68,12 @@
         int[] cores = options.list("cores");
         String classPath = System.getProperty("java.class.path");
         List<String> workers =
-                new ArrayList<>(List.of("java", "-cp", classPath, PacedWorkers.class.getName()));
+                new ArrayList<>(
+                        List.of(
+                                "java",
+                                "-cp",
+                                classPath,
+                                ConcurrencyLimitedServers.class.getName()));
         for (int i = 0; i < 2; i++) {
             workers.addAll(List.of(Integer.toString(SIM_SLOTS), Integer.toString(SIM_MS), "0"));
         }
@@ -85,7 +90,7 @@
                 "failed",
                 "late",
                 "node%");
-        try (Child fleet = new Child(cores[1], Map.of(), workers)) {
+        try (ChildProcess fleet = new ChildProcess(cores[1], Map.of(), workers)) {
             Matcher ports = fleet.await(Pattern.compile("ports (\\d+) (\\d+) (\\d+)"), 20);
             for (int round = 0; round < options.whole("rounds"); round++) {
                 for (boolean loaded : new boolean[] {false, true}) {
@@ -106,23 +111,23 @@
             Files.writeString(file, toml);
             String deploy = Files.readString(Path.of("deploy", "balancer.toml"));
             List<String> node =
-                    RunCommand.other(
+                    NodeCommand.other(
                             deploy,
                             "daemon/target/trailthread.jar:command/target/trailthread-command.jar:command/target/lib/*",
                             "trailthread.command.Trailthread",
                             "serve",
                             file.toString());
-            try (Child child = new Child(core, Map.of(), node)) {
+            try (ChildProcess child = new ChildProcess(core, Map.of(), node)) {
                 int port =
                         Integer.parseInt(
                                 child.await(Pattern.compile("serves on .*:(\\d+)"), 20).group(1));
                 long warmUp = options.whole("warm-up") * 1_000_000_000L;
                 long time = options.whole("seconds") * 1_000_000_000L;
-                PacedLoad sim =
-                        new PacedLoad(
+                OpenLoopLoad sim =
+                        new OpenLoopLoad(
                                 port, "sim.example.org", options.whole("sim-rate"), warmUp, time);
-                PacedLoad marks =
-                        new PacedLoad(
+                OpenLoopLoad marks =
+                        new OpenLoopLoad(
                                 port,
                                 "marks.example.org",
                                 loaded
@@ -151,7 +156,8 @@
         }
     }
 
-    private static void print(String phase, String who, PacedLoad load, int seconds, double share) {
+    private static void print(
+            String phase, String who, OpenLoopLoad load, int seconds, double share) {
         System.out.printf(
                 "%-8s %-6s %8.0f %8.2f %8.2f %8.2f %8d %8d %6d %5.0f%n",
                 phase,
--- a/benchmarks/src/main/java/trailthread/benchmark/Comparison.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/ProxyComparison.java
@@ -16,7 +16,7 @@
  * process, its warm-up, its measured calls, its end. To be run at the root of the repository after
  * a build; docs/benchmarks.md says more.
  */
-public final class Comparison {
+public final class ProxyComparison {
     private static final Path DEPLOY = Path.of("deploy", "balancer.toml");
     private static final Path CONFIG = Path.of("benchmarks", "target", "benchmark.json");
     private static final Pattern SERVES = Pattern.compile("serves? on .*?([0-9,]+)$");
@@ -45,19 +45,19 @@
     private final Arguments arguments;
     private final String toml;
     private final int[] cores;
-    private final Child workers;
+    private final ChildProcess workers;
     private final String ports;
 
-    private Comparison(Arguments arguments) throws IOException, InterruptedException {
+    private ProxyComparison(Arguments arguments) throws IOException, InterruptedException {
         this.arguments = arguments;
         toml = Files.readString(DEPLOY);
         cores = cores(arguments.text("cores"));
         workers =
-                new Child(
+                new ChildProcess(
                         cores[1],
                         Map.of(),
                         ours(
-                                "trailthread.benchmark.InstantWorkers",
+                                "trailthread.benchmark.StubServers",
                                 "--delays",
                                 arguments.text("delays")));
         ports = workers.await(SERVES, STARTS_WITHIN_S).group(1);
@@ -79,7 +79,7 @@
                                                 .children()
                                                 .forEach(ProcessHandle::destroyForcibly)));
         try {
-            new Comparison(
+            new ProxyComparison(
                             new Arguments(
                                     Map.of(
                                             "connections",
@@ -112,7 +112,7 @@
             throw new IllegalArgumentException("three cores, or none, not " + text);
         }
         for (int core : cores) {
-            if (!Child.canPin(core)) {
+            if (!ChildProcess.canPin(core)) {
                 System.out.println("not pinned: no taskset, or no core " + core);
                 return none;
             }
@@ -131,13 +131,13 @@
                         + "  failed  reopened  CPU us/call  program workers load others");
         List<String> summaries = new ArrayList<>();
         for (int connections : arguments.list("connections")) {
-            List<Turn> node = new ArrayList<>();
-            List<Turn> proxy = new ArrayList<>();
+            List<Measurement> node = new ArrayList<>();
+            List<Measurement> proxy = new ArrayList<>();
             for (int round = 1; round <= arguments.whole("rounds"); round++) {
-                try (Child program = node(round)) {
+                try (ChildProcess program = node(round)) {
                     node.add(turn("node", program, connections, round));
                 }
-                try (Child program = proxy()) {
+                try (ChildProcess program = proxy()) {
                     proxy.add(turn("proxy", program, connections, round));
                 }
             }
@@ -146,23 +146,24 @@
         summaries.forEach(System.out::println);
     }
 
-    private Child node(int round) throws IOException {
+    private ChildProcess node(int round) throws IOException {
         List<String> instances = new ArrayList<>();
         for (String port : ports.split(",")) {
             instances.add(String.format(INSTANCE, instances.size() + 1, port));
         }
         Files.writeString(CONFIG, String.format(SETTINGS, round, String.join(",", instances)));
-        return new Child(cores[0], Map.of("LB_CONFIG", CONFIG.toString()), RunCommand.node(toml));
+        return new ChildProcess(
+                cores[0], Map.of("LB_CONFIG", CONFIG.toString()), NodeCommand.node(toml));
     }
 
-    private Child proxy() throws IOException {
-        return new Child(
+    private ChildProcess proxy() throws IOException {
+        return new ChildProcess(
                 cores[0],
                 Map.of(),
-                RunCommand.other(
+                NodeCommand.other(
                         toml,
                         System.getProperty("java.class.path"),
-                        "trailthread.benchmark.ProxyNode",
+                        "trailthread.benchmark.UndertowProxy",
                         "--workers",
                         ports));
     }
@@ -185,13 +186,13 @@
         return words;
     }
 
-    private Turn turn(String who, Child program, int connections, int round)
+    private Measurement turn(String who, ChildProcess program, int connections, int round)
             throws IOException, InterruptedException {
         String port = program.await(SERVES, STARTS_WITHIN_S).group(1);
         int warmUp = arguments.whole("warm-up");
         int seconds = arguments.whole("seconds");
-        try (Child load =
-                new Child(
+        try (ChildProcess load =
+                new ChildProcess(
                         cores[2],
                         Map.of(),
                         ours(
@@ -204,14 +205,14 @@
                                 Integer.toString(warmUp),
                                 "--seconds",
                                 Integer.toString(seconds)))) {
-            Child[] all = {program, workers, load};
+            ChildProcess[] all = {program, workers, load};
             load.await(MEASURING, warmUp + STARTS_WITHIN_S);
             double[] own = ownSeconds(all);
             double[] busy = busySeconds();
             load.await(MEASURED, seconds + STARTS_WITHIN_S);
             own = minus(ownSeconds(all), own);
             double[] others = minus(minus(busySeconds(), busy), own);
-            Turn turn = Turn.parse(load.await(TURN, STARTS_WITHIN_S).group());
+            Measurement turn = Measurement.parse(load.await(TURN, STARTS_WITHIN_S).group());
             System.out.printf(
                     Locale.ROOT,
                     "%-5s %5d %5d %s %11.1f  %6.0f%% %6.0f%% %3.0f%% %5.0f%%%n",
@@ -228,8 +229,8 @@
         }
     }
 
-    private static double[] ownSeconds(Child... children) {
-        return Arrays.stream(children).mapToDouble(Child::cpuSeconds).toArray();
+    private static double[] ownSeconds(ChildProcess... children) {
+        return Arrays.stream(children).mapToDouble(ChildProcess::cpuSeconds).toArray();
     }
 
     private double[] busySeconds() {
--- a/benchmarks/src/main/java/trailthread/benchmark/RouteMatch.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/RouteMatchBenchmark.java
@@ -28,7 +28,7 @@
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
-public class RouteMatch {
+public class RouteMatchBenchmark {
     private static final int REQUESTS = 1024;
     private static final int HOSTS = 20;
 
--- a/benchmarks/src/main/java/trailthread/benchmark/InstantWorkers.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/StubServers.java
@@ -20,7 +20,7 @@
  * Workers that answer every request with 200 at once, or after a delay of their own; all on one
  * thread. They print the ports that they serve on, in order.
  */
-public final class InstantWorkers {
+public final class StubServers {
     private static final int BACKLOG = 1024;
     private static final long MS = 1_000_000;
 
@@ -29,7 +29,7 @@
     private final ByteBuffer out = ByteBuffer.allocateDirect(512);
     private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::at));
 
-    private InstantWorkers() throws IOException {}
+    private StubServers() throws IOException {}
 
     /**
      * Serves until it is ended.
@@ -37,7 +37,7 @@
      * @param args {@code --delays}, in ms, one for each worker; four instant ones if not given
      */
     public static void main(String[] args) throws IOException {
-        new InstantWorkers().run(new Arguments(Map.of("delays", "0,0,0,0"), args).list("delays"));
+        new StubServers().run(new Arguments(Map.of("delays", "0,0,0,0"), args).list("delays"));
     }
 
     /** One worker and how many requests it has not answered. */
--- a/benchmarks/src/main/java/trailthread/benchmark/Summary.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/Summary.java
@@ -9,9 +9,9 @@
 final class Summary {
     private Summary() {}
 
-    static String line(int connections, List<Turn> node, List<Turn> proxy) {
-        double nodeNs = median(node.stream().mapToLong(Turn::p99Ns).toArray());
-        double proxyNs = median(proxy.stream().mapToLong(Turn::p99Ns).toArray());
+    static String line(int connections, List<Measurement> node, List<Measurement> proxy) {
+        double nodeNs = median(node.stream().mapToLong(Measurement::p99Ns).toArray());
+        double proxyNs = median(proxy.stream().mapToLong(Measurement::p99Ns).toArray());
         return String.format(
                 Locale.ROOT,
                 "%d connections: median p99 node %.2f ms, proxy %.2f ms, ratio %.2f; "
@@ -20,8 +20,8 @@
                 nodeNs / 1e6,
                 proxyNs / 1e6,
                 nodeNs / proxyNs,
-                sum(node, Turn::refused),
-                sum(proxy, Turn::refused),
+                sum(node, Measurement::refused),
+                sum(proxy, Measurement::refused),
                 spoiltPercent(node),
                 spoiltPercent(proxy));
     }
@@ -37,12 +37,15 @@
     }
 
     /** Percent of the calls of all rounds that were not served soon. */
-    static double spoiltPercent(List<Turn> turns) {
-        long spoilt = sum(turns, Turn::slow) + sum(turns, Turn::refused) + sum(turns, Turn::failed);
-        return 100.0 * spoilt / sum(turns, Turn::calls);
+    static double spoiltPercent(List<Measurement> turns) {
+        long spoilt =
+                sum(turns, Measurement::slow)
+                        + sum(turns, Measurement::refused)
+                        + sum(turns, Measurement::failed);
+        return 100.0 * spoilt / sum(turns, Measurement::calls);
     }
 
-    private static long sum(List<Turn> turns, ToLongFunction<Turn> figure) {
+    private static long sum(List<Measurement> turns, ToLongFunction<Measurement> figure) {
         return turns.stream().mapToLong(figure).sum();
     }
 }
--- a/benchmarks/src/main/java/trailthread/benchmark/ProxyNode.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/UndertowProxy.java
@@ -15,7 +15,7 @@
  * Undertow's own proxy, which takes workers in turn, with the node's buffers, socket options and
  * bounds. It prints the port that it serves on.
  */
-public final class ProxyNode {
+public final class UndertowProxy {
     private static final int BUFFER_BYTES = 16 * 1024;
     private static final int BUFFERS_KEPT = 256;
     private static final int THREAD_BUFFERS = 16;
@@ -28,7 +28,7 @@
     /** The deadline of the class that is called. */
     private static final int MOST_MS = 1_200;
 
-    private ProxyNode() {}
+    private UndertowProxy() {}
 
     /**
      * Serves until it is ended.
--- a/benchmarks/src/test/java/trailthread/benchmark/FiguresTest.java
+++ b/benchmarks/src/test/java/trailthread/benchmark/ProxyComparisonTest.java
@@ -9,11 +9,12 @@
 import org.junit.Test;
 
 /** The arithmetic of the comparison, and what it reads its figures from. */
-public class FiguresTest {
+public class ProxyComparisonTest {
     private static final long MS = 1_000_000;
 
-    private static Turn turn(long served, long slow, long refused, long p99Ms) {
-        return new Turn(served, slow, refused, 0, 0, 5, MS, p99Ms * MS, p99Ms * MS, p99Ms * MS);
+    private static Measurement turn(long served, long slow, long refused, long p99Ms) {
+        return new Measurement(
+                served, slow, refused, 0, 0, 5, MS, p99Ms * MS, p99Ms * MS, p99Ms * MS);
     }
 
     @Test
@@ -22,14 +23,14 @@
         for (int ms = 1; ms <= 1000; ms++) {
             served.recordValue(ms * MS);
         }
-        Turn turn = Turn.of(served, 7, 2, 1, 2);
+        Measurement turn = Measurement.of(served, 7, 2, 1, 2);
         assertEquals(1009, turn.calls());
         assertEquals(900, turn.slow());
         assertEquals(500, turn.p50Ns() / 1e6, 0.6);
         assertEquals(990, turn.p99Ns() / 1e6, 1.1);
         assertEquals(999, turn.p999Ns() / 1e6, 1.1);
         assertEquals(1000, turn.maxNs() / 1e6, 1.1);
-        assertEquals(turn, Turn.parse(turn.format()));
+        assertEquals(turn, Measurement.parse(turn.format()));
     }
 
     @Test
@@ -66,10 +67,10 @@
                         + "sim = \"exec java -jar t.jar adapter\"\n";
         assertEquals(
                 List.of("java", "-Xmx80m", "-XX:SharedArchiveFile=t.jsa", "-jar", "t.jar", "serve"),
-                RunCommand.node(toml));
+                NodeCommand.node(toml));
         assertEquals(
                 List.of("java", "-Xmx80m", "-cp", "c", "Main", "x"),
-                RunCommand.other(toml, "c", "Main", "x"));
+                NodeCommand.other(toml, "c", "Main", "x"));
     }
 
     @Test
