--- a/benchmarks/src/main/java/trailthread/benchmark/Arguments.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/Arguments.java
@@ -4,14 +4,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The command line of a program here: pairs of {@code --name value}, each with a default; pure. */
+/** Options of a benchmark program: pairs of {@code --name value}, each with a default. */
 final class Arguments {
     private final Map<String, String> values;
 
     /**
-     * @param defaults every option there is
-     * @throws IllegalArgumentException if there is another one, or one without a value; the message
-     *     names it
+     * @param defaults all known options with their default values
+     * @throws IllegalArgumentException on an unknown option or an option without a value; the
+     *     message names the option
      */
     Arguments(Map<String, String> defaults, String... args) {
         values = new HashMap<>(defaults);
@@ -19,7 +19,10 @@
             String name = args[i].startsWith("--") ? args[i].substring(2) : "";
             if (!defaults.containsKey(name) || i + 1 == args.length) {
                 throw new IllegalArgumentException(
-                        "not '" + args[i] + "' but --name value of " + defaults);
+                        "unknown option or missing value: '"
+                                + args[i]
+                                + "'; options and defaults: "
+                                + defaults);
             }
             values.put(name, args[i + 1]);
         }
@@ -29,12 +32,12 @@
         return values.get(name);
     }
 
-    int whole(String name) {
+    int integer(String name) {
         return Integer.parseInt(text(name));
     }
 
-    /** Whole numbers, parted by commas. */
-    int[] list(String name) {
+    /** An option that is a comma-separated list of integers. */
+    int[] integers(String name) {
         return Arrays.stream(text(name).split(",")).mapToInt(Integer::parseInt).toArray();
     }
 }
--- a/benchmarks/src/main/java/trailthread/benchmark/ChildProcess.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/ChildProcess.java
@@ -12,44 +12,42 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/**
- * A program started for the benchmark, pinned to a core if one is given; closing ends it at once.
- */
+/** A program started by a benchmark, pinned to a core if one is given; {@link #close} kills it. */
 final class ChildProcess implements AutoCloseable {
-    private static final String END = "(end)";
+    private static final String END_OF_OUTPUT = "(end)";
 
     private final List<String> command;
     private final Process process;
     private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
-    private final List<String> said = new ArrayList<>();
+    private final List<String> output = new ArrayList<>();
 
     /**
-     * @param core or a negative number: any
-     * @param environment what is set besides that of this program
+     * @param core negative: not pinned
+     * @param environment variables added to the environment of this process
      */
     ChildProcess(int core, Map<String, String> environment, List<String> command)
             throws IOException {
         this.command = command;
-        List<String> words = new ArrayList<>();
+        List<String> pinnedCommand = new ArrayList<>();
         if (core >= 0) {
-            words.addAll(List.of("taskset", "-c", Integer.toString(core)));
+            pinnedCommand.addAll(List.of("taskset", "-c", Integer.toString(core)));
         }
-        words.addAll(command);
-        ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true);
+        pinnedCommand.addAll(command);
+        ProcessBuilder builder = new ProcessBuilder(pinnedCommand).redirectErrorStream(true);
         builder.environment().putAll(environment);
         process = builder.start();
         BufferedReader reader = process.inputReader(StandardCharsets.UTF_8);
-        Thread drain =
+        Thread outputReader =
                 new Thread(
                         () -> {
                             reader.lines().forEach(lines::add);
-                            lines.add(END);
+                            lines.add(END_OF_OUTPUT);
                         });
-        drain.setDaemon(true);
-        drain.start();
+        outputReader.setDaemon(true);
+        outputReader.start();
     }
 
-    /** Whether a program can be pinned to this core here. */
+    /** Whether taskset can pin a program to this core. */
     static boolean canPin(int core) throws InterruptedException {
         try {
             return new ProcessBuilder("taskset", "-c", Integer.toString(core), "true")
@@ -62,24 +60,25 @@
     }
 
     /**
-     * The first match in the next lines that it prints.
+     * Waits for an output line that matches and returns the match; skips the lines before it.
      *
-     * @throws IOException if it ends without, or does not print it in time; with all that it said
+     * @throws IOException if the program ends or the time is over without a match; the message
+     *     contains the output so far
      */
     Matcher await(Pattern pattern, long seconds) throws IOException, InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         while (true) {
-            String line = lines.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS);
-            if (line == null || line.equals(END)) {
+            String line = lines.poll(deadlineNs - System.nanoTime(), TimeUnit.NANOSECONDS);
+            if (line == null || line.equals(END_OF_OUTPUT)) {
                 throw new IOException(
-                        "no '"
+                        "no line matches '"
                                 + pattern
-                                + "' from "
+                                + "' in the output of "
                                 + command
-                                + ", which said:\n"
-                                + String.join("\n", said));
+                                + ":\n"
+                                + String.join("\n", output));
             }
-            said.add(line);
+            output.add(line);
             Matcher matcher = pattern.matcher(line);
             if (matcher.find()) {
                 return matcher;
@@ -87,9 +86,9 @@
         }
     }
 
-    /** Its CPU time so far, in seconds; no number where the system does not tell. */
+    /** CPU time used so far; NaN where the system does not report it. */
     double cpuSeconds() {
-        return CpuTime.ofProcess(process.pid());
+        return CpuTime.processSeconds(process.pid());
     }
 
     @Override
--- a/benchmarks/src/main/java/trailthread/benchmark/ConcurrencyLimitedServers.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/ConcurrencyLimitedServers.java
@@ -10,65 +10,68 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * Workers that take a fixed time for each call and do so many at once; the rest waits in its turn.
+ * HTTP servers that take a fixed time for each request and process a limited number of requests at
+ * once; further requests wait in order of arrival.
  */
 final class ConcurrencyLimitedServers {
-    private static final byte[] ANSWER =
+    private static final byte[] RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nanswer"
                     .getBytes(StandardCharsets.US_ASCII);
 
     private ConcurrencyLimitedServers() {}
 
     /**
-     * Takes slots, milliseconds and port (0: any that is free) of each worker in turn; prints their
-     * ports.
+     * Starts the servers and prints their ports.
+     *
+     * @param args three for each server: concurrency limit, milliseconds per request, port (0: any
+     *     free port)
      */
     public static void main(String[] args) throws IOException {
         StringBuilder ports = new StringBuilder("ports");
         for (int i = 0; i < args.length; i += 3) {
-            Semaphore slots = new Semaphore(Integer.parseInt(args[i]), true);
-            long ms = Long.parseLong(args[i + 1]);
+            Semaphore permits = new Semaphore(Integer.parseInt(args[i]), true);
+            long serviceMs = Long.parseLong(args[i + 1]);
             ServerSocket server =
                     new ServerSocket(
                             Integer.parseInt(args[i + 2]), 1024, InetAddress.getLoopbackAddress());
             ports.append(' ').append(server.getLocalPort());
-            thread(
+            startThread(
                     () -> {
                         while (true) {
                             Socket connection = server.accept();
                             connection.setTcpNoDelay(true);
-                            thread(() -> serve(connection, slots, ms));
+                            startThread(() -> serve(connection, permits, serviceMs));
                         }
                     });
         }
         System.out.println(ports);
     }
 
-    private static void serve(Socket connection, Semaphore slots, long ms)
+    private static void serve(Socket connection, Semaphore permits, long serviceMs)
             throws IOException, InterruptedException {
         try (connection) {
             InputStream in = new BufferedInputStream(connection.getInputStream());
-            while (passHead(in)) {
-                slots.acquire();
+            while (skipRequest(in)) {
+                permits.acquire();
                 try {
-                    Thread.sleep(ms);
+                    Thread.sleep(serviceMs);
                 } finally {
-                    slots.release();
+                    permits.release();
                 }
-                connection.getOutputStream().write(ANSWER);
+                connection.getOutputStream().write(RESPONSE);
             }
         }
     }
 
-    /** Reads past one head, which has no body; whether there was one. */
-    private static boolean passHead(InputStream in) throws IOException {
+    /** Skips one request, which has no body; returns false at the end of the stream. */
+    private static boolean skipRequest(InputStream in) throws IOException {
         int newLines = 0;
         while (newLines < 2) {
-            int letter = in.read();
-            if (letter < 0) {
+            int character = in.read();
+            if (character < 0) {
                 return false;
             }
-            newLines = letter == '\n' ? newLines + 1 : letter == '\r' ? newLines : 0;
+            newLines = character == '\n' ? newLines + 1 : character == '\r' ? newLines : 0;
         }
         return true;
     }
@@ -77,14 +80,14 @@
         void run() throws IOException, InterruptedException;
     }
 
-    private static void thread(Task task) {
+    private static void startThread(Task task) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
                                 task.run();
                             } catch (IOException | InterruptedException e) {
-                                // the other side has ended
+                                // the peer closed the connection
                             }
                         });
         thread.setDaemon(false);
--- a/benchmarks/src/main/java/trailthread/benchmark/LoadGenerator.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/LoadGenerator.java
@@ -15,31 +15,31 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients in a closed loop, all on one thread: on each connection one call at a time, the next as
- * soon as the last has its answer. Counted are the calls begun after the warm-up and before the
- * end; what is out at the end is waited for. It prints {@code measuring} and {@code measured} at
- * both, and then its figures.
+ * Closed-loop load, all on one thread: each connection has one request in flight and sends the next
+ * one as soon as the response arrives. Counts the requests that are sent between the end of the
+ * warm-up and the end of the measurement, and waits for those in flight at the end. Prints {@code
+ * measuring} and {@code measured} at these two times, then the results.
  */
 public final class LoadGenerator {
     private static final long SECOND_NS = 1_000_000_000;
-    private static final long LOOK_MS = 20;
+    private static final long SELECT_TIMEOUT_MS = 20;
 
-    /** Past every deadline: what has no answer by then is lost. */
-    private static final long GIVEN_UP_NS = 5 * SECOND_NS;
+    /** Longer than every deadline: a request without a response by then has failed. */
+    private static final long RESPONSE_TIMEOUT_NS = 5 * SECOND_NS;
 
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
     private final InetSocketAddress address;
     private final Selector selector = Selector.open();
-    private final ByteBuffer in = ByteBuffer.allocateDirect(16 * 1024);
-    private final ByteBuffer out = ByteBuffer.allocateDirect(512);
-    private final Histogram served = new Histogram(2 * GIVEN_UP_NS, DIGITS);
+    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(16 * 1024);
+    private final ByteBuffer writeBuffer = ByteBuffer.allocateDirect(512);
+    private final Histogram served = new Histogram(2 * RESPONSE_TIMEOUT_NS, SIGNIFICANT_DIGITS);
 
-    /** Ids differ from those of a generator before this one. */
+    /** Starts at the clock, so that ids differ from those of earlier load generators. */
     private long lastId = System.nanoTime() << 20;
 
-    private long from;
-    private long to;
+    private long measureFromNs;
+    private long measureUntilNs;
     private long refused;
     private long failed;
     private long reopened;
@@ -49,105 +49,105 @@
     }
 
     /**
-     * Makes the calls of one turn.
+     * Sends the requests of one measurement and prints its results.
      *
      * @param args {@code --port} on loopback, {@code --connections}, {@code --warm-up} and {@code
-     *     --seconds}
+     *     --seconds}; both times in seconds
      */
     public static void main(String[] args) throws IOException {
         Arguments arguments =
                 new Arguments(
                         Map.of("port", "8080", "connections", "16", "warm-up", "3", "seconds", "5"),
                         args);
-        new LoadGenerator(arguments.whole("port"))
+        new LoadGenerator(arguments.integer("port"))
                 .run(
-                        arguments.whole("connections"),
-                        arguments.whole("warm-up"),
-                        arguments.whole("seconds"));
+                        arguments.integer("connections"),
+                        arguments.integer("warm-up"),
+                        arguments.integer("seconds"));
     }
 
-    /** One connection and the call that is out on it. */
-    private final class Client {
+    /** A connection with at most one request in flight. */
+    private final class ClientConnection {
         private SocketChannel channel;
-        private MessageReader answer;
-        private long sentAt;
-        private boolean waits;
+        private MessageReader response;
+        private long sentNs;
+        private boolean inFlight;
 
         void open() throws IOException {
             channel = SocketChannel.open(address);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             channel.configureBlocking(false);
             channel.register(selector, SelectionKey.OP_READ, this);
-            answer = new MessageReader();
-            call();
+            response = new MessageReader();
+            sendRequest();
         }
 
-        /** A connection that ended since its last answer fails the call that finds it so. */
-        private void call() throws IOException {
-            out.clear();
-            out.put(
+        /** Sends a request, which fails if the server has closed the connection meanwhile. */
+        private void sendRequest() throws IOException {
+            writeBuffer.clear();
+            writeBuffer.put(
                     ("GET /bench-state HTTP/1.1\r\nHost: 127.0.0.1\r\nX-Service-Class: bench-state\r\n"
                                     + "X-Correlation-Id: "
                                     + Long.toHexString(++lastId)
                                     + "\r\nX-Time-Left: 1.2\r\n\r\n")
                             .getBytes(StandardCharsets.ISO_8859_1));
-            sentAt = System.nanoTime();
-            waits = true;
+            sentNs = System.nanoTime();
+            inFlight = true;
             try {
-                StubServers.writeWhole(channel, out.flip());
+                StubServers.writeWhole(channel, writeBuffer.flip());
             } catch (IOException e) {
-                ended(0, false);
+                complete(0, false);
             }
         }
 
-        /** Reads; what breaks the connection has failed the call that was out on it. */
-        void read() throws IOException {
-            if (!waits) {
-                channel.close(); // the turn is over for it
+        /** Reads the response; an error on the connection fails the request in flight. */
+        void readResponse() throws IOException {
+            if (!inFlight) {
+                channel.close(); // this connection sends no more requests
                 return;
             }
             int status = 0;
-            boolean lasting = false;
+            boolean keepAlive = false;
             try {
-                in.clear();
-                if (channel.read(in) >= 0) {
-                    if (!answer.read(in.flip())) {
+                readBuffer.clear();
+                if (channel.read(readBuffer) >= 0) {
+                    if (!response.read(readBuffer.flip())) {
                         return;
                     }
-                    status = in.hasRemaining() ? 0 : answer.status();
-                    lasting = status > 0 && answer.isLasting();
+                    status = readBuffer.hasRemaining() ? 0 : response.status();
+                    keepAlive = status > 0 && response.isKeepAlive();
                 }
             } catch (IOException e) {
                 status = 0;
             }
-            ended(status, lasting);
+            complete(status, keepAlive);
         }
 
         /**
-         * The call has its answer, or will have none.
+         * Ends the request in flight, with or without a response.
          *
-         * @param status 0: none
+         * @param status 0: no valid response
          */
-        private void ended(int status, boolean lasting) throws IOException {
-            long now = System.nanoTime();
-            waits = false;
-            if (sentAt >= from && sentAt < to) {
-                count(status, now - sentAt);
+        private void complete(int status, boolean keepAlive) throws IOException {
+            long nowNs = System.nanoTime();
+            inFlight = false;
+            if (sentNs >= measureFromNs && sentNs < measureUntilNs) {
+                count(status, nowNs - sentNs);
             }
-            if (!lasting) {
+            if (!keepAlive) {
                 channel.close();
-                reopened += now >= from && now < to ? 1 : 0;
+                reopened += nowNs >= measureFromNs && nowNs < measureUntilNs ? 1 : 0;
             }
-            if (now < to && lasting) {
-                call();
-            } else if (now < to) {
+            if (nowNs < measureUntilNs && keepAlive) {
+                sendRequest();
+            } else if (nowNs < measureUntilNs) {
                 open();
             }
         }
 
-        void giveUp(long now) throws IOException {
-            if (waits && now - sentAt > GIVEN_UP_NS) {
-                ended(0, false);
+        void failOnTimeout(long nowNs) throws IOException {
+            if (inFlight && nowNs - sentNs > RESPONSE_TIMEOUT_NS) {
+                complete(0, false);
             }
         }
     }
@@ -160,40 +160,41 @@
         }
     }
 
-    private void run(int connections, int warmUp, int seconds) throws IOException {
-        from = System.nanoTime() + warmUp * SECOND_NS;
-        to = from + seconds * SECOND_NS;
-        List<Client> clients = new ArrayList<>();
+    private void run(int connections, int warmUpSeconds, int seconds) throws IOException {
+        measureFromNs = System.nanoTime() + warmUpSeconds * SECOND_NS;
+        measureUntilNs = measureFromNs + seconds * SECOND_NS;
+        List<ClientConnection> clients = new ArrayList<>();
         for (int i = 0; i < connections; i++) {
-            Client client = new Client();
+            ClientConnection client = new ClientConnection();
             client.open();
             clients.add(client);
         }
-        workUntil(clients, from);
+        processEventsUntil(clients, measureFromNs);
         System.out.println("measuring");
-        workUntil(clients, to);
+        processEventsUntil(clients, measureUntilNs);
         System.out.println("measured");
-        while (clients.stream().anyMatch(c -> c.waits)) {
-            work(clients);
+        while (clients.stream().anyMatch(c -> c.inFlight)) {
+            processEvents(clients);
         }
-        System.out.println(Measurement.of(served, refused, failed, reopened, seconds).format());
+        System.out.println(
+                Measurement.fromHistogram(served, refused, failed, reopened, seconds).format());
     }
 
-    private void workUntil(List<Client> clients, long end) throws IOException {
-        while (System.nanoTime() < end) {
-            work(clients);
+    private void processEventsUntil(List<ClientConnection> clients, long endNs) throws IOException {
+        while (System.nanoTime() < endNs) {
+            processEvents(clients);
         }
     }
 
-    private void work(List<Client> clients) throws IOException {
-        selector.select(LOOK_MS);
+    private void processEvents(List<ClientConnection> clients) throws IOException {
+        selector.select(SELECT_TIMEOUT_MS);
         for (SelectionKey key : selector.selectedKeys()) {
-            ((Client) key.attachment()).read();
+            ((ClientConnection) key.attachment()).readResponse();
         }
         selector.selectedKeys().clear();
-        long now = System.nanoTime();
-        for (Client client : clients) {
-            client.giveUp(now);
+        long nowNs = System.nanoTime();
+        for (ClientConnection client : clients) {
+            client.failOnTimeout(nowNs);
         }
     }
 }
--- a/benchmarks/src/main/java/trailthread/benchmark/Measurement.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/Measurement.java
@@ -6,14 +6,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The figures of one turn, as the load generator has them; pure.
+ * The results of one measurement by the load generator.
  *
- * @param served calls answered 200; the latencies, in ns, are of these
- * @param slow of these, those that took longer than {@link #SLOW_NS}
- * @param refused calls answered 503 or 429
- * @param failed calls answered otherwise, or not at all
- * @param reopened connections that were closed, and opened again
- * @param seconds over which the calls were begun
+ * @param served requests with response status 200; the latencies are of these
+ * @param slow served requests that took longer than {@link #SLOW_NS}
+ * @param refused requests with response status 503 or 429
+ * @param failed requests with another status or without a response
+ * @param reopened connections that were closed and opened again
+ * @param seconds duration in which the requests were sent
  */
 record Measurement(
         long served,
@@ -26,12 +26,12 @@
         long p99Ns,
         long p999Ns,
         long maxNs) {
-    /** No call of workers that answer at once has a reason to take so long. */
+    /** Limit of a slow response, far above the latency of servers that respond at once. */
     static final long SLOW_NS = 100_000_000;
 
     private static final String PREFIX = "turn";
 
-    static Measurement of(
+    static Measurement fromHistogram(
             Histogram served, long refused, long failed, long reopened, double seconds) {
         long slow = served.getTotalCount() - served.getCountBetweenValues(0, SLOW_NS);
         return new Measurement(
@@ -47,31 +47,31 @@
                 served.getMaxValue());
     }
 
-    /** The figures out of one line. */
+    /** Parses a line that {@link #format} wrote. */
     static Measurement parse(String line) {
-        Map<String, String> figures = new HashMap<>();
+        Map<String, String> fields = new HashMap<>();
         for (String pair : line.substring(PREFIX.length() + 1).split(" ")) {
             int equals = pair.indexOf('=');
-            figures.put(pair.substring(0, equals), pair.substring(equals + 1));
+            fields.put(pair.substring(0, equals), pair.substring(equals + 1));
         }
         return new Measurement(
-                whole(figures, "served"),
-                whole(figures, "slow"),
-                whole(figures, "refused"),
-                whole(figures, "failed"),
-                whole(figures, "reopened"),
-                Double.parseDouble(figures.get("seconds")),
-                whole(figures, "p50"),
-                whole(figures, "p99"),
-                whole(figures, "p999"),
-                whole(figures, "max"));
+                longField(fields, "served"),
+                longField(fields, "slow"),
+                longField(fields, "refused"),
+                longField(fields, "failed"),
+                longField(fields, "reopened"),
+                Double.parseDouble(fields.get("seconds")),
+                longField(fields, "p50"),
+                longField(fields, "p99"),
+                longField(fields, "p999"),
+                longField(fields, "max"));
     }
 
-    private static long whole(Map<String, String> figures, String name) {
-        return Long.parseLong(figures.get(name));
+    private static long longField(Map<String, String> fields, String name) {
+        return Long.parseLong(fields.get(name));
     }
 
-    /** One line that {@link #parse} reads. */
+    /** One line, which {@link #parse} reads. */
     String format() {
         return PREFIX
                 + " served="
@@ -96,12 +96,12 @@
                 + maxNs;
     }
 
-    long calls() {
+    long requests() {
         return served + refused + failed;
     }
 
-    /** The cells of a table, from calls/s to reopened. */
-    String cells() {
+    /** The cells of the table from req/s to reopened. */
+    String tableCells() {
         return String.format(
                 Locale.ROOT,
                 "%8.0f %8.2f %8.2f %8.2f %8.2f %6d %8d %7d %9d",
--- a/benchmarks/src/main/java/trailthread/benchmark/MessageReader.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/MessageReader.java
@@ -6,43 +6,43 @@
 import java.util.Locale;
 
 /**
- * Reads HTTP/1.1 messages, requests or answers, however they come in pieces, and skips their
- * bodies; pure. It knows bodies with a Content-Length alone, which is all that the programs here
- * exchange.
+ * Reads HTTP/1.1 requests or responses that arrive in pieces of any size, and skips their bodies;
+ * does no I/O. Supports only bodies with a Content-Length, as the benchmark programs exchange no
+ * others.
  */
 final class MessageReader {
-    private static final int MOST_LINE_BYTES = 8 * 1024;
-    private static final String LENGTH = "content-length:";
-    private static final String CLOSE = "connection: close";
+    private static final int MAX_LINE_BYTES = 8 * 1024;
+    private static final String CONTENT_LENGTH = "content-length:";
+    private static final String CONNECTION_CLOSE = "connection: close";
 
-    private final byte[] line = new byte[MOST_LINE_BYTES];
+    private final byte[] line = new byte[MAX_LINE_BYTES];
     private int lineBytes;
     private boolean inHead;
     private boolean inBody;
     private String startLine = "";
-    private boolean lasting = true;
-    private int left;
+    private boolean keepAlive = true;
+    private int bodyBytesLeft;
 
     /**
-     * Takes in what has come, as far as it belongs to the message; after a whole one the next
-     * begins.
+     * Consumes input up to the end of the current message. After a complete message, the next call
+     * starts a new one.
      *
-     * @return whether the message is whole
-     * @throws ProtocolException if it is none that can be read; nothing more can be read then
+     * @return whether the message is complete
+     * @throws ProtocolException if the message is malformed; the reader can't be used afterwards
      */
     boolean read(ByteBuffer in) throws ProtocolException {
         while (in.hasRemaining()) {
             if (inBody) {
-                int count = Math.min(left, in.remaining());
-                in.position(in.position() + count);
-                left -= count;
-                if (left == 0) {
+                int skipped = Math.min(bodyBytesLeft, in.remaining());
+                in.position(in.position() + skipped);
+                bodyBytesLeft -= skipped;
+                if (bodyBytesLeft == 0) {
                     inBody = false;
                     return true;
                 }
-            } else if (completesLine(in) && headEnds()) {
+            } else if (readLine(in) && processLine()) {
                 inHead = false;
-                inBody = left > 0;
+                inBody = bodyBytesLeft > 0;
                 if (!inBody) {
                     return true;
                 }
@@ -56,22 +56,22 @@
         return startLine;
     }
 
-    /** The status of the last message, which was an answer. */
+    /** The status code of the last message, which must be a response. */
     int status() throws ProtocolException {
         try {
             return Integer.parseInt(
                     startLine.substring("HTTP/1.1 ".length(), "HTTP/1.1 200".length()));
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
-            throw new ProtocolException("no status: " + startLine);
+            throw new ProtocolException("no status code: " + startLine);
         }
     }
 
     /** Whether the connection may carry another message after the last one. */
-    boolean isLasting() {
-        return lasting;
+    boolean isKeepAlive() {
+        return keepAlive;
     }
 
-    private boolean completesLine(ByteBuffer in) throws ProtocolException {
+    private boolean readLine(ByteBuffer in) throws ProtocolException {
         while (in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
@@ -80,25 +80,25 @@
                 }
                 return true;
             }
-            if (lineBytes == MOST_LINE_BYTES) {
-                throw new ProtocolException("a line without end");
+            if (lineBytes == MAX_LINE_BYTES) {
+                throw new ProtocolException("line is longer than " + MAX_LINE_BYTES + " bytes");
             }
             line[lineBytes++] = b;
         }
         return false;
     }
 
-    /** Takes in the line, which is whole, and says whether it ends the head. */
-    private boolean headEnds() throws ProtocolException {
+    /** Processes a complete line; returns whether it ends the head. */
+    private boolean processLine() throws ProtocolException {
         boolean ends = inHead && lineBytes == 0;
         if (!inHead) {
             startLine = new String(line, 0, lineBytes, StandardCharsets.ISO_8859_1);
             inHead = true;
-            lasting = true;
-            left = 0;
+            keepAlive = true;
+            bodyBytesLeft = 0;
         } else if (lineBytes > 0
                 && (line[0] == 'C' || line[0] == 'c' || line[0] == 'T' || line[0] == 't')) {
-            header(
+            processHeader(
                     new String(line, 0, lineBytes, StandardCharsets.ISO_8859_1)
                             .toLowerCase(Locale.ROOT));
         }
@@ -106,21 +106,22 @@
         return ends;
     }
 
-    private void header(String header) throws ProtocolException {
+    private void processHeader(String header) throws ProtocolException {
         if (header.startsWith("transfer-encoding:")) {
-            throw new ProtocolException("a body without a length");
+            throw new ProtocolException("Transfer-Encoding is not supported");
         }
-        if (header.equals(CLOSE)) {
-            lasting = false;
+        if (header.equals(CONNECTION_CLOSE)) {
+            keepAlive = false;
         }
-        if (header.startsWith(LENGTH)) {
+        if (header.startsWith(CONTENT_LENGTH)) {
             try {
-                left = Integer.parseUnsignedInt(header.substring(LENGTH.length()).strip());
+                bodyBytesLeft =
+                        Integer.parseUnsignedInt(header.substring(CONTENT_LENGTH.length()).strip());
             } catch (NumberFormatException e) {
-                throw new ProtocolException("no length: " + header);
+                throw new ProtocolException("invalid header: " + header);
             }
-            if (left < 0) {
-                throw new ProtocolException("too long: " + header);
+            if (bodyBytesLeft < 0) {
+                throw new ProtocolException("body is too long: " + header);
             }
         }
     }
--- a/benchmarks/src/main/java/trailthread/benchmark/NodeCommand.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/NodeCommand.java
@@ -6,18 +6,18 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The command that the platform runs a node with, as deploy/balancer.toml has it; pure. */
+/** The command with which the platform starts a node, from the text of deploy/balancer.toml. */
 final class NodeCommand {
     private static final Pattern RUN = Pattern.compile("(?m)^run = \"exec (.*)\"$");
 
     private NodeCommand() {}
 
     /**
-     * The words of the command.
+     * The command and its arguments.
      *
-     * @throws IllegalArgumentException if there is none
+     * @throws IllegalArgumentException if the text has no run command
      */
-    static List<String> node(String toml) {
+    static List<String> parse(String toml) {
         Matcher run = RUN.matcher(toml);
         if (!run.find()) {
             throw new IllegalArgumentException("no run command in " + toml);
@@ -26,15 +26,15 @@
     }
 
     /**
-     * Another program with the node's flags, but for the archive, which holds the node's classes
-     * alone.
+     * Command of another program with the node's JVM options, except for the class archive, which
+     * contains only the node's classes.
      */
-    static List<String> other(String toml, String classPath, String... program) {
-        List<String> node = node(toml);
-        List<String> words = new ArrayList<>(node.subList(0, node.indexOf("-jar")));
-        words.removeIf(word -> word.startsWith("-XX:SharedArchiveFile="));
-        words.addAll(List.of("-cp", classPath));
-        words.addAll(List.of(program));
-        return words;
+    static List<String> forProgram(String toml, String classPath, String... program) {
+        List<String> nodeCommand = parse(toml);
+        List<String> command = new ArrayList<>(nodeCommand.subList(0, nodeCommand.indexOf("-jar")));
+        command.removeIf(argument -> argument.startsWith("-XX:SharedArchiveFile="));
+        command.addAll(List.of("-cp", classPath));
+        command.addAll(List.of(program));
+        return command;
     }
 }
--- a/benchmarks/src/main/java/trailthread/benchmark/OpenLoopLoad.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/OpenLoopLoad.java
@@ -13,9 +13,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * An open loop: calls are due at times drawn ahead (Poisson), whatever became of those before, and
- * their latency counts from then (Tene, "How NOT to Measure Latency"). A call that no connection
- * was free for in time counts as late.
+ * Open-loop load: requests are due at the times of a Poisson process, whatever became of earlier
+ * requests, and latency counts from the due time (Tene, "How NOT to Measure Latency"). A request
+ * for which no connection was free in time counts as late.
  */
 final class OpenLoopLoad {
     private static final long LATE_NS = 5_000_000;
@@ -26,33 +26,31 @@
     final AtomicLong late = new AtomicLong();
     private final int port;
     private final byte[] request;
-    private final double perSecond;
-    private final long countFrom;
-    private final long endsAt;
+    private final double requestsPerSecond;
+    private final long countFromNs;
+    private final long endNs;
     private final SplittableRandom random = new SplittableRandom(7);
-    private long nextDue;
+    private long nextDueNs;
     private Thread[] threads;
 
     /**
-     * Makes one that has not begun.
-     *
-     * @param warmUpNs what is sent in this time is not counted
+     * @param warmUpNs requests due in this time are not counted
      */
-    OpenLoopLoad(int port, String host, double perSecond, long warmUpNs, long forNs) {
+    OpenLoopLoad(int port, String host, double requestsPerSecond, long warmUpNs, long measuredNs) {
         this.port = port;
-        this.perSecond = perSecond;
+        this.requestsPerSecond = requestsPerSecond;
         request =
                 ("GET /x HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
                         .getBytes(StandardCharsets.US_ASCII);
-        nextDue = System.nanoTime();
-        countFrom = nextDue + warmUpNs;
-        endsAt = countFrom + forNs;
+        nextDueNs = System.nanoTime();
+        countFromNs = nextDueNs + warmUpNs;
+        endNs = countFromNs + measuredNs;
     }
 
-    OpenLoopLoad begin(int connections) {
+    OpenLoopLoad start(int connections) {
         threads = new Thread[connections];
         for (int i = 0; i < connections; i++) {
-            threads[i] = new Thread(this::send);
+            threads[i] = new Thread(this::sendRequests);
             threads[i].start();
         }
         return this;
@@ -64,20 +62,20 @@
         }
     }
 
-    private synchronized long takeDue() {
-        nextDue += (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e9);
-        return nextDue;
+    private synchronized long takeNextDueNs() {
+        nextDueNs += (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * 1e9);
+        return nextDueNs;
     }
 
-    private void send() {
+    private void sendRequests() {
         Socket connection = null;
         byte[] buffer = new byte[4096];
-        for (long due = takeDue(); due < endsAt; due = takeDue()) {
-            while (System.nanoTime() < due) {
-                LockSupport.parkNanos(due - System.nanoTime());
+        for (long dueNs = takeNextDueNs(); dueNs < endNs; dueNs = takeNextDueNs()) {
+            while (System.nanoTime() < dueNs) {
+                LockSupport.parkNanos(dueNs - System.nanoTime());
             }
-            boolean counts = due >= countFrom;
-            if (counts && System.nanoTime() - due > LATE_NS) {
+            boolean counted = dueNs >= countFromNs;
+            if (counted && System.nanoTime() - dueNs > LATE_NS) {
                 late.incrementAndGet();
             }
             try {
@@ -87,50 +85,53 @@
                     connection.setSoTimeout(30_000);
                 }
                 connection.getOutputStream().write(request);
-                String head = read(connection.getInputStream(), buffer);
-                if (counts) {
+                String response = readResponse(connection.getInputStream(), buffer);
+                if (counted) {
                     count(
-                            head.startsWith("HTTP/1.1 200")
+                            response.startsWith("HTTP/1.1 200")
                                     ? 200
-                                    : head.startsWith("HTTP/1.1 503") ? 503 : 0,
-                            due);
+                                    : response.startsWith("HTTP/1.1 503") ? 503 : 0,
+                            dueNs);
                 }
-                if (head.contains("\r\nConnection: close")) {
+                if (response.contains("\r\nConnection: close")) {
                     connection.close();
                     connection = null;
                 }
             } catch (IOException e) {
                 connection = null;
-                if (counts) {
-                    count(0, due);
+                if (counted) {
+                    count(0, dueNs);
                 }
             }
         }
     }
 
-    private void count(int status, long due) {
+    private void count(int status, long dueNs) {
         if (status == 200) {
-            served.recordValue(System.nanoTime() - due);
+            served.recordValue(System.nanoTime() - dueNs);
         } else {
             (status == 503 ? refused : failed).incrementAndGet();
         }
     }
 
-    /** One answer whole; its head. */
-    private static String read(InputStream in, byte[] buffer) throws IOException {
+    /** Reads and returns one whole response. */
+    private static String readResponse(InputStream in, byte[] buffer) throws IOException {
         int length = 0;
         while (true) {
             int count = in.read(buffer, length, buffer.length - length);
             if (count < 0) {
-                throw new IOException("ended");
+                throw new IOException("connection closed before the end of the response");
             }
             length += count;
             String text = new String(buffer, 0, length, StandardCharsets.ISO_8859_1);
-            int end = text.indexOf("\r\n\r\n");
-            if (end >= 0) {
-                int at = text.toLowerCase(Locale.ROOT).indexOf("content-length: ") + 16;
-                int body = Integer.parseInt(text.substring(at, text.indexOf('\r', at)).strip());
-                if (length >= end + 4 + body) {
+            int headEnd = text.indexOf("\r\n\r\n");
+            if (headEnd >= 0) {
+                int lengthStart = text.toLowerCase(Locale.ROOT).indexOf("content-length: ") + 16;
+                int bodyBytes =
+                        Integer.parseInt(
+                                text.substring(lengthStart, text.indexOf('\r', lengthStart))
+                                        .strip());
+                if (length >= headEnd + 4 + bodyBytes) {
                     return text;
                 }
             }
--- a/benchmarks/src/main/java/trailthread/benchmark/PoolIsolation.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/PoolIsolation.java
@@ -10,9 +10,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Whether one pool feels another's overload: {@code sim.example.org} under a steady load, alone,
- * and while {@code marks.example.org} is offered a multiple of what its worker can do. Two pools in
- * one node on one core.
+ * Measures whether overload of one pool affects another pool of the same node, which runs on one
+ * core: {@code sim.example.org} gets a steady load, first alone, then while {@code
+ * marks.example.org} is offered a multiple of its server's capacity.
  */
 public final class PoolIsolation {
     private static final Map<String, String> DEFAULTS =
@@ -29,15 +29,18 @@
                     "4",
                     "cores",
                     "1,2,3");
-    private static final int MARKS_SLOTS = 4;
-    private static final int MARKS_MS = 20;
+    private static final int MARKS_CONCURRENCY = 4;
+    private static final int MARKS_SERVICE_MS = 20;
 
-    /** Enough that none waits for its turn: what is not served is held for up to its aim. */
+    /**
+     * Enough connections that no request waits for a free one while the node holds requests for up
+     * to their latency objective.
+     */
     private static final int MARKS_CONNECTIONS = 400;
 
-    private static final int SIM_SLOTS = 16;
-    private static final int SIM_MS = 5;
-    private static final String FILE =
+    private static final int SIM_CONCURRENCY = 16;
+    private static final int SIM_SERVICE_MS = 5;
+    private static final String NODE_TOML =
             """
             [node]
             listen = "127.0.0.1:0"
@@ -62,12 +65,12 @@
 
     private PoolIsolation() {}
 
-    /** Runs it; the options are pairs of --name value. */
+    /** Options are pairs of {@code --name value}; see {@link #DEFAULTS}. */
     public static void main(String[] args) throws IOException, InterruptedException {
         Arguments options = new Arguments(DEFAULTS, args);
-        int[] cores = options.list("cores");
+        int[] cores = options.integers("cores");
         String classPath = System.getProperty("java.class.path");
-        List<String> workers =
+        List<String> serverCommand =
                 new ArrayList<>(
                         List.of(
                                 "java",
@@ -75,13 +78,21 @@
                                 classPath,
                                 ConcurrencyLimitedServers.class.getName()));
         for (int i = 0; i < 2; i++) {
-            workers.addAll(List.of(Integer.toString(SIM_SLOTS), Integer.toString(SIM_MS), "0"));
+            serverCommand.addAll(
+                    List.of(
+                            Integer.toString(SIM_CONCURRENCY),
+                            Integer.toString(SIM_SERVICE_MS),
+                            "0"));
         }
-        workers.addAll(List.of(Integer.toString(MARKS_SLOTS), Integer.toString(MARKS_MS), "0"));
+        serverCommand.addAll(
+                List.of(
+                        Integer.toString(MARKS_CONCURRENCY),
+                        Integer.toString(MARKS_SERVICE_MS),
+                        "0"));
         System.out.printf(
                 "%-8s %-6s %8s %8s %8s %8s %8s %8s %6s %5s%n",
                 "phase",
-                "who",
+                "pool",
                 "served/s",
                 "p50 ms",
                 "p99 ms",
@@ -90,13 +101,14 @@
                 "failed",
                 "late",
                 "node%");
-        try (ChildProcess fleet = new ChildProcess(cores[1], Map.of(), workers)) {
-            Matcher ports = fleet.await(Pattern.compile("ports (\\d+) (\\d+) (\\d+)"), 20);
-            for (int round = 0; round < options.whole("rounds"); round++) {
+        try (ChildProcess servers = new ChildProcess(cores[1], Map.of(), serverCommand)) {
+            Matcher ports = servers.await(Pattern.compile("ports (\\d+) (\\d+) (\\d+)"), 20);
+            for (int round = 0; round < options.integer("rounds"); round++) {
                 for (boolean loaded : new boolean[] {false, true}) {
-                    phase(
+                    measurePhase(
                             options,
-                            String.format(FILE, ports.group(1), ports.group(2), ports.group(3)),
+                            String.format(
+                                    NODE_TOML, ports.group(1), ports.group(2), ports.group(3)),
                             cores[0],
                             loaded);
                 }
@@ -104,51 +116,61 @@
         }
     }
 
-    private static void phase(Arguments options, String toml, int core, boolean loaded)
+    private static void measurePhase(Arguments options, String nodeToml, int core, boolean loaded)
             throws IOException, InterruptedException {
         Path file = Files.createTempFile("isolation", ".toml");
         try {
-            Files.writeString(file, toml);
-            String deploy = Files.readString(Path.of("deploy", "balancer.toml"));
-            List<String> node =
-                    NodeCommand.other(
-                            deploy,
+            Files.writeString(file, nodeToml);
+            String deployToml = Files.readString(Path.of("deploy", "balancer.toml"));
+            List<String> nodeCommand =
+                    NodeCommand.forProgram(
+                            deployToml,
                             "daemon/target/trailthread.jar:command/target/trailthread-command.jar:command/target/lib/*",
                             "trailthread.command.Trailthread",
                             "serve",
                             file.toString());
-            try (ChildProcess child = new ChildProcess(core, Map.of(), node)) {
+            try (ChildProcess node = new ChildProcess(core, Map.of(), nodeCommand)) {
                 int port =
                         Integer.parseInt(
-                                child.await(Pattern.compile("serves on .*:(\\d+)"), 20).group(1));
-                long warmUp = options.whole("warm-up") * 1_000_000_000L;
-                long time = options.whole("seconds") * 1_000_000_000L;
+                                node.await(Pattern.compile("serves on .*:(\\d+)"), 20).group(1));
+                long warmUpNs = options.integer("warm-up") * 1_000_000_000L;
+                long measuredNs = options.integer("seconds") * 1_000_000_000L;
                 OpenLoopLoad sim =
                         new OpenLoopLoad(
-                                port, "sim.example.org", options.whole("sim-rate"), warmUp, time);
+                                port,
+                                "sim.example.org",
+                                options.integer("sim-rate"),
+                                warmUpNs,
+                                measuredNs);
                 OpenLoopLoad marks =
                         new OpenLoopLoad(
                                 port,
                                 "marks.example.org",
                                 loaded
-                                        ? options.whole("marks-times")
+                                        ? options.integer("marks-times")
                                                 * 1000.0
-                                                * MARKS_SLOTS
-                                                / MARKS_MS
+                                                * MARKS_CONCURRENCY
+                                                / MARKS_SERVICE_MS
                                         : 0.001,
-                                warmUp,
-                                time);
-                double cpu = child.cpuSeconds();
-                long begun = System.nanoTime();
-                sim.begin(64);
+                                warmUpNs,
+                                measuredNs);
+                double cpuSeconds = node.cpuSeconds();
+                long startNs = System.nanoTime();
+                sim.start(64);
                 if (loaded) {
-                    marks.begin(MARKS_CONNECTIONS).await();
+                    marks.start(MARKS_CONNECTIONS).await();
                 }
                 sim.await();
-                double share = (child.cpuSeconds() - cpu) / ((System.nanoTime() - begun) / 1e9);
-                print(loaded ? "loaded" : "alone", "sim", sim, options.whole("seconds"), share);
+                double cpuShare =
+                        (node.cpuSeconds() - cpuSeconds) / ((System.nanoTime() - startNs) / 1e9);
+                print(
+                        loaded ? "loaded" : "alone",
+                        "sim",
+                        sim,
+                        options.integer("seconds"),
+                        cpuShare);
                 if (loaded) {
-                    print("loaded", "marks", marks, options.whole("seconds"), share);
+                    print("loaded", "marks", marks, options.integer("seconds"), cpuShare);
                 }
             }
         } finally {
@@ -157,11 +179,11 @@
     }
 
     private static void print(
-            String phase, String who, OpenLoopLoad load, int seconds, double share) {
+            String phase, String pool, OpenLoopLoad load, int seconds, double cpuShare) {
         System.out.printf(
                 "%-8s %-6s %8.0f %8.2f %8.2f %8.2f %8d %8d %6d %5.0f%n",
                 phase,
-                who,
+                pool,
                 load.served.getTotalCount() / (double) seconds,
                 load.served.getValueAtPercentile(50) / 1e6,
                 load.served.getValueAtPercentile(99) / 1e6,
@@ -169,6 +191,6 @@
                 load.refused.get(),
                 load.failed.get(),
                 load.late.get(),
-                100 * share);
+                100 * cpuShare);
     }
 }
--- a/benchmarks/src/main/java/trailthread/benchmark/ProxyComparison.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/ProxyComparison.java
@@ -12,21 +12,21 @@
 import java.util.stream.IntStream;
 
 /**
- * Compares the node with Undertow's proxy before the same workers, in turns: each turn a fresh
- * process, its warm-up, its measured calls, its end. To be run at the root of the repository after
- * a build; docs/benchmarks.md says more.
+ * Compares the node with Undertow's proxy in front of the same servers. Measures both alternately;
+ * each measurement starts a new process, warms it up, measures requests and kills the process. Run
+ * from the root of the repository after a build; see docs/benchmarks.md.
  */
 public final class ProxyComparison {
-    private static final Path DEPLOY = Path.of("deploy", "balancer.toml");
-    private static final Path CONFIG = Path.of("benchmarks", "target", "benchmark.json");
-    private static final Pattern SERVES = Pattern.compile("serves? on .*?([0-9,]+)$");
-    private static final Pattern MEASURING = Pattern.compile("^measuring$");
-    private static final Pattern MEASURED = Pattern.compile("^measured$");
-    private static final Pattern TURN = Pattern.compile("^turn .*$");
-    private static final long STARTS_WITHIN_S = 30;
-    private static final int BAD_USE = 2;
+    private static final Path DEPLOY_FILE = Path.of("deploy", "balancer.toml");
+    private static final Path CONFIG_FILE = Path.of("benchmarks", "target", "benchmark.json");
+    private static final Pattern SERVES_LINE = Pattern.compile("serves? on .*?([0-9,]+)$");
+    private static final Pattern MEASURING_LINE = Pattern.compile("^measuring$");
+    private static final Pattern MEASURED_LINE = Pattern.compile("^measured$");
+    private static final Pattern RESULT_LINE = Pattern.compile("^turn .*$");
+    private static final long START_TIMEOUT_S = 30;
+    private static final int USAGE_ERROR = 2;
 
-    private static final String SETTINGS =
+    private static final String NODE_JSON =
             """
             {"name":"bench","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"%x",
              "limits":{"sockets":1024},
@@ -37,38 +37,38 @@
               "zone":"a","discovery":"on_request","report":{"how":"piggyback","fields":["inflight","queue"]},
               "limits":{"retry_after":true,"max_retry_after_ns":1200000000,"dial_timeout_ns":100000000}}}
             """;
-    private static final String INSTANCE =
+    private static final String INSTANCE_JSON =
             """
             {"instanceId":"s-%d","hostPort":"127.0.0.1:%s","zone":"a","cell":0,"lifecycle":"active",
              "weight":1.0,"startedAtMs":0}""";
 
     private final Arguments arguments;
-    private final String toml;
+    private final String deployToml;
     private final int[] cores;
-    private final ChildProcess workers;
-    private final String ports;
+    private final ChildProcess servers;
+    private final String serverPorts;
 
     private ProxyComparison(Arguments arguments) throws IOException, InterruptedException {
         this.arguments = arguments;
-        toml = Files.readString(DEPLOY);
+        deployToml = Files.readString(DEPLOY_FILE);
         cores = cores(arguments.text("cores"));
-        workers =
+        servers =
                 new ChildProcess(
                         cores[1],
                         Map.of(),
-                        ours(
+                        benchmarkCommand(
                                 "trailthread.benchmark.StubServers",
                                 "--delays",
                                 arguments.text("delays")));
-        ports = workers.await(SERVES, STARTS_WITHIN_S).group(1);
+        serverPorts = servers.await(SERVES_LINE, START_TIMEOUT_S).group(1);
     }
 
     /**
      * Runs the comparison and prints its table.
      *
      * @param args {@code --connections}, {@code --rounds}, {@code --seconds} and {@code --warm-up}
-     *     (s) of a turn, {@code --delays} of the workers (ms), {@code --cores} of the program under
-     *     test, the workers and the load, or none
+     *     (s) of a measurement, {@code --delays} of the servers (ms), {@code --cores} of the
+     *     program under test, the servers and the load generator, or {@code none}
      */
     public static void main(String[] args) throws IOException, InterruptedException {
         Runtime.getRuntime()
@@ -98,7 +98,7 @@
                     .run();
         } catch (IllegalArgumentException e) {
             System.err.println("benchmark: " + e.getMessage());
-            System.exit(BAD_USE);
+            System.exit(USAGE_ERROR);
         }
     }
 
@@ -109,11 +109,13 @@
         }
         int[] cores = Arrays.stream(text.split(",")).mapToInt(Integer::parseInt).toArray();
         if (cores.length != none.length) {
-            throw new IllegalArgumentException("three cores, or none, not " + text);
+            throw new IllegalArgumentException(
+                    "--cores: expected three cores or none, got " + text);
         }
         for (int core : cores) {
             if (!ChildProcess.canPin(core)) {
-                System.out.println("not pinned: no taskset, or no core " + core);
+                System.out.println(
+                        "not pinned to cores: taskset or core " + core + " is not available");
                 return none;
             }
         }
@@ -123,54 +125,57 @@
     private void run() throws IOException, InterruptedException {
         System.out.printf(
                 Locale.ROOT,
-                "workers answer after %s ms; cores (program, workers, load) %s%n",
+                "servers respond after %s ms; cores (program, servers, load) %s%n",
                 arguments.text("delays"),
                 cores[0] < 0 ? "any" : arguments.text("cores"));
         System.out.println(
-                "who   conns round  calls/s   p50 ms   p99 ms p99.9 ms   max ms   slow  refused"
-                        + "  failed  reopened  CPU us/call  program workers load others");
+                "name  conns round    req/s   p50 ms   p99 ms p99.9 ms   max ms   slow  refused"
+                        + "  failed  reopened   CPU us/req  program servers load others");
         List<String> summaries = new ArrayList<>();
-        for (int connections : arguments.list("connections")) {
+        for (int connections : arguments.integers("connections")) {
             List<Measurement> node = new ArrayList<>();
             List<Measurement> proxy = new ArrayList<>();
-            for (int round = 1; round <= arguments.whole("rounds"); round++) {
-                try (ChildProcess program = node(round)) {
-                    node.add(turn("node", program, connections, round));
+            for (int round = 1; round <= arguments.integer("rounds"); round++) {
+                try (ChildProcess program = startNode(round)) {
+                    node.add(measure("node", program, connections, round));
                 }
-                try (ChildProcess program = proxy()) {
-                    proxy.add(turn("proxy", program, connections, round));
+                try (ChildProcess program = startProxy()) {
+                    proxy.add(measure("proxy", program, connections, round));
                 }
             }
-            summaries.add(Summary.line(connections, node, proxy));
+            summaries.add(Summary.format(connections, node, proxy));
         }
         summaries.forEach(System.out::println);
     }
 
-    private ChildProcess node(int round) throws IOException {
+    private ChildProcess startNode(int round) throws IOException {
         List<String> instances = new ArrayList<>();
-        for (String port : ports.split(",")) {
-            instances.add(String.format(INSTANCE, instances.size() + 1, port));
+        for (String port : serverPorts.split(",")) {
+            instances.add(String.format(INSTANCE_JSON, instances.size() + 1, port));
         }
-        Files.writeString(CONFIG, String.format(SETTINGS, round, String.join(",", instances)));
+        Files.writeString(
+                CONFIG_FILE, String.format(NODE_JSON, round, String.join(",", instances)));
         return new ChildProcess(
-                cores[0], Map.of("LB_CONFIG", CONFIG.toString()), NodeCommand.node(toml));
+                cores[0],
+                Map.of("LB_CONFIG", CONFIG_FILE.toString()),
+                NodeCommand.parse(deployToml));
     }
 
-    private ChildProcess proxy() throws IOException {
+    private ChildProcess startProxy() throws IOException {
         return new ChildProcess(
                 cores[0],
                 Map.of(),
-                NodeCommand.other(
-                        toml,
+                NodeCommand.forProgram(
+                        deployToml,
                         System.getProperty("java.class.path"),
                         "trailthread.benchmark.UndertowProxy",
                         "--workers",
-                        ports));
+                        serverPorts));
     }
 
-    /** A program of the benchmark's own, with room to spare. */
-    private static List<String> ours(String main, String... args) {
-        List<String> words =
+    /** Command of a benchmark program, with more heap than it needs. */
+    private static List<String> benchmarkCommand(String main, String... args) {
+        List<String> command =
                 new ArrayList<>(
                         List.of(
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -182,62 +187,65 @@
                                 "-cp",
                                 System.getProperty("java.class.path"),
                                 main));
-        words.addAll(List.of(args));
-        return words;
+        command.addAll(List.of(args));
+        return command;
     }
 
-    private Measurement turn(String who, ChildProcess program, int connections, int round)
+    private Measurement measure(String name, ChildProcess program, int connections, int round)
             throws IOException, InterruptedException {
-        String port = program.await(SERVES, STARTS_WITHIN_S).group(1);
-        int warmUp = arguments.whole("warm-up");
-        int seconds = arguments.whole("seconds");
+        String port = program.await(SERVES_LINE, START_TIMEOUT_S).group(1);
+        int warmUpSeconds = arguments.integer("warm-up");
+        int seconds = arguments.integer("seconds");
         try (ChildProcess load =
                 new ChildProcess(
                         cores[2],
                         Map.of(),
-                        ours(
+                        benchmarkCommand(
                                 "trailthread.benchmark.LoadGenerator",
                                 "--port",
                                 port,
                                 "--connections",
                                 Integer.toString(connections),
                                 "--warm-up",
-                                Integer.toString(warmUp),
+                                Integer.toString(warmUpSeconds),
                                 "--seconds",
                                 Integer.toString(seconds)))) {
-            ChildProcess[] all = {program, workers, load};
-            load.await(MEASURING, warmUp + STARTS_WITHIN_S);
-            double[] own = ownSeconds(all);
-            double[] busy = busySeconds();
-            load.await(MEASURED, seconds + STARTS_WITHIN_S);
-            own = minus(ownSeconds(all), own);
-            double[] others = minus(minus(busySeconds(), busy), own);
-            Measurement turn = Measurement.parse(load.await(TURN, STARTS_WITHIN_S).group());
+            ChildProcess[] processes = {program, servers, load};
+            load.await(MEASURING_LINE, warmUpSeconds + START_TIMEOUT_S);
+            double[] used = processSeconds(processes);
+            double[] busy = coreSeconds();
+            load.await(MEASURED_LINE, seconds + START_TIMEOUT_S);
+            used = minus(processSeconds(processes), used);
+            double[] others = minus(minus(coreSeconds(), busy), used);
+            Measurement measurement =
+                    Measurement.parse(load.await(RESULT_LINE, START_TIMEOUT_S).group());
             System.out.printf(
                     Locale.ROOT,
                     "%-5s %5d %5d %s %11.1f  %6.0f%% %6.0f%% %3.0f%% %5.0f%%%n",
-                    who,
+                    name,
                     connections,
                     round,
-                    turn.cells(),
-                    own[0] * 1e6 / turn.calls(),
-                    100 * own[0] / seconds,
-                    100 * own[1] / seconds,
-                    100 * own[2] / seconds,
+                    measurement.tableCells(),
+                    used[0] * 1e6 / measurement.requests(),
+                    100 * used[0] / seconds,
+                    100 * used[1] / seconds,
+                    100 * used[2] / seconds,
                     100 * Arrays.stream(others).max().orElseThrow() / seconds);
-            return turn;
+            return measurement;
         }
     }
 
-    private static double[] ownSeconds(ChildProcess... children) {
-        return Arrays.stream(children).mapToDouble(ChildProcess::cpuSeconds).toArray();
+    private static double[] processSeconds(ChildProcess... processes) {
+        return Arrays.stream(processes).mapToDouble(ChildProcess::cpuSeconds).toArray();
     }
 
-    private double[] busySeconds() {
-        return Arrays.stream(cores).mapToDouble(CpuTime::ofCore).toArray();
+    private double[] coreSeconds() {
+        return Arrays.stream(cores).mapToDouble(CpuTime::coreSeconds).toArray();
     }
 
-    private static double[] minus(double[] all, double[] some) {
-        return IntStream.range(0, all.length).mapToDouble(i -> all[i] - some[i]).toArray();
+    private static double[] minus(double[] minuends, double[] subtrahends) {
+        return IntStream.range(0, minuends.length)
+                .mapToDouble(i -> minuends[i] - subtrahends[i])
+                .toArray();
     }
 }
--- a/benchmarks/src/main/java/trailthread/benchmark/RouteMatchBenchmark.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/RouteMatchBenchmark.java
@@ -22,7 +22,7 @@
 import trailthread.engine.routes.Target;
 
 /**
- * What it costs to read a target and to find its route, by the size of the table and the depth of
+ * Time to parse a request target and to find its route, by the number of routes and the depth of
  * the path.
  */
 @State(Scope.Benchmark)
@@ -41,17 +41,19 @@
     private RouteTable table;
     private final String[] targets = new String[REQUESTS];
     private final List<List<String>> hosts = new ArrayList<>();
-    private final RouteQuery[] asked = new RouteQuery[REQUESTS];
+    private final RouteQuery[] queries = new RouteQuery[REQUESTS];
     private int next;
 
-    /** Routes of every kind over twenty hosts: literals, templates, prefixes, conditions. */
+    /**
+     * Literal, template and prefix routes on twenty hosts, some with a method or header condition.
+     */
     @Setup
     public void setUp() throws BadTargetException {
-        List<Route> all = new ArrayList<>();
+        List<Route> routeList = new ArrayList<>();
         for (int i = 0; i < routes; i++) {
             String host =
                     i % 10 == 0 ? "*.h" + i % HOSTS + ".example" : "h" + i % HOSTS + ".example";
-            all.add(
+            routeList.add(
                     new Route(
                             "r" + i,
                             HostPattern.parse(host),
@@ -62,16 +64,20 @@
                             "pool",
                             null));
         }
-        table = new RouteTable(all);
+        table = new RouteTable(routeList);
         for (int i = 0; i < REQUESTS; i++) {
             int route = (i * 7919) % routes;
             hosts.add(List.of((route % 10 == 0 ? "a." : "") + "h" + route % HOSTS + ".example"));
             targets[i] = path(route, 0) + "?q=1";
-            asked[i] = read(i);
+            queries[i] = parseQuery(i);
         }
     }
 
-    /** The kinds: 0 literal, 1 a template in its middle, 2 a prefix. */
+    /**
+     * A path pattern of the given kind.
+     *
+     * @param kind 0: literal, 1: template with a variable in the middle, 2: prefix
+     */
     private String path(int route, int kind) {
         StringBuilder path = new StringBuilder();
         for (int level = 0; level < depth; level++) {
@@ -83,20 +89,20 @@
         return path + (kind == 2 ? "/**" : "");
     }
 
-    private RouteQuery read(int i) throws BadTargetException {
+    private RouteQuery parseQuery(int i) throws BadTargetException {
         Target target = Target.parse("GET", targets[i], hosts.get(i), true);
         return new RouteQuery(target.host(), target.segments(), "GET", name -> "1", null);
     }
 
-    /** The match alone. */
+    /** Finds the route of a query that is already parsed. */
     @Benchmark
     public Route match() {
-        return table.match(asked[next++ & REQUESTS - 1]);
+        return table.match(queries[next++ & REQUESTS - 1]);
     }
 
-    /** The target read, and the match. */
+    /** Parses the target, then finds its route. */
     @Benchmark
-    public Route readAndMatch() throws BadTargetException {
-        return table.match(read(next++ & REQUESTS - 1));
+    public Route parseAndMatch() throws BadTargetException {
+        return table.match(parseQuery(next++ & REQUESTS - 1));
     }
 }
--- a/benchmarks/src/main/java/trailthread/benchmark/StubServers.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/StubServers.java
@@ -17,128 +17,141 @@
 import java.util.PriorityQueue;
 
 /**
- * Workers that answer every request with 200 at once, or after a delay of their own; all on one
- * thread. They print the ports that they serve on, in order.
+ * HTTP servers that respond to every request with 200, at once or after a fixed delay per server,
+ * all on one thread. Prints their ports in order.
  */
 public final class StubServers {
     private static final int BACKLOG = 1024;
-    private static final long MS = 1_000_000;
+    private static final long NS_PER_MS = 1_000_000;
 
     private final Selector selector = Selector.open();
-    private final ByteBuffer in = ByteBuffer.allocateDirect(16 * 1024);
-    private final ByteBuffer out = ByteBuffer.allocateDirect(512);
-    private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::at));
+    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(16 * 1024);
+    private final ByteBuffer writeBuffer = ByteBuffer.allocateDirect(512);
+    private final PriorityQueue<PendingResponse> pendingResponses =
+            new PriorityQueue<>(Comparator.comparingLong(PendingResponse::dueNs));
 
     private StubServers() throws IOException {}
 
     /**
-     * Serves until it is ended.
+     * Serves until the process is killed.
      *
-     * @param args {@code --delays}, in ms, one for each worker; four instant ones if not given
+     * @param args {@code --delays}: one for each server, in ms; default: four servers without delay
      */
     public static void main(String[] args) throws IOException {
-        new StubServers().run(new Arguments(Map.of("delays", "0,0,0,0"), args).list("delays"));
+        new StubServers().run(new Arguments(Map.of("delays", "0,0,0,0"), args).integers("delays"));
     }
 
-    /** One worker and how many requests it has not answered. */
-    private static final class Worker {
-        private final ServerSocketChannel server;
+    /** One server and its number of requests without a response. */
+    private static final class Server {
+        private final ServerSocketChannel channel;
         private final long delayNs;
         private int inflight;
 
-        Worker(ServerSocketChannel server, long delayNs) {
-            this.server = server;
+        Server(ServerSocketChannel channel, long delayNs) {
+            this.channel = channel;
             this.delayNs = delayNs;
         }
     }
 
-    /** A connection to a worker. */
-    private record Connection(Worker worker, SocketChannel channel, MessageReader request) {}
+    /** A connection to a server. */
+    private record Connection(Server server, SocketChannel channel, MessageReader reader) {}
 
-    /** An answer and when it is to go, by the monotonic clock. */
-    private record Due(long at, Connection connection) {}
+    /** A response and when it is due on the monotonic clock. */
+    private record PendingResponse(long dueNs, Connection connection) {}
 
     private void run(int[] delaysMs) throws IOException {
         List<String> ports = new ArrayList<>();
         for (int delayMs : delaysMs) {
-            ServerSocketChannel server = ServerSocketChannel.open();
-            server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
-            server.configureBlocking(false);
-            server.register(selector, SelectionKey.OP_ACCEPT, new Worker(server, delayMs * MS));
-            ports.add(Integer.toString(server.socket().getLocalPort()));
+            ServerSocketChannel channel = ServerSocketChannel.open();
+            channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
+            channel.configureBlocking(false);
+            channel.register(
+                    selector, SelectionKey.OP_ACCEPT, new Server(channel, delayMs * NS_PER_MS));
+            ports.add(Integer.toString(channel.socket().getLocalPort()));
         }
-        System.out.println("workers serve on " + String.join(",", ports));
+        System.out.println("stub servers serve on " + String.join(",", ports));
         while (true) {
-            if (due.isEmpty()) {
+            if (pendingResponses.isEmpty()) {
                 selector.select(this::ready);
             } else {
-                long waitMs = Math.max(0, due.peek().at - System.nanoTime() + MS - 1) / MS;
+                long waitMs =
+                        Math.max(
+                                        0,
+                                        pendingResponses.peek().dueNs
+                                                - System.nanoTime()
+                                                + NS_PER_MS
+                                                - 1)
+                                / NS_PER_MS;
                 if (waitMs > 0) {
                     selector.select(this::ready, waitMs);
                 } else {
                     selector.selectNow(this::ready);
                 }
             }
-            while (!due.isEmpty() && due.peek().at <= System.nanoTime()) {
-                answer(due.poll().connection);
+            while (!pendingResponses.isEmpty()
+                    && pendingResponses.peek().dueNs <= System.nanoTime()) {
+                respond(pendingResponses.poll().connection);
             }
         }
     }
 
     private void ready(SelectionKey key) {
-        if (key.attachment() instanceof Worker worker) {
-            accept(worker);
+        if (key.attachment() instanceof Server server) {
+            accept(server);
         } else {
             read((Connection) key.attachment());
         }
     }
 
-    private void accept(Worker worker) {
+    private void accept(Server server) {
         try {
-            SocketChannel channel = worker.server.accept();
+            SocketChannel channel = server.channel.accept();
             if (channel != null) {
                 channel.configureBlocking(false);
                 channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
                 channel.register(
                         selector,
                         SelectionKey.OP_READ,
-                        new Connection(worker, channel, new MessageReader()));
+                        new Connection(server, channel, new MessageReader()));
             }
         } catch (IOException e) {
-            System.out.println("a connection was lost: " + e);
+            System.out.println("accepting a connection failed: " + e);
         }
     }
 
-    private void read(Connection from) {
-        in.clear();
+    private void read(Connection connection) {
+        readBuffer.clear();
         try {
-            if (from.channel.read(in) < 0) {
-                from.channel.close();
+            if (connection.channel.read(readBuffer) < 0) {
+                connection.channel.close();
                 return;
             }
-            in.flip();
-            while (in.hasRemaining() && from.request.read(in)) {
-                from.worker.inflight++;
-                if (from.worker.delayNs == 0) {
-                    answer(from);
+            readBuffer.flip();
+            while (readBuffer.hasRemaining() && connection.reader.read(readBuffer)) {
+                connection.server.inflight++;
+                if (connection.server.delayNs == 0) {
+                    respond(connection);
                 } else {
-                    due.add(new Due(System.nanoTime() + from.worker.delayNs, from));
+                    pendingResponses.add(
+                            new PendingResponse(
+                                    System.nanoTime() + connection.server.delayNs, connection));
                 }
             }
         } catch (IOException e) {
-            close(from); // a program under test that was ended resets its connections
+            close(connection); // killing the program under test resets its connections
         }
     }
 
-    private void answer(Connection to) {
-        int inflight = --to.worker.inflight;
-        if (!to.channel.isOpen()) {
+    private void respond(Connection connection) {
+        int inflight = --connection.server.inflight;
+        if (!connection.channel.isOpen()) {
             return;
         }
         String load = "{\"inflight\":" + inflight + ",\"queue\":0}";
-        String body = to.request.startLine().startsWith("GET /status/load ") ? load : "served";
-        out.clear();
-        out.put(
+        String body =
+                connection.reader.startLine().startsWith("GET /status/load ") ? load : "served";
+        writeBuffer.clear();
+        writeBuffer.put(
                 ("HTTP/1.1 200 OK\r\nX-Backend-Load: "
                                 + load
                                 + "\r\nContent-Length: "
@@ -147,23 +160,23 @@
                                 + body)
                         .getBytes(StandardCharsets.ISO_8859_1));
         try {
-            writeWhole(to.channel, out.flip());
-            if (!to.request.isLasting()) {
-                to.channel.close();
+            writeWhole(connection.channel, writeBuffer.flip());
+            if (!connection.reader.isKeepAlive()) {
+                connection.channel.close();
             }
         } catch (IOException e) {
-            close(to);
+            close(connection);
         }
     }
 
     /**
-     * Writes a message for which there is always room, as one at a time is under way on a
-     * connection.
+     * Writes a message that always fits into the socket's send buffer, as a connection carries one
+     * message at a time.
      */
     static void writeWhole(SocketChannel channel, ByteBuffer message) throws IOException {
         channel.write(message);
         if (message.hasRemaining()) {
-            throw new IOException("no room for one message");
+            throw new IOException("message does not fit into the send buffer");
         }
     }
 
@@ -171,7 +184,7 @@
         try {
             connection.channel.close();
         } catch (IOException e) {
-            System.out.println("a connection was lost: " + e);
+            System.out.println("closing a connection failed: " + e);
         }
     }
 }
--- a/benchmarks/src/main/java/trailthread/benchmark/Summary.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/Summary.java
@@ -5,11 +5,11 @@
 import java.util.Locale;
 import java.util.function.ToLongFunction;
 
-/** What the rounds of one number of connections come to; pure. */
+/** Summarizes all rounds with the same number of connections. */
 final class Summary {
     private Summary() {}
 
-    static String line(int connections, List<Measurement> node, List<Measurement> proxy) {
+    static String format(int connections, List<Measurement> node, List<Measurement> proxy) {
         double nodeNs = median(node.stream().mapToLong(Measurement::p99Ns).toArray());
         double proxyNs = median(proxy.stream().mapToLong(Measurement::p99Ns).toArray());
         return String.format(
@@ -22,11 +22,11 @@
                 nodeNs / proxyNs,
                 sum(node, Measurement::refused),
                 sum(proxy, Measurement::refused),
-                spoiltPercent(node),
-                spoiltPercent(proxy));
+                slowOrFailedPercent(node),
+                slowOrFailedPercent(proxy));
     }
 
-    /** The middle one, or the mean of the two there. */
+    /** The middle value, or the mean of the two middle values. */
     static double median(long... values) {
         long[] sorted = values.clone();
         Arrays.sort(sorted);
@@ -36,16 +36,16 @@
                 : (sorted[middle - 1] + sorted[middle]) / 2.0;
     }
 
-    /** Percent of the calls of all rounds that were not served soon. */
-    static double spoiltPercent(List<Measurement> turns) {
-        long spoilt =
-                sum(turns, Measurement::slow)
-                        + sum(turns, Measurement::refused)
-                        + sum(turns, Measurement::failed);
-        return 100.0 * spoilt / sum(turns, Measurement::calls);
+    /** Percentage of all requests that were slow, refused or failed. */
+    static double slowOrFailedPercent(List<Measurement> measurements) {
+        long slowOrFailed =
+                sum(measurements, Measurement::slow)
+                        + sum(measurements, Measurement::refused)
+                        + sum(measurements, Measurement::failed);
+        return 100.0 * slowOrFailed / sum(measurements, Measurement::requests);
     }
 
-    private static long sum(List<Measurement> turns, ToLongFunction<Measurement> figure) {
-        return turns.stream().mapToLong(figure).sum();
+    private static long sum(List<Measurement> measurements, ToLongFunction<Measurement> count) {
+        return measurements.stream().mapToLong(count).sum();
     }
 }
--- a/benchmarks/src/main/java/trailthread/benchmark/UndertowProxy.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/UndertowProxy.java
@@ -12,46 +12,47 @@
 import org.xnio.Options;
 
 /**
- * Undertow's own proxy, which takes workers in turn, with the node's buffers, socket options and
- * bounds. It prints the port that it serves on.
+ * Undertow's own proxy, which selects servers round-robin, with the node's buffers, socket options
+ * and limits. Prints the port on which it listens.
  */
 public final class UndertowProxy {
     private static final int BUFFER_BYTES = 16 * 1024;
-    private static final int BUFFERS_KEPT = 256;
-    private static final int THREAD_BUFFERS = 16;
+    private static final int BUFFER_POOL_SIZE = 256;
+    private static final int THREAD_CACHE_SIZE = 16;
 
     /**
-     * What a node with 1,024 descriptors keeps for its workers: two fifths of what is not its own.
+     * Connections to servers that a node with 1,024 descriptors may open: two fifths of the
+     * descriptors that it does not need for itself.
      */
-    private static final int MOST_CONNECTIONS = 390;
+    private static final int MAX_CONNECTIONS = 390;
 
-    /** The deadline of the class that is called. */
-    private static final int MOST_MS = 1_200;
+    /** Deadline of the request class that the load generator uses. */
+    private static final int MAX_REQUEST_MS = 1_200;
 
     private UndertowProxy() {}
 
     /**
-     * Serves until it is ended.
+     * Serves until the process is killed.
      *
-     * @param args {@code --workers}, their ports on loopback
+     * @param args {@code --workers}: ports of the servers on loopback
      */
     public static void main(String[] args) throws Exception {
         System.setProperty("org.jboss.logging.provider", "slf4j");
-        int[] ports = new Arguments(Map.of("workers", ""), args).list("workers");
+        int[] ports = new Arguments(Map.of("workers", ""), args).integers("workers");
         OptionMap nodelay = OptionMap.create(Options.TCP_NODELAY, true);
-        LoadBalancingProxyClient workers =
+        LoadBalancingProxyClient proxyClient =
                 new LoadBalancingProxyClient()
-                        .setConnectionsPerThread(MOST_CONNECTIONS / ports.length);
+                        .setConnectionsPerThread(MAX_CONNECTIONS / ports.length);
         for (int port : ports) {
-            workers.addHost(null, new URI("http://127.0.0.1:" + port), null, null, nodelay);
+            proxyClient.addHost(null, new URI("http://127.0.0.1:" + port), null, null, nodelay);
         }
-        Undertow server =
+        Undertow undertow =
                 Undertow.builder()
                         .setIoThreads(1)
                         .setWorkerThreads(1)
                         .setByteBufferPool(
                                 new DefaultByteBufferPool(
-                                        true, BUFFER_BYTES, BUFFERS_KEPT, THREAD_BUFFERS))
+                                        true, BUFFER_BYTES, BUFFER_POOL_SIZE, THREAD_CACHE_SIZE))
                         .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                         .setServerOption(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
                         .setServerOption(UndertowOptions.DECODE_URL, false)
@@ -59,13 +60,13 @@
                         .addHttpListener(0, "127.0.0.1")
                         .setHandler(
                                 ProxyHandler.builder()
-                                        .setProxyClient(workers)
-                                        .setMaxRequestTime(MOST_MS)
+                                        .setProxyClient(proxyClient)
+                                        .setMaxRequestTime(MAX_REQUEST_MS)
                                         .build())
                         .build();
-        server.start();
+        undertow.start();
         InetSocketAddress address =
-                (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
+                (InetSocketAddress) undertow.getListenerInfo().get(0).getAddress();
         System.out.println("proxy serves on 127.0.0.1:" + address.getPort());
     }
 }
--- a/benchmarks/src/test/java/trailthread/benchmark/MessageReaderTest.java
+++ b/benchmarks/src/test/java/trailthread/benchmark/MessageReaderTest.java
@@ -12,49 +12,49 @@
 import java.util.List;
 import org.junit.Test;
 
-/** Messages in any pieces, one after the other. */
+/** Several messages in a row, split into pieces of any size. */
 public class MessageReaderTest {
-    private static final String THREE =
+    private static final String THREE_MESSAGES =
             "HTTP/1.1 200 OK\r\ncontent-length: 3\r\nX-A: b\r\n\r\na\n\n"
                     + "HTTP/1.1 503 Busy\r\nContent-Length:0\r\nConnection: Close\r\n\r\n"
                     + "GET /bench-state HTTP/1.1\r\nTe: x\r\n\r\n";
 
     private static List<String> read(String text, int pieceBytes) throws ProtocolException {
         MessageReader reader = new MessageReader();
-        List<String> heard = new ArrayList<>();
+        List<String> messages = new ArrayList<>();
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         for (int from = 0; from < bytes.length; from += pieceBytes) {
             ByteBuffer piece =
                     ByteBuffer.wrap(bytes, from, Math.min(pieceBytes, bytes.length - from));
             while (reader.read(piece)) {
-                heard.add(reader.startLine() + (reader.isLasting() ? "" : ", closing"));
+                messages.add(reader.startLine() + (reader.isKeepAlive() ? "" : ", closing"));
             }
             assertFalse(piece.hasRemaining());
         }
-        return heard;
+        return messages;
     }
 
     @Test
-    public void messagesAreReadHoweverTheyCome() throws ProtocolException {
-        for (int pieceBytes = 1; pieceBytes <= THREE.length(); pieceBytes++) {
+    public void messagesAreReadInPiecesOfAnySize() throws ProtocolException {
+        for (int pieceBytes = 1; pieceBytes <= THREE_MESSAGES.length(); pieceBytes++) {
             assertEquals(
                     List.of(
                             "HTTP/1.1 200 OK",
                             "HTTP/1.1 503 Busy, closing",
                             "GET /bench-state HTTP/1.1"),
-                    read(THREE, pieceBytes));
+                    read(THREE_MESSAGES, pieceBytes));
         }
     }
 
     @Test
-    public void aMessageIsWholeWithItsLastByteOnly() throws ProtocolException {
+    public void messageIsCompleteOnlyWithItsLastByte() throws ProtocolException {
         String message = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nxy";
         assertEquals(List.of(), read(message.substring(0, message.length() - 1), 64));
         assertEquals(1, read(message, 64).size());
     }
 
     @Test
-    public void theStatusIsThatOfTheAnswer() throws ProtocolException {
+    public void statusIsThatOfTheLastResponse() throws ProtocolException {
         MessageReader reader = new MessageReader();
         assertTrue(reader.read(StandardCharsets.US_ASCII.encode("HTTP/1.1 429 Slow\r\n\r\n")));
         assertEquals(429, reader.status());
@@ -63,7 +63,7 @@
     }
 
     @Test
-    public void whatHasNoClearEndIsNoMessage() {
+    public void messagesWithoutClearEndAreRejected() {
         for (String header :
                 List.of(
                         "Content-Length: x",
