--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# What there is to do here; deploy/balancer.toml holds the commands that the platform runs.
+# Development tasks; the commands that the platform runs are in deploy/balancer.toml.
 .PHONY: build test soak lint format run platform bench isolation jmh clean
 
 MVN = mvn
@@ -8,15 +8,15 @@
 build:
 	$(MVN) -q -DskipTests package
 
-# What CI runs: every test, and the lint.
+# All tests and lint checks, as in CI.
 test:
 	.ci/run
 
-# The compiler's warnings are errors in every build; this is the format and the style.
+# Checks format and style; compiler warnings are errors in every build.
 lint:
 	$(MVN) -q spotless:check checkstyle:check@lint
 
-# Graceful shutdowns of the real program, one run a seed; each broken rule is printed.
+# Graceful shutdowns of the real program, one run per seed; prints each violated rule.
 SEEDS ?= 1-50
 soak:
 	$(MVN) -q -pl daemon -am test -Dtest=ShutdownSoakTest\#nothingIsLostUnderAnySeed -Dsurefire.failIfNoSpecifiedTests=false -Dsoak.seeds=$(SEEDS)
@@ -25,30 +25,30 @@
 format:
 	$(MVN) -q spotless:apply
 
-# Two services behind one node, with a small stand-in worker for each; ends with it.
+# Two services behind one node, with a stub server for each that stops with the node.
 FILE ?= deploy/operator.example.toml
 STANDINS ?= 8 20 9001 4 50 9002
 run: build
 	java -Xmx32m -cp benchmarks/target/classes trailthread.benchmark.ConcurrencyLimitedServers $(STANDINS) & \
 	trap "kill $$!" EXIT; bin/trailthread serve $(FILE)
 
-# The platform's node, as the platform starts it.
+# The node, started with the platform's command.
 platform: build
 	LB_CONFIG=$(LB_CONFIG) sh -c "$(RUN)"
 
-# The node and Undertow's proxy before the same workers; docs/benchmarks.md says what the options are.
+# Compares the node with Undertow's proxy in front of the same servers; options: docs/benchmarks.md.
 BENCH_ARGS ?= --rounds 1 --seconds 3 --warm-up 2
 bench: build
 	java -cp "benchmarks/target/classes:$$(cat benchmarks/target/classpath)" \
 		trailthread.benchmark.ProxyComparison $(BENCH_ARGS)
 
-# Whether one pool feels another's overload: docs/pools.md.
+# Measures whether overload of one pool affects another: docs/pools.md.
 ISOLATION_ARGS ?= --rounds 1 --seconds 10
 isolation: build
 	java -cp "benchmarks/target/classes:$$(cat benchmarks/target/classpath)" \
 		trailthread.benchmark.PoolIsolation $(ISOLATION_ARGS)
 
-# Microbenchmarks; JMH_ARGS are JMH's own: a name, -f forks, -i iterations, -rf json.
+# Microbenchmarks; JMH_ARGS are JMH options: benchmark name, -f forks, -i iterations, -rf json.
 JMH_ARGS ?= -f 1 -wi 3 -i 5 -w 1 -r 1
 jmh: build
 	java -cp "benchmarks/target/classes:$$(cat benchmarks/target/classpath)" org.openjdk.jmh.Main $(JMH_ARGS)
--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Starts a node once, up to where it is ready, and records the classes that this loads: later starts map them from
-# daemon/target/trailthread.jsa instead of reading and checking jars. A start without the archive is only slower, so whatever
-# goes wrong here leaves the build as it is.
+# Starts a node once, until it is ready, and records the classes that it loads: later starts map them from
+# daemon/target/trailthread.jsa instead of reading and verifying jars. A start without the archive is only slower, so a
+# failure here does not fail the build.
 cd "$(dirname "$0")/.." || exit 0
 work=$(mktemp -d) || exit 0
 rm -f daemon/target/trailthread.jsa
@@ -15,6 +15,6 @@
 done
 kill -TERM $node 2>/dev/null
 wait $node
-[ -f daemon/target/trailthread.jsa ] || { echo "no class archive was made:"; cat "$work/log"; } >&2
+[ -f daemon/target/trailthread.jsa ] || { echo "class archive was not created:"; cat "$work/log"; } >&2
 rm -rf "$work"
 exit 0
