--- a/benchmarks/src/main/java/trailthread/benchmark/Summary.java
+++ b/benchmarks/src/main/java/trailthread/benchmark/Summary.java
@@ -5,13 +5,13 @@
 import java.util.Locale;
 import java.util.function.ToLongFunction;
 
-/** What the rounds of one number of connections come to; pure. */
+/** Summarizes all rounds with the same number of connections. */
 final class Summary {
     private Summary() {}
 
-    static String line(int connections, List<Turn> node, List<Turn> proxy) {
-        double nodeNs = median(node.stream().mapToLong(Turn::p99Ns).toArray());
-        double proxyNs = median(proxy.stream().mapToLong(Turn::p99Ns).toArray());
+    static String format(int connections, List<Measurement> node, List<Measurement> proxy) {
+        double nodeNs = median(node.stream().mapToLong(Measurement::p99Ns).toArray());
+        double proxyNs = median(proxy.stream().mapToLong(Measurement::p99Ns).toArray());
         return String.format(
                 Locale.ROOT,
                 "%d connections: median p99 node %.2f ms, proxy %.2f ms, ratio %.2f; "
@@ -20,13 +20,13 @@
                 nodeNs / 1e6,
                 proxyNs / 1e6,
                 nodeNs / proxyNs,
-                sum(node, Turn::refused),
-                sum(proxy, Turn::refused),
-                spoiltPercent(node),
-                spoiltPercent(proxy));
+                sum(node, Measurement::refused),
+                sum(proxy, Measurement::refused),
+                slowOrFailedPercent(node),
+                slowOrFailedPercent(proxy));
     }
 
-    /** The middle one, or the mean of the two there. */
+    /** The middle value, or the mean of the two middle values. */
     static double median(long... values) {
         long[] sorted = values.clone();
         Arrays.sort(sorted);
@@ -36,13 +36,16 @@
                 : (sorted[middle - 1] + sorted[middle]) / 2.0;
     }
 
-    /** Percent of the calls of all rounds that were not served soon. */
-    static double spoiltPercent(List<Turn> turns) {
-        long spoilt = sum(turns, Turn::slow) + sum(turns, Turn::refused) + sum(turns, Turn::failed);
-        return 100.0 * spoilt / sum(turns, Turn::calls);
+    /** Percentage of all requests that were slow, refused or failed. */
+    static double slowOrFailedPercent(List<Measurement> measurements) {
+        long slowOrFailed =
+                sum(measurements, Measurement::slow)
+                        + sum(measurements, Measurement::refused)
+                        + sum(measurements, Measurement::failed);
+        return 100.0 * slowOrFailed / sum(measurements, Measurement::requests);
     }
 
-    private static long sum(List<Turn> turns, ToLongFunction<Turn> figure) {
-        return turns.stream().mapToLong(figure).sum();
+    private static long sum(List<Measurement> measurements, ToLongFunction<Measurement> count) {
+        return measurements.stream().mapToLong(count).sum();
     }
 }
