--- a/command/src/test/java/trailthread/command/PoolIsolationTest.java
+++ b/command/src/test/java/trailthread/command/PoolIsolationTest.java
@@ -63,7 +63,7 @@
                         throw new AssertionError(e);
                     }
                 });
-        stage.serve(overloaded(endpoints(marks)));
+        stage.startWithOperatorFile(overloaded(endpoints(marks)));
         crowdMarks();
         simIsServedAsIfAlone();
         never.countDown();
@@ -75,7 +75,8 @@
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket first = new Socket(full.getInetAddress(), full.getLocalPort());
                 Socket second = new Socket(full.getInetAddress(), full.getLocalPort())) {
-            stage.serve(overloaded("workers = [\"127.0.0.1:" + full.getLocalPort() + "\"]"));
+            stage.startWithOperatorFile(
+                    overloaded("workers = [\"127.0.0.1:" + full.getLocalPort() + "\"]"));
             crowdMarks();
             simIsServedAsIfAlone();
             assertTrue(first.isConnected() && second.isConnected());
@@ -98,7 +99,7 @@
                         }
                     }
                 });
-        stage.serve(overloaded(endpoints(marks)));
+        stage.startWithOperatorFile(overloaded(endpoints(marks)));
         crowdMarks();
         simIsServedAsIfAlone();
     }
@@ -153,7 +154,7 @@
                     }
                     asked.answer("200 OK", "", "kept");
                 });
-        stage.serve(
+        stage.startWithOperatorFile(
                 file(
                         endpoints(sim),
                         endpoints(marks)
--- a/command/src/test/java/trailthread/command/ServicesTest.java
+++ b/command/src/test/java/trailthread/command/ServicesTest.java
@@ -161,7 +161,7 @@
         Socket toSim = sim.asked().connection();
         Socket toMarks = marks.asked().connection();
         stage.reload(file(endpoints(sim), "attempts = 2\n" + endpoints(marks)));
-        stage.logged("1 pools kept, 1 begun, 1 ending");
+        stage.awaitLogLine("1 pools kept, 1 begun, 1 ending");
         Thread.sleep(20); // as above
         ask("GET", "/2", "sim.example.org", "");
         ask("GET", "/2", "marks.example.org", "");
@@ -198,21 +198,21 @@
                 "[node]\nlisten = \"127.0.0.1:0\"\ndescriptors = 256\n"
                         + pool("sim", endpoints(sim))
                         + route("all", "pool = \"sim\""));
-        stage.logged("1 pools kept, 0 begun, 1 ending");
+        stage.awaitLogLine("1 pools kept, 0 begun, 1 ending");
         assertEquals("sim", ask("GET", "/x", "marks.example.org", "").body());
         Message.send(half, "ur");
         assertEquals("routed by the new file", "sim", Message.read(half).body());
         answer.countDown();
         assertEquals("late", Message.read(before).body());
-        stage.logged("pool marks has ended");
+        stage.awaitLogLine("pool marks has ended");
     }
 
     @Test
     public void aFileWithFaultsChangesNothing() throws Exception {
         serve();
         stage.reload(file(endpoints(sim), "deadlin = \"1s\"\n" + endpoints(marks)));
-        stage.logged("pools.marks.deadlin: expected a key that is known, such as deadline");
-        stage.logged("is not taken over: 1 faults");
+        stage.awaitLogLine("pools.marks.deadlin: expected a key that is known, such as deadline");
+        stage.awaitLogLine("is not taken over: 1 faults");
         assertEquals("marks", ask("GET", "/x", "marks.example.org", "").body());
     }
 
@@ -221,17 +221,17 @@
         Path list = Files.createTempFile("workers", ".json");
         Path next = Files.createTempFile("workers", ".json");
         try {
-            Files.writeString(list, TestCluster.list(1, true, "active", sim));
-            stage.serve(file("file = \"" + list + "\"", endpoints(marks)));
+            Files.writeString(list, TestCluster.endpointListJson(1, true, "active", sim));
+            stage.startWithOperatorFile(file("file = \"" + list + "\"", endpoints(marks)));
             Message answer = ask("GET", "/x", "sim.example.org", "");
             assertEquals(stage.log.toString(), "sim", answer.body());
-            String complete = TestCluster.list(2, true, "active", marks);
+            String complete = TestCluster.endpointListJson(2, true, "active", marks);
             Files.writeString(list, complete.substring(0, complete.length() / 2));
-            stage.logged("can't be used");
+            stage.awaitLogLine("can't be used");
             assertEquals("sim", ask("GET", "/x", "sim.example.org", "").body());
             Files.writeString(next, complete);
             Files.move(next, list, StandardCopyOption.REPLACE_EXISTING);
-            stage.logged("can be used again");
+            stage.awaitLogLine("can be used again");
             assertEquals("marks", ask("GET", "/x", "sim.example.org", "").body());
         } finally {
             Files.deleteIfExists(list);
@@ -243,9 +243,9 @@
     public void requestsAreRejectedWithoutEndpointsAndWithADrainingOneOnly() throws Exception {
         Path list = Files.createTempFile("workers", ".json");
         try {
-            Files.writeString(list, TestCluster.list(1, true, "active"));
+            Files.writeString(list, TestCluster.endpointListJson(1, true, "active"));
             String keys = "file = \"" + list + "\"\n";
-            stage.serve(
+            stage.startWithOperatorFile(
                     file(keys, endpoints(marks))
                             .replace(
                                     "aim = \"10s\"\ndeadline = \"20s\"",
@@ -253,7 +253,7 @@
             Message refused = ask("GET", "/x", "sim.example.org", "");
             assertEquals(stage.log.toString(), 503, refused.status());
             assertNotNull(refused.header("Retry-After"));
-            Files.writeString(list, TestCluster.list(2, true, "leaving", sim));
+            Files.writeString(list, TestCluster.endpointListJson(2, true, "leaving", sim));
             for (int i = 0;
                     i < 4;
                     i++) { // for longer than the interval at which the file is checked
@@ -283,7 +283,7 @@
         };
         ask("GET", "/warm", "sim.example.org", "");
         ask("GET", "/warm-too", "marks.example.org", "");
-        int before = stage.descriptors();
+        int before = stage.openDescriptorCount();
         Thread reloads =
                 new Thread(
                         () -> {
@@ -323,10 +323,10 @@
                 sent + 2,
                 asked.stream().map(Message::start).distinct().count());
         assertEquals("every request once", sent + 2, asked.size());
-        int after = stage.descriptors();
+        int after = stage.openDescriptorCount();
         for (int i = 0; i < 100 && after > before + 4; i++) {
             Thread.sleep(100);
-            after = stage.descriptors();
+            after = stage.openDescriptorCount();
         }
         assertTrue("descriptors before and after: " + before + " " + after, after <= before + 4);
     }
--- a/command/src/test/java/trailthread/command/WithTwoServices.java
+++ b/command/src/test/java/trailthread/command/WithTwoServices.java
@@ -15,13 +15,13 @@
 
     WithTwoServices() throws Exception {
         stage = new TestCluster();
-        sim = stage.add(ScriptedServer.serving("sim"));
-        marks = stage.add(ScriptedServer.serving("marks"));
+        sim = stage.closeAtEnd(ScriptedServer.serving("sim"));
+        marks = stage.closeAtEnd(ScriptedServer.serving("marks"));
     }
 
     @After
     public void end() throws Exception {
-        stage.end();
+        stage.close();
     }
 
     /** A pool's section of the file, with long timeouts. */
@@ -58,7 +58,7 @@
 
     /** Starts the program with both services. */
     void serve() throws Exception {
-        stage.serve(file(endpoints(sim), endpoints(marks)));
+        stage.startWithOperatorFile(file(endpoints(sim), endpoints(marks)));
     }
 
     /** The head of a request. */
--- a/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
+++ b/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
@@ -165,7 +165,7 @@
                             || log.contains("trailthread.engine.degradation."));
         } finally {
             Files.delete(config);
-            stage.end();
+            stage.close();
         }
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
@@ -21,18 +21,18 @@
 
     @After
     public void end() throws Exception {
-        stage.end();
+        stage.close();
     }
 
     @Test
     public void requestAndResponsePassUnchanged() throws Exception {
         String body = "bench \u00ff\u0000 and readings";
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving(body));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving(body));
         stage.start(TestCluster.SETTINGS, endpoint);
         Socket client = stage.connect();
         String query = "/a%2Fb;c=1//d?x=%20&&y=+%3D";
 
-        String text = TestCluster.request("action", query, "X-Other: 1\r\n");
+        String text = TestCluster.requestText("action", query, "X-Other: 1\r\n");
         for (int i = 0; i < 2; i++) { // both connections are kept alive
             Message.send(client, text);
             Message response = Message.read(client);
@@ -55,9 +55,9 @@
 
     @Test
     public void aMalformedRequestIsRejectedAndReachesNoEndpoint() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
-        String good = TestCluster.request("use", "", "");
+        String good = TestCluster.requestText("use", "", "");
         String[] bad = {
             good.replace("X-Service-Class: use", "X-Service-Class: other"),
             good.replace("POST /use", "POST /state"),
@@ -86,13 +86,13 @@
         }
         endpoint.wasNotAsked();
 
-        assertEquals("the node survives", "made", stage.call("use").body());
+        assertEquals("the node survives", "made", stage.sendRequest("use").body());
     }
 
     @Test
     public void aRequestWithoutEndpointIsRejectedWithRetryAfter() throws Exception {
         stage.start(TestCluster.SETTINGS.replace("\"aim_ns\":10000000000", "\"aim_ns\":100000000"));
-        Message response = stage.call("use");
+        Message response = stage.sendRequest("use");
         assertEquals(503, response.status());
         double wait = Double.parseDouble(response.header("Retry-After"));
         assertTrue("Retry-After: " + wait, wait > 0 && wait <= 1.2);
@@ -103,17 +103,17 @@
      */
     @Test
     public void requestsOfADisconnectedClientAreDropped() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         stage.start(TestCluster.SETTINGS);
         Message watch = stage.discovery.asked();
         Socket gone = stage.connect();
-        Message.send(gone, TestCluster.request("use", "", ""));
-        stage.call("other"); // its response comes after the first request was read
+        Message.send(gone, TestCluster.requestText("use", "", ""));
+        stage.sendRequest("other"); // its response comes after the first request was read
         gone.close();
         Thread.sleep(100); // the close must come before the list
-        TestCluster.line(watch, TestCluster.list(2, true, "active", endpoint));
+        TestCluster.sendWatchLine(watch, TestCluster.endpointListJson(2, true, "active", endpoint));
         Socket client = stage.connect();
-        Message.send(client, TestCluster.request("use", "?second", ""));
+        Message.send(client, TestCluster.requestText("use", "?second", ""));
         assertEquals("made", Message.read(client).body());
         assertEquals("POST /use?second HTTP/1.1", endpoint.asked().start());
         endpoint.wasNotAsked();
@@ -125,10 +125,10 @@
      */
     @Test
     public void aRequestWithAnIdInFlightIsRejected() throws Exception {
-        ScriptedServer endpoint = stage.add(new ScriptedServer(request -> {}));
+        ScriptedServer endpoint = stage.closeAtEnd(new ScriptedServer(request -> {}));
         stage.start(TestCluster.SETTINGS, endpoint);
         Socket first = stage.connect();
-        String text = TestCluster.request("use", "", "");
+        String text = TestCluster.requestText("use", "", "");
         Message.send(first, text);
         Message asked = endpoint.asked();
         Socket second = stage.connect();
@@ -138,16 +138,16 @@
         asked.answer("200 OK", "", "made");
         assertEquals("made", Message.read(first).body());
         endpoint.setScript(request -> request.answer("200 OK", "", "again"));
-        assertEquals("again", stage.call("use").body());
+        assertEquals("again", stage.sendRequest("use").body());
     }
 
     /** Idle clients must not use up the node's few descriptors. */
     @Test
     public void moreClientsThanConnectionsAreAllServed() throws Exception {
-        stage.sockets = 96; // 28 connections to clients
-        stage.start(TestCluster.SETTINGS, stage.add(ScriptedServer.serving("made")));
+        stage.descriptorLimit = 96; // 28 connections to clients
+        stage.start(TestCluster.SETTINGS, stage.closeAtEnd(ScriptedServer.serving("made")));
         for (int i = 0; i < 60; i++) {
-            assertEquals("made", stage.call("use").body()); // and the connection stays open
+            assertEquals("made", stage.sendRequest("use").body()); // and the connection stays open
         }
     }
 
@@ -157,15 +157,15 @@
      */
     @Test
     public void idleConnectionsAndIncompleteRequestsBlockNobody() throws Exception {
-        stage.sockets = 96;
-        stage.start(TestCluster.SETTINGS, stage.add(ScriptedServer.serving("made")));
-        String text = TestCluster.request("use", "", "");
+        stage.descriptorLimit = 96;
+        stage.start(TestCluster.SETTINGS, stage.closeAtEnd(ScriptedServer.serving("made")));
+        String text = TestCluster.requestText("use", "", "");
         Socket[] useless = new Socket[60];
         for (int i = 0; i < useless.length; i++) {
             useless[i] = stage.connect();
             Message.send(useless[i], text.substring(0, i * (text.length() - 1) / useless.length));
         }
-        assertEquals("made", stage.call("use").body());
+        assertEquals("made", stage.sendRequest("use").body());
         for (Socket client : useless) {
             assertNull("closed without a response", Message.read(client));
         }
@@ -174,7 +174,7 @@
     @Test
     public void aPipelinedRequestIsHandledNext() throws Exception {
         ScriptedServer endpoint =
-                stage.add(
+                stage.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
                                     Message.send(
@@ -187,7 +187,8 @@
         Socket client = stage.connect();
         Message.send(
                 client,
-                TestCluster.request("use", "?1", "") + TestCluster.request("use", "?2", ""));
+                TestCluster.requestText("use", "?1", "")
+                        + TestCluster.requestText("use", "?2", ""));
         assertEquals("POST /use?1 HTTP/1.1", Message.read(client).body());
         assertEquals("POST /use?2 HTTP/1.1", Message.read(client).body());
         client.shutdownOutput();
--- a/daemon/src/test/java/trailthread/daemon/CorruptResponseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CorruptResponseTest.java
@@ -26,7 +26,7 @@
 
     @After
     public void end() throws Exception {
-        stage.end();
+        stage.close();
     }
 
     /** The endpoint keeps its connection open, so that only the node can end the request. */
@@ -43,15 +43,15 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfour\r\nmade\r\n0\r\n\r\n",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nb2d05e00\r\nmade",
         };
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         for (String response : corrupt) {
             endpoint.setScript(request -> Message.send(request.connection(), response));
-            assertEquals(response, 502, stage.call("use").status());
+            assertEquals(response, 502, stage.sendRequest("use").status());
             Socket closed = endpoint.closed.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
             assertEquals(response, endpoint.asked().connection(), closed);
             endpoint.setScript(request -> request.answer("200 OK", "", "made"));
-            assertEquals("made", stage.call("state").body());
+            assertEquals("made", stage.sendRequest("state").body());
             endpoint.asked();
         }
     }
@@ -62,14 +62,14 @@
     @Test
     public void bytesAfterAResponseNeverReachTheNextRequest() throws Exception {
         String[] more = {MADE.replace("made", "copy"), "noise", "\r\n"};
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         for (String rest : more) {
             endpoint.setScript(request -> Message.send(request.connection(), MADE + rest));
-            assertEquals("made", stage.call("use").body());
+            assertEquals("made", stage.sendRequest("use").body());
             Socket corrupt = endpoint.asked().connection();
             endpoint.setScript(request -> request.answer("200 OK", "", "next"));
-            assertEquals("next", stage.call("use").body());
+            assertEquals("next", stage.sendRequest("use").body());
             assertNotEquals(corrupt, endpoint.asked().connection());
         }
     }
@@ -77,13 +77,13 @@
     /** Bytes that arrive while the connection is idle in the pool. */
     @Test
     public void aConnectionWithUnsolicitedBytesIsClosed() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
-        assertEquals("made", stage.call("use").body());
+        assertEquals("made", stage.sendRequest("use").body());
         Socket idle = endpoint.asked().connection();
         Message.send(idle, MADE.replace("made", "copy"));
         assertEquals(idle, endpoint.closed.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
-        assertEquals("made", stage.call("use").body());
+        assertEquals("made", stage.sendRequest("use").body());
         assertNotEquals(idle, endpoint.asked().connection());
     }
 
@@ -96,11 +96,11 @@
             MADE.replace("\r\n\r\n", "\r\nX-Backend-Load: {{{{\u0001\u00ff\r\n\r\n"),
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x\r\nma\r\n2\r\nde\r\n0\r\nA: b\r\n\r\n",
         };
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         for (String response : valid) {
             endpoint.setScript(request -> sendInPieces(request.connection(), response));
-            assertEquals(response, "made", stage.call("use").body());
+            assertEquals(response, "made", stage.sendRequest("use").body());
         }
         assertNotNull(endpoint.asked());
     }
--- a/daemon/src/test/java/trailthread/daemon/CrowdTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CrowdTest.java
@@ -43,7 +43,7 @@
             key.channel().close();
         }
         selector.close();
-        stage.end();
+        stage.close();
     }
 
     /** A client, with what it has received and the number of its attempts. */
@@ -65,7 +65,7 @@
                 if (key.isConnectable()) {
                     channel.finishConnect();
                     byte[] call =
-                            TestCluster.request("state", "", "")
+                            TestCluster.requestText("state", "", "")
                                     .getBytes(StandardCharsets.ISO_8859_1);
                     assertEquals("sent at once", call.length, channel.write(ByteBuffer.wrap(call)));
                     key.interestOps(SelectionKey.OP_READ);
@@ -118,36 +118,41 @@
      */
     @Test
     public void idleClientsAtTheDescriptorLimitBlockNeitherDiscoveryNorRequests() throws Exception {
-        stage.sockets = 128;
+        stage.descriptorLimit = 128;
         stage.discovery.setScript(request -> request.answer("503 Busy", "", ""));
-        stage.start(TestCluster.SETTINGS, stage.add(ScriptedServer.serving("before")));
-        stage.logged("discovery answers 503");
-        for (int i = 0; i < 3 * stage.sockets; i++) {
+        stage.start(TestCluster.SETTINGS, stage.closeAtEnd(ScriptedServer.serving("before")));
+        stage.awaitLogLine("discovery answers 503");
+        for (int i = 0; i < 3 * stage.descriptorLimit; i++) {
             stage.connect();
         }
-        assertEquals("before", stage.call("state").body());
-        assertTrue(stage.descriptors() + " held", stage.descriptors() <= stage.sockets);
-        ScriptedServer after = stage.add(ScriptedServer.serving("after"));
+        assertEquals("before", stage.sendRequest("state").body());
+        assertTrue(
+                stage.openDescriptorCount() + " held",
+                stage.openDescriptorCount() <= stage.descriptorLimit);
+        ScriptedServer after = stage.closeAtEnd(ScriptedServer.serving("after"));
         stage.discovery.setScript(
                 request -> {
-                    TestCluster.watch(request);
-                    TestCluster.line(request, TestCluster.list(2, true, "active", after));
+                    TestCluster.beginWatch(request);
+                    TestCluster.sendWatchLine(
+                            request, TestCluster.endpointListJson(2, true, "active", after));
                 });
-        stage.logged("discovery is back, at generation 2");
-        for (int i = 0; i < stage.sockets; i++) {
+        stage.awaitLogLine("discovery is back, at generation 2");
+        for (int i = 0; i < stage.descriptorLimit; i++) {
             stage.connect();
         }
-        assertEquals("after", stage.call("state").body());
-        assertTrue(stage.descriptors() + " held", stage.descriptors() <= stage.sockets);
+        assertEquals("after", stage.sendRequest("state").body());
+        assertTrue(
+                stage.openDescriptorCount() + " held",
+                stage.openDescriptorCount() <= stage.descriptorLimit);
     }
 
     @Test
     public void everyClientOfACrowdGetsACompleteResponse() throws Exception {
-        stage.sockets = 382; // 200 connections to clients
+        stage.descriptorLimit = 382; // 200 connections to clients
         stage.start(
                 TestCluster.SETTINGS,
-                stage.add(ScriptedServer.serving("made")),
-                stage.add(ScriptedServer.serving("made")));
+                stage.closeAtEnd(ScriptedServer.serving("made")),
+                stage.closeAtEnd(ScriptedServer.serving("made")));
         UnixOperatingSystemMXBean system =
                 (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         long free = system.getMaxFileDescriptorCount() - system.getOpenFileDescriptorCount();
@@ -170,6 +175,6 @@
                         1000);
             }
         }
-        assertEquals("made", stage.call("state").body());
+        assertEquals("made", stage.sendRequest("state").body());
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/DegradationControllerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DegradationControllerTest.java
@@ -35,11 +35,11 @@
 
     @After
     public void end() throws Exception {
-        stage.end();
+        stage.close();
     }
 
     private String metrics() throws Exception {
-        Matcher adminAddress = ADMIN_ADDRESS.matcher(stage.logged("operators are told on"));
+        Matcher adminAddress = ADMIN_ADDRESS.matcher(stage.awaitLogLine("operators are told on"));
         assertTrue(adminAddress.find());
         Thread.sleep(1100); // metrics are updated every second
         stage.port = Integer.parseInt(adminAddress.group(1));
@@ -51,7 +51,7 @@
     /** A single request that an endpoint fails is enough, as the test sets low thresholds. */
     @Test
     public void pollsAreShedAndUsesAreServedWhileRequestsFail() throws Exception {
-        stage.more =
+        stage.extraConfig =
                 """
                 "management":"127.0.0.1:0",
                 "levels":{"on":true,"keep":0.000001,"lean":{SLOW},"essential":{SLOW},
@@ -59,13 +59,14 @@
                   "starved":{"enter":0.01,"leave":0.0001,"hold_s":0},SLOW}},"""
                         .replace("SLOW", SLOW);
         ScriptedServer endpoint =
-                stage.add(new ScriptedServer(request -> request.answer("500 Error", "", "")));
+                stage.closeAtEnd(
+                        new ScriptedServer(request -> request.answer("500 Error", "", "")));
         stage.start(TestCluster.SETTINGS, endpoint);
         int node = stage.port;
         assertTrue(metrics().contains("trailthread_level{trailthread_level=\"normal\"} 1"));
         stage.port = node;
-        assertEquals(502, stage.call("use").status());
-        String change = stage.logged("level normal -> reduced");
+        assertEquals(502, stage.sendRequest("use").status());
+        String change = stage.awaitLogLine("level normal -> reduced");
         for (String part :
                 new String[] {"from=", "to=", "reading=", "value=", "bound=", "starved"}) {
             assertTrue(change, change.contains(part));
@@ -73,11 +74,11 @@
         endpoint.setScript(request -> request.answer("200 OK", "", "made"));
         endpoint.asked();
         for (int i = 0; i < 3; i++) {
-            Message shed = stage.call("state");
+            Message shed = stage.sendRequest("state");
             assertEquals(503, shed.status());
             assertNotNull(shed.header("Retry-After"));
             endpoint.wasNotAsked();
-            assertEquals("made", stage.call("use").body());
+            assertEquals("made", stage.sendRequest("use").body());
             endpoint.asked();
         }
         String metrics = metrics();
--- a/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
@@ -19,13 +19,13 @@
 
     public DiscoverySideTest() throws Exception {
         stage = new TestCluster();
-        first = stage.add(ScriptedServer.serving("first"));
-        second = stage.add(ScriptedServer.serving("second"));
+        first = stage.closeAtEnd(ScriptedServer.serving("first"));
+        second = stage.closeAtEnd(ScriptedServer.serving("second"));
     }
 
     @After
     public void end() throws Exception {
-        stage.end();
+        stage.close();
     }
 
     private static String as(String id, String list) {
@@ -37,18 +37,19 @@
         stage.start(TestCluster.SETTINGS, first);
         Message watch = stage.discovery.asked();
         assertEquals("GET /v1/endpoints?stream=1&index=1 HTTP/1.1", watch.start());
-        assertEquals("the list known before serves", "first", stage.call("use").body());
+        assertEquals("the list known before serves", "first", stage.sendRequest("use").body());
 
-        TestCluster.line(watch, "");
-        TestCluster.line(watch, as("w1", TestCluster.list(7, false, "active", second)));
-        TestCluster.line(watch, TestCluster.list(8, false, "leaving", first));
-        stage.call("other"); // its response comes after the lines of discovery were read
-        while (!stage.call("use").body().equals("second")) {
+        TestCluster.sendWatchLine(watch, "");
+        TestCluster.sendWatchLine(
+                watch, as("w1", TestCluster.endpointListJson(7, false, "active", second)));
+        TestCluster.sendWatchLine(watch, TestCluster.endpointListJson(8, false, "leaving", first));
+        stage.sendRequest("other"); // its response comes after the lines of discovery were read
+        while (!stage.sendRequest("use").body().equals("second")) {
             assertTrue("the drain is applied in time", first.requests.size() < 100);
         }
         int asked = first.requests.size();
         for (int i = 0; i < 10; i++) {
-            assertEquals("second", stage.call("use").body());
+            assertEquals("second", stage.sendRequest("use").body());
         }
         assertEquals("nothing new to what drains", asked, first.requests.size());
         watch.connection().close();
@@ -59,13 +60,14 @@
     @Test
     public void aCompleteListReplacesTheKnownOne() throws Exception {
         stage.start(TestCluster.SETTINGS, first);
-        TestCluster.line(
-                stage.discovery.asked(), as("w1", TestCluster.list(2, true, "active", second)));
-        while (!stage.call("use").body().equals("second")) {
+        TestCluster.sendWatchLine(
+                stage.discovery.asked(),
+                as("w1", TestCluster.endpointListJson(2, true, "active", second)));
+        while (!stage.sendRequest("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
         for (int i = 0; i < 10; i++) {
-            assertEquals("second", stage.call("use").body());
+            assertEquals("second", stage.sendRequest("use").body());
         }
     }
 
@@ -73,11 +75,11 @@
     @Test
     public void anIndentedListIsRead() throws Exception {
         stage.start(TestCluster.SETTINGS, first);
-        String list = as("w1", TestCluster.list(2, true, "active", second));
-        TestCluster.line(
+        String list = as("w1", TestCluster.endpointListJson(2, true, "active", second));
+        TestCluster.sendWatchLine(
                 stage.discovery.asked(),
                 list.replace("{", "{\n  ").replace(",", ",\n  ").replace("}", "\n}"));
-        while (!stage.call("use").body().equals("second")) {
+        while (!stage.sendRequest("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
         stage.discovery.wasNotAsked();
@@ -87,12 +89,13 @@
     public void aMalformedUpdateEndsTheWatchAndTheListIsKept() throws Exception {
         stage.start(TestCluster.SETTINGS, first);
         Message watch = stage.discovery.asked();
-        TestCluster.line(
+        TestCluster.sendWatchLine(
                 watch,
-                TestCluster.list(9, true, "active", second).replace("\"hostPort\"", "\"other\""));
+                TestCluster.endpointListJson(9, true, "active", second)
+                        .replace("\"hostPort\"", "\"other\""));
         assertEquals(
                 "GET /v1/endpoints?stream=1&index=1 HTTP/1.1", stage.discovery.asked().start());
-        assertEquals("first", stage.call("use").body());
+        assertEquals("first", stage.sendRequest("use").body());
     }
 
     @Test
@@ -102,13 +105,14 @@
                     if (stage.discovery.requests.size() == 1) {
                         request.answer("503 Busy", "", "");
                     } else {
-                        TestCluster.watch(request);
-                        TestCluster.line(request, TestCluster.list(2, true, "active", second));
+                        TestCluster.beginWatch(request);
+                        TestCluster.sendWatchLine(
+                                request, TestCluster.endpointListJson(2, true, "active", second));
                     }
                 });
         stage.start(TestCluster.SETTINGS);
-        stage.logged("answers 503");
-        assertEquals("second", stage.call("use").body());
+        stage.awaitLogLine("answers 503");
+        assertEquals("second", stage.sendRequest("use").body());
     }
 
     /** Prevents a node from keeping its first list because it opens no watch. */
@@ -119,17 +123,19 @@
                         "\"discovery\":\"on_request\"", "\"discovery\":\"pushed\""),
                 first);
         Message watch = stage.discovery.asked();
-        TestCluster.line(watch, as("w1", TestCluster.list(2, true, "active", second)));
-        while (!stage.call("use").body().equals("second")) {
+        TestCluster.sendWatchLine(
+                watch, as("w1", TestCluster.endpointListJson(2, true, "active", second)));
+        while (!stage.sendRequest("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
         stage.discovery.setScript(
                 request -> {
-                    TestCluster.watch(request);
-                    TestCluster.line(request, TestCluster.list(3, true, "active", first));
+                    TestCluster.beginWatch(request);
+                    TestCluster.sendWatchLine(
+                            request, TestCluster.endpointListJson(3, true, "active", first));
                 });
         watch.connection().close();
-        while (!stage.call("use").body().equals("first")) {
+        while (!stage.sendRequest("use").body().equals("first")) {
             assertTrue(second.requests.size() < 100);
         }
     }
@@ -141,22 +147,25 @@
     @Test
     public void aMoveDuringThePauseAfterAFailureIsAskedAtOnce() throws Exception {
         ScriptedServer moved =
-                stage.add(
+                stage.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
-                                    TestCluster.watch(request);
-                                    TestCluster.line(
+                                    TestCluster.beginWatch(request);
+                                    TestCluster.sendWatchLine(
                                             request,
-                                            as("w1", TestCluster.list(2, true, "active", second)));
+                                            as(
+                                                    "w1",
+                                                    TestCluster.endpointListJson(
+                                                            2, true, "active", second)));
                                 }));
         stage.discovery.setScript(request -> request.answer("503 Busy", "", ""));
         String anHour =
                 TestCluster.SETTINGS.replace(
                         "\"ask_every_ns\":1000000000", "\"ask_every_ns\":3600000000000000");
         stage.start(anHour, first);
-        stage.logged("answers 503");
+        stage.awaitLogLine("answers 503");
         stage.reload(stage.config(moved, anHour, first));
-        while (!stage.call("use").body().equals("second")) {
+        while (!stage.sendRequest("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
     }
@@ -166,10 +175,10 @@
     public void aSilentWatchIsClosed() throws Exception {
         stage.start(TestCluster.SETTINGS, first);
         Message watch = stage.discovery.asked();
-        TestCluster.line(watch, "");
-        stage.logged("is silent");
+        TestCluster.sendWatchLine(watch, "");
+        stage.awaitLogLine("is silent");
         stage.discovery.asked();
-        assertEquals("first", stage.call("use").body());
+        assertEquals("first", stage.sendRequest("use").body());
     }
 
     /**
@@ -180,14 +189,15 @@
     public void aSlowListIsReadToItsEnd() throws Exception {
         stage.discovery.setScript(
                 request -> {
-                    TestCluster.watch(request);
+                    TestCluster.beginWatch(request);
                     comesInPieces(
                             request,
-                            as("w1", TestCluster.list(2, true, "active", second)) + "\n",
+                            as("w1", TestCluster.endpointListJson(2, true, "active", second))
+                                    + "\n",
                             10);
                 });
         stage.start(TestCluster.SETTINGS, first);
-        while (!stage.call("use").body().equals("second")) {
+        while (!stage.sendRequest("use").body().equals("second")) {
             assertEquals("one request", 1, stage.discovery.requests.size());
         }
         assertEquals("one request", 1, stage.discovery.requests.size());
@@ -199,11 +209,11 @@
     public void anEndlessListIsAborted() throws Exception {
         stage.discovery.setScript(
                 request -> {
-                    TestCluster.watch(request);
+                    TestCluster.beginWatch(request);
                     comesInPieces(request, "{\"generation\":2," + " ".repeat(1_000), 500);
                 });
         stage.start(TestCluster.SETTINGS, first);
-        stage.logged("is silent");
+        stage.awaitLogLine("is silent");
     }
 
     private static void comesInPieces(Message watch, String text, int pieces) throws IOException {
@@ -233,22 +243,25 @@
     public void onSighupTheWatchMovesAndAllElseStays() throws Exception {
         stage.start(TestCluster.SETTINGS, first);
         Message watch = stage.discovery.asked();
-        TestCluster.line(watch, as("w1", TestCluster.list(7, true, "active", second)));
-        while (!stage.call("use").body().equals("second")) {
+        TestCluster.sendWatchLine(
+                watch, as("w1", TestCluster.endpointListJson(7, true, "active", second)));
+        while (!stage.sendRequest("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
-        ScriptedServer moved = stage.add(new ScriptedServer(TestCluster::watchUnchanged));
+        ScriptedServer moved =
+                stage.closeAtEnd(new ScriptedServer(TestCluster::answerWatchUnchanged));
         stage.reload("{\"name\":");
-        stage.logged("configuration not taken over: name");
+        stage.awaitLogLine("configuration not taken over: name");
         for (int i = 0; i < 3; i++) { // several in a row have the effect of one
             stage.reload(stage.config(moved, TestCluster.SETTINGS, first));
         }
         Message movedWatch = moved.asked();
         assertEquals("GET /v1/endpoints?stream=1&index=7 HTTP/1.1", movedWatch.start());
         watch.connection().close();
-        assertEquals("the list is kept", "second", stage.call("use").body());
-        TestCluster.line(movedWatch, TestCluster.list(8, true, "active", first));
-        while (!stage.call("use").body().equals("first")) {
+        assertEquals("the list is kept", "second", stage.sendRequest("use").body());
+        TestCluster.sendWatchLine(
+                movedWatch, TestCluster.endpointListJson(8, true, "active", first));
+        while (!stage.sendRequest("use").body().equals("first")) {
             assertTrue(second.requests.size() < 100);
         }
         moved.wasNotAsked();
--- a/daemon/src/test/java/trailthread/daemon/DrainTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTest.java
@@ -22,21 +22,21 @@
     @Test
     public void requestsAreServedAndConnectionsCloseWithTheirResponsesOrIdle() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        ScriptedServer endpoint = stage.add(ScriptedServer.servingAfter(answer, "made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.servingAfter(answer, "made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         assertEquals(200, ready().status());
         Socket busy = stage.connect();
-        Message.send(busy, TestCluster.request("use", "", ""));
+        Message.send(busy, TestCluster.requestText("use", "", ""));
         endpoint.asked();
         Socket idle = stage.connect();
         Message.send(idle, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals(200, Message.read(idle).status());
-        assertEquals(200, stage.manage("POST", "/-/drain").status());
+        assertEquals(200, stage.sendAdminRequest("POST", "/-/drain").status());
         assertEquals(503, ready().status());
-        assertEquals(503, stage.manage("GET", "/-/ready").status());
+        assertEquals(503, stage.sendAdminRequest("GET", "/-/ready").status());
         assertEquals("idle connections are closed", -1, idle.getInputStream().read());
         Socket late = stage.connect();
-        Message.send(late, TestCluster.request("use", "", ""));
+        Message.send(late, TestCluster.requestText("use", "", ""));
         endpoint.asked();
         answer.countDown();
         for (Socket client : new Socket[] {busy, late}) {
@@ -44,9 +44,9 @@
             assertEquals("made", served.body());
             assertEquals("close", served.header("Connection"));
         }
-        assertEquals(200, stage.manage("POST", "/-/resume").status());
+        assertEquals(200, stage.sendAdminRequest("POST", "/-/resume").status());
         assertEquals(200, ready().status());
-        Message afterResume = stage.call("use");
+        Message afterResume = stage.sendRequest("use");
         assertEquals("made", afterResume.body());
         assertTrue(
                 "connections are kept alive again",
--- a/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
@@ -28,7 +28,7 @@
 
     @After
     public void end() throws Exception {
-        stage.end();
+        stage.close();
     }
 
     /**
@@ -45,7 +45,8 @@
                     }
                 };
         ScriptedServer[] endpoints = {
-            stage.add(new ScriptedServer(script)), stage.add(new ScriptedServer(script))
+            stage.closeAtEnd(new ScriptedServer(script)),
+            stage.closeAtEnd(new ScriptedServer(script))
         };
         stage.start(TestCluster.SETTINGS, endpoints);
         return endpoints;
@@ -60,25 +61,25 @@
         ScriptedServer[] endpoints =
                 startWithFirstRequest(
                         request -> request.answer("503 Full", "X-Unprocessed: 1\r\n", ""));
-        assertEquals("made", stage.call("use").body());
+        assertEquals("made", stage.sendRequest("use").body());
         assertEquals(2, asked(endpoints));
     }
 
     @Test
     public void aRequestWhoseConnectionIsRefusedIsRetriedElsewhere() throws Exception {
         ScriptedServer gone = new ScriptedServer(request -> {});
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         stage.start(TestCluster.SETTINGS, gone, endpoint);
         gone.close();
         for (int i = 0; i < 5; i++) {
-            assertEquals("made", stage.call("use").body());
+            assertEquals("made", stage.sendRequest("use").body());
         }
     }
 
     @Test
     public void anIdempotentRequestIsRetried() throws Exception {
         ScriptedServer[] endpoints = startWithFirstRequest(request -> request.connection().close());
-        assertEquals("made", stage.call("state").body());
+        assertEquals("made", stage.sendRequest("state").body());
         assertEquals(2, asked(endpoints));
     }
 
@@ -109,12 +110,12 @@
         }
         AtomicInteger turn = new AtomicInteger();
         ScriptedServer endpoint =
-                stage.add(
+                stage.closeAtEnd(
                         new ScriptedServer(
                                 request -> failures.get(turn.getAndIncrement()).act(request)));
         stage.start(TestCluster.SETTINGS, endpoint);
         for (int i = 0; i < failures.size(); i++) {
-            assertEquals("way " + i, 502, stage.call("use").status());
+            assertEquals("way " + i, 502, stage.sendRequest("use").status());
             assertEquals("way " + i, i + 1, endpoint.requests.size());
         }
     }
@@ -129,7 +130,7 @@
                 startWithFirstRequest(request -> request.answer("200 OK", "", "made"));
         assertEquals(
                 "made",
-                stage.call("state")
+                stage.sendRequest("state")
                         .body()); // the module now has a latency estimate for its timeouts
         ScriptedServer.Script silent = request -> {};
         List<Integer> closedBefore = new ArrayList<>();
@@ -146,7 +147,7 @@
                         silent.act(request);
                     });
         }
-        assertEquals("made", stage.call("state").body());
+        assertEquals("made", stage.sendRequest("state").body());
         assertEquals(List.of(1), closedBefore);
     }
 
@@ -168,13 +169,13 @@
 
     @Test
     public void idleConnectionsAreClosedBeforeTheEndpointClosesThem() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         String settings = TestCluster.SETTINGS.replace("idle_close_ns\":60", "idle_close_ns\":1");
         stage.start(settings, endpoint);
-        assertEquals("made", stage.call("use").body());
+        assertEquals("made", stage.sendRequest("use").body());
         Socket idle = endpoint.closed.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
         assertEquals(endpoint.asked().connection(), idle);
-        assertEquals("made", stage.call("use").body());
+        assertEquals("made", stage.sendRequest("use").body());
         assertNotEquals(idle, endpoint.asked().connection());
     }
 
@@ -184,7 +185,7 @@
         ScriptedServer[] endpoints = new ScriptedServer[20];
         for (int i = 0; i < endpoints.length; i++) {
             endpoints[i] =
-                    stage.add(
+                    stage.closeAtEnd(
                             new ScriptedServer(
                                     request -> {
                                         LockSupport.parkNanos(
@@ -193,11 +194,11 @@
                                         request.answer("200 OK", "", "made");
                                     }));
         }
-        stage.sockets = 96; // 16 connections to endpoints
+        stage.descriptorLimit = 96; // 16 connections to endpoints
         stage.start(TestCluster.SETTINGS, endpoints);
         Socket client = stage.connect();
         for (int i = 0; i < 500; i++) {
-            Message.send(client, TestCluster.request("use", "", ""));
+            Message.send(client, TestCluster.requestText("use", "", ""));
             assertEquals("made", Message.read(client).body());
         }
         for (ScriptedServer endpoint : endpoints) {
@@ -208,32 +209,34 @@
     /** The drain is announced while a connect hangs; what counts is the request's first byte. */
     @Test
     public void nothingIsSentToAnEndpointThatBeganToDrain() throws Exception {
-        ScriptedServer serving = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer serving = stage.closeAtEnd(ScriptedServer.serving("made"));
         try (ServerSocket hanging = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> fill = new ArrayList<>(); // fills its backlog, so that a connect hangs
             while (fill.size() < 2) {
                 fill.add(new Socket(InetAddress.getLoopbackAddress(), hanging.getLocalPort()));
             }
             String list =
-                    TestCluster.list(1, true, "active", serving)
+                    TestCluster.endpointListJson(1, true, "active", serving)
                             .replace(serving.hostPort(), "127.0.0.1:" + hanging.getLocalPort());
             stage.start(TestCluster.SETTINGS);
             Message watch = stage.discovery.asked();
-            TestCluster.line(watch, list);
+            TestCluster.sendWatchLine(watch, list);
             Socket client = stage.connect();
-            Message.send(client, TestCluster.request("use", "", ""));
+            Message.send(client, TestCluster.requestText("use", "", ""));
             Thread.sleep(
                     200); // the connect hangs by now; if not, the test passes without proving much
-            TestCluster.line(
+            TestCluster.sendWatchLine(
                     watch,
                     list.replace("active", "leaving").replace("generation\":1", "generation\":2"));
-            stage.call("other");
+            stage.sendRequest("other");
             for (int i = 0; i < fill.size(); i++) {
                 hanging.accept().close();
             }
             try (Socket late = hanging.accept()) { // the connect completes, seconds later
-                TestCluster.line(
-                        watch, TestCluster.list(3, true, "active", serving).replace("w0", "w1"));
+                TestCluster.sendWatchLine(
+                        watch,
+                        TestCluster.endpointListJson(3, true, "active", serving)
+                                .replace("w0", "w1"));
                 assertEquals("made", Message.read(client).body());
                 late.setSoTimeout(1);
                 assertEquals("nothing was sent", 0, late.getInputStream().available());
--- a/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
+++ b/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
@@ -51,7 +51,7 @@
 
     @After
     public void end() throws Exception {
-        stage.end();
+        stage.close();
     }
 
     private static String settings(int deadlineMs) {
@@ -63,7 +63,7 @@
     }
 
     private ScriptedServer endpoint() throws IOException {
-        return stage.add(
+        return stage.closeAtEnd(
                 new ScriptedServer(
                         request -> {
                             receivedIds.add(request.header("X-Correlation-Id"));
@@ -74,7 +74,7 @@
     }
 
     private static String requestText(int number, int deadlineMs) {
-        return TestCluster.request(CLASSES[number % CLASSES.length], "", "")
+        return TestCluster.requestText(CLASSES[number % CLASSES.length], "", "")
                 .replace("Left: 20.000", "Left: " + deadlineMs / 1000.0);
     }
 
@@ -225,7 +225,7 @@
                     ScriptedServer endpoint = endpoint();
                     stage.start(settings(4_000), endpoint);
                     stage.reload(stage.config(settings(300), endpoint));
-                    stage.logged("configuration taken over");
+                    stage.awaitLogLine("configuration taken over");
                     shutDownUnderLoad(300, 0);
                 });
     }
--- a/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
@@ -110,16 +110,16 @@
                             request.connection().getOutputStream().write(made);
                             request.connection().shutdownOutput();
                         });
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         for (ScriptedServer.Script form : forms) {
             endpoint.setScript(form);
             Socket client = stage.connect();
-            Message.send(client, TestCluster.request("use", "", ""));
+            Message.send(client, TestCluster.requestText("use", "", ""));
             endpoint.asked();
             assertArrayEquals(made, read(client));
             endpoint.setScript(request -> request.answer("200 OK", "", "next"));
-            Message.send(client, TestCluster.request("use", "", ""));
+            Message.send(client, TestCluster.requestText("use", "", ""));
             assertEquals("the connection goes on", "next", Message.read(client).body());
             endpoint.asked();
         }
@@ -129,7 +129,7 @@
     public void moreResponsesThanFitIntoMemoryForSlowClients() throws Exception {
         byte[] made = bytes(8 * LONG);
         ScriptedServer endpoint =
-                stage.add(
+                stage.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
                                     if (request.start().startsWith("GET")) {
@@ -145,21 +145,21 @@
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 6; i++) { // 192 MB, with a heap of 64 MB
             clients.add(stage.connect());
-            Message.send(clients.get(i), TestCluster.request("use", "", ""));
+            Message.send(clients.get(i), TestCluster.requestText("use", "", ""));
             endpoint.asked();
         }
-        assertEquals("others are served meanwhile", "short", stage.call("state").body());
+        assertEquals("others are served meanwhile", "short", stage.sendRequest("state").body());
         clients.get(0).close();
         for (Socket client : clients.subList(1, clients.size())) {
             assertArrayEquals(made, read(client));
         }
-        assertEquals("short", stage.call("state").body());
+        assertEquals("short", stage.sendRequest("state").body());
     }
 
     @Test
     public void aTruncatedResponseIsNotComplete() throws Exception {
         byte[] made = bytes(LONG);
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         for (String framing :
                 List.of(
@@ -182,7 +182,7 @@
                         request.connection().close();
                     });
             Socket client = stage.connect();
-            Message.send(client, TestCluster.request("use", "", ""));
+            Message.send(client, TestCluster.requestText("use", "", ""));
             endpoint.asked();
             try {
                 read(client);
@@ -198,7 +198,7 @@
         String body = new String(bytes(LONG), StandardCharsets.ISO_8859_1);
         AtomicInteger asked = new AtomicInteger();
         ScriptedServer endpoint =
-                stage.add(
+                stage.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
                                     boolean first = asked.incrementAndGet() == 1;
@@ -209,7 +209,7 @@
                                 }));
         stage.start(TestCluster.SETTINGS, endpoint);
         String head =
-                TestCluster.request("use", "", "")
+                TestCluster.requestText("use", "", "")
                         .replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "");
         Socket told = stage.connect();
         Message.send(told, head + "Expect: 100-continue\r\nContent-Length: " + LONG + "\r\n\r\n");
@@ -221,7 +221,7 @@
         Socket chunked = stage.connect();
         Message.send(
                 chunked,
-                TestCluster.request("use", "", "")
+                TestCluster.requestText("use", "", "")
                         .replaceFirst(
                                 "(?s)Content-Length: 4\r\n\r\npour",
                                 "Transfer-Encoding: chunked\r\n\r\n"));
@@ -233,7 +233,7 @@
 
     /** The head of a request, with the header that frames its body. */
     private static String head(String framing) {
-        return TestCluster.request("use", "", "")
+        return TestCluster.requestText("use", "", "")
                         .replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "")
                 + framing
                 + "\r\n\r\n";
@@ -248,7 +248,7 @@
         Semaphore answers = new Semaphore(0);
         Semaphore answered = new Semaphore(0);
         ScriptedServer endpoint =
-                stage.add(
+                stage.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
                                     answers.acquireUninterruptibly();
@@ -263,13 +263,14 @@
             Message.send(leaves, head("Content-Length: " + body.length()) + body);
             endpoint.asked();
             leaves.close();
-            stage.awaitFigure("app_current 0");
+            stage.awaitMetricLine("app_current 0");
             answers.release();
             answered.acquireUninterruptibly();
             answers.release();
             assertEquals(
                     "made",
-                    stage.call("state").body()); // by then the node has read the previous response
+                    stage.sendRequest("state")
+                            .body()); // by then the node has read the previous response
             endpoint.asked();
             answered.acquireUninterruptibly();
         }
@@ -290,7 +291,7 @@
 
     @Test
     public void bodiesThatExceedTheMemoryAreStreamed() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         byte[] most = bytes(30 * 1024 * 1024); // below the limit of a body, above that of all
         String body = new String(most, StandardCharsets.ISO_8859_1);
@@ -306,16 +307,16 @@
             }
             assertEquals(framing, "made", Message.read(client).body());
             assertEquals(body, endpoint.asked().body());
-            Message.send(client, TestCluster.request("use", "", ""));
+            Message.send(client, TestCluster.requestText("use", "", ""));
             assertEquals("the connection goes on", "made", Message.read(client).body());
             endpoint.asked();
         }
-        stage.awaitFigure("app_sends 4");
+        stage.awaitMetricLine("app_sends 4");
     }
 
     @Test
     public void aRejectionOfAStreamedBodyIsForwardedWithoutRetry() throws Exception {
-        ScriptedServer elsewhere = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer elsewhere = stage.closeAtEnd(ScriptedServer.serving("made"));
         stage.start(TestCluster.SETTINGS);
         CountDownLatch rejected = new CountDownLatch(1);
         try (ServerSocket early = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
@@ -334,11 +335,11 @@
                                 }
                             });
             thread.start();
-            TestCluster.line(
+            TestCluster.sendWatchLine(
                     stage.discovery.asked(),
-                    TestCluster.list(2, true, "active", elsewhere)
+                    TestCluster.endpointListJson(2, true, "active", elsewhere)
                             .replace(elsewhere.hostPort(), "127.0.0.1:" + early.getLocalPort()));
-            stage.awaitFigure("app_cluster_size 1");
+            stage.awaitMetricLine("app_cluster_size 1");
             Socket client = stage.connect();
             Message.send(client, head("Content-Length: " + 30 * 1024 * 1024));
             Message.send(client, "x".repeat(100_000));
@@ -346,15 +347,16 @@
             Message refused = Message.read(client);
             assertEquals("nothing has run: the module refuses", 503, refused.status());
             assertEquals("close", refused.header("Connection"));
-            stage.awaitFigure("app_sends 0");
-            stage.awaitFigure("app_current 0");
+            stage.awaitMetricLine("app_sends 0");
+            stage.awaitMetricLine("app_current 0");
         }
     }
 
     @Test
     public void aTruncatedBodyIsNoRequest() throws Exception {
         ScriptedServer endpoint =
-                stage.add(new ScriptedServer(request -> request.answer("200 OK", "", "made")));
+                stage.closeAtEnd(
+                        new ScriptedServer(request -> request.answer("200 OK", "", "made")));
         stage.start(TestCluster.SETTINGS, endpoint);
         Socket client = stage.connect();
         Message.send(client, head("Content-Length: " + 30 * 1024 * 1024));
@@ -364,13 +366,13 @@
                 "the worker's connection ends",
                 endpoint.closed.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS) != null);
         endpoint.wasNotAsked();
-        stage.awaitFigure("app_current 0");
-        assertEquals("made", stage.call("use").body());
+        stage.awaitMetricLine("app_current 0");
+        assertEquals("made", stage.sendRequest("use").body());
     }
 
     @Test
     public void aMalformedRequestIsNotBuffered() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         Socket noCall = stage.connect();
         Message.send(
--- a/daemon/src/test/java/trailthread/daemon/MetricsOverSocketsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/MetricsOverSocketsTest.java
@@ -15,7 +15,7 @@
     @Test
     public void eachRequestIsCountedOnce() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         endpoint.setScript(
                 request -> {
                     switch (request.start().replaceAll(".*how=(\\w+) .*", "$1")) {
@@ -33,30 +33,30 @@
                     }
                 });
         stage.start(TestCluster.SETTINGS, endpoint);
-        stage.awaitFigure("app_answered{group=\"use\"} 0");
+        stage.awaitMetricLine("app_answered{group=\"use\"} 0");
         int sends = 0;
         for (String how : new String[] {"reset", "error", "served"}) {
             assertEquals(how, how.equals("served") ? 200 : 502, ask(how, "20.000").status());
             sends++;
         }
         Socket cut = stage.connect();
-        Message.send(cut, TestCluster.request("use", "?how=long", ""));
+        Message.send(cut, TestCluster.requestText("use", "?how=long", ""));
         int came = cut.getInputStream().readAllBytes().length;
         assertTrue("passed on until it broke off: " + came, came > 64 * 1024 && came < 200_000);
         assertEquals("its time is over", 502, ask("held", "0.500").status());
         sends += 2;
-        stage.awaitFigure("app_current 0");
+        stage.awaitMetricLine("app_current 0");
         Socket leaves = stage.connect();
-        Message.send(leaves, TestCluster.request("use", "?how=held", ""));
-        stage.awaitFigure("app_current 1");
-        stage.awaitFigure("app_sends " + ++sends);
+        Message.send(leaves, TestCluster.requestText("use", "?how=held", ""));
+        stage.awaitMetricLine("app_current 1");
+        stage.awaitMetricLine("app_sends " + ++sends);
         leaves.close();
-        stage.awaitFigure("app_current 0");
-        assertEquals(400, stage.call("none").status());
-        stage.awaitFigure("app_answered{group=\"use\"} 1");
-        stage.awaitFigure("app_deferred{group=\"use\"} 0");
-        stage.awaitFigure("app_errored{group=\"use\"} 4");
-        stage.awaitFigure("app_sends " + sends);
+        stage.awaitMetricLine("app_current 0");
+        assertEquals(400, stage.sendRequest("none").status());
+        stage.awaitMetricLine("app_answered{group=\"use\"} 1");
+        stage.awaitMetricLine("app_deferred{group=\"use\"} 0");
+        stage.awaitMetricLine("app_errored{group=\"use\"} 4");
+        stage.awaitMetricLine("app_sends " + sends);
         assertEquals("what the worker saw", sends, endpoint.requests.size());
         over.countDown();
     }
@@ -64,7 +64,8 @@
     private Message ask(String how, String seconds) throws Exception {
         Socket client = stage.connect();
         Message.send(
-                client, TestCluster.request("use", "?how=" + how, "").replace("20.000", seconds));
+                client,
+                TestCluster.requestText("use", "?how=" + how, "").replace("20.000", seconds));
         return Message.read(client);
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
@@ -24,7 +24,7 @@
     private static final int REQUESTS = 50;
 
     private final TestCluster stage = new TestCluster();
-    private final Holder holder = stage.add(new Holder());
+    private final Holder holder = stage.closeAtEnd(new Holder());
     private final Path config = Files.createTempFile("trailthread", ".json");
 
     public NewVersionTest() throws Exception {
@@ -33,7 +33,7 @@
 
     @After
     public void end() throws Exception {
-        stage.end();
+        stage.close();
         Files.delete(config);
     }
 
@@ -53,7 +53,7 @@
     public void theOldProcessFinishesItsRequestsAndTheNewOneTakesOver() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         ScriptedServer endpoint =
-                stage.add(
+                stage.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
                                     if (request.start().startsWith("POST /use")) {
@@ -65,9 +65,9 @@
         long old = start();
         holder.logged(SERVES, 1);
         Socket atWork = stage.connect();
-        Message.send(atWork, TestCluster.request("use", "", ""));
+        Message.send(atWork, TestCluster.requestText("use", "", ""));
         Socket idle = stage.connect();
-        Message.send(idle, TestCluster.request("state", "", ""));
+        Message.send(idle, TestCluster.requestText("state", "", ""));
         assertEquals("made", Message.read(idle).body());
         start();
         holder.logged(SERVES, 2);
@@ -81,7 +81,7 @@
                             }
                         });
         for (int i = 0; i < REQUESTS; i++) {
-            assertEquals("made", stage.call("state").body());
+            assertEquals("made", stage.sendRequest("state").body());
         }
         assertEquals("idle connections are closed", -1, idle.getInputStream().read());
         answer.countDown();
@@ -89,7 +89,7 @@
         assertEquals("made", served.body());
         assertEquals("close", served.header("Connection"));
         ended.get(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
-        assertEquals("made", stage.call("state").body());
+        assertEquals("made", stage.sendRequest("state").body());
         assertEquals(
                 "endpoints received only clients' requests",
                 REQUESTS + 3,
@@ -102,7 +102,7 @@
 
     @Test
     public void aNewProcessThatDiesChangesNothing() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
         start();
         holder.logged(SERVES, 1);
@@ -110,20 +110,20 @@
             long dies = start();
             adminPort(i); // waits until its start is in progress
             assertTrue(ProcessHandle.of(dies).orElseThrow().destroyForcibly());
-            assertEquals("made", stage.call("use").body());
+            assertEquals("made", stage.sendRequest("use").body());
         }
         Files.writeString(config, "{");
         start();
         holder.logged("LB_CONFIG|JSON", 1);
         for (int i = 0; i < REQUESTS; i++) {
-            assertEquals("made", stage.call("use").body());
+            assertEquals("made", stage.sendRequest("use").body());
         }
-        assertEquals(200, TestCluster.manage(adminPort(1), "GET", "/-/ready").status());
+        assertEquals(200, TestCluster.sendAdminRequest(adminPort(1), "GET", "/-/ready").status());
     }
 
     @Test
     public void severalUpgradesInARowAlsoDuringADrain() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
         long old = start();
         holder.logged(SERVES, 1);
@@ -131,16 +131,19 @@
             boolean drained = i == 3;
             if (drained) {
                 assertEquals(
-                        200, TestCluster.manage(adminPort(i - 1), "POST", "/-/drain").status());
+                        200,
+                        TestCluster.sendAdminRequest(adminPort(i - 1), "POST", "/-/drain")
+                                .status());
             }
             long next = start();
             holder.logged(SERVES, i);
-            assertEquals(200, TestCluster.manage(adminPort(i), "GET", "/-/ready").status());
+            assertEquals(
+                    200, TestCluster.sendAdminRequest(adminPort(i), "GET", "/-/ready").status());
             assertEquals(
                     drained ? 503 : 200,
-                    TestCluster.manage(adminPort(i - 1), "GET", "/-/ready").status());
+                    TestCluster.sendAdminRequest(adminPort(i - 1), "GET", "/-/ready").status());
             Holder.terminate(old);
-            assertEquals("made", stage.call("use").body());
+            assertEquals("made", stage.sendRequest("use").body());
             old = next;
         }
     }
--- a/daemon/src/test/java/trailthread/daemon/PauseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/PauseTest.java
@@ -36,11 +36,11 @@
 
     @After
     public void end() throws Exception {
-        stage.end();
+        stage.close();
     }
 
     private Socket send(Socket client, int number) throws Exception {
-        Message.send(client, TestCluster.request(number % 2 == 0 ? "use" : "state", "", ""));
+        Message.send(client, TestCluster.requestText(number % 2 == 0 ? "use" : "state", "", ""));
         return client;
     }
 
@@ -65,9 +65,10 @@
 
     @Test
     public void requestsSentToAStoppedNodeAreServedAndRunOnce() throws Exception {
-        stage.sockets = 96; // 28 connections to clients: fewer than come
+        stage.descriptorLimit = 96; // 28 connections to clients: fewer than come
         ScriptedServer[] endpoints = {
-            stage.add(ScriptedServer.serving("made")), stage.add(ScriptedServer.serving("made"))
+            stage.closeAtEnd(ScriptedServer.serving("made")),
+            stage.closeAtEnd(ScriptedServer.serving("made"))
         };
         stage.start(TestCluster.SETTINGS, endpoints);
         List<Socket> clients = new ArrayList<>();
@@ -109,22 +110,22 @@
 
         assertServed(clients);
         assertEquals(KEPT + IN_FLIGHT + KEPT + NEW, ranOnce(endpoints));
-        assertEquals("made", stage.call("use").body());
-        assertEquals("made", stage.call("state").body());
+        assertEquals("made", stage.sendRequest("use").body());
+        assertEquals("made", stage.sendRequest("state").body());
     }
 
     @Test
     public void silentEndpointsBlockNothingAndAreUsedAgainOnceTheyRespond() throws Exception {
         ScriptedServer.Script serves = request -> request.answer("200 OK", "", "made");
         ScriptedServer[] endpoints = {
-            stage.add(new ScriptedServer(serves)),
-            stage.add(new ScriptedServer(serves)),
-            stage.add(new ScriptedServer(serves)),
-            stage.add(new ScriptedServer(serves))
+            stage.closeAtEnd(new ScriptedServer(serves)),
+            stage.closeAtEnd(new ScriptedServer(serves)),
+            stage.closeAtEnd(new ScriptedServer(serves)),
+            stage.closeAtEnd(new ScriptedServer(serves))
         };
         stage.start(QUICK, endpoints);
         for (int i = 0; i < 200; i++) {
-            assertEquals(200, stage.call("state").status());
+            assertEquals(200, stage.sendRequest("state").status());
         }
         for (ScriptedServer endpoint : endpoints) {
             endpoint.requests.clear();
@@ -136,7 +137,8 @@
         List<Socket> users = new ArrayList<>();
         while (silent[0].requests.isEmpty() && silent[1].requests.isEmpty()) {
             Socket user = stage.connect();
-            Message.send(user, TestCluster.request("use", "", "").replace("Left: 20", "Left: 3"));
+            Message.send(
+                    user, TestCluster.requestText("use", "", "").replace("Left: 20", "Left: 3"));
             users.add(user);
             Thread.sleep(10);
         }
@@ -147,7 +149,7 @@
         assertEquals(users.size(), ranOnce(endpoints));
 
         for (int i = 0; i < 20; i++) {
-            assertEquals("made", stage.call("state").body());
+            assertEquals("made", stage.sendRequest("state").body());
         }
         for (ScriptedServer endpoint : silent) {
             endpoint.setScript(serves);
@@ -157,7 +159,7 @@
                 System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * ScriptedServer.LONGEST_WAIT_S);
         while (silent[0].requests.isEmpty() || silent[1].requests.isEmpty()) {
             assertTrue("used again", System.nanoTime() < limit);
-            assertEquals("made", stage.call("state").body());
+            assertEquals("made", stage.sendRequest("state").body());
             Thread.sleep(10);
         }
     }
--- a/daemon/src/test/java/trailthread/daemon/RetuneTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RetuneTest.java
@@ -20,50 +20,52 @@
     @Test
     public void classesAreAddedAndRemovedAndRequestsInFlightKeepTheirs() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        ScriptedServer endpoint = stage.add(ScriptedServer.servingAfter(answer, "made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.servingAfter(answer, "made"));
         stage.start(TestCluster.SETTINGS, endpoint);
-        assertEquals(400, stage.call("study").status());
+        assertEquals(400, stage.sendRequest("study").status());
         Socket atWork = stage.connect();
-        Message.send(atWork, TestCluster.request("use", "", ""));
+        Message.send(atWork, TestCluster.requestText("use", "", ""));
         endpoint.asked();
         Socket half = stage.connect();
-        String request = TestCluster.request("use", "", "");
+        String request = TestCluster.requestText("use", "", "");
         Message.send(half, request.substring(0, request.length() - 2));
-        stage.call("none"); // the node has read what was sent before
+        stage.sendRequest("none"); // the node has read what was sent before
         stage.reload(stage.config(OTHERS, endpoint));
-        stage.awaitFigure("app_conf_loaded 1");
-        stage.awaitFigure("app_answered{group=\"study\"} 0");
-        assertEquals(400, stage.call("use").status());
+        stage.awaitMetricLine("app_conf_loaded 1");
+        stage.awaitMetricLine("app_answered{group=\"study\"} 0");
+        assertEquals(400, stage.sendRequest("use").status());
         Message.send(half, request.substring(request.length() - 2));
         endpoint.asked();
         answer.countDown();
         assertEquals("made", Message.read(atWork).body());
         assertEquals("made", Message.read(half).body());
-        assertEquals("made", stage.call("study").body());
-        stage.awaitFigure("app_answered{group=\"use\"} 2");
+        assertEquals("made", stage.sendRequest("study").body());
+        stage.awaitMetricLine("app_answered{group=\"use\"} 2");
     }
 
     @Test
     public void fewerAttemptsApplyAtOnce() throws Exception {
         ScriptedServer endpoint =
-                stage.add(new ScriptedServer(request -> request.answer("500 Error", "", "")));
+                stage.closeAtEnd(
+                        new ScriptedServer(request -> request.answer("500 Error", "", "")));
         ScriptedServer other =
-                stage.add(new ScriptedServer(request -> request.answer("500 Error", "", "")));
+                stage.closeAtEnd(
+                        new ScriptedServer(request -> request.answer("500 Error", "", "")));
         stage.start(TestCluster.SETTINGS, endpoint, other);
         assertTrue(
                 "more than one attempt",
-                stage.call("state").status() >= 500
+                stage.sendRequest("state").status() >= 500
                         && endpoint.requests.size() + other.requests.size() > 1);
         stage.reload(stage.config(OTHERS, endpoint, other));
-        stage.awaitFigure("app_conf_loaded 1");
+        stage.awaitMetricLine("app_conf_loaded 1");
         int before = endpoint.requests.size() + other.requests.size();
-        stage.call("state");
+        stage.sendRequest("state");
         assertTrue(endpoint.requests.size() + other.requests.size() - before <= 1);
     }
 
     @Test
     public void severalReloadsInARowEndWithTheNewestFile() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         for (int i = 0; i < 20; i++) {
             stage.reload(stage.config(i % 2 == 0 ? OTHERS : TestCluster.SETTINGS, endpoint));
@@ -74,21 +76,21 @@
                         endpoint)); // no other file has that class
         boolean newest = false;
         for (int i = 0; !newest && i < 10 * ScriptedServer.LONGEST_WAIT_S; i++) {
-            newest = stage.call("newest").status() == 200;
+            newest = stage.sendRequest("newest").status() == 200;
             Thread.sleep(newest ? 0 : 100);
         }
         assertTrue("the newest is taken", newest);
         stage.reload("{");
-        stage.logged(
+        stage.awaitLogLine(
                 "configuration not taken over"); // signals before it may still be under way, and
         // read this one
-        assertEquals(200, stage.call("newest").status());
-        assertEquals(400, stage.call("use").status());
+        assertEquals(200, stage.sendRequest("newest").status());
+        assertEquals(400, stage.sendRequest("use").status());
     }
 
     @Test
     public void aBrokenFileChangesNothing() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         String good = stage.config(OTHERS, endpoint);
         String[] broken = {
@@ -114,12 +116,12 @@
         for (int i = 0; i < broken.length; i++) {
             assertTrue(i + " is broken", !broken[i].equals(good));
             stage.reload(broken[i]);
-            stage.awaitFigure("app_conf_invalid " + (i + 1));
+            stage.awaitMetricLine("app_conf_invalid " + (i + 1));
         }
-        assertEquals("made", stage.call("use").body());
-        assertEquals(400, stage.call("study").status());
+        assertEquals("made", stage.sendRequest("use").body());
+        assertEquals(400, stage.sendRequest("study").status());
         stage.reload(good.replace("20000000000,", "20000000000.0,"));
-        stage.awaitFigure("app_conf_loaded 1");
-        assertEquals("made", stage.call("study").body());
+        stage.awaitMetricLine("app_conf_loaded 1");
+        assertEquals("made", stage.sendRequest("study").body());
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/RollingRestartTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RollingRestartTest.java
@@ -50,7 +50,7 @@
     public void end() throws Exception {
         over = true;
         for (TestCluster node : nodes) {
-            node.end();
+            node.close();
         }
     }
 
@@ -78,7 +78,7 @@
                 for (int i = 0; !over; i++) {
                     String requestClass = i % 2 == 0 ? "use" : "state";
                     int attempts = 1;
-                    while (!isAnswered(TestCluster.request(requestClass, "", ""))
+                    while (!isAnswered(TestCluster.requestText(requestClass, "", ""))
                             && attempts++ < MAX_ATTEMPTS) {
                         at = 1 - at;
                         sleep(5);
@@ -180,7 +180,7 @@
         for (int i = 0; i < 2; i++) {
             nodes[i] = new TestCluster();
             endpoints[i] =
-                    nodes[i].add(
+                    nodes[i].closeAtEnd(
                             new ScriptedServer(
                                     request -> {
                                         runs.merge(
--- a/daemon/src/test/java/trailthread/daemon/StaleListTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StaleListTest.java
@@ -33,14 +33,14 @@
 
     public StaleListTest() throws Exception {
         stage = new TestCluster();
-        gone = stage.add(ScriptedServer.serving("gone"));
-        present = stage.add(ScriptedServer.serving("present"));
+        gone = stage.closeAtEnd(ScriptedServer.serving("gone"));
+        present = stage.closeAtEnd(ScriptedServer.serving("present"));
     }
 
     @After
     public void end() throws Exception {
         answers.countDown();
-        stage.end();
+        stage.close();
     }
 
     private ScriptedServer[] thousands(ScriptedServer peer) {
@@ -54,21 +54,22 @@
         stage.discovery.setScript(
                 request -> {
                     ScriptedServer.await(answers);
-                    TestCluster.watch(request);
-                    TestCluster.line(
-                            request, TestCluster.list(14, true, "active", thousands(present)));
+                    TestCluster.beginWatch(request);
+                    TestCluster.sendWatchLine(
+                            request,
+                            TestCluster.endpointListJson(14, true, "active", thousands(present)));
                 });
     }
 
     private void assertRefused() throws Exception {
-        Message answer = stage.call("use");
+        Message answer = stage.sendRequest("use");
         assertEquals("present", 503, answer.status());
         gone.wasNotAsked();
     }
 
     private void awaitServedBy(String server) throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(ScriptedServer.LONGEST_WAIT_S);
-        while (!stage.call("use").body().equals(server)) {
+        while (!stage.sendRequest("use").body().equals(server)) {
             assertTrue("served in the end", System.nanoTime() < until);
             Thread.sleep(20);
         }
@@ -92,8 +93,9 @@
     public void aListWithoutConfirmationExpires() throws Exception {
         stage.discovery.setScript(
                 request -> {
-                    TestCluster.watch(request);
-                    TestCluster.line(request, TestCluster.list(1, true, "active", gone));
+                    TestCluster.beginWatch(request);
+                    TestCluster.sendWatchLine(
+                            request, TestCluster.endpointListJson(1, true, "active", gone));
                 });
         stage.start(TestCluster.SETTINGS, gone);
         Message watch = stage.discovery.asked();
@@ -113,15 +115,16 @@
     public void theListIsKeptWhileDiscoveryIsDown() throws Exception {
         stage.discovery.setScript(
                 request -> {
-                    TestCluster.watch(request);
-                    TestCluster.line(request, TestCluster.list(1, true, "active", present));
+                    TestCluster.beginWatch(request);
+                    TestCluster.sendWatchLine(
+                            request, TestCluster.endpointListJson(1, true, "active", present));
                 });
         stage.start(TestCluster.SETTINGS, present);
         awaitServedBy("present");
         stage.discovery.close();
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(2 * NEWS_DUE_MS);
         while (System.nanoTime() < until) {
-            assertEquals("present", stage.call("use").body());
+            assertEquals("present", stage.sendRequest("use").body());
             Thread.sleep(100);
         }
     }
--- a/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
@@ -25,12 +25,12 @@
 
     @After
     public void end() throws Exception {
-        stage.end();
+        stage.close();
     }
 
     @Test
     public void itIsReadyOnceItServesAndTheWarmUpReachesNoEndpoint() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         Socket front = stage.connect();
         Message.send(front, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -44,18 +44,18 @@
      */
     @Test
     public void aWarmUpRequestReadTooLateReachesNoEndpoint() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         Socket late = stage.connect();
         Message.send(
                 late,
-                TestCluster.request("use", "", "")
+                TestCluster.requestText("use", "", "")
                         .replaceFirst(
                                 "X-Correlation-Id: .*",
                                 "X-Correlation-Id: warm-up-8c1f30d27a5be964-1"));
         assertEquals(502, Message.read(late).status());
         endpoint.wasNotAsked();
-        assertEquals("made", stage.call("use").body());
+        assertEquals("made", stage.sendRequest("use").body());
     }
 
     /** The nodes of a busy fleet need this one soon; in an idle fleet it may warm up for longer. */
@@ -65,11 +65,11 @@
                 TestCluster.SETTINGS.replace("\"limits\":{", "\"limits\":{\"probes\":true,");
         for (int inflight : new int[] {3, 0}) {
             ScriptedServer endpoint =
-                    stage.add(
+                    stage.closeAtEnd(
                             ScriptedServer.serving("{\"inflight\":" + inflight + ",\"queue\":0}"));
             stage.start(probes, endpoint);
             assertEquals("GET /status/load HTTP/1.1", endpoint.asked().start());
-            String line = stage.logged("warmed up");
+            String line = stage.awaitLogLine("warmed up");
             assertEquals(line, inflight > 0, line.contains("busy"));
             stage.terminate();
             assertEquals(0, stage.exitStatus());
@@ -79,15 +79,15 @@
     /** Prevents a SIGHUP before the node is started from ending the process or being lost. */
     @Test
     public void aSighupDuringTheStartIsRemembered() throws Exception {
-        try (OutputStream out = stage.startAtPipe()) {
+        try (OutputStream out = stage.startWithConfigPipe()) {
             stage.signal("HUP");
             out.write(stage.config(TestCluster.SETTINGS).getBytes(StandardCharsets.UTF_8));
         }
-        stage.logged("serves on");
-        try (OutputStream out = stage.pipe()) { // read once more
+        stage.awaitLogLine("serves on");
+        try (OutputStream out = stage.openConfigPipe()) { // read once more
             out.write(stage.config(TestCluster.SETTINGS).getBytes(StandardCharsets.UTF_8));
         }
-        stage.logged("configuration taken over");
+        stage.awaitLogLine("configuration taken over");
     }
 
     /** Guards against a node that never reloads, and does not say so. */
@@ -95,7 +95,7 @@
     public void anIgnoredSighupIsReportedAtTheStart() throws Exception {
         stage.launcher = List.of("nohup");
         stage.start(TestCluster.SETTINGS);
-        String warning = stage.logged("SIGHUP was ignored");
+        String warning = stage.awaitLogLine("SIGHUP was ignored");
         assertTrue(warning, warning.contains("WARN") && warning.contains("--default-signal=HUP"));
         stage.reload(stage.config(TestCluster.SETTINGS));
         stage.terminate();
@@ -108,7 +108,7 @@
         stage.launcher = List.of("nohup", "env", "--default-signal=HUP");
         stage.start(TestCluster.SETTINGS);
         stage.reload(stage.config(TestCluster.SETTINGS));
-        stage.logged("configuration taken over");
+        stage.awaitLogLine("configuration taken over");
     }
 
     /**
@@ -118,19 +118,19 @@
     @Test
     public void callsTakenUnderLongerDeadlinesAreWaitedFor() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        ScriptedServer endpoint = stage.add(ScriptedServer.servingAfter(answer, "made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.servingAfter(answer, "made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         Socket client = stage.connect();
-        Message.send(client, TestCluster.request("use", "", ""));
+        Message.send(client, TestCluster.requestText("use", "", ""));
         endpoint.asked();
         stage.reload(
                 stage.config(
                         TestCluster.SETTINGS.replace(
                                 "\"deadline_ns\":20000000000", "\"deadline_ns\":100000000"),
                         endpoint));
-        stage.logged("configuration taken over");
+        stage.awaitLogLine("configuration taken over");
         stage.terminate();
-        stage.logged("stops");
+        stage.awaitLogLine("stops");
         Thread.sleep(3_000); // past 1.7 s and the new deadlines
         answer.countDown();
         assertEquals("made", Message.read(client).body());
@@ -140,15 +140,15 @@
     @Test
     public void onSigtermItServesOnThenFinishesItsRequestsAndExitsWithZero() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        ScriptedServer endpoint = stage.add(ScriptedServer.servingAfter(answer, "made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.servingAfter(answer, "made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         Socket before = stage.connect();
-        Message.send(before, TestCluster.request("use", "", ""));
+        Message.send(before, TestCluster.requestText("use", "", ""));
         endpoint.asked();
         stage.terminate();
-        stage.logged("stops");
+        stage.awaitLogLine("stops");
         Socket after = stage.connect();
-        Message.send(after, TestCluster.request("use", "", ""));
+        Message.send(after, TestCluster.requestText("use", "", ""));
         endpoint.asked();
         Socket idle = stage.connect();
         Message.send(idle, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -178,14 +178,14 @@
         };
         for (String[] c : cases) {
             stage.log.clear();
-            stage.run(c[0], "serve");
+            stage.runNode(c[0], "serve");
             assertEquals(2, stage.exitStatus());
-            String line = stage.logged("trailthread: ");
+            String line = stage.awaitLogLine("trailthread: ");
             assertTrue(line, line.contains(c[1]));
             assertEquals("one line", 1, stage.log.size());
         }
-        stage.run(good, "serve", "now");
+        stage.runNode(good, "serve", "now");
         assertEquals(2, stage.exitStatus());
-        assertNotNull(stage.logged("usage: "));
+        assertNotNull(stage.awaitLogLine("usage: "));
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/UnreadUpdatesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UnreadUpdatesTest.java
@@ -42,8 +42,9 @@
     private final ScriptedServer peer =
             new ScriptedServer(
                     request -> {
-                        TestCluster.watch(request);
-                        TestCluster.line(request, TestCluster.list(1, true, "active", server));
+                        TestCluster.beginWatch(request);
+                        TestCluster.sendWatchLine(
+                                request, TestCluster.endpointListJson(1, true, "active", server));
                     });
     private final BlockingQueue<DiscoveryUpdate> updates = new LinkedBlockingQueue<>();
     private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
@@ -122,7 +123,7 @@
                     ScriptedServer.await(goOn);
                 });
         ScriptedServer.await(held);
-        TestCluster.line(watch, TestCluster.list(2, false, "leaving", server));
+        TestCluster.sendWatchLine(watch, TestCluster.endpointListJson(2, false, "leaving", server));
         Thread.sleep(HELD_MS);
         goOn.countDown();
         assertEquals(Outcome.NOT_SENT, awaitOutcome());
--- a/daemon/src/test/java/trailthread/daemon/UpdateDueTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UpdateDueTest.java
@@ -39,8 +39,9 @@
         peer =
                 new ScriptedServer(
                         request -> {
-                            TestCluster.watch(request);
-                            TestCluster.line(request, TestCluster.list(1, true, "active"));
+                            TestCluster.beginWatch(request);
+                            TestCluster.sendWatchLine(
+                                    request, TestCluster.endpointListJson(1, true, "active"));
                         });
         loop = new EventLoop("news");
         String[] hostPort = peer.hostPort().split(":");
@@ -80,7 +81,7 @@
     public void anUpdateReadLateIsKnownSinceItArrived() throws Exception {
         Message watch = peer.asked();
         known();
-        long arrivedBy = sendUnread(watch, TestCluster.list(2, true, "leaving"));
+        long arrivedBy = sendUnread(watch, TestCluster.endpointListJson(2, true, "leaving"));
         assertTrue("known since it came", known() <= arrivedBy);
     }
 
@@ -94,7 +95,7 @@
                     ScriptedServer.await(resume);
                 });
         ScriptedServer.await(held);
-        TestCluster.line(watch, line);
+        TestCluster.sendWatchLine(watch, line);
         final long arrivedBy = loop.now();
         Thread.sleep(300);
         resume.countDown();
@@ -125,8 +126,8 @@
         known();
         peer.setScript(
                 request -> {
-                    TestCluster.watch(request);
-                    TestCluster.line(request, "");
+                    TestCluster.beginWatch(request);
+                    TestCluster.sendWatchLine(request, "");
                 });
         watch.connection().close();
         assertNotNull(
--- a/daemon/src/test/java/trailthread/daemon/WithAdminServer.java
+++ b/daemon/src/test/java/trailthread/daemon/WithAdminServer.java
@@ -11,11 +11,11 @@
     @Before
     public void begin() throws Exception {
         stage = new TestCluster();
-        stage.more = "\"management\":\"127.0.0.1:0\",";
+        stage.extraConfig = "\"management\":\"127.0.0.1:0\",";
     }
 
     @After
     public void end() throws Exception {
-        stage.end();
+        stage.close();
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
@@ -148,7 +148,7 @@
     /** Another client's request is served, and is the first that the endpoint has received. */
     private void onlyOneWhoStaysIsServed() throws Exception {
         try (Socket stays = connect()) {
-            String request = TestCluster.request("use", "?stays", "");
+            String request = TestCluster.requestText("use", "?stays", "");
             Message.send(stays, request);
             assertEquals("made", Message.read(stays).body());
             assertEquals(id(request), endpoint.asked().header("X-Correlation-Id"));
@@ -164,7 +164,7 @@
         loop.execute(this::list);
         loop.execute(() -> ScriptedServer.await(goOn));
         Socket client = connect();
-        Message.send(client, TestCluster.request("use", "", ""));
+        Message.send(client, TestCluster.requestText("use", "", ""));
         client.close();
         goOn.countDown();
         onlyOneWhoStaysIsServed();
@@ -175,7 +175,7 @@
     public void whoLeavesBeforeALateLoopLooksIsNotServed() throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
             Socket client = connect();
-            String request = TestCluster.request("use", "", "");
+            String request = TestCluster.requestText("use", "", "");
             Message.send(client, request);
             awaitInFlight(id(request));
             CountDownLatch goOn = new CountDownLatch(1);
@@ -193,9 +193,11 @@
     @Test
     public void whoLeavesBehindFurtherBytesIsNotServed() throws Exception {
         for (String bytes :
-                new String[] {"x", TestCluster.request("use", "?next", ""), "x".repeat(100_000)}) {
+                new String[] {
+                    "x", TestCluster.requestText("use", "?next", ""), "x".repeat(100_000)
+                }) {
             Socket client = connect();
-            String request = TestCluster.request("use", "", "");
+            String request = TestCluster.requestText("use", "", "");
             Message.send(client, request);
             awaitInFlight(id(request));
             Message.send(client, bytes);
@@ -219,7 +221,7 @@
                     request.answer("503 Busy", "X-Unprocessed: 1\r\n", "");
                 });
         Socket client = connect();
-        String request = TestCluster.request("use", "", "");
+        String request = TestCluster.requestText("use", "", "");
         loop.execute(this::list);
         Message.send(client, request);
         assertEquals(id(request), endpoint.asked().header("X-Correlation-Id"));
@@ -236,7 +238,7 @@
     public void whoLeavesDuringAConnectIsNotServed() throws Exception {
         CountDownLatch goOn = new CountDownLatch(1);
         Socket client = connect();
-        String request = TestCluster.request("use", "", "");
+        String request = TestCluster.requestText("use", "", "");
         Message.send(client, request);
         awaitInFlight(id(request));
         loop.execute(
@@ -253,7 +255,7 @@
     @Test
     public void whoLeavesWithHalfABodyIsNeverTaken() throws Exception {
         Socket client = connect();
-        String request = TestCluster.request("use", "", "");
+        String request = TestCluster.requestText("use", "", "");
         Message.send(client, request.substring(0, request.length() - 2));
         loop.execute(this::list);
         client.close();
@@ -264,8 +266,8 @@
     @Test
     public void aCallSentAheadInPiecesIsWhole() throws Exception {
         try (Socket client = connect()) {
-            String first = TestCluster.request("use", "?1", "");
-            String ahead = TestCluster.request("use", "?2", "");
+            String first = TestCluster.requestText("use", "?1", "");
+            String ahead = TestCluster.requestText("use", "?2", "");
             Message.send(client, first + ahead.substring(0, 40));
             awaitInFlight(id(first));
             for (int at = 40; at < ahead.length(); at += 40) {
@@ -289,7 +291,7 @@
         for (int count : new int[] {300, 3_000}) { // about 50 KB, and more than is kept at a time
             try (Socket client = connect()) {
                 List<String> requests =
-                        Stream.generate(() -> TestCluster.request("use", "?ahead", ""))
+                        Stream.generate(() -> TestCluster.requestText("use", "?ahead", ""))
                                 .limit(count)
                                 .toList();
                 Message.send(client, requests.get(0));
@@ -320,12 +322,12 @@
     public void theLastAnswerIsTheLastCallsWhereSomeAreSentAhead() throws Exception {
         loop.execute(() -> listener.closeAfterResponse(true));
         try (Socket client = connect()) {
-            String first = TestCluster.request("use", "?1", "");
+            String first = TestCluster.requestText("use", "?1", "");
             Message.send(
                     client,
                     first
-                            + TestCluster.request("use", "?2", "")
-                            + TestCluster.request("use", "?3", ""));
+                            + TestCluster.requestText("use", "?2", "")
+                            + TestCluster.requestText("use", "?3", ""));
             awaitInFlight(id(first));
             loop.execute(this::list);
             for (String last : new String[] {null, null, "close"}) {
@@ -363,7 +365,7 @@
         for (String path : new String[] {"/ready", "/nowhere"}) {
             try (Socket client = connect()) {
                 String rejected = "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
-                Message.send(client, rejected + TestCluster.request("use", "", "") + rejected);
+                Message.send(client, rejected + TestCluster.requestText("use", "", "") + rejected);
                 assertNull(Message.read(client).header("Connection"));
                 assertEquals("made", Message.read(client).body());
                 assertEquals("close", Message.read(client).header("Connection"));
--- a/daemon/src/test/java/trailthread/daemon/soak/SoakClient.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/SoakClient.java
@@ -66,7 +66,7 @@
         RequestKind kind = RequestKind.values()[random.nextInt(RequestKind.values().length)];
         int deadlineMs = run.scenario().deadlineMs(kind);
         String text =
-                TestCluster.request(kind.className(), "", "")
+                TestCluster.requestText(kind.className(), "", "")
                         .replace("Left: 20.000", "Left: " + deadlineMs / 1000.0);
         Matcher id = ID.matcher(text);
         if (!id.find()) {
--- a/daemon/src/test/java/trailthread/daemon/soak/SoakRun.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/SoakRun.java
@@ -57,7 +57,7 @@
 
     private SoakRun(Scenario scenario) throws IOException {
         this.scenario = scenario;
-        cluster.sockets = DESCRIPTORS;
+        cluster.descriptorLimit = DESCRIPTORS;
     }
 
     /** Plays a scenario. */
@@ -111,7 +111,7 @@
 
     private ScriptedServer server(Scenario.ServerMix mix, long seed) throws IOException {
         Random random = new Random(seed);
-        return cluster.add(new ScriptedServer(request -> serve(request, mix, random)));
+        return cluster.closeAtEnd(new ScriptedServer(request -> serve(request, mix, random)));
     }
 
     private void serve(Message message, Scenario.ServerMix mix, Random random) throws IOException {
@@ -215,7 +215,7 @@
         int dueMs =
                 scenario.longestDeadlineAtStartMs() + LAST_RESPONSES_MS + DelayMeter.MAX_DELAY_MS;
         long leftMs = dueMs - (System.nanoTime() - times.terminatedAt()) / 1_000_000;
-        if (!cluster.endsWithin(Math.max(0, leftMs), TimeUnit.MILLISECONDS)) {
+        if (!cluster.exitsWithin(Math.max(0, leftMs), TimeUnit.MILLISECONDS)) {
             breaks.add(new Judge.Break(Rule.DID_NOT_END, "running after " + dueMs + " ms"));
             cluster.kill();
         } else if (cluster.exitStatus() != 0) {
@@ -225,7 +225,7 @@
 
     private void end() throws IOException, InterruptedException {
         over = true;
-        cluster.end();
+        cluster.close();
     }
 
     Scenario scenario() {
--- a/testkit/src/main/java/trailthread/testkit/TestCluster.java
+++ b/testkit/src/main/java/trailthread/testkit/TestCluster.java
@@ -27,9 +27,9 @@
  * service and clients, all on loopback.
  */
 public final class TestCluster {
-    private static final Pattern SERVES = Pattern.compile("serves on .*:(\\d+)");
+    private static final Pattern SERVING_ADDRESS = Pattern.compile("serves on .*:(\\d+)");
 
-    private static final Pattern ADMIN_SERVER = Pattern.compile("operators are told on .*:(\\d+)");
+    private static final Pattern ADMIN_ADDRESS = Pattern.compile("operators are told on .*:(\\d+)");
 
     /** Settings with long timeouts, so that tests pass on a slow machine as well. */
     public static final String SETTINGS =
@@ -48,23 +48,23 @@
     private static final int POLL_MS = 10;
     private static final int MAX_POLLS = 1000 * ScriptedServer.LONGEST_WAIT_S / POLL_MS;
 
-    private static final AtomicLong LAST_ID = new AtomicLong(0x9b1f03aa5c7e2d40L);
+    private static final AtomicLong LAST_CORRELATION_ID = new AtomicLong(0x9b1f03aa5c7e2d40L);
 
     /** The discovery service; its watches report no changes unless a test scripts it. */
-    public final ScriptedServer discovery = new ScriptedServer(TestCluster::watchUnchanged);
+    public final ScriptedServer discovery = new ScriptedServer(TestCluster::answerWatchUnchanged);
 
     /** The lines that the program has written since it was started last. */
     public final List<String> log = new CopyOnWriteArrayList<>();
 
-    private final Queue<Closeable> open = new ConcurrentLinkedQueue<>();
+    private final Queue<Closeable> closeables = new ConcurrentLinkedQueue<>();
     private final Path config = Files.createTempFile("trailthread", ".json");
     private Process node;
 
     /** The program's limit of file descriptors. */
-    public int sockets = 256;
+    public int descriptorLimit = 256;
 
     /** More keys of the configuration, each followed by a comma. */
-    public String more = "";
+    public String extraConfig = "";
 
     /** The command that starts the program's own one, such as {@code nohup}; empty: none. */
     public List<String> launcher = List.of();
@@ -74,25 +74,25 @@
 
     /** Makes a cluster whose program is not started. */
     public TestCluster() throws IOException {
-        open.add(discovery);
+        closeables.add(discovery);
     }
 
     /**
      * Starts the program as a platform node and waits until it serves. It may be started again
      * after it has ended.
      *
-     * @param known the endpoints in the configuration
+     * @param initialEndpoints the endpoints in the configuration
      */
-    public TestCluster start(String settings, ScriptedServer... known)
+    public TestCluster start(String settings, ScriptedServer... initialEndpoints)
             throws IOException, InterruptedException {
         log.clear();
-        run(config(settings, known), "serve");
+        runNode(config(settings, initialEndpoints), "serve");
         awaitServing();
         return this;
     }
 
     /** Starts the program with an operator's file, and waits until it serves. */
-    public TestCluster serve(String toml) throws IOException, InterruptedException {
+    public TestCluster startWithOperatorFile(String toml) throws IOException, InterruptedException {
         log.clear();
         runClass(toml, List.of("trailthread.command.Trailthread", "serve", config.toString()));
         awaitServing();
@@ -100,33 +100,34 @@
     }
 
     private void awaitServing() throws InterruptedException {
-        Matcher serves = SERVES.matcher(logged("serves on"));
+        Matcher serves = SERVING_ADDRESS.matcher(awaitLogLine("serves on"));
         assertTrue(serves.find());
         port = Integer.parseInt(serves.group(1));
     }
 
     /** A node's configuration with these settings and known endpoints. */
-    public String config(String settings, ScriptedServer... known) {
-        return config(discovery, settings, known);
+    public String config(String settings, ScriptedServer... initialEndpoints) {
+        return config(discovery, settings, initialEndpoints);
     }
 
     /** A node's configuration with another discovery service. */
-    public String config(ScriptedServer discovery, String settings, ScriptedServer... known) {
+    public String config(
+            ScriptedServer discovery, String settings, ScriptedServer... initialEndpoints) {
         return "{"
-                + more
+                + extraConfig
                 + "\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
                 + discovery.hostPort()
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":"
-                + sockets
+                + descriptorLimit
                 + "},\"known\":"
-                + list(1, true, "active", known)
+                + endpointListJson(1, true, "active", initialEndpoints)
                 + ",\"settings\":{"
                 + settings
                 + "}}";
     }
 
     /** Starts the program with this configuration, without waiting for it. */
-    public Process run(String json, String... args) throws IOException {
+    public Process runNode(String json, String... args) throws IOException {
         List<String> words = new ArrayList<>(List.of("trailthread.daemon.Main"));
         words.addAll(List.of(args));
         return runClass(json, words);
@@ -137,15 +138,15 @@
      *
      * @return the pipe's writing end, once the program has opened it for reading
      */
-    public OutputStream startAtPipe() throws IOException, InterruptedException {
+    public OutputStream startWithConfigPipe() throws IOException, InterruptedException {
         Files.delete(config);
         assertEquals(0, new ProcessBuilder("mkfifo", config.toString()).start().waitFor());
         launch(List.of("trailthread.daemon.Main", "serve"));
-        return pipe();
+        return openConfigPipe();
     }
 
     /** The pipe's writing end, once the program has opened it for reading. */
-    public OutputStream pipe() throws IOException {
+    public OutputStream openConfigPipe() throws IOException {
         return Files.newOutputStream(config, StandardOpenOption.WRITE);
     }
 
@@ -171,7 +172,7 @@
     }
 
     /** Waits for a line of the log that contains the text, and returns the first one. */
-    public String logged(String part) throws InterruptedException {
+    public String awaitLogLine(String part) throws InterruptedException {
         for (int i = 0; i < MAX_POLLS; i++) {
             for (String line : log) {
                 if (line.contains(part)) {
@@ -184,7 +185,7 @@
     }
 
     /** A message of discovery that lists these endpoints, named w0, w1 and so on, all in cell 0. */
-    public static String list(
+    public static String endpointListJson(
             int generation, boolean reset, String lifecycle, ScriptedServer... endpoints) {
         StringBuilder entries = new StringBuilder();
         for (int i = 0; i < endpoints.length; i++) {
@@ -207,18 +208,18 @@
     }
 
     /** Responds to a watch request without any update. */
-    public static void watch(Message request) throws IOException {
+    public static void beginWatch(Message request) throws IOException {
         Message.send(request.connection(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
     /** Responds to a watch request with a heartbeat. */
-    public static void watchUnchanged(Message request) throws IOException {
-        watch(request);
-        line(request, "");
+    public static void answerWatchUnchanged(Message request) throws IOException {
+        beginWatch(request);
+        sendWatchLine(request, "");
     }
 
     /** Sends a line on a watch, as one chunk. */
-    public static void line(Message watch, String line) throws IOException {
+    public static void sendWatchLine(Message watch, String line) throws IOException {
         Message.send(
                 watch.connection(),
                 Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
@@ -228,26 +229,28 @@
     public Socket connect() throws IOException {
         Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
         client.setSoTimeout(1000 * ScriptedServer.LONGEST_WAIT_S);
-        open.add(client);
+        closeables.add(client);
         return client;
     }
 
     /** Sends a valid request of a class, on a new connection, and returns the response. */
-    public Message call(String requestClass) throws IOException {
+    public Message sendRequest(String requestClass) throws IOException {
         Socket client = connect();
-        Message.send(client, request(requestClass, "", ""));
+        Message.send(client, requestText(requestClass, "", ""));
         return Message.read(client);
     }
 
     /** Sends a request to the program's admin server. */
-    public Message manage(String method, String path) throws IOException, InterruptedException {
-        Matcher at = ADMIN_SERVER.matcher(logged("operators are told on"));
+    public Message sendAdminRequest(String method, String path)
+            throws IOException, InterruptedException {
+        Matcher at = ADMIN_ADDRESS.matcher(awaitLogLine("operators are told on"));
         assertTrue(at.find());
-        return manage(Integer.parseInt(at.group(1)), method, path);
+        return sendAdminRequest(Integer.parseInt(at.group(1)), method, path);
     }
 
     /** Sends a request to the admin server on this port. */
-    public static Message manage(int adminPort, String method, String path) throws IOException {
+    public static Message sendAdminRequest(int adminPort, String method, String path)
+            throws IOException {
         try (Socket operator = new Socket(InetAddress.getLoopbackAddress(), adminPort)) {
             operator.setSoTimeout(1000 * ScriptedServer.LONGEST_WAIT_S);
             Message.send(operator, method + " " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -256,10 +259,10 @@
     }
 
     /** Waits until the metrics of the admin server contain this line. */
-    public void awaitFigure(String line) throws IOException, InterruptedException {
+    public void awaitMetricLine(String line) throws IOException, InterruptedException {
         String metrics = "";
         for (int i = 0; i < MAX_POLLS; i++) {
-            metrics = manage("GET", "/-/metrics").body();
+            metrics = sendAdminRequest("GET", "/-/metrics").body();
             if (("\n" + metrics).contains("\n" + line + "\n")) {
                 return;
             }
@@ -269,14 +272,14 @@
     }
 
     /** The text of a valid request of a class, with a unique id. */
-    public static String request(String requestClass, String query, String headers) {
+    public static String requestText(String requestClass, String query, String headers) {
         boolean idempotent = requestClass.equals("state");
         return (idempotent ? "GET /" : "POST /")
                 + requestClass
                 + query
                 + " HTTP/1.1\r\nHost: api.internal\r\n"
                 + "X-Correlation-Id: "
-                + Long.toHexString(LAST_ID.incrementAndGet())
+                + Long.toHexString(LAST_CORRELATION_ID.incrementAndGet())
                 + "\r\nX-Service-Class: "
                 + requestClass
                 + "\r\nX-Account: acme\r\nX-Time-Left: 20.000\r\n"
@@ -296,7 +299,7 @@
     }
 
     /** How many file descriptors the program has open; -1 if it has ended. */
-    public int descriptors() {
+    public int openDescriptorCount() {
         String[] descriptors = Path.of("/proc", Long.toString(node.pid()), "fd").toFile().list();
         return descriptors == null ? -1 : descriptors.length;
     }
@@ -326,7 +329,7 @@
     }
 
     /** Waits for the program to end; whether it does in time. */
-    public boolean endsWithin(long time, TimeUnit unit) throws InterruptedException {
+    public boolean exitsWithin(long time, TimeUnit unit) throws InterruptedException {
         return node.waitFor(time, unit);
     }
 
@@ -339,14 +342,14 @@
     }
 
     /** Registers something to be closed at the end. */
-    public <T extends Closeable> T add(T peer) {
-        open.add(peer);
+    public <T extends Closeable> T closeAtEnd(T peer) {
+        closeables.add(peer);
         return peer;
     }
 
     /** Kills the program, and closes all connections and registered objects. */
-    public void end() throws IOException, InterruptedException {
-        for (Closeable c : open) {
+    public void close() throws IOException, InterruptedException {
+        for (Closeable c : closeables) {
             c.close();
         }
         if (node != null) {
