--- a/command/src/test/java/trailthread/command/PoolIsolationTest.java
+++ b/command/src/test/java/trailthread/command/PoolIsolationTest.java
@@ -44,7 +44,7 @@
                 Message.send(kept, request("GET", "/x", "sim.example.org", ""));
                 Message answer = Message.read(kept);
                 assertNotNull("its connection was closed", answer);
-                assertEquals(answer.start(), "sim", answer.body());
+                assertEquals(answer.startLine(), "sim", answer.body());
                 assertEquals("sim", ask("GET", "/x", "sim.example.org", "").body());
             }
         }
@@ -58,7 +58,7 @@
         marks.setScript(
                 asked -> {
                     try {
-                        never.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+                        never.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         throw new AssertionError(e);
                     }
@@ -148,11 +148,11 @@
         marks.setScript(
                 asked -> {
                     try {
-                        answer.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+                        answer.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         throw new AssertionError(e);
                     }
-                    asked.answer("200 OK", "", "kept");
+                    asked.respond("200 OK", "", "kept");
                 });
         stage.startWithOperatorFile(
                 file(
@@ -167,7 +167,7 @@
             Message.send(
                     held.get(i),
                     request("POST", "/x", "marks.example.org", "Content-Length: 51200\r\n") + body);
-            marks.asked();
+            marks.takeRequest();
         }
         Socket third = stage.connect();
         Message.send(
@@ -179,7 +179,7 @@
                 other,
                 request("POST", "/x", "sim.example.org", "Content-Length: 51200\r\n") + body);
         assertEquals("sim", Message.read(other).body());
-        assertEquals(body, sim.asked().body());
+        assertEquals(body, sim.takeRequest().body());
         answer.countDown();
         for (Socket client : held) {
             assertEquals("kept", Message.read(client).body());
--- a/command/src/test/java/trailthread/command/ServicesTest.java
+++ b/command/src/test/java/trailthread/command/ServicesTest.java
@@ -48,7 +48,7 @@
         serve();
         sim.setScript(
                 asked ->
-                        asked.answer(
+                        asked.respond(
                                 "201 Created",
                                 "Location: /y\r\nX-Hop: 1\r\nConnection: X-Hop\r\n"
                                         + "Set-Cookie: a\r\nset-cookie: b\r\n",
@@ -65,8 +65,8 @@
         assertEquals("/y", answer.header("Location"));
         assertEquals(null, answer.header("X-Hop"));
         assertEquals("1.1 trailthread", answer.header("Via"));
-        Message asked = sim.asked();
-        assertEquals("POST /a%20b?q=%2f HTTP/1.1", asked.start());
+        Message asked = sim.takeRequest();
+        assertEquals("POST /a%20b?q=%2f HTTP/1.1", asked.startLine());
         assertEquals("sim.example.org", asked.header("Host"));
         assertEquals("text/x", asked.header("Content-Type"));
         assertEquals("1", asked.header("X-Mine"));
@@ -84,7 +84,7 @@
                 asked ->
                         Message.send(
                                 asked.connection(),
-                                asked.start().startsWith("HEAD")
+                                asked.startLine().startsWith("HEAD")
                                         ? "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"
                                         : "HTTP/1.1 204 No Content\r\n\r\n"));
         for (int i = 0; i < 3; i++) { // on one connection to the endpoint, as nothing is left on it
@@ -97,9 +97,9 @@
             assertEquals(204, ask("DELETE", "/x", "sim.example.org", "").status());
             Thread.sleep(20);
         }
-        Socket first = sim.asked().connection();
+        Socket first = sim.takeRequest().connection();
         for (int i = 0; i < 5; i++) {
-            assertSame(first, sim.asked().connection());
+            assertSame(first, sim.takeRequest().connection());
         }
     }
 
@@ -112,7 +112,7 @@
                     if (times[0]++ % 2 == 0) {
                         asked.connection().close();
                     } else {
-                        asked.answer("200 OK", "", "again");
+                        asked.respond("200 OK", "", "again");
                     }
                 });
         assertEquals("again", ask("GET", "/x", "sim.example.org", "").body());
@@ -122,9 +122,9 @@
                 502,
                 ask("POST", "/x", "sim.example.org", "Content-Length: 0\r\n").status());
         for (int i = 0; i < 5; i++) {
-            sim.asked();
+            sim.takeRequest();
         }
-        sim.wasNotAsked();
+        sim.assertNoMoreRequests();
         assertEquals(
                 "laxer than its method",
                 400,
@@ -144,12 +144,12 @@
     @Test
     public void anEndpointsFaultIsNotForwarded() throws Exception {
         serve();
-        sim.setScript(asked -> asked.answer("429 Too Many Requests", "", ""));
+        sim.setScript(asked -> asked.respond("429 Too Many Requests", "", ""));
         assertEquals(
                 "only the node's own module refuses",
                 502,
                 ask("POST", "/x", "sim.example.org", "Content-Length: 0\r\n").status());
-        sim.setScript(asked -> asked.answer("404 Not Found", "", "none such"));
+        sim.setScript(asked -> asked.respond("404 Not Found", "", "none such"));
         assertEquals("none such", ask("GET", "/x", "sim.example.org", "").body());
     }
 
@@ -158,19 +158,19 @@
         serve();
         ask("GET", "/1", "sim.example.org", "");
         ask("GET", "/1", "marks.example.org", "");
-        Socket toSim = sim.asked().connection();
-        Socket toMarks = marks.asked().connection();
+        Socket toSim = sim.takeRequest().connection();
+        Socket toMarks = marks.takeRequest().connection();
         stage.reload(file(endpoints(sim), "attempts = 2\n" + endpoints(marks)));
         stage.awaitLogLine("1 pools kept, 1 begun, 1 ending");
         Thread.sleep(20); // as above
         ask("GET", "/2", "sim.example.org", "");
         ask("GET", "/2", "marks.example.org", "");
-        assertSame("the same connection", toSim, sim.asked().connection());
-        assertNotSame("another pool", toMarks, marks.asked().connection());
+        assertSame("the same connection", toSim, sim.takeRequest().connection());
+        assertNotSame("another pool", toMarks, marks.takeRequest().connection());
         assertSame(
                 "what the old pool held is closed",
                 toMarks,
-                marks.closed.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+                marks.closedConnections.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     @Test
@@ -180,15 +180,15 @@
         marks.setScript(
                 asked -> {
                     try {
-                        answer.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+                        answer.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         throw new AssertionError(e);
                     }
-                    asked.answer("200 OK", "", "late");
+                    asked.respond("200 OK", "", "late");
                 });
         Socket before = stage.connect();
         Message.send(before, request("POST", "/x", "marks.example.org", "Content-Length: 0\r\n"));
-        marks.asked();
+        marks.takeRequest();
         Socket half = stage.connect();
         Message.send(
                 half,
@@ -262,7 +262,7 @@
                         503,
                         ask("GET", "/x", "sim.example.org", "").status());
             }
-            sim.wasNotAsked();
+            sim.assertNoMoreRequests();
             assertEquals("marks", ask("GET", "/x", "marks.example.org", "").body());
         } finally {
             Files.deleteIfExists(list);
@@ -311,7 +311,7 @@
                                 "Content-Length: 0\r\n"));
                 Message answer = Message.read(client);
                 assertNotNull("a connection was closed during a request", answer);
-                assertEquals("request " + sent + ": " + answer.start(), host, answer.body());
+                assertEquals("request " + sent + ": " + answer.startLine(), host, answer.body());
             }
         }
         reloads.join();
@@ -321,7 +321,7 @@
         assertEquals(
                 "every request once",
                 sent + 2,
-                asked.stream().map(Message::start).distinct().count());
+                asked.stream().map(Message::startLine).distinct().count());
         assertEquals("every request once", sent + 2, asked.size());
         int after = stage.openDescriptorCount();
         for (int i = 0; i < 100 && after > before + 4; i++) {
--- a/command/src/test/java/trailthread/command/WithTwoServices.java
+++ b/command/src/test/java/trailthread/command/WithTwoServices.java
@@ -15,8 +15,8 @@
 
     WithTwoServices() throws Exception {
         stage = new TestCluster();
-        sim = stage.closeAtEnd(ScriptedServer.serving("sim"));
-        marks = stage.closeAtEnd(ScriptedServer.serving("marks"));
+        sim = stage.closeAtEnd(ScriptedServer.respondingWith("sim"));
+        marks = stage.closeAtEnd(ScriptedServer.respondingWith("marks"));
     }
 
     @After
--- a/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
+++ b/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
@@ -112,7 +112,7 @@
         Process program = builder.start();
         try {
             String text = "";
-            for (int i = 0; i < 100 * ScriptedServer.LONGEST_WAIT_S && !text.contains(until); i++) {
+            for (int i = 0; i < 100 * ScriptedServer.TIMEOUT_S && !text.contains(until); i++) {
                 program.waitFor(10, TimeUnit.MILLISECONDS);
                 text = Files.readString(log, StandardCharsets.ISO_8859_1);
             }
--- a/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
@@ -27,7 +27,7 @@
     @Test
     public void requestAndResponsePassUnchanged() throws Exception {
         String body = "bench \u00ff\u0000 and readings";
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving(body));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith(body));
         stage.start(TestCluster.SETTINGS, endpoint);
         Socket client = stage.connect();
         String query = "/a%2Fb;c=1//d?x=%20&&y=+%3D";
@@ -43,19 +43,19 @@
             // follow
         }
 
-        Message asked = endpoint.asked();
-        assertEquals("POST /action" + query + " HTTP/1.1", asked.start());
+        Message asked = endpoint.takeRequest();
+        assertEquals("POST /action" + query + " HTTP/1.1", asked.startLine());
         assertEquals("pour", asked.body());
         assertTrue(text.contains("X-Correlation-Id: " + asked.header("X-Correlation-Id") + "\r\n"));
         assertEquals("5c0f6e1a2b3d4c59", asked.header("Idempotency-Key"));
         double left = Double.parseDouble(asked.header("X-Time-Left"));
         assertTrue("time left: " + left, left > 0 && left <= 20);
-        assertEquals(asked.connection(), endpoint.asked().connection());
+        assertEquals(asked.connection(), endpoint.takeRequest().connection());
     }
 
     @Test
     public void aMalformedRequestIsRejectedAndReachesNoEndpoint() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         String good = TestCluster.requestText("use", "", "");
         String[] bad = {
@@ -84,7 +84,7 @@
             Message.send(client, text);
             assertEquals(413, Message.read(client).status());
         }
-        endpoint.wasNotAsked();
+        endpoint.assertNoMoreRequests();
 
         assertEquals("the node survives", "made", stage.sendRequest("use").body());
     }
@@ -103,9 +103,9 @@
      */
     @Test
     public void requestsOfADisconnectedClientAreDropped() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         stage.start(TestCluster.SETTINGS);
-        Message watch = stage.discovery.asked();
+        Message watch = stage.discovery.takeRequest();
         Socket gone = stage.connect();
         Message.send(gone, TestCluster.requestText("use", "", ""));
         stage.sendRequest("other"); // its response comes after the first request was read
@@ -115,8 +115,8 @@
         Socket client = stage.connect();
         Message.send(client, TestCluster.requestText("use", "?second", ""));
         assertEquals("made", Message.read(client).body());
-        assertEquals("POST /use?second HTTP/1.1", endpoint.asked().start());
-        endpoint.wasNotAsked();
+        assertEquals("POST /use?second HTTP/1.1", endpoint.takeRequest().startLine());
+        endpoint.assertNoMoreRequests();
     }
 
     /**
@@ -130,14 +130,14 @@
         Socket first = stage.connect();
         String text = TestCluster.requestText("use", "", "");
         Message.send(first, text);
-        Message asked = endpoint.asked();
+        Message asked = endpoint.takeRequest();
         Socket second = stage.connect();
         Message.send(second, text);
         assertEquals(409, Message.read(second).status());
-        endpoint.wasNotAsked();
-        asked.answer("200 OK", "", "made");
+        endpoint.assertNoMoreRequests();
+        asked.respond("200 OK", "", "made");
         assertEquals("made", Message.read(first).body());
-        endpoint.setScript(request -> request.answer("200 OK", "", "again"));
+        endpoint.setScript(request -> request.respond("200 OK", "", "again"));
         assertEquals("again", stage.sendRequest("use").body());
     }
 
@@ -145,7 +145,7 @@
     @Test
     public void moreClientsThanConnectionsAreAllServed() throws Exception {
         stage.descriptorLimit = 96; // 28 connections to clients
-        stage.start(TestCluster.SETTINGS, stage.closeAtEnd(ScriptedServer.serving("made")));
+        stage.start(TestCluster.SETTINGS, stage.closeAtEnd(ScriptedServer.respondingWith("made")));
         for (int i = 0; i < 60; i++) {
             assertEquals("made", stage.sendRequest("use").body()); // and the connection stays open
         }
@@ -158,7 +158,7 @@
     @Test
     public void idleConnectionsAndIncompleteRequestsBlockNobody() throws Exception {
         stage.descriptorLimit = 96;
-        stage.start(TestCluster.SETTINGS, stage.closeAtEnd(ScriptedServer.serving("made")));
+        stage.start(TestCluster.SETTINGS, stage.closeAtEnd(ScriptedServer.respondingWith("made")));
         String text = TestCluster.requestText("use", "", "");
         Socket[] useless = new Socket[60];
         for (int i = 0; i < useless.length; i++) {
@@ -181,7 +181,7 @@
                                             request.connection(),
                                             ""); // the second request is sent before the response
                                     // to this one
-                                    request.answer("200 OK", "", request.start());
+                                    request.respond("200 OK", "", request.startLine());
                                 }));
         stage.start(TestCluster.SETTINGS, endpoint);
         Socket client = stage.connect();
--- a/daemon/src/test/java/trailthread/daemon/CorruptResponseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CorruptResponseTest.java
@@ -43,16 +43,17 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfour\r\nmade\r\n0\r\n\r\n",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nb2d05e00\r\nmade",
         };
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         for (String response : corrupt) {
             endpoint.setScript(request -> Message.send(request.connection(), response));
             assertEquals(response, 502, stage.sendRequest("use").status());
-            Socket closed = endpoint.closed.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
-            assertEquals(response, endpoint.asked().connection(), closed);
-            endpoint.setScript(request -> request.answer("200 OK", "", "made"));
+            Socket closed =
+                    endpoint.closedConnections.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
+            assertEquals(response, endpoint.takeRequest().connection(), closed);
+            endpoint.setScript(request -> request.respond("200 OK", "", "made"));
             assertEquals("made", stage.sendRequest("state").body());
-            endpoint.asked();
+            endpoint.takeRequest();
         }
     }
 
@@ -62,29 +63,30 @@
     @Test
     public void bytesAfterAResponseNeverReachTheNextRequest() throws Exception {
         String[] more = {MADE.replace("made", "copy"), "noise", "\r\n"};
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         for (String rest : more) {
             endpoint.setScript(request -> Message.send(request.connection(), MADE + rest));
             assertEquals("made", stage.sendRequest("use").body());
-            Socket corrupt = endpoint.asked().connection();
-            endpoint.setScript(request -> request.answer("200 OK", "", "next"));
+            Socket corrupt = endpoint.takeRequest().connection();
+            endpoint.setScript(request -> request.respond("200 OK", "", "next"));
             assertEquals("next", stage.sendRequest("use").body());
-            assertNotEquals(corrupt, endpoint.asked().connection());
+            assertNotEquals(corrupt, endpoint.takeRequest().connection());
         }
     }
 
     /** Bytes that arrive while the connection is idle in the pool. */
     @Test
     public void aConnectionWithUnsolicitedBytesIsClosed() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         assertEquals("made", stage.sendRequest("use").body());
-        Socket idle = endpoint.asked().connection();
+        Socket idle = endpoint.takeRequest().connection();
         Message.send(idle, MADE.replace("made", "copy"));
-        assertEquals(idle, endpoint.closed.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertEquals(
+                idle, endpoint.closedConnections.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals("made", stage.sendRequest("use").body());
-        assertNotEquals(idle, endpoint.asked().connection());
+        assertNotEquals(idle, endpoint.takeRequest().connection());
     }
 
     @Test
@@ -96,13 +98,13 @@
             MADE.replace("\r\n\r\n", "\r\nX-Backend-Load: {{{{\u0001\u00ff\r\n\r\n"),
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x\r\nma\r\n2\r\nde\r\n0\r\nA: b\r\n\r\n",
         };
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         for (String response : valid) {
             endpoint.setScript(request -> sendInPieces(request.connection(), response));
             assertEquals(response, "made", stage.sendRequest("use").body());
         }
-        assertNotNull(endpoint.asked());
+        assertNotNull(endpoint.takeRequest());
     }
 
     private static void sendInPieces(Socket connection, String text) throws IOException {
--- a/daemon/src/test/java/trailthread/daemon/CrowdTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CrowdTest.java
@@ -119,8 +119,9 @@
     @Test
     public void idleClientsAtTheDescriptorLimitBlockNeitherDiscoveryNorRequests() throws Exception {
         stage.descriptorLimit = 128;
-        stage.discovery.setScript(request -> request.answer("503 Busy", "", ""));
-        stage.start(TestCluster.SETTINGS, stage.closeAtEnd(ScriptedServer.serving("before")));
+        stage.discovery.setScript(request -> request.respond("503 Busy", "", ""));
+        stage.start(
+                TestCluster.SETTINGS, stage.closeAtEnd(ScriptedServer.respondingWith("before")));
         stage.awaitLogLine("discovery answers 503");
         for (int i = 0; i < 3 * stage.descriptorLimit; i++) {
             stage.connect();
@@ -129,7 +130,7 @@
         assertTrue(
                 stage.openDescriptorCount() + " held",
                 stage.openDescriptorCount() <= stage.descriptorLimit);
-        ScriptedServer after = stage.closeAtEnd(ScriptedServer.serving("after"));
+        ScriptedServer after = stage.closeAtEnd(ScriptedServer.respondingWith("after"));
         stage.discovery.setScript(
                 request -> {
                     TestCluster.beginWatch(request);
@@ -151,8 +152,8 @@
         stage.descriptorLimit = 382; // 200 connections to clients
         stage.start(
                 TestCluster.SETTINGS,
-                stage.closeAtEnd(ScriptedServer.serving("made")),
-                stage.closeAtEnd(ScriptedServer.serving("made")));
+                stage.closeAtEnd(ScriptedServer.respondingWith("made")),
+                stage.closeAtEnd(ScriptedServer.respondingWith("made")));
         UnixOperatingSystemMXBean system =
                 (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         long free = system.getMaxFileDescriptorCount() - system.getOpenFileDescriptorCount();
--- a/daemon/src/test/java/trailthread/daemon/DegradationControllerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DegradationControllerTest.java
@@ -60,7 +60,7 @@
                         .replace("SLOW", SLOW);
         ScriptedServer endpoint =
                 stage.closeAtEnd(
-                        new ScriptedServer(request -> request.answer("500 Error", "", "")));
+                        new ScriptedServer(request -> request.respond("500 Error", "", "")));
         stage.start(TestCluster.SETTINGS, endpoint);
         int node = stage.port;
         assertTrue(metrics().contains("trailthread_level{trailthread_level=\"normal\"} 1"));
@@ -71,15 +71,15 @@
                 new String[] {"from=", "to=", "reading=", "value=", "bound=", "starved"}) {
             assertTrue(change, change.contains(part));
         }
-        endpoint.setScript(request -> request.answer("200 OK", "", "made"));
-        endpoint.asked();
+        endpoint.setScript(request -> request.respond("200 OK", "", "made"));
+        endpoint.takeRequest();
         for (int i = 0; i < 3; i++) {
             Message shed = stage.sendRequest("state");
             assertEquals(503, shed.status());
             assertNotNull(shed.header("Retry-After"));
-            endpoint.wasNotAsked();
+            endpoint.assertNoMoreRequests();
             assertEquals("made", stage.sendRequest("use").body());
-            endpoint.asked();
+            endpoint.takeRequest();
         }
         String metrics = metrics();
         for (String line :
--- a/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
@@ -19,8 +19,8 @@
 
     public DiscoverySideTest() throws Exception {
         stage = new TestCluster();
-        first = stage.closeAtEnd(ScriptedServer.serving("first"));
-        second = stage.closeAtEnd(ScriptedServer.serving("second"));
+        first = stage.closeAtEnd(ScriptedServer.respondingWith("first"));
+        second = stage.closeAtEnd(ScriptedServer.respondingWith("second"));
     }
 
     @After
@@ -35,8 +35,8 @@
     @Test
     public void changesAreAppliedAndWatchesNameTheKnownGeneration() throws Exception {
         stage.start(TestCluster.SETTINGS, first);
-        Message watch = stage.discovery.asked();
-        assertEquals("GET /v1/endpoints?stream=1&index=1 HTTP/1.1", watch.start());
+        Message watch = stage.discovery.takeRequest();
+        assertEquals("GET /v1/endpoints?stream=1&index=1 HTTP/1.1", watch.startLine());
         assertEquals("the list known before serves", "first", stage.sendRequest("use").body());
 
         TestCluster.sendWatchLine(watch, "");
@@ -54,14 +54,15 @@
         assertEquals("nothing new to what drains", asked, first.requests.size());
         watch.connection().close();
         assertEquals(
-                "GET /v1/endpoints?stream=1&index=8 HTTP/1.1", stage.discovery.asked().start());
+                "GET /v1/endpoints?stream=1&index=8 HTTP/1.1",
+                stage.discovery.takeRequest().startLine());
     }
 
     @Test
     public void aCompleteListReplacesTheKnownOne() throws Exception {
         stage.start(TestCluster.SETTINGS, first);
         TestCluster.sendWatchLine(
-                stage.discovery.asked(),
+                stage.discovery.takeRequest(),
                 as("w1", TestCluster.endpointListJson(2, true, "active", second)));
         while (!stage.sendRequest("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
@@ -77,24 +78,25 @@
         stage.start(TestCluster.SETTINGS, first);
         String list = as("w1", TestCluster.endpointListJson(2, true, "active", second));
         TestCluster.sendWatchLine(
-                stage.discovery.asked(),
+                stage.discovery.takeRequest(),
                 list.replace("{", "{\n  ").replace(",", ",\n  ").replace("}", "\n}"));
         while (!stage.sendRequest("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
-        stage.discovery.wasNotAsked();
+        stage.discovery.assertNoMoreRequests();
     }
 
     @Test
     public void aMalformedUpdateEndsTheWatchAndTheListIsKept() throws Exception {
         stage.start(TestCluster.SETTINGS, first);
-        Message watch = stage.discovery.asked();
+        Message watch = stage.discovery.takeRequest();
         TestCluster.sendWatchLine(
                 watch,
                 TestCluster.endpointListJson(9, true, "active", second)
                         .replace("\"hostPort\"", "\"other\""));
         assertEquals(
-                "GET /v1/endpoints?stream=1&index=1 HTTP/1.1", stage.discovery.asked().start());
+                "GET /v1/endpoints?stream=1&index=1 HTTP/1.1",
+                stage.discovery.takeRequest().startLine());
         assertEquals("first", stage.sendRequest("use").body());
     }
 
@@ -103,7 +105,7 @@
         stage.discovery.setScript(
                 request -> {
                     if (stage.discovery.requests.size() == 1) {
-                        request.answer("503 Busy", "", "");
+                        request.respond("503 Busy", "", "");
                     } else {
                         TestCluster.beginWatch(request);
                         TestCluster.sendWatchLine(
@@ -122,7 +124,7 @@
                 TestCluster.SETTINGS.replace(
                         "\"discovery\":\"on_request\"", "\"discovery\":\"pushed\""),
                 first);
-        Message watch = stage.discovery.asked();
+        Message watch = stage.discovery.takeRequest();
         TestCluster.sendWatchLine(
                 watch, as("w1", TestCluster.endpointListJson(2, true, "active", second)));
         while (!stage.sendRequest("use").body().equals("second")) {
@@ -158,7 +160,7 @@
                                                     TestCluster.endpointListJson(
                                                             2, true, "active", second)));
                                 }));
-        stage.discovery.setScript(request -> request.answer("503 Busy", "", ""));
+        stage.discovery.setScript(request -> request.respond("503 Busy", "", ""));
         String anHour =
                 TestCluster.SETTINGS.replace(
                         "\"ask_every_ns\":1000000000", "\"ask_every_ns\":3600000000000000");
@@ -174,10 +176,10 @@
     @Test
     public void aSilentWatchIsClosed() throws Exception {
         stage.start(TestCluster.SETTINGS, first);
-        Message watch = stage.discovery.asked();
+        Message watch = stage.discovery.takeRequest();
         TestCluster.sendWatchLine(watch, "");
         stage.awaitLogLine("is silent");
-        stage.discovery.asked();
+        stage.discovery.takeRequest();
         assertEquals("first", stage.sendRequest("use").body());
     }
 
@@ -201,7 +203,7 @@
             assertEquals("one request", 1, stage.discovery.requests.size());
         }
         assertEquals("one request", 1, stage.discovery.requests.size());
-        first.wasNotAsked();
+        first.assertNoMoreRequests();
     }
 
     /** An endless list would keep the node from polling again. */
@@ -242,7 +244,7 @@
     @Test
     public void onSighupTheWatchMovesAndAllElseStays() throws Exception {
         stage.start(TestCluster.SETTINGS, first);
-        Message watch = stage.discovery.asked();
+        Message watch = stage.discovery.takeRequest();
         TestCluster.sendWatchLine(
                 watch, as("w1", TestCluster.endpointListJson(7, true, "active", second)));
         while (!stage.sendRequest("use").body().equals("second")) {
@@ -255,8 +257,8 @@
         for (int i = 0; i < 3; i++) { // several in a row have the effect of one
             stage.reload(stage.config(moved, TestCluster.SETTINGS, first));
         }
-        Message movedWatch = moved.asked();
-        assertEquals("GET /v1/endpoints?stream=1&index=7 HTTP/1.1", movedWatch.start());
+        Message movedWatch = moved.takeRequest();
+        assertEquals("GET /v1/endpoints?stream=1&index=7 HTTP/1.1", movedWatch.startLine());
         watch.connection().close();
         assertEquals("the list is kept", "second", stage.sendRequest("use").body());
         TestCluster.sendWatchLine(
@@ -264,8 +266,8 @@
         while (!stage.sendRequest("use").body().equals("first")) {
             assertTrue(second.requests.size() < 100);
         }
-        moved.wasNotAsked();
-        stage.discovery.wasNotAsked();
+        moved.assertNoMoreRequests();
+        stage.discovery.assertNoMoreRequests();
         stage.terminate();
         assertEquals(0, stage.exitStatus());
         assertTrue(
--- a/daemon/src/test/java/trailthread/daemon/DrainTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTest.java
@@ -22,12 +22,12 @@
     @Test
     public void requestsAreServedAndConnectionsCloseWithTheirResponsesOrIdle() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.servingAfter(answer, "made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         assertEquals(200, ready().status());
         Socket busy = stage.connect();
         Message.send(busy, TestCluster.requestText("use", "", ""));
-        endpoint.asked();
+        endpoint.takeRequest();
         Socket idle = stage.connect();
         Message.send(idle, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals(200, Message.read(idle).status());
@@ -37,7 +37,7 @@
         assertEquals("idle connections are closed", -1, idle.getInputStream().read());
         Socket late = stage.connect();
         Message.send(late, TestCluster.requestText("use", "", ""));
-        endpoint.asked();
+        endpoint.takeRequest();
         answer.countDown();
         for (Socket client : new Socket[] {busy, late}) {
             Message served = Message.read(client);
--- a/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
@@ -63,7 +63,7 @@
     private <T> T onLoop(Supplier<T> does) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(() -> done.complete(does.get()));
-        return done.get(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+        return done.get(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     private static String says(Drain drain, String event) {
@@ -103,7 +103,7 @@
             assertEquals(events + ": ready", row[2], onLoop(listener::isReady));
             Thread.sleep(ANSWERS_HAVE_ENDED_MS);
             try (Socket client = new Socket(at.getAddress(), at.getPort())) {
-                client.setSoTimeout(1000 * ScriptedServer.LONGEST_WAIT_S);
+                client.setSoTimeout(1000 * ScriptedServer.TIMEOUT_S);
                 Message.send(client, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 Message answer = Message.read(client);
                 assertEquals(events, (boolean) row[2] ? 200 : 503, answer.status());
--- a/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
@@ -39,9 +39,9 @@
         ScriptedServer.Script script =
                 request -> {
                     if (asked.getAndIncrement() == 0) {
-                        act.act(request);
+                        act.respond(request);
                     } else {
-                        request.answer("200 OK", "", "made");
+                        request.respond("200 OK", "", "made");
                     }
                 };
         ScriptedServer[] endpoints = {
@@ -60,7 +60,7 @@
     public void anUnprocessedRequestIsRetriedElsewhere() throws Exception {
         ScriptedServer[] endpoints =
                 startWithFirstRequest(
-                        request -> request.answer("503 Full", "X-Unprocessed: 1\r\n", ""));
+                        request -> request.respond("503 Full", "X-Unprocessed: 1\r\n", ""));
         assertEquals("made", stage.sendRequest("use").body());
         assertEquals(2, asked(endpoints));
     }
@@ -68,7 +68,7 @@
     @Test
     public void aRequestWhoseConnectionIsRefusedIsRetriedElsewhere() throws Exception {
         ScriptedServer gone = new ScriptedServer(request -> {});
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         stage.start(TestCluster.SETTINGS, gone, endpoint);
         gone.close();
         for (int i = 0; i < 5; i++) {
@@ -92,7 +92,8 @@
         List<ScriptedServer.Script> failures = new ArrayList<>();
         for (String status : List.of("500 Error", "503 Busy", "429 Many", "404 Unknown")) {
             failures.add(
-                    request -> request.answer(status, "X-Other: 1\r\n", "x".repeat(64 * 1024 + 1)));
+                    request ->
+                            request.respond(status, "X-Other: 1\r\n", "x".repeat(64 * 1024 + 1)));
         }
         for (String response :
                 List.of(
@@ -112,7 +113,7 @@
         ScriptedServer endpoint =
                 stage.closeAtEnd(
                         new ScriptedServer(
-                                request -> failures.get(turn.getAndIncrement()).act(request)));
+                                request -> failures.get(turn.getAndIncrement()).respond(request)));
         stage.start(TestCluster.SETTINGS, endpoint);
         for (int i = 0; i < failures.size(); i++) {
             assertEquals("way " + i, 502, stage.sendRequest("use").status());
@@ -127,7 +128,7 @@
     @Test
     public void aTimedOutAttemptIsClosedBeforeTheNextIsSent() throws Exception {
         ScriptedServer[] endpoints =
-                startWithFirstRequest(request -> request.answer("200 OK", "", "made"));
+                startWithFirstRequest(request -> request.respond("200 OK", "", "made"));
         assertEquals(
                 "made",
                 stage.sendRequest("state")
@@ -141,10 +142,10 @@
                             other.setScript(
                                     second -> {
                                         closedBefore.add(closed(endpoints));
-                                        second.answer("200 OK", "", "made");
+                                        second.respond("200 OK", "", "made");
                                     });
                         }
-                        silent.act(request);
+                        silent.respond(request);
                     });
         }
         assertEquals("made", stage.sendRequest("state").body());
@@ -157,26 +158,29 @@
     private static int closed(ScriptedServer... endpoints) throws IOException {
         try {
             for (int i = 0;
-                    i < 500 && endpoints[0].closed.size() + endpoints[1].closed.size() == 0;
+                    i < 500
+                            && endpoints[0].closedConnections.size()
+                                            + endpoints[1].closedConnections.size()
+                                    == 0;
                     i++) {
                 Thread.sleep(10);
             }
         } catch (InterruptedException e) {
             throw new IOException(e);
         }
-        return endpoints[0].closed.size() + endpoints[1].closed.size();
+        return endpoints[0].closedConnections.size() + endpoints[1].closedConnections.size();
     }
 
     @Test
     public void idleConnectionsAreClosedBeforeTheEndpointClosesThem() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         String settings = TestCluster.SETTINGS.replace("idle_close_ns\":60", "idle_close_ns\":1");
         stage.start(settings, endpoint);
         assertEquals("made", stage.sendRequest("use").body());
-        Socket idle = endpoint.closed.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
-        assertEquals(endpoint.asked().connection(), idle);
+        Socket idle = endpoint.closedConnections.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
+        assertEquals(endpoint.takeRequest().connection(), idle);
         assertEquals("made", stage.sendRequest("use").body());
-        assertNotEquals(idle, endpoint.asked().connection());
+        assertNotEquals(idle, endpoint.takeRequest().connection());
     }
 
     /** At the descriptor limit, an idle connection is closed for one to another endpoint. */
@@ -191,7 +195,7 @@
                                         LockSupport.parkNanos(
                                                 5_000_000); // a clear difference, so that each
                                         // endpoint is used
-                                        request.answer("200 OK", "", "made");
+                                        request.respond("200 OK", "", "made");
                                     }));
         }
         stage.descriptorLimit = 96; // 16 connections to endpoints
@@ -202,14 +206,14 @@
             assertEquals("made", Message.read(client).body());
         }
         for (ScriptedServer endpoint : endpoints) {
-            endpoint.asked();
+            endpoint.takeRequest();
         }
     }
 
     /** The drain is announced while a connect hangs; what counts is the request's first byte. */
     @Test
     public void nothingIsSentToAnEndpointThatBeganToDrain() throws Exception {
-        ScriptedServer serving = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer serving = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         try (ServerSocket hanging = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> fill = new ArrayList<>(); // fills its backlog, so that a connect hangs
             while (fill.size() < 2) {
@@ -219,7 +223,7 @@
                     TestCluster.endpointListJson(1, true, "active", serving)
                             .replace(serving.hostPort(), "127.0.0.1:" + hanging.getLocalPort());
             stage.start(TestCluster.SETTINGS);
-            Message watch = stage.discovery.asked();
+            Message watch = stage.discovery.takeRequest();
             TestCluster.sendWatchLine(watch, list);
             Socket client = stage.connect();
             Message.send(client, TestCluster.requestText("use", "", ""));
--- a/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
+++ b/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
@@ -68,7 +68,7 @@
                         request -> {
                             receivedIds.add(request.header("X-Correlation-Id"));
                             if (!endpointsHang) {
-                                request.answer("200 OK", "", "made");
+                                request.respond("200 OK", "", "made");
                             }
                         }));
     }
@@ -123,7 +123,7 @@
         } catch (SocketTimeoutException e) {
             return false;
         } finally {
-            connection.setSoTimeout(1_000 * ScriptedServer.LONGEST_WAIT_S);
+            connection.setSoTimeout(1_000 * ScriptedServer.TIMEOUT_S);
         }
     }
 
--- a/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
@@ -110,18 +110,18 @@
                             request.connection().getOutputStream().write(made);
                             request.connection().shutdownOutput();
                         });
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         for (ScriptedServer.Script form : forms) {
             endpoint.setScript(form);
             Socket client = stage.connect();
             Message.send(client, TestCluster.requestText("use", "", ""));
-            endpoint.asked();
+            endpoint.takeRequest();
             assertArrayEquals(made, read(client));
-            endpoint.setScript(request -> request.answer("200 OK", "", "next"));
+            endpoint.setScript(request -> request.respond("200 OK", "", "next"));
             Message.send(client, TestCluster.requestText("use", "", ""));
             assertEquals("the connection goes on", "next", Message.read(client).body());
-            endpoint.asked();
+            endpoint.takeRequest();
         }
     }
 
@@ -132,8 +132,8 @@
                 stage.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
-                                    if (request.start().startsWith("GET")) {
-                                        request.answer("200 OK", "", "short");
+                                    if (request.startLine().startsWith("GET")) {
+                                        request.respond("200 OK", "", "short");
                                     } else {
                                         Message.send(
                                                 request.connection(),
@@ -146,7 +146,7 @@
         for (int i = 0; i < 6; i++) { // 192 MB, with a heap of 64 MB
             clients.add(stage.connect());
             Message.send(clients.get(i), TestCluster.requestText("use", "", ""));
-            endpoint.asked();
+            endpoint.takeRequest();
         }
         assertEquals("others are served meanwhile", "short", stage.sendRequest("state").body());
         clients.get(0).close();
@@ -159,7 +159,7 @@
     @Test
     public void aTruncatedResponseIsNotComplete() throws Exception {
         byte[] made = bytes(LONG);
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         for (String framing :
                 List.of(
@@ -183,7 +183,7 @@
                     });
             Socket client = stage.connect();
             Message.send(client, TestCluster.requestText("use", "", ""));
-            endpoint.asked();
+            endpoint.takeRequest();
             try {
                 read(client);
             } catch (IOException | AssertionError e) {
@@ -202,7 +202,7 @@
                         new ScriptedServer(
                                 request -> {
                                     boolean first = asked.incrementAndGet() == 1;
-                                    request.answer(
+                                    request.respond(
                                             first ? "503 Busy" : "200 OK",
                                             first ? "X-Unprocessed: 1\r\n" : "",
                                             first ? "" : "made");
@@ -213,10 +213,10 @@
                         .replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "");
         Socket told = stage.connect();
         Message.send(told, head + "Expect: 100-continue\r\nContent-Length: " + LONG + "\r\n\r\n");
-        assertEquals("HTTP/1.1 100 Continue", Message.read(told).start());
+        assertEquals("HTTP/1.1 100 Continue", Message.read(told).startLine());
         Message.send(told, body);
-        assertEquals(body, endpoint.asked().body());
-        assertEquals("sent again whole", body, endpoint.asked().body());
+        assertEquals(body, endpoint.takeRequest().body());
+        assertEquals("sent again whole", body, endpoint.takeRequest().body());
         assertEquals("made", Message.read(told).body());
         Socket chunked = stage.connect();
         Message.send(
@@ -228,7 +228,7 @@
         chunks(chunked.getOutputStream(), body.getBytes(StandardCharsets.ISO_8859_1), 70_000);
         Message.send(chunked, "0\r\n\r\n");
         assertEquals("made", Message.read(chunked).body());
-        assertEquals(body, endpoint.asked().body());
+        assertEquals(body, endpoint.takeRequest().body());
     }
 
     /** The head of a request, with the header that frames its body. */
@@ -252,7 +252,7 @@
                         new ScriptedServer(
                                 request -> {
                                     answers.acquireUninterruptibly();
-                                    request.answer("200 OK", "", "made");
+                                    request.respond("200 OK", "", "made");
                                     answered.release();
                                 }));
         stage.start(TestCluster.SETTINGS, endpoint);
@@ -261,7 +261,7 @@
         for (int i = 0; i < 5; i++) {
             Socket leaves = stage.connect();
             Message.send(leaves, head("Content-Length: " + body.length()) + body);
-            endpoint.asked();
+            endpoint.takeRequest();
             leaves.close();
             stage.awaitMetricLine("app_current 0");
             answers.release();
@@ -271,14 +271,14 @@
                     "made",
                     stage.sendRequest("state")
                             .body()); // by then the node has read the previous response
-            endpoint.asked();
+            endpoint.takeRequest();
             answered.acquireUninterruptibly();
         }
         AtomicInteger asked = new AtomicInteger();
         endpoint.setScript(
                 request -> {
                     boolean first = asked.incrementAndGet() == 1;
-                    request.answer(
+                    request.respond(
                             first ? "503 Busy" : "200 OK",
                             first ? "X-Unprocessed: 1\r\n" : "",
                             first ? "" : "made");
@@ -291,7 +291,7 @@
 
     @Test
     public void bodiesThatExceedTheMemoryAreStreamed() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         byte[] most = bytes(30 * 1024 * 1024); // below the limit of a body, above that of all
         String body = new String(most, StandardCharsets.ISO_8859_1);
@@ -306,17 +306,17 @@
                 Message.send(client, body);
             }
             assertEquals(framing, "made", Message.read(client).body());
-            assertEquals(body, endpoint.asked().body());
+            assertEquals(body, endpoint.takeRequest().body());
             Message.send(client, TestCluster.requestText("use", "", ""));
             assertEquals("the connection goes on", "made", Message.read(client).body());
-            endpoint.asked();
+            endpoint.takeRequest();
         }
         stage.awaitMetricLine("app_sends 4");
     }
 
     @Test
     public void aRejectionOfAStreamedBodyIsForwardedWithoutRetry() throws Exception {
-        ScriptedServer elsewhere = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer elsewhere = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         stage.start(TestCluster.SETTINGS);
         CountDownLatch rejected = new CountDownLatch(1);
         try (ServerSocket early = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
@@ -336,14 +336,14 @@
                             });
             thread.start();
             TestCluster.sendWatchLine(
-                    stage.discovery.asked(),
+                    stage.discovery.takeRequest(),
                     TestCluster.endpointListJson(2, true, "active", elsewhere)
                             .replace(elsewhere.hostPort(), "127.0.0.1:" + early.getLocalPort()));
             stage.awaitMetricLine("app_cluster_size 1");
             Socket client = stage.connect();
             Message.send(client, head("Content-Length: " + 30 * 1024 * 1024));
             Message.send(client, "x".repeat(100_000));
-            assertTrue(rejected.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+            assertTrue(rejected.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
             Message refused = Message.read(client);
             assertEquals("nothing has run: the module refuses", 503, refused.status());
             assertEquals("close", refused.header("Connection"));
@@ -356,7 +356,7 @@
     public void aTruncatedBodyIsNoRequest() throws Exception {
         ScriptedServer endpoint =
                 stage.closeAtEnd(
-                        new ScriptedServer(request -> request.answer("200 OK", "", "made")));
+                        new ScriptedServer(request -> request.respond("200 OK", "", "made")));
         stage.start(TestCluster.SETTINGS, endpoint);
         Socket client = stage.connect();
         Message.send(client, head("Content-Length: " + 30 * 1024 * 1024));
@@ -364,15 +364,16 @@
         client.close();
         assertTrue(
                 "the worker's connection ends",
-                endpoint.closed.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS) != null);
-        endpoint.wasNotAsked();
+                endpoint.closedConnections.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS)
+                        != null);
+        endpoint.assertNoMoreRequests();
         stage.awaitMetricLine("app_current 0");
         assertEquals("made", stage.sendRequest("use").body());
     }
 
     @Test
     public void aMalformedRequestIsNotBuffered() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         Socket noCall = stage.connect();
         Message.send(
--- a/daemon/src/test/java/trailthread/daemon/MetricsOverSocketsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/MetricsOverSocketsTest.java
@@ -15,12 +15,12 @@
     @Test
     public void eachRequestIsCountedOnce() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         endpoint.setScript(
                 request -> {
-                    switch (request.start().replaceAll(".*how=(\\w+) .*", "$1")) {
+                    switch (request.startLine().replaceAll(".*how=(\\w+) .*", "$1")) {
                         case "reset" -> request.connection().close();
-                        case "error" -> request.answer("500 Error", "", "");
+                        case "error" -> request.respond("500 Error", "", "");
                         case "held" -> ScriptedServer.await(over);
                         case "long" -> {
                             Message.send(
@@ -29,7 +29,7 @@
                             Message.send(request.connection(), "x".repeat(100_000));
                             request.connection().close();
                         }
-                        default -> request.answer("200 OK", "", "made");
+                        default -> request.respond("200 OK", "", "made");
                     }
                 });
         stage.start(TestCluster.SETTINGS, endpoint);
--- a/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
@@ -56,10 +56,10 @@
                 stage.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
-                                    if (request.start().startsWith("POST /use")) {
+                                    if (request.startLine().startsWith("POST /use")) {
                                         ScriptedServer.await(answer);
                                     }
-                                    request.answer("200 OK", "", "made");
+                                    request.respond("200 OK", "", "made");
                                 }));
         Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
         long old = start();
@@ -88,7 +88,7 @@
         Message served = Message.read(atWork);
         assertEquals("made", served.body());
         assertEquals("close", served.header("Connection"));
-        ended.get(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+        ended.get(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
         assertEquals("made", stage.sendRequest("state").body());
         assertEquals(
                 "endpoints received only clients' requests",
@@ -102,7 +102,7 @@
 
     @Test
     public void aNewProcessThatDiesChangesNothing() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
         start();
         holder.logged(SERVES, 1);
@@ -123,7 +123,7 @@
 
     @Test
     public void severalUpgradesInARowAlsoDuringADrain() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
         long old = start();
         holder.logged(SERVES, 1);
--- a/daemon/src/test/java/trailthread/daemon/PauseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/PauseTest.java
@@ -67,8 +67,8 @@
     public void requestsSentToAStoppedNodeAreServedAndRunOnce() throws Exception {
         stage.descriptorLimit = 96; // 28 connections to clients: fewer than come
         ScriptedServer[] endpoints = {
-            stage.closeAtEnd(ScriptedServer.serving("made")),
-            stage.closeAtEnd(ScriptedServer.serving("made"))
+            stage.closeAtEnd(ScriptedServer.respondingWith("made")),
+            stage.closeAtEnd(ScriptedServer.respondingWith("made"))
         };
         stage.start(TestCluster.SETTINGS, endpoints);
         List<Socket> clients = new ArrayList<>();
@@ -83,19 +83,17 @@
                     request -> {
                         out.countDown();
                         try {
-                            goOn.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+                            goOn.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
                         } catch (InterruptedException e) {
                             throw new AssertionError(e);
                         }
-                        request.answer("200 OK", "", "made");
+                        request.respond("200 OK", "", "made");
                     });
         }
         for (int i = 0; i < IN_FLIGHT; i++) {
             clients.add(send(stage.connect(), i));
         }
-        assertTrue(
-                "requests are in flight",
-                out.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertTrue("requests are in flight", out.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
 
         stage.signal("STOP");
         goOn.countDown();
@@ -116,7 +114,7 @@
 
     @Test
     public void silentEndpointsBlockNothingAndAreUsedAgainOnceTheyRespond() throws Exception {
-        ScriptedServer.Script serves = request -> request.answer("200 OK", "", "made");
+        ScriptedServer.Script serves = request -> request.respond("200 OK", "", "made");
         ScriptedServer[] endpoints = {
             stage.closeAtEnd(new ScriptedServer(serves)),
             stage.closeAtEnd(new ScriptedServer(serves)),
@@ -155,8 +153,7 @@
             endpoint.setScript(serves);
             endpoint.requests.clear();
         }
-        long limit =
-                System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * ScriptedServer.LONGEST_WAIT_S);
+        long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * ScriptedServer.TIMEOUT_S);
         while (silent[0].requests.isEmpty() || silent[1].requests.isEmpty()) {
             assertTrue("used again", System.nanoTime() < limit);
             assertEquals("made", stage.sendRequest("state").body());
--- a/daemon/src/test/java/trailthread/daemon/RetuneTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RetuneTest.java
@@ -20,12 +20,12 @@
     @Test
     public void classesAreAddedAndRemovedAndRequestsInFlightKeepTheirs() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.servingAfter(answer, "made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         assertEquals(400, stage.sendRequest("study").status());
         Socket atWork = stage.connect();
         Message.send(atWork, TestCluster.requestText("use", "", ""));
-        endpoint.asked();
+        endpoint.takeRequest();
         Socket half = stage.connect();
         String request = TestCluster.requestText("use", "", "");
         Message.send(half, request.substring(0, request.length() - 2));
@@ -35,7 +35,7 @@
         stage.awaitMetricLine("app_answered{group=\"study\"} 0");
         assertEquals(400, stage.sendRequest("use").status());
         Message.send(half, request.substring(request.length() - 2));
-        endpoint.asked();
+        endpoint.takeRequest();
         answer.countDown();
         assertEquals("made", Message.read(atWork).body());
         assertEquals("made", Message.read(half).body());
@@ -47,10 +47,10 @@
     public void fewerAttemptsApplyAtOnce() throws Exception {
         ScriptedServer endpoint =
                 stage.closeAtEnd(
-                        new ScriptedServer(request -> request.answer("500 Error", "", "")));
+                        new ScriptedServer(request -> request.respond("500 Error", "", "")));
         ScriptedServer other =
                 stage.closeAtEnd(
-                        new ScriptedServer(request -> request.answer("500 Error", "", "")));
+                        new ScriptedServer(request -> request.respond("500 Error", "", "")));
         stage.start(TestCluster.SETTINGS, endpoint, other);
         assertTrue(
                 "more than one attempt",
@@ -65,7 +65,7 @@
 
     @Test
     public void severalReloadsInARowEndWithTheNewestFile() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         for (int i = 0; i < 20; i++) {
             stage.reload(stage.config(i % 2 == 0 ? OTHERS : TestCluster.SETTINGS, endpoint));
@@ -75,7 +75,7 @@
                         OTHERS.replace("\"study\"", "\"newest\""),
                         endpoint)); // no other file has that class
         boolean newest = false;
-        for (int i = 0; !newest && i < 10 * ScriptedServer.LONGEST_WAIT_S; i++) {
+        for (int i = 0; !newest && i < 10 * ScriptedServer.TIMEOUT_S; i++) {
             newest = stage.sendRequest("newest").status() == 200;
             Thread.sleep(newest ? 0 : 100);
         }
@@ -90,7 +90,7 @@
 
     @Test
     public void aBrokenFileChangesNothing() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         String good = stage.config(OTHERS, endpoint);
         String[] broken = {
--- a/daemon/src/test/java/trailthread/daemon/RollingRestartTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RollingRestartTest.java
@@ -103,7 +103,7 @@
                 } catch (ConnectException e) {
                     return false;
                 }
-                connection.setSoTimeout(1000 * ScriptedServer.LONGEST_WAIT_S);
+                connection.setSoTimeout(1000 * ScriptedServer.TIMEOUT_S);
             }
             Matcher id = ID.matcher(requestText);
             assertTrue(id.find());
@@ -188,7 +188,7 @@
                                                 1,
                                                 Integer::sum);
                                         LockSupport.parkNanos(slowed ? SLOW_MS * 1_000_000L : 0);
-                                        request.answer("200 OK", "", "made");
+                                        request.respond("200 OK", "", "made");
                                     }));
         }
         for (TestCluster node : nodes) {
--- a/daemon/src/test/java/trailthread/daemon/StaleListTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StaleListTest.java
@@ -33,8 +33,8 @@
 
     public StaleListTest() throws Exception {
         stage = new TestCluster();
-        gone = stage.closeAtEnd(ScriptedServer.serving("gone"));
-        present = stage.closeAtEnd(ScriptedServer.serving("present"));
+        gone = stage.closeAtEnd(ScriptedServer.respondingWith("gone"));
+        present = stage.closeAtEnd(ScriptedServer.respondingWith("present"));
     }
 
     @After
@@ -64,11 +64,11 @@
     private void assertRefused() throws Exception {
         Message answer = stage.sendRequest("use");
         assertEquals("present", 503, answer.status());
-        gone.wasNotAsked();
+        gone.assertNoMoreRequests();
     }
 
     private void awaitServedBy(String server) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(ScriptedServer.LONGEST_WAIT_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(ScriptedServer.TIMEOUT_S);
         while (!stage.sendRequest("use").body().equals(server)) {
             assertTrue("served in the end", System.nanoTime() < until);
             Thread.sleep(20);
@@ -82,7 +82,7 @@
         assertRefused();
         answers.countDown();
         awaitServedBy("present");
-        gone.wasNotAsked();
+        gone.assertNoMoreRequests();
     }
 
     /**
@@ -98,7 +98,7 @@
                             request, TestCluster.endpointListJson(1, true, "active", gone));
                 });
         stage.start(TestCluster.SETTINGS, gone);
-        Message watch = stage.discovery.asked();
+        Message watch = stage.discovery.takeRequest();
         awaitServedBy("gone");
         crowd();
         watch.connection().close();
@@ -107,7 +107,7 @@
         assertRefused();
         answers.countDown();
         awaitServedBy("present");
-        gone.wasNotAsked();
+        gone.assertNoMoreRequests();
     }
 
     /** A discovery service that is down can't have announced anything, so the node serves on. */
--- a/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
@@ -30,12 +30,12 @@
 
     @Test
     public void itIsReadyOnceItServesAndTheWarmUpReachesNoEndpoint() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         Socket front = stage.connect();
         Message.send(front, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals(200, Message.read(front).status());
-        endpoint.wasNotAsked();
+        endpoint.assertNoMoreRequests();
     }
 
     /**
@@ -44,7 +44,7 @@
      */
     @Test
     public void aWarmUpRequestReadTooLateReachesNoEndpoint() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         Socket late = stage.connect();
         Message.send(
@@ -54,7 +54,7 @@
                                 "X-Correlation-Id: .*",
                                 "X-Correlation-Id: warm-up-8c1f30d27a5be964-1"));
         assertEquals(502, Message.read(late).status());
-        endpoint.wasNotAsked();
+        endpoint.assertNoMoreRequests();
         assertEquals("made", stage.sendRequest("use").body());
     }
 
@@ -66,9 +66,10 @@
         for (int inflight : new int[] {3, 0}) {
             ScriptedServer endpoint =
                     stage.closeAtEnd(
-                            ScriptedServer.serving("{\"inflight\":" + inflight + ",\"queue\":0}"));
+                            ScriptedServer.respondingWith(
+                                    "{\"inflight\":" + inflight + ",\"queue\":0}"));
             stage.start(probes, endpoint);
-            assertEquals("GET /status/load HTTP/1.1", endpoint.asked().start());
+            assertEquals("GET /status/load HTTP/1.1", endpoint.takeRequest().startLine());
             String line = stage.awaitLogLine("warmed up");
             assertEquals(line, inflight > 0, line.contains("busy"));
             stage.terminate();
@@ -118,11 +119,11 @@
     @Test
     public void callsTakenUnderLongerDeadlinesAreWaitedFor() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.servingAfter(answer, "made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         Socket client = stage.connect();
         Message.send(client, TestCluster.requestText("use", "", ""));
-        endpoint.asked();
+        endpoint.takeRequest();
         stage.reload(
                 stage.config(
                         TestCluster.SETTINGS.replace(
@@ -140,16 +141,16 @@
     @Test
     public void onSigtermItServesOnThenFinishesItsRequestsAndExitsWithZero() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.servingAfter(answer, "made"));
+        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
         stage.start(TestCluster.SETTINGS, endpoint);
         Socket before = stage.connect();
         Message.send(before, TestCluster.requestText("use", "", ""));
-        endpoint.asked();
+        endpoint.takeRequest();
         stage.terminate();
         stage.awaitLogLine("stops");
         Socket after = stage.connect();
         Message.send(after, TestCluster.requestText("use", "", ""));
-        endpoint.asked();
+        endpoint.takeRequest();
         Socket idle = stage.connect();
         Message.send(idle, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals("the front is to go elsewhere", 503, Message.read(idle).status());
--- a/daemon/src/test/java/trailthread/daemon/UnreadUpdatesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UnreadUpdatesTest.java
@@ -38,7 +38,7 @@
 
     private static final long HELD_MS = 400;
     private final EventLoop loop = new EventLoop("unread");
-    private final ScriptedServer server = ScriptedServer.serving("made");
+    private final ScriptedServer server = ScriptedServer.respondingWith("made");
     private final ScriptedServer peer =
             new ScriptedServer(
                     request -> {
@@ -78,7 +78,7 @@
     public UnreadUpdatesTest() throws Exception {
         endpoints.setUpdateReader(discovery::readArrivedUpdates);
         loop.execute(() -> discovery.watch(true));
-        assertNotNull(updates.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertNotNull(updates.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     @After
@@ -101,14 +101,14 @@
     }
 
     private Outcome awaitOutcome() throws InterruptedException {
-        AttemptResult ending = results.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+        AttemptResult ending = results.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
         assertNotNull("the attempt was to end", ending);
         return ending.outcome();
     }
 
     @Test
     public void aLateLoopReadsUpdatesBeforeItWritesARequest() throws Exception {
-        Message watch = peer.asked();
+        Message watch = peer.takeRequest();
         loop.execute(this::attempt);
         assertEquals(
                 "served before the drain, by a connection that is kept",
--- a/daemon/src/test/java/trailthread/daemon/UpdateDueTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UpdateDueTest.java
@@ -72,14 +72,14 @@
     }
 
     private long known() throws InterruptedException {
-        Long since = knownSince.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+        Long since = knownSince.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
         assertNotNull("a list was to come", since);
         return since;
     }
 
     @Test
     public void anUpdateReadLateIsKnownSinceItArrived() throws Exception {
-        Message watch = peer.asked();
+        Message watch = peer.takeRequest();
         known();
         long arrivedBy = sendUnread(watch, TestCluster.endpointListJson(2, true, "leaving"));
         assertTrue("known since it came", known() <= arrivedBy);
@@ -111,7 +111,7 @@
     /** A heartbeat does not cover what changed after it arrived and before a late loop read it. */
     @Test
     public void anUpdateIsDueSinceTheLastHeartbeatArrivedNotSinceItWasRead() throws Exception {
-        Message watch = peer.asked();
+        Message watch = peer.takeRequest();
         known();
         assertUpdateDueAfterSilenceSince(sendUnread(watch, ""));
     }
@@ -122,7 +122,7 @@
      */
     @Test
     public void aWatchThatLivesTellsThatNothingHasChanged() throws Exception {
-        Message watch = peer.asked();
+        Message watch = peer.takeRequest();
         known();
         peer.setScript(
                 request -> {
@@ -131,8 +131,7 @@
                 });
         watch.connection().close();
         assertNotNull(
-                "its end is noticed",
-                failures.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+                "its end is noticed", failures.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
         loop.execute(() -> discovery.watch(true));
         known();
         updates.remove();
@@ -141,8 +140,7 @@
 
     private void assertUpdateDueAfterSilenceSince(long silentSince) throws InterruptedException {
         assertNotNull(
-                "silence is noticed",
-                failures.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+                "silence is noticed", failures.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
         long passedMs = (loop.now() - silentSince) / MS;
         Thread.sleep(Math.max(0, UPDATE_DUE_MS + 1_000 - passedMs));
         loop.execute(() -> discovery.watch(true));
--- a/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
@@ -51,7 +51,7 @@
 
     public LeavingClientTest() throws IOException {
         loop = new EventLoop("leaving");
-        endpoint = ScriptedServer.serving("made");
+        endpoint = ScriptedServer.respondingWith("made");
     }
 
     @Before
@@ -109,7 +109,7 @@
 
     private Socket connect() throws IOException {
         Socket client = new Socket(address.getAddress(), address.getPort());
-        client.setSoTimeout(1000 * ScriptedServer.LONGEST_WAIT_S);
+        client.setSoTimeout(1000 * ScriptedServer.TIMEOUT_S);
         return client;
     }
 
@@ -151,8 +151,8 @@
             String request = TestCluster.requestText("use", "?stays", "");
             Message.send(stays, request);
             assertEquals("made", Message.read(stays).body());
-            assertEquals(id(request), endpoint.asked().header("X-Correlation-Id"));
-            endpoint.wasNotAsked();
+            assertEquals(id(request), endpoint.takeRequest().header("X-Correlation-Id"));
+            endpoint.assertNoMoreRequests();
         }
         Thread.sleep(20); // the connection to the endpoint is not used before it has settled
     }
@@ -217,14 +217,14 @@
         endpoint.setScript(
                 request -> {
                     ScriptedServer.await(rejected);
-                    endpoint.setScript(next -> next.answer("200 OK", "", "made"));
-                    request.answer("503 Busy", "X-Unprocessed: 1\r\n", "");
+                    endpoint.setScript(next -> next.respond("200 OK", "", "made"));
+                    request.respond("503 Busy", "X-Unprocessed: 1\r\n", "");
                 });
         Socket client = connect();
         String request = TestCluster.requestText("use", "", "");
         loop.execute(this::list);
         Message.send(client, request);
-        assertEquals(id(request), endpoint.asked().header("X-Correlation-Id"));
+        assertEquals(id(request), endpoint.takeRequest().header("X-Correlation-Id"));
         CountDownLatch goOn = new CountDownLatch(1);
         loop.execute(() -> ScriptedServer.await(goOn));
         client.close();
@@ -277,8 +277,8 @@
             loop.execute(this::list);
             assertEquals("made", Message.read(client).body());
             assertEquals("made", Message.read(client).body());
-            assertEquals(id(first), endpoint.asked().header("X-Correlation-Id"));
-            assertEquals(id(ahead), endpoint.asked().header("X-Correlation-Id"));
+            assertEquals(id(first), endpoint.takeRequest().header("X-Correlation-Id"));
+            assertEquals(id(ahead), endpoint.takeRequest().header("X-Correlation-Id"));
         }
     }
 
@@ -301,7 +301,7 @@
                 loop.execute(() -> loop.after(100_000_000L, this::list));
                 for (String request : requests) {
                     assertEquals("made", Message.read(client).body());
-                    assertEquals(id(request), endpoint.asked().header("X-Correlation-Id"));
+                    assertEquals(id(request), endpoint.takeRequest().header("X-Correlation-Id"));
                 }
                 sender.join();
             }
--- a/daemon/src/test/java/trailthread/daemon/soak/SoakClient.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/SoakClient.java
@@ -101,7 +101,7 @@
             disconnect();
             return;
         }
-        request.ended(response.start(), true);
+        request.ended(response.startLine(), true);
         if ("close".equals(response.header("Connection"))) {
             disconnect();
         }
--- a/daemon/src/test/java/trailthread/daemon/soak/SoakRun.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/SoakRun.java
@@ -128,7 +128,7 @@
         if (drawn < mix.never() + mix.half() + mix.late()) {
             pause(random.nextInt(request.deadlineMs * 3 / 2));
         }
-        message.answer("200 OK", "", "made");
+        message.respond("200 OK", "", "made");
     }
 
     private static void pause(long ms) {
--- a/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
@@ -67,7 +67,7 @@
                             }
                         });
         loop.start();
-        assertTrue(begun.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertTrue(begun.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     private void watchEnd() {
@@ -92,7 +92,7 @@
                 new Socket(
                         InetAddress.getLoopbackAddress(),
                         Integer.parseInt(hostPort.substring(hostPort.indexOf(':') + 1)));
-        socket.setSoTimeout(1000 * ScriptedServer.LONGEST_WAIT_S);
+        socket.setSoTimeout(1000 * ScriptedServer.TIMEOUT_S);
         open.add(socket);
         return socket;
     }
--- a/testkit/src/main/java/trailthread/testkit/Holder.java
+++ b/testkit/src/main/java/trailthread/testkit/Holder.java
@@ -68,7 +68,7 @@
      */
     public String logged(String pattern, int times) throws InterruptedException {
         Pattern compiled = Pattern.compile(pattern);
-        for (int i = 0; i < 100 * ScriptedServer.LONGEST_WAIT_S; i++) {
+        for (int i = 0; i < 100 * ScriptedServer.TIMEOUT_S; i++) {
             int found = 0;
             for (String line : log) {
                 Matcher matcher = compiled.matcher(line);
@@ -85,7 +85,7 @@
     public static void terminate(long pid) throws Exception {
         ProcessHandle program = ProcessHandle.of(pid).orElseThrow();
         assertTrue(program.destroy());
-        program.onExit().get(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+        program.onExit().get(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     @Override
--- a/testkit/src/main/java/trailthread/testkit/Message.java
+++ b/testkit/src/main/java/trailthread/testkit/Message.java
@@ -13,11 +13,12 @@
 /**
  * An HTTP message that was received.
  *
- * @param start the start line
+ * @param startLine the start line, without its line end
  * @param headers by their names in lower case
  * @param connection on which it came
  */
-public record Message(String start, Map<String, String> headers, String body, Socket connection) {
+public record Message(
+        String startLine, Map<String, String> headers, String body, Socket connection) {
 
     /** Reads a complete message; null if the connection ends before its first byte. */
     public static Message read(Socket connection) throws IOException {
@@ -27,28 +28,30 @@
     /**
      * Reads a complete message.
      *
-     * @param bodiless for a response to HEAD, which has no body, whatever its Content-Length
+     * @param responseToHead whether the message responds to HEAD: it has no body, whatever its
+     *     Content-Length
      * @return null if the connection ends before the first byte
      * @throws IOException if the connection fails, or ends within the message
      */
-    public static Message read(Socket connection, boolean bodiless) throws IOException {
+    public static Message read(Socket connection, boolean responseToHead) throws IOException {
         InputStream in = connection.getInputStream();
-        String start = line(in);
+        String start = readLine(in);
         if (start == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
-        for (String line = line(in); !line.isEmpty(); line = line(in)) {
+        for (String line = readLine(in); !line.isEmpty(); line = readLine(in)) {
             int colon = line.indexOf(':');
             headers.put(
                     line.substring(0, colon).toLowerCase(Locale.ROOT),
                     line.substring(colon + 1).trim());
         }
         if (headers.getOrDefault("transfer-encoding", "").equals("chunked")) {
-            return new Message(start, headers, chunks(in), connection);
+            return new Message(start, headers, readChunks(in), connection);
         }
         // RFC 9112, 6.3: a response to HEAD has no body, but may have a Content-Length.
-        int length = bodiless ? 0 : Integer.parseInt(headers.getOrDefault("content-length", "0"));
+        int length =
+                responseToHead ? 0 : Integer.parseInt(headers.getOrDefault("content-length", "0"));
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
             throw new EOFException("ended in the body");
@@ -57,17 +60,17 @@
                 start, headers, new String(body, StandardCharsets.ISO_8859_1), connection);
     }
 
-    private static String chunks(InputStream in) throws IOException {
+    private static String readChunks(InputStream in) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         for (int size = -1; size != 0; ) {
-            size = Integer.parseInt(line(in), 16);
+            size = Integer.parseInt(readLine(in), 16);
             body.write(in.readNBytes(size));
-            line(in);
+            readLine(in);
         }
         return body.toString(StandardCharsets.ISO_8859_1);
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
@@ -87,7 +90,7 @@
 
     /** The status code, if this is a response. */
     public int status() {
-        return Integer.parseInt(start.split(" ")[1]);
+        return Integer.parseInt(startLine.split(" ")[1]);
     }
 
     /**
@@ -96,7 +99,7 @@
      * @param status the code and reason, such as {@code 200 OK}
      * @param headers each with its line end
      */
-    public void answer(String status, String headers, String body) throws IOException {
+    public void respond(String status, String headers, String body) throws IOException {
         send(
                 connection,
                 "HTTP/1.1 "
--- a/testkit/src/main/java/trailthread/testkit/ScriptedServer.java
+++ b/testkit/src/main/java/trailthread/testkit/ScriptedServer.java
@@ -22,19 +22,19 @@
  */
 public final class ScriptedServer implements Closeable {
     /** How long tests wait for something that must happen, in seconds. */
-    public static final int LONGEST_WAIT_S = 30;
+    public static final int TIMEOUT_S = 30;
 
     /** Handles requests. */
     public interface Script {
         /** Responds to a request, or does something else with its connection. */
-        void act(Message request) throws IOException;
+        void respond(Message request) throws IOException;
     }
 
     /** The requests that no test has taken yet. */
     public final BlockingQueue<Message> requests = new LinkedBlockingQueue<>();
 
     /** The connections that have ended. */
-    public final BlockingQueue<Socket> closed = new LinkedBlockingQueue<>();
+    public final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
 
     private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
     private final ServerSocket server;
@@ -44,27 +44,28 @@
     public ScriptedServer(Script script) throws IOException {
         this.script = script;
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        thread(this::accept);
+        startThread(this::accept);
     }
 
     /** A server that responds to every request with this body. */
-    public static ScriptedServer serving(String body) throws IOException {
-        return new ScriptedServer(request -> request.answer("200 OK", "", body));
+    public static ScriptedServer respondingWith(String body) throws IOException {
+        return new ScriptedServer(request -> request.respond("200 OK", "", body));
     }
 
     /** A server that responds to every request with this body, once the latch is open. */
-    public static ScriptedServer servingAfter(CountDownLatch open, String body) throws IOException {
+    public static ScriptedServer respondingAfter(CountDownLatch open, String body)
+            throws IOException {
         return new ScriptedServer(
                 request -> {
                     await(open);
-                    request.answer("200 OK", "", body);
+                    request.respond("200 OK", "", body);
                 });
     }
 
     /** Waits until a latch is open; fails if that takes too long. */
     public static void await(CountDownLatch latch) {
         try {
-            if (!latch.await(LONGEST_WAIT_S, TimeUnit.SECONDS)) {
+            if (!latch.await(TIMEOUT_S, TimeUnit.SECONDS)) {
                 throw new AssertionError("the latch was not opened in time");
             }
         } catch (InterruptedException e) {
@@ -83,8 +84,8 @@
     }
 
     /** Takes the next request; fails if none comes in time. */
-    public Message asked() throws InterruptedException {
-        Message request = requests.poll(LONGEST_WAIT_S, TimeUnit.SECONDS);
+    public Message takeRequest() throws InterruptedException {
+        Message request = requests.poll(TIMEOUT_S, TimeUnit.SECONDS);
         assertNotNull("a request must come", request);
         return request;
     }
@@ -92,7 +93,7 @@
     /**
      * Checks that all requests have been taken. To be called once whatever might send more is done.
      */
-    public void wasNotAsked() {
+    public void assertNoMoreRequests() {
         assertNull(requests.peek());
     }
 
@@ -101,7 +102,7 @@
             while (true) {
                 Socket connection = server.accept();
                 connections.add(connection);
-                thread(() -> serve(connection));
+                startThread(() -> serve(connection));
             }
         } catch (IOException e) {
             // the server was closed
@@ -112,18 +113,18 @@
         try (connection) {
             for (Message m = Message.read(connection); m != null; m = Message.read(connection)) {
                 requests.add(m);
-                script.act(m);
+                script.respond(m);
             }
         } catch (SocketException e) {
             // the node closed the connection
         } catch (IOException e) {
             throw new AssertionError(e);
         } finally {
-            closed.add(connection);
+            closedConnections.add(connection);
         }
     }
 
-    private static void thread(Runnable task) {
+    private static void startThread(Runnable task) {
         Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
--- a/testkit/src/main/java/trailthread/testkit/TestCluster.java
+++ b/testkit/src/main/java/trailthread/testkit/TestCluster.java
@@ -46,7 +46,7 @@
             "safety":{"drain_grace_ns":0,"ask_every_ns":1000000000}""";
 
     private static final int POLL_MS = 10;
-    private static final int MAX_POLLS = 1000 * ScriptedServer.LONGEST_WAIT_S / POLL_MS;
+    private static final int MAX_POLLS = 1000 * ScriptedServer.TIMEOUT_S / POLL_MS;
 
     private static final AtomicLong LAST_CORRELATION_ID = new AtomicLong(0x9b1f03aa5c7e2d40L);
 
@@ -228,7 +228,7 @@
     /** Opens a connection of a client; it is closed at the end. */
     public Socket connect() throws IOException {
         Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
-        client.setSoTimeout(1000 * ScriptedServer.LONGEST_WAIT_S);
+        client.setSoTimeout(1000 * ScriptedServer.TIMEOUT_S);
         closeables.add(client);
         return client;
     }
@@ -252,7 +252,7 @@
     public static Message sendAdminRequest(int adminPort, String method, String path)
             throws IOException {
         try (Socket operator = new Socket(InetAddress.getLoopbackAddress(), adminPort)) {
-            operator.setSoTimeout(1000 * ScriptedServer.LONGEST_WAIT_S);
+            operator.setSoTimeout(1000 * ScriptedServer.TIMEOUT_S);
             Message.send(operator, method + " " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
             return Message.read(operator);
         }
@@ -336,8 +336,7 @@
     /** Waits for the program to end, and returns its exit status. */
     public int exitStatus() throws InterruptedException {
         assertTrue(
-                "the program was to end",
-                node.waitFor(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+                "the program was to end", node.waitFor(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
         return node.exitValue();
     }
 
