--- a/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
+++ b/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
@@ -18,8 +18,8 @@
 import java.util.regex.Pattern;
 import org.junit.After;
 import org.junit.Test;
-import trailthread.testkit.DelayMeter;
 import trailthread.testkit.Message;
+import trailthread.testkit.SchedulingDelayMeter;
 import trailthread.testkit.ScriptedServer;
 import trailthread.testkit.TestCluster;
 
@@ -136,15 +136,15 @@
 
     private void runUndisturbed(Run play) throws Exception {
         for (int i = 1; ; i++) {
-            DelayMeter delayMeter = new DelayMeter();
+            SchedulingDelayMeter delayMeter = new SchedulingDelayMeter();
             play.run();
             delayMeter.stop();
-            if (faults.isEmpty() || !delayMeter.isVoid() || i == MAX_RUNS) {
+            if (faults.isEmpty() || !delayMeter.exceedsLimit() || i == MAX_RUNS) {
                 break;
             }
             System.out.printf(
                     "void: the machine held a thread for %d ms; run %d: %s%n",
-                    delayMeter.worstMs(), i, faults);
+                    delayMeter.maxDelayMs(), i, faults);
             faults.clear();
             lateResponses.set(0);
             endpointsHang = false;
--- a/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.After;
 import org.junit.Test;
-import trailthread.testkit.Holder;
+import trailthread.testkit.ListeningSocketHolder;
 import trailthread.testkit.Message;
 import trailthread.testkit.ScriptedServer;
 import trailthread.testkit.TestCluster;
@@ -24,7 +24,7 @@
     private static final int REQUESTS = 50;
 
     private final TestCluster stage = new TestCluster();
-    private final Holder holder = stage.closeAtEnd(new Holder());
+    private final ListeningSocketHolder holder = stage.closeAtEnd(new ListeningSocketHolder());
     private final Path config = Files.createTempFile("trailthread", ".json");
 
     public NewVersionTest() throws Exception {
@@ -63,19 +63,19 @@
                                 }));
         Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
         long old = start();
-        holder.logged(SERVES, 1);
+        holder.awaitLogMatch(SERVES, 1);
         Socket atWork = stage.connect();
         Message.send(atWork, TestCluster.requestText("use", "", ""));
         Socket idle = stage.connect();
         Message.send(idle, TestCluster.requestText("state", "", ""));
         assertEquals("made", Message.read(idle).body());
         start();
-        holder.logged(SERVES, 2);
+        holder.awaitLogMatch(SERVES, 2);
         CompletableFuture<Void> ended =
                 CompletableFuture.runAsync(
                         () -> {
                             try {
-                                Holder.terminate(old);
+                                ListeningSocketHolder.terminate(old);
                             } catch (Exception e) {
                                 throw new AssertionError(e);
                             }
@@ -97,7 +97,7 @@
     }
 
     private int adminPort(int process) throws Exception {
-        return Integer.parseInt(holder.logged("operators are told on .*:(\\d+)", process));
+        return Integer.parseInt(holder.awaitLogMatch("operators are told on .*:(\\d+)", process));
     }
 
     @Test
@@ -105,7 +105,7 @@
         ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
         start();
-        holder.logged(SERVES, 1);
+        holder.awaitLogMatch(SERVES, 1);
         for (int i = 2; i < 4; i++) {
             long dies = start();
             adminPort(i); // waits until its start is in progress
@@ -114,7 +114,7 @@
         }
         Files.writeString(config, "{");
         start();
-        holder.logged("LB_CONFIG|JSON", 1);
+        holder.awaitLogMatch("LB_CONFIG|JSON", 1);
         for (int i = 0; i < REQUESTS; i++) {
             assertEquals("made", stage.sendRequest("use").body());
         }
@@ -126,7 +126,7 @@
         ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
         Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
         long old = start();
-        holder.logged(SERVES, 1);
+        holder.awaitLogMatch(SERVES, 1);
         for (int i = 2; i < 5; i++) {
             boolean drained = i == 3;
             if (drained) {
@@ -136,13 +136,13 @@
                                 .status());
             }
             long next = start();
-            holder.logged(SERVES, i);
+            holder.awaitLogMatch(SERVES, i);
             assertEquals(
                     200, TestCluster.sendAdminRequest(adminPort(i), "GET", "/-/ready").status());
             assertEquals(
                     drained ? 503 : 200,
                     TestCluster.sendAdminRequest(adminPort(i - 1), "GET", "/-/ready").status());
-            Holder.terminate(old);
+            ListeningSocketHolder.terminate(old);
             assertEquals("made", stage.sendRequest("use").body());
             old = next;
         }
--- a/daemon/src/test/java/trailthread/daemon/soak/SoakRun.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/SoakRun.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
-import trailthread.testkit.DelayMeter;
 import trailthread.testkit.Message;
+import trailthread.testkit.SchedulingDelayMeter;
 import trailthread.testkit.ScriptedServer;
 import trailthread.testkit.TestCluster;
 
@@ -42,7 +42,7 @@
             long leftAtKillMs,
             long worstDelayMs) {
         boolean isVoid() {
-            return worstDelayMs >= DelayMeter.MAX_DELAY_MS;
+            return worstDelayMs >= SchedulingDelayMeter.DELAY_LIMIT_MS;
         }
     }
 
@@ -63,13 +63,18 @@
     /** Plays a scenario. */
     static Result play(Scenario scenario) throws Exception {
         SoakRun run = new SoakRun(scenario);
-        DelayMeter delays = new DelayMeter();
+        SchedulingDelayMeter delays = new SchedulingDelayMeter();
         try {
             List<Judge.Break> breaks = run.play();
             List<String> log = new ArrayList<>(run.cluster.log);
             log.addAll(run.notes);
             return new Result(
-                    scenario, breaks, log, run.requests.size(), run.leftAtKillMs, delays.worstMs());
+                    scenario,
+                    breaks,
+                    log,
+                    run.requests.size(),
+                    run.leftAtKillMs,
+                    delays.maxDelayMs());
         } finally {
             delays.stop();
             run.end();
@@ -213,7 +218,9 @@
 
     private void checkOwnEnd(Judge.Times times, List<Judge.Break> breaks) throws Exception {
         int dueMs =
-                scenario.longestDeadlineAtStartMs() + LAST_RESPONSES_MS + DelayMeter.MAX_DELAY_MS;
+                scenario.longestDeadlineAtStartMs()
+                        + LAST_RESPONSES_MS
+                        + SchedulingDelayMeter.DELAY_LIMIT_MS;
         long leftMs = dueMs - (System.nanoTime() - times.terminatedAt()) / 1_000_000;
         if (!cluster.exitsWithin(Math.max(0, leftMs), TimeUnit.MILLISECONDS)) {
             breaks.add(new Judge.Break(Rule.DID_NOT_END, "running after " + dueMs + " ms"));
--- a/testkit/src/main/java/trailthread/testkit/Holder.java
+++ b/testkit/src/main/java/trailthread/testkit/ListeningSocketHolder.java
@@ -17,7 +17,7 @@
  * script does both, as Java can't pass a socket to another process, and Perl is part of every
  * Debian.
  */
-public final class Holder implements Closeable {
+public final class ListeningSocketHolder implements Closeable {
     private static final String SCRIPT =
             """
             use Socket; use POSIX;
@@ -36,10 +36,10 @@
     private final Process process;
 
     /** Opens the socket. */
-    public Holder() throws IOException, InterruptedException {
+    public ListeningSocketHolder() throws IOException, InterruptedException {
         process = new ProcessBuilder("perl", "-e", SCRIPT).redirectErrorStream(true).start();
         ProcessOutput.collect(process, log);
-        port = Integer.parseInt(logged("port (\\d+)", 1));
+        port = Integer.parseInt(awaitLogMatch("port (\\d+)", 1));
     }
 
     /**
@@ -58,7 +58,7 @@
                         ("echo pid $$; exec env LB_SOCKET_FD=0 " + variables + " " + words + "\n")
                                 .getBytes(StandardCharsets.UTF_8));
         process.getOutputStream().flush();
-        return Long.parseLong(logged("pid (\\d+)", before + 1));
+        return Long.parseLong(awaitLogMatch("pid (\\d+)", before + 1));
     }
 
     /**
@@ -66,7 +66,7 @@
      *
      * @return the pattern's group in the last of them, or the line if it has no group
      */
-    public String logged(String pattern, int times) throws InterruptedException {
+    public String awaitLogMatch(String pattern, int times) throws InterruptedException {
         Pattern compiled = Pattern.compile(pattern);
         for (int i = 0; i < 100 * ScriptedServer.TIMEOUT_S; i++) {
             int found = 0;
