--- a/command/src/test/java/trailthread/command/PoolIsolationTest.java
+++ b/command/src/test/java/trailthread/command/PoolIsolationTest.java
@@ -31,7 +31,7 @@
     private void crowdMarks() throws IOException {
         for (int i = 0; i < 110; i++) { // the limits are 124 clients and 83 requests
             Message.send(
-                    stage.connect(),
+                    cluster.connect(),
                     request("POST", "/x", "marks.example.org", "Content-Length: 0\r\n"));
         }
     }
@@ -39,7 +39,7 @@
     /** Checks that every request is served by a single attempt. */
     private void simIsServedAsIfAlone() throws Exception {
         int before = sim.requests.size();
-        try (Socket kept = stage.connect()) {
+        try (Socket kept = cluster.connect()) {
             for (int i = 0; i < 40; i++) {
                 Message.send(kept, request("GET", "/x", "sim.example.org", ""));
                 Message answer = Message.read(kept);
@@ -63,7 +63,7 @@
                         throw new AssertionError(e);
                     }
                 });
-        stage.startWithOperatorFile(overloaded(endpoints(marks)));
+        cluster.startWithOperatorFile(overloaded(endpoints(marks)));
         crowdMarks();
         simIsServedAsIfAlone();
         never.countDown();
@@ -75,7 +75,7 @@
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket first = new Socket(full.getInetAddress(), full.getLocalPort());
                 Socket second = new Socket(full.getInetAddress(), full.getLocalPort())) {
-            stage.startWithOperatorFile(
+            cluster.startWithOperatorFile(
                     overloaded("workers = [\"127.0.0.1:" + full.getLocalPort() + "\"]"));
             crowdMarks();
             simIsServedAsIfAlone();
@@ -99,7 +99,7 @@
                         }
                     }
                 });
-        stage.startWithOperatorFile(overloaded(endpoints(marks)));
+        cluster.startWithOperatorFile(overloaded(endpoints(marks)));
         crowdMarks();
         simIsServedAsIfAlone();
     }
@@ -111,7 +111,7 @@
     public void silentConnectionsDoNotAffectAnyPool() throws Exception {
         serve();
         for (int i = 0; i < 200; i++) { // the limit is 124 clients
-            stage.connect();
+            cluster.connect();
         }
         simIsServedAsIfAlone();
         assertEquals("marks", ask("GET", "/x", "marks.example.org", "").body());
@@ -123,12 +123,12 @@
         serve();
         List<Socket> kept = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            kept.add(stage.connect());
+            kept.add(cluster.connect());
             Message.send(kept.get(i), request("GET", "/x", "sim.example.org", ""));
             assertEquals("sim", Message.read(kept.get(i)).body());
         }
         for (int i = 0; i < 150; i++) { // the limit is 124 clients
-            Socket crowd = stage.connect();
+            Socket crowd = cluster.connect();
             Message.send(crowd, request("GET", "/x", "marks.example.org", ""));
             assertEquals("marks", Message.read(crowd).body());
         }
@@ -154,7 +154,7 @@
                     }
                     asked.respond("200 OK", "", "kept");
                 });
-        stage.startWithOperatorFile(
+        cluster.startWithOperatorFile(
                 file(
                         endpoints(sim),
                         endpoints(marks)
@@ -163,18 +163,18 @@
         String body = "x".repeat(50 * 1024);
         List<Socket> held = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            held.add(stage.connect());
+            held.add(cluster.connect());
             Message.send(
                     held.get(i),
                     request("POST", "/x", "marks.example.org", "Content-Length: 51200\r\n") + body);
             marks.takeRequest();
         }
-        Socket third = stage.connect();
+        Socket third = cluster.connect();
         Message.send(
                 third,
                 request("POST", "/x", "marks.example.org", "Content-Length: 51200\r\n") + body);
         assertEquals("over the limit", 503, Message.read(third).status());
-        Socket other = stage.connect();
+        Socket other = cluster.connect();
         Message.send(
                 other,
                 request("POST", "/x", "sim.example.org", "Content-Length: 51200\r\n") + body);
@@ -184,7 +184,7 @@
         for (Socket client : held) {
             assertEquals("kept", Message.read(client).body());
         }
-        Socket again = stage.connect();
+        Socket again = cluster.connect();
         Message.send(
                 again,
                 request("POST", "/x", "marks.example.org", "Content-Length: 51200\r\n") + body);
--- a/command/src/test/java/trailthread/command/ServicesTest.java
+++ b/command/src/test/java/trailthread/command/ServicesTest.java
@@ -160,8 +160,8 @@
         ask("GET", "/1", "marks.example.org", "");
         Socket toSim = sim.takeRequest().connection();
         Socket toMarks = marks.takeRequest().connection();
-        stage.reload(file(endpoints(sim), "attempts = 2\n" + endpoints(marks)));
-        stage.awaitLogLine("1 pools kept, 1 begun, 1 ending");
+        cluster.reload(file(endpoints(sim), "attempts = 2\n" + endpoints(marks)));
+        cluster.awaitLogLine("1 pools kept, 1 begun, 1 ending");
         Thread.sleep(20); // as above
         ask("GET", "/2", "sim.example.org", "");
         ask("GET", "/2", "marks.example.org", "");
@@ -186,33 +186,33 @@
                     }
                     asked.respond("200 OK", "", "late");
                 });
-        Socket before = stage.connect();
+        Socket before = cluster.connect();
         Message.send(before, request("POST", "/x", "marks.example.org", "Content-Length: 0\r\n"));
         marks.takeRequest();
-        Socket half = stage.connect();
+        Socket half = cluster.connect();
         Message.send(
                 half,
                 request("POST", "/half", "marks.example.org", "Content-Length: 4\r\n") + "po");
         // The pool of its route has been removed meanwhile.
-        stage.reload(
+        cluster.reload(
                 "[node]\nlisten = \"127.0.0.1:0\"\ndescriptors = 256\n"
                         + pool("sim", endpoints(sim))
                         + route("all", "pool = \"sim\""));
-        stage.awaitLogLine("1 pools kept, 0 begun, 1 ending");
+        cluster.awaitLogLine("1 pools kept, 0 begun, 1 ending");
         assertEquals("sim", ask("GET", "/x", "marks.example.org", "").body());
         Message.send(half, "ur");
         assertEquals("routed by the new file", "sim", Message.read(half).body());
         answer.countDown();
         assertEquals("late", Message.read(before).body());
-        stage.awaitLogLine("pool marks has ended");
+        cluster.awaitLogLine("pool marks has ended");
     }
 
     @Test
     public void aFileWithFaultsChangesNothing() throws Exception {
         serve();
-        stage.reload(file(endpoints(sim), "deadlin = \"1s\"\n" + endpoints(marks)));
-        stage.awaitLogLine("pools.marks.deadlin: expected a key that is known, such as deadline");
-        stage.awaitLogLine("is not taken over: 1 faults");
+        cluster.reload(file(endpoints(sim), "deadlin = \"1s\"\n" + endpoints(marks)));
+        cluster.awaitLogLine("pools.marks.deadlin: expected a key that is known, such as deadline");
+        cluster.awaitLogLine("is not taken over: 1 faults");
         assertEquals("marks", ask("GET", "/x", "marks.example.org", "").body());
     }
 
@@ -222,16 +222,16 @@
         Path next = Files.createTempFile("workers", ".json");
         try {
             Files.writeString(list, TestCluster.endpointListJson(1, true, "active", sim));
-            stage.startWithOperatorFile(file("file = \"" + list + "\"", endpoints(marks)));
+            cluster.startWithOperatorFile(file("file = \"" + list + "\"", endpoints(marks)));
             Message answer = ask("GET", "/x", "sim.example.org", "");
-            assertEquals(stage.log.toString(), "sim", answer.body());
+            assertEquals(cluster.log.toString(), "sim", answer.body());
             String complete = TestCluster.endpointListJson(2, true, "active", marks);
             Files.writeString(list, complete.substring(0, complete.length() / 2));
-            stage.awaitLogLine("can't be used");
+            cluster.awaitLogLine("can't be used");
             assertEquals("sim", ask("GET", "/x", "sim.example.org", "").body());
             Files.writeString(next, complete);
             Files.move(next, list, StandardCopyOption.REPLACE_EXISTING);
-            stage.awaitLogLine("can be used again");
+            cluster.awaitLogLine("can be used again");
             assertEquals("marks", ask("GET", "/x", "sim.example.org", "").body());
         } finally {
             Files.deleteIfExists(list);
@@ -245,20 +245,20 @@
         try {
             Files.writeString(list, TestCluster.endpointListJson(1, true, "active"));
             String keys = "file = \"" + list + "\"\n";
-            stage.startWithOperatorFile(
+            cluster.startWithOperatorFile(
                     file(keys, endpoints(marks))
                             .replace(
                                     "aim = \"10s\"\ndeadline = \"20s\"",
                                     "aim = \"300ms\"\ndeadline = \"600ms\""));
             Message refused = ask("GET", "/x", "sim.example.org", "");
-            assertEquals(stage.log.toString(), 503, refused.status());
+            assertEquals(cluster.log.toString(), 503, refused.status());
             assertNotNull(refused.header("Retry-After"));
             Files.writeString(list, TestCluster.endpointListJson(2, true, "leaving", sim));
             for (int i = 0;
                     i < 4;
                     i++) { // for longer than the interval at which the file is checked
                 assertEquals(
-                        stage.log.toString(),
+                        cluster.log.toString(),
                         503,
                         ask("GET", "/x", "sim.example.org", "").status());
             }
@@ -283,23 +283,23 @@
         };
         ask("GET", "/warm", "sim.example.org", "");
         ask("GET", "/warm-too", "marks.example.org", "");
-        int before = stage.openDescriptorCount();
+        int before = cluster.openDescriptorCount();
         Thread reloads =
                 new Thread(
                         () -> {
                             try {
                                 for (int i = 0; i < 200; i++) {
-                                    stage.reload(files[i % files.length]);
+                                    cluster.reload(files[i % files.length]);
                                     Thread.sleep(20);
                                 }
-                                stage.reload(files[0]);
+                                cluster.reload(files[0]);
                             } catch (IOException | InterruptedException e) {
                                 throw new AssertionError(e);
                             }
                         });
         reloads.start();
         int sent = 0;
-        try (Socket client = stage.connect()) {
+        try (Socket client = cluster.connect()) {
             while (reloads.isAlive()) {
                 String host = sent++ % 2 == 0 ? "sim" : "marks";
                 Message.send(
@@ -323,10 +323,10 @@
                 sent + 2,
                 asked.stream().map(Message::startLine).distinct().count());
         assertEquals("every request once", sent + 2, asked.size());
-        int after = stage.openDescriptorCount();
+        int after = cluster.openDescriptorCount();
         for (int i = 0; i < 100 && after > before + 4; i++) {
             Thread.sleep(100);
-            after = stage.openDescriptorCount();
+            after = cluster.openDescriptorCount();
         }
         assertTrue("descriptors before and after: " + before + " " + after, after <= before + 4);
     }
--- a/command/src/test/java/trailthread/command/WithTwoServices.java
+++ b/command/src/test/java/trailthread/command/WithTwoServices.java
@@ -9,19 +9,19 @@
 
 /** The program with two services, sim and marks, each with one scripted endpoint. */
 public abstract class WithTwoServices {
-    final TestCluster stage;
+    final TestCluster cluster;
     final ScriptedServer sim;
     final ScriptedServer marks;
 
     WithTwoServices() throws Exception {
-        stage = new TestCluster();
-        sim = stage.closeAtEnd(ScriptedServer.respondingWith("sim"));
-        marks = stage.closeAtEnd(ScriptedServer.respondingWith("marks"));
+        cluster = new TestCluster();
+        sim = cluster.closeAtEnd(ScriptedServer.respondingWith("sim"));
+        marks = cluster.closeAtEnd(ScriptedServer.respondingWith("marks"));
     }
 
     @After
     public void end() throws Exception {
-        stage.close();
+        cluster.close();
     }
 
     /** A pool's section of the file, with long timeouts. */
@@ -58,7 +58,7 @@
 
     /** Starts the program with both services. */
     void serve() throws Exception {
-        stage.startWithOperatorFile(file(endpoints(sim), endpoints(marks)));
+        cluster.startWithOperatorFile(file(endpoints(sim), endpoints(marks)));
     }
 
     /** The head of a request. */
@@ -68,7 +68,7 @@
 
     /** Sends a request on a new connection and returns the response. */
     Message ask(String method, String path, String host, String headers) throws IOException {
-        try (Socket client = stage.connect()) {
+        try (Socket client = cluster.connect()) {
             Message.send(client, request(method, path, host, headers));
             return Message.read(client, method.equals("HEAD"));
         }
--- a/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
+++ b/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
@@ -146,10 +146,10 @@
 
     @Test
     public void theNodeLoadsNothingOfIt() throws Exception {
-        TestCluster stage = new TestCluster();
+        TestCluster cluster = new TestCluster();
         Path config = Files.createTempFile("trailthread", ".json");
         try {
-            Files.writeString(config, stage.config(TestCluster.SETTINGS));
+            Files.writeString(config, cluster.config(TestCluster.SETTINGS));
             String log =
                     run(
                             "serves on",
@@ -165,7 +165,7 @@
                             || log.contains("trailthread.engine.degradation."));
         } finally {
             Files.delete(config);
-            stage.close();
+            cluster.close();
         }
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
@@ -13,23 +13,23 @@
 
 /** How the node serves its clients, over real sockets. */
 public class ClientSideTest {
-    private final TestCluster stage;
+    private final TestCluster cluster;
 
     public ClientSideTest() throws Exception {
-        stage = new TestCluster();
+        cluster = new TestCluster();
     }
 
     @After
     public void end() throws Exception {
-        stage.close();
+        cluster.close();
     }
 
     @Test
     public void requestAndResponsePassUnchanged() throws Exception {
         String body = "bench \u00ff\u0000 and readings";
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith(body));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        Socket client = stage.connect();
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith(body));
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        Socket client = cluster.connect();
         String query = "/a%2Fb;c=1//d?x=%20&&y=+%3D";
 
         String text = TestCluster.requestText("action", query, "X-Other: 1\r\n");
@@ -55,8 +55,8 @@
 
     @Test
     public void aMalformedRequestIsRejectedAndReachesNoEndpoint() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
         String good = TestCluster.requestText("use", "", "");
         String[] bad = {
             good.replace("X-Service-Class: use", "X-Service-Class: other"),
@@ -71,7 +71,7 @@
             good.replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"),
         };
         for (String text : bad) {
-            Socket client = stage.connect();
+            Socket client = cluster.connect();
             Message.send(client, text);
             assertEquals(text, 400, Message.read(client).status());
         }
@@ -80,19 +80,20 @@
             good.replace("4\r\n\r\npour", "99999999\r\n\r\n"),
         };
         for (String text : tooLong) {
-            Socket client = stage.connect();
+            Socket client = cluster.connect();
             Message.send(client, text);
             assertEquals(413, Message.read(client).status());
         }
         endpoint.assertNoMoreRequests();
 
-        assertEquals("the node survives", "made", stage.sendRequest("use").body());
+        assertEquals("the node survives", "made", cluster.sendRequest("use").body());
     }
 
     @Test
     public void aRequestWithoutEndpointIsRejectedWithRetryAfter() throws Exception {
-        stage.start(TestCluster.SETTINGS.replace("\"aim_ns\":10000000000", "\"aim_ns\":100000000"));
-        Message response = stage.sendRequest("use");
+        cluster.start(
+                TestCluster.SETTINGS.replace("\"aim_ns\":10000000000", "\"aim_ns\":100000000"));
+        Message response = cluster.sendRequest("use");
         assertEquals(503, response.status());
         double wait = Double.parseDouble(response.header("Retry-After"));
         assertTrue("Retry-After: " + wait, wait > 0 && wait <= 1.2);
@@ -103,16 +104,16 @@
      */
     @Test
     public void requestsOfADisconnectedClientAreDropped() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        stage.start(TestCluster.SETTINGS);
-        Message watch = stage.discovery.takeRequest();
-        Socket gone = stage.connect();
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS);
+        Message watch = cluster.discovery.takeRequest();
+        Socket gone = cluster.connect();
         Message.send(gone, TestCluster.requestText("use", "", ""));
-        stage.sendRequest("other"); // its response comes after the first request was read
+        cluster.sendRequest("other"); // its response comes after the first request was read
         gone.close();
         Thread.sleep(100); // the close must come before the list
         TestCluster.sendWatchLine(watch, TestCluster.endpointListJson(2, true, "active", endpoint));
-        Socket client = stage.connect();
+        Socket client = cluster.connect();
         Message.send(client, TestCluster.requestText("use", "?second", ""));
         assertEquals("made", Message.read(client).body());
         assertEquals("POST /use?second HTTP/1.1", endpoint.takeRequest().startLine());
@@ -125,29 +126,31 @@
      */
     @Test
     public void aRequestWithAnIdInFlightIsRejected() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(new ScriptedServer(request -> {}));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        Socket first = stage.connect();
+        ScriptedServer endpoint = cluster.closeAtEnd(new ScriptedServer(request -> {}));
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        Socket first = cluster.connect();
         String text = TestCluster.requestText("use", "", "");
         Message.send(first, text);
         Message asked = endpoint.takeRequest();
-        Socket second = stage.connect();
+        Socket second = cluster.connect();
         Message.send(second, text);
         assertEquals(409, Message.read(second).status());
         endpoint.assertNoMoreRequests();
         asked.respond("200 OK", "", "made");
         assertEquals("made", Message.read(first).body());
         endpoint.setScript(request -> request.respond("200 OK", "", "again"));
-        assertEquals("again", stage.sendRequest("use").body());
+        assertEquals("again", cluster.sendRequest("use").body());
     }
 
     /** Idle clients must not use up the node's few descriptors. */
     @Test
     public void moreClientsThanConnectionsAreAllServed() throws Exception {
-        stage.descriptorLimit = 96; // 28 connections to clients
-        stage.start(TestCluster.SETTINGS, stage.closeAtEnd(ScriptedServer.respondingWith("made")));
+        cluster.descriptorLimit = 96; // 28 connections to clients
+        cluster.start(
+                TestCluster.SETTINGS, cluster.closeAtEnd(ScriptedServer.respondingWith("made")));
         for (int i = 0; i < 60; i++) {
-            assertEquals("made", stage.sendRequest("use").body()); // and the connection stays open
+            assertEquals(
+                    "made", cluster.sendRequest("use").body()); // and the connection stays open
         }
     }
 
@@ -157,15 +160,16 @@
      */
     @Test
     public void idleConnectionsAndIncompleteRequestsBlockNobody() throws Exception {
-        stage.descriptorLimit = 96;
-        stage.start(TestCluster.SETTINGS, stage.closeAtEnd(ScriptedServer.respondingWith("made")));
+        cluster.descriptorLimit = 96;
+        cluster.start(
+                TestCluster.SETTINGS, cluster.closeAtEnd(ScriptedServer.respondingWith("made")));
         String text = TestCluster.requestText("use", "", "");
         Socket[] useless = new Socket[60];
         for (int i = 0; i < useless.length; i++) {
-            useless[i] = stage.connect();
+            useless[i] = cluster.connect();
             Message.send(useless[i], text.substring(0, i * (text.length() - 1) / useless.length));
         }
-        assertEquals("made", stage.sendRequest("use").body());
+        assertEquals("made", cluster.sendRequest("use").body());
         for (Socket client : useless) {
             assertNull("closed without a response", Message.read(client));
         }
@@ -174,7 +178,7 @@
     @Test
     public void aPipelinedRequestIsHandledNext() throws Exception {
         ScriptedServer endpoint =
-                stage.closeAtEnd(
+                cluster.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
                                     Message.send(
@@ -183,8 +187,8 @@
                                     // to this one
                                     request.respond("200 OK", "", request.startLine());
                                 }));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        Socket client = stage.connect();
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        Socket client = cluster.connect();
         Message.send(
                 client,
                 TestCluster.requestText("use", "?1", "")
--- a/daemon/src/test/java/trailthread/daemon/CorruptResponseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CorruptResponseTest.java
@@ -18,15 +18,15 @@
     private static final String MADE = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade";
     private static final String ENDLESS = "X-More: " + "x".repeat(1000) + "\r\n";
 
-    private final TestCluster stage;
+    private final TestCluster cluster;
 
     public CorruptResponseTest() throws Exception {
-        stage = new TestCluster();
+        cluster = new TestCluster();
     }
 
     @After
     public void end() throws Exception {
-        stage.close();
+        cluster.close();
     }
 
     /** The endpoint keeps its connection open, so that only the node can end the request. */
@@ -43,16 +43,16 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfour\r\nmade\r\n0\r\n\r\n",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nb2d05e00\r\nmade",
         };
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
         for (String response : corrupt) {
             endpoint.setScript(request -> Message.send(request.connection(), response));
-            assertEquals(response, 502, stage.sendRequest("use").status());
+            assertEquals(response, 502, cluster.sendRequest("use").status());
             Socket closed =
                     endpoint.closedConnections.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
             assertEquals(response, endpoint.takeRequest().connection(), closed);
             endpoint.setScript(request -> request.respond("200 OK", "", "made"));
-            assertEquals("made", stage.sendRequest("state").body());
+            assertEquals("made", cluster.sendRequest("state").body());
             endpoint.takeRequest();
         }
     }
@@ -63,14 +63,14 @@
     @Test
     public void bytesAfterAResponseNeverReachTheNextRequest() throws Exception {
         String[] more = {MADE.replace("made", "copy"), "noise", "\r\n"};
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
         for (String rest : more) {
             endpoint.setScript(request -> Message.send(request.connection(), MADE + rest));
-            assertEquals("made", stage.sendRequest("use").body());
+            assertEquals("made", cluster.sendRequest("use").body());
             Socket corrupt = endpoint.takeRequest().connection();
             endpoint.setScript(request -> request.respond("200 OK", "", "next"));
-            assertEquals("next", stage.sendRequest("use").body());
+            assertEquals("next", cluster.sendRequest("use").body());
             assertNotEquals(corrupt, endpoint.takeRequest().connection());
         }
     }
@@ -78,14 +78,14 @@
     /** Bytes that arrive while the connection is idle in the pool. */
     @Test
     public void aConnectionWithUnsolicitedBytesIsClosed() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        assertEquals("made", stage.sendRequest("use").body());
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        assertEquals("made", cluster.sendRequest("use").body());
         Socket idle = endpoint.takeRequest().connection();
         Message.send(idle, MADE.replace("made", "copy"));
         assertEquals(
                 idle, endpoint.closedConnections.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
-        assertEquals("made", stage.sendRequest("use").body());
+        assertEquals("made", cluster.sendRequest("use").body());
         assertNotEquals(idle, endpoint.takeRequest().connection());
     }
 
@@ -98,11 +98,11 @@
             MADE.replace("\r\n\r\n", "\r\nX-Backend-Load: {{{{\u0001\u00ff\r\n\r\n"),
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x\r\nma\r\n2\r\nde\r\n0\r\nA: b\r\n\r\n",
         };
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
         for (String response : valid) {
             endpoint.setScript(request -> sendInPieces(request.connection(), response));
-            assertEquals(response, "made", stage.sendRequest("use").body());
+            assertEquals(response, "made", cluster.sendRequest("use").body());
         }
         assertNotNull(endpoint.takeRequest());
     }
--- a/daemon/src/test/java/trailthread/daemon/CrowdTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CrowdTest.java
@@ -29,12 +29,12 @@
     private static final long LIMIT_NS = 120_000_000_000L;
     private static final Pattern LENGTH = Pattern.compile("(?i)\r\nContent-Length: *(\\d+)");
 
-    private final TestCluster stage;
+    private final TestCluster cluster;
     private final Selector selector = Selector.open();
     private int answered;
 
     public CrowdTest() throws Exception {
-        stage = new TestCluster();
+        cluster = new TestCluster();
     }
 
     @After
@@ -43,7 +43,7 @@
             key.channel().close();
         }
         selector.close();
-        stage.close();
+        cluster.close();
     }
 
     /** A client, with what it has received and the number of its attempts. */
@@ -55,7 +55,7 @@
             assertTrue("too many attempts", ++attempts <= MAX_ATTEMPTS);
             SocketChannel channel = SocketChannel.open();
             channel.configureBlocking(false);
-            channel.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), stage.port));
+            channel.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), cluster.port));
             channel.register(selector, SelectionKey.OP_CONNECT, this);
         }
 
@@ -118,42 +118,42 @@
      */
     @Test
     public void idleClientsAtTheDescriptorLimitBlockNeitherDiscoveryNorRequests() throws Exception {
-        stage.descriptorLimit = 128;
-        stage.discovery.setScript(request -> request.respond("503 Busy", "", ""));
-        stage.start(
-                TestCluster.SETTINGS, stage.closeAtEnd(ScriptedServer.respondingWith("before")));
-        stage.awaitLogLine("discovery answers 503");
-        for (int i = 0; i < 3 * stage.descriptorLimit; i++) {
-            stage.connect();
+        cluster.descriptorLimit = 128;
+        cluster.discovery.setScript(request -> request.respond("503 Busy", "", ""));
+        cluster.start(
+                TestCluster.SETTINGS, cluster.closeAtEnd(ScriptedServer.respondingWith("before")));
+        cluster.awaitLogLine("discovery answers 503");
+        for (int i = 0; i < 3 * cluster.descriptorLimit; i++) {
+            cluster.connect();
         }
-        assertEquals("before", stage.sendRequest("state").body());
+        assertEquals("before", cluster.sendRequest("state").body());
         assertTrue(
-                stage.openDescriptorCount() + " held",
-                stage.openDescriptorCount() <= stage.descriptorLimit);
-        ScriptedServer after = stage.closeAtEnd(ScriptedServer.respondingWith("after"));
-        stage.discovery.setScript(
+                cluster.openDescriptorCount() + " held",
+                cluster.openDescriptorCount() <= cluster.descriptorLimit);
+        ScriptedServer after = cluster.closeAtEnd(ScriptedServer.respondingWith("after"));
+        cluster.discovery.setScript(
                 request -> {
                     TestCluster.beginWatch(request);
                     TestCluster.sendWatchLine(
                             request, TestCluster.endpointListJson(2, true, "active", after));
                 });
-        stage.awaitLogLine("discovery is back, at generation 2");
-        for (int i = 0; i < stage.descriptorLimit; i++) {
-            stage.connect();
+        cluster.awaitLogLine("discovery is back, at generation 2");
+        for (int i = 0; i < cluster.descriptorLimit; i++) {
+            cluster.connect();
         }
-        assertEquals("after", stage.sendRequest("state").body());
+        assertEquals("after", cluster.sendRequest("state").body());
         assertTrue(
-                stage.openDescriptorCount() + " held",
-                stage.openDescriptorCount() <= stage.descriptorLimit);
+                cluster.openDescriptorCount() + " held",
+                cluster.openDescriptorCount() <= cluster.descriptorLimit);
     }
 
     @Test
     public void everyClientOfACrowdGetsACompleteResponse() throws Exception {
-        stage.descriptorLimit = 382; // 200 connections to clients
-        stage.start(
+        cluster.descriptorLimit = 382; // 200 connections to clients
+        cluster.start(
                 TestCluster.SETTINGS,
-                stage.closeAtEnd(ScriptedServer.respondingWith("made")),
-                stage.closeAtEnd(ScriptedServer.respondingWith("made")));
+                cluster.closeAtEnd(ScriptedServer.respondingWith("made")),
+                cluster.closeAtEnd(ScriptedServer.respondingWith("made")));
         UnixOperatingSystemMXBean system =
                 (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         long free = system.getMaxFileDescriptorCount() - system.getOpenFileDescriptorCount();
@@ -176,6 +176,6 @@
                         1000);
             }
         }
-        assertEquals("made", stage.sendRequest("state").body());
+        assertEquals("made", cluster.sendRequest("state").body());
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/DegradationControllerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DegradationControllerTest.java
@@ -27,23 +27,23 @@
             """
             "lateness":{"hold_s":3600},"memory":{"hold_s":3600},"cpu_withheld":{"hold_s":3600}""";
 
-    private final TestCluster stage;
+    private final TestCluster cluster;
 
     public DegradationControllerTest() throws Exception {
-        stage = new TestCluster();
+        cluster = new TestCluster();
     }
 
     @After
     public void end() throws Exception {
-        stage.close();
+        cluster.close();
     }
 
     private String metrics() throws Exception {
-        Matcher adminAddress = ADMIN_ADDRESS.matcher(stage.awaitLogLine("operators are told on"));
+        Matcher adminAddress = ADMIN_ADDRESS.matcher(cluster.awaitLogLine("operators are told on"));
         assertTrue(adminAddress.find());
         Thread.sleep(1100); // metrics are updated every second
-        stage.port = Integer.parseInt(adminAddress.group(1));
-        Socket operator = stage.connect();
+        cluster.port = Integer.parseInt(adminAddress.group(1));
+        Socket operator = cluster.connect();
         Message.send(operator, "GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
         return Message.read(operator).body();
     }
@@ -51,7 +51,7 @@
     /** A single request that an endpoint fails is enough, as the test sets low thresholds. */
     @Test
     public void pollsAreShedAndUsesAreServedWhileRequestsFail() throws Exception {
-        stage.extraConfig =
+        cluster.extraConfig =
                 """
                 "management":"127.0.0.1:0",
                 "levels":{"on":true,"keep":0.000001,"lean":{SLOW},"essential":{SLOW},
@@ -59,14 +59,14 @@
                   "starved":{"enter":0.01,"leave":0.0001,"hold_s":0},SLOW}},"""
                         .replace("SLOW", SLOW);
         ScriptedServer endpoint =
-                stage.closeAtEnd(
+                cluster.closeAtEnd(
                         new ScriptedServer(request -> request.respond("500 Error", "", "")));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        int node = stage.port;
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        int node = cluster.port;
         assertTrue(metrics().contains("trailthread_level{trailthread_level=\"normal\"} 1"));
-        stage.port = node;
-        assertEquals(502, stage.sendRequest("use").status());
-        String change = stage.awaitLogLine("level normal -> reduced");
+        cluster.port = node;
+        assertEquals(502, cluster.sendRequest("use").status());
+        String change = cluster.awaitLogLine("level normal -> reduced");
         for (String part :
                 new String[] {"from=", "to=", "reading=", "value=", "bound=", "starved"}) {
             assertTrue(change, change.contains(part));
@@ -74,11 +74,11 @@
         endpoint.setScript(request -> request.respond("200 OK", "", "made"));
         endpoint.takeRequest();
         for (int i = 0; i < 3; i++) {
-            Message shed = stage.sendRequest("state");
+            Message shed = cluster.sendRequest("state");
             assertEquals(503, shed.status());
             assertNotNull(shed.header("Retry-After"));
             endpoint.assertNoMoreRequests();
-            assertEquals("made", stage.sendRequest("use").body());
+            assertEquals("made", cluster.sendRequest("use").body());
             endpoint.takeRequest();
         }
         String metrics = metrics();
--- a/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
@@ -13,19 +13,19 @@
 /** How the node follows discovery, and keeps its list without it, over real sockets. */
 public class DiscoverySideTest {
     private static final long PIECE_MS = 500;
-    private final TestCluster stage;
+    private final TestCluster cluster;
     private final ScriptedServer first;
     private final ScriptedServer second;
 
     public DiscoverySideTest() throws Exception {
-        stage = new TestCluster();
-        first = stage.closeAtEnd(ScriptedServer.respondingWith("first"));
-        second = stage.closeAtEnd(ScriptedServer.respondingWith("second"));
+        cluster = new TestCluster();
+        first = cluster.closeAtEnd(ScriptedServer.respondingWith("first"));
+        second = cluster.closeAtEnd(ScriptedServer.respondingWith("second"));
     }
 
     @After
     public void end() throws Exception {
-        stage.close();
+        cluster.close();
     }
 
     private static String as(String id, String list) {
@@ -34,77 +34,77 @@
 
     @Test
     public void changesAreAppliedAndWatchesNameTheKnownGeneration() throws Exception {
-        stage.start(TestCluster.SETTINGS, first);
-        Message watch = stage.discovery.takeRequest();
+        cluster.start(TestCluster.SETTINGS, first);
+        Message watch = cluster.discovery.takeRequest();
         assertEquals("GET /v1/endpoints?stream=1&index=1 HTTP/1.1", watch.startLine());
-        assertEquals("the list known before serves", "first", stage.sendRequest("use").body());
+        assertEquals("the list known before serves", "first", cluster.sendRequest("use").body());
 
         TestCluster.sendWatchLine(watch, "");
         TestCluster.sendWatchLine(
                 watch, as("w1", TestCluster.endpointListJson(7, false, "active", second)));
         TestCluster.sendWatchLine(watch, TestCluster.endpointListJson(8, false, "leaving", first));
-        stage.sendRequest("other"); // its response comes after the lines of discovery were read
-        while (!stage.sendRequest("use").body().equals("second")) {
+        cluster.sendRequest("other"); // its response comes after the lines of discovery were read
+        while (!cluster.sendRequest("use").body().equals("second")) {
             assertTrue("the drain is applied in time", first.requests.size() < 100);
         }
         int asked = first.requests.size();
         for (int i = 0; i < 10; i++) {
-            assertEquals("second", stage.sendRequest("use").body());
+            assertEquals("second", cluster.sendRequest("use").body());
         }
         assertEquals("nothing new to what drains", asked, first.requests.size());
         watch.connection().close();
         assertEquals(
                 "GET /v1/endpoints?stream=1&index=8 HTTP/1.1",
-                stage.discovery.takeRequest().startLine());
+                cluster.discovery.takeRequest().startLine());
     }
 
     @Test
     public void aCompleteListReplacesTheKnownOne() throws Exception {
-        stage.start(TestCluster.SETTINGS, first);
+        cluster.start(TestCluster.SETTINGS, first);
         TestCluster.sendWatchLine(
-                stage.discovery.takeRequest(),
+                cluster.discovery.takeRequest(),
                 as("w1", TestCluster.endpointListJson(2, true, "active", second)));
-        while (!stage.sendRequest("use").body().equals("second")) {
+        while (!cluster.sendRequest("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
         for (int i = 0; i < 10; i++) {
-            assertEquals("second", stage.sendRequest("use").body());
+            assertEquals("second", cluster.sendRequest("use").body());
         }
     }
 
     /** Prevents the first line of an indented list from being parsed alone. */
     @Test
     public void anIndentedListIsRead() throws Exception {
-        stage.start(TestCluster.SETTINGS, first);
+        cluster.start(TestCluster.SETTINGS, first);
         String list = as("w1", TestCluster.endpointListJson(2, true, "active", second));
         TestCluster.sendWatchLine(
-                stage.discovery.takeRequest(),
+                cluster.discovery.takeRequest(),
                 list.replace("{", "{\n  ").replace(",", ",\n  ").replace("}", "\n}"));
-        while (!stage.sendRequest("use").body().equals("second")) {
+        while (!cluster.sendRequest("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
-        stage.discovery.assertNoMoreRequests();
+        cluster.discovery.assertNoMoreRequests();
     }
 
     @Test
     public void aMalformedUpdateEndsTheWatchAndTheListIsKept() throws Exception {
-        stage.start(TestCluster.SETTINGS, first);
-        Message watch = stage.discovery.takeRequest();
+        cluster.start(TestCluster.SETTINGS, first);
+        Message watch = cluster.discovery.takeRequest();
         TestCluster.sendWatchLine(
                 watch,
                 TestCluster.endpointListJson(9, true, "active", second)
                         .replace("\"hostPort\"", "\"other\""));
         assertEquals(
                 "GET /v1/endpoints?stream=1&index=1 HTTP/1.1",
-                stage.discovery.takeRequest().startLine());
-        assertEquals("first", stage.sendRequest("use").body());
+                cluster.discovery.takeRequest().startLine());
+        assertEquals("first", cluster.sendRequest("use").body());
     }
 
     @Test
     public void aFailedWatchIsRetried() throws Exception {
-        stage.discovery.setScript(
+        cluster.discovery.setScript(
                 request -> {
-                    if (stage.discovery.requests.size() == 1) {
+                    if (cluster.discovery.requests.size() == 1) {
                         request.respond("503 Busy", "", "");
                     } else {
                         TestCluster.beginWatch(request);
@@ -112,32 +112,32 @@
                                 request, TestCluster.endpointListJson(2, true, "active", second));
                     }
                 });
-        stage.start(TestCluster.SETTINGS);
-        stage.awaitLogLine("answers 503");
-        assertEquals("second", stage.sendRequest("use").body());
+        cluster.start(TestCluster.SETTINGS);
+        cluster.awaitLogLine("answers 503");
+        assertEquals("second", cluster.sendRequest("use").body());
     }
 
     /** Prevents a node from keeping its first list because it opens no watch. */
     @Test
     public void whereListsArePushedAWatchIsKeptOpenUnasked() throws Exception {
-        stage.start(
+        cluster.start(
                 TestCluster.SETTINGS.replace(
                         "\"discovery\":\"on_request\"", "\"discovery\":\"pushed\""),
                 first);
-        Message watch = stage.discovery.takeRequest();
+        Message watch = cluster.discovery.takeRequest();
         TestCluster.sendWatchLine(
                 watch, as("w1", TestCluster.endpointListJson(2, true, "active", second)));
-        while (!stage.sendRequest("use").body().equals("second")) {
+        while (!cluster.sendRequest("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
-        stage.discovery.setScript(
+        cluster.discovery.setScript(
                 request -> {
                     TestCluster.beginWatch(request);
                     TestCluster.sendWatchLine(
                             request, TestCluster.endpointListJson(3, true, "active", first));
                 });
         watch.connection().close();
-        while (!stage.sendRequest("use").body().equals("first")) {
+        while (!cluster.sendRequest("use").body().equals("first")) {
             assertTrue(second.requests.size() < 100);
         }
     }
@@ -149,7 +149,7 @@
     @Test
     public void aMoveDuringThePauseAfterAFailureIsAskedAtOnce() throws Exception {
         ScriptedServer moved =
-                stage.closeAtEnd(
+                cluster.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
                                     TestCluster.beginWatch(request);
@@ -160,14 +160,14 @@
                                                     TestCluster.endpointListJson(
                                                             2, true, "active", second)));
                                 }));
-        stage.discovery.setScript(request -> request.respond("503 Busy", "", ""));
+        cluster.discovery.setScript(request -> request.respond("503 Busy", "", ""));
         String anHour =
                 TestCluster.SETTINGS.replace(
                         "\"ask_every_ns\":1000000000", "\"ask_every_ns\":3600000000000000");
-        stage.start(anHour, first);
-        stage.awaitLogLine("answers 503");
-        stage.reload(stage.config(moved, anHour, first));
-        while (!stage.sendRequest("use").body().equals("second")) {
+        cluster.start(anHour, first);
+        cluster.awaitLogLine("answers 503");
+        cluster.reload(cluster.config(moved, anHour, first));
+        while (!cluster.sendRequest("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
     }
@@ -175,12 +175,12 @@
     /** If the network is cut, the watch stays open, but heartbeats stop. */
     @Test
     public void aSilentWatchIsClosed() throws Exception {
-        stage.start(TestCluster.SETTINGS, first);
-        Message watch = stage.discovery.takeRequest();
+        cluster.start(TestCluster.SETTINGS, first);
+        Message watch = cluster.discovery.takeRequest();
         TestCluster.sendWatchLine(watch, "");
-        stage.awaitLogLine("is silent");
-        stage.discovery.takeRequest();
-        assertEquals("first", stage.sendRequest("use").body());
+        cluster.awaitLogLine("is silent");
+        cluster.discovery.takeRequest();
+        assertEquals("first", cluster.sendRequest("use").body());
     }
 
     /**
@@ -189,7 +189,7 @@
      */
     @Test
     public void aSlowListIsReadToItsEnd() throws Exception {
-        stage.discovery.setScript(
+        cluster.discovery.setScript(
                 request -> {
                     TestCluster.beginWatch(request);
                     comesInPieces(
@@ -198,24 +198,24 @@
                                     + "\n",
                             10);
                 });
-        stage.start(TestCluster.SETTINGS, first);
-        while (!stage.sendRequest("use").body().equals("second")) {
-            assertEquals("one request", 1, stage.discovery.requests.size());
+        cluster.start(TestCluster.SETTINGS, first);
+        while (!cluster.sendRequest("use").body().equals("second")) {
+            assertEquals("one request", 1, cluster.discovery.requests.size());
         }
-        assertEquals("one request", 1, stage.discovery.requests.size());
+        assertEquals("one request", 1, cluster.discovery.requests.size());
         first.assertNoMoreRequests();
     }
 
     /** An endless list would keep the node from polling again. */
     @Test
     public void anEndlessListIsAborted() throws Exception {
-        stage.discovery.setScript(
+        cluster.discovery.setScript(
                 request -> {
                     TestCluster.beginWatch(request);
                     comesInPieces(request, "{\"generation\":2," + " ".repeat(1_000), 500);
                 });
-        stage.start(TestCluster.SETTINGS, first);
-        stage.awaitLogLine("is silent");
+        cluster.start(TestCluster.SETTINGS, first);
+        cluster.awaitLogLine("is silent");
     }
 
     private static void comesInPieces(Message watch, String text, int pieces) throws IOException {
@@ -243,34 +243,35 @@
      */
     @Test
     public void onSighupTheWatchMovesAndAllElseStays() throws Exception {
-        stage.start(TestCluster.SETTINGS, first);
-        Message watch = stage.discovery.takeRequest();
+        cluster.start(TestCluster.SETTINGS, first);
+        Message watch = cluster.discovery.takeRequest();
         TestCluster.sendWatchLine(
                 watch, as("w1", TestCluster.endpointListJson(7, true, "active", second)));
-        while (!stage.sendRequest("use").body().equals("second")) {
+        while (!cluster.sendRequest("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
         ScriptedServer moved =
-                stage.closeAtEnd(new ScriptedServer(TestCluster::answerWatchUnchanged));
-        stage.reload("{\"name\":");
-        stage.awaitLogLine("configuration not taken over: name");
+                cluster.closeAtEnd(new ScriptedServer(TestCluster::answerWatchUnchanged));
+        cluster.reload("{\"name\":");
+        cluster.awaitLogLine("configuration not taken over: name");
         for (int i = 0; i < 3; i++) { // several in a row have the effect of one
-            stage.reload(stage.config(moved, TestCluster.SETTINGS, first));
+            cluster.reload(cluster.config(moved, TestCluster.SETTINGS, first));
         }
         Message movedWatch = moved.takeRequest();
         assertEquals("GET /v1/endpoints?stream=1&index=7 HTTP/1.1", movedWatch.startLine());
         watch.connection().close();
-        assertEquals("the list is kept", "second", stage.sendRequest("use").body());
+        assertEquals("the list is kept", "second", cluster.sendRequest("use").body());
         TestCluster.sendWatchLine(
                 movedWatch, TestCluster.endpointListJson(8, true, "active", first));
-        while (!stage.sendRequest("use").body().equals("first")) {
+        while (!cluster.sendRequest("use").body().equals("first")) {
             assertTrue(second.requests.size() < 100);
         }
         moved.assertNoMoreRequests();
-        stage.discovery.assertNoMoreRequests();
-        stage.terminate();
-        assertEquals(0, stage.exitStatus());
+        cluster.discovery.assertNoMoreRequests();
+        cluster.terminate();
+        assertEquals(0, cluster.exitStatus());
         assertTrue(
-                stage.log.toString(), stage.log.stream().noneMatch(line -> line.contains("WARN")));
+                cluster.log.toString(),
+                cluster.log.stream().noneMatch(line -> line.contains("WARN")));
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/DrainTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTest.java
@@ -14,7 +14,7 @@
 /** A drain moves clients away without losing requests; after a resume they are served again. */
 public class DrainTest extends WithAdminServer {
     private Message ready() throws IOException {
-        Socket front = stage.connect();
+        Socket front = cluster.connect();
         Message.send(front, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
         return Message.read(front);
     }
@@ -22,20 +22,21 @@
     @Test
     public void requestsAreServedAndConnectionsCloseWithTheirResponsesOrIdle() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        ScriptedServer endpoint =
+                cluster.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
         assertEquals(200, ready().status());
-        Socket busy = stage.connect();
+        Socket busy = cluster.connect();
         Message.send(busy, TestCluster.requestText("use", "", ""));
         endpoint.takeRequest();
-        Socket idle = stage.connect();
+        Socket idle = cluster.connect();
         Message.send(idle, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals(200, Message.read(idle).status());
-        assertEquals(200, stage.sendAdminRequest("POST", "/-/drain").status());
+        assertEquals(200, cluster.sendAdminRequest("POST", "/-/drain").status());
         assertEquals(503, ready().status());
-        assertEquals(503, stage.sendAdminRequest("GET", "/-/ready").status());
+        assertEquals(503, cluster.sendAdminRequest("GET", "/-/ready").status());
         assertEquals("idle connections are closed", -1, idle.getInputStream().read());
-        Socket late = stage.connect();
+        Socket late = cluster.connect();
         Message.send(late, TestCluster.requestText("use", "", ""));
         endpoint.takeRequest();
         answer.countDown();
@@ -44,9 +45,9 @@
             assertEquals("made", served.body());
             assertEquals("close", served.header("Connection"));
         }
-        assertEquals(200, stage.sendAdminRequest("POST", "/-/resume").status());
+        assertEquals(200, cluster.sendAdminRequest("POST", "/-/resume").status());
         assertEquals(200, ready().status());
-        Message afterResume = stage.sendRequest("use");
+        Message afterResume = cluster.sendRequest("use");
         assertEquals("made", afterResume.body());
         assertTrue(
                 "connections are kept alive again",
--- a/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
@@ -20,15 +20,15 @@
 
 /** What the node sends to endpoints, and how it handles their responses, over real sockets. */
 public class EndpointSideTest {
-    private final TestCluster stage;
+    private final TestCluster cluster;
 
     public EndpointSideTest() throws Exception {
-        stage = new TestCluster();
+        cluster = new TestCluster();
     }
 
     @After
     public void end() throws Exception {
-        stage.close();
+        cluster.close();
     }
 
     /**
@@ -45,10 +45,10 @@
                     }
                 };
         ScriptedServer[] endpoints = {
-            stage.closeAtEnd(new ScriptedServer(script)),
-            stage.closeAtEnd(new ScriptedServer(script))
+            cluster.closeAtEnd(new ScriptedServer(script)),
+            cluster.closeAtEnd(new ScriptedServer(script))
         };
-        stage.start(TestCluster.SETTINGS, endpoints);
+        cluster.start(TestCluster.SETTINGS, endpoints);
         return endpoints;
     }
 
@@ -61,25 +61,25 @@
         ScriptedServer[] endpoints =
                 startWithFirstRequest(
                         request -> request.respond("503 Full", "X-Unprocessed: 1\r\n", ""));
-        assertEquals("made", stage.sendRequest("use").body());
+        assertEquals("made", cluster.sendRequest("use").body());
         assertEquals(2, asked(endpoints));
     }
 
     @Test
     public void aRequestWhoseConnectionIsRefusedIsRetriedElsewhere() throws Exception {
         ScriptedServer gone = new ScriptedServer(request -> {});
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        stage.start(TestCluster.SETTINGS, gone, endpoint);
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, gone, endpoint);
         gone.close();
         for (int i = 0; i < 5; i++) {
-            assertEquals("made", stage.sendRequest("use").body());
+            assertEquals("made", cluster.sendRequest("use").body());
         }
     }
 
     @Test
     public void anIdempotentRequestIsRetried() throws Exception {
         ScriptedServer[] endpoints = startWithFirstRequest(request -> request.connection().close());
-        assertEquals("made", stage.sendRequest("state").body());
+        assertEquals("made", cluster.sendRequest("state").body());
         assertEquals(2, asked(endpoints));
     }
 
@@ -111,12 +111,12 @@
         }
         AtomicInteger turn = new AtomicInteger();
         ScriptedServer endpoint =
-                stage.closeAtEnd(
+                cluster.closeAtEnd(
                         new ScriptedServer(
                                 request -> failures.get(turn.getAndIncrement()).respond(request)));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        cluster.start(TestCluster.SETTINGS, endpoint);
         for (int i = 0; i < failures.size(); i++) {
-            assertEquals("way " + i, 502, stage.sendRequest("use").status());
+            assertEquals("way " + i, 502, cluster.sendRequest("use").status());
             assertEquals("way " + i, i + 1, endpoint.requests.size());
         }
     }
@@ -131,7 +131,7 @@
                 startWithFirstRequest(request -> request.respond("200 OK", "", "made"));
         assertEquals(
                 "made",
-                stage.sendRequest("state")
+                cluster.sendRequest("state")
                         .body()); // the module now has a latency estimate for its timeouts
         ScriptedServer.Script silent = request -> {};
         List<Integer> closedBefore = new ArrayList<>();
@@ -148,7 +148,7 @@
                         silent.respond(request);
                     });
         }
-        assertEquals("made", stage.sendRequest("state").body());
+        assertEquals("made", cluster.sendRequest("state").body());
         assertEquals(List.of(1), closedBefore);
     }
 
@@ -173,13 +173,13 @@
 
     @Test
     public void idleConnectionsAreClosedBeforeTheEndpointClosesThem() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
         String settings = TestCluster.SETTINGS.replace("idle_close_ns\":60", "idle_close_ns\":1");
-        stage.start(settings, endpoint);
-        assertEquals("made", stage.sendRequest("use").body());
+        cluster.start(settings, endpoint);
+        assertEquals("made", cluster.sendRequest("use").body());
         Socket idle = endpoint.closedConnections.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
         assertEquals(endpoint.takeRequest().connection(), idle);
-        assertEquals("made", stage.sendRequest("use").body());
+        assertEquals("made", cluster.sendRequest("use").body());
         assertNotEquals(idle, endpoint.takeRequest().connection());
     }
 
@@ -189,7 +189,7 @@
         ScriptedServer[] endpoints = new ScriptedServer[20];
         for (int i = 0; i < endpoints.length; i++) {
             endpoints[i] =
-                    stage.closeAtEnd(
+                    cluster.closeAtEnd(
                             new ScriptedServer(
                                     request -> {
                                         LockSupport.parkNanos(
@@ -198,9 +198,9 @@
                                         request.respond("200 OK", "", "made");
                                     }));
         }
-        stage.descriptorLimit = 96; // 16 connections to endpoints
-        stage.start(TestCluster.SETTINGS, endpoints);
-        Socket client = stage.connect();
+        cluster.descriptorLimit = 96; // 16 connections to endpoints
+        cluster.start(TestCluster.SETTINGS, endpoints);
+        Socket client = cluster.connect();
         for (int i = 0; i < 500; i++) {
             Message.send(client, TestCluster.requestText("use", "", ""));
             assertEquals("made", Message.read(client).body());
@@ -213,7 +213,7 @@
     /** The drain is announced while a connect hangs; what counts is the request's first byte. */
     @Test
     public void nothingIsSentToAnEndpointThatBeganToDrain() throws Exception {
-        ScriptedServer serving = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
+        ScriptedServer serving = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
         try (ServerSocket hanging = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> fill = new ArrayList<>(); // fills its backlog, so that a connect hangs
             while (fill.size() < 2) {
@@ -222,17 +222,17 @@
             String list =
                     TestCluster.endpointListJson(1, true, "active", serving)
                             .replace(serving.hostPort(), "127.0.0.1:" + hanging.getLocalPort());
-            stage.start(TestCluster.SETTINGS);
-            Message watch = stage.discovery.takeRequest();
+            cluster.start(TestCluster.SETTINGS);
+            Message watch = cluster.discovery.takeRequest();
             TestCluster.sendWatchLine(watch, list);
-            Socket client = stage.connect();
+            Socket client = cluster.connect();
             Message.send(client, TestCluster.requestText("use", "", ""));
             Thread.sleep(
                     200); // the connect hangs by now; if not, the test passes without proving much
             TestCluster.sendWatchLine(
                     watch,
                     list.replace("active", "leaving").replace("generation\":1", "generation\":2"));
-            stage.sendRequest("other");
+            cluster.sendRequest("other");
             for (int i = 0; i < fill.size(); i++) {
                 hanging.accept().close();
             }
--- a/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
+++ b/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
@@ -38,7 +38,7 @@
 
     private static final String[] CLASSES = {"use", "state", "action"};
     private static final Pattern ID = Pattern.compile("X-Correlation-Id: (\\w+)");
-    private final TestCluster stage;
+    private final TestCluster cluster;
     private final Set<String> receivedIds = ConcurrentHashMap.newKeySet();
     private final Queue<String> faults = new ConcurrentLinkedQueue<>();
     private final AtomicInteger lateResponses = new AtomicInteger();
@@ -46,12 +46,12 @@
     private volatile boolean killed;
 
     public GracefulShutdownTest() throws Exception {
-        stage = new TestCluster();
+        cluster = new TestCluster();
     }
 
     @After
     public void end() throws Exception {
-        stage.close();
+        cluster.close();
     }
 
     private static String settings(int deadlineMs) {
@@ -63,7 +63,7 @@
     }
 
     private ScriptedServer endpoint() throws IOException {
-        return stage.closeAtEnd(
+        return cluster.closeAtEnd(
                 new ScriptedServer(
                         request -> {
                             receivedIds.add(request.header("X-Correlation-Id"));
@@ -158,26 +158,26 @@
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             int number = i;
-            Socket connection = stage.connect();
+            Socket connection = cluster.connect();
             Message.send(connection, requestText(i, 1_000));
-            assertEquals(stage.log.toString(), 200, Message.read(connection).status());
+            assertEquals(cluster.log.toString(), 200, Message.read(connection).status());
             clients.add(new Thread(() -> sendRequests(connection, number, deadlineMs)));
         }
         endpointsHang = true;
         clients.forEach(Thread::start);
-        stage.terminate();
+        cluster.terminate();
         long requestedAt = System.nanoTime();
         if (stoppedMs > 0) {
             Thread.sleep(LATE_MS);
-            stage.signal("STOP");
+            cluster.signal("STOP");
             Thread.sleep(stoppedMs);
-            stage.signal("CONT");
+            cluster.signal("CONT");
         }
         long killAfterMs = 700L + Math.min(deadlineMs, 3_000);
         Thread.sleep(Math.max(0, killAfterMs - (System.nanoTime() - requestedAt) / 1_000_000));
         killed = true;
-        if (stage.isRunning()) {
-            stage.signal("KILL");
+        if (cluster.isRunning()) {
+            cluster.signal("KILL");
         }
         for (Thread client : clients) {
             client.join();
@@ -187,7 +187,7 @@
     private void runWithDeadlines(int ms, int stoppedMs) throws Exception {
         runUndisturbed(
                 () -> {
-                    stage.start(settings(ms), endpoint(), endpoint());
+                    cluster.start(settings(ms), endpoint(), endpoint());
                     shutDownUnderLoad(ms, stoppedMs);
                 });
     }
@@ -223,9 +223,9 @@
         runUndisturbed(
                 () -> {
                     ScriptedServer endpoint = endpoint();
-                    stage.start(settings(4_000), endpoint);
-                    stage.reload(stage.config(settings(300), endpoint));
-                    stage.awaitLogLine("configuration taken over");
+                    cluster.start(settings(4_000), endpoint);
+                    cluster.reload(cluster.config(settings(300), endpoint));
+                    cluster.awaitLogLine("configuration taken over");
                     shutDownUnderLoad(300, 0);
                 });
     }
--- a/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
@@ -110,11 +110,11 @@
                             request.connection().getOutputStream().write(made);
                             request.connection().shutdownOutput();
                         });
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
         for (ScriptedServer.Script form : forms) {
             endpoint.setScript(form);
-            Socket client = stage.connect();
+            Socket client = cluster.connect();
             Message.send(client, TestCluster.requestText("use", "", ""));
             endpoint.takeRequest();
             assertArrayEquals(made, read(client));
@@ -129,7 +129,7 @@
     public void moreResponsesThanFitIntoMemoryForSlowClients() throws Exception {
         byte[] made = bytes(8 * LONG);
         ScriptedServer endpoint =
-                stage.closeAtEnd(
+                cluster.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
                                     if (request.startLine().startsWith("GET")) {
@@ -141,26 +141,26 @@
                                         request.connection().getOutputStream().write(made);
                                     }
                                 }));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        cluster.start(TestCluster.SETTINGS, endpoint);
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 6; i++) { // 192 MB, with a heap of 64 MB
-            clients.add(stage.connect());
+            clients.add(cluster.connect());
             Message.send(clients.get(i), TestCluster.requestText("use", "", ""));
             endpoint.takeRequest();
         }
-        assertEquals("others are served meanwhile", "short", stage.sendRequest("state").body());
+        assertEquals("others are served meanwhile", "short", cluster.sendRequest("state").body());
         clients.get(0).close();
         for (Socket client : clients.subList(1, clients.size())) {
             assertArrayEquals(made, read(client));
         }
-        assertEquals("short", stage.sendRequest("state").body());
+        assertEquals("short", cluster.sendRequest("state").body());
     }
 
     @Test
     public void aTruncatedResponseIsNotComplete() throws Exception {
         byte[] made = bytes(LONG);
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
         for (String framing :
                 List.of(
                         "Content-Length: " + 2 * LONG + "\r\n",
@@ -181,7 +181,7 @@
                         // truncated
                         request.connection().close();
                     });
-            Socket client = stage.connect();
+            Socket client = cluster.connect();
             Message.send(client, TestCluster.requestText("use", "", ""));
             endpoint.takeRequest();
             try {
@@ -198,7 +198,7 @@
         String body = new String(bytes(LONG), StandardCharsets.ISO_8859_1);
         AtomicInteger asked = new AtomicInteger();
         ScriptedServer endpoint =
-                stage.closeAtEnd(
+                cluster.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
                                     boolean first = asked.incrementAndGet() == 1;
@@ -207,18 +207,18 @@
                                             first ? "X-Unprocessed: 1\r\n" : "",
                                             first ? "" : "made");
                                 }));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        cluster.start(TestCluster.SETTINGS, endpoint);
         String head =
                 TestCluster.requestText("use", "", "")
                         .replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "");
-        Socket told = stage.connect();
+        Socket told = cluster.connect();
         Message.send(told, head + "Expect: 100-continue\r\nContent-Length: " + LONG + "\r\n\r\n");
         assertEquals("HTTP/1.1 100 Continue", Message.read(told).startLine());
         Message.send(told, body);
         assertEquals(body, endpoint.takeRequest().body());
         assertEquals("sent again whole", body, endpoint.takeRequest().body());
         assertEquals("made", Message.read(told).body());
-        Socket chunked = stage.connect();
+        Socket chunked = cluster.connect();
         Message.send(
                 chunked,
                 TestCluster.requestText("use", "", "")
@@ -248,28 +248,28 @@
         Semaphore answers = new Semaphore(0);
         Semaphore answered = new Semaphore(0);
         ScriptedServer endpoint =
-                stage.closeAtEnd(
+                cluster.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
                                     answers.acquireUninterruptibly();
                                     request.respond("200 OK", "", "made");
                                     answered.release();
                                 }));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        cluster.start(TestCluster.SETTINGS, endpoint);
         String body =
                 new String(bytes(3 * LONG), StandardCharsets.ISO_8859_1); // the limit allows one
         for (int i = 0; i < 5; i++) {
-            Socket leaves = stage.connect();
+            Socket leaves = cluster.connect();
             Message.send(leaves, head("Content-Length: " + body.length()) + body);
             endpoint.takeRequest();
             leaves.close();
-            stage.awaitMetricLine("app_current 0");
+            cluster.awaitMetricLine("app_current 0");
             answers.release();
             answered.acquireUninterruptibly();
             answers.release();
             assertEquals(
                     "made",
-                    stage.sendRequest("state")
+                    cluster.sendRequest("state")
                             .body()); // by then the node has read the previous response
             endpoint.takeRequest();
             answered.acquireUninterruptibly();
@@ -283,7 +283,7 @@
                             first ? "X-Unprocessed: 1\r\n" : "",
                             first ? "" : "made");
                 });
-        Socket client = stage.connect();
+        Socket client = cluster.connect();
         Message.send(client, head("Content-Length: " + body.length()) + body);
         assertEquals("made", Message.read(client).body());
         assertEquals(2, asked.get());
@@ -291,13 +291,13 @@
 
     @Test
     public void bodiesThatExceedTheMemoryAreStreamed() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
         byte[] most = bytes(30 * 1024 * 1024); // below the limit of a body, above that of all
         String body = new String(most, StandardCharsets.ISO_8859_1);
         for (String framing :
                 List.of("Content-Length: " + most.length, "Transfer-Encoding: chunked")) {
-            Socket client = stage.connect();
+            Socket client = cluster.connect();
             Message.send(client, head(framing));
             if (framing.startsWith("T")) {
                 chunks(client.getOutputStream(), most, 100_000);
@@ -311,13 +311,13 @@
             assertEquals("the connection goes on", "made", Message.read(client).body());
             endpoint.takeRequest();
         }
-        stage.awaitMetricLine("app_sends 4");
+        cluster.awaitMetricLine("app_sends 4");
     }
 
     @Test
     public void aRejectionOfAStreamedBodyIsForwardedWithoutRetry() throws Exception {
-        ScriptedServer elsewhere = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        stage.start(TestCluster.SETTINGS);
+        ScriptedServer elsewhere = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS);
         CountDownLatch rejected = new CountDownLatch(1);
         try (ServerSocket early = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Thread thread =
@@ -336,29 +336,29 @@
                             });
             thread.start();
             TestCluster.sendWatchLine(
-                    stage.discovery.takeRequest(),
+                    cluster.discovery.takeRequest(),
                     TestCluster.endpointListJson(2, true, "active", elsewhere)
                             .replace(elsewhere.hostPort(), "127.0.0.1:" + early.getLocalPort()));
-            stage.awaitMetricLine("app_cluster_size 1");
-            Socket client = stage.connect();
+            cluster.awaitMetricLine("app_cluster_size 1");
+            Socket client = cluster.connect();
             Message.send(client, head("Content-Length: " + 30 * 1024 * 1024));
             Message.send(client, "x".repeat(100_000));
             assertTrue(rejected.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
             Message refused = Message.read(client);
             assertEquals("nothing has run: the module refuses", 503, refused.status());
             assertEquals("close", refused.header("Connection"));
-            stage.awaitMetricLine("app_sends 0");
-            stage.awaitMetricLine("app_current 0");
+            cluster.awaitMetricLine("app_sends 0");
+            cluster.awaitMetricLine("app_current 0");
         }
     }
 
     @Test
     public void aTruncatedBodyIsNoRequest() throws Exception {
         ScriptedServer endpoint =
-                stage.closeAtEnd(
+                cluster.closeAtEnd(
                         new ScriptedServer(request -> request.respond("200 OK", "", "made")));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        Socket client = stage.connect();
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        Socket client = cluster.connect();
         Message.send(client, head("Content-Length: " + 30 * 1024 * 1024));
         Message.send(client, "x".repeat(2_000_000));
         client.close();
@@ -367,15 +367,15 @@
                 endpoint.closedConnections.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS)
                         != null);
         endpoint.assertNoMoreRequests();
-        stage.awaitMetricLine("app_current 0");
-        assertEquals("made", stage.sendRequest("use").body());
+        cluster.awaitMetricLine("app_current 0");
+        assertEquals("made", cluster.sendRequest("use").body());
     }
 
     @Test
     public void aMalformedRequestIsNotBuffered() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        Socket noCall = stage.connect();
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        Socket noCall = cluster.connect();
         Message.send(
                 noCall,
                 head("Content-Length: " + LONG)
@@ -389,7 +389,7 @@
         } catch (IOException e) {
             assertTrue("as good as an end", !(e instanceof SocketTimeoutException));
         }
-        Socket tooLong = stage.connect();
+        Socket tooLong = cluster.connect();
         Message.send(tooLong, head("Content-Length: 60000000"));
         assertEquals(413, Message.read(tooLong).status());
     }
--- a/daemon/src/test/java/trailthread/daemon/MetricsOverSocketsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/MetricsOverSocketsTest.java
@@ -15,7 +15,7 @@
     @Test
     public void eachRequestIsCountedOnce() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
         endpoint.setScript(
                 request -> {
                     switch (request.startLine().replaceAll(".*how=(\\w+) .*", "$1")) {
@@ -32,37 +32,37 @@
                         default -> request.respond("200 OK", "", "made");
                     }
                 });
-        stage.start(TestCluster.SETTINGS, endpoint);
-        stage.awaitMetricLine("app_answered{group=\"use\"} 0");
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        cluster.awaitMetricLine("app_answered{group=\"use\"} 0");
         int sends = 0;
         for (String how : new String[] {"reset", "error", "served"}) {
             assertEquals(how, how.equals("served") ? 200 : 502, ask(how, "20.000").status());
             sends++;
         }
-        Socket cut = stage.connect();
+        Socket cut = cluster.connect();
         Message.send(cut, TestCluster.requestText("use", "?how=long", ""));
         int came = cut.getInputStream().readAllBytes().length;
         assertTrue("passed on until it broke off: " + came, came > 64 * 1024 && came < 200_000);
         assertEquals("its time is over", 502, ask("held", "0.500").status());
         sends += 2;
-        stage.awaitMetricLine("app_current 0");
-        Socket leaves = stage.connect();
+        cluster.awaitMetricLine("app_current 0");
+        Socket leaves = cluster.connect();
         Message.send(leaves, TestCluster.requestText("use", "?how=held", ""));
-        stage.awaitMetricLine("app_current 1");
-        stage.awaitMetricLine("app_sends " + ++sends);
+        cluster.awaitMetricLine("app_current 1");
+        cluster.awaitMetricLine("app_sends " + ++sends);
         leaves.close();
-        stage.awaitMetricLine("app_current 0");
-        assertEquals(400, stage.sendRequest("none").status());
-        stage.awaitMetricLine("app_answered{group=\"use\"} 1");
-        stage.awaitMetricLine("app_deferred{group=\"use\"} 0");
-        stage.awaitMetricLine("app_errored{group=\"use\"} 4");
-        stage.awaitMetricLine("app_sends " + sends);
+        cluster.awaitMetricLine("app_current 0");
+        assertEquals(400, cluster.sendRequest("none").status());
+        cluster.awaitMetricLine("app_answered{group=\"use\"} 1");
+        cluster.awaitMetricLine("app_deferred{group=\"use\"} 0");
+        cluster.awaitMetricLine("app_errored{group=\"use\"} 4");
+        cluster.awaitMetricLine("app_sends " + sends);
         assertEquals("what the worker saw", sends, endpoint.requests.size());
         over.countDown();
     }
 
     private Message ask(String how, String seconds) throws Exception {
-        Socket client = stage.connect();
+        Socket client = cluster.connect();
         Message.send(
                 client,
                 TestCluster.requestText("use", "?how=" + how, "").replace("20.000", seconds));
--- a/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
@@ -23,17 +23,17 @@
     private static final String SERVES = "serves on";
     private static final int REQUESTS = 50;
 
-    private final TestCluster stage = new TestCluster();
-    private final ListeningSocketHolder holder = stage.closeAtEnd(new ListeningSocketHolder());
+    private final TestCluster cluster = new TestCluster();
+    private final ListeningSocketHolder holder = cluster.closeAtEnd(new ListeningSocketHolder());
     private final Path config = Files.createTempFile("trailthread", ".json");
 
     public NewVersionTest() throws Exception {
-        stage.port = holder.port;
+        cluster.port = holder.port;
     }
 
     @After
     public void end() throws Exception {
-        stage.close();
+        cluster.close();
         Files.delete(config);
     }
 
@@ -53,7 +53,7 @@
     public void theOldProcessFinishesItsRequestsAndTheNewOneTakesOver() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         ScriptedServer endpoint =
-                stage.closeAtEnd(
+                cluster.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
                                     if (request.startLine().startsWith("POST /use")) {
@@ -61,12 +61,12 @@
                                     }
                                     request.respond("200 OK", "", "made");
                                 }));
-        Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
+        Files.writeString(config, cluster.config(TestCluster.SETTINGS, endpoint));
         long old = start();
         holder.awaitLogMatch(SERVES, 1);
-        Socket atWork = stage.connect();
+        Socket atWork = cluster.connect();
         Message.send(atWork, TestCluster.requestText("use", "", ""));
-        Socket idle = stage.connect();
+        Socket idle = cluster.connect();
         Message.send(idle, TestCluster.requestText("state", "", ""));
         assertEquals("made", Message.read(idle).body());
         start();
@@ -81,7 +81,7 @@
                             }
                         });
         for (int i = 0; i < REQUESTS; i++) {
-            assertEquals("made", stage.sendRequest("state").body());
+            assertEquals("made", cluster.sendRequest("state").body());
         }
         assertEquals("idle connections are closed", -1, idle.getInputStream().read());
         answer.countDown();
@@ -89,7 +89,7 @@
         assertEquals("made", served.body());
         assertEquals("close", served.header("Connection"));
         ended.get(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
-        assertEquals("made", stage.sendRequest("state").body());
+        assertEquals("made", cluster.sendRequest("state").body());
         assertEquals(
                 "endpoints received only clients' requests",
                 REQUESTS + 3,
@@ -102,29 +102,29 @@
 
     @Test
     public void aNewProcessThatDiesChangesNothing() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        Files.writeString(config, cluster.config(TestCluster.SETTINGS, endpoint));
         start();
         holder.awaitLogMatch(SERVES, 1);
         for (int i = 2; i < 4; i++) {
             long dies = start();
             adminPort(i); // waits until its start is in progress
             assertTrue(ProcessHandle.of(dies).orElseThrow().destroyForcibly());
-            assertEquals("made", stage.sendRequest("use").body());
+            assertEquals("made", cluster.sendRequest("use").body());
         }
         Files.writeString(config, "{");
         start();
         holder.awaitLogMatch("LB_CONFIG|JSON", 1);
         for (int i = 0; i < REQUESTS; i++) {
-            assertEquals("made", stage.sendRequest("use").body());
+            assertEquals("made", cluster.sendRequest("use").body());
         }
         assertEquals(200, TestCluster.sendAdminRequest(adminPort(1), "GET", "/-/ready").status());
     }
 
     @Test
     public void severalUpgradesInARowAlsoDuringADrain() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        Files.writeString(config, cluster.config(TestCluster.SETTINGS, endpoint));
         long old = start();
         holder.awaitLogMatch(SERVES, 1);
         for (int i = 2; i < 5; i++) {
@@ -143,7 +143,7 @@
                     drained ? 503 : 200,
                     TestCluster.sendAdminRequest(adminPort(i - 1), "GET", "/-/ready").status());
             ListeningSocketHolder.terminate(old);
-            assertEquals("made", stage.sendRequest("use").body());
+            assertEquals("made", cluster.sendRequest("use").body());
             old = next;
         }
     }
@@ -151,7 +151,7 @@
     @Test
     public void anUnusableDescriptorIsReported() throws Exception {
         for (String descriptor : List.of("0", "3", "x")) {
-            Files.writeString(config, stage.config(TestCluster.SETTINGS));
+            Files.writeString(config, cluster.config(TestCluster.SETTINGS));
             ProcessBuilder builder =
                     new ProcessBuilder(
                                     Path.of(System.getProperty("java.home"), "bin", "java")
--- a/daemon/src/test/java/trailthread/daemon/PauseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/PauseTest.java
@@ -28,15 +28,15 @@
                     .replace("\"aim_ns\":10000000000", "\"aim_ns\":500000000")
                     .replace("\"deadline_ns\":20000000000", "\"deadline_ns\":2000000000");
 
-    private final TestCluster stage;
+    private final TestCluster cluster;
 
     public PauseTest() throws Exception {
-        stage = new TestCluster();
+        cluster = new TestCluster();
     }
 
     @After
     public void end() throws Exception {
-        stage.close();
+        cluster.close();
     }
 
     private Socket send(Socket client, int number) throws Exception {
@@ -65,15 +65,15 @@
 
     @Test
     public void requestsSentToAStoppedNodeAreServedAndRunOnce() throws Exception {
-        stage.descriptorLimit = 96; // 28 connections to clients: fewer than come
+        cluster.descriptorLimit = 96; // 28 connections to clients: fewer than come
         ScriptedServer[] endpoints = {
-            stage.closeAtEnd(ScriptedServer.respondingWith("made")),
-            stage.closeAtEnd(ScriptedServer.respondingWith("made"))
+            cluster.closeAtEnd(ScriptedServer.respondingWith("made")),
+            cluster.closeAtEnd(ScriptedServer.respondingWith("made"))
         };
-        stage.start(TestCluster.SETTINGS, endpoints);
+        cluster.start(TestCluster.SETTINGS, endpoints);
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < KEPT; i++) {
-            clients.add(send(stage.connect(), i));
+            clients.add(send(cluster.connect(), i));
             assertServed(clients.subList(i, i + 1));
         }
         CountDownLatch goOn = new CountDownLatch(1);
@@ -91,39 +91,39 @@
                     });
         }
         for (int i = 0; i < IN_FLIGHT; i++) {
-            clients.add(send(stage.connect(), i));
+            clients.add(send(cluster.connect(), i));
         }
         assertTrue("requests are in flight", out.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
 
-        stage.signal("STOP");
+        cluster.signal("STOP");
         goOn.countDown();
         for (int i = 0; i < KEPT; i++) {
             send(clients.get(i), i);
         }
         for (int i = 0; i < NEW; i++) {
-            clients.add(send(stage.connect(), i));
+            clients.add(send(cluster.connect(), i));
         }
         Thread.sleep(2000);
-        stage.signal("CONT");
+        cluster.signal("CONT");
 
         assertServed(clients);
         assertEquals(KEPT + IN_FLIGHT + KEPT + NEW, ranOnce(endpoints));
-        assertEquals("made", stage.sendRequest("use").body());
-        assertEquals("made", stage.sendRequest("state").body());
+        assertEquals("made", cluster.sendRequest("use").body());
+        assertEquals("made", cluster.sendRequest("state").body());
     }
 
     @Test
     public void silentEndpointsBlockNothingAndAreUsedAgainOnceTheyRespond() throws Exception {
         ScriptedServer.Script serves = request -> request.respond("200 OK", "", "made");
         ScriptedServer[] endpoints = {
-            stage.closeAtEnd(new ScriptedServer(serves)),
-            stage.closeAtEnd(new ScriptedServer(serves)),
-            stage.closeAtEnd(new ScriptedServer(serves)),
-            stage.closeAtEnd(new ScriptedServer(serves))
+            cluster.closeAtEnd(new ScriptedServer(serves)),
+            cluster.closeAtEnd(new ScriptedServer(serves)),
+            cluster.closeAtEnd(new ScriptedServer(serves)),
+            cluster.closeAtEnd(new ScriptedServer(serves))
         };
-        stage.start(QUICK, endpoints);
+        cluster.start(QUICK, endpoints);
         for (int i = 0; i < 200; i++) {
-            assertEquals(200, stage.sendRequest("state").status());
+            assertEquals(200, cluster.sendRequest("state").status());
         }
         for (ScriptedServer endpoint : endpoints) {
             endpoint.requests.clear();
@@ -134,7 +134,7 @@
         }
         List<Socket> users = new ArrayList<>();
         while (silent[0].requests.isEmpty() && silent[1].requests.isEmpty()) {
-            Socket user = stage.connect();
+            Socket user = cluster.connect();
             Message.send(
                     user, TestCluster.requestText("use", "", "").replace("Left: 20", "Left: 3"));
             users.add(user);
@@ -147,7 +147,7 @@
         assertEquals(users.size(), ranOnce(endpoints));
 
         for (int i = 0; i < 20; i++) {
-            assertEquals("made", stage.sendRequest("state").body());
+            assertEquals("made", cluster.sendRequest("state").body());
         }
         for (ScriptedServer endpoint : silent) {
             endpoint.setScript(serves);
@@ -156,7 +156,7 @@
         long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * ScriptedServer.TIMEOUT_S);
         while (silent[0].requests.isEmpty() || silent[1].requests.isEmpty()) {
             assertTrue("used again", System.nanoTime() < limit);
-            assertEquals("made", stage.sendRequest("state").body());
+            assertEquals("made", cluster.sendRequest("state").body());
             Thread.sleep(10);
         }
     }
--- a/daemon/src/test/java/trailthread/daemon/RetuneTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RetuneTest.java
@@ -20,79 +20,80 @@
     @Test
     public void classesAreAddedAndRemovedAndRequestsInFlightKeepTheirs() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        assertEquals(400, stage.sendRequest("study").status());
-        Socket atWork = stage.connect();
+        ScriptedServer endpoint =
+                cluster.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        assertEquals(400, cluster.sendRequest("study").status());
+        Socket atWork = cluster.connect();
         Message.send(atWork, TestCluster.requestText("use", "", ""));
         endpoint.takeRequest();
-        Socket half = stage.connect();
+        Socket half = cluster.connect();
         String request = TestCluster.requestText("use", "", "");
         Message.send(half, request.substring(0, request.length() - 2));
-        stage.sendRequest("none"); // the node has read what was sent before
-        stage.reload(stage.config(OTHERS, endpoint));
-        stage.awaitMetricLine("app_conf_loaded 1");
-        stage.awaitMetricLine("app_answered{group=\"study\"} 0");
-        assertEquals(400, stage.sendRequest("use").status());
+        cluster.sendRequest("none"); // the node has read what was sent before
+        cluster.reload(cluster.config(OTHERS, endpoint));
+        cluster.awaitMetricLine("app_conf_loaded 1");
+        cluster.awaitMetricLine("app_answered{group=\"study\"} 0");
+        assertEquals(400, cluster.sendRequest("use").status());
         Message.send(half, request.substring(request.length() - 2));
         endpoint.takeRequest();
         answer.countDown();
         assertEquals("made", Message.read(atWork).body());
         assertEquals("made", Message.read(half).body());
-        assertEquals("made", stage.sendRequest("study").body());
-        stage.awaitMetricLine("app_answered{group=\"use\"} 2");
+        assertEquals("made", cluster.sendRequest("study").body());
+        cluster.awaitMetricLine("app_answered{group=\"use\"} 2");
     }
 
     @Test
     public void fewerAttemptsApplyAtOnce() throws Exception {
         ScriptedServer endpoint =
-                stage.closeAtEnd(
+                cluster.closeAtEnd(
                         new ScriptedServer(request -> request.respond("500 Error", "", "")));
         ScriptedServer other =
-                stage.closeAtEnd(
+                cluster.closeAtEnd(
                         new ScriptedServer(request -> request.respond("500 Error", "", "")));
-        stage.start(TestCluster.SETTINGS, endpoint, other);
+        cluster.start(TestCluster.SETTINGS, endpoint, other);
         assertTrue(
                 "more than one attempt",
-                stage.sendRequest("state").status() >= 500
+                cluster.sendRequest("state").status() >= 500
                         && endpoint.requests.size() + other.requests.size() > 1);
-        stage.reload(stage.config(OTHERS, endpoint, other));
-        stage.awaitMetricLine("app_conf_loaded 1");
+        cluster.reload(cluster.config(OTHERS, endpoint, other));
+        cluster.awaitMetricLine("app_conf_loaded 1");
         int before = endpoint.requests.size() + other.requests.size();
-        stage.sendRequest("state");
+        cluster.sendRequest("state");
         assertTrue(endpoint.requests.size() + other.requests.size() - before <= 1);
     }
 
     @Test
     public void severalReloadsInARowEndWithTheNewestFile() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
         for (int i = 0; i < 20; i++) {
-            stage.reload(stage.config(i % 2 == 0 ? OTHERS : TestCluster.SETTINGS, endpoint));
+            cluster.reload(cluster.config(i % 2 == 0 ? OTHERS : TestCluster.SETTINGS, endpoint));
         }
-        stage.reload(
-                stage.config(
+        cluster.reload(
+                cluster.config(
                         OTHERS.replace("\"study\"", "\"newest\""),
                         endpoint)); // no other file has that class
         boolean newest = false;
         for (int i = 0; !newest && i < 10 * ScriptedServer.TIMEOUT_S; i++) {
-            newest = stage.sendRequest("newest").status() == 200;
+            newest = cluster.sendRequest("newest").status() == 200;
             Thread.sleep(newest ? 0 : 100);
         }
         assertTrue("the newest is taken", newest);
-        stage.reload("{");
-        stage.awaitLogLine(
+        cluster.reload("{");
+        cluster.awaitLogLine(
                 "configuration not taken over"); // signals before it may still be under way, and
         // read this one
-        assertEquals(200, stage.sendRequest("newest").status());
-        assertEquals(400, stage.sendRequest("use").status());
+        assertEquals(200, cluster.sendRequest("newest").status());
+        assertEquals(400, cluster.sendRequest("use").status());
     }
 
     @Test
     public void aBrokenFileChangesNothing() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        String good = stage.config(OTHERS, endpoint);
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        String good = cluster.config(OTHERS, endpoint);
         String[] broken = {
             "",
             "{",
@@ -115,13 +116,13 @@
         };
         for (int i = 0; i < broken.length; i++) {
             assertTrue(i + " is broken", !broken[i].equals(good));
-            stage.reload(broken[i]);
-            stage.awaitMetricLine("app_conf_invalid " + (i + 1));
+            cluster.reload(broken[i]);
+            cluster.awaitMetricLine("app_conf_invalid " + (i + 1));
         }
-        assertEquals("made", stage.sendRequest("use").body());
-        assertEquals(400, stage.sendRequest("study").status());
-        stage.reload(good.replace("20000000000,", "20000000000.0,"));
-        stage.awaitMetricLine("app_conf_loaded 1");
-        assertEquals("made", stage.sendRequest("study").body());
+        assertEquals("made", cluster.sendRequest("use").body());
+        assertEquals(400, cluster.sendRequest("study").status());
+        cluster.reload(good.replace("20000000000,", "20000000000.0,"));
+        cluster.awaitMetricLine("app_conf_loaded 1");
+        assertEquals("made", cluster.sendRequest("study").body());
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/StaleListTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StaleListTest.java
@@ -26,21 +26,21 @@
     /** How long after a change it counts as announced. */
     private static final long NEWS_DUE_MS = 6_000;
 
-    private final TestCluster stage;
+    private final TestCluster cluster;
     private final ScriptedServer gone;
     private final ScriptedServer present;
     private final CountDownLatch answers = new CountDownLatch(1);
 
     public StaleListTest() throws Exception {
-        stage = new TestCluster();
-        gone = stage.closeAtEnd(ScriptedServer.respondingWith("gone"));
-        present = stage.closeAtEnd(ScriptedServer.respondingWith("present"));
+        cluster = new TestCluster();
+        gone = cluster.closeAtEnd(ScriptedServer.respondingWith("gone"));
+        present = cluster.closeAtEnd(ScriptedServer.respondingWith("present"));
     }
 
     @After
     public void end() throws Exception {
         answers.countDown();
-        stage.close();
+        cluster.close();
     }
 
     private ScriptedServer[] thousands(ScriptedServer peer) {
@@ -51,7 +51,7 @@
 
     /** Discovery is overloaded: it accepts requests, and responds to none until released. */
     private void crowd() {
-        stage.discovery.setScript(
+        cluster.discovery.setScript(
                 request -> {
                     ScriptedServer.await(answers);
                     TestCluster.beginWatch(request);
@@ -62,14 +62,14 @@
     }
 
     private void assertRefused() throws Exception {
-        Message answer = stage.sendRequest("use");
+        Message answer = cluster.sendRequest("use");
         assertEquals("present", 503, answer.status());
         gone.assertNoMoreRequests();
     }
 
     private void awaitServedBy(String server) throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(ScriptedServer.TIMEOUT_S);
-        while (!stage.sendRequest("use").body().equals(server)) {
+        while (!cluster.sendRequest("use").body().equals(server)) {
             assertTrue("served in the end", System.nanoTime() < until);
             Thread.sleep(20);
         }
@@ -78,7 +78,7 @@
     @Test
     public void aNewProcessDoesNotUseTheListOfThePreviousOne() throws Exception {
         crowd();
-        stage.start(TestCluster.SETTINGS, thousands(gone));
+        cluster.start(TestCluster.SETTINGS, thousands(gone));
         assertRefused();
         answers.countDown();
         awaitServedBy("present");
@@ -91,14 +91,14 @@
      */
     @Test
     public void aListWithoutConfirmationExpires() throws Exception {
-        stage.discovery.setScript(
+        cluster.discovery.setScript(
                 request -> {
                     TestCluster.beginWatch(request);
                     TestCluster.sendWatchLine(
                             request, TestCluster.endpointListJson(1, true, "active", gone));
                 });
-        stage.start(TestCluster.SETTINGS, gone);
-        Message watch = stage.discovery.takeRequest();
+        cluster.start(TestCluster.SETTINGS, gone);
+        Message watch = cluster.discovery.takeRequest();
         awaitServedBy("gone");
         crowd();
         watch.connection().close();
@@ -113,18 +113,18 @@
     /** A discovery service that is down can't have announced anything, so the node serves on. */
     @Test
     public void theListIsKeptWhileDiscoveryIsDown() throws Exception {
-        stage.discovery.setScript(
+        cluster.discovery.setScript(
                 request -> {
                     TestCluster.beginWatch(request);
                     TestCluster.sendWatchLine(
                             request, TestCluster.endpointListJson(1, true, "active", present));
                 });
-        stage.start(TestCluster.SETTINGS, present);
+        cluster.start(TestCluster.SETTINGS, present);
         awaitServedBy("present");
-        stage.discovery.close();
+        cluster.discovery.close();
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(2 * NEWS_DUE_MS);
         while (System.nanoTime() < until) {
-            assertEquals("present", stage.sendRequest("use").body());
+            assertEquals("present", cluster.sendRequest("use").body());
             Thread.sleep(100);
         }
     }
--- a/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
@@ -17,22 +17,22 @@
 
 /** Start, failed start and shutdown of the program. */
 public class StartAndStopTest {
-    private final TestCluster stage;
+    private final TestCluster cluster;
 
     public StartAndStopTest() throws Exception {
-        stage = new TestCluster();
+        cluster = new TestCluster();
     }
 
     @After
     public void end() throws Exception {
-        stage.close();
+        cluster.close();
     }
 
     @Test
     public void itIsReadyOnceItServesAndTheWarmUpReachesNoEndpoint() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        Socket front = stage.connect();
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        Socket front = cluster.connect();
         Message.send(front, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals(200, Message.read(front).status());
         endpoint.assertNoMoreRequests();
@@ -44,9 +44,9 @@
      */
     @Test
     public void aWarmUpRequestReadTooLateReachesNoEndpoint() throws Exception {
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingWith("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        Socket late = stage.connect();
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        Socket late = cluster.connect();
         Message.send(
                 late,
                 TestCluster.requestText("use", "", "")
@@ -55,7 +55,7 @@
                                 "X-Correlation-Id: warm-up-8c1f30d27a5be964-1"));
         assertEquals(502, Message.read(late).status());
         endpoint.assertNoMoreRequests();
-        assertEquals("made", stage.sendRequest("use").body());
+        assertEquals("made", cluster.sendRequest("use").body());
     }
 
     /** The nodes of a busy fleet need this one soon; in an idle fleet it may warm up for longer. */
@@ -65,51 +65,51 @@
                 TestCluster.SETTINGS.replace("\"limits\":{", "\"limits\":{\"probes\":true,");
         for (int inflight : new int[] {3, 0}) {
             ScriptedServer endpoint =
-                    stage.closeAtEnd(
+                    cluster.closeAtEnd(
                             ScriptedServer.respondingWith(
                                     "{\"inflight\":" + inflight + ",\"queue\":0}"));
-            stage.start(probes, endpoint);
+            cluster.start(probes, endpoint);
             assertEquals("GET /status/load HTTP/1.1", endpoint.takeRequest().startLine());
-            String line = stage.awaitLogLine("warmed up");
+            String line = cluster.awaitLogLine("warmed up");
             assertEquals(line, inflight > 0, line.contains("busy"));
-            stage.terminate();
-            assertEquals(0, stage.exitStatus());
+            cluster.terminate();
+            assertEquals(0, cluster.exitStatus());
         }
     }
 
     /** Prevents a SIGHUP before the node is started from ending the process or being lost. */
     @Test
     public void aSighupDuringTheStartIsRemembered() throws Exception {
-        try (OutputStream out = stage.startWithConfigPipe()) {
-            stage.signal("HUP");
-            out.write(stage.config(TestCluster.SETTINGS).getBytes(StandardCharsets.UTF_8));
+        try (OutputStream out = cluster.startWithConfigPipe()) {
+            cluster.signal("HUP");
+            out.write(cluster.config(TestCluster.SETTINGS).getBytes(StandardCharsets.UTF_8));
         }
-        stage.awaitLogLine("serves on");
-        try (OutputStream out = stage.openConfigPipe()) { // read once more
-            out.write(stage.config(TestCluster.SETTINGS).getBytes(StandardCharsets.UTF_8));
+        cluster.awaitLogLine("serves on");
+        try (OutputStream out = cluster.openConfigPipe()) { // read once more
+            out.write(cluster.config(TestCluster.SETTINGS).getBytes(StandardCharsets.UTF_8));
         }
-        stage.awaitLogLine("configuration taken over");
+        cluster.awaitLogLine("configuration taken over");
     }
 
     /** Guards against a node that never reloads, and does not say so. */
     @Test
     public void anIgnoredSighupIsReportedAtTheStart() throws Exception {
-        stage.launcher = List.of("nohup");
-        stage.start(TestCluster.SETTINGS);
-        String warning = stage.awaitLogLine("SIGHUP was ignored");
+        cluster.launcher = List.of("nohup");
+        cluster.start(TestCluster.SETTINGS);
+        String warning = cluster.awaitLogLine("SIGHUP was ignored");
         assertTrue(warning, warning.contains("WARN") && warning.contains("--default-signal=HUP"));
-        stage.reload(stage.config(TestCluster.SETTINGS));
-        stage.terminate();
-        assertEquals("the signal did not end it", 0, stage.exitStatus());
+        cluster.reload(cluster.config(TestCluster.SETTINGS));
+        cluster.terminate();
+        assertEquals("the signal did not end it", 0, cluster.exitStatus());
     }
 
     /** Guards against a node that does not reload, although it is started as the warning says. */
     @Test
     public void aSighupIgnoredByTheCallerIsHandledIfTheLauncherRestoresIt() throws Exception {
-        stage.launcher = List.of("nohup", "env", "--default-signal=HUP");
-        stage.start(TestCluster.SETTINGS);
-        stage.reload(stage.config(TestCluster.SETTINGS));
-        stage.awaitLogLine("configuration taken over");
+        cluster.launcher = List.of("nohup", "env", "--default-signal=HUP");
+        cluster.start(TestCluster.SETTINGS);
+        cluster.reload(cluster.config(TestCluster.SETTINGS));
+        cluster.awaitLogLine("configuration taken over");
     }
 
     /**
@@ -119,39 +119,41 @@
     @Test
     public void callsTakenUnderLongerDeadlinesAreWaitedFor() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        Socket client = stage.connect();
+        ScriptedServer endpoint =
+                cluster.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        Socket client = cluster.connect();
         Message.send(client, TestCluster.requestText("use", "", ""));
         endpoint.takeRequest();
-        stage.reload(
-                stage.config(
+        cluster.reload(
+                cluster.config(
                         TestCluster.SETTINGS.replace(
                                 "\"deadline_ns\":20000000000", "\"deadline_ns\":100000000"),
                         endpoint));
-        stage.awaitLogLine("configuration taken over");
-        stage.terminate();
-        stage.awaitLogLine("stops");
+        cluster.awaitLogLine("configuration taken over");
+        cluster.terminate();
+        cluster.awaitLogLine("stops");
         Thread.sleep(3_000); // past 1.7 s and the new deadlines
         answer.countDown();
         assertEquals("made", Message.read(client).body());
-        assertEquals(0, stage.exitStatus());
+        assertEquals(0, cluster.exitStatus());
     }
 
     @Test
     public void onSigtermItServesOnThenFinishesItsRequestsAndExitsWithZero() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        ScriptedServer endpoint = stage.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        Socket before = stage.connect();
+        ScriptedServer endpoint =
+                cluster.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        Socket before = cluster.connect();
         Message.send(before, TestCluster.requestText("use", "", ""));
         endpoint.takeRequest();
-        stage.terminate();
-        stage.awaitLogLine("stops");
-        Socket after = stage.connect();
+        cluster.terminate();
+        cluster.awaitLogLine("stops");
+        Socket after = cluster.connect();
         Message.send(after, TestCluster.requestText("use", "", ""));
         endpoint.takeRequest();
-        Socket idle = stage.connect();
+        Socket idle = cluster.connect();
         Message.send(idle, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals("the front is to go elsewhere", 503, Message.read(idle).status());
         assertEquals("idle connections are closed", -1, idle.getInputStream().read());
@@ -161,12 +163,12 @@
             assertEquals("made", served.body());
             assertEquals("close", served.header("Connection"));
         }
-        assertEquals(0, stage.exitStatus());
+        assertEquals(0, cluster.exitStatus());
     }
 
     @Test
     public void startErrorsAreReportedInOneLine() throws Exception {
-        String good = stage.config(TestCluster.SETTINGS);
+        String good = cluster.config(TestCluster.SETTINGS);
         String[][] cases = {
             {good.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""), "listen"},
             {good.replace("\"seed\":\"8c", "\"seed\":\"xx"), "seed"},
@@ -178,15 +180,15 @@
             {"{\"name\":", "name"},
         };
         for (String[] c : cases) {
-            stage.log.clear();
-            stage.runNode(c[0], "serve");
-            assertEquals(2, stage.exitStatus());
-            String line = stage.awaitLogLine("trailthread: ");
+            cluster.log.clear();
+            cluster.runNode(c[0], "serve");
+            assertEquals(2, cluster.exitStatus());
+            String line = cluster.awaitLogLine("trailthread: ");
             assertTrue(line, line.contains(c[1]));
-            assertEquals("one line", 1, stage.log.size());
+            assertEquals("one line", 1, cluster.log.size());
         }
-        stage.runNode(good, "serve", "now");
-        assertEquals(2, stage.exitStatus());
-        assertNotNull(stage.awaitLogLine("usage: "));
+        cluster.runNode(good, "serve", "now");
+        assertEquals(2, cluster.exitStatus());
+        assertNotNull(cluster.awaitLogLine("usage: "));
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/WithAdminServer.java
+++ b/daemon/src/test/java/trailthread/daemon/WithAdminServer.java
@@ -6,16 +6,16 @@
 
 /** A node with a door for its operators, which each test starts with settings of its own. */
 abstract class WithAdminServer {
-    TestCluster stage;
+    TestCluster cluster;
 
     @Before
     public void begin() throws Exception {
-        stage = new TestCluster();
-        stage.extraConfig = "\"management\":\"127.0.0.1:0\",";
+        cluster = new TestCluster();
+        cluster.extraConfig = "\"management\":\"127.0.0.1:0\",";
     }
 
     @After
     public void end() throws Exception {
-        stage.close();
+        cluster.close();
     }
 }
