--- a/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
+++ b/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
@@ -139,7 +139,7 @@
             SchedulingDelayMeter delayMeter = new SchedulingDelayMeter();
             play.run();
             delayMeter.stop();
-            if (faults.isEmpty() || !delayMeter.exceedsLimit() || i == MAX_RUNS) {
+            if (faults.isEmpty() || !delayMeter.hasReachedLimit() || i == MAX_RUNS) {
                 break;
             }
             System.out.printf(
--- a/testkit/src/main/java/trailthread/testkit/ListeningSocketHolder.java
+++ b/testkit/src/main/java/trailthread/testkit/ListeningSocketHolder.java
@@ -45,24 +45,28 @@
     /**
      * Starts a program.
      *
-     * @param variables of its environment, as the shell's {@code env} takes them
-     * @return its process id
+     * @param variables environment variables of the program, as the command {@code env} takes them
+     * @return the program's process id
      */
     public long start(String variables, List<String> command)
             throws IOException, InterruptedException {
-        int before = (int) log.stream().filter(line -> line.startsWith("pid ")).count();
-        String words =
+        int startedBefore = (int) log.stream().filter(line -> line.startsWith("pid ")).count();
+        String quotedCommand =
                 command.stream().map(word -> "'" + word + "'").collect(Collectors.joining(" "));
         process.getOutputStream()
                 .write(
-                        ("echo pid $$; exec env LB_SOCKET_FD=0 " + variables + " " + words + "\n")
+                        ("echo pid $$; exec env LB_SOCKET_FD=0 "
+                                        + variables
+                                        + " "
+                                        + quotedCommand
+                                        + "\n")
                                 .getBytes(StandardCharsets.UTF_8));
         process.getOutputStream().flush();
-        return Long.parseLong(awaitLogMatch("pid (\\d+)", before + 1));
+        return Long.parseLong(awaitLogMatch("pid (\\d+)", startedBefore + 1));
     }
 
     /**
-     * Waits until the log has so many lines with the pattern.
+     * Waits until this many lines of the log match the pattern.
      *
      * @return the pattern's group in the last of them, or the line if it has no group
      */
@@ -78,7 +82,8 @@
             }
             Thread.sleep(10);
         }
-        throw new AssertionError("not " + times + " times '" + pattern + "' in " + log);
+        throw new AssertionError(
+                "fewer than " + times + " lines match '" + pattern + "' in " + log);
     }
 
     /** Sends SIGTERM to a program, as the platform does, and waits until it has ended. */
--- a/testkit/src/main/java/trailthread/testkit/Message.java
+++ b/testkit/src/main/java/trailthread/testkit/Message.java
@@ -15,7 +15,7 @@
  *
  * @param startLine the start line, without its line end
  * @param headers by their names in lower case
- * @param connection on which it came
+ * @param connection on which the message came
  */
 public record Message(
         String startLine, Map<String, String> headers, String body, Socket connection) {
@@ -54,7 +54,7 @@
                 responseToHead ? 0 : Integer.parseInt(headers.getOrDefault("content-length", "0"));
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new EOFException("ended in the body");
+            throw new EOFException("the connection ended within the body");
         }
         return new Message(
                 start, headers, new String(body, StandardCharsets.ISO_8859_1), connection);
@@ -94,7 +94,7 @@
     }
 
     /**
-     * Sends a response on the connection that this came on.
+     * Responds to this request, on its connection.
      *
      * @param status the code and reason, such as {@code 200 OK}
      * @param headers each with its line end
--- a/testkit/src/main/java/trailthread/testkit/SchedulingDelayMeter.java
+++ b/testkit/src/main/java/trailthread/testkit/SchedulingDelayMeter.java
@@ -2,7 +2,7 @@
 
 /** Measures by how much the machine delays a thread that only sleeps. */
 public final class SchedulingDelayMeter {
-    /** The platform holds a node up for no longer; a run on a machine that does so is void. */
+    /** The platform delays a node by less than this; a test run with a longer delay is void. */
     public static final int DELAY_LIMIT_MS = 150;
 
     private static final int SLEEP_MS = 1;
@@ -33,8 +33,8 @@
         return maxDelayMs;
     }
 
-    /** Whether a run so far is void, as the machine delayed a thread by too much. */
-    public boolean exceedsLimit() {
+    /** Whether the run so far is void, as the longest delay has reached the limit. */
+    public boolean hasReachedLimit() {
         return maxDelayMs >= DELAY_LIMIT_MS;
     }
 
--- a/testkit/src/main/java/trailthread/testkit/ScriptedServer.java
+++ b/testkit/src/main/java/trailthread/testkit/ScriptedServer.java
@@ -21,7 +21,7 @@
  * request and lets its script respond.
  */
 public final class ScriptedServer implements Closeable {
-    /** How long tests wait for something that must happen, in seconds. */
+    /** How long tests wait for an event that must happen, in seconds. */
     public static final int TIMEOUT_S = 30;
 
     /** Handles requests. */
@@ -33,7 +33,7 @@
     /** The requests that no test has taken yet. */
     public final BlockingQueue<Message> requests = new LinkedBlockingQueue<>();
 
-    /** The connections that have ended. */
+    /** The connections that have been closed by either side. */
     public final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
 
     private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
@@ -62,7 +62,7 @@
                 });
     }
 
-    /** Waits until a latch is open; fails if that takes too long. */
+    /** Waits until a latch is open; fails if it isn't in time. */
     public static void await(CountDownLatch latch) {
         try {
             if (!latch.await(TIMEOUT_S, TimeUnit.SECONDS)) {
@@ -86,12 +86,13 @@
     /** Takes the next request; fails if none comes in time. */
     public Message takeRequest() throws InterruptedException {
         Message request = requests.poll(TIMEOUT_S, TimeUnit.SECONDS);
-        assertNotNull("a request must come", request);
+        assertNotNull("no request has come in time", request);
         return request;
     }
 
     /**
-     * Checks that all requests have been taken. To be called once whatever might send more is done.
+     * Checks that all requests have been taken. Call this only after everything that might send
+     * another request has finished.
      */
     public void assertNoMoreRequests() {
         assertNull(requests.peek());
--- a/testkit/src/main/java/trailthread/testkit/TestCluster.java
+++ b/testkit/src/main/java/trailthread/testkit/TestCluster.java
@@ -57,29 +57,29 @@
     public final List<String> log = new CopyOnWriteArrayList<>();
 
     private final Queue<Closeable> closeables = new ConcurrentLinkedQueue<>();
-    private final Path config = Files.createTempFile("trailthread", ".json");
+    private final Path configFile = Files.createTempFile("trailthread", ".json");
     private Process node;
 
     /** The program's limit of file descriptors. */
     public int descriptorLimit = 256;
 
-    /** More keys of the configuration, each followed by a comma. */
+    /** More top-level keys of a node's configuration, as JSON, each followed by a comma. */
     public String extraConfig = "";
 
-    /** The command that starts the program's own one, such as {@code nohup}; empty: none. */
+    /** The command that runs the program's command line, such as {@code nohup}; empty for none. */
     public List<String> launcher = List.of();
 
-    /** The port on which the program serves, or served last. */
+    /** The port on which the program serves, or last served. */
     public volatile int port;
 
-    /** Makes a cluster whose program is not started. */
+    /** Creates a cluster without starting the program. */
     public TestCluster() throws IOException {
         closeables.add(discovery);
     }
 
     /**
-     * Starts the program as a platform node and waits until it serves. It may be started again
-     * after it has ended.
+     * Starts the program as a platform node and waits until it serves. A program that has ended may
+     * be started again.
      *
      * @param initialEndpoints the endpoints in the configuration
      */
@@ -94,23 +94,23 @@
     /** Starts the program with an operator's file, and waits until it serves. */
     public TestCluster startWithOperatorFile(String toml) throws IOException, InterruptedException {
         log.clear();
-        runClass(toml, List.of("trailthread.command.Trailthread", "serve", config.toString()));
+        runClass(toml, List.of("trailthread.command.Trailthread", "serve", configFile.toString()));
         awaitServing();
         return this;
     }
 
     private void awaitServing() throws InterruptedException {
-        Matcher serves = SERVING_ADDRESS.matcher(awaitLogLine("serves on"));
-        assertTrue(serves.find());
-        port = Integer.parseInt(serves.group(1));
+        Matcher address = SERVING_ADDRESS.matcher(awaitLogLine("serves on"));
+        assertTrue(address.find());
+        port = Integer.parseInt(address.group(1));
     }
 
-    /** A node's configuration with these settings and known endpoints. */
+    /** A node's configuration with these settings and initial endpoints. */
     public String config(String settings, ScriptedServer... initialEndpoints) {
         return config(discovery, settings, initialEndpoints);
     }
 
-    /** A node's configuration with another discovery service. */
+    /** A node's configuration with this discovery service instead of the cluster's own. */
     public String config(
             ScriptedServer discovery, String settings, ScriptedServer... initialEndpoints) {
         return "{"
@@ -126,11 +126,11 @@
                 + "}}";
     }
 
-    /** Starts the program with this configuration, without waiting for it. */
+    /** Starts the program with this configuration, without waiting until it serves. */
     public Process runNode(String json, String... args) throws IOException {
-        List<String> words = new ArrayList<>(List.of("trailthread.daemon.Main"));
-        words.addAll(List.of(args));
-        return runClass(json, words);
+        List<String> arguments = new ArrayList<>(List.of("trailthread.daemon.Main"));
+        arguments.addAll(List.of(args));
+        return runClass(json, arguments);
     }
 
     /**
@@ -139,23 +139,23 @@
      * @return the pipe's writing end, once the program has opened it for reading
      */
     public OutputStream startWithConfigPipe() throws IOException, InterruptedException {
-        Files.delete(config);
-        assertEquals(0, new ProcessBuilder("mkfifo", config.toString()).start().waitFor());
+        Files.delete(configFile);
+        assertEquals(0, new ProcessBuilder("mkfifo", configFile.toString()).start().waitFor());
         launch(List.of("trailthread.daemon.Main", "serve"));
         return openConfigPipe();
     }
 
     /** The pipe's writing end, once the program has opened it for reading. */
     public OutputStream openConfigPipe() throws IOException {
-        return Files.newOutputStream(config, StandardOpenOption.WRITE);
+        return Files.newOutputStream(configFile, StandardOpenOption.WRITE);
     }
 
-    private Process runClass(String text, List<String> words) throws IOException {
-        Files.writeString(config, text);
-        return launch(words);
+    private Process runClass(String text, List<String> arguments) throws IOException {
+        Files.writeString(configFile, text);
+        return launch(arguments);
     }
 
-    private Process launch(List<String> words) throws IOException {
+    private Process launch(List<String> arguments) throws IOException {
         List<String> command = new ArrayList<>(launcher);
         command.addAll(
                 List.of(
@@ -163,25 +163,25 @@
                         "-cp",
                         System.getProperty("java.class.path"),
                         "-Xmx64m"));
-        command.addAll(words);
+        command.addAll(arguments);
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-        builder.environment().put("LB_CONFIG", config.toString());
+        builder.environment().put("LB_CONFIG", configFile.toString());
         node = builder.start();
         ProcessOutput.collect(node, log);
         return node;
     }
 
-    /** Waits for a line of the log that contains the text, and returns the first one. */
-    public String awaitLogLine(String part) throws InterruptedException {
+    /** Waits for a line of the log that contains the text, and returns the first such line. */
+    public String awaitLogLine(String text) throws InterruptedException {
         for (int i = 0; i < MAX_POLLS; i++) {
             for (String line : log) {
-                if (line.contains(part)) {
+                if (line.contains(text)) {
                     return line;
                 }
             }
             Thread.sleep(POLL_MS);
         }
-        throw new AssertionError("nothing logged with '" + part + "' in " + log);
+        throw new AssertionError("no line with '" + text + "' in " + log);
     }
 
     /** A message of discovery that lists these endpoints, named w0, w1 and so on, all in cell 0. */
@@ -207,25 +207,25 @@
                 + "]}";
     }
 
-    /** Responds to a watch request without any update. */
+    /** Begins the response to a watch request without sending a line of it. */
     public static void beginWatch(Message request) throws IOException {
         Message.send(request.connection(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
-    /** Responds to a watch request with a heartbeat. */
+    /** Begins the response to a watch request and sends a heartbeat, an empty line. */
     public static void answerWatchUnchanged(Message request) throws IOException {
         beginWatch(request);
         sendWatchLine(request, "");
     }
 
-    /** Sends a line on a watch, as one chunk. */
+    /** Sends a line of the response to a watch request, as one chunk. */
     public static void sendWatchLine(Message watch, String line) throws IOException {
         Message.send(
                 watch.connection(),
                 Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
 
-    /** Opens a connection of a client; it is closed at the end. */
+    /** Opens a client's connection to the program; {@link #close} closes it. */
     public Socket connect() throws IOException {
         Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
         client.setSoTimeout(1000 * ScriptedServer.TIMEOUT_S);
@@ -243,9 +243,9 @@
     /** Sends a request to the program's admin server. */
     public Message sendAdminRequest(String method, String path)
             throws IOException, InterruptedException {
-        Matcher at = ADMIN_ADDRESS.matcher(awaitLogLine("operators are told on"));
-        assertTrue(at.find());
-        return sendAdminRequest(Integer.parseInt(at.group(1)), method, path);
+        Matcher address = ADMIN_ADDRESS.matcher(awaitLogLine("operators are told on"));
+        assertTrue(address.find());
+        return sendAdminRequest(Integer.parseInt(address.group(1)), method, path);
     }
 
     /** Sends a request to the admin server on this port. */
@@ -268,10 +268,10 @@
             }
             Thread.sleep(POLL_MS);
         }
-        throw new AssertionError(line + " in " + metrics);
+        throw new AssertionError("no line '" + line + "' in " + metrics);
     }
 
-    /** The text of a valid request of a class, with a unique id. */
+    /** The text of a valid request of a class, with a unique correlation id. */
     public static String requestText(String requestClass, String query, String headers) {
         boolean idempotent = requestClass.equals("state");
         return (idempotent ? "GET /" : "POST /")
@@ -290,10 +290,10 @@
 
     /** Replaces the configuration file and sends SIGHUP, as the platform does. */
     public void reload(String json) throws IOException, InterruptedException {
-        Path next = Files.writeString(Path.of(config + ".new"), json);
+        Path replacement = Files.writeString(Path.of(configFile + ".new"), json);
         Files.move(
-                next,
-                config,
+                replacement,
+                configFile,
                 StandardCopyOption.ATOMIC_MOVE); // a read in progress gets the complete old file
         signal("HUP");
     }
@@ -328,7 +328,7 @@
         node.toHandle().destroyForcibly();
     }
 
-    /** Waits for the program to end; whether it does in time. */
+    /** Waits for the program to end; false if it is still running after this time. */
     public boolean exitsWithin(long time, TimeUnit unit) throws InterruptedException {
         return node.waitFor(time, unit);
     }
@@ -336,14 +336,15 @@
     /** Waits for the program to end, and returns its exit status. */
     public int exitStatus() throws InterruptedException {
         assertTrue(
-                "the program was to end", node.waitFor(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
+                "the program has not ended in time",
+                node.waitFor(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
         return node.exitValue();
     }
 
-    /** Registers something to be closed at the end. */
-    public <T extends Closeable> T closeAtEnd(T peer) {
-        closeables.add(peer);
-        return peer;
+    /** Registers an object that {@link #close} closes, and returns it. */
+    public <T extends Closeable> T closeAtEnd(T closeable) {
+        closeables.add(closeable);
+        return closeable;
     }
 
     /** Kills the program, and closes all connections and registered objects. */
@@ -355,6 +356,6 @@
             kill();
             node.waitFor();
         }
-        Files.deleteIfExists(config);
+        Files.deleteIfExists(configFile);
     }
 }
