--- a/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
+++ b/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
@@ -112,7 +112,7 @@
         Process program = builder.start();
         try {
             String text = "";
-            for (int i = 0; i < 100 * ScriptedServer.LONGEST_WAIT_S && !text.contains(until); i++) {
+            for (int i = 0; i < 100 * ScriptedServer.TIMEOUT_S && !text.contains(until); i++) {
                 program.waitFor(10, TimeUnit.MILLISECONDS);
                 text = Files.readString(log, StandardCharsets.ISO_8859_1);
             }
@@ -146,10 +146,10 @@
 
     @Test
     public void theNodeLoadsNothingOfIt() throws Exception {
-        TestCluster stage = new TestCluster();
+        TestCluster cluster = new TestCluster();
         Path config = Files.createTempFile("trailthread", ".json");
         try {
-            Files.writeString(config, stage.config(TestCluster.SETTINGS));
+            Files.writeString(config, cluster.config(TestCluster.SETTINGS));
             String log =
                     run(
                             "serves on",
@@ -165,7 +165,7 @@
                             || log.contains("trailthread.engine.degradation."));
         } finally {
             Files.delete(config);
-            stage.end();
+            cluster.close();
         }
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
@@ -13,26 +13,26 @@
 
 /** How the node serves its clients, over real sockets. */
 public class ClientSideTest {
-    private final TestCluster stage;
+    private final TestCluster cluster;
 
     public ClientSideTest() throws Exception {
-        stage = new TestCluster();
+        cluster = new TestCluster();
     }
 
     @After
     public void end() throws Exception {
-        stage.end();
+        cluster.close();
     }
 
     @Test
     public void requestAndResponsePassUnchanged() throws Exception {
         String body = "bench \u00ff\u0000 and readings";
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving(body));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        Socket client = stage.connect();
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith(body));
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        Socket client = cluster.connect();
         String query = "/a%2Fb;c=1//d?x=%20&&y=+%3D";
 
-        String text = TestCluster.request("action", query, "X-Other: 1\r\n");
+        String text = TestCluster.requestText("action", query, "X-Other: 1\r\n");
         for (int i = 0; i < 2; i++) { // both connections are kept alive
             Message.send(client, text);
             Message response = Message.read(client);
@@ -43,21 +43,21 @@
             // follow
         }
 
-        Message asked = endpoint.asked();
-        assertEquals("POST /action" + query + " HTTP/1.1", asked.start());
+        Message asked = endpoint.takeRequest();
+        assertEquals("POST /action" + query + " HTTP/1.1", asked.startLine());
         assertEquals("pour", asked.body());
         assertTrue(text.contains("X-Correlation-Id: " + asked.header("X-Correlation-Id") + "\r\n"));
         assertEquals("5c0f6e1a2b3d4c59", asked.header("Idempotency-Key"));
         double left = Double.parseDouble(asked.header("X-Time-Left"));
         assertTrue("time left: " + left, left > 0 && left <= 20);
-        assertEquals(asked.connection(), endpoint.asked().connection());
+        assertEquals(asked.connection(), endpoint.takeRequest().connection());
     }
 
     @Test
     public void aMalformedRequestIsRejectedAndReachesNoEndpoint() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        String good = TestCluster.request("use", "", "");
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        String good = TestCluster.requestText("use", "", "");
         String[] bad = {
             good.replace("X-Service-Class: use", "X-Service-Class: other"),
             good.replace("POST /use", "POST /state"),
@@ -71,7 +71,7 @@
             good.replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"),
         };
         for (String text : bad) {
-            Socket client = stage.connect();
+            Socket client = cluster.connect();
             Message.send(client, text);
             assertEquals(text, 400, Message.read(client).status());
         }
@@ -80,19 +80,20 @@
             good.replace("4\r\n\r\npour", "99999999\r\n\r\n"),
         };
         for (String text : tooLong) {
-            Socket client = stage.connect();
+            Socket client = cluster.connect();
             Message.send(client, text);
             assertEquals(413, Message.read(client).status());
         }
-        endpoint.wasNotAsked();
+        endpoint.assertNoMoreRequests();
 
-        assertEquals("the node survives", "made", stage.call("use").body());
+        assertEquals("the node survives", "made", cluster.sendRequest("use").body());
     }
 
     @Test
     public void aRequestWithoutEndpointIsRejectedWithRetryAfter() throws Exception {
-        stage.start(TestCluster.SETTINGS.replace("\"aim_ns\":10000000000", "\"aim_ns\":100000000"));
-        Message response = stage.call("use");
+        cluster.start(
+                TestCluster.SETTINGS.replace("\"aim_ns\":10000000000", "\"aim_ns\":100000000"));
+        Message response = cluster.sendRequest("use");
         assertEquals(503, response.status());
         double wait = Double.parseDouble(response.header("Retry-After"));
         assertTrue("Retry-After: " + wait, wait > 0 && wait <= 1.2);
@@ -103,20 +104,20 @@
      */
     @Test
     public void requestsOfADisconnectedClientAreDropped() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
-        stage.start(TestCluster.SETTINGS);
-        Message watch = stage.discovery.asked();
-        Socket gone = stage.connect();
-        Message.send(gone, TestCluster.request("use", "", ""));
-        stage.call("other"); // its response comes after the first request was read
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS);
+        Message watch = cluster.discovery.takeRequest();
+        Socket gone = cluster.connect();
+        Message.send(gone, TestCluster.requestText("use", "", ""));
+        cluster.sendRequest("other"); // its response comes after the first request was read
         gone.close();
         Thread.sleep(100); // the close must come before the list
-        TestCluster.line(watch, TestCluster.list(2, true, "active", endpoint));
-        Socket client = stage.connect();
-        Message.send(client, TestCluster.request("use", "?second", ""));
+        TestCluster.sendWatchLine(watch, TestCluster.endpointListJson(2, true, "active", endpoint));
+        Socket client = cluster.connect();
+        Message.send(client, TestCluster.requestText("use", "?second", ""));
         assertEquals("made", Message.read(client).body());
-        assertEquals("POST /use?second HTTP/1.1", endpoint.asked().start());
-        endpoint.wasNotAsked();
+        assertEquals("POST /use?second HTTP/1.1", endpoint.takeRequest().startLine());
+        endpoint.assertNoMoreRequests();
     }
 
     /**
@@ -125,29 +126,31 @@
      */
     @Test
     public void aRequestWithAnIdInFlightIsRejected() throws Exception {
-        ScriptedServer endpoint = stage.add(new ScriptedServer(request -> {}));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        Socket first = stage.connect();
-        String text = TestCluster.request("use", "", "");
+        ScriptedServer endpoint = cluster.closeAtEnd(new ScriptedServer(request -> {}));
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        Socket first = cluster.connect();
+        String text = TestCluster.requestText("use", "", "");
         Message.send(first, text);
-        Message asked = endpoint.asked();
-        Socket second = stage.connect();
+        Message asked = endpoint.takeRequest();
+        Socket second = cluster.connect();
         Message.send(second, text);
         assertEquals(409, Message.read(second).status());
-        endpoint.wasNotAsked();
-        asked.answer("200 OK", "", "made");
+        endpoint.assertNoMoreRequests();
+        asked.respond("200 OK", "", "made");
         assertEquals("made", Message.read(first).body());
-        endpoint.setScript(request -> request.answer("200 OK", "", "again"));
-        assertEquals("again", stage.call("use").body());
+        endpoint.setScript(request -> request.respond("200 OK", "", "again"));
+        assertEquals("again", cluster.sendRequest("use").body());
     }
 
     /** Idle clients must not use up the node's few descriptors. */
     @Test
     public void moreClientsThanConnectionsAreAllServed() throws Exception {
-        stage.sockets = 96; // 28 connections to clients
-        stage.start(TestCluster.SETTINGS, stage.add(ScriptedServer.serving("made")));
+        cluster.descriptorLimit = 96; // 28 connections to clients
+        cluster.start(
+                TestCluster.SETTINGS, cluster.closeAtEnd(ScriptedServer.respondingWith("made")));
         for (int i = 0; i < 60; i++) {
-            assertEquals("made", stage.call("use").body()); // and the connection stays open
+            assertEquals(
+                    "made", cluster.sendRequest("use").body()); // and the connection stays open
         }
     }
 
@@ -157,15 +160,16 @@
      */
     @Test
     public void idleConnectionsAndIncompleteRequestsBlockNobody() throws Exception {
-        stage.sockets = 96;
-        stage.start(TestCluster.SETTINGS, stage.add(ScriptedServer.serving("made")));
-        String text = TestCluster.request("use", "", "");
+        cluster.descriptorLimit = 96;
+        cluster.start(
+                TestCluster.SETTINGS, cluster.closeAtEnd(ScriptedServer.respondingWith("made")));
+        String text = TestCluster.requestText("use", "", "");
         Socket[] useless = new Socket[60];
         for (int i = 0; i < useless.length; i++) {
-            useless[i] = stage.connect();
+            useless[i] = cluster.connect();
             Message.send(useless[i], text.substring(0, i * (text.length() - 1) / useless.length));
         }
-        assertEquals("made", stage.call("use").body());
+        assertEquals("made", cluster.sendRequest("use").body());
         for (Socket client : useless) {
             assertNull("closed without a response", Message.read(client));
         }
@@ -174,20 +178,21 @@
     @Test
     public void aPipelinedRequestIsHandledNext() throws Exception {
         ScriptedServer endpoint =
-                stage.add(
+                cluster.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
                                     Message.send(
                                             request.connection(),
                                             ""); // the second request is sent before the response
                                     // to this one
-                                    request.answer("200 OK", "", request.start());
+                                    request.respond("200 OK", "", request.startLine());
                                 }));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        Socket client = stage.connect();
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        Socket client = cluster.connect();
         Message.send(
                 client,
-                TestCluster.request("use", "?1", "") + TestCluster.request("use", "?2", ""));
+                TestCluster.requestText("use", "?1", "")
+                        + TestCluster.requestText("use", "?2", ""));
         assertEquals("POST /use?1 HTTP/1.1", Message.read(client).body());
         assertEquals("POST /use?2 HTTP/1.1", Message.read(client).body());
         client.shutdownOutput();
--- a/daemon/src/test/java/trailthread/daemon/CrowdTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CrowdTest.java
@@ -29,12 +29,12 @@
     private static final long LIMIT_NS = 120_000_000_000L;
     private static final Pattern LENGTH = Pattern.compile("(?i)\r\nContent-Length: *(\\d+)");
 
-    private final TestCluster stage;
+    private final TestCluster cluster;
     private final Selector selector = Selector.open();
     private int answered;
 
     public CrowdTest() throws Exception {
-        stage = new TestCluster();
+        cluster = new TestCluster();
     }
 
     @After
@@ -43,7 +43,7 @@
             key.channel().close();
         }
         selector.close();
-        stage.end();
+        cluster.close();
     }
 
     /** A client, with what it has received and the number of its attempts. */
@@ -55,7 +55,7 @@
             assertTrue("too many attempts", ++attempts <= MAX_ATTEMPTS);
             SocketChannel channel = SocketChannel.open();
             channel.configureBlocking(false);
-            channel.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), stage.port));
+            channel.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), cluster.port));
             channel.register(selector, SelectionKey.OP_CONNECT, this);
         }
 
@@ -65,7 +65,7 @@
                 if (key.isConnectable()) {
                     channel.finishConnect();
                     byte[] call =
-                            TestCluster.request("state", "", "")
+                            TestCluster.requestText("state", "", "")
                                     .getBytes(StandardCharsets.ISO_8859_1);
                     assertEquals("sent at once", call.length, channel.write(ByteBuffer.wrap(call)));
                     key.interestOps(SelectionKey.OP_READ);
@@ -118,36 +118,42 @@
      */
     @Test
     public void idleClientsAtTheDescriptorLimitBlockNeitherDiscoveryNorRequests() throws Exception {
-        stage.sockets = 128;
-        stage.discovery.setScript(request -> request.answer("503 Busy", "", ""));
-        stage.start(TestCluster.SETTINGS, stage.add(ScriptedServer.serving("before")));
-        stage.logged("discovery answers 503");
-        for (int i = 0; i < 3 * stage.sockets; i++) {
-            stage.connect();
+        cluster.descriptorLimit = 128;
+        cluster.discovery.setScript(request -> request.respond("503 Busy", "", ""));
+        cluster.start(
+                TestCluster.SETTINGS, cluster.closeAtEnd(ScriptedServer.respondingWith("before")));
+        cluster.awaitLogLine("discovery answers 503");
+        for (int i = 0; i < 3 * cluster.descriptorLimit; i++) {
+            cluster.connect();
         }
-        assertEquals("before", stage.call("state").body());
-        assertTrue(stage.descriptors() + " held", stage.descriptors() <= stage.sockets);
-        ScriptedServer after = stage.add(ScriptedServer.serving("after"));
-        stage.discovery.setScript(
+        assertEquals("before", cluster.sendRequest("state").body());
+        assertTrue(
+                cluster.openDescriptorCount() + " held",
+                cluster.openDescriptorCount() <= cluster.descriptorLimit);
+        ScriptedServer after = cluster.closeAtEnd(ScriptedServer.respondingWith("after"));
+        cluster.discovery.setScript(
                 request -> {
-                    TestCluster.watch(request);
-                    TestCluster.line(request, TestCluster.list(2, true, "active", after));
+                    TestCluster.beginWatch(request);
+                    TestCluster.sendWatchLine(
+                            request, TestCluster.endpointListJson(2, true, "active", after));
                 });
-        stage.logged("discovery is back, at generation 2");
-        for (int i = 0; i < stage.sockets; i++) {
-            stage.connect();
+        cluster.awaitLogLine("discovery is back, at generation 2");
+        for (int i = 0; i < cluster.descriptorLimit; i++) {
+            cluster.connect();
         }
-        assertEquals("after", stage.call("state").body());
-        assertTrue(stage.descriptors() + " held", stage.descriptors() <= stage.sockets);
+        assertEquals("after", cluster.sendRequest("state").body());
+        assertTrue(
+                cluster.openDescriptorCount() + " held",
+                cluster.openDescriptorCount() <= cluster.descriptorLimit);
     }
 
     @Test
     public void everyClientOfACrowdGetsACompleteResponse() throws Exception {
-        stage.sockets = 382; // 200 connections to clients
-        stage.start(
+        cluster.descriptorLimit = 382; // 200 connections to clients
+        cluster.start(
                 TestCluster.SETTINGS,
-                stage.add(ScriptedServer.serving("made")),
-                stage.add(ScriptedServer.serving("made")));
+                cluster.closeAtEnd(ScriptedServer.respondingWith("made")),
+                cluster.closeAtEnd(ScriptedServer.respondingWith("made")));
         UnixOperatingSystemMXBean system =
                 (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         long free = system.getMaxFileDescriptorCount() - system.getOpenFileDescriptorCount();
@@ -170,6 +176,6 @@
                         1000);
             }
         }
-        assertEquals("made", stage.call("state").body());
+        assertEquals("made", cluster.sendRequest("state").body());
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
@@ -20,15 +20,15 @@
 
 /** What the node sends to endpoints, and how it handles their responses, over real sockets. */
 public class EndpointSideTest {
-    private final TestCluster stage;
+    private final TestCluster cluster;
 
     public EndpointSideTest() throws Exception {
-        stage = new TestCluster();
+        cluster = new TestCluster();
     }
 
     @After
     public void end() throws Exception {
-        stage.end();
+        cluster.close();
     }
 
     /**
@@ -39,15 +39,16 @@
         ScriptedServer.Script script =
                 request -> {
                     if (asked.getAndIncrement() == 0) {
-                        act.act(request);
+                        act.respond(request);
                     } else {
-                        request.answer("200 OK", "", "made");
+                        request.respond("200 OK", "", "made");
                     }
                 };
         ScriptedServer[] endpoints = {
-            stage.add(new ScriptedServer(script)), stage.add(new ScriptedServer(script))
+            cluster.closeAtEnd(new ScriptedServer(script)),
+            cluster.closeAtEnd(new ScriptedServer(script))
         };
-        stage.start(TestCluster.SETTINGS, endpoints);
+        cluster.start(TestCluster.SETTINGS, endpoints);
         return endpoints;
     }
 
@@ -59,26 +60,26 @@
     public void anUnprocessedRequestIsRetriedElsewhere() throws Exception {
         ScriptedServer[] endpoints =
                 startWithFirstRequest(
-                        request -> request.answer("503 Full", "X-Unprocessed: 1\r\n", ""));
-        assertEquals("made", stage.call("use").body());
+                        request -> request.respond("503 Full", "X-Unprocessed: 1\r\n", ""));
+        assertEquals("made", cluster.sendRequest("use").body());
         assertEquals(2, asked(endpoints));
     }
 
     @Test
     public void aRequestWhoseConnectionIsRefusedIsRetriedElsewhere() throws Exception {
         ScriptedServer gone = new ScriptedServer(request -> {});
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
-        stage.start(TestCluster.SETTINGS, gone, endpoint);
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, gone, endpoint);
         gone.close();
         for (int i = 0; i < 5; i++) {
-            assertEquals("made", stage.call("use").body());
+            assertEquals("made", cluster.sendRequest("use").body());
         }
     }
 
     @Test
     public void anIdempotentRequestIsRetried() throws Exception {
         ScriptedServer[] endpoints = startWithFirstRequest(request -> request.connection().close());
-        assertEquals("made", stage.call("state").body());
+        assertEquals("made", cluster.sendRequest("state").body());
         assertEquals(2, asked(endpoints));
     }
 
@@ -91,7 +92,8 @@
         List<ScriptedServer.Script> failures = new ArrayList<>();
         for (String status : List.of("500 Error", "503 Busy", "429 Many", "404 Unknown")) {
             failures.add(
-                    request -> request.answer(status, "X-Other: 1\r\n", "x".repeat(64 * 1024 + 1)));
+                    request ->
+                            request.respond(status, "X-Other: 1\r\n", "x".repeat(64 * 1024 + 1)));
         }
         for (String response :
                 List.of(
@@ -109,12 +111,12 @@
         }
         AtomicInteger turn = new AtomicInteger();
         ScriptedServer endpoint =
-                stage.add(
+                cluster.closeAtEnd(
                         new ScriptedServer(
-                                request -> failures.get(turn.getAndIncrement()).act(request)));
-        stage.start(TestCluster.SETTINGS, endpoint);
+                                request -> failures.get(turn.getAndIncrement()).respond(request)));
+        cluster.start(TestCluster.SETTINGS, endpoint);
         for (int i = 0; i < failures.size(); i++) {
-            assertEquals("way " + i, 502, stage.call("use").status());
+            assertEquals("way " + i, 502, cluster.sendRequest("use").status());
             assertEquals("way " + i, i + 1, endpoint.requests.size());
         }
     }
@@ -126,10 +128,10 @@
     @Test
     public void aTimedOutAttemptIsClosedBeforeTheNextIsSent() throws Exception {
         ScriptedServer[] endpoints =
-                startWithFirstRequest(request -> request.answer("200 OK", "", "made"));
+                startWithFirstRequest(request -> request.respond("200 OK", "", "made"));
         assertEquals(
                 "made",
-                stage.call("state")
+                cluster.sendRequest("state")
                         .body()); // the module now has a latency estimate for its timeouts
         ScriptedServer.Script silent = request -> {};
         List<Integer> closedBefore = new ArrayList<>();
@@ -140,13 +142,13 @@
                             other.setScript(
                                     second -> {
                                         closedBefore.add(closed(endpoints));
-                                        second.answer("200 OK", "", "made");
+                                        second.respond("200 OK", "", "made");
                                     });
                         }
-                        silent.act(request);
+                        silent.respond(request);
                     });
         }
-        assertEquals("made", stage.call("state").body());
+        assertEquals("made", cluster.sendRequest("state").body());
         assertEquals(List.of(1), closedBefore);
     }
 
@@ -156,26 +158,29 @@
     private static int closed(ScriptedServer... endpoints) throws IOException {
         try {
             for (int i = 0;
-                    i < 500 && endpoints[0].closed.size() + endpoints[1].closed.size() == 0;
+                    i < 500
+                            && endpoints[0].closedConnections.size()
+                                            + endpoints[1].closedConnections.size()
+                                    == 0;
                     i++) {
                 Thread.sleep(10);
             }
         } catch (InterruptedException e) {
             throw new IOException(e);
         }
-        return endpoints[0].closed.size() + endpoints[1].closed.size();
+        return endpoints[0].closedConnections.size() + endpoints[1].closedConnections.size();
     }
 
     @Test
     public void idleConnectionsAreClosedBeforeTheEndpointClosesThem() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
         String settings = TestCluster.SETTINGS.replace("idle_close_ns\":60", "idle_close_ns\":1");
-        stage.start(settings, endpoint);
-        assertEquals("made", stage.call("use").body());
-        Socket idle = endpoint.closed.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
-        assertEquals(endpoint.asked().connection(), idle);
-        assertEquals("made", stage.call("use").body());
-        assertNotEquals(idle, endpoint.asked().connection());
+        cluster.start(settings, endpoint);
+        assertEquals("made", cluster.sendRequest("use").body());
+        Socket idle = endpoint.closedConnections.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
+        assertEquals(endpoint.takeRequest().connection(), idle);
+        assertEquals("made", cluster.sendRequest("use").body());
+        assertNotEquals(idle, endpoint.takeRequest().connection());
     }
 
     /** At the descriptor limit, an idle connection is closed for one to another endpoint. */
@@ -184,56 +189,58 @@
         ScriptedServer[] endpoints = new ScriptedServer[20];
         for (int i = 0; i < endpoints.length; i++) {
             endpoints[i] =
-                    stage.add(
+                    cluster.closeAtEnd(
                             new ScriptedServer(
                                     request -> {
                                         LockSupport.parkNanos(
                                                 5_000_000); // a clear difference, so that each
                                         // endpoint is used
-                                        request.answer("200 OK", "", "made");
+                                        request.respond("200 OK", "", "made");
                                     }));
         }
-        stage.sockets = 96; // 16 connections to endpoints
-        stage.start(TestCluster.SETTINGS, endpoints);
-        Socket client = stage.connect();
+        cluster.descriptorLimit = 96; // 16 connections to endpoints
+        cluster.start(TestCluster.SETTINGS, endpoints);
+        Socket client = cluster.connect();
         for (int i = 0; i < 500; i++) {
-            Message.send(client, TestCluster.request("use", "", ""));
+            Message.send(client, TestCluster.requestText("use", "", ""));
             assertEquals("made", Message.read(client).body());
         }
         for (ScriptedServer endpoint : endpoints) {
-            endpoint.asked();
+            endpoint.takeRequest();
         }
     }
 
     /** The drain is announced while a connect hangs; what counts is the request's first byte. */
     @Test
     public void nothingIsSentToAnEndpointThatBeganToDrain() throws Exception {
-        ScriptedServer serving = stage.add(ScriptedServer.serving("made"));
+        ScriptedServer serving = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
         try (ServerSocket hanging = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> fill = new ArrayList<>(); // fills its backlog, so that a connect hangs
             while (fill.size() < 2) {
                 fill.add(new Socket(InetAddress.getLoopbackAddress(), hanging.getLocalPort()));
             }
             String list =
-                    TestCluster.list(1, true, "active", serving)
+                    TestCluster.endpointListJson(1, true, "active", serving)
                             .replace(serving.hostPort(), "127.0.0.1:" + hanging.getLocalPort());
-            stage.start(TestCluster.SETTINGS);
-            Message watch = stage.discovery.asked();
-            TestCluster.line(watch, list);
-            Socket client = stage.connect();
-            Message.send(client, TestCluster.request("use", "", ""));
+            cluster.start(TestCluster.SETTINGS);
+            Message watch = cluster.discovery.takeRequest();
+            TestCluster.sendWatchLine(watch, list);
+            Socket client = cluster.connect();
+            Message.send(client, TestCluster.requestText("use", "", ""));
             Thread.sleep(
                     200); // the connect hangs by now; if not, the test passes without proving much
-            TestCluster.line(
+            TestCluster.sendWatchLine(
                     watch,
                     list.replace("active", "leaving").replace("generation\":1", "generation\":2"));
-            stage.call("other");
+            cluster.sendRequest("other");
             for (int i = 0; i < fill.size(); i++) {
                 hanging.accept().close();
             }
             try (Socket late = hanging.accept()) { // the connect completes, seconds later
-                TestCluster.line(
-                        watch, TestCluster.list(3, true, "active", serving).replace("w0", "w1"));
+                TestCluster.sendWatchLine(
+                        watch,
+                        TestCluster.endpointListJson(3, true, "active", serving)
+                                .replace("w0", "w1"));
                 assertEquals("made", Message.read(client).body());
                 late.setSoTimeout(1);
                 assertEquals("nothing was sent", 0, late.getInputStream().available());
--- a/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
@@ -110,18 +110,18 @@
                             request.connection().getOutputStream().write(made);
                             request.connection().shutdownOutput();
                         });
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
         for (ScriptedServer.Script form : forms) {
             endpoint.setScript(form);
-            Socket client = stage.connect();
-            Message.send(client, TestCluster.request("use", "", ""));
-            endpoint.asked();
+            Socket client = cluster.connect();
+            Message.send(client, TestCluster.requestText("use", "", ""));
+            endpoint.takeRequest();
             assertArrayEquals(made, read(client));
-            endpoint.setScript(request -> request.answer("200 OK", "", "next"));
-            Message.send(client, TestCluster.request("use", "", ""));
+            endpoint.setScript(request -> request.respond("200 OK", "", "next"));
+            Message.send(client, TestCluster.requestText("use", "", ""));
             assertEquals("the connection goes on", "next", Message.read(client).body());
-            endpoint.asked();
+            endpoint.takeRequest();
         }
     }
 
@@ -129,11 +129,11 @@
     public void moreResponsesThanFitIntoMemoryForSlowClients() throws Exception {
         byte[] made = bytes(8 * LONG);
         ScriptedServer endpoint =
-                stage.add(
+                cluster.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
-                                    if (request.start().startsWith("GET")) {
-                                        request.answer("200 OK", "", "short");
+                                    if (request.startLine().startsWith("GET")) {
+                                        request.respond("200 OK", "", "short");
                                     } else {
                                         Message.send(
                                                 request.connection(),
@@ -141,26 +141,26 @@
                                         request.connection().getOutputStream().write(made);
                                     }
                                 }));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        cluster.start(TestCluster.SETTINGS, endpoint);
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 6; i++) { // 192 MB, with a heap of 64 MB
-            clients.add(stage.connect());
-            Message.send(clients.get(i), TestCluster.request("use", "", ""));
-            endpoint.asked();
+            clients.add(cluster.connect());
+            Message.send(clients.get(i), TestCluster.requestText("use", "", ""));
+            endpoint.takeRequest();
         }
-        assertEquals("others are served meanwhile", "short", stage.call("state").body());
+        assertEquals("others are served meanwhile", "short", cluster.sendRequest("state").body());
         clients.get(0).close();
         for (Socket client : clients.subList(1, clients.size())) {
             assertArrayEquals(made, read(client));
         }
-        assertEquals("short", stage.call("state").body());
+        assertEquals("short", cluster.sendRequest("state").body());
     }
 
     @Test
     public void aTruncatedResponseIsNotComplete() throws Exception {
         byte[] made = bytes(LONG);
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
         for (String framing :
                 List.of(
                         "Content-Length: " + 2 * LONG + "\r\n",
@@ -181,9 +181,9 @@
                         // truncated
                         request.connection().close();
                     });
-            Socket client = stage.connect();
-            Message.send(client, TestCluster.request("use", "", ""));
-            endpoint.asked();
+            Socket client = cluster.connect();
+            Message.send(client, TestCluster.requestText("use", "", ""));
+            endpoint.takeRequest();
             try {
                 read(client);
             } catch (IOException | AssertionError e) {
@@ -198,42 +198,42 @@
         String body = new String(bytes(LONG), StandardCharsets.ISO_8859_1);
         AtomicInteger asked = new AtomicInteger();
         ScriptedServer endpoint =
-                stage.add(
+                cluster.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
                                     boolean first = asked.incrementAndGet() == 1;
-                                    request.answer(
+                                    request.respond(
                                             first ? "503 Busy" : "200 OK",
                                             first ? "X-Unprocessed: 1\r\n" : "",
                                             first ? "" : "made");
                                 }));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        cluster.start(TestCluster.SETTINGS, endpoint);
         String head =
-                TestCluster.request("use", "", "")
+                TestCluster.requestText("use", "", "")
                         .replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "");
-        Socket told = stage.connect();
+        Socket told = cluster.connect();
         Message.send(told, head + "Expect: 100-continue\r\nContent-Length: " + LONG + "\r\n\r\n");
-        assertEquals("HTTP/1.1 100 Continue", Message.read(told).start());
+        assertEquals("HTTP/1.1 100 Continue", Message.read(told).startLine());
         Message.send(told, body);
-        assertEquals(body, endpoint.asked().body());
-        assertEquals("sent again whole", body, endpoint.asked().body());
+        assertEquals(body, endpoint.takeRequest().body());
+        assertEquals("sent again whole", body, endpoint.takeRequest().body());
         assertEquals("made", Message.read(told).body());
-        Socket chunked = stage.connect();
+        Socket chunked = cluster.connect();
         Message.send(
                 chunked,
-                TestCluster.request("use", "", "")
+                TestCluster.requestText("use", "", "")
                         .replaceFirst(
                                 "(?s)Content-Length: 4\r\n\r\npour",
                                 "Transfer-Encoding: chunked\r\n\r\n"));
         chunks(chunked.getOutputStream(), body.getBytes(StandardCharsets.ISO_8859_1), 70_000);
         Message.send(chunked, "0\r\n\r\n");
         assertEquals("made", Message.read(chunked).body());
-        assertEquals(body, endpoint.asked().body());
+        assertEquals(body, endpoint.takeRequest().body());
     }
 
     /** The head of a request, with the header that frames its body. */
     private static String head(String framing) {
-        return TestCluster.request("use", "", "")
+        return TestCluster.requestText("use", "", "")
                         .replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "")
                 + framing
                 + "\r\n\r\n";
@@ -248,41 +248,42 @@
         Semaphore answers = new Semaphore(0);
         Semaphore answered = new Semaphore(0);
         ScriptedServer endpoint =
-                stage.add(
+                cluster.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
                                     answers.acquireUninterruptibly();
-                                    request.answer("200 OK", "", "made");
+                                    request.respond("200 OK", "", "made");
                                     answered.release();
                                 }));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        cluster.start(TestCluster.SETTINGS, endpoint);
         String body =
                 new String(bytes(3 * LONG), StandardCharsets.ISO_8859_1); // the limit allows one
         for (int i = 0; i < 5; i++) {
-            Socket leaves = stage.connect();
+            Socket leaves = cluster.connect();
             Message.send(leaves, head("Content-Length: " + body.length()) + body);
-            endpoint.asked();
+            endpoint.takeRequest();
             leaves.close();
-            stage.awaitFigure("app_current 0");
+            cluster.awaitMetricLine("app_current 0");
             answers.release();
             answered.acquireUninterruptibly();
             answers.release();
             assertEquals(
                     "made",
-                    stage.call("state").body()); // by then the node has read the previous response
-            endpoint.asked();
+                    cluster.sendRequest("state")
+                            .body()); // by then the node has read the previous response
+            endpoint.takeRequest();
             answered.acquireUninterruptibly();
         }
         AtomicInteger asked = new AtomicInteger();
         endpoint.setScript(
                 request -> {
                     boolean first = asked.incrementAndGet() == 1;
-                    request.answer(
+                    request.respond(
                             first ? "503 Busy" : "200 OK",
                             first ? "X-Unprocessed: 1\r\n" : "",
                             first ? "" : "made");
                 });
-        Socket client = stage.connect();
+        Socket client = cluster.connect();
         Message.send(client, head("Content-Length: " + body.length()) + body);
         assertEquals("made", Message.read(client).body());
         assertEquals(2, asked.get());
@@ -290,13 +291,13 @@
 
     @Test
     public void bodiesThatExceedTheMemoryAreStreamed() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
         byte[] most = bytes(30 * 1024 * 1024); // below the limit of a body, above that of all
         String body = new String(most, StandardCharsets.ISO_8859_1);
         for (String framing :
                 List.of("Content-Length: " + most.length, "Transfer-Encoding: chunked")) {
-            Socket client = stage.connect();
+            Socket client = cluster.connect();
             Message.send(client, head(framing));
             if (framing.startsWith("T")) {
                 chunks(client.getOutputStream(), most, 100_000);
@@ -305,18 +306,18 @@
                 Message.send(client, body);
             }
             assertEquals(framing, "made", Message.read(client).body());
-            assertEquals(body, endpoint.asked().body());
-            Message.send(client, TestCluster.request("use", "", ""));
+            assertEquals(body, endpoint.takeRequest().body());
+            Message.send(client, TestCluster.requestText("use", "", ""));
             assertEquals("the connection goes on", "made", Message.read(client).body());
-            endpoint.asked();
+            endpoint.takeRequest();
         }
-        stage.awaitFigure("app_sends 4");
+        cluster.awaitMetricLine("app_sends 4");
     }
 
     @Test
     public void aRejectionOfAStreamedBodyIsForwardedWithoutRetry() throws Exception {
-        ScriptedServer elsewhere = stage.add(ScriptedServer.serving("made"));
-        stage.start(TestCluster.SETTINGS);
+        ScriptedServer elsewhere = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS);
         CountDownLatch rejected = new CountDownLatch(1);
         try (ServerSocket early = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Thread thread =
@@ -334,45 +335,47 @@
                                 }
                             });
             thread.start();
-            TestCluster.line(
-                    stage.discovery.asked(),
-                    TestCluster.list(2, true, "active", elsewhere)
+            TestCluster.sendWatchLine(
+                    cluster.discovery.takeRequest(),
+                    TestCluster.endpointListJson(2, true, "active", elsewhere)
                             .replace(elsewhere.hostPort(), "127.0.0.1:" + early.getLocalPort()));
-            stage.awaitFigure("app_cluster_size 1");
-            Socket client = stage.connect();
+            cluster.awaitMetricLine("app_cluster_size 1");
+            Socket client = cluster.connect();
             Message.send(client, head("Content-Length: " + 30 * 1024 * 1024));
             Message.send(client, "x".repeat(100_000));
-            assertTrue(rejected.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+            assertTrue(rejected.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
             Message refused = Message.read(client);
             assertEquals("nothing has run: the module refuses", 503, refused.status());
             assertEquals("close", refused.header("Connection"));
-            stage.awaitFigure("app_sends 0");
-            stage.awaitFigure("app_current 0");
+            cluster.awaitMetricLine("app_sends 0");
+            cluster.awaitMetricLine("app_current 0");
         }
     }
 
     @Test
     public void aTruncatedBodyIsNoRequest() throws Exception {
         ScriptedServer endpoint =
-                stage.add(new ScriptedServer(request -> request.answer("200 OK", "", "made")));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        Socket client = stage.connect();
+                cluster.closeAtEnd(
+                        new ScriptedServer(request -> request.respond("200 OK", "", "made")));
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        Socket client = cluster.connect();
         Message.send(client, head("Content-Length: " + 30 * 1024 * 1024));
         Message.send(client, "x".repeat(2_000_000));
         client.close();
         assertTrue(
                 "the worker's connection ends",
-                endpoint.closed.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS) != null);
-        endpoint.wasNotAsked();
-        stage.awaitFigure("app_current 0");
-        assertEquals("made", stage.call("use").body());
+                endpoint.closedConnections.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS)
+                        != null);
+        endpoint.assertNoMoreRequests();
+        cluster.awaitMetricLine("app_current 0");
+        assertEquals("made", cluster.sendRequest("use").body());
     }
 
     @Test
     public void aMalformedRequestIsNotBuffered() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
-        stage.start(TestCluster.SETTINGS, endpoint);
-        Socket noCall = stage.connect();
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        cluster.start(TestCluster.SETTINGS, endpoint);
+        Socket noCall = cluster.connect();
         Message.send(
                 noCall,
                 head("Content-Length: " + LONG)
@@ -386,7 +389,7 @@
         } catch (IOException e) {
             assertTrue("as good as an end", !(e instanceof SocketTimeoutException));
         }
-        Socket tooLong = stage.connect();
+        Socket tooLong = cluster.connect();
         Message.send(tooLong, head("Content-Length: 60000000"));
         assertEquals(413, Message.read(tooLong).status());
     }
--- a/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.After;
 import org.junit.Test;
-import trailthread.testkit.Holder;
+import trailthread.testkit.ListeningSocketHolder;
 import trailthread.testkit.Message;
 import trailthread.testkit.ScriptedServer;
 import trailthread.testkit.TestCluster;
@@ -23,17 +23,17 @@
     private static final String SERVES = "serves on";
     private static final int REQUESTS = 50;
 
-    private final TestCluster stage = new TestCluster();
-    private final Holder holder = stage.add(new Holder());
+    private final TestCluster cluster = new TestCluster();
+    private final ListeningSocketHolder holder = cluster.closeAtEnd(new ListeningSocketHolder());
     private final Path config = Files.createTempFile("trailthread", ".json");
 
     public NewVersionTest() throws Exception {
-        stage.port = holder.port;
+        cluster.port = holder.port;
     }
 
     @After
     public void end() throws Exception {
-        stage.end();
+        cluster.close();
         Files.delete(config);
     }
 
@@ -53,43 +53,43 @@
     public void theOldProcessFinishesItsRequestsAndTheNewOneTakesOver() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         ScriptedServer endpoint =
-                stage.add(
+                cluster.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
-                                    if (request.start().startsWith("POST /use")) {
+                                    if (request.startLine().startsWith("POST /use")) {
                                         ScriptedServer.await(answer);
                                     }
-                                    request.answer("200 OK", "", "made");
+                                    request.respond("200 OK", "", "made");
                                 }));
-        Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
+        Files.writeString(config, cluster.config(TestCluster.SETTINGS, endpoint));
         long old = start();
-        holder.logged(SERVES, 1);
-        Socket atWork = stage.connect();
-        Message.send(atWork, TestCluster.request("use", "", ""));
-        Socket idle = stage.connect();
-        Message.send(idle, TestCluster.request("state", "", ""));
+        holder.awaitLogMatch(SERVES, 1);
+        Socket atWork = cluster.connect();
+        Message.send(atWork, TestCluster.requestText("use", "", ""));
+        Socket idle = cluster.connect();
+        Message.send(idle, TestCluster.requestText("state", "", ""));
         assertEquals("made", Message.read(idle).body());
         start();
-        holder.logged(SERVES, 2);
+        holder.awaitLogMatch(SERVES, 2);
         CompletableFuture<Void> ended =
                 CompletableFuture.runAsync(
                         () -> {
                             try {
-                                Holder.terminate(old);
+                                ListeningSocketHolder.terminate(old);
                             } catch (Exception e) {
                                 throw new AssertionError(e);
                             }
                         });
         for (int i = 0; i < REQUESTS; i++) {
-            assertEquals("made", stage.call("state").body());
+            assertEquals("made", cluster.sendRequest("state").body());
         }
         assertEquals("idle connections are closed", -1, idle.getInputStream().read());
         answer.countDown();
         Message served = Message.read(atWork);
         assertEquals("made", served.body());
         assertEquals("close", served.header("Connection"));
-        ended.get(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
-        assertEquals("made", stage.call("state").body());
+        ended.get(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
+        assertEquals("made", cluster.sendRequest("state").body());
         assertEquals(
                 "endpoints received only clients' requests",
                 REQUESTS + 3,
@@ -97,50 +97,53 @@
     }
 
     private int adminPort(int process) throws Exception {
-        return Integer.parseInt(holder.logged("operators are told on .*:(\\d+)", process));
+        return Integer.parseInt(holder.awaitLogMatch("operators are told on .*:(\\d+)", process));
     }
 
     @Test
     public void aNewProcessThatDiesChangesNothing() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
-        Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        Files.writeString(config, cluster.config(TestCluster.SETTINGS, endpoint));
         start();
-        holder.logged(SERVES, 1);
+        holder.awaitLogMatch(SERVES, 1);
         for (int i = 2; i < 4; i++) {
             long dies = start();
             adminPort(i); // waits until its start is in progress
             assertTrue(ProcessHandle.of(dies).orElseThrow().destroyForcibly());
-            assertEquals("made", stage.call("use").body());
+            assertEquals("made", cluster.sendRequest("use").body());
         }
         Files.writeString(config, "{");
         start();
-        holder.logged("LB_CONFIG|JSON", 1);
+        holder.awaitLogMatch("LB_CONFIG|JSON", 1);
         for (int i = 0; i < REQUESTS; i++) {
-            assertEquals("made", stage.call("use").body());
+            assertEquals("made", cluster.sendRequest("use").body());
         }
-        assertEquals(200, TestCluster.manage(adminPort(1), "GET", "/-/ready").status());
+        assertEquals(200, TestCluster.sendAdminRequest(adminPort(1), "GET", "/-/ready").status());
     }
 
     @Test
     public void severalUpgradesInARowAlsoDuringADrain() throws Exception {
-        ScriptedServer endpoint = stage.add(ScriptedServer.serving("made"));
-        Files.writeString(config, stage.config(TestCluster.SETTINGS, endpoint));
+        ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
+        Files.writeString(config, cluster.config(TestCluster.SETTINGS, endpoint));
         long old = start();
-        holder.logged(SERVES, 1);
+        holder.awaitLogMatch(SERVES, 1);
         for (int i = 2; i < 5; i++) {
             boolean drained = i == 3;
             if (drained) {
                 assertEquals(
-                        200, TestCluster.manage(adminPort(i - 1), "POST", "/-/drain").status());
+                        200,
+                        TestCluster.sendAdminRequest(adminPort(i - 1), "POST", "/-/drain")
+                                .status());
             }
             long next = start();
-            holder.logged(SERVES, i);
-            assertEquals(200, TestCluster.manage(adminPort(i), "GET", "/-/ready").status());
+            holder.awaitLogMatch(SERVES, i);
+            assertEquals(
+                    200, TestCluster.sendAdminRequest(adminPort(i), "GET", "/-/ready").status());
             assertEquals(
                     drained ? 503 : 200,
-                    TestCluster.manage(adminPort(i - 1), "GET", "/-/ready").status());
-            Holder.terminate(old);
-            assertEquals("made", stage.call("use").body());
+                    TestCluster.sendAdminRequest(adminPort(i - 1), "GET", "/-/ready").status());
+            ListeningSocketHolder.terminate(old);
+            assertEquals("made", cluster.sendRequest("use").body());
             old = next;
         }
     }
@@ -148,7 +151,7 @@
     @Test
     public void anUnusableDescriptorIsReported() throws Exception {
         for (String descriptor : List.of("0", "3", "x")) {
-            Files.writeString(config, stage.config(TestCluster.SETTINGS));
+            Files.writeString(config, cluster.config(TestCluster.SETTINGS));
             ProcessBuilder builder =
                     new ProcessBuilder(
                                     Path.of(System.getProperty("java.home"), "bin", "java")
--- a/daemon/src/test/java/trailthread/daemon/RollingRestartTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RollingRestartTest.java
@@ -50,7 +50,7 @@
     public void end() throws Exception {
         over = true;
         for (TestCluster node : nodes) {
-            node.end();
+            node.close();
         }
     }
 
@@ -78,7 +78,7 @@
                 for (int i = 0; !over; i++) {
                     String requestClass = i % 2 == 0 ? "use" : "state";
                     int attempts = 1;
-                    while (!isAnswered(TestCluster.request(requestClass, "", ""))
+                    while (!isAnswered(TestCluster.requestText(requestClass, "", ""))
                             && attempts++ < MAX_ATTEMPTS) {
                         at = 1 - at;
                         sleep(5);
@@ -103,7 +103,7 @@
                 } catch (ConnectException e) {
                     return false;
                 }
-                connection.setSoTimeout(1000 * ScriptedServer.LONGEST_WAIT_S);
+                connection.setSoTimeout(1000 * ScriptedServer.TIMEOUT_S);
             }
             Matcher id = ID.matcher(requestText);
             assertTrue(id.find());
@@ -180,7 +180,7 @@
         for (int i = 0; i < 2; i++) {
             nodes[i] = new TestCluster();
             endpoints[i] =
-                    nodes[i].add(
+                    nodes[i].closeAtEnd(
                             new ScriptedServer(
                                     request -> {
                                         runs.merge(
@@ -188,7 +188,7 @@
                                                 1,
                                                 Integer::sum);
                                         LockSupport.parkNanos(slowed ? SLOW_MS * 1_000_000L : 0);
-                                        request.answer("200 OK", "", "made");
+                                        request.respond("200 OK", "", "made");
                                     }));
         }
         for (TestCluster node : nodes) {
--- a/daemon/src/test/java/trailthread/daemon/UnreadUpdatesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UnreadUpdatesTest.java
@@ -38,12 +38,13 @@
 
     private static final long HELD_MS = 400;
     private final EventLoop loop = new EventLoop("unread");
-    private final ScriptedServer server = ScriptedServer.serving("made");
+    private final ScriptedServer server = ScriptedServer.respondingWith("made");
     private final ScriptedServer peer =
             new ScriptedServer(
                     request -> {
-                        TestCluster.watch(request);
-                        TestCluster.line(request, TestCluster.list(1, true, "active", server));
+                        TestCluster.beginWatch(request);
+                        TestCluster.sendWatchLine(
+                                request, TestCluster.endpointListJson(1, true, "active", server));
                     });
     private final BlockingQueue<DiscoveryUpdate> updates = new LinkedBlockingQueue<>();
     private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
@@ -77,7 +78,7 @@
     public UnreadUpdatesTest() throws Exception {
         endpoints.setUpdateReader(discovery::readArrivedUpdates);
         loop.execute(() -> discovery.watch(true));
-        assertNotNull(updates.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertNotNull(updates.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     @After
@@ -100,14 +101,14 @@
     }
 
     private Outcome awaitOutcome() throws InterruptedException {
-        AttemptResult ending = results.poll(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+        AttemptResult ending = results.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
         assertNotNull("the attempt was to end", ending);
         return ending.outcome();
     }
 
     @Test
     public void aLateLoopReadsUpdatesBeforeItWritesARequest() throws Exception {
-        Message watch = peer.asked();
+        Message watch = peer.takeRequest();
         loop.execute(this::attempt);
         assertEquals(
                 "served before the drain, by a connection that is kept",
@@ -122,7 +123,7 @@
                     ScriptedServer.await(goOn);
                 });
         ScriptedServer.await(held);
-        TestCluster.line(watch, TestCluster.list(2, false, "leaving", server));
+        TestCluster.sendWatchLine(watch, TestCluster.endpointListJson(2, false, "leaving", server));
         Thread.sleep(HELD_MS);
         goOn.countDown();
         assertEquals(Outcome.NOT_SENT, awaitOutcome());
--- a/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
@@ -51,7 +51,7 @@
 
     public LeavingClientTest() throws IOException {
         loop = new EventLoop("leaving");
-        endpoint = ScriptedServer.serving("made");
+        endpoint = ScriptedServer.respondingWith("made");
     }
 
     @Before
@@ -109,7 +109,7 @@
 
     private Socket connect() throws IOException {
         Socket client = new Socket(address.getAddress(), address.getPort());
-        client.setSoTimeout(1000 * ScriptedServer.LONGEST_WAIT_S);
+        client.setSoTimeout(1000 * ScriptedServer.TIMEOUT_S);
         return client;
     }
 
@@ -148,11 +148,11 @@
     /** Another client's request is served, and is the first that the endpoint has received. */
     private void onlyOneWhoStaysIsServed() throws Exception {
         try (Socket stays = connect()) {
-            String request = TestCluster.request("use", "?stays", "");
+            String request = TestCluster.requestText("use", "?stays", "");
             Message.send(stays, request);
             assertEquals("made", Message.read(stays).body());
-            assertEquals(id(request), endpoint.asked().header("X-Correlation-Id"));
-            endpoint.wasNotAsked();
+            assertEquals(id(request), endpoint.takeRequest().header("X-Correlation-Id"));
+            endpoint.assertNoMoreRequests();
         }
         Thread.sleep(20); // the connection to the endpoint is not used before it has settled
     }
@@ -164,7 +164,7 @@
         loop.execute(this::list);
         loop.execute(() -> ScriptedServer.await(goOn));
         Socket client = connect();
-        Message.send(client, TestCluster.request("use", "", ""));
+        Message.send(client, TestCluster.requestText("use", "", ""));
         client.close();
         goOn.countDown();
         onlyOneWhoStaysIsServed();
@@ -175,7 +175,7 @@
     public void whoLeavesBeforeALateLoopLooksIsNotServed() throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
             Socket client = connect();
-            String request = TestCluster.request("use", "", "");
+            String request = TestCluster.requestText("use", "", "");
             Message.send(client, request);
             awaitInFlight(id(request));
             CountDownLatch goOn = new CountDownLatch(1);
@@ -193,9 +193,11 @@
     @Test
     public void whoLeavesBehindFurtherBytesIsNotServed() throws Exception {
         for (String bytes :
-                new String[] {"x", TestCluster.request("use", "?next", ""), "x".repeat(100_000)}) {
+                new String[] {
+                    "x", TestCluster.requestText("use", "?next", ""), "x".repeat(100_000)
+                }) {
             Socket client = connect();
-            String request = TestCluster.request("use", "", "");
+            String request = TestCluster.requestText("use", "", "");
             Message.send(client, request);
             awaitInFlight(id(request));
             Message.send(client, bytes);
@@ -215,14 +217,14 @@
         endpoint.setScript(
                 request -> {
                     ScriptedServer.await(rejected);
-                    endpoint.setScript(next -> next.answer("200 OK", "", "made"));
-                    request.answer("503 Busy", "X-Unprocessed: 1\r\n", "");
+                    endpoint.setScript(next -> next.respond("200 OK", "", "made"));
+                    request.respond("503 Busy", "X-Unprocessed: 1\r\n", "");
                 });
         Socket client = connect();
-        String request = TestCluster.request("use", "", "");
+        String request = TestCluster.requestText("use", "", "");
         loop.execute(this::list);
         Message.send(client, request);
-        assertEquals(id(request), endpoint.asked().header("X-Correlation-Id"));
+        assertEquals(id(request), endpoint.takeRequest().header("X-Correlation-Id"));
         CountDownLatch goOn = new CountDownLatch(1);
         loop.execute(() -> ScriptedServer.await(goOn));
         client.close();
@@ -236,7 +238,7 @@
     public void whoLeavesDuringAConnectIsNotServed() throws Exception {
         CountDownLatch goOn = new CountDownLatch(1);
         Socket client = connect();
-        String request = TestCluster.request("use", "", "");
+        String request = TestCluster.requestText("use", "", "");
         Message.send(client, request);
         awaitInFlight(id(request));
         loop.execute(
@@ -253,7 +255,7 @@
     @Test
     public void whoLeavesWithHalfABodyIsNeverTaken() throws Exception {
         Socket client = connect();
-        String request = TestCluster.request("use", "", "");
+        String request = TestCluster.requestText("use", "", "");
         Message.send(client, request.substring(0, request.length() - 2));
         loop.execute(this::list);
         client.close();
@@ -264,8 +266,8 @@
     @Test
     public void aCallSentAheadInPiecesIsWhole() throws Exception {
         try (Socket client = connect()) {
-            String first = TestCluster.request("use", "?1", "");
-            String ahead = TestCluster.request("use", "?2", "");
+            String first = TestCluster.requestText("use", "?1", "");
+            String ahead = TestCluster.requestText("use", "?2", "");
             Message.send(client, first + ahead.substring(0, 40));
             awaitInFlight(id(first));
             for (int at = 40; at < ahead.length(); at += 40) {
@@ -275,8 +277,8 @@
             loop.execute(this::list);
             assertEquals("made", Message.read(client).body());
             assertEquals("made", Message.read(client).body());
-            assertEquals(id(first), endpoint.asked().header("X-Correlation-Id"));
-            assertEquals(id(ahead), endpoint.asked().header("X-Correlation-Id"));
+            assertEquals(id(first), endpoint.takeRequest().header("X-Correlation-Id"));
+            assertEquals(id(ahead), endpoint.takeRequest().header("X-Correlation-Id"));
         }
     }
 
@@ -289,7 +291,7 @@
         for (int count : new int[] {300, 3_000}) { // about 50 KB, and more than is kept at a time
             try (Socket client = connect()) {
                 List<String> requests =
-                        Stream.generate(() -> TestCluster.request("use", "?ahead", ""))
+                        Stream.generate(() -> TestCluster.requestText("use", "?ahead", ""))
                                 .limit(count)
                                 .toList();
                 Message.send(client, requests.get(0));
@@ -299,7 +301,7 @@
                 loop.execute(() -> loop.after(100_000_000L, this::list));
                 for (String request : requests) {
                     assertEquals("made", Message.read(client).body());
-                    assertEquals(id(request), endpoint.asked().header("X-Correlation-Id"));
+                    assertEquals(id(request), endpoint.takeRequest().header("X-Correlation-Id"));
                 }
                 sender.join();
             }
@@ -320,12 +322,12 @@
     public void theLastAnswerIsTheLastCallsWhereSomeAreSentAhead() throws Exception {
         loop.execute(() -> listener.closeAfterResponse(true));
         try (Socket client = connect()) {
-            String first = TestCluster.request("use", "?1", "");
+            String first = TestCluster.requestText("use", "?1", "");
             Message.send(
                     client,
                     first
-                            + TestCluster.request("use", "?2", "")
-                            + TestCluster.request("use", "?3", ""));
+                            + TestCluster.requestText("use", "?2", "")
+                            + TestCluster.requestText("use", "?3", ""));
             awaitInFlight(id(first));
             loop.execute(this::list);
             for (String last : new String[] {null, null, "close"}) {
@@ -363,7 +365,7 @@
         for (String path : new String[] {"/ready", "/nowhere"}) {
             try (Socket client = connect()) {
                 String rejected = "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
-                Message.send(client, rejected + TestCluster.request("use", "", "") + rejected);
+                Message.send(client, rejected + TestCluster.requestText("use", "", "") + rejected);
                 assertNull(Message.read(client).header("Connection"));
                 assertEquals("made", Message.read(client).body());
                 assertEquals("close", Message.read(client).header("Connection"));
--- a/daemon/src/test/java/trailthread/daemon/soak/SoakRun.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/SoakRun.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
-import trailthread.testkit.DelayMeter;
 import trailthread.testkit.Message;
+import trailthread.testkit.SchedulingDelayMeter;
 import trailthread.testkit.ScriptedServer;
 import trailthread.testkit.TestCluster;
 
@@ -42,7 +42,7 @@
             long leftAtKillMs,
             long worstDelayMs) {
         boolean isVoid() {
-            return worstDelayMs >= DelayMeter.MAX_DELAY_MS;
+            return worstDelayMs >= SchedulingDelayMeter.DELAY_LIMIT_MS;
         }
     }
 
@@ -57,19 +57,24 @@
 
     private SoakRun(Scenario scenario) throws IOException {
         this.scenario = scenario;
-        cluster.sockets = DESCRIPTORS;
+        cluster.descriptorLimit = DESCRIPTORS;
     }
 
     /** Plays a scenario. */
     static Result play(Scenario scenario) throws Exception {
         SoakRun run = new SoakRun(scenario);
-        DelayMeter delays = new DelayMeter();
+        SchedulingDelayMeter delays = new SchedulingDelayMeter();
         try {
             List<Judge.Break> breaks = run.play();
             List<String> log = new ArrayList<>(run.cluster.log);
             log.addAll(run.notes);
             return new Result(
-                    scenario, breaks, log, run.requests.size(), run.leftAtKillMs, delays.worstMs());
+                    scenario,
+                    breaks,
+                    log,
+                    run.requests.size(),
+                    run.leftAtKillMs,
+                    delays.maxDelayMs());
         } finally {
             delays.stop();
             run.end();
@@ -111,7 +116,7 @@
 
     private ScriptedServer server(Scenario.ServerMix mix, long seed) throws IOException {
         Random random = new Random(seed);
-        return cluster.add(new ScriptedServer(request -> serve(request, mix, random)));
+        return cluster.closeAtEnd(new ScriptedServer(request -> serve(request, mix, random)));
     }
 
     private void serve(Message message, Scenario.ServerMix mix, Random random) throws IOException {
@@ -128,7 +133,7 @@
         if (drawn < mix.never() + mix.half() + mix.late()) {
             pause(random.nextInt(request.deadlineMs * 3 / 2));
         }
-        message.answer("200 OK", "", "made");
+        message.respond("200 OK", "", "made");
     }
 
     private static void pause(long ms) {
@@ -213,9 +218,11 @@
 
     private void checkOwnEnd(Judge.Times times, List<Judge.Break> breaks) throws Exception {
         int dueMs =
-                scenario.longestDeadlineAtStartMs() + LAST_RESPONSES_MS + DelayMeter.MAX_DELAY_MS;
+                scenario.longestDeadlineAtStartMs()
+                        + LAST_RESPONSES_MS
+                        + SchedulingDelayMeter.DELAY_LIMIT_MS;
         long leftMs = dueMs - (System.nanoTime() - times.terminatedAt()) / 1_000_000;
-        if (!cluster.endsWithin(Math.max(0, leftMs), TimeUnit.MILLISECONDS)) {
+        if (!cluster.exitsWithin(Math.max(0, leftMs), TimeUnit.MILLISECONDS)) {
             breaks.add(new Judge.Break(Rule.DID_NOT_END, "running after " + dueMs + " ms"));
             cluster.kill();
         } else if (cluster.exitStatus() != 0) {
@@ -225,7 +232,7 @@
 
     private void end() throws IOException, InterruptedException {
         over = true;
-        cluster.end();
+        cluster.close();
     }
 
     Scenario scenario() {
--- a/testkit/src/main/java/trailthread/testkit/Holder.java
+++ b/testkit/src/main/java/trailthread/testkit/ListeningSocketHolder.java
@@ -17,7 +17,7 @@
  * script does both, as Java can't pass a socket to another process, and Perl is part of every
  * Debian.
  */
-public final class Holder implements Closeable {
+public final class ListeningSocketHolder implements Closeable {
     private static final String SCRIPT =
             """
             use Socket; use POSIX;
@@ -36,39 +36,43 @@
     private final Process process;
 
     /** Opens the socket. */
-    public Holder() throws IOException, InterruptedException {
+    public ListeningSocketHolder() throws IOException, InterruptedException {
         process = new ProcessBuilder("perl", "-e", SCRIPT).redirectErrorStream(true).start();
         ProcessOutput.collect(process, log);
-        port = Integer.parseInt(logged("port (\\d+)", 1));
+        port = Integer.parseInt(awaitLogMatch("port (\\d+)", 1));
     }
 
     /**
      * Starts a program.
      *
-     * @param variables of its environment, as the shell's {@code env} takes them
-     * @return its process id
+     * @param variables environment variables of the program, as the command {@code env} takes them
+     * @return the program's process id
      */
     public long start(String variables, List<String> command)
             throws IOException, InterruptedException {
-        int before = (int) log.stream().filter(line -> line.startsWith("pid ")).count();
-        String words =
+        int startedBefore = (int) log.stream().filter(line -> line.startsWith("pid ")).count();
+        String quotedCommand =
                 command.stream().map(word -> "'" + word + "'").collect(Collectors.joining(" "));
         process.getOutputStream()
                 .write(
-                        ("echo pid $$; exec env LB_SOCKET_FD=0 " + variables + " " + words + "\n")
+                        ("echo pid $$; exec env LB_SOCKET_FD=0 "
+                                        + variables
+                                        + " "
+                                        + quotedCommand
+                                        + "\n")
                                 .getBytes(StandardCharsets.UTF_8));
         process.getOutputStream().flush();
-        return Long.parseLong(logged("pid (\\d+)", before + 1));
+        return Long.parseLong(awaitLogMatch("pid (\\d+)", startedBefore + 1));
     }
 
     /**
-     * Waits until the log has so many lines with the pattern.
+     * Waits until this many lines of the log match the pattern.
      *
      * @return the pattern's group in the last of them, or the line if it has no group
      */
-    public String logged(String pattern, int times) throws InterruptedException {
+    public String awaitLogMatch(String pattern, int times) throws InterruptedException {
         Pattern compiled = Pattern.compile(pattern);
-        for (int i = 0; i < 100 * ScriptedServer.LONGEST_WAIT_S; i++) {
+        for (int i = 0; i < 100 * ScriptedServer.TIMEOUT_S; i++) {
             int found = 0;
             for (String line : log) {
                 Matcher matcher = compiled.matcher(line);
@@ -78,14 +82,15 @@
             }
             Thread.sleep(10);
         }
-        throw new AssertionError("not " + times + " times '" + pattern + "' in " + log);
+        throw new AssertionError(
+                "fewer than " + times + " lines match '" + pattern + "' in " + log);
     }
 
     /** Sends SIGTERM to a program, as the platform does, and waits until it has ended. */
     public static void terminate(long pid) throws Exception {
         ProcessHandle program = ProcessHandle.of(pid).orElseThrow();
         assertTrue(program.destroy());
-        program.onExit().get(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS);
+        program.onExit().get(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     @Override
