--- a/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
+++ b/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
@@ -11,15 +11,15 @@
 import trailthread.lab.scenario.Scenario.Surge;
 
 /**
- * The clients of a day: an open loop of Poisson arrivals. Times come from an agenda, virtual or
- * real; a request counts from when it was due, also where this machine brought it late.
+ * The clients of a day: an open loop of Poisson arrivals. Times come from an event queue, virtual
+ * or real; a request counts from when it was due, also where this machine brought it late.
  */
 public final class ClientPopulation {
     private static final int MOST_DOUBLINGS = 10;
 
-    private final EventQueue agenda;
+    private final EventQueue eventQueue;
     private final Scenario scenario;
-    private final RunMetrics figures;
+    private final RunMetrics metrics;
     private final RequestSink front;
     private final UniformRandomProvider arrivals;
     private final UniformRandomProvider asks;
@@ -33,19 +33,19 @@
 
     /** Those of a day that begins now. */
     public ClientPopulation(
-            EventQueue agenda,
+            EventQueue eventQueue,
             RandomStreams streams,
             Scenario scenario,
-            RunMetrics figures,
+            RunMetrics metrics,
             RequestSink front) {
-        this.agenda = agenda;
+        this.eventQueue = eventQueue;
         this.scenario = scenario;
-        this.figures = figures;
+        this.metrics = metrics;
         this.front = front;
-        begin = agenda.now();
-        arrivals = streams.of("arrivals");
-        asks = streams.of("asks");
-        tails = streams.of("tails");
+        begin = eventQueue.now();
+        arrivals = streams.stream("arrivals");
+        asks = streams.stream("asks");
+        tails = streams.stream("tails");
         classShares = scenario.classes().stream().mapToDouble(ClassLaw::share).toArray();
         tenantShares = scenario.tenants().stream().mapToDouble(Tenant::share).toArray();
     }
@@ -66,11 +66,11 @@
     }
 
     long now() {
-        return agenda.now();
+        return eventQueue.now();
     }
 
-    RunMetrics figures() {
-        return figures;
+    RunMetrics metrics() {
+        return metrics;
     }
 
     RequestSink front() {
@@ -81,7 +81,7 @@
     void later(int tries, double draw, long retryAfterNs, Runnable task) {
         var law = scenario.clients();
         long wait = (long) (law.backoffNs() * (1L << Math.min(tries - 1, MOST_DOUBLINGS)) * draw);
-        agenda.in(Math.max(wait, law.heeds() ? retryAfterNs : 0), task);
+        eventQueue.scheduleAfter(Math.max(wait, law.heeds() ? retryAfterNs : 0), task);
     }
 
     private double rate(long at) {
@@ -115,12 +115,12 @@
     }
 
     private void arrive(double most, long end) {
-        long at = agenda.now();
+        long at = eventQueue.now();
         do {
             at += (long) RandomStreams.exponential(arrivals, 1e9 / most);
         } while (at < end && arrivals.nextDouble() * most >= rate(at));
         if (at < end) {
-            agenda.at(
+            eventQueue.scheduleAt(
                     at,
                     () -> {
                         open++;
--- a/lab/src/main/java/trailthread/lab/clients/ClientRequest.java
+++ b/lab/src/main/java/trailthread/lab/clients/ClientRequest.java
@@ -110,7 +110,7 @@
         if (!done) {
             done = true;
             clients.ended();
-            clients.figures()
+            clients.metrics()
                     .ended(
                             law,
                             seen == Seen.SERVED,
--- a/lab/src/main/java/trailthread/lab/command/LoadCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/LoadCommand.java
@@ -64,14 +64,14 @@
                             scenario,
                             "load",
                             seed,
-                            day.figures(),
-                            day.referee(),
+                            day.metrics(),
+                            day.checker(),
                             0,
                             System.nanoTime() - begun);
             print.println(Result.head());
             print.println(result.row());
             print.println("most connections at once " + day.mostConnections());
-            day.referee().violations().stream()
+            day.checker().violations().stream()
                     .limit(3)
                     .map(Violation::told)
                     .forEach(print::println);
--- a/lab/src/main/java/trailthread/lab/command/RunCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/RunCommand.java
@@ -87,13 +87,13 @@
                             scenario,
                             "node",
                             seed,
-                            day.figures(),
-                            day.referee(),
+                            day.metrics(),
+                            day.checker(),
                             0,
                             System.nanoTime() - begun);
             print.println(Result.head());
             print.println(result.row());
-            day.referee().violations().stream()
+            day.checker().violations().stream()
                     .limit(3)
                     .map(Violation::told)
                     .forEach(print::println);
--- a/lab/src/main/java/trailthread/lab/command/SimulateCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/SimulateCommand.java
@@ -98,6 +98,6 @@
      */
     private static void tell(Runs.Order order, PrintWriter print) {
         Simulation.Day day = Simulation.play(order.scenario(), order.policy(), order.seed());
-        day.referee().violations().stream().limit(3).map(Violation::told).forEach(print::println);
+        day.checker().violations().stream().limit(3).map(Violation::told).forEach(print::println);
     }
 }
--- a/lab/src/main/java/trailthread/lab/emulation/EmulatedDiscovery.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulatedDiscovery.java
@@ -33,7 +33,7 @@
 
     EmulatedDiscovery(Emulation day, int nodes) throws IOException {
         this.day = day;
-        random = day.streams().of("roster");
+        random = day.streams().stream("roster");
         for (int i = 0; i < Math.max(1, nodes); i++) {
             int node = i;
             listeners.add(new RestartableListener(day.loop(), 0, channel -> accept(node, channel)));
@@ -77,8 +77,8 @@
             long at = day.now() + (long) RandomStreams.uniform(random, law.lowNs(), law.highNs());
             watch.toldAt = Math.max(at, watch.toldAt);
             String line = object(of, false, entry(worker, watch.node, state));
-            day.agenda()
-                    .at(
+            day.eventQueue()
+                    .scheduleAt(
                             watch.toldAt,
                             () -> {
                                 if (watches.contains(watch)) {
@@ -177,8 +177,8 @@
                 long has = index.find() ? Long.parseLong(index.group(1)) : -1;
                 wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 watches.add(this);
-                day.agenda()
-                        .at(
+                day.eventQueue()
+                        .scheduleAt(
                                 toldAt,
                                 () -> {
                                     if (watches.contains(this) && has != generation) {
@@ -188,8 +188,8 @@
                                 });
                 idles();
             } else {
-                day.agenda()
-                        .at(
+                day.eventQueue()
+                        .scheduleAt(
                                 toldAt,
                                 () -> {
                                     String list = whole(node);
@@ -214,8 +214,8 @@
                 idle.cancel();
             }
             idle =
-                    day.agenda()
-                            .in(
+                    day.eventQueue()
+                            .scheduleAfter(
                                     IDLE_NS,
                                     () -> {
                                         if (watches.contains(this)) {
--- a/lab/src/main/java/trailthread/lab/emulation/EmulatedServer.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulatedServer.java
@@ -20,7 +20,7 @@
 
 /**
  * A worker on sockets: the model of virtual time, driven by the real clock, behind the workers'
- * side of the platform's protocol. Each node has an address of its own for it, so that the referee
+ * side of the platform's protocol. Each node has an address of its own for it, so that the checker
  * knows who sends.
  */
 final class EmulatedServer implements FaultTarget.Worker {
@@ -48,7 +48,7 @@
         this.cell = cell;
         process =
                 new ServerProcess(
-                        day.agenda(),
+                        day.eventQueue(),
                         day.streams(),
                         day.scenario().fleet(),
                         name,
@@ -202,7 +202,7 @@
                 return;
             }
             if (message.target().equals("/health") || message.target().equals("/status/load")) {
-                day.figures().probes();
+                day.metrics().probes();
                 process.probes(
                         () -> wire.send(answer("200 OK", null, "", load(process.healthChecked()))));
                 return;
@@ -223,7 +223,7 @@
                                     attempt,
                                     node,
                                     new InvariantChecker.Place(name, zone, cell)));
-            day.figures().sends(day.workers().indexOf(EmulatedServer.this));
+            day.metrics().sends(day.workers().indexOf(EmulatedServer.this));
             process.arrived(served);
         }
 
@@ -253,7 +253,7 @@
             int piece = Math.max(1, text.length() / DRIPS);
             for (int from = 0, i = 0; from < text.length(); from += piece, i++) {
                 String part = text.substring(from, Math.min(text.length(), from + piece));
-                day.agenda().in(drips * i / DRIPS, () -> wire.send(part));
+                day.eventQueue().scheduleAfter(drips * i / DRIPS, () -> wire.send(part));
             }
         }
     }
--- a/lab/src/main/java/trailthread/lab/emulation/Emulation.java
+++ b/lab/src/main/java/trailthread/lab/emulation/Emulation.java
@@ -84,8 +84,8 @@
                     return size() > CALLS_REMEMBERED;
                 }
             };
-    private InvariantChecker referee;
-    private RunMetrics figures;
+    private InvariantChecker checker;
+    private RunMetrics metrics;
     private HttpClients front;
     private ClientPopulation clients;
     private long lastId = System.nanoTime() << 8 & 0xfffffffffffffL;
@@ -99,8 +99,8 @@
         this.scenario = scenario;
         this.nodeCount = nodeCount;
         streams = new RandomStreams(seed);
-        speeds = streams.of("speeds");
-        figures = new RunMetrics(loop.agenda().now(), Long.MAX_VALUE);
+        speeds = streams.stream("speeds");
+        metrics = new RunMetrics(loop.eventQueue().now(), Long.MAX_VALUE);
         roster = new EmulatedDiscovery(this, nodeCount);
         for (int i = 0; i < scenario.fleet().workers(); i++) {
             addWorker(scenario.zones().get(i % scenario.zones().size()), i, false);
@@ -123,14 +123,14 @@
     }
 
     /** What came of it. */
-    public RunMetrics figures() {
-        figures.at(now());
-        return figures;
+    public RunMetrics metrics() {
+        metrics.at(now());
+        return metrics;
     }
 
     /** How it was judged. */
-    public InvariantChecker referee() {
-        return referee;
+    public InvariantChecker checker() {
+        return checker;
     }
 
     /** By seconds, what the nodes held. */
@@ -145,7 +145,7 @@
 
     /** Starts real nodes with this command; what they say goes to files in the directory. */
     public void startNodes(Program program, Path directory) throws IOException {
-        referee =
+        checker =
                 new InvariantChecker(
                         scenario.rules().responseSlackNs() + 50_000_000L,
                         scenario.rules().drainGraceNs() + 50_000_000L);
@@ -176,7 +176,7 @@
         front =
                 new HttpClients(
                         loop,
-                        referee,
+                        checker,
                         scenario.rules().responseSlackNs(),
                         scenario.zones(),
                         () -> ++lastId);
@@ -187,7 +187,7 @@
      * answers is judged.
      */
     public void sendTo(List<Integer> ports) {
-        referee =
+        checker =
                 new InvariantChecker(
                         scenario.rules().responseSlackNs() + 50_000_000L, Long.MAX_VALUE / 4);
         front();
@@ -210,14 +210,14 @@
      */
     public void play(boolean withTroubles, Consumer<Emulation> everySecond) throws IOException {
         long begin = now();
-        figures = new RunMetrics(begin, begin + scenario.warmUpNs());
+        metrics = new RunMetrics(begin, begin + scenario.warmUpNs());
         loop.lateUs().reset();
         if (front != null) {
-            clients = new ClientPopulation(agenda(), streams, scenario, figures, front);
+            clients = new ClientPopulation(eventQueue(), streams, scenario, metrics, front);
             clients.begin(begin + scenario.lengthNs());
         }
         if (withTroubles) {
-            FaultInjector.arrange(agenda(), streams, scenario.faults(), this);
+            FaultInjector.arrange(eventQueue(), streams, scenario.faults(), this);
         }
         sample(begin, begin + scenario.lengthNs(), everySecond);
         cuts(begin + scenario.lengthNs());
@@ -228,16 +228,17 @@
         while (System.nanoTime() < end + 2 * longest && clients != null && clients.open() > 0) {
             loop.runUntil(System.nanoTime() + SECOND / 20);
         }
-        if (referee != null) {
-            referee.finish(now());
+        if (checker != null) {
+            checker.finish(now());
         }
     }
 
     private void sample(long begin, long end, Consumer<Emulation> everySecond) {
-        agenda().in(
+        eventQueue()
+                .scheduleAfter(
                         SECOND,
                         () -> {
-                            figures.holds(
+                            metrics.holds(
                                     now() - 1,
                                     workers.stream().mapToInt(w -> w.process().holds()).toArray());
                             List<NodeProcess.Sample> samples =
@@ -264,7 +265,7 @@
     private void cuts(long end) {
         workers.forEach(EmulatedServer::arrangeCut);
         if (now() < end) {
-            agenda().in(SECOND / 100, () -> cuts(end));
+            eventQueue().scheduleAfter(SECOND / 100, () -> cuts(end));
         }
     }
 
@@ -272,21 +273,21 @@
     // -----------------------------------------------------------------------
 
     void judged(Consumer<InvariantChecker> told) {
-        if (referee != null) {
-            told.accept(referee);
+        if (checker != null) {
+            told.accept(checker);
         }
     }
 
     long now() {
-        return agenda().now();
+        return eventQueue().now();
     }
 
     long unixMs(long at) {
         return at == 0 ? 0 : (at + unixOffsetNs) / 1_000_000;
     }
 
-    EventQueue agenda() {
-        return loop.agenda();
+    EventQueue eventQueue() {
+        return loop.eventQueue();
     }
 
     RandomStreams streams() {
--- a/lab/src/main/java/trailthread/lab/emulation/EmulationLoop.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulationLoop.java
@@ -10,9 +10,9 @@
 import trailthread.lab.event.EventQueue;
 
 /**
- * One thread that drives an agenda by the real clock, and sockets. All of a day on sockets but the
- * nodes runs on it, so that the referee is told of things in one order. It knows how late it did
- * what was due.
+ * One thread that drives an event queue by the real clock, and sockets. All of a day on sockets but
+ * the nodes runs on it, so that the checker is told of things in one order. It knows how late it
+ * did what was due.
  *
  * <p>Hand-made on NIO's selector: the stand-ins must reset, drip, spoil and fall silent byte by
  * byte, which no server's library lets them do.
@@ -36,7 +36,7 @@
     }
 
     private final Selector selector = Selector.open();
-    private final EventQueue agenda = new EventQueue(System.nanoTime());
+    private final EventQueue eventQueue = new EventQueue(System.nanoTime());
     private final Histogram lateUs = new Histogram(600_000_000L, 2);
 
     /** Begins now. */
@@ -44,9 +44,9 @@
         // the selector is open by now
     }
 
-    /** Its agenda; times are those of {@link System#nanoTime}. */
-    public EventQueue agenda() {
-        return agenda;
+    /** Its event queue; times are those of {@link System#nanoTime}. */
+    public EventQueue eventQueue() {
+        return eventQueue;
     }
 
     /** How late it did what was due, in us. */
@@ -74,7 +74,7 @@
 
     private void turn(long end) throws IOException {
         catchUp();
-        long wait = Math.min(end, agenda.nextAt()) - System.nanoTime();
+        long wait = Math.min(end, eventQueue.nextTime()) - System.nanoTime();
         if (wait > AWAKE_NS) {
             selector.select(
                     Math.min(LONGEST_WAIT_MS, Math.max(1, (wait - AWAKE_NS / 2) / 1_000_000)));
@@ -92,11 +92,11 @@
 
     private void catchUp() {
         long now = System.nanoTime();
-        while (agenda.nextAt() <= now) {
-            lateUs.recordValue(Math.max(0, (System.nanoTime() - agenda.nextAt()) / 1000));
-            agenda.next();
+        while (eventQueue.nextTime() <= now) {
+            lateUs.recordValue(Math.max(0, (System.nanoTime() - eventQueue.nextTime()) / 1000));
+            eventQueue.runNext();
         }
-        agenda.runUntil(now);
+        eventQueue.runUntil(now);
     }
 
     @Override
--- a/lab/src/main/java/trailthread/lab/emulation/HttpClients.java
+++ b/lab/src/main/java/trailthread/lab/emulation/HttpClients.java
@@ -57,8 +57,8 @@
     private static final long GRACE_NS = 50_000_000L;
 
     private final EmulationLoop loop;
-    private final EventQueue agenda;
-    private final InvariantChecker referee;
+    private final EventQueue eventQueue;
+    private final InvariantChecker checker;
     private final long slackNs;
     private final List<String> zones;
     private final List<Target> targets = new ArrayList<>();
@@ -73,13 +73,13 @@
      */
     HttpClients(
             EmulationLoop loop,
-            InvariantChecker referee,
+            InvariantChecker checker,
             long slackNs,
             List<String> zones,
             LongSupplier ids) {
         this.loop = loop;
-        this.agenda = loop.agenda();
-        this.referee = referee;
+        this.eventQueue = loop.eventQueue();
+        this.checker = checker;
         this.slackNs = slackNs;
         this.zones = List.copyOf(zones);
         this.ids = ids;
@@ -202,8 +202,8 @@
         void send(Try next) {
             call = next;
             taken = false;
-            long now = agenda.now();
-            overdue = agenda.at(next.until + slackNs + GRACE_NS, this::overdue);
+            long now = eventQueue.now();
+            overdue = eventQueue.scheduleAt(next.until + slackNs + GRACE_NS, this::overdue);
             if (wire.isConnected()) {
                 take();
             }
@@ -220,8 +220,8 @@
             taken = true;
             excused = target.excused;
             var rules = call.ask.law().rules();
-            referee.taken(
-                    agenda.now(),
+            checker.taken(
+                    eventQueue.now(),
                     call.id,
                     target.name,
                     new RequestTerms(
@@ -252,10 +252,10 @@
             int status = message.status();
             boolean refused = status == 429 || status == 503;
             if (status == 200 && !message.text().startsWith(of.id + " ")) {
-                referee.foreign(agenda.now(), of.id, message.text());
+                checker.foreign(eventQueue.now(), of.id, message.text());
             }
-            referee.answered(
-                    agenda.now(),
+            checker.answered(
+                    eventQueue.now(),
                     of.id,
                     status == 200 ? "served" : refused ? "refused" : "failed " + status);
             if (message.lasts()) {
@@ -303,14 +303,15 @@
             if (!taken) {
                 of.ask.saw(ClientRequest.Seen.UNREACHABLE, 0);
             } else if (excused || target.excused) {
-                referee.gone(agenda.now(), of.id);
+                checker.gone(eventQueue.now(), of.id);
                 of.ask.saw(ClientRequest.Seen.NOTHING, 0);
             } else if (reused && !of.again && (how.equals("ended") || how.equals("reset"))) {
                 // The close has crossed the request, which is sent once more, on a new connection.
-                referee.forget(of.id);
+                checker.forget(of.id);
                 new Client(target).begin(new Try(of.ask, of.id, of.until, true));
             } else {
-                referee.lost(agenda.now(), of.id, "the connection " + how + " without an answer");
+                checker.lost(
+                        eventQueue.now(), of.id, "the connection " + how + " without an answer");
                 of.ask.saw(ClientRequest.Seen.NOTHING, 0);
             }
         }
@@ -326,9 +327,9 @@
                 return;
             }
             if (excused || target.excused) {
-                referee.gone(agenda.now(), of.id);
+                checker.gone(eventQueue.now(), of.id);
             } else {
-                referee.overdue(agenda.now(), of.id);
+                checker.overdue(eventQueue.now(), of.id);
             }
             of.ask.saw(ClientRequest.Seen.NOTHING, 0);
         }
--- a/lab/src/main/java/trailthread/lab/emulation/HttpMessageConnection.java
+++ b/lab/src/main/java/trailthread/lab/emulation/HttpMessageConnection.java
@@ -163,7 +163,7 @@
     private void take(ByteBuffer bytes) {
         try {
             while (open && bytes.hasRemaining()) {
-                beganAt = decoder.isWithin() ? beganAt : loop.agenda().now();
+                beganAt = decoder.isWithin() ? beganAt : loop.eventQueue().now();
                 HttpMessage message = decoder.decode(bytes);
                 if (message != null) {
                     listener.message(message);
--- a/lab/src/main/java/trailthread/lab/emulation/NodeProcess.java
+++ b/lab/src/main/java/trailthread/lab/emulation/NodeProcess.java
@@ -222,7 +222,8 @@
 
                                 private void again() {
                                     if (of == process && of.isAlive()) {
-                                        day.agenda().in(LOOK_NS, NodeProcess.this::look);
+                                        day.eventQueue()
+                                                .scheduleAfter(LOOK_NS, NodeProcess.this::look);
                                     }
                                 }
                             });
@@ -247,13 +248,13 @@
     public void restart() {
         serving = false;
         process.destroy();
-        day.agenda().in(SOON_NS, () -> target.admitted = false);
+        day.eventQueue().scheduleAfter(SOON_NS, () -> target.admitted = false);
         startWhenEnded(process);
     }
 
     private void startWhenEnded(Process of) {
         if (of.isAlive()) {
-            day.agenda().in(LOOK_NS, () -> startWhenEnded(of));
+            day.eventQueue().scheduleAfter(LOOK_NS, () -> startWhenEnded(of));
         } else if (of == process) {
             start();
         }
@@ -268,12 +269,12 @@
     public void pause(long forNs) {
         target.excused = true;
         signal("STOP");
-        day.agenda()
-                .in(
+        day.eventQueue()
+                .scheduleAfter(
                         forNs,
                         () -> {
                             signal("CONT");
-                            day.agenda().in(SOON_NS, () -> target.excused = false);
+                            day.eventQueue().scheduleAfter(SOON_NS, () -> target.excused = false);
                         });
     }
 
--- a/lab/src/main/java/trailthread/lab/event/EventQueue.java
+++ b/lab/src/main/java/trailthread/lab/event/EventQueue.java
@@ -35,7 +35,7 @@
     private final PriorityQueue<Entry> entries = new PriorityQueue<>(1024);
     private long now;
     private long serial;
-    private long done;
+    private long executedCount;
 
     /** Begins at this time, in ns. */
     public EventQueue(long begin) {
@@ -48,8 +48,8 @@
     }
 
     /** How much has happened so far. */
-    public long done() {
-        return done;
+    public long executedCount() {
+        return executedCount;
     }
 
     /** How much is set and has not happened, with what was taken back and not yet passed. */
@@ -60,25 +60,25 @@
     /**
      * Sets a task to a time; one that has passed stands for now, after all else that is set to now.
      */
-    public Entry at(long time, Runnable task) {
+    public Entry scheduleAt(long time, Runnable task) {
         Entry entry = new Entry(Math.max(now, time), serial++, task);
         entries.add(entry);
         return entry;
     }
 
     /** Sets a task to be done after a delay, in ns. */
-    public Entry in(long delay, Runnable task) {
-        return at(now + Math.max(0, delay), task);
+    public Entry scheduleAfter(long delay, Runnable task) {
+        return scheduleAt(now + Math.max(0, delay), task);
     }
 
     /** Does the next thing; false if nothing is left. */
-    public boolean next() {
+    public boolean runNext() {
         for (Entry entry = entries.poll(); entry != null; entry = entries.poll()) {
             Runnable task = entry.task;
             if (task != null) {
                 now = entry.at;
                 entry.task = null;
-                done++;
+                executedCount++;
                 task.run();
                 return true;
             }
@@ -87,14 +87,14 @@
     }
 
     /** When the next thing is due, perhaps one that was taken back; Long.MAX_VALUE: nothing is. */
-    public long nextAt() {
+    public long nextTime() {
         return entries.isEmpty() ? Long.MAX_VALUE : entries.peek().at;
     }
 
     /** Does all that is set up to this time, which is then the present. */
     public void runUntil(long time) {
         while (!entries.isEmpty() && entries.peek().at <= time) {
-            next();
+            runNext();
         }
         now = Math.max(now, time);
     }
--- a/lab/src/main/java/trailthread/lab/experiment/Bootstrap.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Bootstrap.java
@@ -41,7 +41,7 @@
             throw new IllegalArgumentException("no pairs");
         }
         double mean = Arrays.stream(differences).average().orElseThrow();
-        UniformRandomProvider random = new RandomStreams(differences.length).of("bootstrap");
+        UniformRandomProvider random = new RandomStreams(differences.length).stream("bootstrap");
         double[] means = new double[SAMPLES];
         for (int i = 0; i < SAMPLES; i++) {
             double sum = 0;
--- a/lab/src/main/java/trailthread/lab/experiment/Result.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Result.java
@@ -47,7 +47,7 @@
 
     /** Of a day in virtual time. */
     public static Result of(Scenario scenario, String policy, long seed, Simulation.Day day) {
-        return of(scenario, policy, seed, day.figures(), day.referee(), day.events(), day.wallNs());
+        return of(scenario, policy, seed, day.metrics(), day.checker(), day.events(), day.wallNs());
     }
 
     /** Of what was counted and judged. */
@@ -55,25 +55,25 @@
             Scenario scenario,
             String policy,
             long seed,
-            RunMetrics figures,
-            InvariantChecker referee,
+            RunMetrics metrics,
+            InvariantChecker checker,
             long events,
             long wallNs) {
         Map<String, long[]> classes = new LinkedHashMap<>();
-        figures.classes().forEach((name, of) -> classes.put(name, of.counts()));
+        metrics.classes().forEach((name, of) -> classes.put(name, of.counts()));
         Map<String, Integer> broken = new LinkedHashMap<>();
-        referee.broken()
+        checker.broken()
                 .forEach((rule, times) -> broken.put(rule.name().toLowerCase(Locale.ROOT), times));
-        long[] totals = figures.totals();
+        long[] totals = metrics.totals();
         double seconds = (scenario.lengthNs() - scenario.warmUpNs()) / 1e9;
-        Histogram latency = figures.latencyUs();
-        double mean = figures.sent().stream().mapToLong(Long::longValue).average().orElse(0);
-        double most = figures.sent().stream().mapToLong(Long::longValue).max().orElse(0);
+        Histogram latency = metrics.latencyUs();
+        double mean = metrics.sent().stream().mapToLong(Long::longValue).average().orElse(0);
+        double most = metrics.sent().stream().mapToLong(Long::longValue).max().orElse(0);
         return new Result(
                 scenario.name(),
                 policy,
                 seed,
-                figures.goodput(),
+                metrics.goodput(),
                 classes,
                 latency.getValueAtPercentile(50) / 1e3,
                 latency.getValueAtPercentile(99) / 1e3,
@@ -85,7 +85,7 @@
                 broken,
                 events,
                 wallNs / 1e6,
-                figures.decisionNs() / 1e6);
+                metrics.decisionNs() / 1e6);
     }
 
     /** One line, without an end. */
--- a/lab/src/main/java/trailthread/lab/fault/FaultInjector.java
+++ b/lab/src/main/java/trailthread/lab/fault/FaultInjector.java
@@ -23,22 +23,22 @@
     /** How often it is looked whether all nodes serve. */
     private static final long LOOK_NS = 20_000_000L;
 
-    private final EventQueue agenda;
+    private final EventQueue eventQueue;
     private final FaultTarget day;
 
-    private FaultInjector(EventQueue agenda, FaultTarget day) {
-        this.agenda = agenda;
+    private FaultInjector(EventQueue eventQueue, FaultTarget day) {
+        this.eventQueue = eventQueue;
         this.day = day;
     }
 
     /** Arranges all of these for a day that begins now. */
     public static void arrange(
-            EventQueue agenda, RandomStreams streams, List<Fault> faults, FaultTarget day) {
-        FaultInjector troubles = new FaultInjector(agenda, day);
+            EventQueue eventQueue, RandomStreams streams, List<Fault> faults, FaultTarget day) {
+        FaultInjector troubles = new FaultInjector(eventQueue, day);
         for (int i = 0; i < faults.size(); i++) {
             Fault fault = faults.get(i);
-            UniformRandomProvider random = streams.of("fault " + i);
-            agenda.in(fault.atNs(), () -> troubles.begin(fault, random));
+            UniformRandomProvider random = streams.stream("fault " + i);
+            eventQueue.scheduleAfter(fault.atNs(), () -> troubles.begin(fault, random));
         }
     }
 
@@ -96,17 +96,17 @@
                             w -> w.process().reportsLate(0));
             case HEAVY_TAIL -> {
                 day.tail(fault.extra(), fault.size());
-                agenda.in(fault.forNs(), () -> day.tail(0, 1));
+                eventQueue.scheduleAfter(fault.forNs(), () -> day.tail(0, 1));
             }
             case ZONE_CUT -> {
                 day.cutZone(fault.zone());
-                agenda.in(fault.forNs(), () -> day.cutZone(null));
+                eventQueue.scheduleAfter(fault.forNs(), () -> day.cutZone(null));
             }
             case RESTART, REPLACE -> {
                 List<FaultTarget.Worker> all = workers(fault, random);
                 for (int i = 0; i < all.size(); i++) {
                     FaultTarget.Worker worker = all.get(i);
-                    agenda.in(
+                    eventQueue.scheduleAfter(
                             fault.forNs() * i / all.size(),
                             () -> leaves(worker, fault.trouble() == Trouble.REPLACE));
                 }
@@ -116,18 +116,18 @@
                             .forEach(
                                     worker -> {
                                         worker.goesDown();
-                                        agenda.in(POWER_BACK_NS, worker::comesBack);
+                                        eventQueue.scheduleAfter(POWER_BACK_NS, worker::comesBack);
                                     });
             case ROSTER_DOWN -> {
                 day.rosterDown(true);
-                agenda.in(fault.forNs(), () -> day.rosterDown(false));
+                eventQueue.scheduleAfter(fault.forNs(), () -> day.rosterDown(false));
             }
             case NODE_KILL ->
                     struck(day.nodes(), fault.part(), random)
                             .forEach(
                                     node -> {
                                         node.kill();
-                                        agenda.in(fault.forNs(), node::start);
+                                        eventQueue.scheduleAfter(fault.forNs(), node::start);
                                     });
             case NODE_RESTART -> {
                 List<FaultTarget.Node> all = struck(List.copyOf(day.nodes()), fault.part(), random);
@@ -160,7 +160,7 @@
             Consumer<FaultTarget.Worker> on,
             Consumer<FaultTarget.Worker> off) {
         struck.forEach(on);
-        agenda.in(fault.forNs(), () -> struck.forEach(off));
+        eventQueue.scheduleAfter(fault.forNs(), () -> struck.forEach(off));
     }
 
     /**
@@ -173,20 +173,21 @@
             return;
         }
         if (!day.nodes().stream().allMatch(FaultTarget.Node::isServing)) {
-            agenda.in(LOOK_NS, () -> roll(left, eachNs));
+            eventQueue.scheduleAfter(LOOK_NS, () -> roll(left, eachNs));
             return;
         }
         left.get(0).restart();
-        agenda.in(eachNs, () -> roll(left.subList(1, left.size()), eachNs));
+        eventQueue.scheduleAfter(eachNs, () -> roll(left.subList(1, left.size()), eachNs));
     }
 
     private void leaves(FaultTarget.Worker worker, boolean forGood) {
         worker.drains();
-        agenda.in(
+        eventQueue.scheduleAfter(
                 DRAINS_NS,
                 () -> {
                     worker.goesDown();
-                    agenda.in(STARTS_NS, forGood ? worker::isReplaced : worker::comesBack);
+                    eventQueue.scheduleAfter(
+                            STARTS_NS, forGood ? worker::isReplaced : worker::comesBack);
                 });
     }
 }
--- a/lab/src/main/java/trailthread/lab/random/RandomStreams.java
+++ b/lab/src/main/java/trailthread/lab/random/RandomStreams.java
@@ -18,7 +18,7 @@
     }
 
     /** The stream of this name; the same each time. */
-    public UniformRandomProvider of(String name) {
+    public UniformRandomProvider stream(String name) {
         return RandomSource.XO_RO_SHI_RO_128_PP.create(seedOf(name));
     }
 
--- a/lab/src/main/java/trailthread/lab/server/ServerProcess.java
+++ b/lab/src/main/java/trailthread/lab/server/ServerProcess.java
@@ -14,8 +14,8 @@
 import trailthread.lab.server.IncomingRequest.Answer;
 
 /**
- * A worker's process: its model, its reports, and what is wrong with it. Driven by an agenda, whose
- * time may be virtual or real.
+ * A worker's process: its model, its reports, and what is wrong with it. Driven by an event queue,
+ * whose time may be virtual or real.
  */
 public final class ServerProcess {
     /** How long a worker that fails at once takes for it. */
@@ -32,7 +32,7 @@
     /** What is wrong with it. */
     public final ServerFaults ills = new ServerFaults();
 
-    private final EventQueue agenda;
+    private final EventQueue eventQueue;
     private final FleetLaw fleet;
     private final ServerLimits law;
     private final Runnable fell;
@@ -62,21 +62,21 @@
      * @param fell is run when it is pushed over while cold; the process is down then
      */
     public ServerProcess(
-            EventQueue agenda,
+            EventQueue eventQueue,
             RandomStreams streams,
             FleetLaw fleet,
             String name,
             ServerLimits law,
             boolean cold,
             Runnable fell) {
-        this.agenda = agenda;
+        this.eventQueue = eventQueue;
         this.fleet = fleet;
         this.law = law;
         this.fell = fell;
-        reportRandom = streams.of("reports of " + name);
-        illRandom = streams.of("ills of " + name);
-        model = new ServerModel(law, agenda.now(), cold);
-        startedAt = cold ? agenda.now() : 0;
+        reportRandom = streams.stream("reports of " + name);
+        illRandom = streams.stream("ills of " + name);
+        model = new ServerModel(law, eventQueue.now(), cold);
+        startedAt = cold ? eventQueue.now() : 0;
         if (fleet.reports()) {
             refresh();
         }
@@ -85,13 +85,13 @@
     private void refresh() {
         advance();
         double noise = 1 + fleet.noise() * (2 * reportRandom.nextDouble() - 1);
-        long now = agenda.now();
+        long now = eventQueue.now();
         reports.add(new Report(now, model.inflight() * noise, model.queue() * noise));
         while (reports.size() > 1
                 && reports.peek().at < now - reportsLateNs - fleet.everyHighNs() * 2) {
             reports.poll();
         }
-        agenda.in(
+        eventQueue.scheduleAfter(
                 (long) RandomStreams.uniform(reportRandom, fleet.everyLowNs(), fleet.everyHighNs()),
                 this::refresh);
     }
@@ -105,7 +105,7 @@
     public LoadReport report() {
         Report newest = null;
         for (Report report : reports) {
-            if (report.at <= agenda.now() - reportsLateNs) {
+            if (report.at <= eventQueue.now() - reportsLateNs) {
                 newest = report;
             }
         }
@@ -168,13 +168,13 @@
     public void arrived(IncomingRequest incoming) {
         if (draws(ills.failing)) {
             incoming.begins();
-            agenda.in(FAST_ERROR_NS, () -> incoming.answers(Answer.ERROR, 0));
+            eventQueue.scheduleAfter(FAST_ERROR_NS, () -> incoming.answers(Answer.ERROR, 0));
             return;
         }
         advance();
-        Served job = new Served(incoming.work(), incoming, null, agenda.now());
+        Served job = new Served(incoming.work(), incoming, null, eventQueue.now());
         job.depth = Math.min(MOST_DEPTHS - 1, model.inflight());
-        boolean taken = model.arrive(agenda.now(), job);
+        boolean taken = model.arrive(eventQueue.now(), job);
         if (taken) {
             incoming.begins();
             here.put(incoming, job);
@@ -194,7 +194,7 @@
         ServerModel.Job job = here.remove(incoming);
         if (job != null) {
             advance();
-            model.drop(agenda.now(), job);
+            model.drop(eventQueue.now(), job);
             arrange();
         }
     }
@@ -212,7 +212,8 @@
     public void probes(Runnable done) {
         if (fleet.deepProbes()) {
             advance();
-            model.arrive(agenda.now(), new Served(Math.max(1, fleet.probeWorkNs()), null, done, 0));
+            model.arrive(
+                    eventQueue.now(), new Served(Math.max(1, fleet.probeWorkNs()), null, done, 0));
             arrange();
         } else {
             works(fleet.probeWorkNs());
@@ -223,7 +224,7 @@
     /** It works so many times slower; 1: as usual. */
     public void slow(double times) {
         slower = times;
-        model.slow(agenda.now(), times, this::done);
+        model.slow(eventQueue.now(), times, this::done);
         arrange();
     }
 
@@ -242,7 +243,7 @@
         }
         double before = tookNs[served.depth];
         tookNs[served.depth] +=
-                (before == 0 ? 1 : TIME_WEIGHT) * (agenda.now() - served.at - before);
+                (before == 0 ? 1 : TIME_WEIGHT) * (eventQueue.now() - served.at - before);
         if (draws(ills.losing)) {
             return;
         }
@@ -255,7 +256,7 @@
 
     private void advance() {
         if (up) {
-            model.advance(agenda.now(), this::done);
+            model.advance(eventQueue.now(), this::done);
         }
     }
 
@@ -273,7 +274,7 @@
                 wake.cancel();
             }
             wakesAt = next;
-            wake = agenda.at(next, this::wakes);
+            wake = eventQueue.scheduleAt(next, this::wakes);
         }
     }
 
@@ -292,10 +293,10 @@
     /** Its process has started again, cold. */
     public void comeUp() {
         up = true;
-        startedAt = agenda.now();
-        model = new ServerModel(law, agenda.now(), true);
+        startedAt = eventQueue.now();
+        model = new ServerModel(law, eventQueue.now(), true);
         if (slower != 1) {
-            model.slow(agenda.now(), slower, job -> {});
+            model.slow(eventQueue.now(), slower, job -> {});
         }
     }
 
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
@@ -43,7 +43,9 @@
 
     /** Begins it; it is given up after this time, in ns. */
     void send(long withinNs) {
-        timeout = world.agenda().in(withinNs, () -> node.input(() -> giveUp(Outcome.TIMEOUT)));
+        timeout =
+                world.eventQueue()
+                        .scheduleAfter(withinNs, () -> node.input(() -> giveUp(Outcome.TIMEOUT)));
         if (node.takesIdle(worker)) {
             connected = true;
             write();
@@ -53,9 +55,9 @@
     }
 
     private void connect() {
-        world.figures().opens();
-        world.agenda()
-                .in(
+        world.metrics().opens();
+        world.eventQueue()
+                .scheduleAfter(
                         world.network().dialNs(),
                         () ->
                                 node.input(
@@ -118,7 +120,7 @@
 
     @Override
     public void begins() {
-        world.referee().begun(world.now(), call.name, number);
+        world.checker().begun(world.now(), call.name, number);
     }
 
     @Override
@@ -132,8 +134,8 @@
             return;
         }
         LoadReport load = worker.process().report();
-        world.agenda()
-                .in(
+        world.eventQueue()
+                .scheduleAfter(
                         drips,
                         () ->
                                 world.travel(
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedDiscovery.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedDiscovery.java
@@ -26,7 +26,7 @@
 
     SimulatedDiscovery(Simulation world) {
         this.world = world;
-        random = world.streams().of("roster");
+        random = world.streams().stream("roster");
     }
 
     /** The whole list, as a node that starts now would have had it. */
@@ -61,7 +61,7 @@
         long at = world.now() + (long) RandomStreams.uniform(random, law.lowNs(), law.highNs());
         at = Math.max(at, lastTold.getOrDefault(node, 0L));
         lastTold.put(node, at);
-        world.agenda().at(at, () -> node.input(news));
+        world.eventQueue().scheduleAt(at, () -> node.input(news));
     }
 
     void watch(SimulatedNode node, boolean on) {
@@ -91,12 +91,13 @@
                         world.now() + world.scenario().list().lowNs(),
                         lastTold.getOrDefault(node, 0L));
         lastTold.put(node, at);
-        world.agenda().at(at, () -> node.input(() -> node.list(ListKind.FULL, entries)));
+        world.eventQueue()
+                .scheduleAt(at, () -> node.input(() -> node.list(ListKind.FULL, entries)));
     }
 
     private void failed(SimulatedNode node) {
-        world.agenda()
-                .in(
+        world.eventQueue()
+                .scheduleAfter(
                         world.scenario().list().lowNs(),
                         () -> node.input(() -> node.list(ListKind.FAILED, List.of())));
     }
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
@@ -90,8 +90,8 @@
     void input(Runnable task) {
         int of = life;
         if (pausedUntil > world.now()) {
-            world.agenda()
-                    .at(
+            world.eventQueue()
+                    .scheduleAt(
                             pausedUntil,
                             () -> {
                                 if (life == of) {
@@ -125,8 +125,8 @@
     public void restart() {
         leaving = true;
         int of = life;
-        world.agenda()
-                .in(
+        world.eventQueue()
+                .scheduleAfter(
                         world.longestDeadline(),
                         () -> {
                             if (life == of) {
@@ -173,7 +173,7 @@
             if (call.out != null) {
                 call.out.dies();
             }
-            world.referee().forget(call.name);
+            world.checker().forget(call.name);
             if (!call.finished) {
                 call.ask.saw(ClientRequest.Seen.NOTHING, 0);
             }
@@ -193,7 +193,7 @@
         }
         long begun = System.nanoTime();
         telling.tell(module, now);
-        world.figures().decided(System.nanoTime() - begun);
+        world.metrics().decided(System.nanoTime() - begun);
         if (asked.size() > MOST_ACTIONS) {
             throw new BalancerFailureException(
                     now, number, "one event asked for more than " + MOST_ACTIONS + " actions");
@@ -217,7 +217,7 @@
                 new SimulatedRequest(world.nextId(), world.nextSerial(), ask, world.now(), until);
         calls.put(call.id, call);
         var rules = ask.law().rules();
-        world.referee()
+        world.checker()
                 .taken(
                         world.now(),
                         call.name,
@@ -229,7 +229,7 @@
                                 rules.deduplicationWindowNs(),
                                 until));
         long slack = world.scenario().rules().responseSlackNs();
-        world.agenda().at(until + slack + 1, () -> clientLeaves(call));
+        world.eventQueue().scheduleAt(until + slack + 1, () -> clientLeaves(call));
         event(
                 (m, now) ->
                         m.request(
@@ -249,12 +249,12 @@
             return;
         }
         if (isPaused()) {
-            world.referee()
+            world.checker()
                     .gone(
                             world.now(),
                             call.name); // a process that is stopped owes nothing meanwhile
         } else {
-            world.referee().overdue(world.now(), call.name);
+            world.checker().overdue(world.now(), call.name);
         }
         call.finished = true;
         call.ask.saw(ClientRequest.Seen.NOTHING, 0);
@@ -266,7 +266,7 @@
     void ended(SimulatedAttempt attempt, Outcome outcome, long latencyNs, LoadReport load) {
         SimulatedRequest call = attempt.call;
         call.out = null;
-        world.referee().ended(world.now(), call.name, attempt.number, outcome);
+        world.checker().ended(world.now(), call.name, attempt.number, outcome);
         input(
                 () -> {
                     if (outcome == Outcome.OK && !call.finished) {
@@ -289,7 +289,7 @@
 
     private void answer(
             SimulatedRequest call, ClientRequest.Seen seen, long retryAfterNs, String how) {
-        world.referee().answered(world.now(), call.name, how);
+        world.checker().answered(world.now(), call.name, how);
         if (!call.finished) {
             call.finished = true;
             call.ask.saw(seen, retryAfterNs);
@@ -306,7 +306,7 @@
     /** News of the workers. */
     void list(ListKind kind, List<EndpointEntry> entries) {
         for (EndpointEntry entry : entries) {
-            world.referee()
+            world.checker()
                     .told(
                             world.now(),
                             name,
@@ -387,8 +387,8 @@
                         return;
                     }
                     call.out = new SimulatedAttempt(world, this, call, attempt, worker);
-                    world.figures().sends(worker.index);
-                    world.referee()
+                    world.metrics().sends(worker.index);
+                    world.checker()
                             .sent(
                                     world.now(),
                                     call.name,
@@ -406,7 +406,7 @@
                 () -> {
                     SimulatedRequest call = calls.get(id);
                     if (call != null) {
-                        world.figures().refuses();
+                        world.metrics().refuses();
                         answer(call, ClientRequest.Seen.REFUSED, retryAfterNs, "refused");
                     }
                 });
@@ -441,8 +441,8 @@
             throw new BalancerFailureException(
                     world.now(), number, "more than " + MOST_TIMERS + " timers");
         }
-        world.agenda()
-                .in(
+        world.eventQueue()
+                .scheduleAfter(
                         delayNs,
                         () -> {
                             if (life == of) {
@@ -457,12 +457,12 @@
         asked.add(
                 () -> {
                     SimulatedServer worker = worker(endpoint);
-                    world.figures().probes();
+                    world.metrics().probes();
                     long begun = world.now();
                     boolean[] over = new boolean[1];
                     long within = world.probeWithinNs();
-                    world.agenda()
-                            .in(
+                    world.eventQueue()
+                            .scheduleAfter(
                                     within,
                                     () ->
                                             healthChecked(
@@ -555,6 +555,6 @@
 
     @Override
     public void log(String text) {
-        world.figures().logs();
+        world.metrics().logs();
     }
 }
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedServer.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedServer.java
@@ -35,7 +35,7 @@
         this.cell = cell;
         process =
                 new ServerProcess(
-                        world.agenda(),
+                        world.eventQueue(),
                         world.streams(),
                         world.scenario().fleet(),
                         name,
@@ -43,7 +43,7 @@
                         cold,
                         () -> {
                             connections = 0;
-                            world.referee().fell(world.now(), name);
+                            world.checker().fell(world.now(), name);
                         });
     }
 
--- a/lab/src/main/java/trailthread/lab/simulation/Simulation.java
+++ b/lab/src/main/java/trailthread/lab/simulation/Simulation.java
@@ -40,9 +40,9 @@
     private final Scenario scenario;
     private final Policy policy;
     private final RandomStreams streams;
-    private final EventQueue agenda = new EventQueue(BEGIN);
-    private final InvariantChecker referee;
-    private final RunMetrics figures;
+    private final EventQueue eventQueue = new EventQueue(BEGIN);
+    private final InvariantChecker checker;
+    private final RunMetrics metrics;
     private final List<SimulatedNode> nodes = new ArrayList<>();
     private final List<SimulatedServer> workers = new ArrayList<>();
     private final Map<String, SimulatedServer> byName = new HashMap<>();
@@ -58,20 +58,20 @@
         this.scenario = scenario;
         this.policy = policy;
         streams = new RandomStreams(seed);
-        referee =
+        checker =
                 new InvariantChecker(
                         scenario.rules().responseSlackNs(), scenario.rules().drainGraceNs());
-        figures = new RunMetrics(BEGIN, BEGIN + scenario.warmUpNs());
-        network = streams.of("network");
-        speeds = streams.of("speeds");
+        metrics = new RunMetrics(BEGIN, BEGIN + scenario.warmUpNs());
+        network = streams.stream("network");
+        speeds = streams.stream("speeds");
         roster = new SimulatedDiscovery(this);
-        clients = new ClientPopulation(agenda, streams, scenario, figures, this);
+        clients = new ClientPopulation(eventQueue, streams, scenario, metrics, this);
     }
 
     /** What came of a day, and how it was judged. */
     public record Day(
-            RunMetrics figures,
-            InvariantChecker referee,
+            RunMetrics metrics,
+            InvariantChecker checker,
             long events,
             long wallNs,
             List<String> workers) {}
@@ -86,9 +86,9 @@
         Simulation world = new Simulation(scenario, policy, seed);
         world.run();
         return new Day(
-                world.figures,
-                world.referee,
-                world.agenda.done(),
+                world.metrics,
+                world.checker,
+                world.eventQueue.executedCount(),
                 System.nanoTime() - begun,
                 world.workers.stream().map(w -> w.name).toList());
     }
@@ -102,16 +102,16 @@
                     new SimulatedNode(this, i, scenario.zones().get(i % scenario.zones().size())));
         }
         nodes.forEach(SimulatedNode::start);
-        FaultInjector.arrange(agenda, streams, scenario.faults(), this);
+        FaultInjector.arrange(eventQueue, streams, scenario.faults(), this);
         long end = BEGIN + scenario.lengthNs();
         clients.begin(end);
         sample(end);
         // After the last arrival it runs on until all is answered.
         for (long until = end + 2 * longestDeadline() + SECOND;
-                agenda.now() < until && (agenda.now() < end || clients.open() > 0); ) {
-            agenda.runUntil(Math.min(until, agenda.now() + SECOND));
+                eventQueue.now() < until && (eventQueue.now() < end || clients.open() > 0); ) {
+            eventQueue.runUntil(Math.min(until, eventQueue.now() + SECOND));
         }
-        referee.finish(agenda.now());
+        checker.finish(eventQueue.now());
     }
 
     /** A worker under a new name. */
@@ -147,7 +147,7 @@
                         }
                     });
             if (!heard[0]) {
-                agenda.at(
+                eventQueue.scheduleAt(
                         until + 1,
                         () -> {
                             if (!heard[0]) {
@@ -179,18 +179,18 @@
 
     private boolean frontKnows(SimulatedNode node) {
         return (node.isUp() && !node.isLeaving())
-                || (!node.isUp() && agenda.now() - node.diedAt() < FRONT_LEARNS_NS);
+                || (!node.isUp() && eventQueue.now() - node.diedAt() < FRONT_LEARNS_NS);
     }
 
     // ---- what the parts need
     // -----------------------------------------------------------------------
 
     long now() {
-        return agenda.now();
+        return eventQueue.now();
     }
 
-    EventQueue agenda() {
-        return agenda;
+    EventQueue eventQueue() {
+        return eventQueue;
     }
 
     RandomStreams streams() {
@@ -209,13 +209,13 @@
         return policy;
     }
 
-    InvariantChecker referee() {
-        return referee;
+    InvariantChecker checker() {
+        return checker;
     }
 
-    RunMetrics figures() {
-        figures.at(agenda.now());
-        return figures;
+    RunMetrics metrics() {
+        metrics.at(eventQueue.now());
+        return metrics;
     }
 
     SimulatedDiscovery roster() {
@@ -292,7 +292,7 @@
         NetworkLaw law = scenario.network();
         double delay =
                 (far ? law.farNs() : law.nearNs()) * (1 + law.jitter() * network.nextDouble());
-        agenda.in((long) delay, task);
+        eventQueue.scheduleAfter((long) delay, task);
     }
 
     Settings settings(SimulatedNode node) {
@@ -347,14 +347,14 @@
 
     private void sample(long end) {
         for (long at = BEGIN + SECOND - 1; at < end; at += SECOND) {
-            agenda.at(
+            eventQueue.scheduleAt(
                     at,
                     () -> {
                         int[] held = new int[workers.size()];
                         for (int i = 0; i < held.length; i++) {
                             held[i] = workers.get(i).process().holds();
                         }
-                        figures.holds(now(), held);
+                        metrics.holds(now(), held);
                     });
         }
     }
--- a/lab/src/test/java/trailthread/lab/LabArchitectureTest.java
+++ b/lab/src/test/java/trailthread/lab/LabArchitectureTest.java
@@ -26,7 +26,7 @@
      * other.
      */
     @Test
-    public void theModelAndTheRefereeKnowNoClock() {
+    public void modelAndCheckerUseNoClock() {
         classes()
                 .that()
                 .resideInAnyPackage("trailthread.lab.model..")
--- a/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
@@ -57,8 +57,8 @@
                 new Thread(
                         () -> {
                             try {
-                                day.agenda().in(1_000_000, begun::countDown);
-                                day.agenda().in(0, this::watchEnd);
+                                day.eventQueue().scheduleAfter(1_000_000, begun::countDown);
+                                day.eventQueue().scheduleAfter(0, this::watchEnd);
                                 day.play(true, d -> {});
                             } catch (IOException | IllegalStateException e) {
                                 if (!ending) {
@@ -74,7 +74,7 @@
         if (ending) {
             throw new IllegalStateException("the test is over");
         }
-        day.agenda().in(5_000_000, this::watchEnd);
+        day.eventQueue().scheduleAfter(5_000_000, this::watchEnd);
     }
 
     @After
--- a/lab/src/test/java/trailthread/lab/emulation/EmulationLoopTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulationLoopTest.java
@@ -11,8 +11,8 @@
     private static boolean late(long eachBlocksMs) throws IOException {
         try (EmulationLoop loop = new EmulationLoop()) {
             for (int i = 0; i < 50; i++) {
-                loop.agenda()
-                        .in(
+                loop.eventQueue()
+                        .scheduleAfter(
                                 i * 1_000_000L,
                                 () -> {
                                     try {
--- a/lab/src/test/java/trailthread/lab/event/EventQueueTest.java
+++ b/lab/src/test/java/trailthread/lab/event/EventQueueTest.java
@@ -11,11 +11,11 @@
  * The order of what happens is defined, and rests on nothing but times and the order of setting.
  */
 public class EventQueueTest {
-    private final EventQueue agenda = new EventQueue(100);
+    private final EventQueue eventQueue = new EventQueue(100);
     private final List<String> done = new ArrayList<>();
 
     private EventQueue.Entry set(long at, String name) {
-        return agenda.at(at, () -> done.add(name + "@" + agenda.now()));
+        return eventQueue.scheduleAt(at, () -> done.add(name + "@" + eventQueue.now()));
     }
 
     @Test
@@ -26,19 +26,19 @@
             set(250, "t" + i);
         }
         set(200, "b");
-        agenda.runUntil(1000);
+        eventQueue.runUntil(1000);
         assertEquals("a@200", done.get(0));
         assertEquals("b@200", done.get(1));
         for (int i = 0; i < 50; i++) {
             assertEquals("t" + i + "@250", done.get(2 + i));
         }
         assertEquals("c@300", done.get(52));
-        assertEquals(1000, agenda.now());
+        assertEquals(1000, eventQueue.now());
     }
 
     @Test
     public void whatIsSetWithinSomethingFollowsWhatStoodThereBefore() {
-        agenda.at(
+        eventQueue.scheduleAt(
                 200,
                 () -> {
                     done.add("first");
@@ -46,7 +46,7 @@
                     set(150, "set to the past");
                 });
         set(200, "second");
-        agenda.runUntil(200);
+        eventQueue.runUntil(200);
         assertEquals(List.of("first", "second@200", "set within@200", "set to the past@200"), done);
     }
 
@@ -55,10 +55,10 @@
         EventQueue.Entry a = set(200, "a");
         set(200, "b");
         a.cancel();
-        agenda.runUntil(200);
+        eventQueue.runUntil(200);
         a.cancel();
         assertEquals(List.of("b@200"), done);
-        assertFalse(agenda.next());
-        assertEquals(1, agenda.done());
+        assertFalse(eventQueue.runNext());
+        assertEquals(1, eventQueue.executedCount());
     }
 }
--- a/lab/src/test/java/trailthread/lab/experiment/BootstrapTest.java
+++ b/lab/src/test/java/trailthread/lab/experiment/BootstrapTest.java
@@ -47,7 +47,7 @@
      */
     @Test
     public void theIntervalHoldsWhatItSays() {
-        UniformRandomProvider random = new RandomStreams(9).of("test");
+        UniformRandomProvider random = new RandomStreams(9).stream("test");
         int wrong = 0;
         for (int i = 0; i < 400; i++) {
             wrong +=
--- a/lab/src/test/java/trailthread/lab/fault/RollingRestartTest.java
+++ b/lab/src/test/java/trailthread/lab/fault/RollingRestartTest.java
@@ -14,7 +14,7 @@
 public class RollingRestartTest {
     private static final long SECOND = 1_000_000_000L;
 
-    private final EventQueue agenda = new EventQueue(0);
+    private final EventQueue eventQueue = new EventQueue(0);
 
     /** A node of which only restarts are asked. */
     private final class SlowNode implements FaultTarget.Node {
@@ -35,7 +35,7 @@
         public void restart() {
             restarts++;
             kill();
-            agenda.in(startsNs, this::start);
+            eventQueue.scheduleAfter(startsNs, this::start);
         }
 
         @Override
@@ -86,13 +86,13 @@
         List<SlowNode> nodes =
                 Stream.of(5 * SECOND, SECOND / 10, 7 * SECOND).map(SlowNode::new).toList();
         Fault fault = new Fault(Trouble.NODE_RESTART, SECOND, 3 * SECOND, 1, 0, 0, null);
-        FaultInjector.arrange(agenda, new RandomStreams(3), List.of(fault), new Nodes(nodes));
+        FaultInjector.arrange(eventQueue, new RandomStreams(3), List.of(fault), new Nodes(nodes));
         nodes.get(0).kill(); // out of service already when the restart is due
-        agenda.at(4 * SECOND, nodes.get(0)::start);
+        eventQueue.scheduleAt(4 * SECOND, nodes.get(0)::start);
         for (int i = 1; i < 300; i++) {
-            agenda.runUntil(i * SECOND / 10);
+            eventQueue.runUntil(i * SECOND / 10);
             long out = nodes.stream().filter(n -> !n.isServing()).count();
-            assertEquals("out of service at " + agenda.now(), Math.min(1, out), out);
+            assertEquals("out of service at " + eventQueue.now(), Math.min(1, out), out);
         }
         assertEquals(List.of(1, 1, 1), nodes.stream().map(n -> n.restarts).toList());
     }
--- a/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
+++ b/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
@@ -15,24 +15,24 @@
     private static final Place A = new Place("a", "east", 0);
     private static final Place SAME_CELL = new Place("b", "west", 0);
     private static final Place OTHER = new Place("c", "east", 1);
-    private final InvariantChecker referee = new InvariantChecker(10, 100);
+    private final InvariantChecker checker = new InvariantChecker(10, 100);
 
     private void take(Idempotency idempotency, DeduplicationScope group) {
-        referee.taken(0, "7", "n0", new RequestTerms("c", idempotency, group, 500, 1000));
+        checker.taken(0, "7", "n0", new RequestTerms("c", idempotency, group, 500, 1000));
     }
 
     /** One attempt that runs and ends so. */
     private void attempt(long at, int number, Place place, boolean runs, Outcome outcome) {
-        referee.sent(at, "7", number, "n0", place);
+        checker.sent(at, "7", number, "n0", place);
         if (runs) {
-            referee.begun(at + 1, "7", number);
+            checker.begun(at + 1, "7", number);
         }
-        referee.ended(at + 2, "7", number, outcome);
+        checker.ended(at + 2, "7", number, outcome);
     }
 
     private void broken(Invariant... rules) {
-        Map<Invariant, Integer> seen = referee.broken();
-        assertEquals(referee.violations().toString(), rules.length, seen.size());
+        Map<Invariant, Integer> seen = checker.broken();
+        assertEquals(checker.violations().toString(), rules.length, seen.size());
         for (Invariant rule : rules) {
             assertEquals(rule.name(), Integer.valueOf(1), seen.get(rule));
         }
@@ -41,55 +41,55 @@
     @Test
     public void aSecondAnswer() {
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.sent(1, "7", 0, "n0", A); // still out, so that the call is not over
-        referee.answered(5, "7", "refused");
+        checker.sent(1, "7", 0, "n0", A); // still out, so that the call is not over
+        checker.answered(5, "7", "refused");
         broken();
-        referee.answered(6, "7", "failed");
+        checker.answered(6, "7", "failed");
         broken(Invariant.ONE_ANSWER);
         assertTrue(
-                referee.violations().get(0).told(),
-                referee.violations().get(0).told().contains("refused"));
+                checker.violations().get(0).told(),
+                checker.violations().get(0).told().contains("refused"));
     }
 
     @Test
     public void anAnswerAfterTheEnd() {
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.answered(5, "7", "refused");
-        referee.answered(6, "7", "refused");
+        checker.answered(5, "7", "refused");
+        checker.answered(6, "7", "refused");
         broken(Invariant.ONE_ANSWER);
     }
 
     @Test
     public void noAnswer() {
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.overdue(1011, "7");
+        checker.overdue(1011, "7");
         broken(Invariant.IN_TIME);
     }
 
     @Test
     public void noAnswerByTheEndOfTheRun() {
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.finish(2000);
+        checker.finish(2000);
         broken(Invariant.IN_TIME);
-        assertEquals(0, referee.open());
+        assertEquals(0, checker.open());
     }
 
     @Test
     public void anAnswerWithinTheSlackAndOneAfter() {
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.answered(1010, "7", "failed");
+        checker.answered(1010, "7", "failed");
         broken();
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.answered(1011, "7", "failed");
+        checker.answered(1011, "7", "failed");
         broken(Invariant.IN_TIME);
     }
 
     @Test
     public void aClientThatLeftIsOwedNothing() {
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.gone(500, "7");
-        referee.overdue(1011, "7");
-        referee.finish(2000);
+        checker.gone(500, "7");
+        checker.overdue(1011, "7");
+        checker.finish(2000);
         broken();
     }
 
@@ -152,11 +152,11 @@
     @Test
     public void twoAttemptsAtOnce() {
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.sent(1, "7", 0, "n0", A);
-        referee.ended(5, "7", 0, Outcome.TIMEOUT);
-        referee.sent(5, "7", 1, "n0", OTHER);
+        checker.sent(1, "7", 0, "n0", A);
+        checker.ended(5, "7", 0, Outcome.TIMEOUT);
+        checker.sent(5, "7", 1, "n0", OTHER);
         broken();
-        referee.sent(6, "7", 2, "n0", SAME_CELL);
+        checker.sent(6, "7", 2, "n0", SAME_CELL);
         broken(Invariant.ONE_ATTEMPT);
     }
 
@@ -164,9 +164,9 @@
     @Test
     public void aCallWhoseClientLeftIsStillRepeatedOnlyAsItsClassAllows() {
         take(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
-        referee.gone(500, "7");
+        checker.gone(500, "7");
         attempt(600, 0, A, true, Outcome.RESET);
-        referee.answered(610, "7", "failed");
+        checker.answered(610, "7", "failed");
         broken();
         attempt(620, 1, OTHER, true, Outcome.OK);
         broken(Invariant.REPEATS);
@@ -175,20 +175,20 @@
     @Test
     public void anAttemptForACallThatIsOver() {
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.answered(5, "7", "refused");
-        referee.sent(6, "7", 0, "n0", A);
+        checker.answered(5, "7", "refused");
+        checker.sent(6, "7", 0, "n0", A);
         broken(Invariant.REPEATS);
     }
 
     @Test
     public void somethingNewAfterTheGraceOfADrain() {
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.told(50, "n0", "a", false);
-        referee.told(140, "n0", "a", false); // told again: the first news counts
+        checker.told(50, "n0", "a", false);
+        checker.told(140, "n0", "a", false); // told again: the first news counts
         attempt(150, 0, A, true, Outcome.RESET);
         broken();
-        referee.sent(151, "7", 1, "n1", A); // another node, which has not heard
-        referee.ended(152, "7", 1, Outcome.RESET);
+        checker.sent(151, "7", 1, "n1", A); // another node, which has not heard
+        checker.ended(152, "7", 1, Outcome.RESET);
         broken();
         attempt(153, 2, A, true, Outcome.RESET);
         broken(Invariant.DRAINS);
@@ -197,8 +197,8 @@
     @Test
     public void aWorkerThatIsBackWantsWork() {
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.told(50, "n0", "a", false);
-        referee.told(200, "n0", "a", true);
+        checker.told(50, "n0", "a", false);
+        checker.told(200, "n0", "a", true);
         attempt(300, 0, A, true, Outcome.OK);
         broken();
     }
@@ -207,23 +207,23 @@
     public void anAnswerThatWasMadeForAnother() {
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         attempt(1, 0, A, true, Outcome.OK);
-        referee.answered(5, "7", "served");
+        checker.answered(5, "7", "served");
         broken();
-        referee.foreign(5, "7", "8 w1");
+        checker.foreign(5, "7", "8 w1");
         broken(Invariant.OWN_ANSWER);
     }
 
     @Test
     public void aConnectionThatItsNodeEnds() {
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.lost(5, "7", "the connection ended without an answer");
-        referee.overdue(1100, "7"); // the call is over: once is enough
+        checker.lost(5, "7", "the connection ended without an answer");
+        checker.overdue(1100, "7"); // the call is over: once is enough
         broken(Invariant.ONE_ANSWER);
     }
 
     @Test
     public void aColdWorkerPushedOver() {
-        referee.fell(9, "a");
+        checker.fell(9, "a");
         broken(Invariant.COLD_STARTS);
     }
 }
--- a/lab/src/test/java/trailthread/lab/model/ServerModelTheoryTest.java
+++ b/lab/src/test/java/trailthread/lab/model/ServerModelTheoryTest.java
@@ -21,7 +21,7 @@
      * the capacity.
      */
     private static double meanTime(ServerLimits law, double load, boolean exponential, long seed) {
-        UniformRandomProvider random = new RandomStreams(seed).of("theory");
+        UniformRandomProvider random = new RandomStreams(seed).stream("theory");
         ServerModel model = new ServerModel(law, 0, false);
         Map<ServerModel.Job, Long> arrivedAt = new HashMap<>();
         double[] sum = new double[2];
--- a/lab/src/test/java/trailthread/lab/simulation/FleetTheoryTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/FleetTheoryTest.java
@@ -41,14 +41,14 @@
     @Test
     public void twoChoicesKeepTheLongestLineShort() throws Exception {
         Scenario scenario = scenario(100, 9000, "");
-        int random = longest(Simulation.play(scenario, Policies.named("random"), 1).figures());
-        int two = longest(Simulation.play(scenario, Policies.named("two-choices"), 1).figures());
+        int random = longest(Simulation.play(scenario, Policies.named("random"), 1).metrics());
+        int two = longest(Simulation.play(scenario, Policies.named("two-choices"), 1).metrics());
         assertTrue(two + " of " + random, 3 * two < random);
     }
 
-    private static int longest(RunMetrics figures) {
+    private static int longest(RunMetrics metrics) {
         int most = 0;
-        for (RunMetrics.Second second : figures.seconds()) {
+        for (RunMetrics.Second second : metrics.seconds()) {
             for (int held : second.held()) {
                 most = Math.max(most, held);
             }
@@ -63,14 +63,14 @@
     @Test
     public void theCorrectionDampsTheSwingOfTwoWorkers() throws Exception {
         Scenario scenario = scenario(2, 170, "report_every = \"2s\"");
-        double with = swing(Simulation.play(scenario, Policies.named("sns"), 1).figures());
+        double with = swing(Simulation.play(scenario, Policies.named("sns"), 1).metrics());
         double without =
-                swing(Simulation.play(scenario, Policies.named("sns-uncorrected"), 1).figures());
+                swing(Simulation.play(scenario, Policies.named("sns-uncorrected"), 1).metrics());
         assertTrue(without + " without, " + with + " with", 2 * with < without);
     }
 
-    private static double swing(RunMetrics figures) {
-        return figures.seconds().stream()
+    private static double swing(RunMetrics metrics) {
+        return metrics.seconds().stream()
                 .map(RunMetrics.Second::held)
                 .filter(held -> held.length == 2)
                 .mapToInt(held -> Math.abs(held[0] - held[1]))
@@ -90,6 +90,6 @@
     }
 
     private static double mean(Scenario scenario, String policy) {
-        return Simulation.play(scenario, Policies.named(policy), 4).figures().latencyUs().getMean();
+        return Simulation.play(scenario, Policies.named(policy), 4).metrics().latencyUs().getMean();
     }
 }
--- a/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
@@ -85,13 +85,13 @@
         Scenario scenario = shortened("calm", 8);
         long[] asked =
                 Simulation.play(scenario, Policies.named("random"), 3)
-                        .figures()
+                        .metrics()
                         .classes()
                         .get("action")
                         .counts();
         for (Policy policy : Policies.all()) {
             long[] other =
-                    Simulation.play(scenario, policy, 3).figures().classes().get("action").counts();
+                    Simulation.play(scenario, policy, 3).metrics().classes().get("action").counts();
             assertEquals(policy.name(), asked[0], other[0]);
         }
     }
@@ -297,11 +297,11 @@
                                         }),
                         1);
         assertTrue(
-                day.referee().broken().toString(),
-                day.referee().broken().containsKey(Invariant.ONE_ANSWER));
+                day.checker().broken().toString(),
+                day.checker().broken().containsKey(Invariant.ONE_ANSWER));
         assertTrue(
-                day.referee().violations().get(0).told(),
-                day.referee().violations().get(0).told().contains("answered: refused"));
+                day.checker().violations().get(0).told(),
+                day.checker().violations().get(0).told().contains("answered: refused"));
     }
 
     @Test
@@ -328,8 +328,8 @@
                                         }),
                         1);
         assertTrue(
-                day.referee().broken().toString(),
-                day.referee().broken().containsKey(Invariant.IN_TIME));
-        assertEquals("each is judged", 0, day.referee().open());
+                day.checker().broken().toString(),
+                day.checker().broken().containsKey(Invariant.IN_TIME));
+        assertEquals("each is judged", 0, day.checker().open());
     }
 }
