--- a/lab/src/main/java/trailthread/lab/baseline/LeastOutstanding.java
+++ b/lab/src/main/java/trailthread/lab/baseline/LeastOutstanding.java
@@ -5,7 +5,7 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/** The worker with the fewest of this node's own requests out; ties at random. */
+/** The server with the fewest of this node's own requests out; ties at random. */
 final class LeastOutstanding extends PlainPolicy {
     LeastOutstanding(Settings settings, long seed, BalancerActions actions) {
         super(settings, seed, actions);
--- a/lab/src/main/java/trailthread/lab/baseline/OraclePolicy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/OraclePolicy.java
@@ -6,7 +6,7 @@
 import trailthread.api.Settings;
 
 /**
- * The worker at which one more request would be done soonest, by the true state of all, with what
+ * The server at which one more request would be done soonest, by the true state of all, with what
  * is on its way; none, where that would be past the aim. It holds nothing back and foresees no
  * fault, so a policy may still pass it.
  */
--- a/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
@@ -20,14 +20,14 @@
 
 /**
  * What all textbook policies have in common: the list, and the rules on repeats, which are the same
- * for all. Which worker a request goes to is each one's own. None of them holds requests back or
+ * for all. Which server a request goes to is each one's own. None of them holds requests back or
  * limits what is out.
  */
 abstract class PlainPolicy implements BalancerEvents {
     private static final long WATCH_AGAIN_NS = 1_000_000_000L;
     private static final long WATCH = 1;
 
-    /** A worker, as this node knows it. */
+    /** A server, as this node knows it. */
     static class Endpoint {
         final String name;
         String zone;
@@ -87,7 +87,7 @@
         return ready;
     }
 
-    /** A worker by its name, or null. */
+    /** A server by its name, or null. */
     Endpoint known(String name) {
         return known.get(name);
     }
@@ -157,7 +157,7 @@
     }
 
     /**
-     * Where it may go: the rules on repeats, and then another worker than before where there is
+     * Where it may go: the rules on repeats, and then another server than before where there is
      * one.
      */
     private List<Endpoint> among(Request request, long now) {
--- a/lab/src/main/java/trailthread/lab/baseline/Prequal.java
+++ b/lab/src/main/java/trailthread/lab/baseline/Prequal.java
@@ -10,7 +10,7 @@
 
 /**
  * Prequal (Wydrowski, Kleinberg, Rumble, Archer: "Load is not what you should balance", NSDI 2024):
- * each request sends three probes and is sent by what a pool of earlier answers says. Workers with
+ * each request sends three probes and is sent by what a pool of earlier answers says. Servers with
  * more requests in flight than a quantile of those seen are hot; among the cold the one of least
  * latency is taken, and if all are hot the one with the fewest requests in flight. Figures are the
  * paper's (section 4 and its table of parameters).
@@ -18,7 +18,7 @@
 final class Prequal extends PlainPolicy {
     private static final int PROBES = 3;
 
-    /** And no more than half of the workers: the paper has far more of these. */
+    /** And no more than half of the servers: the paper has far more of these. */
     private static final int POOL = 16;
 
     private static final long PROBE_LIVES_NS = 1_000_000_000L;
--- a/lab/src/main/java/trailthread/lab/baseline/RandomChoice.java
+++ b/lab/src/main/java/trailthread/lab/baseline/RandomChoice.java
@@ -5,7 +5,7 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/** Any worker, each with the same chance. */
+/** Any server, each with the same chance. */
 final class RandomChoice extends PlainPolicy {
     RandomChoice(Settings settings, long seed, BalancerActions actions) {
         super(settings, seed, actions);
--- a/lab/src/main/java/trailthread/lab/baseline/RoundRobin.java
+++ b/lab/src/main/java/trailthread/lab/baseline/RoundRobin.java
@@ -5,7 +5,7 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/** Each worker in its turn, from a place of this node's own on. */
+/** Each server in its turn, from a place of this node's own on. */
 final class RoundRobin extends PlainPolicy {
     private int next;
 
--- a/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
+++ b/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
@@ -51,7 +51,7 @@
     }
 
     /** From now on this share of the requests costs so many times the usual work. */
-    public void setTail(double share, double times) {
+    public void setHeavyTail(double share, double times) {
         tailShare = share;
         tailTimes = times;
     }
--- a/lab/src/main/java/trailthread/lab/command/EmulateCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/EmulateCommand.java
@@ -12,7 +12,7 @@
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
 
-/** Stand-in workers and roster on loopback. */
+/** Stand-in servers and discovery on loopback. */
 @Command(
         name = "emulate",
         description = "Starts a scenario's workers and roster on loopback, and plays its faults.",
@@ -36,8 +36,8 @@
         PrintWriter print = spec.commandLine().getOut();
         Scenario scenario = ScenarioReader.read(file);
         try (Emulation day = new Emulation(scenario, seed, 1)) {
-            print.println("roster " + day.rosterAt(0));
-            print.println("workers " + String.join(" ", day.workersAt(0)));
+            print.println("roster " + day.discoveryAt(0));
+            print.println("workers " + String.join(" ", day.serversAt(0)));
             print.flush();
             day.play(true, d -> {});
         }
--- a/lab/src/main/java/trailthread/lab/command/LoadCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/LoadCommand.java
@@ -51,7 +51,7 @@
     @Override
     public Integer call() throws Exception {
         PrintWriter print = spec.commandLine().getOut();
-        Scenario scenario = ScenarioReader.read(file).withoutWorkers();
+        Scenario scenario = ScenarioReader.read(file).withSingleServer();
         try (Emulation day = new Emulation(scenario, seed, 1)) {
             day.sendTo(ports);
             if (connections > 0) {
--- a/lab/src/main/java/trailthread/lab/command/RunCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/RunCommand.java
@@ -70,7 +70,7 @@
                             + ": "
                             + scenario.nodes()
                             + " nodes are ready, before "
-                            + scenario.fleet().workers()
+                            + scenario.fleet().servers()
                             + " workers; logs in "
                             + directory);
             print.flush();
--- a/lab/src/main/java/trailthread/lab/emulation/EmulatedDiscovery.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulatedDiscovery.java
@@ -59,24 +59,24 @@
         }
     }
 
-    void add(EmulatedServer worker) {
-        listed.add(worker);
-        changed(worker, worker.state);
+    void add(EmulatedServer server) {
+        listed.add(server);
+        changed(server, server.state);
     }
 
-    /** A worker's state is this now. */
-    void changed(EmulatedServer worker, EndpointState state) {
-        worker.state = state;
+    /** A server's state is this now. */
+    void changed(EmulatedServer server, EndpointState state) {
+        server.state = state;
         generation++;
         if (state == EndpointState.GONE) {
-            listed.remove(worker);
+            listed.remove(server);
         }
         long of = generation;
         for (Watch watch : List.copyOf(watches)) {
             var law = day.scenario().list();
             long at = day.now() + (long) RandomStreams.uniform(random, law.lowNs(), law.highNs());
             watch.toldAt = Math.max(at, watch.toldAt);
-            String line = object(of, false, entry(worker, watch.node, state));
+            String line = object(of, false, entry(server, watch.node, state));
             day.eventQueue()
                     .scheduleAt(
                             watch.toldAt,
@@ -88,7 +88,7 @@
                                                     r.told(
                                                             day.now(),
                                                             "n" + watch.node,
-                                                            worker.name,
+                                                            server.name,
                                                             state == EndpointState.READY));
                                 }
                             });
@@ -98,7 +98,7 @@
     /** The whole list, as a node hears it. */
     String whole(int node) {
         List<String> entries = new ArrayList<>();
-        listed.forEach(worker -> entries.add(entry(worker, node, worker.state)));
+        listed.forEach(server -> entries.add(entry(server, node, server.state)));
         return object(generation, true, String.join(",", entries));
     }
 
@@ -125,7 +125,7 @@
                 + "]}";
     }
 
-    private String entry(EmulatedServer worker, int node, EndpointState state) {
+    private String entry(EmulatedServer server, int node, EndpointState state) {
         String lifecycle =
                 state == EndpointState.READY
                         ? "active"
@@ -134,12 +134,12 @@
                 Locale.ROOT,
                 "{\"instanceId\":\"%s\",\"hostPort\":\"%s\",\"zone\":\"%s\",\"cell\":%d,"
                         + "\"lifecycle\":\"%s\",\"weight\":1.0,\"startedAtMs\":%d}",
-                worker.name,
-                worker.hostPort(node),
-                worker.zone,
-                worker.cell,
+                server.name,
+                server.hostPort(node),
+                server.zone,
+                server.cell,
                 lifecycle,
-                day.unixMs(worker.process().startedAt()));
+                day.unixMs(server.process().startedAt()));
     }
 
     /** It answers nothing, and watches end; or it is back. */
--- a/lab/src/main/java/trailthread/lab/emulation/EmulatedServer.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulatedServer.java
@@ -19,11 +19,11 @@
 import trailthread.lab.server.ServerProcess;
 
 /**
- * A worker on sockets: the model of virtual time, driven by the real clock, behind the workers'
+ * A server on sockets: the model of virtual time, driven by the real clock, behind the servers'
  * side of the platform's protocol. Each node has an address of its own for it, so that the checker
  * knows who sends.
  */
-final class EmulatedServer implements FaultTarget.Worker {
+final class EmulatedServer implements FaultTarget.Server {
     private static final Pattern WORK = Pattern.compile("[?&]work=([0-9]{1,15})\\b");
     private static final String GARBAGE =
             "HTTP/9 \u0001\u0002 wor\u00ffk\r\n\u0000\u0003: ;;\r\n\r\n\u00fe";
@@ -56,7 +56,7 @@
                         cold,
                         () -> {
                             day.judged(r -> r.fell(day.now(), name));
-                            goesDown();
+                            stop();
                         });
         for (int i = 0; i < Math.max(1, day.nodeCount()); i++) {
             String node = "n" + i;
@@ -128,12 +128,12 @@
     }
 
     @Override
-    public void drains() {
-        day.roster().changed(this, EndpointState.DRAINING);
+    public void startDraining() {
+        day.discovery().changed(this, EndpointState.DRAINING);
     }
 
     @Override
-    public void goesDown() {
+    public void stop() {
         for (RestartableListener listener : listeners) {
             try {
                 listener.close();
@@ -149,7 +149,7 @@
     }
 
     @Override
-    public void comesBack() {
+    public void restart() {
         try {
             for (RestartableListener listener : listeners) {
                 listener.again();
@@ -158,13 +158,13 @@
             throw new IllegalStateException(name + " can't listen again", e);
         }
         process.comeUp();
-        day.roster().changed(this, EndpointState.READY);
+        day.discovery().changed(this, EndpointState.READY);
     }
 
     @Override
-    public void isReplaced() {
-        day.roster().changed(this, EndpointState.GONE);
-        day.addWorker(zone, Math.max(0, cell), true);
+    public void replace() {
+        day.discovery().changed(this, EndpointState.GONE);
+        day.addServer(zone, Math.max(0, cell), true);
     }
 
     private static String load(LoadReport load) {
@@ -223,7 +223,7 @@
                                     attempt,
                                     node,
                                     new InvariantChecker.Place(name, zone, cell)));
-            day.metrics().sends(day.workers().indexOf(EmulatedServer.this));
+            day.metrics().sends(day.servers().indexOf(EmulatedServer.this));
             process.arrived(served);
         }
 
--- a/lab/src/main/java/trailthread/lab/emulation/Emulation.java
+++ b/lab/src/main/java/trailthread/lab/emulation/Emulation.java
@@ -24,7 +24,7 @@
 import trailthread.lab.scenario.Scenario;
 
 /**
- * A day on sockets: the scenario's workers and roster as stand-ins on loopback, and, where asked
+ * A day on sockets: the scenario's servers and discovery as stand-ins on loopback, and, where asked
  * for, its clients and real nodes. All but the nodes runs on one thread. Only loopback is spoken
  * to.
  */
@@ -68,10 +68,10 @@
     private final Scenario scenario;
     private final EmulationLoop loop = new EmulationLoop();
     private final RandomStreams streams;
-    private final List<EmulatedServer> workers = new ArrayList<>();
+    private final List<EmulatedServer> servers = new ArrayList<>();
     private final List<NodeProcess> nodes = new ArrayList<>();
     private final List<NodeSecond> nodeSeconds = new ArrayList<>();
-    private final EmulatedDiscovery roster;
+    private final EmulatedDiscovery discovery;
     private final UniformRandomProvider speeds;
     private final int nodeCount;
     private final long unixOffsetNs = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
@@ -91,7 +91,7 @@
     private long lastId = System.nanoTime() << 8 & 0xfffffffffffffL;
 
     /**
-     * Starts workers and roster.
+     * Starts servers and discovery.
      *
      * @param nodeCount how many nodes there will be; each has addresses of its own
      */
@@ -101,20 +101,20 @@
         streams = new RandomStreams(seed);
         speeds = streams.stream("speeds");
         metrics = new RunMetrics(loop.eventQueue().now(), Long.MAX_VALUE);
-        roster = new EmulatedDiscovery(this, nodeCount);
-        for (int i = 0; i < scenario.fleet().workers(); i++) {
-            addWorker(scenario.zones().get(i % scenario.zones().size()), i, false);
+        discovery = new EmulatedDiscovery(this, nodeCount);
+        for (int i = 0; i < scenario.fleet().servers(); i++) {
+            addServer(scenario.zones().get(i % scenario.zones().size()), i, false);
         }
     }
 
-    /** Where a node, by its number, finds the roster. */
-    public String rosterAt(int node) {
-        return roster.hostPort(node);
+    /** Where a node, by its number, finds discovery. */
+    public String discoveryAt(int node) {
+        return discovery.hostPort(node);
     }
 
-    /** Where a node finds the workers. */
-    public List<String> workersAt(int node) {
-        return workers.stream().map(w -> w.hostPort(node)).toList();
+    /** Where a node finds the servers. */
+    public List<String> serversAt(int node) {
+        return servers.stream().map(w -> w.hostPort(node)).toList();
     }
 
     /** How late this machine did what was due. */
@@ -183,7 +183,7 @@
     }
 
     /**
-     * Sends to these nodes, which others have started; without workers of its own nothing but
+     * Sends to these nodes, which others have started; without servers of its own nothing but
      * answers is judged.
      */
     public void sendTo(List<Integer> ports) {
@@ -240,7 +240,7 @@
                         () -> {
                             metrics.holds(
                                     now() - 1,
-                                    workers.stream().mapToInt(w -> w.process().holds()).toArray());
+                                    servers.stream().mapToInt(w -> w.process().holds()).toArray());
                             List<NodeProcess.Sample> samples =
                                     nodes.stream().map(NodeProcess::sample).toList();
                             nodeSeconds.add(
@@ -263,7 +263,7 @@
 
     /** Machines that are cut off fall silent within a moment. */
     private void cuts(long end) {
-        workers.forEach(EmulatedServer::arrangeCut);
+        servers.forEach(EmulatedServer::arrangeCut);
         if (now() < end) {
             eventQueue().scheduleAfter(SECOND / 100, () -> cuts(end));
         }
@@ -298,8 +298,8 @@
         return scenario;
     }
 
-    EmulatedDiscovery roster() {
-        return roster;
+    EmulatedDiscovery discovery() {
+        return discovery;
     }
 
     int nodeCount() {
@@ -310,39 +310,39 @@
      * The number of an attempt that has come; an earlier one's connection that has ended by now is
      * looked at first.
      */
-    int nextAttempt(String call, EmulatedServer worker) {
+    int nextAttempt(String call, EmulatedServer server) {
         Attempts of = attempts.computeIfAbsent(call, c -> new Attempts());
         if (of.last != null) {
             of.last.look(call);
         }
-        of.last = worker;
+        of.last = server;
         return of.count++;
     }
 
-    /** A worker under a new name. */
-    void addWorker(String zone, int place, boolean cold) {
+    /** A server under a new name. */
+    void addServer(String zone, int place, boolean cold) {
         var fleet = scenario.fleet();
         ServerLimits own =
                 fleet.law().at(RandomStreams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
         try {
-            EmulatedServer worker =
+            EmulatedServer server =
                     new EmulatedServer(
                             this,
-                            "w" + workers.size(),
+                            "w" + servers.size(),
                             zone,
                             fleet.cells() > 0 ? place % fleet.cells() : -1,
                             own,
                             cold);
-            workers.add(worker);
-            roster.add(worker);
+            servers.add(server);
+            discovery.add(server);
         } catch (IOException e) {
             throw new IllegalStateException("no worker can be added", e);
         }
     }
 
     @Override
-    public List<EmulatedServer> workers() {
-        return workers;
+    public List<EmulatedServer> servers() {
+        return servers;
     }
 
     @Override
@@ -351,22 +351,22 @@
     }
 
     @Override
-    public void rosterDown(boolean down) {
-        roster.down(down);
+    public void setDiscoveryDown(boolean down) {
+        discovery.down(down);
     }
 
     @Override
-    public void cutZone(String zone) {
-        for (EmulatedServer worker :
-                workers) { // nodes of the zone still reach it: they are on this machine
-            worker.process().ills.cut = zone != null && worker.zone.equals(zone);
+    public void isolateZone(String zone) {
+        for (EmulatedServer server :
+                servers) { // nodes of the zone still reach it: they are on this machine
+            server.process().ills.cut = zone != null && server.zone.equals(zone);
         }
     }
 
     @Override
-    public void tail(double share, double times) {
+    public void setHeavyTail(double share, double times) {
         if (clients != null) {
-            clients.setTail(share, times);
+            clients.setHeavyTail(share, times);
         }
     }
 
--- a/lab/src/main/java/trailthread/lab/emulation/NodeProcess.java
+++ b/lab/src/main/java/trailthread/lab/emulation/NodeProcess.java
@@ -143,16 +143,16 @@
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("name", "n" + number);
         all.put("listen", "127.0.0.1:" + target.address.getPort());
-        all.put("discovery", day.roster().hostPort(number));
+        all.put("discovery", day.discovery().hostPort(number));
         all.put("seed", Long.toHexString(day.streams().seedOf("n" + number)));
         all.put("limits", Map.of("sockets", 1024));
         all.put("settings", settings);
         Gson gson = new Gson();
-        // The list as a node that starts now would have had it: the roster's own words.
+        // The list as a node that starts now would have had it: discovery's own words.
         String text = gson.toJson(all);
         return text.substring(0, text.length() - 1)
                 + ",\"known\":"
-                + day.roster().whole(number)
+                + day.discovery().whole(number)
                 + "}";
     }
 
@@ -172,7 +172,7 @@
     public void start() {
         try {
             Files.writeString(config, json(), StandardCharsets.UTF_8);
-            day.roster().known(number);
+            day.discovery().known(number);
             ProcessBuilder builder =
                     new ProcessBuilder(command)
                             .directory(root)
--- a/lab/src/main/java/trailthread/lab/experiment/Bootstrap.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Bootstrap.java
@@ -51,8 +51,9 @@
             means[i] = sum / differences.length;
         }
         Arrays.sort(means);
-        int tail = (int) (SAMPLES * (1 - LEVEL) / 2);
-        return new Bootstrap(mean, means[tail], means[SAMPLES - 1 - tail], differences.length);
+        int tailCount = (int) (SAMPLES * (1 - LEVEL) / 2);
+        return new Bootstrap(
+                mean, means[tailCount], means[SAMPLES - 1 - tailCount], differences.length);
     }
 
     /**
--- a/lab/src/main/java/trailthread/lab/experiment/Result.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Result.java
@@ -17,10 +17,10 @@
  * @param goodput worth answered in time over worth asked for
  * @param classes by class: asked, within the aim, after it, refused, failed
  * @param p50Ms latency of what was served, from the client's first try on
- * @param attempts sent to workers, for each request of a client
+ * @param attempts sent to servers, for each request of a client
  * @param probes a second
- * @param opened connections to workers opened, a second
- * @param unevenness the most that a worker was sent over the mean
+ * @param opened connections to servers opened, a second
+ * @param unevenness the most that a server was sent over the mean
  * @param broken how often each rule was broken; empty: none was
  * @param events done in virtual time
  * @param wallMs of this machine; not the same in another run
--- a/lab/src/main/java/trailthread/lab/fault/FaultInjector.java
+++ b/lab/src/main/java/trailthread/lab/fault/FaultInjector.java
@@ -12,7 +12,7 @@
 
 /** Makes go wrong, when it is to, what a scenario lists. */
 public final class FaultInjector {
-    /** How long a worker that drains goes on before it ends, and how long its next start takes. */
+    /** How long a server that drains goes on before it ends, and how long its next start takes. */
     private static final long DRAINS_NS = 2_000_000_000L;
 
     private static final long STARTS_NS = 1_000_000_000L;
@@ -55,11 +55,11 @@
         return struck;
     }
 
-    private List<FaultTarget.Worker> workers(Fault fault, UniformRandomProvider random) {
-        List<FaultTarget.Worker> fit = new ArrayList<>();
-        for (FaultTarget.Worker worker : day.workers()) {
-            if (worker.isReady() && (fault.zone() == null || worker.zone().equals(fault.zone()))) {
-                fit.add(worker);
+    private List<FaultTarget.Server> servers(Fault fault, UniformRandomProvider random) {
+        List<FaultTarget.Server> fit = new ArrayList<>();
+        for (FaultTarget.Server server : day.servers()) {
+            if (server.isReady() && (fault.zone() == null || server.zone().equals(fault.zone()))) {
+                fit.add(server);
             }
         }
         return struck(fit, fault.part(), random);
@@ -85,42 +85,42 @@
             case SLOW ->
                     forAWhile(
                             fault,
-                            workers(fault, random),
+                            servers(fault, random),
                             w -> w.process().slow(fault.size()),
                             w -> w.process().slow(1));
             case LATE_REPORTS ->
                     forAWhile(
                             fault,
-                            List.copyOf(day.workers()),
+                            List.copyOf(day.servers()),
                             w -> w.process().reportsLate((long) (fault.size() * 1e9)),
                             w -> w.process().reportsLate(0));
             case HEAVY_TAIL -> {
-                day.tail(fault.extra(), fault.size());
-                eventQueue.scheduleAfter(fault.forNs(), () -> day.tail(0, 1));
+                day.setHeavyTail(fault.extra(), fault.size());
+                eventQueue.scheduleAfter(fault.forNs(), () -> day.setHeavyTail(0, 1));
             }
             case ZONE_CUT -> {
-                day.cutZone(fault.zone());
-                eventQueue.scheduleAfter(fault.forNs(), () -> day.cutZone(null));
+                day.isolateZone(fault.zone());
+                eventQueue.scheduleAfter(fault.forNs(), () -> day.isolateZone(null));
             }
             case RESTART, REPLACE -> {
-                List<FaultTarget.Worker> all = workers(fault, random);
+                List<FaultTarget.Server> all = servers(fault, random);
                 for (int i = 0; i < all.size(); i++) {
-                    FaultTarget.Worker worker = all.get(i);
+                    FaultTarget.Server server = all.get(i);
                     eventQueue.scheduleAfter(
                             fault.forNs() * i / all.size(),
-                            () -> leaves(worker, fault.trouble() == Trouble.REPLACE));
+                            () -> leaves(server, fault.trouble() == Trouble.REPLACE));
                 }
             }
             case COLD_FLEET ->
-                    workers(fault, random)
+                    servers(fault, random)
                             .forEach(
-                                    worker -> {
-                                        worker.goesDown();
-                                        eventQueue.scheduleAfter(POWER_BACK_NS, worker::comesBack);
+                                    server -> {
+                                        server.stop();
+                                        eventQueue.scheduleAfter(POWER_BACK_NS, server::restart);
                                     });
             case ROSTER_DOWN -> {
-                day.rosterDown(true);
-                eventQueue.scheduleAfter(fault.forNs(), () -> day.rosterDown(false));
+                day.setDiscoveryDown(true);
+                eventQueue.scheduleAfter(fault.forNs(), () -> day.setDiscoveryDown(false));
             }
             case NODE_KILL ->
                     struck(day.nodes(), fault.part(), random)
@@ -149,16 +149,16 @@
             Consumer<ServerFaults> off) {
         forAWhile(
                 fault,
-                workers(fault, random),
+                servers(fault, random),
                 w -> on.accept(w.process().ills),
                 w -> off.accept(w.process().ills));
     }
 
     private void forAWhile(
             Fault fault,
-            List<FaultTarget.Worker> struck,
-            Consumer<FaultTarget.Worker> on,
-            Consumer<FaultTarget.Worker> off) {
+            List<FaultTarget.Server> struck,
+            Consumer<FaultTarget.Server> on,
+            Consumer<FaultTarget.Server> off) {
         struck.forEach(on);
         eventQueue.scheduleAfter(fault.forNs(), () -> struck.forEach(off));
     }
@@ -180,14 +180,14 @@
         eventQueue.scheduleAfter(eachNs, () -> roll(left.subList(1, left.size()), eachNs));
     }
 
-    private void leaves(FaultTarget.Worker worker, boolean forGood) {
-        worker.drains();
+    private void leaves(FaultTarget.Server server, boolean forGood) {
+        server.startDraining();
         eventQueue.scheduleAfter(
                 DRAINS_NS,
                 () -> {
-                    worker.goesDown();
+                    server.stop();
                     eventQueue.scheduleAfter(
-                            STARTS_NS, forGood ? worker::isReplaced : worker::comesBack);
+                            STARTS_NS, forGood ? server::replace : server::restart);
                 });
     }
 }
--- a/lab/src/main/java/trailthread/lab/fault/FaultTarget.java
+++ b/lab/src/main/java/trailthread/lab/fault/FaultTarget.java
@@ -5,28 +5,28 @@
 
 /** What things can go wrong with: a day in virtual time or on sockets. */
 public interface FaultTarget {
-    /** A worker of it. */
-    interface Worker {
+    /** A server of it. */
+    interface Server {
         /** Its zone. */
         String zone();
 
-        /** Whether the roster names it as ready. */
+        /** Whether discovery names it as ready. */
         boolean isReady();
 
         /** Its process. */
         ServerProcess process();
 
-        /** The roster names it as one that wants nothing new. */
-        void drains();
+        /** Discovery names it as one that wants nothing new. */
+        void startDraining();
 
         /** Its process ends. */
-        void goesDown();
+        void stop();
 
-        /** It starts again under its name, and the roster names it so. */
-        void comesBack();
+        /** It starts again under its name, and discovery names it so. */
+        void restart();
 
-        /** The roster names it no more, and another one takes its place. */
-        void isReplaced();
+        /** Discovery names it no more, and another one takes its place. */
+        void replace();
     }
 
     /** A node of it. */
@@ -53,17 +53,17 @@
     }
 
     /** In an order of their own that does not change. */
-    List<? extends Worker> workers();
+    List<? extends Server> servers();
 
     /** Also. */
     List<? extends Node> nodes();
 
-    /** The roster answers nothing, or it is back. */
-    void rosterDown(boolean down);
+    /** Discovery answers nothing, or it is back. */
+    void setDiscoveryDown(boolean down);
 
     /** All in a zone are cut off from all others; null: no more. */
-    void cutZone(String zone);
+    void isolateZone(String zone);
 
     /** This share of the requests costs so many times the usual work. */
-    void tail(double share, double times);
+    void setHeavyTail(double share, double times);
 }
--- a/lab/src/main/java/trailthread/lab/invariant/HistoryEntry.java
+++ b/lab/src/main/java/trailthread/lab/invariant/HistoryEntry.java
@@ -6,10 +6,10 @@
  * @param at in ns
  * @param what what happened
  * @param attempt its number, or -1
- * @param worker its name, or null
+ * @param server its name, or null
  * @param detail what else there is to say, or null
  */
-public record HistoryEntry(long at, What what, int attempt, String worker, Object detail) {
+public record HistoryEntry(long at, What what, int attempt, String server, Object detail) {
     /** What can happen to a call. */
     public enum What {
         TAKEN,
@@ -33,8 +33,8 @@
         if (attempt >= 0) {
             text.append(" attempt ").append(attempt);
         }
-        if (worker != null) {
-            text.append(" at ").append(worker);
+        if (server != null) {
+            text.append(" at ").append(server);
         }
         return detail == null ? text.toString() : text.append(": ").append(detail).toString();
     }
--- a/lab/src/main/java/trailthread/lab/invariant/InvariantChecker.java
+++ b/lab/src/main/java/trailthread/lab/invariant/InvariantChecker.java
@@ -22,14 +22,14 @@
     private static final int MOST_DEPARTED = 10_000;
 
     /** A place where an attempt runs, as far as repeats go. */
-    public record Place(String worker, String zone, int cell) {}
+    public record Place(String server, String zone, int cell) {}
 
     private static final class Watched {
         final RequestTerms terms;
         final List<HistoryEntry> history = new ArrayList<>(6);
 
         /**
-         * The place and time of the first attempt that reached a worker and was not turned away by
+         * The place and time of the first attempt that reached a server and was not turned away by
          * it.
          */
         Place firstRan;
@@ -59,7 +59,7 @@
      */
     private final Map<String, Watched> departed = new LinkedHashMap<>();
 
-    /** When each node was told that a worker wants nothing new. */
+    /** When each node was told that a server wants nothing new. */
     private final Map<String, Long> drainTold = new HashMap<>();
 
     private final Map<Invariant, Integer> broken = new EnumMap<>(Invariant.class);
@@ -122,13 +122,13 @@
                     "an attempt of "
                             + node
                             + " at "
-                            + place.worker()
+                            + place.server()
                             + " for a call that is over or was never taken",
                     List.of());
             return;
         }
         watched.history.add(
-                new HistoryEntry(at, HistoryEntry.What.SENT, attempt, place.worker(), null));
+                new HistoryEntry(at, HistoryEntry.What.SENT, attempt, place.server(), null));
         if (watched.out > 0) {
             violated(
                     Invariant.ONE_ATTEMPT,
@@ -139,7 +139,7 @@
         }
         watched.out++;
         watched.sent.put(attempt, new Sent(place, at));
-        Long told = drainTold.get(node + " " + place.worker());
+        Long told = drainTold.get(node + " " + place.server());
         if (told != null && at > told + drainGraceNs) {
             violated(
                     Invariant.DRAINS,
@@ -150,13 +150,13 @@
                             "%s was told at %.6f s that %s wants nothing new",
                             node,
                             told / 1e9,
-                            place.worker()),
+                            place.server()),
                     watched.history);
         }
     }
 
     /**
-     * An attempt's last byte has come to its worker, which has not turned it away: from now on it
+     * An attempt's last byte has come to its server, which has not turned it away: from now on it
      * may run.
      */
     public void begun(long at, String call, int attempt) {
@@ -166,7 +166,7 @@
         }
         Sent sent = watched.sent.get(attempt);
         watched.history.add(
-                new HistoryEntry(at, HistoryEntry.What.BEGUN, attempt, sent.place.worker(), null));
+                new HistoryEntry(at, HistoryEntry.What.BEGUN, attempt, sent.place.server(), null));
         if (watched.firstRan == null) {
             watched.firstRan = sent.place;
             watched.firstRanSent = sent.at;
@@ -175,7 +175,7 @@
                     Invariant.REPEATS,
                     at,
                     call,
-                    "it may have run at " + watched.firstRan.worker() + " before",
+                    "it may have run at " + watched.firstRan.server() + " before",
                     watched.history);
         }
     }
@@ -194,7 +194,7 @@
             case ZONE -> place.zone().equals(watched.firstRan.zone());
             case CELL ->
                     (place.cell() >= 0 && place.cell() == watched.firstRan.cell())
-                            || place.worker().equals(watched.firstRan.worker());
+                            || place.server().equals(watched.firstRan.server());
         };
     }
 
@@ -242,7 +242,7 @@
         release(call, watched);
     }
 
-    /** The answer that a call was given is none that a worker made for it. */
+    /** The answer that a call was given is none that a server made for it. */
     public void foreign(long at, String call, String what) {
         Watched watched = calls.get(call);
         violated(
@@ -311,21 +311,21 @@
         return watched != null ? watched : departed.get(call);
     }
 
-    /** A node has been told that a worker drains or is gone, or that it is ready (again). */
-    public void told(long at, String node, String worker, boolean wantsNew) {
+    /** A node has been told that a server drains or is gone, or that it is ready (again). */
+    public void told(long at, String node, String server, boolean wantsNew) {
         if (wantsNew) {
-            drainTold.remove(node + " " + worker);
+            drainTold.remove(node + " " + server);
         } else {
-            drainTold.putIfAbsent(node + " " + worker, at);
+            drainTold.putIfAbsent(node + " " + server, at);
         }
     }
 
-    /** A cold worker has fallen over. */
-    public void fell(long at, String worker) {
+    /** A cold server has fallen over. */
+    public void fell(long at, String server) {
         violated(
                 Invariant.COLD_STARTS,
                 at,
-                worker,
+                server,
                 "it was sent more than a cold worker bears",
                 List.of());
     }
--- a/lab/src/main/java/trailthread/lab/invariant/Violation.java
+++ b/lab/src/main/java/trailthread/lab/invariant/Violation.java
@@ -7,7 +7,7 @@
  *
  * @param rule which
  * @param at when it broke, in ns
- * @param who the call, or the worker, that it broke on
+ * @param who the call, or the server, that it broke on
  * @param what what was seen
  * @param history the whole life of the call so far, in order; empty where it is no call's
  */
--- a/lab/src/main/java/trailthread/lab/metrics/RunMetrics.java
+++ b/lab/src/main/java/trailthread/lab/metrics/RunMetrics.java
@@ -54,7 +54,7 @@
             return new long[] {asked, good, late, refused, failed, attempts};
         }
 
-        /** What each worker held at its end. */
+        /** What each server held at its end. */
         public int[] held() {
             return held;
         }
@@ -132,14 +132,14 @@
         }
     }
 
-    /** An attempt was sent to the worker of this number. */
-    public void sends(int worker) {
+    /** An attempt was sent to the server of this number. */
+    public void sends(int server) {
         attempts += counts();
         second(clock).attempts++;
-        while (sent.size() <= worker) {
+        while (sent.size() <= server) {
             sent.add(0L);
         }
-        sent.set(worker, sent.get(worker) + 1);
+        sent.set(server, sent.get(server) + 1);
     }
 
     /** A probe was sent. */
@@ -147,7 +147,7 @@
         probes += counts();
     }
 
-    /** A connection to a worker was opened. */
+    /** A connection to a server was opened. */
     public void opens() {
         opened += counts();
     }
@@ -168,7 +168,7 @@
         decisionNs += ns;
     }
 
-    /** What each worker holds now. */
+    /** What each server holds now. */
     public void holds(long now, int[] held) {
         second(now).held = held;
     }
@@ -195,7 +195,7 @@
         return seconds;
     }
 
-    /** Attempts sent to each worker. */
+    /** Attempts sent to each server. */
     public List<Long> sent() {
         return sent;
     }
--- a/lab/src/main/java/trailthread/lab/model/ServerLimits.java
+++ b/lab/src/main/java/trailthread/lab/model/ServerLimits.java
@@ -1,7 +1,7 @@
 package trailthread.lab.model;
 
 /**
- * What a worker is able to do. Times in ns; work in ns on a standard core.
+ * What a server is able to do. Times in ns; work in ns on a standard core.
  *
  * @param speed of a core, against a standard one; above 0
  * @param cores shared equally by all requests in work (processor sharing: Kleinrock, "Queueing
@@ -60,7 +60,7 @@
         }
     }
 
-    /** A worker that neither jams nor starts cold. */
+    /** A server that neither jams nor starts cold. */
     public static ServerLimits plain(double speed, int cores, int slots, int room) {
         return new ServerLimits(speed, cores, slots, room, 0, Jam.NEVER, Cold.NEVER, false);
     }
--- a/lab/src/main/java/trailthread/lab/model/ServerModel.java
+++ b/lab/src/main/java/trailthread/lab/model/ServerModel.java
@@ -5,16 +5,16 @@
 import java.util.function.Consumer;
 
 /**
- * A worker's work, by {@link ServerLimits}: requests share its cores, wait for slots, are turned
+ * A server's work, by {@link ServerLimits}: requests share its cores, wait for slots, are turned
  * away. Time is handed in and may be virtual or real; nothing here draws a random number.
  *
  * <p>All requests in work go on at one rate, so the work that one of them has had since the
- * worker's start, {@code served}, is the same for all; each is done when that reaches what it was
+ * server's start, {@code served}, is the same for all; each is done when that reaches what it was
  * when the request began plus the request's own work. Every step costs the logarithm of what is in
  * work.
  */
 public final class ServerModel {
-    /** A cold worker's capacity rises in so many steps. */
+    /** A cold server's capacity rises in so many steps. */
     private static final int COLD_STEPS = 64;
 
     /** One request; what else belongs to it is kept in subclasses by those who bring it. */
@@ -162,7 +162,7 @@
     }
 
     /**
-     * A cold worker's budget: all work sent within the window, against what it can do in it now.
+     * A cold server's budget: all work sent within the window, against what it can do in it now.
      */
     private void weigh(long now, Job job) {
         ServerLimits.Cold cold = law.cold();
--- a/lab/src/main/java/trailthread/lab/scenario/Scenario.java
+++ b/lab/src/main/java/trailthread/lab/scenario/Scenario.java
@@ -11,7 +11,7 @@
  *
  * @param about one line for people
  * @param warmUpNs what happens before this does not count
- * @param zones at least one; nodes, clients and workers are spread over them evenly
+ * @param zones at least one; nodes, clients and servers are spread over them evenly
  */
 public record Scenario(
         String name,
@@ -84,16 +84,16 @@
             int keys) {}
 
     /**
-     * What lies between nodes and workers.
+     * What lies between nodes and servers.
      *
      * @param nearNs one way within a zone
      * @param farNs one way between zones
      * @param jitter each delay is drawn from itself to (1 + jitter) times itself
-     * @param openWorkNs work of the worker for a new connection; opening it also takes a way there
+     * @param openWorkNs work of the server for a new connection; opening it also takes a way there
      *     and back
      * @param dialNs when a connect that does not come up is given up
-     * @param idleCloseNs after so long without use a worker closes a connection
-     * @param connections most that a worker holds
+     * @param idleCloseNs after so long without use a server closes a connection
+     * @param connections most that a server holds
      */
     public record NetworkLaw(
             long nearNs,
@@ -105,12 +105,12 @@
             int connections) {}
 
     /**
-     * The workers.
+     * The servers.
      *
      * @param law of one of speed 1
      * @param speedLow the slowest one's speed, drawn uniformly
      * @param speedHigh the fastest one's
-     * @param cells workers share what keys they have seen in so many groups; 0: no groups
+     * @param cells servers share what keys they have seen in so many groups; 0: no groups
      * @param reports whether answers carry load reports
      * @param everyLowNs a report is refreshed after at least this time
      * @param everyHighNs and at most this
@@ -120,7 +120,7 @@
      *     once, beside the queue
      */
     public record FleetLaw(
-            int workers,
+            int servers,
             ServerLimits law,
             double speedLow,
             double speedHigh,
@@ -133,7 +133,7 @@
             boolean deepProbes) {}
 
     /**
-     * The roster: news take between these times to each node; a call for the list takes the lesser
+     * Discovery: news take between these times to each node; a call for the list takes the lesser
      * one.
      */
     public record ListLaw(long lowNs, long highNs) {}
@@ -153,7 +153,7 @@
 
     /** What can go wrong. */
     public enum Trouble {
-        /** {@code part} of the workers fail {@code size} of their requests at once. */
+        /** {@code part} of the servers fail {@code size} of their requests at once. */
         FAST_ERRORS,
         /** They do the work of {@code size} of their requests, and the answers are lost. */
         LOST_ANSWERS,
@@ -169,20 +169,20 @@
         LATE_REPORTS,
         /** {@code extra} of the requests cost {@code size} times the usual work. */
         HEAVY_TAIL,
-        /** {@code part} of the workers are cut off: nothing comes or goes, and nothing is said. */
+        /** {@code part} of the servers are cut off: nothing comes or goes, and nothing is said. */
         CUT,
         /** All in {@code zone} are cut off from all other zones. */
         ZONE_CUT,
         /**
-         * {@code part} of the workers drain one after the other, restart under their ids and come
+         * {@code part} of the servers drain one after the other, restart under their ids and come
          * back cold.
          */
         RESTART,
         /** The same, but under new ids. */
         REPLACE,
-        /** {@code part} of the workers start anew at once, cold, as after a loss of power. */
+        /** {@code part} of the servers start anew at once, cold, as after a loss of power. */
         COLD_FLEET,
-        /** The roster answers nothing, and watches break. */
+        /** Discovery answers nothing, and watches break. */
         ROSTER_DOWN,
         /**
          * {@code part} of the nodes are killed, and come back after the time with nothing known.
@@ -205,7 +205,7 @@
     /**
      * Something that goes wrong.
      *
-     * @param part the share of workers or nodes that it strikes, 0 to 1
+     * @param part the share of servers or nodes that it strikes, 0 to 1
      * @param zone whose, or null
      */
     public record Fault(
@@ -224,8 +224,8 @@
         faults = List.copyOf(faults);
     }
 
-    /** The same with as few workers as there can be: others have their own. */
-    public Scenario withoutWorkers() {
+    /** The same with as few servers as there can be: others have their own. */
+    public Scenario withSingleServer() {
         FleetLaw one =
                 new FleetLaw(
                         1,
@@ -255,6 +255,6 @@
         double speed = (fleet.speedLow() + fleet.speedHigh()) / 2;
         return clients.perSecond()
                 * meanWorkNs()
-                / (fleet.workers() * fleet.law().capacity() * speed);
+                / (fleet.servers() * fleet.law().capacity() * speed);
     }
 }
--- a/lab/src/main/java/trailthread/lab/server/IncomingRequest.java
+++ b/lab/src/main/java/trailthread/lab/server/IncomingRequest.java
@@ -1,8 +1,8 @@
 package trailthread.lab.server;
 
-/** A request at a worker's process, whoever brought it. */
+/** A request at a server's process, whoever brought it. */
 public interface IncomingRequest {
-    /** What a worker says in the end. */
+    /** What a server says in the end. */
     enum Answer {
         /** Served. */
         OK,
--- a/lab/src/main/java/trailthread/lab/server/ServerFaults.java
+++ b/lab/src/main/java/trailthread/lab/server/ServerFaults.java
@@ -1,6 +1,6 @@
 package trailthread.lab.server;
 
-/** What is wrong with a worker just now: shares of its requests, 0 to 1; all 0 at first. */
+/** What is wrong with a server just now: shares of its requests, 0 to 1; all 0 at first. */
 public final class ServerFaults {
     /** Failed at once. */
     public double failing;
--- a/lab/src/main/java/trailthread/lab/server/ServerProcess.java
+++ b/lab/src/main/java/trailthread/lab/server/ServerProcess.java
@@ -14,11 +14,11 @@
 import trailthread.lab.server.IncomingRequest.Answer;
 
 /**
- * A worker's process: its model, its reports, and what is wrong with it. Driven by an event queue,
+ * A server's process: its model, its reports, and what is wrong with it. Driven by an event queue,
  * whose time may be virtual or real.
  */
 public final class ServerProcess {
-    /** How long a worker that fails at once takes for it. */
+    /** How long a server that fails at once takes for it. */
     private static final long FAST_ERROR_NS = 1_000_000L;
 
     /** The weight of one request in the time that requests take here, as probes tell it. */
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
@@ -5,18 +5,18 @@
 import trailthread.lab.event.EventQueue;
 import trailthread.lab.server.IncomingRequest;
 
-/** One attempt of a call, from its node to a worker and back, in virtual time. */
+/** One attempt of a call, from its node to a server and back, in virtual time. */
 final class SimulatedAttempt implements IncomingRequest {
     final SimulatedRequest call;
     final int number;
-    final SimulatedServer worker;
+    final SimulatedServer server;
     private final Simulation world;
     private final SimulatedNode node;
     private final long sentAt;
     private EventQueue.Entry timeout;
     private boolean over;
 
-    /** It has a connection, of this life of its worker. */
+    /** It has a connection, of this life of its server. */
     private boolean connected;
 
     private int life;
@@ -30,15 +30,15 @@
             SimulatedNode node,
             SimulatedRequest call,
             int number,
-            SimulatedServer worker) {
+            SimulatedServer server) {
         this.world = world;
         this.node = node;
         this.call = call;
         this.number = number;
-        this.worker = worker;
+        this.server = server;
         this.sentAt = world.now();
-        this.life = worker.process().life();
-        worker.coming++;
+        this.life = server.process().life();
+        server.coming++;
     }
 
     /** Begins it; it is given up after this time, in ns. */
@@ -46,7 +46,7 @@
         timeout =
                 world.eventQueue()
                         .scheduleAfter(withinNs, () -> node.input(() -> giveUp(Outcome.TIMEOUT)));
-        if (node.takesIdle(worker)) {
+        if (node.takesIdle(server)) {
             connected = true;
             write();
         } else {
@@ -68,16 +68,16 @@
                                         }));
         world.travel(
                 node,
-                worker,
+                server,
                 () -> {
-                    boolean opened = worker.opens();
-                    life = worker.process().life();
+                    boolean opened = server.opens();
+                    life = server.process().life();
                     world.travel(
-                            worker,
+                            server,
                             node,
                             () -> {
                                 if (over && opened) {
-                                    worker.closes(life);
+                                    server.closes(life);
                                 } else if (opened) {
                                     connected = true;
                                     write();
@@ -92,16 +92,16 @@
         written = true;
         world.travel(
                 node,
-                worker,
+                server,
                 () -> {
                     if (over) {
                         return; // the connection was closed on it
                     }
                     comesNoMore();
-                    if (worker.process().isUp() && worker.process().life() == life) {
-                        worker.process().arrived(this);
+                    if (server.process().isUp() && server.process().life() == life) {
+                        server.process().arrived(this);
                     } else {
-                        world.travel(worker, node, () -> end(Outcome.RESET, null));
+                        world.travel(server, node, () -> end(Outcome.RESET, null));
                     }
                 });
     }
@@ -109,7 +109,7 @@
     private void comesNoMore() {
         if (coming) {
             coming = false;
-            worker.coming--;
+            server.coming--;
         }
     }
 
@@ -125,25 +125,25 @@
 
     @Override
     public void answers(Answer answer, long drips) {
-        if (worker.process().life() != life || over) {
+        if (server.process().life() != life || over) {
             return;
         }
         if (answer == Answer.RESET || answer == Answer.GARBAGE) {
-            worker.closes(life);
+            server.closes(life);
             breaks();
             return;
         }
-        LoadReport load = worker.process().report();
+        LoadReport load = server.process().report();
         world.eventQueue()
                 .scheduleAfter(
                         drips,
                         () ->
                                 world.travel(
-                                        worker,
+                                        server,
                                         node,
                                         () -> {
                                             if (!over) {
-                                                node.mayKeepIdle(worker, life);
+                                                node.mayKeepIdle(server, life);
                                                 connected = false;
                                                 end(
                                                         answer == Answer.OK
@@ -158,7 +158,7 @@
 
     @Override
     public void breaks() {
-        world.travel(worker, node, () -> end(Outcome.RESET, null));
+        world.travel(server, node, () -> end(Outcome.RESET, null));
     }
 
     /** Its node waits no longer. */
@@ -176,10 +176,10 @@
         int of = life;
         world.travel(
                 node,
-                worker,
+                server,
                 () -> {
-                    worker.closes(of);
-                    worker.process().givenUp(this);
+                    server.closes(of);
+                    server.process().givenUp(this);
                 });
     }
 
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedDiscovery.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedDiscovery.java
@@ -11,14 +11,14 @@
 import trailthread.lab.random.RandomStreams;
 
 /**
- * The list of workers in virtual time: told to those who watch, late, in order, or not at all while
+ * The list of servers in virtual time: told to those who watch, late, in order, or not at all while
  * it is down.
  */
 final class SimulatedDiscovery {
     private final Simulation world;
     private final UniformRandomProvider random;
 
-    /** In the order in which workers were first named. */
+    /** In the order in which servers were first named. */
     private final List<SimulatedServer> listed = new ArrayList<>();
 
     private final Map<SimulatedNode, Long> lastTold = new HashMap<>();
@@ -32,21 +32,21 @@
     /** The whole list, as a node that starts now would have had it. */
     List<EndpointEntry> whole() {
         List<EndpointEntry> entries = new ArrayList<>();
-        listed.forEach(worker -> entries.add(worker.entry()));
+        listed.forEach(server -> entries.add(server.entry()));
         return entries;
     }
 
-    void add(SimulatedServer worker) {
-        listed.add(worker);
-        changed(worker, worker.state);
+    void add(SimulatedServer server) {
+        listed.add(server);
+        changed(server, server.state);
     }
 
-    /** A worker's state is this now. */
-    void changed(SimulatedServer worker, EndpointState state) {
-        worker.state = state;
-        EndpointEntry entry = worker.entry();
+    /** A server's state is this now. */
+    void changed(SimulatedServer server, EndpointState state) {
+        server.state = state;
+        EndpointEntry entry = server.entry();
         if (state == EndpointState.GONE) {
-            listed.remove(worker);
+            listed.remove(server);
         }
         for (SimulatedNode node : world.nodes()) {
             if (node.watches && !down) {
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
@@ -64,7 +64,7 @@
         this.zone = zone;
     }
 
-    /** Starts it; of the workers it knows what the roster knows. */
+    /** Starts it; of the servers it knows what discovery knows. */
     @Override
     public void start() {
         up = true;
@@ -79,7 +79,7 @@
                                 world.now(),
                                 this,
                                 world.truth());
-        list(ListKind.CACHED, world.roster().whole());
+        list(ListKind.CACHED, world.discovery().whole());
     }
 
     boolean isUp() {
@@ -161,11 +161,11 @@
         asked.clear();
         timers = 0;
         idle.forEach(
-                (worker, connections) ->
+                (server, connections) ->
                         connections.forEach(
                                 c -> {
-                                    if (c.life == worker.process().life()) {
-                                        worker.connections--;
+                                    if (c.life == server.process().life()) {
+                                        server.connections--;
                                     }
                                 }));
         idle.clear();
@@ -303,7 +303,7 @@
         }
     }
 
-    /** News of the workers. */
+    /** News of the servers. */
     void list(ListKind kind, List<EndpointEntry> entries) {
         for (EndpointEntry entry : entries) {
             world.checker()
@@ -320,29 +320,29 @@
     // -------------------------------------------------------------------------------
 
     /**
-     * Takes the idle connection that was used last, if there is one that the worker has not closed
+     * Takes the idle connection that was used last, if there is one that the server has not closed
      * yet.
      */
-    boolean takesIdle(SimulatedServer worker) {
-        ArrayDeque<Idle> connections = idle.get(worker);
+    boolean takesIdle(SimulatedServer server) {
+        ArrayDeque<Idle> connections = idle.get(server);
         if (connections == null) {
             return false;
         }
         long oldest = world.now() - world.network().idleCloseNs();
         for (Idle first = connections.peekFirst();
-                first != null && (first.since <= oldest || first.life != worker.process().life());
+                first != null && (first.since <= oldest || first.life != server.process().life());
                 first = connections.peekFirst()) {
             connections.pollFirst();
-            if (first.life == worker.process().life()) {
-                worker.connections--;
+            if (first.life == server.process().life()) {
+                server.connections--;
             }
         }
         return connections.pollLast() != null;
     }
 
-    void mayKeepIdle(SimulatedServer worker, int of) {
-        if (worker.process().life() == of) {
-            idle.computeIfAbsent(worker, w -> new ArrayDeque<>())
+    void mayKeepIdle(SimulatedServer server, int of) {
+        if (server.process().life() == of) {
+            idle.computeIfAbsent(server, w -> new ArrayDeque<>())
                     .addLast(new Idle(of, world.now()));
         }
     }
@@ -350,20 +350,20 @@
     // ---- actions
     // -----------------------------------------------------------------------------------
 
-    private SimulatedServer worker(String endpoint) {
-        SimulatedServer worker = world.worker(endpoint);
-        if (worker == null) {
+    private SimulatedServer server(String endpoint) {
+        SimulatedServer server = world.server(endpoint);
+        if (server == null) {
             throw new BalancerFailureException(
                     world.now(), number, "a worker that no list has named: " + endpoint);
         }
-        return worker;
+        return server;
     }
 
     @Override
     public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
         asked.add(
                 () -> {
-                    SimulatedServer worker = worker(endpoint);
+                    SimulatedServer server = server(endpoint);
                     SimulatedRequest call = calls.get(id);
                     if (call == null) {
                         return; // it ended a moment ago
@@ -386,8 +386,8 @@
                                                 null));
                         return;
                     }
-                    call.out = new SimulatedAttempt(world, this, call, attempt, worker);
-                    world.metrics().sends(worker.index);
+                    call.out = new SimulatedAttempt(world, this, call, attempt, server);
+                    world.metrics().sends(server.index);
                     world.checker()
                             .sent(
                                     world.now(),
@@ -395,7 +395,7 @@
                                     attempt,
                                     name,
                                     new InvariantChecker.Place(
-                                            worker.name, worker.zone, worker.cell));
+                                            server.name, server.zone, server.cell));
                     call.out.send(timeoutNs == 0 ? left : Math.min(timeoutNs, left));
                 });
     }
@@ -456,7 +456,7 @@
     public void checkHealth(String endpoint) {
         asked.add(
                 () -> {
-                    SimulatedServer worker = worker(endpoint);
+                    SimulatedServer server = server(endpoint);
                     world.metrics().probes();
                     long begun = world.now();
                     boolean[] over = new boolean[1];
@@ -466,34 +466,34 @@
                                     within,
                                     () ->
                                             healthChecked(
-                                                    worker, Outcome.TIMEOUT, within, null, over));
+                                                    server, Outcome.TIMEOUT, within, null, over));
                     world.travel(
                             this,
-                            worker,
+                            server,
                             () -> {
-                                if (!worker.process().isUp()) {
+                                if (!server.process().isUp()) {
                                     world.travel(
-                                            worker,
+                                            server,
                                             this,
                                             () ->
                                                     healthChecked(
-                                                            worker,
+                                                            server,
                                                             Outcome.RESET,
                                                             world.now() - begun,
                                                             null,
                                                             over));
                                 } else {
-                                    worker.process()
+                                    server.process()
                                             .probes(
                                                     () -> {
                                                         LoadReport load =
-                                                                worker.process().healthChecked();
+                                                                server.process().healthChecked();
                                                         world.travel(
-                                                                worker,
+                                                                server,
                                                                 this,
                                                                 () ->
                                                                         healthChecked(
-                                                                                worker,
+                                                                                server,
                                                                                 Outcome.OK,
                                                                                 world.now() - begun,
                                                                                 load,
@@ -505,7 +505,7 @@
     }
 
     private void healthChecked(
-            SimulatedServer worker,
+            SimulatedServer server,
             Outcome outcome,
             long latencyNs,
             LoadReport load,
@@ -517,7 +517,7 @@
                             event(
                                     (m, now) ->
                                             m.healthChecked(
-                                                    now, worker.name, outcome, latencyNs, load)));
+                                                    now, server.name, outcome, latencyNs, load)));
         }
     }
 
@@ -525,13 +525,13 @@
     public void closeIdle(String endpoint) {
         asked.add(
                 () -> {
-                    SimulatedServer worker = worker(endpoint);
-                    ArrayDeque<Idle> connections = idle.remove(worker);
+                    SimulatedServer server = server(endpoint);
+                    ArrayDeque<Idle> connections = idle.remove(server);
                     if (connections != null) {
-                        worker.connections -=
+                        server.connections -=
                                 (int)
                                         connections.stream()
-                                                .filter(c -> c.life == worker.process().life())
+                                                .filter(c -> c.life == server.process().life())
                                                 .count();
                     }
                 });
@@ -545,12 +545,12 @@
 
     @Override
     public void watch(boolean on) {
-        asked.add(() -> world.roster().watch(this, on));
+        asked.add(() -> world.discovery().watch(this, on));
     }
 
     @Override
     public void fetch() {
-        asked.add(() -> world.roster().fetch(this));
+        asked.add(() -> world.discovery().fetch(this));
     }
 
     @Override
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedServer.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedServer.java
@@ -6,8 +6,8 @@
 import trailthread.lab.model.ServerLimits;
 import trailthread.lab.server.ServerProcess;
 
-/** A worker in virtual time: its process, its connections, and what its roster says of it. */
-final class SimulatedServer implements FaultTarget.Worker {
+/** A server in virtual time: its process, its connections, and what discovery says of it. */
+final class SimulatedServer implements FaultTarget.Server {
     final String name;
     final int index;
     final String zone;
@@ -84,25 +84,25 @@
     }
 
     @Override
-    public void drains() {
-        world.roster().changed(this, EndpointState.DRAINING);
+    public void startDraining() {
+        world.discovery().changed(this, EndpointState.DRAINING);
     }
 
     @Override
-    public void goesDown() {
+    public void stop() {
         connections = 0;
         process.goDown();
     }
 
     @Override
-    public void comesBack() {
+    public void restart() {
         process.comeUp();
-        world.roster().changed(this, EndpointState.READY);
+        world.discovery().changed(this, EndpointState.READY);
     }
 
     @Override
-    public void isReplaced() {
-        world.roster().changed(this, EndpointState.GONE);
-        world.addWorker(zone, Math.max(0, cell), true);
+    public void replace() {
+        world.discovery().changed(this, EndpointState.GONE);
+        world.addServer(zone, Math.max(0, cell), true);
     }
 }
--- a/lab/src/main/java/trailthread/lab/simulation/Simulation.java
+++ b/lab/src/main/java/trailthread/lab/simulation/Simulation.java
@@ -24,8 +24,8 @@
 import trailthread.lab.scenario.Scenario.NetworkLaw;
 
 /**
- * A day in virtual time: clients, nodes with the decisions under test, the network, workers, the
- * roster and what goes wrong. One seed gives one history. Runs on the thread that calls it and
+ * A day in virtual time: clients, nodes with the decisions under test, the network, servers, the
+ * discovery and what goes wrong. One seed gives one history. Runs on the thread that calls it and
  * shares nothing, so that many can run at once.
  */
 public final class Simulation implements RequestSink, FaultTarget {
@@ -44,15 +44,15 @@
     private final InvariantChecker checker;
     private final RunMetrics metrics;
     private final List<SimulatedNode> nodes = new ArrayList<>();
-    private final List<SimulatedServer> workers = new ArrayList<>();
+    private final List<SimulatedServer> servers = new ArrayList<>();
     private final Map<String, SimulatedServer> byName = new HashMap<>();
-    private final SimulatedDiscovery roster;
+    private final SimulatedDiscovery discovery;
     private final ClientPopulation clients;
     private final UniformRandomProvider network;
     private final UniformRandomProvider speeds;
     private long lastId;
     private long serials;
-    private String cutZone;
+    private String isolatedZone;
 
     private Simulation(Scenario scenario, Policy policy, long seed) {
         this.scenario = scenario;
@@ -64,7 +64,7 @@
         metrics = new RunMetrics(BEGIN, BEGIN + scenario.warmUpNs());
         network = streams.stream("network");
         speeds = streams.stream("speeds");
-        roster = new SimulatedDiscovery(this);
+        discovery = new SimulatedDiscovery(this);
         clients = new ClientPopulation(eventQueue, streams, scenario, metrics, this);
     }
 
@@ -74,7 +74,7 @@
             InvariantChecker checker,
             long events,
             long wallNs,
-            List<String> workers) {}
+            List<String> servers) {}
 
     /**
      * Plays a day.
@@ -90,12 +90,12 @@
                 world.checker,
                 world.eventQueue.executedCount(),
                 System.nanoTime() - begun,
-                world.workers.stream().map(w -> w.name).toList());
+                world.servers.stream().map(w -> w.name).toList());
     }
 
     private void run() {
-        for (int i = 0; i < scenario.fleet().workers(); i++) {
-            addWorker(scenario.zones().get(i % scenario.zones().size()), i, false);
+        for (int i = 0; i < scenario.fleet().servers(); i++) {
+            addServer(scenario.zones().get(i % scenario.zones().size()), i, false);
         }
         for (int i = 0; i < scenario.nodes(); i++) {
             nodes.add(
@@ -114,18 +114,18 @@
         checker.finish(eventQueue.now());
     }
 
-    /** A worker under a new name. */
-    void addWorker(String zone, int place, boolean cold) {
+    /** A server under a new name. */
+    void addServer(String zone, int place, boolean cold) {
         var fleet = scenario.fleet();
         ServerLimits own =
                 fleet.law().at(RandomStreams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
         int cell = fleet.cells() > 0 ? place % fleet.cells() : -1;
-        SimulatedServer worker =
+        SimulatedServer server =
                 new SimulatedServer(
-                        this, "w" + workers.size(), workers.size(), zone, cell, own, cold);
-        workers.add(worker);
-        byName.put(worker.name, worker);
-        roster.add(worker);
+                        this, "w" + servers.size(), servers.size(), zone, cell, own, cold);
+        servers.add(server);
+        byName.put(server.name, server);
+        discovery.add(server);
     }
 
     // ---- the front of the nodes
@@ -218,8 +218,8 @@
         return metrics;
     }
 
-    SimulatedDiscovery roster() {
-        return roster;
+    SimulatedDiscovery discovery() {
+        return discovery;
     }
 
     @Override
@@ -228,11 +228,11 @@
     }
 
     @Override
-    public List<SimulatedServer> workers() {
-        return workers;
+    public List<SimulatedServer> servers() {
+        return servers;
     }
 
-    SimulatedServer worker(String name) {
+    SimulatedServer server(String name) {
         return byName.get(name);
     }
 
@@ -245,18 +245,18 @@
     }
 
     @Override
-    public void tail(double share, double times) {
-        clients.setTail(share, times);
+    public void setHeavyTail(double share, double times) {
+        clients.setHeavyTail(share, times);
     }
 
     @Override
-    public void rosterDown(boolean down) {
-        roster.down(down);
+    public void setDiscoveryDown(boolean down) {
+        discovery.down(down);
     }
 
     @Override
-    public void cutZone(String zone) {
-        cutZone = zone;
+    public void isolateZone(String zone) {
+        isolatedZone = zone;
     }
 
     long longestDeadline() {
@@ -283,10 +283,12 @@
     }
 
     /** One way over the network, if there is one. */
-    private void travel(String from, String to, SimulatedServer worker, Runnable task) {
+    private void travel(String from, String to, SimulatedServer server, Runnable task) {
         boolean far = !from.equals(to);
-        if (worker.process().ills.cut
-                || (far && cutZone != null && (from.equals(cutZone) || to.equals(cutZone)))) {
+        if (server.process().ills.cut
+                || (far
+                        && isolatedZone != null
+                        && (from.equals(isolatedZone) || to.equals(isolatedZone)))) {
             return; // nothing is said
         }
         NetworkLaw law = scenario.network();
@@ -350,9 +352,9 @@
             eventQueue.scheduleAt(
                     at,
                     () -> {
-                        int[] held = new int[workers.size()];
+                        int[] held = new int[servers.size()];
                         for (int i = 0; i < held.length; i++) {
-                            held[i] = workers.get(i).process().holds();
+                            held[i] = servers.get(i).process().holds();
                         }
                         metrics.holds(now(), held);
                     });
--- a/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
@@ -98,7 +98,7 @@
     }
 
     private Socket ask(String target, String headers) throws IOException {
-        Socket socket = connect(day.workersAt(0).get(0));
+        Socket socket = connect(day.serversAt(0).get(0));
         Message.send(socket, "GET " + target + " HTTP/1.1\r\nHost: w\r\n" + headers + "\r\n");
         return socket;
     }
@@ -207,9 +207,9 @@
     @Test
     public void drainsEndsAndComesBackUnderItsAddress() throws Exception {
         start("[[faults]]\ntrouble = \"restart\"\nat = \"100ms\"\nfor = \"1s\"\n");
-        Socket watch = connect(day.rosterAt(0));
+        Socket watch = connect(day.discoveryAt(0));
         Message.send(watch, "GET /v1/endpoints?stream=1&index=0 HTTP/1.1\r\nHost: r\r\n\r\n");
-        String worker = day.workersAt(0).get(0);
+        String server = day.serversAt(0).get(0);
         String told = "";
         while (!told.contains("leaving")) {
             told = line(watch);
@@ -219,7 +219,7 @@
             told = line(watch);
         }
         assertTrue(told, told.contains("\"active\"") && !told.contains("\"startedAtMs\":0}"));
-        assertEquals("the same address", worker, day.workersAt(0).get(0));
+        assertEquals("the same address", server, day.serversAt(0).get(0));
         assertEquals(200, Message.read(call("2", 1)).status());
     }
 
@@ -234,9 +234,9 @@
     }
 
     @Test
-    public void theRosterGoesDownAndItsWatchesBreak() throws Exception {
+    public void discoveryFailsAndItsWatchesBreak() throws Exception {
         start("[[faults]]\ntrouble = \"roster_down\"\nat = \"300ms\"\nfor = \"50s\"\n");
-        Socket watch = connect(day.rosterAt(0));
+        Socket watch = connect(day.discoveryAt(0));
         Message.send(watch, "GET /v1/endpoints?stream=1&index=0 HTTP/1.1\r\nHost: r\r\n\r\n");
         assertThrows(
                 SocketException.class,
@@ -245,7 +245,7 @@
                         line(watch);
                     }
                 });
-        Socket again = connect(day.rosterAt(0));
+        Socket again = connect(day.discoveryAt(0));
         Message.send(again, "GET /v1/endpoints HTTP/1.1\r\nHost: r\r\n\r\n");
         Message answer;
         try {
--- a/lab/src/test/java/trailthread/lab/fault/RollingRestartTest.java
+++ b/lab/src/test/java/trailthread/lab/fault/RollingRestartTest.java
@@ -61,22 +61,22 @@
 
     private record Nodes(List<SlowNode> nodes) implements FaultTarget {
         @Override
-        public List<? extends Worker> workers() {
+        public List<? extends Server> servers() {
             return List.of();
         }
 
         @Override
-        public void rosterDown(boolean down) {
+        public void setDiscoveryDown(boolean down) {
             throw new AssertionError();
         }
 
         @Override
-        public void cutZone(String zone) {
+        public void isolateZone(String zone) {
             throw new AssertionError();
         }
 
         @Override
-        public void tail(double share, double times) {
+        public void setHeavyTail(double share, double times) {
             throw new AssertionError();
         }
     }
--- a/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
+++ b/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
@@ -195,7 +195,7 @@
     }
 
     @Test
-    public void aWorkerThatIsBackWantsWork() {
+    public void aReadyServerAcceptsRequestsAgain() {
         take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         checker.told(50, "n0", "a", false);
         checker.told(200, "n0", "a", true);
@@ -222,7 +222,7 @@
     }
 
     @Test
-    public void aColdWorkerPushedOver() {
+    public void aColdServerOverloaded() {
         checker.fell(9, "a");
         broken(Invariant.COLD_STARTS);
     }
--- a/lab/src/test/java/trailthread/lab/model/ServerModelTest.java
+++ b/lab/src/test/java/trailthread/lab/model/ServerModelTest.java
@@ -9,7 +9,7 @@
 import org.junit.Test;
 import trailthread.lab.model.ServerModel.Job;
 
-/** Each law of a worker by itself. */
+/** Each law of a server by itself. */
 public class ServerModelTest {
     private static final long MS = 1_000_000;
     private final List<String> done = new ArrayList<>();
--- a/lab/src/test/java/trailthread/lab/simulation/FleetTheoryTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/FleetTheoryTest.java
@@ -11,7 +11,7 @@
 
 /** What is known of whole fleets shows in the model. */
 public class FleetTheoryTest {
-    private static Scenario scenario(int workers, double perSecond, String fleet) throws Exception {
+    private static Scenario scenario(int servers, double perSecond, String fleet) throws Exception {
         return ScenarioReader.parse(
                 "test",
                 """
@@ -34,7 +34,7 @@
                 slots = 1
                 %s
                 """
-                        .formatted(perSecond, workers, fleet));
+                        .formatted(perSecond, servers, fleet));
     }
 
     /** Two choices against one: the longest line is far shorter (Mitzenmacher 2001). */
@@ -57,11 +57,11 @@
     }
 
     /**
-     * Without the correction, queues of two workers swing with the reports; with it they do not
+     * Without the correction, queues of two servers swing with the reports; with it they do not
      * (the paper, 4.3).
      */
     @Test
-    public void theCorrectionDampsTheSwingOfTwoWorkers() throws Exception {
+    public void theCorrectionDampsTheSwingOfTwoServers() throws Exception {
         Scenario scenario = scenario(2, 170, "report_every = \"2s\"");
         double with = swing(Simulation.play(scenario, Policies.named("sns"), 1).metrics());
         double without =
--- a/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
@@ -263,7 +263,7 @@
     }
 
     @Test
-    public void aWorkerThatNobodyNamedEndsTheRun() throws Exception {
+    public void anEndpointInNoListEndsTheRun() throws Exception {
         runsWild(
                 "no list has named: w999",
                 (actions, module) ->
