--- a/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
+++ b/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
@@ -20,16 +20,16 @@
     private final EventQueue eventQueue;
     private final Scenario scenario;
     private final RunMetrics metrics;
-    private final RequestSink front;
-    private final UniformRandomProvider arrivals;
-    private final UniformRandomProvider asks;
-    private final UniformRandomProvider tails;
+    private final RequestSink sink;
+    private final UniformRandomProvider arrivalRandom;
+    private final UniformRandomProvider operationRandom;
+    private final UniformRandomProvider tailRandom;
     private final double[] classShares;
     private final double[] tenantShares;
     private final long begin;
     private double tailShare;
-    private double tailTimes = 1;
-    private int open;
+    private double tailFactor = 1;
+    private int openOperations;
 
     /** Those of a day that begins now. */
     public ClientPopulation(
@@ -37,15 +37,15 @@
             RandomStreams streams,
             Scenario scenario,
             RunMetrics metrics,
-            RequestSink front) {
+            RequestSink sink) {
         this.eventQueue = eventQueue;
         this.scenario = scenario;
         this.metrics = metrics;
-        this.front = front;
+        this.sink = sink;
         begin = eventQueue.now();
-        arrivals = streams.stream("arrivals");
-        asks = streams.stream("asks");
-        tails = streams.stream("tails");
+        arrivalRandom = streams.stream("arrivals");
+        operationRandom = streams.stream("asks");
+        tailRandom = streams.stream("tails");
         classShares = scenario.classes().stream().mapToDouble(ClassLaw::share).toArray();
         tenantShares = scenario.tenants().stream().mapToDouble(Tenant::share).toArray();
     }
@@ -53,16 +53,16 @@
     /** From now on this share of the requests costs so many times the usual work. */
     public void setHeavyTail(double share, double times) {
         tailShare = share;
-        tailTimes = times;
+        tailFactor = times;
     }
 
     /** Requests that have not come to their ends. */
-    public int open() {
-        return open;
+    public int openOperations() {
+        return openOperations;
     }
 
-    void ended() {
-        open--;
+    void operationEnded() {
+        openOperations--;
     }
 
     long now() {
@@ -73,25 +73,33 @@
         return metrics;
     }
 
-    RequestSink front() {
-        return front;
+    RequestSink sink() {
+        return sink;
     }
 
-    /** After a try's wait, or as long as the answer advises where clients heed that. */
-    void later(int tries, double draw, long retryAfterNs, Runnable task) {
-        var law = scenario.clients();
-        long wait = (long) (law.backoffNs() * (1L << Math.min(tries - 1, MOST_DOUBLINGS)) * draw);
-        eventQueue.scheduleAfter(Math.max(wait, law.heeds() ? retryAfterNs : 0), task);
+    /** After an attempt's wait, or as long as the answer advises where clients heed that. */
+    void scheduleRetry(int attempts, double draw, long retryAfterNs, Runnable task) {
+        var clientModel = scenario.clients();
+        long wait =
+                (long)
+                        (clientModel.backoffNs()
+                                * (1L << Math.min(attempts - 1, MOST_DOUBLINGS))
+                                * draw);
+        eventQueue.scheduleAfter(Math.max(wait, clientModel.heeds() ? retryAfterNs : 0), task);
     }
 
     private double rate(long at) {
-        var law = scenario.clients();
-        double rate = law.perSecond();
+        var clientModel = scenario.clients();
+        double rate = clientModel.perSecond();
         long since = at - begin;
-        if (law.swingNs() > 0) {
-            rate *= 1 + law.swing() * StrictMath.sin(2 * StrictMath.PI * since / law.swingNs());
+        if (clientModel.swingNs() > 0) {
+            rate *=
+                    1
+                            + clientModel.swing()
+                                    * StrictMath.sin(
+                                            2 * StrictMath.PI * since / clientModel.swingNs());
         }
-        for (Surge surge : law.surges()) {
+        for (Surge surge : clientModel.surges()) {
             if (since >= surge.atNs() && since < surge.atNs() + surge.forNs()) {
                 rate *= surge.times();
             }
@@ -99,7 +107,7 @@
         return rate;
     }
 
-    private double mostRate() {
+    private double maxRate() {
         double most = scenario.clients().perSecond() * (1 + scenario.clients().swing());
         for (Surge surge : scenario.clients().surges()) {
             most *= Math.max(1, surge.times());
@@ -111,57 +119,63 @@
      * Begins to ask, until this time; a rate that changes by thinning (Lewis and Shedler, 1979).
      */
     public void begin(long end) {
-        arrive(mostRate(), end);
+        arrive(maxRate(), end);
     }
 
     private void arrive(double most, long end) {
         long at = eventQueue.now();
         do {
-            at += (long) RandomStreams.exponential(arrivals, 1e9 / most);
-        } while (at < end && arrivals.nextDouble() * most >= rate(at));
+            at += (long) RandomStreams.exponential(arrivalRandom, 1e9 / most);
+        } while (at < end && arrivalRandom.nextDouble() * most >= rate(at));
         if (at < end) {
             eventQueue.scheduleAt(
                     at,
                     () -> {
-                        open++;
-                        ask().attempt();
+                        openOperations++;
+                        newOperation().startAttempt();
                         arrive(most, end);
                     });
         }
     }
 
-    private ClientRequest ask() {
-        var law = scenario.clients();
-        ClassLaw of = scenario.classes().get(drawn(classShares, asks.nextDouble()));
+    private ClientOperation newOperation() {
+        var clientModel = scenario.clients();
+        ClassLaw classModel =
+                scenario.classes().get(drawIndex(classShares, operationRandom.nextDouble()));
         String tenant =
                 tenantShares.length == 0
                         ? null
-                        : scenario.tenants().get(drawn(tenantShares, asks.nextDouble())).name();
-        double draw = asks.nextDouble();
+                        : scenario.tenants()
+                                .get(drawIndex(tenantShares, operationRandom.nextDouble()))
+                                .name();
+        double draw = operationRandom.nextDouble();
         double work =
-                of.draw() == Draw.FIXED
-                        ? of.lowNs()
-                        : of.draw() == Draw.UNIFORM
-                                ? of.lowNs() + draw * (of.highNs() - of.lowNs())
-                                : -of.lowNs() * StrictMath.log(1 - draw);
-        if (tails.nextDouble() < tailShare) {
-            work *= tailTimes;
+                classModel.draw() == Draw.FIXED
+                        ? classModel.lowNs()
+                        : classModel.draw() == Draw.UNIFORM
+                                ? classModel.lowNs()
+                                        + draw * (classModel.highNs() - classModel.lowNs())
+                                : -classModel.lowNs() * StrictMath.log(1 - draw);
+        if (tailRandom.nextDouble() < tailShare) {
+            work *= tailFactor;
         }
-        long key = law.keys() > 0 ? 1 + asks.nextLong(law.keys()) : 0;
-        int zone = asks.nextInt(scenario.zones().size());
-        int tries = law.retries() + 1;
-        ClientRequest.Draws draws =
-                new ClientRequest.Draws(new double[tries], new double[tries], new double[tries]);
-        for (int i = 0; i < tries; i++) {
-            draws.patience()[i] =
-                    RandomStreams.uniform(asks, law.patienceLow(), law.patienceHigh());
-            draws.backoff()[i] = RandomStreams.uniform(asks, 0.5, 1);
-            draws.front()[i] = asks.nextDouble();
+        long key = clientModel.keys() > 0 ? 1 + operationRandom.nextLong(clientModel.keys()) : 0;
+        int zone = operationRandom.nextInt(scenario.zones().size());
+        int attempts = clientModel.retries() + 1;
+        ClientOperation.RandomDraws draws =
+                new ClientOperation.RandomDraws(
+                        new double[attempts], new double[attempts], new double[attempts]);
+        for (int i = 0; i < attempts; i++) {
+            draws.timeoutShare()[i] =
+                    RandomStreams.uniform(
+                            operationRandom, clientModel.patienceLow(), clientModel.patienceHigh());
+            draws.backoff()[i] = RandomStreams.uniform(operationRandom, 0.5, 1);
+            draws.nodeChoice()[i] = operationRandom.nextDouble();
         }
-        return new ClientRequest(this, of, tenant, Math.max(1, work), key, zone, draws);
+        return new ClientOperation(this, classModel, tenant, Math.max(1, work), key, zone, draws);
     }
 
-    private static int drawn(double[] shares, double draw) {
+    private static int drawIndex(double[] shares, double draw) {
         double sum = 0;
         for (double share : shares) {
             sum += share;
--- a/lab/src/main/java/trailthread/lab/command/EmulationRun.java
+++ b/lab/src/main/java/trailthread/lab/command/EmulationRun.java
@@ -15,7 +15,7 @@
      * ends.
      */
     static void progress(Emulation day, PrintWriter print) {
-        List<RunMetrics.Second> seconds = day.metrics().seconds();
+        List<RunMetrics.SecondMetrics> seconds = day.metrics().seconds();
         int at = seconds.size() - 2;
         if (at < 0) {
             return;
--- a/lab/src/main/java/trailthread/lab/command/LoadCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/LoadCommand.java
@@ -73,7 +73,7 @@
             print.println("most connections at once " + day.mostConnections());
             day.checker().violations().stream()
                     .limit(3)
-                    .map(Violation::told)
+                    .map(Violation::describe)
                     .forEach(print::println);
             return !EmulationRun.counts(day, print)
                     ? Lab.LATE
--- a/lab/src/main/java/trailthread/lab/command/RunCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/RunCommand.java
@@ -95,7 +95,7 @@
             print.println(result.row());
             day.checker().violations().stream()
                     .limit(3)
-                    .map(Violation::told)
+                    .map(Violation::describe)
                     .forEach(print::println);
             boolean counts = EmulationRun.counts(day, print);
             if (counts && out != null) {
--- a/lab/src/main/java/trailthread/lab/command/SimulateCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/SimulateCommand.java
@@ -98,6 +98,9 @@
      */
     private static void tell(Runs.Order order, PrintWriter print) {
         Simulation.Day day = Simulation.play(order.scenario(), order.policy(), order.seed());
-        day.checker().violations().stream().limit(3).map(Violation::told).forEach(print::println);
+        day.checker().violations().stream()
+                .limit(3)
+                .map(Violation::describe)
+                .forEach(print::println);
     }
 }
--- a/lab/src/main/java/trailthread/lab/emulation/EmulatedDiscovery.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulatedDiscovery.java
@@ -85,7 +85,7 @@
                                     watch.line(line);
                                     day.judged(
                                             r ->
-                                                    r.told(
+                                                    r.endpointStateReceived(
                                                             day.now(),
                                                             "n" + watch.node,
                                                             server.name,
@@ -108,7 +108,7 @@
                 w ->
                         day.judged(
                                 r ->
-                                        r.told(
+                                        r.endpointStateReceived(
                                                 day.now(),
                                                 "n" + node,
                                                 w.name,
--- a/lab/src/main/java/trailthread/lab/emulation/EmulatedServer.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulatedServer.java
@@ -55,7 +55,7 @@
                         law,
                         cold,
                         () -> {
-                            day.judged(r -> r.fell(day.now(), name));
+                            day.judged(r -> r.coldServerOverloaded(day.now(), name));
                             stop();
                         });
         for (int i = 0; i < Math.max(1, day.nodeCount()); i++) {
@@ -106,9 +106,9 @@
     }
 
     /** Looks whether the connection of an attempt has ended by now. */
-    void look(String call) {
+    void look(String requestId) {
         List.copyOf(lines).stream()
-                .filter(line -> line.served != null && line.served.call.equals(call))
+                .filter(line -> line.served != null && line.served.requestId.equals(requestId))
                 .forEach(line -> line.wire.read());
     }
 
@@ -202,7 +202,7 @@
                 return;
             }
             if (message.target().equals("/health") || message.target().equals("/status/load")) {
-                day.metrics().probes();
+                day.metrics().recordHealthCheck();
                 process.probes(
                         () -> wire.send(answer("200 OK", null, "", load(process.healthChecked()))));
                 return;
@@ -217,13 +217,13 @@
             served = new Served(this, id, attempt, Math.max(1, Double.parseDouble(work.group(1))));
             day.judged(
                     r ->
-                            r.sent(
+                            r.attemptSent(
                                     wire.beganAt(),
                                     id,
                                     attempt,
                                     node,
                                     new InvariantChecker.Place(name, zone, cell)));
-            day.metrics().sends(day.servers().indexOf(EmulatedServer.this));
+            day.metrics().recordAttempt(day.servers().indexOf(EmulatedServer.this));
             process.arrived(served);
         }
 
@@ -239,13 +239,16 @@
                 Served was = served;
                 served = null;
                 process.givenUp(was);
-                day.judged(r -> r.ended(day.now(), was.call, was.attempt, Outcome.CANCELLED));
+                day.judged(
+                        r ->
+                                r.attemptEnded(
+                                        day.now(), was.requestId, was.attempt, Outcome.CANCELLED));
             }
         }
 
         private void answered(Served of, Outcome outcome, String text, long drips) {
             served = null;
-            day.judged(r -> r.ended(day.now(), of.call, of.attempt, outcome));
+            day.judged(r -> r.attemptEnded(day.now(), of.requestId, of.attempt, outcome));
             if (drips == 0) {
                 wire.send(text);
                 return;
@@ -261,13 +264,13 @@
     /** A request that is here. */
     private final class Served implements IncomingRequest {
         private final Line line;
-        private final String call;
+        private final String requestId;
         private final int attempt;
         private final double work;
 
-        Served(Line line, String call, int attempt, double work) {
+        Served(Line line, String requestId, int attempt, double work) {
             this.line = line;
-            this.call = call;
+            this.requestId = requestId;
             this.attempt = attempt;
             this.work = work;
         }
@@ -279,7 +282,7 @@
 
         @Override
         public void begins() {
-            day.judged(r -> r.begun(day.now(), call, attempt));
+            day.judged(r -> r.executionStarted(day.now(), requestId, attempt));
         }
 
         @Override
@@ -297,7 +300,7 @@
                                         "200 OK",
                                         load,
                                         "",
-                                        call + " " + name + " " + (long) work + "\n"),
+                                        requestId + " " + name + " " + (long) work + "\n"),
                                 drips);
                 case ERROR ->
                         line.answered(
--- a/lab/src/main/java/trailthread/lab/emulation/Emulation.java
+++ b/lab/src/main/java/trailthread/lab/emulation/Emulation.java
@@ -31,7 +31,7 @@
 public final class Emulation implements FaultTarget, Closeable {
     private static final long SECOND = 1_000_000_000L;
     private static final long STARTS_WITHIN_NS = 30 * SECOND;
-    private static final int CALLS_REMEMBERED = 200_000;
+    private static final int MAX_REMEMBERED_REQUESTS = 200_000;
 
     /** Attempts of one call so far, and where the last one went. */
     private static final class Attempts {
@@ -81,7 +81,7 @@
 
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Attempts> eldest) {
-                    return size() > CALLS_REMEMBERED;
+                    return size() > MAX_REMEMBERED_REQUESTS;
                 }
             };
     private InvariantChecker checker;
@@ -124,7 +124,7 @@
 
     /** What came of it. */
     public RunMetrics metrics() {
-        metrics.at(now());
+        metrics.setClock(now());
         return metrics;
     }
 
@@ -225,7 +225,9 @@
                 scenario.classes().stream().mapToLong(c -> c.rules().deadlineNs()).max().orElse(0);
         long end = begin + scenario.lengthNs();
         loop.runUntil(end);
-        while (System.nanoTime() < end + 2 * longest && clients != null && clients.open() > 0) {
+        while (System.nanoTime() < end + 2 * longest
+                && clients != null
+                && clients.openOperations() > 0) {
             loop.runUntil(System.nanoTime() + SECOND / 20);
         }
         if (checker != null) {
@@ -238,9 +240,11 @@
                 .scheduleAfter(
                         SECOND,
                         () -> {
-                            metrics.holds(
+                            metrics.recordInflight(
                                     now() - 1,
-                                    servers.stream().mapToInt(w -> w.process().holds()).toArray());
+                                    servers.stream()
+                                            .mapToInt(w -> w.process().inflight())
+                                            .toArray());
                             List<NodeProcess.Sample> samples =
                                     nodes.stream().map(NodeProcess::sample).toList();
                             nodeSeconds.add(
@@ -310,10 +314,10 @@
      * The number of an attempt that has come; an earlier one's connection that has ended by now is
      * looked at first.
      */
-    int nextAttempt(String call, EmulatedServer server) {
-        Attempts of = attempts.computeIfAbsent(call, c -> new Attempts());
+    int nextAttempt(String requestId, EmulatedServer server) {
+        Attempts of = attempts.computeIfAbsent(requestId, c -> new Attempts());
         if (of.last != null) {
-            of.last.look(call);
+            of.last.look(requestId);
         }
         of.last = server;
         return of.count++;
--- a/lab/src/main/java/trailthread/lab/emulation/HttpClients.java
+++ b/lab/src/main/java/trailthread/lab/emulation/HttpClients.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 import trailthread.api.Idempotency;
-import trailthread.lab.clients.ClientRequest;
+import trailthread.lab.clients.ClientOperation;
 import trailthread.lab.clients.RequestSink;
 import trailthread.lab.event.EventQueue;
 import trailthread.lab.invariant.InvariantChecker;
@@ -120,44 +120,44 @@
     }
 
     @Override
-    public void take(ClientRequest ask, int zone, double draw, long until) {
+    public void startAttempt(ClientOperation operation, int zone, double draw, long until) {
         Target target = chosen(zones.get(zone), draw);
         if (target == null) {
-            ask.saw(ClientRequest.Seen.UNREACHABLE, 0);
+            operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
             return;
         }
-        send(target, new Try(ask, Long.toHexString(ids.getAsLong()), until, false));
+        send(target, new ClientAttempt(operation, Long.toHexString(ids.getAsLong()), until, false));
     }
 
-    private void send(Target target, Try call) {
+    private void send(Target target, ClientAttempt attempt) {
         Client client = target.idle.pollLast();
         while (client != null && !client.wire.isOpen()) {
             client = target.idle.pollLast();
         }
         if (client == null) {
             client = new Client(target);
-            client.begin(call);
+            client.begin(attempt);
         } else {
-            client.send(call);
+            client.send(attempt);
         }
     }
 
-    /** One try of a client's. */
-    private record Try(ClientRequest ask, String id, long until, boolean again) {
+    /** One attempt of a client's. */
+    private record ClientAttempt(ClientOperation operation, String id, long until, boolean again) {
         String request(long now) {
-            var rules = ask.law().rules();
+            var rules = operation.classModel().rules();
             boolean safe = rules.idempotency() == Idempotency.IDEMPOTENT;
             return (safe ? "GET /" : "POST /")
                     + rules.name()
                     + "?work="
-                    + (long) ask.work()
+                    + (long) operation.work()
                     + " HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: "
                     + id
                     + "\r\nX-Service-Class: "
                     + rules.name()
                     + "\r\nX-Time-Left: "
                     + String.format(Locale.ROOT, "%.4f", Math.max(0, until - now) / 1e9)
-                    + (ask.tenant() == null ? "" : "\r\nX-Account: " + ask.tenant())
+                    + (operation.tenant() == null ? "" : "\r\nX-Account: " + operation.tenant())
                     + (rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
                             ? "\r\nIdempotency-Key: " + id
                             : "")
@@ -169,9 +169,9 @@
     private final class Client implements HttpMessageConnection.Listener {
         private final Target target;
         private HttpMessageConnection wire;
-        private Try call;
+        private ClientAttempt attempt;
         private boolean reused;
-        private boolean taken;
+        private boolean received;
 
         /** It came while the node was stopped, which learns too late when. */
         private boolean excused;
@@ -182,12 +182,12 @@
             this.target = target;
         }
 
-        void begin(Try first) {
+        void begin(ClientAttempt first) {
             try {
                 wire = HttpMessageConnection.open(loop, target.address, this);
             } catch (IOException e) {
                 if (first != null) {
-                    first.ask.saw(ClientRequest.Seen.UNREACHABLE, 0);
+                    first.operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
                 }
                 return;
             }
@@ -199,13 +199,13 @@
             }
         }
 
-        void send(Try next) {
-            call = next;
-            taken = false;
+        void send(ClientAttempt next) {
+            attempt = next;
+            received = false;
             long now = eventQueue.now();
             overdue = eventQueue.scheduleAt(next.until + slackNs + GRACE_NS, this::overdue);
             if (wire.isConnected()) {
-                take();
+                requestReceived();
             }
             if (wire.isOpen()) {
                 wire.send(next.request(now));
@@ -216,26 +216,26 @@
          * The node's machine has the connection, so with the request's last byte the node has the
          * call.
          */
-        private void take() {
-            taken = true;
+        private void requestReceived() {
+            received = true;
             excused = target.excused;
-            var rules = call.ask.law().rules();
-            checker.taken(
+            var rules = attempt.operation.classModel().rules();
+            checker.requestReceived(
                     eventQueue.now(),
-                    call.id,
+                    attempt.id,
                     target.name,
                     new RequestTerms(
                             rules.name(),
                             rules.idempotency(),
                             rules.deduplicationScope(),
                             rules.deduplicationWindowNs(),
-                            call.until + GRACE_NS));
+                            attempt.until + GRACE_NS));
         }
 
         @Override
         public void opened() {
-            if (call != null) {
-                take();
+            if (attempt != null) {
+                requestReceived();
             } else {
                 target.idle.addFirst(this);
             }
@@ -243,18 +243,18 @@
 
         @Override
         public void message(HttpMessage message) {
-            if (call == null) {
+            if (attempt == null) {
                 wire.close();
                 forget();
                 return;
             }
-            Try of = end();
+            ClientAttempt of = end();
             int status = message.status();
             boolean refused = status == 429 || status == 503;
             if (status == 200 && !message.text().startsWith(of.id + " ")) {
-                checker.foreign(eventQueue.now(), of.id, message.text());
+                checker.wrongResponse(eventQueue.now(), of.id, message.text());
             }
-            checker.answered(
+            checker.responded(
                     eventQueue.now(),
                     of.id,
                     status == 200 ? "served" : refused ? "refused" : "failed " + status);
@@ -265,10 +265,12 @@
                 wire.close();
                 forget();
             }
-            of.ask.saw(
+            of.operation.attemptEnded(
                     status == 200
-                            ? ClientRequest.Seen.SERVED
-                            : refused ? ClientRequest.Seen.REFUSED : ClientRequest.Seen.FAILED,
+                            ? ClientOperation.AttemptResult.SERVED
+                            : refused
+                                    ? ClientOperation.AttemptResult.REFUSED
+                                    : ClientOperation.AttemptResult.FAILED,
                     advice(message.header("retry-after")));
         }
 
@@ -280,9 +282,9 @@
             }
         }
 
-        private Try end() {
-            Try of = call;
-            call = null;
+        private ClientAttempt end() {
+            ClientAttempt of = attempt;
+            attempt = null;
             overdue.cancel();
             return of;
         }
@@ -296,42 +298,42 @@
         @Override
         public void closed(String how) {
             forget();
-            if (call == null) {
+            if (attempt == null) {
                 return;
             }
-            Try of = end();
-            if (!taken) {
-                of.ask.saw(ClientRequest.Seen.UNREACHABLE, 0);
+            ClientAttempt of = end();
+            if (!received) {
+                of.operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
             } else if (excused || target.excused) {
-                checker.gone(eventQueue.now(), of.id);
-                of.ask.saw(ClientRequest.Seen.NOTHING, 0);
+                checker.clientDisconnected(eventQueue.now(), of.id);
+                of.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
             } else if (reused && !of.again && (how.equals("ended") || how.equals("reset"))) {
                 // The close has crossed the request, which is sent once more, on a new connection.
                 checker.forget(of.id);
-                new Client(target).begin(new Try(of.ask, of.id, of.until, true));
+                new Client(target).begin(new ClientAttempt(of.operation, of.id, of.until, true));
             } else {
-                checker.lost(
+                checker.connectionLost(
                         eventQueue.now(), of.id, "the connection " + how + " without an answer");
-                of.ask.saw(ClientRequest.Seen.NOTHING, 0);
+                of.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
             }
         }
 
         /** The client leaves. */
         private void overdue() {
-            Try of = call;
-            call = null;
+            ClientAttempt of = attempt;
+            attempt = null;
             wire.close();
             forget();
-            if (!taken) {
-                of.ask.saw(ClientRequest.Seen.UNREACHABLE, 0);
+            if (!received) {
+                of.operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
                 return;
             }
             if (excused || target.excused) {
-                checker.gone(eventQueue.now(), of.id);
+                checker.clientDisconnected(eventQueue.now(), of.id);
             } else {
-                checker.overdue(eventQueue.now(), of.id);
+                checker.deadlineMissed(eventQueue.now(), of.id);
             }
-            of.ask.saw(ClientRequest.Seen.NOTHING, 0);
+            of.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
         }
     }
 }
--- a/lab/src/main/java/trailthread/lab/experiment/Result.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Result.java
@@ -62,13 +62,15 @@
         Map<String, long[]> classes = new LinkedHashMap<>();
         metrics.classes().forEach((name, of) -> classes.put(name, of.counts()));
         Map<String, Integer> broken = new LinkedHashMap<>();
-        checker.broken()
+        checker.violationCounts()
                 .forEach((rule, times) -> broken.put(rule.name().toLowerCase(Locale.ROOT), times));
         long[] totals = metrics.totals();
         double seconds = (scenario.lengthNs() - scenario.warmUpNs()) / 1e9;
         Histogram latency = metrics.latencyUs();
-        double mean = metrics.sent().stream().mapToLong(Long::longValue).average().orElse(0);
-        double most = metrics.sent().stream().mapToLong(Long::longValue).max().orElse(0);
+        double mean =
+                metrics.attemptsByServer().stream().mapToLong(Long::longValue).average().orElse(0);
+        double most =
+                metrics.attemptsByServer().stream().mapToLong(Long::longValue).max().orElse(0);
         return new Result(
                 scenario.name(),
                 policy,
--- a/lab/src/main/java/trailthread/lab/invariant/HistoryEntry.java
+++ b/lab/src/main/java/trailthread/lab/invariant/HistoryEntry.java
@@ -4,14 +4,14 @@
  * One thing in the life of a call.
  *
  * @param at in ns
- * @param what what happened
+ * @param event what happened
  * @param attempt its number, or -1
  * @param server its name, or null
  * @param detail what else there is to say, or null
  */
-public record HistoryEntry(long at, What what, int attempt, String server, Object detail) {
+public record HistoryEntry(long at, Event event, int attempt, String server, Object detail) {
     /** What can happen to a call. */
-    public enum What {
+    public enum Event {
         TAKEN,
         SENT,
         BEGUN,
@@ -29,7 +29,7 @@
                                 java.util.Locale.ROOT,
                                 "%.6f s %s",
                                 at / 1e9,
-                                what.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ')));
+                                event.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ')));
         if (attempt >= 0) {
             text.append(" attempt ").append(attempt);
         }
--- a/lab/src/main/java/trailthread/lab/invariant/InvariantChecker.java
+++ b/lab/src/main/java/trailthread/lab/invariant/InvariantChecker.java
@@ -17,14 +17,14 @@
  */
 public final class InvariantChecker {
     /** Violations that are kept with their histories; more are counted. */
-    private static final int MOST_KEPT = 20;
+    private static final int MAX_KEPT_VIOLATIONS = 20;
 
-    private static final int MOST_DEPARTED = 10_000;
+    private static final int MAX_ABANDONED = 10_000;
 
     /** A place where an attempt runs, as far as repeats go. */
     public record Place(String server, String zone, int cell) {}
 
-    private static final class Watched {
+    private static final class TrackedRequest {
         final RequestTerms terms;
         final List<HistoryEntry> history = new ArrayList<>(6);
 
@@ -32,39 +32,39 @@
          * The place and time of the first attempt that reached a server and was not turned away by
          * it.
          */
-        Place firstRan;
+        Place firstExecutedAt;
 
-        long firstRanSent;
-        int out;
-        boolean answered;
+        long firstExecutedSentAt;
+        int attemptsInFlight;
+        boolean responded;
         boolean released;
 
         /** The attempts, by number, that are out. */
-        final Map<Integer, Sent> sent = new HashMap<>(2);
+        final Map<Integer, SentAttempt> sentAttempts = new HashMap<>(2);
 
-        Watched(RequestTerms terms) {
+        TrackedRequest(RequestTerms terms) {
             this.terms = terms;
         }
     }
 
-    private record Sent(Place place, long at) {}
+    private record SentAttempt(Place place, long at) {}
 
     private final long responseSlackNs;
     private final long drainGraceNs;
-    private final Map<String, Watched> calls = new HashMap<>();
+    private final Map<String, TrackedRequest> openRequests = new HashMap<>();
 
     /**
      * Calls whose clients have left: their nodes may still send them, and may repeat them no more
      * than others.
      */
-    private final Map<String, Watched> departed = new LinkedHashMap<>();
+    private final Map<String, TrackedRequest> abandoned = new LinkedHashMap<>();
 
     /** When each node was told that a server wants nothing new. */
-    private final Map<String, Long> drainTold = new HashMap<>();
+    private final Map<String, Long> drainNotifiedAt = new HashMap<>();
 
-    private final Map<Invariant, Integer> broken = new EnumMap<>(Invariant.class);
-    private final List<Violation> kept = new ArrayList<>();
-    private long judged;
+    private final Map<Invariant, Integer> violationCounts = new EnumMap<>(Invariant.class);
+    private final List<Violation> violations = new ArrayList<>();
+    private long checkedRequests;
 
     /**
      * @param responseSlackNs how far past its deadline an answer still counts
@@ -76,49 +76,49 @@
     }
 
     /** How often each rule was broken; without those that were kept. */
-    public Map<Invariant, Integer> broken() {
-        return new EnumMap<>(broken);
+    public Map<Invariant, Integer> violationCounts() {
+        return new EnumMap<>(violationCounts);
     }
 
     /** The first violations, with their histories. */
     public List<Violation> violations() {
-        return List.copyOf(kept);
+        return List.copyOf(violations);
     }
 
     /** Calls that have been judged to their ends. */
-    public long judged() {
-        return judged;
+    public long checkedRequests() {
+        return checkedRequests;
     }
 
     /** Calls whose ends are still to come. */
-    public int open() {
-        return calls.size();
+    public int openRequests() {
+        return openRequests.size();
     }
 
     private void violated(
             Invariant rule, long at, String who, String what, List<HistoryEntry> history) {
-        broken.merge(rule, 1, Integer::sum);
-        if (kept.size() < MOST_KEPT) {
-            kept.add(new Violation(rule, at, who, what, List.copyOf(history)));
+        violationCounts.merge(rule, 1, Integer::sum);
+        if (violations.size() < MAX_KEPT_VIOLATIONS) {
+            violations.add(new Violation(rule, at, who, what, List.copyOf(history)));
         }
     }
 
     /** A node has taken a call, under a name that no other call has. */
-    public void taken(long at, String call, String node, RequestTerms terms) {
-        Watched watched = new Watched(terms);
-        calls.put(call, watched);
-        watched.history.add(
-                new HistoryEntry(at, HistoryEntry.What.TAKEN, -1, node, terms.requestClass()));
+    public void requestReceived(long at, String requestId, String node, RequestTerms terms) {
+        TrackedRequest tracked = new TrackedRequest(terms);
+        openRequests.put(requestId, tracked);
+        tracked.history.add(
+                new HistoryEntry(at, HistoryEntry.Event.TAKEN, -1, node, terms.requestClass()));
     }
 
     /** An attempt leaves its node; its last byte need not have. */
-    public void sent(long at, String call, int attempt, String node, Place place) {
-        Watched watched = watched(call);
-        if (watched == null) {
+    public void attemptSent(long at, String requestId, int attempt, String node, Place place) {
+        TrackedRequest tracked = tracked(requestId);
+        if (tracked == null) {
             violated(
                     Invariant.REPEATS,
                     at,
-                    call,
+                    requestId,
                     "an attempt of "
                             + node
                             + " at "
@@ -127,31 +127,31 @@
                     List.of());
             return;
         }
-        watched.history.add(
-                new HistoryEntry(at, HistoryEntry.What.SENT, attempt, place.server(), null));
-        if (watched.out > 0) {
+        tracked.history.add(
+                new HistoryEntry(at, HistoryEntry.Event.SENT, attempt, place.server(), null));
+        if (tracked.attemptsInFlight > 0) {
             violated(
                     Invariant.ONE_ATTEMPT,
                     at,
-                    call,
+                    requestId,
                     "another attempt is still out",
-                    watched.history);
+                    tracked.history);
         }
-        watched.out++;
-        watched.sent.put(attempt, new Sent(place, at));
-        Long told = drainTold.get(node + " " + place.server());
-        if (told != null && at > told + drainGraceNs) {
+        tracked.attemptsInFlight++;
+        tracked.sentAttempts.put(attempt, new SentAttempt(place, at));
+        Long notifiedAt = drainNotifiedAt.get(node + " " + place.server());
+        if (notifiedAt != null && at > notifiedAt + drainGraceNs) {
             violated(
                     Invariant.DRAINS,
                     at,
-                    call,
+                    requestId,
                     String.format(
                             Locale.ROOT,
                             "%s was told at %.6f s that %s wants nothing new",
                             node,
-                            told / 1e9,
+                            notifiedAt / 1e9,
                             place.server()),
-                    watched.history);
+                    tracked.history);
         }
     }
 
@@ -159,169 +159,170 @@
      * An attempt's last byte has come to its server, which has not turned it away: from now on it
      * may run.
      */
-    public void begun(long at, String call, int attempt) {
-        Watched watched = watched(call);
-        if (watched == null || !watched.sent.containsKey(attempt)) {
+    public void executionStarted(long at, String requestId, int attempt) {
+        TrackedRequest tracked = tracked(requestId);
+        if (tracked == null || !tracked.sentAttempts.containsKey(attempt)) {
             return; // its client and its node have forgotten it
         }
-        Sent sent = watched.sent.get(attempt);
-        watched.history.add(
-                new HistoryEntry(at, HistoryEntry.What.BEGUN, attempt, sent.place.server(), null));
-        if (watched.firstRan == null) {
-            watched.firstRan = sent.place;
-            watched.firstRanSent = sent.at;
-        } else if (!mayRepeat(watched, sent.place, at)) {
+        SentAttempt attemptSent = tracked.sentAttempts.get(attempt);
+        tracked.history.add(
+                new HistoryEntry(
+                        at, HistoryEntry.Event.BEGUN, attempt, attemptSent.place.server(), null));
+        if (tracked.firstExecutedAt == null) {
+            tracked.firstExecutedAt = attemptSent.place;
+            tracked.firstExecutedSentAt = attemptSent.at;
+        } else if (!mayRepeat(tracked, attemptSent.place, at)) {
             violated(
                     Invariant.REPEATS,
                     at,
-                    call,
-                    "it may have run at " + watched.firstRan.server() + " before",
-                    watched.history);
+                    requestId,
+                    "it may have run at " + tracked.firstExecutedAt.server() + " before",
+                    tracked.history);
         }
     }
 
-    private static boolean mayRepeat(Watched watched, Place place, long at) {
-        RequestTerms terms = watched.terms;
+    private static boolean mayRepeat(TrackedRequest tracked, Place place, long at) {
+        RequestTerms terms = tracked.terms;
         if (terms.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
         if (terms.idempotency() == Idempotency.NOT_IDEMPOTENT
-                || at > watched.firstRanSent + terms.deduplicationWindowNs()) {
+                || at > tracked.firstExecutedSentAt + terms.deduplicationWindowNs()) {
             return false;
         }
         return switch (terms.group()) {
             case ALL -> true;
-            case ZONE -> place.zone().equals(watched.firstRan.zone());
+            case ZONE -> place.zone().equals(tracked.firstExecutedAt.zone());
             case CELL ->
-                    (place.cell() >= 0 && place.cell() == watched.firstRan.cell())
-                            || place.server().equals(watched.firstRan.server());
+                    (place.cell() >= 0 && place.cell() == tracked.firstExecutedAt.cell())
+                            || place.server().equals(tracked.firstExecutedAt.server());
         };
     }
 
     /** An attempt's node has heard, or decided, how it ended. */
-    public void ended(long at, String call, int attempt, Outcome outcome) {
-        Watched watched = watched(call);
-        if (watched != null) {
-            watched.history.add(
-                    new HistoryEntry(at, HistoryEntry.What.ENDED, attempt, null, outcome));
-            watched.out--;
-            release(call, watched);
+    public void attemptEnded(long at, String requestId, int attempt, Outcome outcome) {
+        TrackedRequest tracked = tracked(requestId);
+        if (tracked != null) {
+            tracked.history.add(
+                    new HistoryEntry(at, HistoryEntry.Event.ENDED, attempt, null, outcome));
+            tracked.attemptsInFlight--;
+            release(requestId, tracked);
         }
     }
 
     /** A node answers a call. */
-    public void answered(long at, String call, String how) {
-        Watched watched = calls.get(call);
-        if (watched == null && departed.containsKey(call)) {
+    public void responded(long at, String requestId, String how) {
+        TrackedRequest tracked = openRequests.get(requestId);
+        if (tracked == null && abandoned.containsKey(requestId)) {
             return; // nobody hears it any more
         }
-        if (watched == null) {
+        if (tracked == null) {
             violated(
                     Invariant.ONE_ANSWER,
                     at,
-                    call,
+                    requestId,
                     "answered (" + how + ") after its end",
                     List.of());
             return;
         }
-        watched.history.add(new HistoryEntry(at, HistoryEntry.What.ANSWERED, -1, null, how));
-        if (watched.answered) {
-            violated(Invariant.ONE_ANSWER, at, call, "a second answer", watched.history);
-        } else if (at > watched.terms.deadline() + responseSlackNs) {
+        tracked.history.add(new HistoryEntry(at, HistoryEntry.Event.ANSWERED, -1, null, how));
+        if (tracked.responded) {
+            violated(Invariant.ONE_ANSWER, at, requestId, "a second answer", tracked.history);
+        } else if (at > tracked.terms.deadline() + responseSlackNs) {
             violated(
                     Invariant.IN_TIME,
                     at,
-                    call,
+                    requestId,
                     String.format(
                             Locale.ROOT,
                             "%.3f ms after its deadline",
-                            (at - watched.terms.deadline()) / 1e6),
-                    watched.history);
+                            (at - tracked.terms.deadline()) / 1e6),
+                    tracked.history);
         }
-        watched.answered = true;
-        release(call, watched);
+        tracked.responded = true;
+        release(requestId, tracked);
     }
 
     /** The answer that a call was given is none that a server made for it. */
-    public void foreign(long at, String call, String what) {
-        Watched watched = calls.get(call);
+    public void wrongResponse(long at, String requestId, String what) {
+        TrackedRequest tracked = openRequests.get(requestId);
         violated(
                 Invariant.OWN_ANSWER,
                 at,
-                call,
+                requestId,
                 "served with: " + what,
-                watched == null ? List.of() : watched.history);
+                tracked == null ? List.of() : tracked.history);
     }
 
     /** A call's connection was ended by its node without a whole answer. */
-    public void lost(long at, String call, String how) {
-        Watched watched = calls.get(call);
-        if (watched != null) {
-            violated(Invariant.ONE_ANSWER, at, call, how, watched.history);
-            watched.released = true;
-            release(call, watched);
+    public void connectionLost(long at, String requestId, String how) {
+        TrackedRequest tracked = openRequests.get(requestId);
+        if (tracked != null) {
+            violated(Invariant.ONE_ANSWER, at, requestId, how, tracked.history);
+            tracked.released = true;
+            release(requestId, tracked);
         }
     }
 
     /** The client has gone early, or its node was killed: no answer is owed any more. */
-    public void gone(long at, String call) {
-        Watched watched = calls.get(call);
-        if (watched != null) {
-            watched.history.add(
-                    new HistoryEntry(at, HistoryEntry.What.CLIENT_GONE, -1, null, null));
-            watched.released = true;
-            release(call, watched);
+    public void clientDisconnected(long at, String requestId) {
+        TrackedRequest tracked = openRequests.get(requestId);
+        if (tracked != null) {
+            tracked.history.add(
+                    new HistoryEntry(at, HistoryEntry.Event.CLIENT_GONE, -1, null, null));
+            tracked.released = true;
+            release(requestId, tracked);
         }
     }
 
     /** The client's time is over, with all slack, and nothing came. */
-    public void overdue(long at, String call) {
-        Watched watched = calls.get(call);
-        if (watched != null && !watched.answered && !watched.released) {
-            watched.history.add(new HistoryEntry(at, HistoryEntry.What.OVERDUE, -1, null, null));
-            violated(Invariant.IN_TIME, at, call, "no answer", watched.history);
-            watched.released = true;
-            release(call, watched);
+    public void deadlineMissed(long at, String requestId) {
+        TrackedRequest tracked = openRequests.get(requestId);
+        if (tracked != null && !tracked.responded && !tracked.released) {
+            tracked.history.add(new HistoryEntry(at, HistoryEntry.Event.OVERDUE, -1, null, null));
+            violated(Invariant.IN_TIME, at, requestId, "no answer", tracked.history);
+            tracked.released = true;
+            release(requestId, tracked);
         }
     }
 
     /** A node was killed: what it had is over. */
-    public void forget(String call) {
-        if (calls.remove(call) != null) {
-            judged++;
+    public void forget(String requestId) {
+        if (openRequests.remove(requestId) != null) {
+            checkedRequests++;
         }
     }
 
-    private void release(String call, Watched watched) {
-        if ((watched.answered || watched.released)
-                && watched.out <= 0
-                && calls.remove(call) != null) {
-            judged++;
-            if (!watched.answered) {
-                departed.put(call, watched);
-                if (departed.size() > MOST_DEPARTED) {
-                    departed.remove(departed.keySet().iterator().next());
+    private void release(String requestId, TrackedRequest tracked) {
+        if ((tracked.responded || tracked.released)
+                && tracked.attemptsInFlight <= 0
+                && openRequests.remove(requestId) != null) {
+            checkedRequests++;
+            if (!tracked.responded) {
+                abandoned.put(requestId, tracked);
+                if (abandoned.size() > MAX_ABANDONED) {
+                    abandoned.remove(abandoned.keySet().iterator().next());
                 }
             }
         }
     }
 
-    private Watched watched(String call) {
-        Watched watched = calls.get(call);
-        return watched != null ? watched : departed.get(call);
+    private TrackedRequest tracked(String requestId) {
+        TrackedRequest tracked = openRequests.get(requestId);
+        return tracked != null ? tracked : abandoned.get(requestId);
     }
 
     /** A node has been told that a server drains or is gone, or that it is ready (again). */
-    public void told(long at, String node, String server, boolean wantsNew) {
-        if (wantsNew) {
-            drainTold.remove(node + " " + server);
+    public void endpointStateReceived(long at, String node, String server, boolean acceptsNew) {
+        if (acceptsNew) {
+            drainNotifiedAt.remove(node + " " + server);
         } else {
-            drainTold.putIfAbsent(node + " " + server, at);
+            drainNotifiedAt.putIfAbsent(node + " " + server, at);
         }
     }
 
     /** A cold server has fallen over. */
-    public void fell(long at, String server) {
+    public void coldServerOverloaded(long at, String server) {
         violated(
                 Invariant.COLD_STARTS,
                 at,
@@ -332,8 +333,8 @@
 
     /** The run is over: calls that are still owed an answer were lost. */
     public void finish(long at) {
-        for (String call : new ArrayList<>(calls.keySet())) {
-            overdue(at, call);
+        for (String requestId : new ArrayList<>(openRequests.keySet())) {
+            deadlineMissed(at, requestId);
         }
     }
 }
--- a/lab/src/main/java/trailthread/lab/invariant/Violation.java
+++ b/lab/src/main/java/trailthread/lab/invariant/Violation.java
@@ -7,14 +7,14 @@
  *
  * @param rule which
  * @param at when it broke, in ns
- * @param who the call, or the server, that it broke on
- * @param what what was seen
+ * @param subject the call, or the server, that it broke on
+ * @param finding what was seen
  * @param history the whole life of the call so far, in order; empty where it is no call's
  */
 public record Violation(
-        Invariant rule, long at, String who, String what, List<HistoryEntry> history) {
+        Invariant rule, long at, String subject, String finding, List<HistoryEntry> history) {
     /** Over several lines, for people. */
-    public String told() {
+    public String describe() {
         StringBuilder text =
                 new StringBuilder(
                         String.format(
@@ -22,9 +22,9 @@
                                 "%s broken at %.6f s by %s: %s",
                                 rule,
                                 at / 1e9,
-                                who,
-                                what));
-        history.forEach(moment -> text.append("\n    ").append(moment));
+                                subject,
+                                finding));
+        history.forEach(entry -> text.append("\n    ").append(entry));
         return text.toString();
     }
 }
--- a/lab/src/main/java/trailthread/lab/metrics/RunMetrics.java
+++ b/lab/src/main/java/trailthread/lab/metrics/RunMetrics.java
@@ -12,22 +12,22 @@
  * warm-up does not count in the totals; it stands in the series by seconds.
  */
 public final class RunMetrics {
-    private static final long MOST_US = 600_000_000L;
-    private static final int DIGITS = 3;
+    private static final long MAX_LATENCY_US = 600_000_000L;
+    private static final int HISTOGRAM_DIGITS = 3;
 
     /** What became of the requests of one class. */
-    public static final class OfClass {
-        private long asked;
-        private long good;
+    public static final class ClassMetrics {
+        private long offered;
+        private long inTime;
         private long late;
         private long refused;
-        private final Histogram latencyUs = new Histogram(MOST_US, DIGITS);
+        private final Histogram latencyUs = new Histogram(MAX_LATENCY_US, HISTOGRAM_DIGITS);
 
         /**
          * Asked for; answered within the aim; after it; refused in the end; the rest has failed.
          */
         public long[] counts() {
-            return new long[] {asked, good, late, refused, asked - good - late - refused};
+            return new long[] {offered, inTime, late, refused, offered - inTime - late - refused};
         }
 
         /** Of those that were served, from the first try on, in us. */
@@ -37,167 +37,177 @@
     }
 
     /** A second of the day. */
-    public static final class Second {
-        private long asked;
-        private long good;
+    public static final class SecondMetrics {
+        private long offered;
+        private long inTime;
         private long late;
         private long refused;
         private long failed;
         private long attempts;
-        private int[] held = new int[0];
+        private int[] inflight = new int[0];
 
         /**
          * First tries in it, and what became of these: within the aim, after it, refused, failed;
          * and attempts.
          */
         public long[] counts() {
-            return new long[] {asked, good, late, refused, failed, attempts};
+            return new long[] {offered, inTime, late, refused, failed, attempts};
         }
 
         /** What each server held at its end. */
-        public int[] held() {
-            return held;
+        public int[] inflight() {
+            return inflight;
         }
     }
 
     private final long begin;
-    private final long from;
+    private final long countedFrom;
     private long clock = Long.MIN_VALUE;
-    private final Map<String, OfClass> classes = new LinkedHashMap<>();
-    private final List<Second> seconds = new ArrayList<>();
-    private final List<Long> sent = new ArrayList<>();
-    private double askedWorth;
-    private double goodWorth;
-    private long tries;
-    private long asks;
+    private final Map<String, ClassMetrics> classes = new LinkedHashMap<>();
+    private final List<SecondMetrics> seconds = new ArrayList<>();
+    private final List<Long> attemptsByServer = new ArrayList<>();
+    private double offeredWeight;
+    private double goodWeight;
+    private long clientAttempts;
+    private long operations;
     private long attempts;
     private long probes;
-    private long opened;
+    private long connections;
     private long refusals;
-    private long notes;
+    private long logLines;
     private long decisions;
     private long decisionNs;
 
-    /** The day begins at {@code begin} and counts from {@code from} on, in ns. */
-    public RunMetrics(long begin, long from) {
+    /** The day begins at {@code begin} and counts from {@code countedFrom} on, in ns. */
+    public RunMetrics(long begin, long countedFrom) {
         this.begin = begin;
-        this.from = from;
+        this.countedFrom = countedFrom;
     }
 
-    private Second second(long at) {
+    private SecondMetrics second(long at) {
         int index = (int) ((at - begin) / 1_000_000_000L);
         while (seconds.size() <= index) {
-            seconds.add(new Second());
+            seconds.add(new SecondMetrics());
         }
         return seconds.get(index);
     }
 
-    private int counts() {
-        return clock >= from ? 1 : 0;
+    private int counted() {
+        return clock >= countedFrom ? 1 : 0;
     }
 
     /** The time of what is counted next, where it is not said. */
-    public void at(long now) {
+    public void setClock(long now) {
         clock = now;
     }
 
     /** A client's request has come to its end, over all its tries. */
-    public void ended(
-            ClassLaw law, boolean served, boolean refused, long begunAt, long endedAt, int tried) {
-        long took = endedAt - begunAt;
-        boolean good = served && took <= law.rules().latencyObjectiveNs();
-        Second second = second(begunAt);
-        second.asked++;
-        second.good += good ? 1 : 0;
-        second.late += served && !good ? 1 : 0;
+    public void recordOperation(
+            ClassLaw classModel,
+            boolean served,
+            boolean refused,
+            long startedAt,
+            long endedAt,
+            int clientAttemptsUsed) {
+        long latency = endedAt - startedAt;
+        boolean inTime = served && latency <= classModel.rules().latencyObjectiveNs();
+        SecondMetrics second = second(startedAt);
+        second.offered++;
+        second.inTime += inTime ? 1 : 0;
+        second.late += served && !inTime ? 1 : 0;
         second.refused += refused ? 1 : 0;
         second.failed += served || refused ? 0 : 1;
-        if (begunAt < from) {
+        if (startedAt < countedFrom) {
             return;
         }
-        OfClass of = classes.computeIfAbsent(law.rules().name(), name -> new OfClass());
-        asks++;
-        tries += tried;
-        of.asked++;
-        of.good += good ? 1 : 0;
-        of.late += served && !good ? 1 : 0;
-        of.refused += refused ? 1 : 0;
-        askedWorth += law.rules().priorityWeight();
-        goodWorth +=
-                good
-                        ? law.rules().priorityWeight()
-                        : served ? law.rules().priorityWeight() * law.rules().lateWeightShare() : 0;
+        ClassMetrics classMetrics =
+                classes.computeIfAbsent(classModel.rules().name(), name -> new ClassMetrics());
+        operations++;
+        clientAttempts += clientAttemptsUsed;
+        classMetrics.offered++;
+        classMetrics.inTime += inTime ? 1 : 0;
+        classMetrics.late += served && !inTime ? 1 : 0;
+        classMetrics.refused += refused ? 1 : 0;
+        offeredWeight += classModel.rules().priorityWeight();
+        goodWeight +=
+                inTime
+                        ? classModel.rules().priorityWeight()
+                        : served
+                                ? classModel.rules().priorityWeight()
+                                        * classModel.rules().lateWeightShare()
+                                : 0;
         if (served) {
-            of.latencyUs.recordValue(Math.min(MOST_US, Math.max(0, took / 1000)));
+            classMetrics.latencyUs.recordValue(
+                    Math.min(MAX_LATENCY_US, Math.max(0, latency / 1000)));
         }
     }
 
     /** An attempt was sent to the server of this number. */
-    public void sends(int server) {
-        attempts += counts();
+    public void recordAttempt(int server) {
+        attempts += counted();
         second(clock).attempts++;
-        while (sent.size() <= server) {
-            sent.add(0L);
+        while (attemptsByServer.size() <= server) {
+            attemptsByServer.add(0L);
         }
-        sent.set(server, sent.get(server) + 1);
+        attemptsByServer.set(server, attemptsByServer.get(server) + 1);
     }
 
     /** A probe was sent. */
-    public void probes() {
-        probes += counts();
+    public void recordHealthCheck() {
+        probes += counted();
     }
 
     /** A connection to a server was opened. */
-    public void opens() {
-        opened += counts();
+    public void recordConnection() {
+        connections += counted();
     }
 
     /** A node has refused a try. */
-    public void refuses() {
-        refusals += counts();
+    public void recordRefusal() {
+        refusals += counted();
     }
 
     /** A node has written a line for its staff. */
-    public void logs() {
-        notes += counts();
+    public void recordLogLine() {
+        logLines += counted();
     }
 
     /** The decisions took this long for one event. */
-    public void decided(long ns) {
+    public void recordDecision(long ns) {
         decisions++;
         decisionNs += ns;
     }
 
     /** What each server holds now. */
-    public void holds(long now, int[] held) {
-        second(now).held = held;
+    public void recordInflight(long now, int[] inflight) {
+        second(now).inflight = inflight;
     }
 
     /** Worth that was answered in time over worth that was asked for; 1 where nothing was. */
     public double goodput() {
-        return askedWorth == 0 ? 1 : goodWorth / askedWorth;
+        return offeredWeight == 0 ? 1 : goodWeight / offeredWeight;
     }
 
     /** By class, in the order in which they were first asked for. */
-    public Map<String, OfClass> classes() {
+    public Map<String, ClassMetrics> classes() {
         return classes;
     }
 
     /** Of all classes together, in us. */
     public Histogram latencyUs() {
-        Histogram all = new Histogram(MOST_US, DIGITS);
-        classes.values().forEach(of -> all.add(of.latencyUs));
+        Histogram all = new Histogram(MAX_LATENCY_US, HISTOGRAM_DIGITS);
+        classes.values().forEach(classMetrics -> all.add(classMetrics.latencyUs));
         return all;
     }
 
     /** By seconds. */
-    public List<Second> seconds() {
+    public List<SecondMetrics> seconds() {
         return seconds;
     }
 
     /** Attempts sent to each server. */
-    public List<Long> sent() {
-        return sent;
+    public List<Long> attemptsByServer() {
+        return attemptsByServer;
     }
 
     /**
@@ -205,7 +215,9 @@
      * of log.
      */
     public long[] totals() {
-        return new long[] {asks, tries, attempts, probes, opened, refusals, notes};
+        return new long[] {
+            operations, clientAttempts, attempts, probes, connections, refusals, logLines
+        };
     }
 
     /** Events that the decisions were told of. */
--- a/lab/src/main/java/trailthread/lab/server/ServerProcess.java
+++ b/lab/src/main/java/trailthread/lab/server/ServerProcess.java
@@ -160,7 +160,7 @@
     }
 
     /** Requests that it holds. */
-    public int holds() {
+    public int inflight() {
         return up ? model.inflight() : 0;
     }
 
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
@@ -7,14 +7,14 @@
 
 /** One attempt of a call, from its node to a server and back, in virtual time. */
 final class SimulatedAttempt implements IncomingRequest {
-    final SimulatedRequest call;
+    final SimulatedRequest request;
     final int number;
     final SimulatedServer server;
     private final Simulation world;
     private final SimulatedNode node;
     private final long sentAt;
     private EventQueue.Entry timeout;
-    private boolean over;
+    private boolean ended;
 
     /** It has a connection, of this life of its server. */
     private boolean connected;
@@ -23,22 +23,22 @@
     private boolean written;
 
     /** It counts among those that are on their way. */
-    private boolean coming = true;
+    private boolean arriving = true;
 
     SimulatedAttempt(
             Simulation world,
             SimulatedNode node,
-            SimulatedRequest call,
+            SimulatedRequest request,
             int number,
             SimulatedServer server) {
         this.world = world;
         this.node = node;
-        this.call = call;
+        this.request = request;
         this.number = number;
         this.server = server;
         this.sentAt = world.now();
         this.life = server.process().life();
-        server.coming++;
+        server.arriving++;
     }
 
     /** Begins it; it is given up after this time, in ns. */
@@ -46,7 +46,7 @@
         timeout =
                 world.eventQueue()
                         .scheduleAfter(withinNs, () -> node.input(() -> giveUp(Outcome.TIMEOUT)));
-        if (node.takesIdle(server)) {
+        if (node.takeIdleConnection(server)) {
             connected = true;
             write();
         } else {
@@ -55,7 +55,7 @@
     }
 
     private void connect() {
-        world.metrics().opens();
+        world.metrics().recordConnection();
         world.eventQueue()
                 .scheduleAfter(
                         world.network().dialNs(),
@@ -70,15 +70,15 @@
                 node,
                 server,
                 () -> {
-                    boolean opened = server.opens();
+                    boolean accepted = server.acceptConnection();
                     life = server.process().life();
                     world.travel(
                             server,
                             node,
                             () -> {
-                                if (over && opened) {
-                                    server.closes(life);
-                                } else if (opened) {
+                                if (ended && accepted) {
+                                    server.connectionClosed(life);
+                                } else if (accepted) {
                                     connected = true;
                                     write();
                                 } else {
@@ -94,10 +94,10 @@
                 node,
                 server,
                 () -> {
-                    if (over) {
+                    if (ended) {
                         return; // the connection was closed on it
                     }
-                    comesNoMore();
+                    noLongerArriving();
                     if (server.process().isUp() && server.process().life() == life) {
                         server.process().arrived(this);
                     } else {
@@ -106,30 +106,30 @@
                 });
     }
 
-    private void comesNoMore() {
-        if (coming) {
-            coming = false;
-            server.coming--;
+    private void noLongerArriving() {
+        if (arriving) {
+            arriving = false;
+            server.arriving--;
         }
     }
 
     @Override
     public double work() {
-        return call.ask.work();
+        return request.operation.work();
     }
 
     @Override
     public void begins() {
-        world.checker().begun(world.now(), call.name, number);
+        world.checker().executionStarted(world.now(), request.name, number);
     }
 
     @Override
     public void answers(Answer answer, long drips) {
-        if (server.process().life() != life || over) {
+        if (server.process().life() != life || ended) {
             return;
         }
         if (answer == Answer.RESET || answer == Answer.GARBAGE) {
-            server.closes(life);
+            server.connectionClosed(life);
             breaks();
             return;
         }
@@ -142,8 +142,8 @@
                                         server,
                                         node,
                                         () -> {
-                                            if (!over) {
-                                                node.mayKeepIdle(server, life);
+                                            if (!ended) {
+                                                node.keepIdleConnection(server, life);
                                                 connected = false;
                                                 end(
                                                         answer == Answer.OK
@@ -163,42 +163,42 @@
 
     /** Its node waits no longer. */
     void giveUp(Outcome outcome) {
-        if (!over) {
+        if (!ended) {
             boolean open = connected;
             end(!written && outcome == Outcome.TIMEOUT ? Outcome.CONNECT_FAILED : outcome, null);
             if (open) {
-                closes();
+                closeConnection();
             }
         }
     }
 
-    private void closes() {
+    private void closeConnection() {
         int of = life;
         world.travel(
                 node,
                 server,
                 () -> {
-                    server.closes(of);
+                    server.connectionClosed(of);
                     server.process().givenUp(this);
                 });
     }
 
     private void end(Outcome outcome, LoadReport load) {
-        if (!over) {
-            over = true;
-            comesNoMore();
+        if (!ended) {
+            ended = true;
+            noLongerArriving();
             timeout.cancel();
-            node.ended(this, outcome, world.now() - sentAt, load);
+            node.attemptEnded(this, outcome, world.now() - sentAt, load);
         }
     }
 
     /** Its node was killed: its connection is closed by the system. */
-    void dies() {
-        over = true;
-        comesNoMore();
+    void nodeKilled() {
+        ended = true;
+        noLongerArriving();
         timeout.cancel();
         if (connected) {
-            closes();
+            closeConnection();
         }
     }
 }
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedDiscovery.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedDiscovery.java
@@ -19,9 +19,9 @@
     private final UniformRandomProvider random;
 
     /** In the order in which servers were first named. */
-    private final List<SimulatedServer> listed = new ArrayList<>();
+    private final List<SimulatedServer> servers = new ArrayList<>();
 
-    private final Map<SimulatedNode, Long> lastTold = new HashMap<>();
+    private final Map<SimulatedNode, Long> lastNotifiedAt = new HashMap<>();
     private boolean down;
 
     SimulatedDiscovery(Simulation world) {
@@ -30,72 +30,72 @@
     }
 
     /** The whole list, as a node that starts now would have had it. */
-    List<EndpointEntry> whole() {
+    List<EndpointEntry> snapshot() {
         List<EndpointEntry> entries = new ArrayList<>();
-        listed.forEach(server -> entries.add(server.entry()));
+        servers.forEach(server -> entries.add(server.entry()));
         return entries;
     }
 
     void add(SimulatedServer server) {
-        listed.add(server);
-        changed(server, server.state);
+        servers.add(server);
+        setState(server, server.state);
     }
 
     /** A server's state is this now. */
-    void changed(SimulatedServer server, EndpointState state) {
+    void setState(SimulatedServer server, EndpointState state) {
         server.state = state;
         EndpointEntry entry = server.entry();
         if (state == EndpointState.GONE) {
-            listed.remove(server);
+            servers.remove(server);
         }
         for (SimulatedNode node : world.nodes()) {
-            if (node.watches && !down) {
-                tell(node, () -> node.list(ListKind.DELTA, List.of(entry)));
+            if (node.watching && !down) {
+                notifyLater(node, () -> node.list(ListKind.DELTA, List.of(entry)));
             }
         }
     }
 
     /** After the usual delay, and after all that was to be told before. */
-    private void tell(SimulatedNode node, Runnable news) {
+    private void notifyLater(SimulatedNode node, Runnable message) {
         var law = world.scenario().list();
         long at = world.now() + (long) RandomStreams.uniform(random, law.lowNs(), law.highNs());
-        at = Math.max(at, lastTold.getOrDefault(node, 0L));
-        lastTold.put(node, at);
-        world.eventQueue().scheduleAt(at, () -> node.input(news));
+        at = Math.max(at, lastNotifiedAt.getOrDefault(node, 0L));
+        lastNotifiedAt.put(node, at);
+        world.eventQueue().scheduleAt(at, () -> node.input(message));
     }
 
     void watch(SimulatedNode node, boolean on) {
         if (!on || down) {
-            node.watches = false;
+            node.watching = false;
             if (on) {
-                failed(node);
+                sendFailure(node);
             }
             return;
         }
-        node.watches = true;
-        whole(node);
+        node.watching = true;
+        sendSnapshot(node);
     }
 
     void fetch(SimulatedNode node) {
         if (down) {
-            failed(node);
+            sendFailure(node);
         } else {
-            whole(node);
+            sendSnapshot(node);
         }
     }
 
-    private void whole(SimulatedNode node) {
-        List<EndpointEntry> entries = whole();
+    private void sendSnapshot(SimulatedNode node) {
+        List<EndpointEntry> entries = snapshot();
         long at =
                 Math.max(
                         world.now() + world.scenario().list().lowNs(),
-                        lastTold.getOrDefault(node, 0L));
-        lastTold.put(node, at);
+                        lastNotifiedAt.getOrDefault(node, 0L));
+        lastNotifiedAt.put(node, at);
         world.eventQueue()
                 .scheduleAt(at, () -> node.input(() -> node.list(ListKind.FULL, entries)));
     }
 
-    private void failed(SimulatedNode node) {
+    private void sendFailure(SimulatedNode node) {
         world.eventQueue()
                 .scheduleAfter(
                         world.scenario().list().lowNs(),
@@ -103,13 +103,13 @@
     }
 
     /** It answers nothing from now on, and watches break; or it is back. */
-    void down(boolean on) {
+    void setDown(boolean on) {
         down = on;
         if (on) {
             for (SimulatedNode node : world.nodes()) {
-                if (node.watches) {
-                    node.watches = false;
-                    failed(node);
+                if (node.watching) {
+                    node.watching = false;
+                    sendFailure(node);
                 }
             }
         }
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
@@ -13,7 +13,7 @@
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
 import trailthread.api.Settings;
-import trailthread.lab.clients.ClientRequest;
+import trailthread.lab.clients.ClientOperation;
 import trailthread.lab.fault.FaultTarget;
 import trailthread.lab.invariant.InvariantChecker;
 import trailthread.lab.invariant.RequestTerms;
@@ -27,35 +27,36 @@
      * What one event may ask for, and what a node may have set as timers: past it the decisions run
      * wild.
      */
-    private static final int MOST_ACTIONS = 100_000;
+    private static final int MAX_ACTIONS_PER_EVENT = 100_000;
 
-    private static final int MOST_TIMERS = 2_000_000;
+    private static final int MAX_TIMERS = 2_000_000;
 
-    private record Idle(int life, long since) {}
+    private record IdleConnection(int life, long idleSince) {}
 
     /** One event, told at this time. */
-    private interface Telling {
-        void tell(BalancerEvents module, long now);
+    private interface ModuleEvent {
+        void deliver(BalancerEvents module, long now);
     }
 
     final int number;
     final String name;
     final String zone;
     private final Simulation world;
-    private final Map<Long, SimulatedRequest> calls = new LinkedHashMap<>();
-    private final Map<SimulatedServer, ArrayDeque<Idle>> idle = new LinkedHashMap<>();
-    private final ArrayDeque<Runnable> asked = new ArrayDeque<>();
+    private final Map<Long, SimulatedRequest> requests = new LinkedHashMap<>();
+    private final Map<SimulatedServer, ArrayDeque<IdleConnection>> idleConnections =
+            new LinkedHashMap<>();
+    private final ArrayDeque<Runnable> pendingActions = new ArrayDeque<>();
     private BalancerEvents module;
-    private boolean busy;
+    private boolean runningActions;
     private int life;
     private boolean up = true;
     private long pausedUntil;
     private long diedAt;
     private boolean leaving;
-    private int timers;
-    private int atOnce;
-    private long lastAt;
-    boolean watches;
+    private int timerCount;
+    private int eventsAtSameTime;
+    private long lastEventAt;
+    boolean watching;
 
     SimulatedNode(Simulation world, int number, String zone) {
         this.world = world;
@@ -79,7 +80,7 @@
                                 world.now(),
                                 this,
                                 world.truth());
-        list(ListKind.CACHED, world.discovery().whole());
+        list(ListKind.CACHED, world.discovery().snapshot());
     }
 
     boolean isUp() {
@@ -154,13 +155,13 @@
     public void kill() {
         up = false;
         diedAt = world.now();
-        watches = false;
+        watching = false;
         life++;
-        List<SimulatedRequest> had = new ArrayList<>(calls.values());
-        calls.clear();
-        asked.clear();
-        timers = 0;
-        idle.forEach(
+        List<SimulatedRequest> openRequests = new ArrayList<>(requests.values());
+        requests.clear();
+        pendingActions.clear();
+        timerCount = 0;
+        idleConnections.forEach(
                 (server, connections) ->
                         connections.forEach(
                                 c -> {
@@ -168,14 +169,14 @@
                                         server.connections--;
                                     }
                                 }));
-        idle.clear();
-        for (SimulatedRequest call : had) {
-            if (call.out != null) {
-                call.out.dies();
+        idleConnections.clear();
+        for (SimulatedRequest request : openRequests) {
+            if (request.currentAttempt != null) {
+                request.currentAttempt.nodeKilled();
             }
-            world.checker().forget(call.name);
-            if (!call.finished) {
-                call.ask.saw(ClientRequest.Seen.NOTHING, 0);
+            world.checker().forget(request.name);
+            if (!request.finished) {
+                request.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
             }
         }
     }
@@ -183,123 +184,133 @@
     // ---- events
     // ------------------------------------------------------------------------------------
 
-    private void event(Telling telling) {
+    private void notifyModule(ModuleEvent event) {
         long now = world.now();
-        atOnce = now == lastAt ? atOnce + 1 : 0;
-        lastAt = now;
-        if (atOnce > MOST_ACTIONS) {
+        eventsAtSameTime = now == lastEventAt ? eventsAtSameTime + 1 : 0;
+        lastEventAt = now;
+        if (eventsAtSameTime > MAX_ACTIONS_PER_EVENT) {
             throw new BalancerFailureException(
-                    now, number, "more than " + MOST_ACTIONS + " events without time passing");
+                    now,
+                    number,
+                    "more than " + MAX_ACTIONS_PER_EVENT + " events without time passing");
         }
-        long begun = System.nanoTime();
-        telling.tell(module, now);
-        world.metrics().decided(System.nanoTime() - begun);
-        if (asked.size() > MOST_ACTIONS) {
+        long startedAt = System.nanoTime();
+        event.deliver(module, now);
+        world.metrics().recordDecision(System.nanoTime() - startedAt);
+        if (pendingActions.size() > MAX_ACTIONS_PER_EVENT) {
             throw new BalancerFailureException(
-                    now, number, "one event asked for more than " + MOST_ACTIONS + " actions");
+                    now,
+                    number,
+                    "one event asked for more than " + MAX_ACTIONS_PER_EVENT + " actions");
         }
-        if (busy) {
+        if (runningActions) {
             return;
         }
-        busy = true;
+        runningActions = true;
         try {
-            for (Runnable action = asked.poll(); action != null; action = asked.poll()) {
+            for (Runnable action = pendingActions.poll();
+                    action != null;
+                    action = pendingActions.poll()) {
                 action.run();
             }
         } finally {
-            busy = false;
+            runningActions = false;
         }
     }
 
     /** Takes a call whose client waits until this time. */
-    void take(ClientRequest ask, long until) {
-        SimulatedRequest call =
-                new SimulatedRequest(world.nextId(), world.nextSerial(), ask, world.now(), until);
-        calls.put(call.id, call);
-        var rules = ask.law().rules();
+    void receiveRequest(ClientOperation operation, long deadline) {
+        SimulatedRequest request =
+                new SimulatedRequest(
+                        world.nextId(), world.nextSerial(), operation, world.now(), deadline);
+        requests.put(request.id, request);
+        var rules = operation.classModel().rules();
         world.checker()
-                .taken(
+                .requestReceived(
                         world.now(),
-                        call.name,
+                        request.name,
                         name,
                         new RequestTerms(
                                 rules.name(),
                                 rules.idempotency(),
                                 rules.deduplicationScope(),
                                 rules.deduplicationWindowNs(),
-                                until));
+                                deadline));
         long slack = world.scenario().rules().responseSlackNs();
-        world.eventQueue().scheduleAt(until + slack + 1, () -> clientLeaves(call));
-        event(
+        world.eventQueue().scheduleAt(deadline + slack + 1, () -> clientTimedOut(request));
+        notifyModule(
                 (m, now) ->
                         m.request(
                                 now,
-                                call.id,
+                                request.id,
                                 rules.name(),
                                 0,
-                                until,
-                                ask.tenant(),
+                                deadline,
+                                operation.tenant(),
                                 false,
-                                ask.key()));
+                                operation.key()));
     }
 
     /** The client's time is over. */
-    private void clientLeaves(SimulatedRequest call) {
-        if (call.finished || !calls.containsKey(call.id)) {
+    private void clientTimedOut(SimulatedRequest request) {
+        if (request.finished || !requests.containsKey(request.id)) {
             return;
         }
         if (isPaused()) {
             world.checker()
-                    .gone(
+                    .clientDisconnected(
                             world.now(),
-                            call.name); // a process that is stopped owes nothing meanwhile
+                            request.name); // a process that is stopped owes nothing meanwhile
         } else {
-            world.checker().overdue(world.now(), call.name);
+            world.checker().deadlineMissed(world.now(), request.name);
         }
-        call.finished = true;
-        call.ask.saw(ClientRequest.Seen.NOTHING, 0);
-        input(() -> event((m, now) -> m.clientDisconnected(now, call.id)));
-        forgetIfDone(call);
+        request.finished = true;
+        request.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
+        input(() -> notifyModule((m, now) -> m.clientDisconnected(now, request.id)));
+        forgetIfDone(request);
     }
 
     /** An attempt has ended; what that came to is told to the client first. */
-    void ended(SimulatedAttempt attempt, Outcome outcome, long latencyNs, LoadReport load) {
-        SimulatedRequest call = attempt.call;
-        call.out = null;
-        world.checker().ended(world.now(), call.name, attempt.number, outcome);
+    void attemptEnded(SimulatedAttempt attempt, Outcome outcome, long latencyNs, LoadReport load) {
+        SimulatedRequest request = attempt.request;
+        request.currentAttempt = null;
+        world.checker().attemptEnded(world.now(), request.name, attempt.number, outcome);
         input(
                 () -> {
-                    if (outcome == Outcome.OK && !call.finished) {
-                        answer(call, ClientRequest.Seen.SERVED, 0, "served");
+                    if (outcome == Outcome.OK && !request.finished) {
+                        respond(request, ClientOperation.AttemptResult.SERVED, 0, "served");
                     }
-                    boolean closed = call.finished;
-                    event(
+                    boolean closed = request.finished;
+                    notifyModule(
                             (m, now) ->
                                     m.outcome(
                                             now,
-                                            call.id,
+                                            request.id,
                                             attempt.number,
                                             outcome,
                                             latencyNs,
                                             closed,
                                             load));
-                    forgetIfDone(call);
+                    forgetIfDone(request);
                 });
     }
 
-    private void answer(
-            SimulatedRequest call, ClientRequest.Seen seen, long retryAfterNs, String how) {
-        world.checker().answered(world.now(), call.name, how);
-        if (!call.finished) {
-            call.finished = true;
-            call.ask.saw(seen, retryAfterNs);
+    private void respond(
+            SimulatedRequest request,
+            ClientOperation.AttemptResult seen,
+            long retryAfterNs,
+            String description) {
+        world.checker().responded(world.now(), request.name, description);
+        if (!request.finished) {
+            request.finished = true;
+            request.operation.attemptEnded(seen, retryAfterNs);
         }
-        forgetIfDone(call);
+        forgetIfDone(request);
     }
 
-    private void forgetIfDone(SimulatedRequest call) {
-        if (call.finished && call.out == null) {
-            calls.remove(call.id);
+    private void forgetIfDone(SimulatedRequest request) {
+        if (request.finished && request.currentAttempt == null) {
+            requests.remove(request.id);
         }
     }
 
@@ -307,13 +318,13 @@
     void list(ListKind kind, List<EndpointEntry> entries) {
         for (EndpointEntry entry : entries) {
             world.checker()
-                    .told(
+                    .endpointStateReceived(
                             world.now(),
                             name,
                             entry.endpoint(),
                             entry.state() == EndpointState.READY);
         }
-        event((m, now) -> m.list(now, kind, entries));
+        notifyModule((m, now) -> m.list(now, kind, entries));
     }
 
     // ---- connections
@@ -323,14 +334,15 @@
      * Takes the idle connection that was used last, if there is one that the server has not closed
      * yet.
      */
-    boolean takesIdle(SimulatedServer server) {
-        ArrayDeque<Idle> connections = idle.get(server);
+    boolean takeIdleConnection(SimulatedServer server) {
+        ArrayDeque<IdleConnection> connections = idleConnections.get(server);
         if (connections == null) {
             return false;
         }
-        long oldest = world.now() - world.network().idleCloseNs();
-        for (Idle first = connections.peekFirst();
-                first != null && (first.since <= oldest || first.life != server.process().life());
+        long idleLimit = world.now() - world.network().idleCloseNs();
+        for (IdleConnection first = connections.peekFirst();
+                first != null
+                        && (first.idleSince <= idleLimit || first.life != server.process().life());
                 first = connections.peekFirst()) {
             connections.pollFirst();
             if (first.life == server.process().life()) {
@@ -340,10 +352,11 @@
         return connections.pollLast() != null;
     }
 
-    void mayKeepIdle(SimulatedServer server, int of) {
+    void keepIdleConnection(SimulatedServer server, int of) {
         if (server.process().life() == of) {
-            idle.computeIfAbsent(server, w -> new ArrayDeque<>())
-                    .addLast(new Idle(of, world.now()));
+            idleConnections
+                    .computeIfAbsent(server, w -> new ArrayDeque<>())
+                    .addLast(new IdleConnection(of, world.now()));
         }
     }
 
@@ -361,20 +374,20 @@
 
     @Override
     public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
-        asked.add(
+        pendingActions.add(
                 () -> {
                     SimulatedServer server = server(endpoint);
-                    SimulatedRequest call = calls.get(id);
-                    if (call == null) {
+                    SimulatedRequest request = requests.get(id);
+                    if (request == null) {
                         return; // it ended a moment ago
                     }
-                    int attempt = call.attempts++;
-                    long left = call.deadline - world.now();
-                    if (call.finished
+                    int attempt = request.attempts++;
+                    long left = request.deadline - world.now();
+                    if (request.finished
                             || left <= 0
-                            || call.out != null
+                            || request.currentAttempt != null
                             || attempt >= world.scenario().rules().maxAttempts()) {
-                        event(
+                        notifyModule(
                                 (m, now) ->
                                         m.outcome(
                                                 now,
@@ -382,54 +395,61 @@
                                                 attempt,
                                                 Outcome.NOT_SENT,
                                                 0,
-                                                call.finished,
+                                                request.finished,
                                                 null));
                         return;
                     }
-                    call.out = new SimulatedAttempt(world, this, call, attempt, server);
-                    world.metrics().sends(server.index);
+                    request.currentAttempt =
+                            new SimulatedAttempt(world, this, request, attempt, server);
+                    world.metrics().recordAttempt(server.index);
                     world.checker()
-                            .sent(
+                            .attemptSent(
                                     world.now(),
-                                    call.name,
+                                    request.name,
                                     attempt,
                                     name,
                                     new InvariantChecker.Place(
                                             server.name, server.zone, server.cell));
-                    call.out.send(timeoutNs == 0 ? left : Math.min(timeoutNs, left));
+                    request.currentAttempt.send(timeoutNs == 0 ? left : Math.min(timeoutNs, left));
                 });
     }
 
     @Override
     public void refuse(long id, long retryAfterNs) {
-        asked.add(
+        pendingActions.add(
                 () -> {
-                    SimulatedRequest call = calls.get(id);
-                    if (call != null) {
-                        world.metrics().refuses();
-                        answer(call, ClientRequest.Seen.REFUSED, retryAfterNs, "refused");
+                    SimulatedRequest request = requests.get(id);
+                    if (request != null) {
+                        world.metrics().recordRefusal();
+                        respond(
+                                request,
+                                ClientOperation.AttemptResult.REFUSED,
+                                retryAfterNs,
+                                "refused");
                     }
                 });
     }
 
     @Override
     public void fail(long id) {
-        asked.add(
+        pendingActions.add(
                 () -> {
-                    SimulatedRequest call = calls.get(id);
-                    if (call != null) {
-                        answer(call, ClientRequest.Seen.FAILED, 0, "failed");
+                    SimulatedRequest request = requests.get(id);
+                    if (request != null) {
+                        respond(request, ClientOperation.AttemptResult.FAILED, 0, "failed");
                     }
                 });
     }
 
     @Override
     public void cancel(long id, int attempt) {
-        asked.add(
+        pendingActions.add(
                 () -> {
-                    SimulatedRequest call = calls.get(id);
-                    if (call != null && call.out != null && call.out.number == attempt) {
-                        call.out.giveUp(Outcome.CANCELLED);
+                    SimulatedRequest request = requests.get(id);
+                    if (request != null
+                            && request.currentAttempt != null
+                            && request.currentAttempt.number == attempt) {
+                        request.currentAttempt.giveUp(Outcome.CANCELLED);
                     }
                 });
     }
@@ -437,36 +457,40 @@
     @Override
     public void timer(long delayNs, long token) {
         int of = life;
-        if (++timers > MOST_TIMERS) {
+        if (++timerCount > MAX_TIMERS) {
             throw new BalancerFailureException(
-                    world.now(), number, "more than " + MOST_TIMERS + " timers");
+                    world.now(), number, "more than " + MAX_TIMERS + " timers");
         }
         world.eventQueue()
                 .scheduleAfter(
                         delayNs,
                         () -> {
                             if (life == of) {
-                                timers--;
-                                input(() -> event((m, now) -> m.timer(now, token)));
+                                timerCount--;
+                                input(() -> notifyModule((m, now) -> m.timer(now, token)));
                             }
                         });
     }
 
     @Override
     public void checkHealth(String endpoint) {
-        asked.add(
+        pendingActions.add(
                 () -> {
                     SimulatedServer server = server(endpoint);
-                    world.metrics().probes();
-                    long begun = world.now();
-                    boolean[] over = new boolean[1];
+                    world.metrics().recordHealthCheck();
+                    long startedAt = world.now();
+                    boolean[] finished = new boolean[1];
                     long within = world.probeWithinNs();
                     world.eventQueue()
                             .scheduleAfter(
                                     within,
                                     () ->
                                             healthChecked(
-                                                    server, Outcome.TIMEOUT, within, null, over));
+                                                    server,
+                                                    Outcome.TIMEOUT,
+                                                    within,
+                                                    null,
+                                                    finished));
                     world.travel(
                             this,
                             server,
@@ -479,9 +503,9 @@
                                                     healthChecked(
                                                             server,
                                                             Outcome.RESET,
-                                                            world.now() - begun,
+                                                            world.now() - startedAt,
                                                             null,
-                                                            over));
+                                                            finished));
                                 } else {
                                     server.process()
                                             .probes(
@@ -495,9 +519,10 @@
                                                                         healthChecked(
                                                                                 server,
                                                                                 Outcome.OK,
-                                                                                world.now() - begun,
+                                                                                world.now()
+                                                                                        - startedAt,
                                                                                 load,
-                                                                                over));
+                                                                                finished));
                                                     });
                                 }
                             });
@@ -509,12 +534,12 @@
             Outcome outcome,
             long latencyNs,
             LoadReport load,
-            boolean[] over) {
-        if (!over[0] && up) {
-            over[0] = true;
+            boolean[] finished) {
+        if (!finished[0] && up) {
+            finished[0] = true;
             input(
                     () ->
-                            event(
+                            notifyModule(
                                     (m, now) ->
                                             m.healthChecked(
                                                     now, server.name, outcome, latencyNs, load)));
@@ -523,10 +548,10 @@
 
     @Override
     public void closeIdle(String endpoint) {
-        asked.add(
+        pendingActions.add(
                 () -> {
                     SimulatedServer server = server(endpoint);
-                    ArrayDeque<Idle> connections = idle.remove(server);
+                    ArrayDeque<IdleConnection> connections = idleConnections.remove(server);
                     if (connections != null) {
                         server.connections -=
                                 (int)
@@ -545,16 +570,16 @@
 
     @Override
     public void watch(boolean on) {
-        asked.add(() -> world.discovery().watch(this, on));
+        pendingActions.add(() -> world.discovery().watch(this, on));
     }
 
     @Override
     public void fetch() {
-        asked.add(() -> world.discovery().fetch(this));
+        pendingActions.add(() -> world.discovery().fetch(this));
     }
 
     @Override
     public void log(String text) {
-        world.metrics().logs();
+        world.metrics().recordLogLine();
     }
 }
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedRequest.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedRequest.java
@@ -1,6 +1,6 @@
 package trailthread.lab.simulation;
 
-import trailthread.lab.clients.ClientRequest;
+import trailthread.lab.clients.ClientOperation;
 
 /** A call at a node. */
 final class SimulatedRequest {
@@ -10,19 +10,20 @@
     final long serial;
 
     final String name;
-    final ClientRequest ask;
+    final ClientOperation operation;
     final long deadline;
-    final long takenAt;
+    final long receivedAt;
     int attempts;
-    SimulatedAttempt out;
+    SimulatedAttempt currentAttempt;
     boolean finished;
 
-    SimulatedRequest(long id, long serial, ClientRequest ask, long takenAt, long deadline) {
+    SimulatedRequest(
+            long id, long serial, ClientOperation operation, long receivedAt, long deadline) {
         this.id = id;
         this.serial = serial;
         this.name = Long.toString(serial);
-        this.ask = ask;
-        this.takenAt = takenAt;
+        this.operation = operation;
+        this.receivedAt = receivedAt;
         this.deadline = deadline;
     }
 }
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedServer.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedServer.java
@@ -18,7 +18,7 @@
     int connections;
 
     /** Attempts that are on their way to it. */
-    int coming;
+    int arriving;
 
     SimulatedServer(
             Simulation world,
@@ -43,7 +43,7 @@
                         cold,
                         () -> {
                             connections = 0;
-                            world.checker().fell(world.now(), name);
+                            world.checker().coldServerOverloaded(world.now(), name);
                         });
     }
 
@@ -52,7 +52,7 @@
     }
 
     /** A connect has come; whether it is taken. */
-    boolean opens() {
+    boolean acceptConnection() {
         if (!process.isUp() || connections >= world.network().connections()) {
             return false;
         }
@@ -62,7 +62,7 @@
     }
 
     /** A connection of this life of it is closed by its node. */
-    void closes(int life) {
+    void connectionClosed(int life) {
         if (life == process.life()) {
             connections--;
         }
@@ -85,7 +85,7 @@
 
     @Override
     public void startDraining() {
-        world.discovery().changed(this, EndpointState.DRAINING);
+        world.discovery().setState(this, EndpointState.DRAINING);
     }
 
     @Override
@@ -97,12 +97,12 @@
     @Override
     public void restart() {
         process.comeUp();
-        world.discovery().changed(this, EndpointState.READY);
+        world.discovery().setState(this, EndpointState.READY);
     }
 
     @Override
     public void replace() {
-        world.discovery().changed(this, EndpointState.GONE);
+        world.discovery().setState(this, EndpointState.GONE);
         world.addServer(zone, Math.max(0, cell), true);
     }
 }
--- a/lab/src/main/java/trailthread/lab/simulation/Simulation.java
+++ b/lab/src/main/java/trailthread/lab/simulation/Simulation.java
@@ -10,8 +10,8 @@
 import trailthread.api.Settings;
 import trailthread.lab.baseline.FleetView;
 import trailthread.lab.baseline.Policy;
+import trailthread.lab.clients.ClientOperation;
 import trailthread.lab.clients.ClientPopulation;
-import trailthread.lab.clients.ClientRequest;
 import trailthread.lab.clients.RequestSink;
 import trailthread.lab.event.EventQueue;
 import trailthread.lab.fault.FaultInjector;
@@ -108,7 +108,8 @@
         sample(end);
         // After the last arrival it runs on until all is answered.
         for (long until = end + 2 * longestDeadline() + SECOND;
-                eventQueue.now() < until && (eventQueue.now() < end || clients.open() > 0); ) {
+                eventQueue.now() < until
+                        && (eventQueue.now() < end || clients.openOperations() > 0); ) {
             eventQueue.runUntil(Math.min(until, eventQueue.now() + SECOND));
         }
         checker.finish(eventQueue.now());
@@ -132,26 +133,29 @@
     // ---------------------------------------------------------------------
 
     @Override
-    public void take(ClientRequest ask, int zone, double draw, long until) {
+    public void startAttempt(
+            ClientOperation operation, int zone, double draw, long clientTimeoutAt) {
         SimulatedNode node = chosen(scenario.zones().get(zone), draw);
         if (node == null || !node.isUp()) {
-            ask.saw(ClientRequest.Seen.UNREACHABLE, 0);
+            operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
         } else {
             boolean[] heard = new boolean[1];
             node.input(
                     () -> {
-                        if (now() <= until) { // else its client has left, before a node that was
+                        if (now() <= clientTimeoutAt) { // else its client has left, before a node
+                            // that was
                             // stopped came to read it
                             heard[0] = true;
-                            node.take(ask, until);
+                            node.receiveRequest(operation, clientTimeoutAt);
                         }
                     });
             if (!heard[0]) {
                 eventQueue.scheduleAt(
-                        until + 1,
+                        clientTimeoutAt + 1,
                         () -> {
                             if (!heard[0]) {
-                                ask.saw(ClientRequest.Seen.NOTHING, 0);
+                                operation.attemptEnded(
+                                        ClientOperation.AttemptResult.NO_RESPONSE, 0);
                             }
                         });
             }
@@ -214,7 +218,7 @@
     }
 
     RunMetrics metrics() {
-        metrics.at(eventQueue.now());
+        metrics.setClock(eventQueue.now());
         return metrics;
     }
 
@@ -251,7 +255,7 @@
 
     @Override
     public void setDiscoveryDown(boolean down) {
-        discovery.down(down);
+        discovery.setDown(down);
     }
 
     @Override
@@ -341,7 +345,7 @@
                                 && w.process().ills.none()
                                 && w.state == EndpointState.READY;
                 return well
-                        ? w.process().model().stretch(now(), w.coming)
+                        ? w.process().model().stretch(now(), w.arriving)
                         : Double.POSITIVE_INFINITY;
             }
         };
@@ -354,9 +358,9 @@
                     () -> {
                         int[] held = new int[servers.size()];
                         for (int i = 0; i < held.length; i++) {
-                            held[i] = servers.get(i).process().holds();
+                            held[i] = servers.get(i).process().inflight();
                         }
-                        metrics.holds(now(), held);
+                        metrics.recordInflight(now(), held);
                     });
         }
     }
--- a/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
@@ -97,14 +97,14 @@
         return socket;
     }
 
-    private Socket ask(String target, String headers) throws IOException {
+    private Socket get(String target, String headers) throws IOException {
         Socket socket = connect(day.serversAt(0).get(0));
         Message.send(socket, "GET " + target + " HTTP/1.1\r\nHost: w\r\n" + headers + "\r\n");
         return socket;
     }
 
-    private Socket call(String id, int work) throws IOException {
-        return ask("/c?work=" + work, "X-Correlation-Id: " + id + "\r\n");
+    private Socket request(String id, int work) throws IOException {
+        return get("/c?work=" + work, "X-Correlation-Id: " + id + "\r\n");
     }
 
     private static String fault(String trouble, String keys) {
@@ -118,22 +118,22 @@
     @Test
     public void serves() throws Exception {
         start("");
-        Message answer = Message.read(call("7a", 2_000_000));
+        Message answer = Message.read(request("7a", 2_000_000));
         assertEquals(200, answer.status());
         assertEquals("7a w0 2000000\n", answer.body());
         assertEquals("{\"inflight\":0.00,\"queue\":0.00}", answer.header("X-Backend-Load"));
-        assertEquals(200, Message.read(ask("/status/load", "")).status());
-        assertEquals("no id", 404, Message.read(ask("/c?work=1", "")).status());
+        assertEquals(200, Message.read(get("/status/load", "")).status());
+        assertEquals("no id", 404, Message.read(get("/c?work=1", "")).status());
     }
 
     @Test
     public void turnsAwayWhatHasNoRoom() throws Exception {
         start("");
-        Socket works = call("1", 300_000_000);
-        Message.read(ask("/status/load", "")); // so that the first one is there before the second
-        Socket waits = call("2", 1_000_000);
-        Message.read(ask("/status/load", ""));
-        Message turned = Message.read(call("3", 1_000_000));
+        Socket works = request("1", 300_000_000);
+        Message.read(get("/status/load", "")); // so that the first one is there before the second
+        Socket waits = request("2", 1_000_000);
+        Message.read(get("/status/load", ""));
+        Message turned = Message.read(request("3", 1_000_000));
         assertEquals(503, turned.status());
         assertEquals("1", turned.header("X-Unprocessed"));
         assertEquals(200, Message.read(works).status());
@@ -143,39 +143,39 @@
     @Test
     public void failsAtOnce() throws Exception {
         start(fault("fast_errors", "size = 1"));
-        assertEquals(500, Message.read(call("1", 1)).status());
+        assertEquals(500, Message.read(request("1", 1)).status());
     }
 
     @Test
     public void losesAnswers() throws Exception {
         start(fault("lost_answers", "size = 1"));
-        Socket silent = call("1", 1);
+        Socket silent = request("1", 1);
         silent.setSoTimeout(400);
         assertThrows(SocketTimeoutException.class, () -> Message.read(silent));
         assertEquals(
                 "others are told of their load",
                 200,
-                Message.read(ask("/status/load", "")).status());
+                Message.read(get("/status/load", "")).status());
     }
 
     @Test
     public void resets() throws Exception {
         start(fault("resets", "size = 1"));
-        Socket reset = call("1", 1);
+        Socket reset = request("1", 1);
         assertThrows(SocketException.class, () -> Message.read(reset));
     }
 
     @Test
     public void bringsWhatCantBeRead() throws Exception {
         start(fault("garbage", "size = 1"));
-        byte[] first = call("1", 1).getInputStream().readNBytes(8);
+        byte[] first = request("1", 1).getInputStream().readNBytes(8);
         assertEquals("HTTP/9 \u0001", new String(first, StandardCharsets.ISO_8859_1));
     }
 
     @Test
     public void drips() throws Exception {
         start(fault("drips", "size = 0.5"));
-        Socket slow = call("1", 1);
+        Socket slow = request("1", 1);
         slow.setSoTimeout(30); // an answer that comes in one piece is there after the first wait
         int waits = 0;
         byte[] part = new byte[1024];
@@ -199,7 +199,7 @@
     @Test
     public void isCutOff() throws Exception {
         start(fault("cut", ""));
-        Socket silent = call("1", 1);
+        Socket silent = request("1", 1);
         silent.setSoTimeout(400);
         assertThrows(SocketTimeoutException.class, () -> Message.read(silent));
     }
@@ -214,13 +214,13 @@
         while (!told.contains("leaving")) {
             told = line(watch);
         }
-        assertEquals(200, Message.read(call("1", 1)).status());
+        assertEquals(200, Message.read(request("1", 1)).status());
         while (told.contains("leaving") || told.isBlank()) {
             told = line(watch);
         }
         assertTrue(told, told.contains("\"active\"") && !told.contains("\"startedAtMs\":0}"));
         assertEquals("the same address", server, day.serversAt(0).get(0));
-        assertEquals(200, Message.read(call("2", 1)).status());
+        assertEquals(200, Message.read(request("2", 1)).status());
     }
 
     /** One line of a watch: past the head, and without the chunk's size. */
--- a/lab/src/test/java/trailthread/lab/emulation/EmulationTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulationTest.java
@@ -100,8 +100,13 @@
         try (Emulation day = new Emulation(scenario, 7, scenario.nodes())) {
             day.startNodes(new Emulation.Program(command, Path.of("").toAbsolutePath()), logs);
             day.play(true, d -> {});
-            assertEquals(day.checker().violations().toString(), Map.of(), day.checker().broken());
-            assertTrue("judged " + day.checker().judged(), day.checker().judged() > 500);
+            assertEquals(
+                    day.checker().violations().toString(),
+                    Map.of(),
+                    day.checker().violationCounts());
+            assertTrue(
+                    "judged " + day.checker().checkedRequests(),
+                    day.checker().checkedRequests() > 500);
             assertTrue("goodput " + day.metrics().goodput(), day.metrics().goodput() > 0.8);
             assertTrue("what nodes hold is looked at", day.nodeSeconds().get(1).rssMb()[0] > 1);
         }
--- a/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
+++ b/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
@@ -17,21 +17,21 @@
     private static final Place OTHER = new Place("c", "east", 1);
     private final InvariantChecker checker = new InvariantChecker(10, 100);
 
-    private void take(Idempotency idempotency, DeduplicationScope group) {
-        checker.taken(0, "7", "n0", new RequestTerms("c", idempotency, group, 500, 1000));
+    private void receive(Idempotency idempotency, DeduplicationScope group) {
+        checker.requestReceived(0, "7", "n0", new RequestTerms("c", idempotency, group, 500, 1000));
     }
 
     /** One attempt that runs and ends so. */
     private void attempt(long at, int number, Place place, boolean runs, Outcome outcome) {
-        checker.sent(at, "7", number, "n0", place);
+        checker.attemptSent(at, "7", number, "n0", place);
         if (runs) {
-            checker.begun(at + 1, "7", number);
+            checker.executionStarted(at + 1, "7", number);
         }
-        checker.ended(at + 2, "7", number, outcome);
+        checker.attemptEnded(at + 2, "7", number, outcome);
     }
 
     private void broken(Invariant... rules) {
-        Map<Invariant, Integer> seen = checker.broken();
+        Map<Invariant, Integer> seen = checker.violationCounts();
         assertEquals(checker.violations().toString(), rules.length, seen.size());
         for (Invariant rule : rules) {
             assertEquals(rule.name(), Integer.valueOf(1), seen.get(rule));
@@ -40,62 +40,62 @@
 
     @Test
     public void aSecondAnswer() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        checker.sent(1, "7", 0, "n0", A); // still out, so that the call is not over
-        checker.answered(5, "7", "refused");
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.attemptSent(1, "7", 0, "n0", A); // still out, so that the call is not over
+        checker.responded(5, "7", "refused");
         broken();
-        checker.answered(6, "7", "failed");
+        checker.responded(6, "7", "failed");
         broken(Invariant.ONE_ANSWER);
         assertTrue(
-                checker.violations().get(0).told(),
-                checker.violations().get(0).told().contains("refused"));
+                checker.violations().get(0).describe(),
+                checker.violations().get(0).describe().contains("refused"));
     }
 
     @Test
     public void anAnswerAfterTheEnd() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        checker.answered(5, "7", "refused");
-        checker.answered(6, "7", "refused");
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.responded(5, "7", "refused");
+        checker.responded(6, "7", "refused");
         broken(Invariant.ONE_ANSWER);
     }
 
     @Test
     public void noAnswer() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        checker.overdue(1011, "7");
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.deadlineMissed(1011, "7");
         broken(Invariant.IN_TIME);
     }
 
     @Test
     public void noAnswerByTheEndOfTheRun() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         checker.finish(2000);
         broken(Invariant.IN_TIME);
-        assertEquals(0, checker.open());
+        assertEquals(0, checker.openRequests());
     }
 
     @Test
     public void anAnswerWithinTheSlackAndOneAfter() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        checker.answered(1010, "7", "failed");
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.responded(1010, "7", "failed");
         broken();
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        checker.answered(1011, "7", "failed");
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.responded(1011, "7", "failed");
         broken(Invariant.IN_TIME);
     }
 
     @Test
     public void aClientThatLeftIsOwedNothing() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        checker.gone(500, "7");
-        checker.overdue(1011, "7");
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.clientDisconnected(500, "7");
+        checker.deadlineMissed(1011, "7");
         checker.finish(2000);
         broken();
     }
 
     @Test
     public void anUnsafeCallThatMayHaveRunTwice() {
-        take(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+        receive(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         attempt(1, 0, A, true, Outcome.RESET);
         attempt(10, 1, OTHER, true, Outcome.OK);
         broken(Invariant.REPEATS);
@@ -103,7 +103,7 @@
 
     @Test
     public void anUnsafeCallThatWasTurnedAwayMayGoOn() {
-        take(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+        receive(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         attempt(1, 0, A, false, Outcome.REJECTED);
         attempt(10, 1, OTHER, false, Outcome.CONNECT_FAILED);
         attempt(20, 2, OTHER, true, Outcome.OK);
@@ -113,7 +113,7 @@
     /** What a node believes of an end does not count: it calls a reset a failed connect. */
     @Test
     public void aNodeThatTakesWhatRanForWhatDidNot() {
-        take(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+        receive(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         attempt(1, 0, A, true, Outcome.CONNECT_FAILED);
         attempt(10, 1, A, true, Outcome.OK);
         broken(Invariant.REPEATS);
@@ -121,7 +121,7 @@
 
     @Test
     public void aKeyedCallWithinItsCellAndOutside() {
-        take(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL);
+        receive(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL);
         attempt(1, 0, A, true, Outcome.RESET);
         attempt(10, 1, SAME_CELL, true, Outcome.RESET);
         broken();
@@ -131,7 +131,7 @@
 
     @Test
     public void aKeyedCallWithinItsZoneAndOutside() {
-        take(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE);
+        receive(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE);
         attempt(1, 0, A, true, Outcome.RESET);
         attempt(10, 1, OTHER, true, Outcome.RESET);
         broken();
@@ -141,7 +141,7 @@
 
     @Test
     public void aKeyedCallWithinItsWindowAndAfter() {
-        take(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL);
+        receive(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL);
         attempt(1, 0, A, true, Outcome.RESET);
         attempt(490, 1, OTHER, true, Outcome.RESET);
         broken();
@@ -151,22 +151,22 @@
 
     @Test
     public void twoAttemptsAtOnce() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        checker.sent(1, "7", 0, "n0", A);
-        checker.ended(5, "7", 0, Outcome.TIMEOUT);
-        checker.sent(5, "7", 1, "n0", OTHER);
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.attemptSent(1, "7", 0, "n0", A);
+        checker.attemptEnded(5, "7", 0, Outcome.TIMEOUT);
+        checker.attemptSent(5, "7", 1, "n0", OTHER);
         broken();
-        checker.sent(6, "7", 2, "n0", SAME_CELL);
+        checker.attemptSent(6, "7", 2, "n0", SAME_CELL);
         broken(Invariant.ONE_ATTEMPT);
     }
 
     /** As by a node that was stopped, and reads what came meanwhile. */
     @Test
     public void aCallWhoseClientLeftIsStillRepeatedOnlyAsItsClassAllows() {
-        take(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
-        checker.gone(500, "7");
+        receive(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+        checker.clientDisconnected(500, "7");
         attempt(600, 0, A, true, Outcome.RESET);
-        checker.answered(610, "7", "failed");
+        checker.responded(610, "7", "failed");
         broken();
         attempt(620, 1, OTHER, true, Outcome.OK);
         broken(Invariant.REPEATS);
@@ -174,21 +174,21 @@
 
     @Test
     public void anAttemptForACallThatIsOver() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        checker.answered(5, "7", "refused");
-        checker.sent(6, "7", 0, "n0", A);
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.responded(5, "7", "refused");
+        checker.attemptSent(6, "7", 0, "n0", A);
         broken(Invariant.REPEATS);
     }
 
     @Test
     public void somethingNewAfterTheGraceOfADrain() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        checker.told(50, "n0", "a", false);
-        checker.told(140, "n0", "a", false); // told again: the first news counts
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.endpointStateReceived(50, "n0", "a", false);
+        checker.endpointStateReceived(140, "n0", "a", false); // told again: the first news counts
         attempt(150, 0, A, true, Outcome.RESET);
         broken();
-        checker.sent(151, "7", 1, "n1", A); // another node, which has not heard
-        checker.ended(152, "7", 1, Outcome.RESET);
+        checker.attemptSent(151, "7", 1, "n1", A); // another node, which has not heard
+        checker.attemptEnded(152, "7", 1, Outcome.RESET);
         broken();
         attempt(153, 2, A, true, Outcome.RESET);
         broken(Invariant.DRAINS);
@@ -196,34 +196,34 @@
 
     @Test
     public void aReadyServerAcceptsRequestsAgain() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        checker.told(50, "n0", "a", false);
-        checker.told(200, "n0", "a", true);
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.endpointStateReceived(50, "n0", "a", false);
+        checker.endpointStateReceived(200, "n0", "a", true);
         attempt(300, 0, A, true, Outcome.OK);
         broken();
     }
 
     @Test
     public void anAnswerThatWasMadeForAnother() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         attempt(1, 0, A, true, Outcome.OK);
-        checker.answered(5, "7", "served");
+        checker.responded(5, "7", "served");
         broken();
-        checker.foreign(5, "7", "8 w1");
+        checker.wrongResponse(5, "7", "8 w1");
         broken(Invariant.OWN_ANSWER);
     }
 
     @Test
     public void aConnectionThatItsNodeEnds() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        checker.lost(5, "7", "the connection ended without an answer");
-        checker.overdue(1100, "7"); // the call is over: once is enough
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.connectionLost(5, "7", "the connection ended without an answer");
+        checker.deadlineMissed(1100, "7"); // the call is over: once is enough
         broken(Invariant.ONE_ANSWER);
     }
 
     @Test
     public void aColdServerOverloaded() {
-        checker.fell(9, "a");
+        checker.coldServerOverloaded(9, "a");
         broken(Invariant.COLD_STARTS);
     }
 }
--- a/lab/src/test/java/trailthread/lab/simulation/FleetTheoryTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/FleetTheoryTest.java
@@ -48,8 +48,8 @@
 
     private static int longest(RunMetrics metrics) {
         int most = 0;
-        for (RunMetrics.Second second : metrics.seconds()) {
-            for (int held : second.held()) {
+        for (RunMetrics.SecondMetrics second : metrics.seconds()) {
+            for (int held : second.inflight()) {
                 most = Math.max(most, held);
             }
         }
@@ -71,7 +71,7 @@
 
     private static double swing(RunMetrics metrics) {
         return metrics.seconds().stream()
-                .map(RunMetrics.Second::held)
+                .map(RunMetrics.SecondMetrics::inflight)
                 .filter(held -> held.length == 2)
                 .mapToInt(held -> Math.abs(held[0] - held[1]))
                 .average()
--- a/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
@@ -297,11 +297,11 @@
                                         }),
                         1);
         assertTrue(
-                day.checker().broken().toString(),
-                day.checker().broken().containsKey(Invariant.ONE_ANSWER));
+                day.checker().violationCounts().toString(),
+                day.checker().violationCounts().containsKey(Invariant.ONE_ANSWER));
         assertTrue(
-                day.checker().violations().get(0).told(),
-                day.checker().violations().get(0).told().contains("answered: refused"));
+                day.checker().violations().get(0).describe(),
+                day.checker().violations().get(0).describe().contains("answered: refused"));
     }
 
     @Test
@@ -328,8 +328,8 @@
                                         }),
                         1);
         assertTrue(
-                day.checker().broken().toString(),
-                day.checker().broken().containsKey(Invariant.IN_TIME));
-        assertEquals("each is judged", 0, day.checker().open());
+                day.checker().violationCounts().toString(),
+                day.checker().violationCounts().containsKey(Invariant.IN_TIME));
+        assertEquals("each is judged", 0, day.checker().openRequests());
     }
 }
