--- a/lab/src/main/java/trailthread/lab/baseline/FleetView.java
+++ b/lab/src/main/java/trailthread/lab/baseline/FleetView.java
@@ -9,5 +9,5 @@
      * How long one more request would take there, for each ns of its work, behind all that it holds
      * and that is on its way to it; infinite where it would not be served.
      */
-    double stretch(String server);
+    double expectedSlowdown(String server);
 }
--- a/lab/src/main/java/trailthread/lab/baseline/LeastOutstanding.java
+++ b/lab/src/main/java/trailthread/lab/baseline/LeastOutstanding.java
@@ -12,7 +12,7 @@
     }
 
     @Override
-    Endpoint choose(List<Endpoint> among, RequestClass rules, long now) {
-        return least(among, b -> b.outstanding);
+    Endpoint choose(List<Endpoint> candidates, RequestClass rules, long now) {
+        return leastBy(candidates, b -> b.outstanding);
     }
 }
--- a/lab/src/main/java/trailthread/lab/baseline/OraclePolicy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/OraclePolicy.java
@@ -11,17 +11,18 @@
  * fault, so a policy may still pass it.
  */
 final class OraclePolicy extends PlainPolicy {
-    private final FleetView truth;
+    private final FleetView fleetView;
 
-    OraclePolicy(Settings settings, long seed, BalancerActions actions, FleetView truth) {
+    OraclePolicy(Settings settings, long seed, BalancerActions actions, FleetView fleetView) {
         super(settings, seed, actions);
-        this.truth = truth;
+        this.fleetView = fleetView;
     }
 
     @Override
-    Endpoint choose(List<Endpoint> among, RequestClass rules, long now) {
-        Endpoint best = least(among, b -> truth.stretch(b.name));
-        return truth.stretch(best.name) * truth.meanWorkNs() > rules.latencyObjectiveNs()
+    Endpoint choose(List<Endpoint> candidates, RequestClass rules, long now) {
+        Endpoint best = leastBy(candidates, b -> fleetView.expectedSlowdown(b.name));
+        return fleetView.expectedSlowdown(best.name) * fleetView.meanWorkNs()
+                        > rules.latencyObjectiveNs()
                 ? null
                 : best;
     }
--- a/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
@@ -24,8 +24,8 @@
  * limits what is out.
  */
 abstract class PlainPolicy implements BalancerEvents {
-    private static final long WATCH_AGAIN_NS = 1_000_000_000L;
-    private static final long WATCH = 1;
+    private static final long WATCH_RETRY_NS = 1_000_000_000L;
+    private static final long WATCH_TIMER = 1;
 
     /** A server, as this node knows it. */
     static class Endpoint {
@@ -41,10 +41,10 @@
          * Queue as reports told it, smoothed, or requests in hand where they tell no queue; own
          * sends since then.
          */
-        double told;
+        double reportedQueue;
 
-        double lastTold = -1;
-        int sentSince;
+        double lastReportedQueue = -1;
+        int sentSinceReport;
 
         Endpoint(String name) {
             this.name = name;
@@ -80,7 +80,7 @@
     }
 
     /** One of these, of which there is at least one; null: none, and the request is given up. */
-    abstract Endpoint choose(List<Endpoint> among, RequestClass rules, long now);
+    abstract Endpoint choose(List<Endpoint> candidates, RequestClass rules, long now);
 
     /** Those that want new work. */
     List<Endpoint> ready() {
@@ -95,7 +95,7 @@
     @Override
     public void list(long now, ListKind kind, List<EndpointEntry> entries) {
         if (kind == ListKind.FAILED) {
-            actions.timer(WATCH_AGAIN_NS, WATCH);
+            actions.timer(WATCH_RETRY_NS, WATCH_TIMER);
             return;
         }
         if (kind != ListKind.DELTA) {
@@ -134,12 +134,12 @@
     }
 
     private void send(long now, long id, Request request) {
-        List<Endpoint> among = among(request, now);
+        List<Endpoint> candidates = candidates(request, now);
         boolean may =
-                !among.isEmpty()
+                !candidates.isEmpty()
                         && request.sent.size() < settings.maxAttempts
                         && now < request.deadline;
-        Endpoint endpoint = may ? choose(among, request.rules, now) : null;
+        Endpoint endpoint = may ? choose(candidates, request.rules, now) : null;
         if (endpoint == null) {
             requests.remove(id);
             if (request.firstRan < 0 || request.rules.idempotency() == Idempotency.IDEMPOTENT) {
@@ -152,7 +152,7 @@
         request.sent.add(endpoint);
         request.sentAt.add(now);
         endpoint.outstanding++;
-        endpoint.sentSince++;
+        endpoint.sentSinceReport++;
         actions.send(id, 0, Long.MAX_VALUE, endpoint.name);
     }
 
@@ -160,7 +160,7 @@
      * Where it may go: the rules on repeats, and then another server than before where there is
      * one.
      */
-    private List<Endpoint> among(Request request, long now) {
+    private List<Endpoint> candidates(Request request, long now) {
         if (request.sent.isEmpty()) {
             return ready;
         }
@@ -206,7 +206,7 @@
         }
         Endpoint endpoint = request.sent.get(attempt);
         endpoint.outstanding--;
-        endpoint.sentSince = Math.max(0, endpoint.sentSince - 1);
+        endpoint.sentSinceReport = Math.max(0, endpoint.sentSinceReport - 1);
         if (load != null) {
             report(endpoint, load);
         }
@@ -221,11 +221,11 @@
     }
 
     private static void report(Endpoint endpoint, LoadReport load) {
-        double told = load.queue() >= 0 ? load.queue() : load.inflight();
-        if (told >= 0 && told != endpoint.lastTold) {
-            endpoint.lastTold = told;
-            endpoint.told += 0.5 * (told - endpoint.told);
-            endpoint.sentSince = 0;
+        double reportedQueue = load.queue() >= 0 ? load.queue() : load.inflight();
+        if (reportedQueue >= 0 && reportedQueue != endpoint.lastReportedQueue) {
+            endpoint.lastReportedQueue = reportedQueue;
+            endpoint.reportedQueue += 0.5 * (reportedQueue - endpoint.reportedQueue);
+            endpoint.sentSinceReport = 0;
         }
     }
 
@@ -240,7 +240,7 @@
 
     @Override
     public void timer(long now, long token) {
-        if (token == WATCH) {
+        if (token == WATCH_TIMER) {
             actions.watch(true);
         }
     }
@@ -253,12 +253,13 @@
             long now, String endpoint, Outcome outcome, long latency, LoadReport load) {}
 
     /** The first of the least, from a random place on, so that ties fall evenly. */
-    Endpoint least(List<Endpoint> among, java.util.function.ToDoubleFunction<Endpoint> cost) {
-        int from = random.nextInt(among.size());
+    Endpoint leastBy(
+            List<Endpoint> candidates, java.util.function.ToDoubleFunction<Endpoint> cost) {
+        int from = random.nextInt(candidates.size());
         Endpoint best = null;
         double least = 0;
-        for (int i = 0; i < among.size(); i++) {
-            Endpoint endpoint = among.get((from + i) % among.size());
+        for (int i = 0; i < candidates.size(); i++) {
+            Endpoint endpoint = candidates.get((from + i) % candidates.size());
             double its = cost.applyAsDouble(endpoint);
             if (best == null || its < least) {
                 best = endpoint;
--- a/lab/src/main/java/trailthread/lab/baseline/Policies.java
+++ b/lab/src/main/java/trailthread/lab/baseline/Policies.java
@@ -9,72 +9,80 @@
 /** All policies that runs can have, by name. */
 public final class Policies {
     /** Makes the decisions of a policy. */
-    private interface Maker {
-        BalancerEvents make(
-                Settings settings, long seed, long now, BalancerActions actions, FleetView truth);
+    private interface Factory {
+        BalancerEvents create(
+                Settings settings,
+                long seed,
+                long now,
+                BalancerActions actions,
+                FleetView fleetView);
     }
 
-    private record Named(String name, String about, Maker maker) implements Policy {
+    private record NamedPolicy(String name, String description, Factory factory) implements Policy {
         @Override
-        public BalancerEvents make(
-                Settings settings, long seed, long now, BalancerActions actions, FleetView truth) {
-            return maker.make(settings, seed, now, actions, truth);
+        public BalancerEvents create(
+                Settings settings,
+                long seed,
+                long now,
+                BalancerActions actions,
+                FleetView fleetView) {
+            return factory.create(settings, seed, now, actions, fleetView);
         }
     }
 
     /** The project's own decision module. */
     public static final Policy TRAILTHREAD =
-            new Named(
+            new NamedPolicy(
                     "trailthread",
                     "this project's decision module",
-                    (settings, seed, now, actions, truth) ->
+                    (settings, seed, now, actions, fleetView) ->
                             new Balancer(settings, seed, now, actions));
 
     /** Sees what no real node can. */
     public static final Policy ORACLE =
-            new Named(
+            new NamedPolicy(
                     "oracle",
                     "the worker that is best by the true state of all; refuses what would miss its aim",
-                    (settings, seed, now, actions, truth) ->
-                            new OraclePolicy(settings, seed, actions, truth));
+                    (settings, seed, now, actions, fleetView) ->
+                            new OraclePolicy(settings, seed, actions, fleetView));
 
     private static final List<Policy> ALL =
             List.of(
                     TRAILTHREAD,
-                    new Named(
+                    new NamedPolicy(
                             "random",
                             "any worker, evenly",
-                            (settings, seed, now, actions, truth) ->
+                            (settings, seed, now, actions, fleetView) ->
                                     new RandomChoice(settings, seed, actions)),
-                    new Named(
+                    new NamedPolicy(
                             "round-robin",
                             "each worker in its turn",
-                            (settings, seed, now, actions, truth) ->
+                            (settings, seed, now, actions, fleetView) ->
                                     new RoundRobin(settings, seed, actions)),
-                    new Named(
+                    new NamedPolicy(
                             "least-outstanding",
                             "the worker with the fewest of this node's own requests",
-                            (settings, seed, now, actions, truth) ->
+                            (settings, seed, now, actions, fleetView) ->
                                     new LeastOutstanding(settings, seed, actions)),
-                    new Named(
+                    new NamedPolicy(
                             "two-choices",
                             "the better of two drawn evenly, by own requests (Mitzenmacher, IEEE TPDS 2001)",
-                            (settings, seed, now, actions, truth) ->
+                            (settings, seed, now, actions, fleetView) ->
                                     new TwoChoices(settings, seed, actions)),
-                    new Named(
+                    new NamedPolicy(
                             "sns",
                             "lottery by reported queues and own sends since then (Chawathe and Brewer 1998)",
-                            (settings, seed, now, actions, truth) ->
+                            (settings, seed, now, actions, fleetView) ->
                                     new SnsLottery(settings, seed, actions, true)),
-                    new Named(
+                    new NamedPolicy(
                             "sns-uncorrected",
                             "the same without own sends",
-                            (settings, seed, now, actions, truth) ->
+                            (settings, seed, now, actions, fleetView) ->
                                     new SnsLottery(settings, seed, actions, false)),
-                    new Named(
+                    new NamedPolicy(
                             "prequal",
                             "probes, hot and cold, least latency among the cold (Wydrowski et al., NSDI 2024)",
-                            (settings, seed, now, actions, truth) ->
+                            (settings, seed, now, actions, fleetView) ->
                                     new Prequal(settings, seed, actions)),
                     ORACLE);
 
@@ -90,7 +98,7 @@
      *
      * @throws IllegalArgumentException if there is none
      */
-    public static Policy named(String name) {
+    public static Policy byName(String name) {
         return ALL.stream()
                 .filter(p -> p.name().equals(name))
                 .findFirst()
--- a/lab/src/main/java/trailthread/lab/baseline/Policy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/Policy.java
@@ -10,9 +10,9 @@
     String name();
 
     /** One line for people: what it does, and after which paper. */
-    String about();
+    String description();
 
     /** Makes the decisions of one node, which share nothing with those of others. */
-    BalancerEvents make(
-            Settings settings, long seed, long now, BalancerActions actions, FleetView truth);
+    BalancerEvents create(
+            Settings settings, long seed, long now, BalancerActions actions, FleetView fleetView);
 }
--- a/lab/src/main/java/trailthread/lab/baseline/Prequal.java
+++ b/lab/src/main/java/trailthread/lab/baseline/Prequal.java
@@ -61,7 +61,8 @@
                     Math.max(
                             1,
                             (1 + DELTA)
-                                    / ((1 - (double) most() / ready().size()) * PROBES - REMOVED));
+                                    / ((1 - (double) poolCapacity() / ready().size()) * PROBES
+                                            - REMOVED));
             pool.add(
                     new Probe(
                             of,
@@ -69,27 +70,27 @@
                             load.inflight(),
                             load.latencyMs() >= 0 ? load.latencyMs() : 0,
                             reuse));
-            if (pool.size() > most()) {
+            if (pool.size() > poolCapacity()) {
                 pool.remove(0);
             }
         }
     }
 
-    private int most() {
+    private int poolCapacity() {
         return Math.max(LEAST_POOL, Math.min(POOL, ready().size() / 2));
     }
 
     @Override
-    Endpoint choose(List<Endpoint> among, RequestClass rules, long now) {
+    Endpoint choose(List<Endpoint> candidates, RequestClass rules, long now) {
         if (settings.mayCheckHealth) {
             for (int i = 0; i < PROBES; i++) {
                 actions.checkHealth(ready().get(random.nextInt(ready().size())).name);
             }
         }
         pool.removeIf(p -> now - p.at > PROBE_LIVES_NS);
-        List<Probe> fit = pool.stream().filter(p -> among.contains(p.endpoint)).toList();
+        List<Probe> fit = pool.stream().filter(p -> candidates.contains(p.endpoint)).toList();
         if (fit.size() < LEAST_POOL) {
-            return among.get(random.nextInt(among.size()));
+            return candidates.get(random.nextInt(candidates.size()));
         }
         double[] inflight = fit.stream().mapToDouble(p -> p.inflight).sorted().toArray();
         double hot =
--- a/lab/src/main/java/trailthread/lab/baseline/RandomChoice.java
+++ b/lab/src/main/java/trailthread/lab/baseline/RandomChoice.java
@@ -12,7 +12,7 @@
     }
 
     @Override
-    Endpoint choose(List<Endpoint> among, RequestClass rules, long now) {
-        return among.get(random.nextInt(among.size()));
+    Endpoint choose(List<Endpoint> candidates, RequestClass rules, long now) {
+        return candidates.get(random.nextInt(candidates.size()));
     }
 }
--- a/lab/src/main/java/trailthread/lab/baseline/RoundRobin.java
+++ b/lab/src/main/java/trailthread/lab/baseline/RoundRobin.java
@@ -15,7 +15,7 @@
     }
 
     @Override
-    Endpoint choose(List<Endpoint> among, RequestClass rules, long now) {
-        return among.get(Math.floorMod(next++, among.size()));
+    Endpoint choose(List<Endpoint> candidates, RequestClass rules, long now) {
+        return candidates.get(Math.floorMod(next++, candidates.size()));
     }
 }
--- a/lab/src/main/java/trailthread/lab/baseline/SnsLottery.java
+++ b/lab/src/main/java/trailthread/lab/baseline/SnsLottery.java
@@ -19,22 +19,22 @@
     }
 
     private double tickets(Endpoint b) {
-        return 1 / (1 + b.told + (corrected ? b.sentSince : 0));
+        return 1 / (1 + b.reportedQueue + (corrected ? b.sentSinceReport : 0));
     }
 
     @Override
-    Endpoint choose(List<Endpoint> among, RequestClass rules, long now) {
+    Endpoint choose(List<Endpoint> candidates, RequestClass rules, long now) {
         double sum = 0;
-        for (Endpoint b : among) {
+        for (Endpoint b : candidates) {
             sum += tickets(b);
         }
         double draw = random.nextDouble() * sum;
-        for (Endpoint b : among) {
+        for (Endpoint b : candidates) {
             draw -= tickets(b);
             if (draw < 0) {
                 return b;
             }
         }
-        return among.get(among.size() - 1);
+        return candidates.get(candidates.size() - 1);
     }
 }
--- a/lab/src/main/java/trailthread/lab/baseline/TwoChoices.java
+++ b/lab/src/main/java/trailthread/lab/baseline/TwoChoices.java
@@ -15,14 +15,14 @@
     }
 
     @Override
-    Endpoint choose(List<Endpoint> among, RequestClass rules, long now) {
-        int first = random.nextInt(among.size());
-        if (among.size() == 1) {
-            return among.get(first);
+    Endpoint choose(List<Endpoint> candidates, RequestClass rules, long now) {
+        int first = random.nextInt(candidates.size());
+        if (candidates.size() == 1) {
+            return candidates.get(first);
         }
-        int second = random.nextInt(among.size() - 1);
-        Endpoint a = among.get(first);
-        Endpoint b = among.get(second >= first ? second + 1 : second);
+        int second = random.nextInt(candidates.size() - 1);
+        Endpoint a = candidates.get(first);
+        Endpoint b = candidates.get(second >= first ? second + 1 : second);
         return b.outstanding < a.outstanding ? b : a;
     }
 }
--- a/lab/src/main/java/trailthread/lab/clients/ClientOperation.java
+++ b/lab/src/main/java/trailthread/lab/clients/ClientOperation.java
@@ -1,7 +1,7 @@
 package trailthread.lab.clients;
 
 import trailthread.api.Idempotency;
-import trailthread.lab.scenario.Scenario.ClassLaw;
+import trailthread.lab.scenario.Scenario.ClassModel;
 
 /**
  * What a client wants, over all its attempts. All that is drawn is drawn at its beginning, whatever
@@ -26,7 +26,7 @@
     record RandomDraws(double[] timeoutShare, double[] backoff, double[] nodeChoice) {}
 
     private final ClientPopulation clients;
-    private final ClassLaw classModel;
+    private final ClassModel classModel;
     private final String tenant;
     private final double work;
     private final long key;
@@ -39,7 +39,7 @@
 
     ClientOperation(
             ClientPopulation clients,
-            ClassLaw classModel,
+            ClassModel classModel,
             String tenant,
             double work,
             long key,
@@ -56,7 +56,7 @@
     }
 
     /** Its class. */
-    public ClassLaw classModel() {
+    public ClassModel classModel() {
         return classModel;
     }
 
@@ -77,7 +77,7 @@
 
     void startAttempt() {
         long now = clients.now();
-        long deadline = startedAt + classModel.rules().deadlineNs();
+        long deadline = startedAt + classModel.requestClass().deadlineNs();
         if (done || now >= deadline) {
             end(AttemptResult.FAILED);
             return;
@@ -93,7 +93,7 @@
                                 now
                                         + (long)
                                                 (draws.timeoutShare[number]
-                                                        * classModel.rules().deadlineNs())));
+                                                        * classModel.requestClass().deadlineNs())));
     }
 
     /** An attempt has ended so; what the answer advises, in ns, 0: nothing. */
@@ -103,7 +103,7 @@
         }
         mayHaveRun |= result == AttemptResult.FAILED || result == AttemptResult.NO_RESPONSE;
         boolean harmless =
-                !mayHaveRun || classModel.rules().idempotency() == Idempotency.IDEMPOTENT;
+                !mayHaveRun || classModel.requestClass().idempotency() == Idempotency.IDEMPOTENT;
         if (result == AttemptResult.SERVED || attempts >= draws.timeoutShare.length || !harmless) {
             end(result);
         } else {
--- a/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
+++ b/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
@@ -6,9 +6,9 @@
 import trailthread.lab.metrics.RunMetrics;
 import trailthread.lab.random.RandomStreams;
 import trailthread.lab.scenario.Scenario;
-import trailthread.lab.scenario.Scenario.ClassLaw;
-import trailthread.lab.scenario.Scenario.Draw;
+import trailthread.lab.scenario.Scenario.ClassModel;
 import trailthread.lab.scenario.Scenario.Surge;
+import trailthread.lab.scenario.Scenario.WorkDistribution;
 
 /**
  * The clients of a day: an open loop of Poisson arrivals. Times come from an event queue, virtual
@@ -46,7 +46,7 @@
         arrivalRandom = streams.stream("arrivals");
         operationRandom = streams.stream("asks");
         tailRandom = streams.stream("tails");
-        classShares = scenario.classes().stream().mapToDouble(ClassLaw::share).toArray();
+        classShares = scenario.classes().stream().mapToDouble(ClassModel::share).toArray();
         tenantShares = scenario.tenants().stream().mapToDouble(Tenant::share).toArray();
     }
 
@@ -85,32 +85,36 @@
                         (clientModel.backoffNs()
                                 * (1L << Math.min(attempts - 1, MOST_DOUBLINGS))
                                 * draw);
-        eventQueue.scheduleAfter(Math.max(wait, clientModel.heeds() ? retryAfterNs : 0), task);
+        eventQueue.scheduleAfter(
+                Math.max(wait, clientModel.honorsRetryAfter() ? retryAfterNs : 0), task);
     }
 
     private double rate(long at) {
         var clientModel = scenario.clients();
         double rate = clientModel.perSecond();
         long since = at - begin;
-        if (clientModel.swingNs() > 0) {
+        if (clientModel.swingPeriodNs() > 0) {
             rate *=
                     1
-                            + clientModel.swing()
+                            + clientModel.swingDepth()
                                     * StrictMath.sin(
-                                            2 * StrictMath.PI * since / clientModel.swingNs());
+                                            2
+                                                    * StrictMath.PI
+                                                    * since
+                                                    / clientModel.swingPeriodNs());
         }
         for (Surge surge : clientModel.surges()) {
-            if (since >= surge.atNs() && since < surge.atNs() + surge.forNs()) {
-                rate *= surge.times();
+            if (since >= surge.startNs() && since < surge.startNs() + surge.durationNs()) {
+                rate *= surge.rateFactor();
             }
         }
         return rate;
     }
 
     private double maxRate() {
-        double most = scenario.clients().perSecond() * (1 + scenario.clients().swing());
+        double most = scenario.clients().perSecond() * (1 + scenario.clients().swingDepth());
         for (Surge surge : scenario.clients().surges()) {
-            most *= Math.max(1, surge.times());
+            most *= Math.max(1, surge.rateFactor());
         }
         return most;
     }
@@ -140,7 +144,7 @@
 
     private ClientOperation newOperation() {
         var clientModel = scenario.clients();
-        ClassLaw classModel =
+        ClassModel classModel =
                 scenario.classes().get(drawIndex(classShares, operationRandom.nextDouble()));
         String tenant =
                 tenantShares.length == 0
@@ -150,16 +154,19 @@
                                 .name();
         double draw = operationRandom.nextDouble();
         double work =
-                classModel.draw() == Draw.FIXED
-                        ? classModel.lowNs()
-                        : classModel.draw() == Draw.UNIFORM
-                                ? classModel.lowNs()
-                                        + draw * (classModel.highNs() - classModel.lowNs())
-                                : -classModel.lowNs() * StrictMath.log(1 - draw);
+                classModel.distribution() == WorkDistribution.FIXED
+                        ? classModel.lowWorkNs()
+                        : classModel.distribution() == WorkDistribution.UNIFORM
+                                ? classModel.lowWorkNs()
+                                        + draw * (classModel.highWorkNs() - classModel.lowWorkNs())
+                                : -classModel.lowWorkNs() * StrictMath.log(1 - draw);
         if (tailRandom.nextDouble() < tailShare) {
             work *= tailFactor;
         }
-        long key = clientModel.keys() > 0 ? 1 + operationRandom.nextLong(clientModel.keys()) : 0;
+        long key =
+                clientModel.keyCount() > 0
+                        ? 1 + operationRandom.nextLong(clientModel.keyCount())
+                        : 0;
         int zone = operationRandom.nextInt(scenario.zones().size());
         int attempts = clientModel.retries() + 1;
         ClientOperation.RandomDraws draws =
@@ -168,7 +175,9 @@
         for (int i = 0; i < attempts; i++) {
             draws.timeoutShare()[i] =
                     RandomStreams.uniform(
-                            operationRandom, clientModel.patienceLow(), clientModel.patienceHigh());
+                            operationRandom,
+                            clientModel.timeoutShareLow(),
+                            clientModel.timeoutShareHigh());
             draws.backoff()[i] = RandomStreams.uniform(operationRandom, 0.5, 1);
             draws.nodeChoice()[i] = operationRandom.nextDouble();
         }
--- a/lab/src/main/java/trailthread/lab/command/CompareCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/CompareCommand.java
@@ -18,7 +18,7 @@
 import trailthread.lab.baseline.Policy;
 import trailthread.lab.experiment.Comparison;
 import trailthread.lab.experiment.Result;
-import trailthread.lab.experiment.Runs;
+import trailthread.lab.experiment.RunExecutor;
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
 
@@ -55,13 +55,13 @@
         PrintWriter print = spec.commandLine().getOut();
         for (Path file : files) {
             Scenario scenario = ScenarioReader.read(file);
-            List<Runs.Order> orders = new ArrayList<>();
+            List<RunExecutor.RunSpec> specs = new ArrayList<>();
             for (String policy : policies) {
                 for (long seed : options.all()) {
-                    orders.add(new Runs.Order(scenario, Policies.named(policy), seed));
+                    specs.add(new RunExecutor.RunSpec(scenario, Policies.byName(policy), seed));
                 }
             }
-            List<Result> results = Runs.make(orders, options.threads, result -> {});
+            List<Result> results = RunExecutor.runAll(specs, options.threads, result -> {});
             print.println(new Comparison(results, policies.get(0)).table());
             print.flush();
             if (out != null) {
--- a/lab/src/main/java/trailthread/lab/command/EmulateCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/EmulateCommand.java
@@ -35,11 +35,11 @@
     public Integer call() throws Exception {
         PrintWriter print = spec.commandLine().getOut();
         Scenario scenario = ScenarioReader.read(file);
-        try (Emulation day = new Emulation(scenario, seed, 1)) {
-            print.println("roster " + day.discoveryAt(0));
-            print.println("workers " + String.join(" ", day.serversAt(0)));
+        try (Emulation emulation = new Emulation(scenario, seed, 1)) {
+            print.println("roster " + emulation.discoveryAt(0));
+            print.println("workers " + String.join(" ", emulation.serversAt(0)));
             print.flush();
-            day.play(true, d -> {});
+            emulation.run(true, d -> {});
         }
         return Lab.DONE;
     }
--- a/lab/src/main/java/trailthread/lab/command/EmulationRun.java
+++ b/lab/src/main/java/trailthread/lab/command/EmulationRun.java
@@ -14,8 +14,8 @@
      * A line of progress: the second before the last, whose requests have mostly come to their
      * ends.
      */
-    static void progress(Emulation day, PrintWriter print) {
-        List<RunMetrics.SecondMetrics> seconds = day.metrics().seconds();
+    static void progress(Emulation emulation, PrintWriter print) {
+        List<RunMetrics.SecondMetrics> seconds = emulation.metrics().seconds();
         int at = seconds.size() - 2;
         if (at < 0) {
             return;
@@ -32,14 +32,14 @@
                 c[3],
                 c[4],
                 c[5],
-                day.loop().lateUs().getMaxValue() / 1e3);
+                emulation.loop().lateUs().getMaxValue() / 1e3);
         print.flush();
     }
 
     /** Whether the run counts; if not, why, in a line. */
-    static boolean counts(Emulation day, PrintWriter print) {
-        double p99 = day.loop().lateUs().getValueAtPercentile(99) / 1e3;
-        if (day.loop().wasLate()) {
+    static boolean counts(Emulation emulation, PrintWriter print) {
+        double p99 = emulation.loop().lateUs().getValueAtPercentile(99) / 1e3;
+        if (emulation.loop().wasLate()) {
             print.printf(
                     Locale.ROOT,
                     "no result: this program did 1%% of its work %.1f ms late and more%n",
--- a/lab/src/main/java/trailthread/lab/command/LoadCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/LoadCommand.java
@@ -52,30 +52,30 @@
     public Integer call() throws Exception {
         PrintWriter print = spec.commandLine().getOut();
         Scenario scenario = ScenarioReader.read(file).withSingleServer();
-        try (Emulation day = new Emulation(scenario, seed, 1)) {
-            day.sendTo(ports);
+        try (Emulation emulation = new Emulation(scenario, seed, 1)) {
+            emulation.sendTo(ports);
             if (connections > 0) {
-                day.openAhead(connections);
+                emulation.openAhead(connections);
             }
             long begun = System.nanoTime();
-            day.play(false, d -> EmulationRun.progress(d, print));
+            emulation.run(false, d -> EmulationRun.progress(d, print));
             Result result =
                     Result.of(
                             scenario,
                             "load",
                             seed,
-                            day.metrics(),
-                            day.checker(),
+                            emulation.metrics(),
+                            emulation.checker(),
                             0,
                             System.nanoTime() - begun);
             print.println(Result.head());
             print.println(result.row());
-            print.println("most connections at once " + day.mostConnections());
-            day.checker().violations().stream()
+            print.println("most connections at once " + emulation.mostConnections());
+            emulation.checker().violations().stream()
                     .limit(3)
                     .map(Violation::describe)
                     .forEach(print::println);
-            return !EmulationRun.counts(day, print)
+            return !EmulationRun.counts(emulation, print)
                     ? Lab.LATE
                     : result.broken().isEmpty() ? Lab.DONE : Lab.BROKEN;
         }
--- a/lab/src/main/java/trailthread/lab/command/PoliciesCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/PoliciesCommand.java
@@ -18,7 +18,10 @@
     public Integer call() {
         Policies.all()
                 .forEach(
-                        p -> spec.commandLine().getOut().printf("%-18s %s%n", p.name(), p.about()));
+                        p ->
+                                spec.commandLine()
+                                        .getOut()
+                                        .printf("%-18s %s%n", p.name(), p.description()));
         return Lab.DONE;
     }
 }
--- a/lab/src/main/java/trailthread/lab/command/RunCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/RunCommand.java
@@ -63,8 +63,8 @@
         PrintWriter print = spec.commandLine().getOut();
         Scenario scenario = ScenarioReader.read(file);
         Path directory = logs != null ? logs : Files.createTempDirectory("trailthread-lab");
-        try (Emulation day = new Emulation(scenario, seed, scenario.nodes())) {
-            day.startNodes(Emulation.Program.ofCheckout(root.toAbsolutePath()), directory);
+        try (Emulation emulation = new Emulation(scenario, seed, scenario.nodes())) {
+            emulation.startNodes(Emulation.Program.ofCheckout(root.toAbsolutePath()), directory);
             print.println(
                     scenario.name()
                             + ": "
@@ -75,7 +75,7 @@
                             + directory);
             print.flush();
             long begun = System.nanoTime();
-            day.play(
+            emulation.run(
                     true,
                     d -> {
                         if (!quiet) {
@@ -87,17 +87,17 @@
                             scenario,
                             "node",
                             seed,
-                            day.metrics(),
-                            day.checker(),
+                            emulation.metrics(),
+                            emulation.checker(),
                             0,
                             System.nanoTime() - begun);
             print.println(Result.head());
             print.println(result.row());
-            day.checker().violations().stream()
+            emulation.checker().violations().stream()
                     .limit(3)
                     .map(Violation::describe)
                     .forEach(print::println);
-            boolean counts = EmulationRun.counts(day, print);
+            boolean counts = EmulationRun.counts(emulation, print);
             if (counts && out != null) {
                 Files.writeString(
                         out,
--- a/lab/src/main/java/trailthread/lab/command/SimulateCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/SimulateCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Spec;
 import trailthread.lab.baseline.Policies;
 import trailthread.lab.experiment.Result;
-import trailthread.lab.experiment.Runs;
+import trailthread.lab.experiment.RunExecutor;
 import trailthread.lab.invariant.Violation;
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
@@ -52,17 +52,17 @@
     @Override
     public Integer call() throws Exception {
         PrintWriter print = spec.commandLine().getOut();
-        List<Runs.Order> orders = new ArrayList<>();
+        List<RunExecutor.RunSpec> specs = new ArrayList<>();
         for (Path file : files) {
             Scenario scenario = ScenarioReader.read(file);
             for (String policy : policies) {
                 for (long seed : options.all()) {
-                    orders.add(new Runs.Order(scenario, Policies.named(policy), seed));
+                    specs.add(new RunExecutor.RunSpec(scenario, Policies.byName(policy), seed));
                 }
             }
         }
         print.println(Result.head());
-        List<Result> results = Runs.make(orders, options.threads, result -> {});
+        List<Result> results = RunExecutor.runAll(specs, options.threads, result -> {});
         int status = Lab.DONE;
         for (int i = 0; i < results.size(); i++) {
             Result result = results.get(i);
@@ -77,7 +77,7 @@
             }
             if (!result.broken().isEmpty()) {
                 status = Lab.BROKEN;
-                tell(orders.get(i), print);
+                tell(specs.get(i), print);
             }
         }
         double events = results.stream().mapToLong(Result::events).sum();
@@ -96,9 +96,9 @@
      * The same run once more, which is the same to the last event, for the histories of what was
      * broken.
      */
-    private static void tell(Runs.Order order, PrintWriter print) {
-        Simulation.Day day = Simulation.play(order.scenario(), order.policy(), order.seed());
-        day.checker().violations().stream()
+    private static void tell(RunExecutor.RunSpec spec, PrintWriter print) {
+        Simulation.RunResult run = Simulation.run(spec.scenario(), spec.policy(), spec.seed());
+        run.checker().violations().stream()
                 .limit(3)
                 .map(Violation::describe)
                 .forEach(print::println);
--- a/lab/src/main/java/trailthread/lab/emulation/EmulatedDiscovery.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulatedDiscovery.java
@@ -22,7 +22,7 @@
     private static final Pattern INDEX = Pattern.compile("[?&]index=([0-9]{1,18})\\b");
     private static final long IDLE_NS = 2_000_000_000L;
 
-    private final Emulation day;
+    private final Emulation emulation;
     private final UniformRandomProvider random;
     private final List<EmulatedServer> listed = new ArrayList<>();
     private final List<RestartableListener> listeners = new ArrayList<>();
@@ -31,12 +31,13 @@
     private long generation = 1;
     private boolean down;
 
-    EmulatedDiscovery(Emulation day, int nodes) throws IOException {
-        this.day = day;
-        random = day.streams().stream("roster");
+    EmulatedDiscovery(Emulation emulation, int nodes) throws IOException {
+        this.emulation = emulation;
+        random = emulation.streams().stream("roster");
         for (int i = 0; i < Math.max(1, nodes); i++) {
             int node = i;
-            listeners.add(new RestartableListener(day.loop(), 0, channel -> accept(node, channel)));
+            listeners.add(
+                    new RestartableListener(emulation.loop(), 0, channel -> accept(node, channel)));
         }
     }
 
@@ -52,7 +53,7 @@
                 return;
             }
             Watch line = new Watch(node);
-            line.wire = HttpMessageConnection.accepted(day.loop(), channel, line);
+            line.wire = HttpMessageConnection.accepted(emulation.loop(), channel, line);
             lines.add(line);
         } catch (IOException e) {
             // the client has gone already
@@ -73,20 +74,25 @@
         }
         long of = generation;
         for (Watch watch : List.copyOf(watches)) {
-            var law = day.scenario().list();
-            long at = day.now() + (long) RandomStreams.uniform(random, law.lowNs(), law.highNs());
+            var model = emulation.scenario().discovery();
+            long at =
+                    emulation.now()
+                            + (long)
+                                    RandomStreams.uniform(
+                                            random, model.minDelayNs(), model.maxDelayNs());
             watch.toldAt = Math.max(at, watch.toldAt);
             String line = object(of, false, entry(server, watch.node, state));
-            day.eventQueue()
+            emulation
+                    .eventQueue()
                     .scheduleAt(
                             watch.toldAt,
                             () -> {
                                 if (watches.contains(watch)) {
                                     watch.line(line);
-                                    day.judged(
+                                    emulation.check(
                                             r ->
                                                     r.endpointStateReceived(
-                                                            day.now(),
+                                                            emulation.now(),
                                                             "n" + watch.node,
                                                             server.name,
                                                             state == EndpointState.READY));
@@ -106,10 +112,10 @@
     void known(int node) {
         listed.forEach(
                 w ->
-                        day.judged(
+                        emulation.check(
                                 r ->
                                         r.endpointStateReceived(
-                                                day.now(),
+                                                emulation.now(),
                                                 "n" + node,
                                                 w.name,
                                                 w.state == EndpointState.READY)));
@@ -139,7 +145,7 @@
                 server.zone,
                 server.cell,
                 lifecycle,
-                day.unixMs(server.process().startedAt()));
+                emulation.unixMs(server.process().startedAt()));
     }
 
     /** It answers nothing, and watches end; or it is back. */
@@ -170,14 +176,15 @@
                 wire.send("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
                 return;
             }
-            long at = day.now() + day.scenario().list().lowNs();
+            long at = emulation.now() + emulation.scenario().discovery().minDelayNs();
             toldAt = Math.max(at, toldAt);
             if (message.target().contains("stream=1")) {
                 Matcher index = INDEX.matcher(message.target());
                 long has = index.find() ? Long.parseLong(index.group(1)) : -1;
                 wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 watches.add(this);
-                day.eventQueue()
+                emulation
+                        .eventQueue()
                         .scheduleAt(
                                 toldAt,
                                 () -> {
@@ -188,7 +195,8 @@
                                 });
                 idles();
             } else {
-                day.eventQueue()
+                emulation
+                        .eventQueue()
                         .scheduleAt(
                                 toldAt,
                                 () -> {
@@ -214,7 +222,8 @@
                 idle.cancel();
             }
             idle =
-                    day.eventQueue()
+                    emulation
+                            .eventQueue()
                             .scheduleAfter(
                                     IDLE_NS,
                                     () -> {
--- a/lab/src/main/java/trailthread/lab/emulation/EmulatedServer.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulatedServer.java
@@ -32,7 +32,7 @@
     final String name;
     final String zone;
     final int cell;
-    private final Emulation day;
+    private final Emulation emulation;
     private final ServerProcess process;
     private final List<RestartableListener> listeners = new ArrayList<>();
     private final Set<Line> lines = new HashSet<>();
@@ -40,27 +40,33 @@
     private boolean wasCut;
 
     EmulatedServer(
-            Emulation day, String name, String zone, int cell, ServerLimits law, boolean cold)
+            Emulation emulation,
+            String name,
+            String zone,
+            int cell,
+            ServerLimits limits,
+            boolean cold)
             throws IOException {
-        this.day = day;
+        this.emulation = emulation;
         this.name = name;
         this.zone = zone;
         this.cell = cell;
         process =
                 new ServerProcess(
-                        day.eventQueue(),
-                        day.streams(),
-                        day.scenario().fleet(),
+                        emulation.eventQueue(),
+                        emulation.streams(),
+                        emulation.scenario().fleet(),
                         name,
-                        law,
+                        limits,
                         cold,
                         () -> {
-                            day.judged(r -> r.coldServerOverloaded(day.now(), name));
+                            emulation.check(r -> r.coldServerOverloaded(emulation.now(), name));
                             stop();
                         });
-        for (int i = 0; i < Math.max(1, day.nodeCount()); i++) {
+        for (int i = 0; i < Math.max(1, emulation.nodeCount()); i++) {
             String node = "n" + i;
-            listeners.add(new RestartableListener(day.loop(), 0, channel -> accept(node, channel)));
+            listeners.add(
+                    new RestartableListener(emulation.loop(), 0, channel -> accept(node, channel)));
         }
     }
 
@@ -71,14 +77,14 @@
 
     private void accept(String node, SocketChannel channel) {
         try {
-            if (lines.size() >= day.scenario().network().connections()) {
+            if (lines.size() >= emulation.scenario().network().maxConnections()) {
                 channel.close();
                 return;
             }
-            process.works(day.scenario().network().openWorkNs());
+            process.addBackgroundWork(emulation.scenario().network().connectionWorkNs());
             Line line = new Line(node);
-            line.wire = HttpMessageConnection.accepted(day.loop(), channel, line);
-            line.wire.mute(process.ills.cut);
+            line.wire = HttpMessageConnection.accepted(emulation.loop(), channel, line);
+            line.wire.mute(process.faults.isolated);
             lines.add(line);
         } catch (IOException e) {
             // the client has gone already
@@ -91,10 +97,10 @@
      * way to another one.
      */
     void arrangeCut() {
-        if (process.ills.cut == wasCut) {
+        if (process.faults.isolated == wasCut) {
             return;
         }
-        wasCut = process.ills.cut;
+        wasCut = process.faults.isolated;
         for (Line line : List.copyOf(lines)) {
             if (wasCut) {
                 line.wire.mute(true);
@@ -129,7 +135,7 @@
 
     @Override
     public void startDraining() {
-        day.discovery().changed(this, EndpointState.DRAINING);
+        emulation.discovery().changed(this, EndpointState.DRAINING);
     }
 
     @Override
@@ -141,7 +147,7 @@
                 throw new IllegalStateException(e);
             }
         }
-        process.goDown();
+        process.stop();
         for (Line line : List.copyOf(lines)) {
             line.wire.reset();
             line.ends();
@@ -157,14 +163,14 @@
         } catch (IOException e) {
             throw new IllegalStateException(name + " can't listen again", e);
         }
-        process.comeUp();
-        day.discovery().changed(this, EndpointState.READY);
+        process.start();
+        emulation.discovery().changed(this, EndpointState.READY);
     }
 
     @Override
     public void replace() {
-        day.discovery().changed(this, EndpointState.GONE);
-        day.addServer(zone, Math.max(0, cell), true);
+        emulation.discovery().changed(this, EndpointState.GONE);
+        emulation.addServer(zone, Math.max(0, cell), true);
     }
 
     private static String load(LoadReport load) {
@@ -202,9 +208,9 @@
                 return;
             }
             if (message.target().equals("/health") || message.target().equals("/status/load")) {
-                day.metrics().recordHealthCheck();
-                process.probes(
-                        () -> wire.send(answer("200 OK", null, "", load(process.healthChecked()))));
+                emulation.metrics().recordHealthCheck();
+                process.checkHealth(
+                        () -> wire.send(answer("200 OK", null, "", load(process.healthReport()))));
                 return;
             }
             String id = message.header("x-correlation-id");
@@ -213,18 +219,18 @@
                 wire.send(answer("404 Not Found", null, "", ""));
                 return;
             }
-            int attempt = day.nextAttempt(id, EmulatedServer.this);
+            int attempt = emulation.nextAttempt(id, EmulatedServer.this);
             served = new Served(this, id, attempt, Math.max(1, Double.parseDouble(work.group(1))));
-            day.judged(
+            emulation.check(
                     r ->
                             r.attemptSent(
                                     wire.beganAt(),
                                     id,
                                     attempt,
                                     node,
-                                    new InvariantChecker.Place(name, zone, cell)));
-            day.metrics().recordAttempt(day.servers().indexOf(EmulatedServer.this));
-            process.arrived(served);
+                                    new InvariantChecker.ServerLocation(name, zone, cell)));
+            emulation.metrics().recordAttempt(emulation.servers().indexOf(EmulatedServer.this));
+            process.receive(served);
         }
 
         @Override
@@ -238,25 +244,29 @@
             if (served != null) {
                 Served was = served;
                 served = null;
-                process.givenUp(was);
-                day.judged(
+                process.cancelRequest(was);
+                emulation.check(
                         r ->
                                 r.attemptEnded(
-                                        day.now(), was.requestId, was.attempt, Outcome.CANCELLED));
+                                        emulation.now(),
+                                        was.requestId,
+                                        was.attempt,
+                                        Outcome.CANCELLED));
             }
         }
 
-        private void answered(Served of, Outcome outcome, String text, long drips) {
+        private void answered(Served of, Outcome outcome, String text, long trickleNs) {
             served = null;
-            day.judged(r -> r.attemptEnded(day.now(), of.requestId, of.attempt, outcome));
-            if (drips == 0) {
+            emulation.check(
+                    r -> r.attemptEnded(emulation.now(), of.requestId, of.attempt, outcome));
+            if (trickleNs == 0) {
                 wire.send(text);
                 return;
             }
             int piece = Math.max(1, text.length() / DRIPS);
             for (int from = 0, i = 0; from < text.length(); from += piece, i++) {
                 String part = text.substring(from, Math.min(text.length(), from + piece));
-                day.eventQueue().scheduleAfter(drips * i / DRIPS, () -> wire.send(part));
+                emulation.eventQueue().scheduleAfter(trickleNs * i / DRIPS, () -> wire.send(part));
             }
         }
     }
@@ -281,12 +291,12 @@
         }
 
         @Override
-        public void begins() {
-            day.judged(r -> r.executionStarted(day.now(), requestId, attempt));
+        public void executionStarted() {
+            emulation.check(r -> r.executionStarted(emulation.now(), requestId, attempt));
         }
 
         @Override
-        public void answers(Answer answer, long drips) {
+        public void respond(Response answer, long trickleNs) {
             if (line.served != this) {
                 return;
             }
@@ -301,16 +311,16 @@
                                         load,
                                         "",
                                         requestId + " " + name + " " + (long) work + "\n"),
-                                drips);
+                                trickleNs);
                 case ERROR ->
                         line.answered(
-                                this, Outcome.ERROR, answer("500 Failed", load, "", ""), drips);
+                                this, Outcome.ERROR, answer("500 Failed", load, "", ""), trickleNs);
                 case FULL ->
                         line.answered(
                                 this,
                                 Outcome.REJECTED,
                                 answer("503 Full", load, "X-Unprocessed: 1\r\n", ""),
-                                drips);
+                                trickleNs);
                 case GARBAGE -> line.answered(this, Outcome.RESET, GARBAGE, 0);
                 case RESET -> {
                     line.wire.reset();
@@ -321,7 +331,7 @@
         }
 
         @Override
-        public void breaks() {
+        public void connectionBroken() {
             // its connection is reset with all others
         }
     }
--- a/lab/src/main/java/trailthread/lab/emulation/Emulation.java
+++ b/lab/src/main/java/trailthread/lab/emulation/Emulation.java
@@ -205,25 +205,28 @@
     /**
      * Plays the day, from now on.
      *
-     * @param withTroubles whether its faults happen
+     * @param withFaults whether its faults happen
      * @param everySecond hears of its progress
      */
-    public void play(boolean withTroubles, Consumer<Emulation> everySecond) throws IOException {
+    public void run(boolean withFaults, Consumer<Emulation> everySecond) throws IOException {
         long begin = now();
         metrics = new RunMetrics(begin, begin + scenario.warmUpNs());
         loop.lateUs().reset();
         if (front != null) {
             clients = new ClientPopulation(eventQueue(), streams, scenario, metrics, front);
-            clients.begin(begin + scenario.lengthNs());
+            clients.begin(begin + scenario.durationNs());
         }
-        if (withTroubles) {
-            FaultInjector.arrange(eventQueue(), streams, scenario.faults(), this);
+        if (withFaults) {
+            FaultInjector.schedule(eventQueue(), streams, scenario.faults(), this);
         }
-        sample(begin, begin + scenario.lengthNs(), everySecond);
-        cuts(begin + scenario.lengthNs());
+        sample(begin, begin + scenario.durationNs(), everySecond);
+        cuts(begin + scenario.durationNs());
         long longest =
-                scenario.classes().stream().mapToLong(c -> c.rules().deadlineNs()).max().orElse(0);
-        long end = begin + scenario.lengthNs();
+                scenario.classes().stream()
+                        .mapToLong(c -> c.requestClass().deadlineNs())
+                        .max()
+                        .orElse(0);
+        long end = begin + scenario.durationNs();
         loop.runUntil(end);
         while (System.nanoTime() < end + 2 * longest
                 && clients != null
@@ -276,7 +279,7 @@
     // ---- what the parts need
     // -----------------------------------------------------------------------
 
-    void judged(Consumer<InvariantChecker> told) {
+    void check(Consumer<InvariantChecker> told) {
         if (checker != null) {
             told.accept(checker);
         }
@@ -327,7 +330,9 @@
     void addServer(String zone, int place, boolean cold) {
         var fleet = scenario.fleet();
         ServerLimits own =
-                fleet.law().at(RandomStreams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
+                fleet.limits()
+                        .withSpeedFactor(
+                                RandomStreams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
         try {
             EmulatedServer server =
                     new EmulatedServer(
@@ -363,7 +368,7 @@
     public void isolateZone(String zone) {
         for (EmulatedServer server :
                 servers) { // nodes of the zone still reach it: they are on this machine
-            server.process().ills.cut = zone != null && server.zone.equals(zone);
+            server.process().faults.isolated = zone != null && server.zone.equals(zone);
         }
     }
 
--- a/lab/src/main/java/trailthread/lab/emulation/HttpClients.java
+++ b/lab/src/main/java/trailthread/lab/emulation/HttpClients.java
@@ -145,7 +145,7 @@
     /** One attempt of a client's. */
     private record ClientAttempt(ClientOperation operation, String id, long until, boolean again) {
         String request(long now) {
-            var rules = operation.classModel().rules();
+            var rules = operation.classModel().requestClass();
             boolean safe = rules.idempotency() == Idempotency.IDEMPOTENT;
             return (safe ? "GET /" : "POST /")
                     + rules.name()
@@ -219,7 +219,7 @@
         private void requestReceived() {
             received = true;
             excused = target.excused;
-            var rules = attempt.operation.classModel().rules();
+            var rules = attempt.operation.classModel().requestClass();
             checker.requestReceived(
                     eventQueue.now(),
                     attempt.id,
--- a/lab/src/main/java/trailthread/lab/emulation/NodeProcess.java
+++ b/lab/src/main/java/trailthread/lab/emulation/NodeProcess.java
@@ -25,7 +25,7 @@
     /** What the system tells of a node: resident memory, descriptors, processor time. */
     record Sample(double rssMb, int descriptors, double cpuSeconds) {}
 
-    private final Emulation day;
+    private final Emulation emulation;
     private final int number;
     private final String zone;
     private final Path config;
@@ -37,14 +37,14 @@
     private boolean serving;
 
     NodeProcess(
-            Emulation day,
+            Emulation emulation,
             int number,
             String zone,
             Path directory,
             Emulation.Program program,
             HttpClients.Target target)
             throws IOException {
-        this.day = day;
+        this.emulation = emulation;
         this.number = number;
         this.zone = zone;
         this.command = program.command();
@@ -57,10 +57,10 @@
 
     /** Its configuration, as the platform writes it, under the simulator's names. */
     private String json() {
-        Scenario s = day.scenario();
+        Scenario s = emulation.scenario();
         List<Object> categories = new ArrayList<>();
-        for (var law : s.classes()) {
-            var c = law.rules();
+        for (var classModel : s.classes()) {
+            var c = classModel.requestClass();
             categories.add(
                     Map.of(
                             "name",
@@ -93,7 +93,7 @@
                                                 "fraction",
                                                 t.share())));
         var rules = s.rules();
-        var cold = s.fleet().law().cold();
+        var cold = s.fleet().limits().cold();
         Map<String, Object> settings = new LinkedHashMap<>();
         settings.put("categories", categories);
         settings.put("tenants", tenants);
@@ -104,7 +104,7 @@
         settings.put("discovery", "on_request");
         settings.put(
                 "report",
-                s.fleet().reports()
+                s.fleet().reportsLoad()
                         ? Map.of("how", "piggyback", "fields", List.of("inflight", "queue"))
                         : Map.of("how", "silent"));
         settings.put("deductions", Map.of("cross_zone", rules.crossZonePrice()));
@@ -118,13 +118,13 @@
                         "max_retry_after_ns",
                         rules.maxRetryAfterNs(),
                         "dial_timeout_ns",
-                        s.network().dialNs(),
+                        s.network().connectTimeoutNs(),
                         "idle_close_ns",
                         s.network().idleCloseNs(),
                         "may_cancel",
                         true,
                         "probes",
-                        rules.probes()));
+                        rules.healthChecks()));
         settings.put(
                 "safety",
                 Map.of(
@@ -137,14 +137,14 @@
                         "start_capacity",
                         cold.share(),
                         "fall_multiple",
-                        Math.min(1e6, cold.multiple()),
+                        Math.min(1e6, cold.overloadMultiple()),
                         "fall_ns",
-                        cold.deduplicationWindowNs()));
+                        cold.windowNs()));
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("name", "n" + number);
         all.put("listen", "127.0.0.1:" + target.address.getPort());
-        all.put("discovery", day.discovery().hostPort(number));
-        all.put("seed", Long.toHexString(day.streams().seedOf("n" + number)));
+        all.put("discovery", emulation.discovery().hostPort(number));
+        all.put("seed", Long.toHexString(emulation.streams().seedOf("n" + number)));
         all.put("limits", Map.of("sockets", 1024));
         all.put("settings", settings);
         Gson gson = new Gson();
@@ -152,7 +152,7 @@
         String text = gson.toJson(all);
         return text.substring(0, text.length() - 1)
                 + ",\"known\":"
-                + day.discovery().whole(number)
+                + emulation.discovery().whole(number)
                 + "}";
     }
 
@@ -172,7 +172,7 @@
     public void start() {
         try {
             Files.writeString(config, json(), StandardCharsets.UTF_8);
-            day.discovery().known(number);
+            emulation.discovery().known(number);
             ProcessBuilder builder =
                     new ProcessBuilder(command)
                             .directory(root)
@@ -194,7 +194,7 @@
             HttpMessageConnection[] wire = new HttpMessageConnection[1];
             wire[0] =
                     HttpMessageConnection.open(
-                            day.loop(),
+                            emulation.loop(),
                             target.address,
                             new HttpMessageConnection.Listener() {
                                 @Override
@@ -222,7 +222,8 @@
 
                                 private void again() {
                                     if (of == process && of.isAlive()) {
-                                        day.eventQueue()
+                                        emulation
+                                                .eventQueue()
                                                 .scheduleAfter(LOOK_NS, NodeProcess.this::look);
                                     }
                                 }
@@ -248,13 +249,13 @@
     public void restart() {
         serving = false;
         process.destroy();
-        day.eventQueue().scheduleAfter(SOON_NS, () -> target.admitted = false);
+        emulation.eventQueue().scheduleAfter(SOON_NS, () -> target.admitted = false);
         startWhenEnded(process);
     }
 
     private void startWhenEnded(Process of) {
         if (of.isAlive()) {
-            day.eventQueue().scheduleAfter(LOOK_NS, () -> startWhenEnded(of));
+            emulation.eventQueue().scheduleAfter(LOOK_NS, () -> startWhenEnded(of));
         } else if (of == process) {
             start();
         }
@@ -269,12 +270,15 @@
     public void pause(long forNs) {
         target.excused = true;
         signal("STOP");
-        day.eventQueue()
+        emulation
+                .eventQueue()
                 .scheduleAfter(
                         forNs,
                         () -> {
                             signal("CONT");
-                            day.eventQueue().scheduleAfter(SOON_NS, () -> target.excused = false);
+                            emulation
+                                    .eventQueue()
+                                    .scheduleAfter(SOON_NS, () -> target.excused = false);
                         });
     }
 
--- a/lab/src/main/java/trailthread/lab/experiment/Result.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Result.java
@@ -46,8 +46,8 @@
     private static final Gson GSON = new GsonBuilder().disableHtmlEscaping().create();
 
     /** Of a day in virtual time. */
-    public static Result of(Scenario scenario, String policy, long seed, Simulation.Day day) {
-        return of(scenario, policy, seed, day.metrics(), day.checker(), day.events(), day.wallNs());
+    public static Result of(Scenario scenario, String policy, long seed, Simulation.RunResult run) {
+        return of(scenario, policy, seed, run.metrics(), run.checker(), run.events(), run.wallNs());
     }
 
     /** Of what was counted and judged. */
@@ -65,7 +65,7 @@
         checker.violationCounts()
                 .forEach((rule, times) -> broken.put(rule.name().toLowerCase(Locale.ROOT), times));
         long[] totals = metrics.totals();
-        double seconds = (scenario.lengthNs() - scenario.warmUpNs()) / 1e9;
+        double seconds = (scenario.durationNs() - scenario.warmUpNs()) / 1e9;
         Histogram latency = metrics.latencyUs();
         double mean =
                 metrics.attemptsByServer().stream().mapToLong(Long::longValue).average().orElse(0);
--- a/lab/src/main/java/trailthread/lab/experiment/Runs.java
+++ b/lab/src/main/java/trailthread/lab/experiment/RunExecutor.java
@@ -13,11 +13,11 @@
 import trailthread.lab.simulation.Simulation;
 
 /** Runs in virtual time, many at once; what they come to does not depend on how many. */
-public final class Runs {
+public final class RunExecutor {
     /** One run that is to be made. */
-    public record Order(Scenario scenario, Policy policy, long seed) {}
+    public record RunSpec(Scenario scenario, Policy policy, long seed) {}
 
-    private Runs() {}
+    private RunExecutor() {}
 
     /**
      * Makes these runs on so many threads; their results in the order of the orders.
@@ -25,24 +25,24 @@
      * @param finished hears of each as it comes, from whichever thread
      * @throws BalancerFailureException if the decisions of one have asked for what nobody can do
      */
-    public static List<Result> make(List<Order> orders, int threads, Consumer<Result> finished)
+    public static List<Result> runAll(List<RunSpec> specs, int threads, Consumer<Result> finished)
             throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
             List<Future<Result>> futures = new ArrayList<>();
-            for (Order order : orders) {
+            for (RunSpec spec : specs) {
                 futures.add(
                         pool.submit(
                                 () -> {
                                     Result result =
                                             Result.of(
-                                                    order.scenario(),
-                                                    order.policy().name(),
-                                                    order.seed(),
-                                                    Simulation.play(
-                                                            order.scenario(),
-                                                            order.policy(),
-                                                            order.seed()));
+                                                    spec.scenario(),
+                                                    spec.policy().name(),
+                                                    spec.seed(),
+                                                    Simulation.run(
+                                                            spec.scenario(),
+                                                            spec.policy(),
+                                                            spec.seed()));
                                     finished.accept(result);
                                     return result;
                                 }));
--- a/lab/src/main/java/trailthread/lab/fault/FaultInjector.java
+++ b/lab/src/main/java/trailthread/lab/fault/FaultInjector.java
@@ -6,161 +6,184 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import trailthread.lab.event.EventQueue;
 import trailthread.lab.random.RandomStreams;
-import trailthread.lab.scenario.Scenario.Fault;
-import trailthread.lab.scenario.Scenario.Trouble;
+import trailthread.lab.scenario.Scenario.FaultKind;
+import trailthread.lab.scenario.Scenario.ScheduledFault;
 import trailthread.lab.server.ServerFaults;
 
 /** Makes go wrong, when it is to, what a scenario lists. */
 public final class FaultInjector {
     /** How long a server that drains goes on before it ends, and how long its next start takes. */
-    private static final long DRAINS_NS = 2_000_000_000L;
+    private static final long DRAIN_NS = 2_000_000_000L;
 
-    private static final long STARTS_NS = 1_000_000_000L;
+    private static final long START_NS = 1_000_000_000L;
 
     /** And after a loss of power. */
-    private static final long POWER_BACK_NS = 2_000_000_000L;
+    private static final long POWER_LOSS_NS = 2_000_000_000L;
 
     /** How often it is looked whether all nodes serve. */
-    private static final long LOOK_NS = 20_000_000L;
+    private static final long SERVING_POLL_NS = 20_000_000L;
 
     private final EventQueue eventQueue;
-    private final FaultTarget day;
+    private final FaultTarget target;
 
-    private FaultInjector(EventQueue eventQueue, FaultTarget day) {
+    private FaultInjector(EventQueue eventQueue, FaultTarget target) {
         this.eventQueue = eventQueue;
-        this.day = day;
+        this.target = target;
     }
 
     /** Arranges all of these for a day that begins now. */
-    public static void arrange(
-            EventQueue eventQueue, RandomStreams streams, List<Fault> faults, FaultTarget day) {
-        FaultInjector troubles = new FaultInjector(eventQueue, day);
+    public static void schedule(
+            EventQueue eventQueue,
+            RandomStreams streams,
+            List<ScheduledFault> faults,
+            FaultTarget target) {
+        FaultInjector injector = new FaultInjector(eventQueue, target);
         for (int i = 0; i < faults.size(); i++) {
-            Fault fault = faults.get(i);
+            ScheduledFault fault = faults.get(i);
             UniformRandomProvider random = streams.stream("fault " + i);
-            eventQueue.scheduleAfter(fault.atNs(), () -> troubles.begin(fault, random));
+            eventQueue.scheduleAfter(fault.startNs(), () -> injector.start(fault, random));
         }
     }
 
-    private static <T> List<T> struck(List<T> all, double part, UniformRandomProvider random) {
+    private static <T> List<T> choose(List<T> all, double share, UniformRandomProvider random) {
         List<T> left = new ArrayList<>(all);
-        List<T> struck = new ArrayList<>();
+        List<T> chosen = new ArrayList<>();
         int count =
                 Math.min(
                         left.size(),
-                        (int) Math.max(part > 0 ? 1 : 0, Math.round(part * left.size())));
-        while (struck.size() < count) {
-            struck.add(left.remove(random.nextInt(left.size())));
+                        (int) Math.max(share > 0 ? 1 : 0, Math.round(share * left.size())));
+        while (chosen.size() < count) {
+            chosen.add(left.remove(random.nextInt(left.size())));
         }
-        return struck;
+        return chosen;
     }
 
-    private List<FaultTarget.Server> servers(Fault fault, UniformRandomProvider random) {
-        List<FaultTarget.Server> fit = new ArrayList<>();
-        for (FaultTarget.Server server : day.servers()) {
+    private List<FaultTarget.Server> affectedServers(
+            ScheduledFault fault, UniformRandomProvider random) {
+        List<FaultTarget.Server> eligible = new ArrayList<>();
+        for (FaultTarget.Server server : target.servers()) {
             if (server.isReady() && (fault.zone() == null || server.zone().equals(fault.zone()))) {
-                fit.add(server);
+                eligible.add(server);
             }
         }
-        return struck(fit, fault.part(), random);
+        return choose(eligible, fault.affectedShare(), random);
     }
 
-    private void begin(Fault fault, UniformRandomProvider random) {
-        switch (fault.trouble()) {
+    private void start(ScheduledFault fault, UniformRandomProvider random) {
+        switch (fault.kind()) {
             case FAST_ERRORS ->
-                    ills(fault, random, i -> i.failing = fault.size(), i -> i.failing = 0);
+                    setServerFaults(
+                            fault,
+                            random,
+                            f -> f.errorShare = fault.magnitude(),
+                            f -> f.errorShare = 0);
             case LOST_ANSWERS ->
-                    ills(fault, random, i -> i.losing = fault.size(), i -> i.losing = 0);
+                    setServerFaults(
+                            fault,
+                            random,
+                            f -> f.lostResponseShare = fault.magnitude(),
+                            f -> f.lostResponseShare = 0);
             case RESETS ->
-                    ills(fault, random, i -> i.resetting = fault.size(), i -> i.resetting = 0);
+                    setServerFaults(
+                            fault,
+                            random,
+                            f -> f.resetShare = fault.magnitude(),
+                            f -> f.resetShare = 0);
             case GARBAGE ->
-                    ills(fault, random, i -> i.spoiling = fault.size(), i -> i.spoiling = 0);
+                    setServerFaults(
+                            fault,
+                            random,
+                            f -> f.garbageShare = fault.magnitude(),
+                            f -> f.garbageShare = 0);
             case DRIPS ->
-                    ills(
+                    setServerFaults(
                             fault,
                             random,
-                            i -> i.drips = (long) (fault.size() * 1e9),
-                            i -> i.drips = 0);
-            case CUT -> ills(fault, random, i -> i.cut = true, i -> i.cut = false);
+                            f -> f.trickleNs = (long) (fault.magnitude() * 1e9),
+                            f -> f.trickleNs = 0);
+            case CUT ->
+                    setServerFaults(fault, random, f -> f.isolated = true, f -> f.isolated = false);
             case SLOW ->
-                    forAWhile(
+                    applyTemporarily(
                             fault,
-                            servers(fault, random),
-                            w -> w.process().slow(fault.size()),
-                            w -> w.process().slow(1));
+                            affectedServers(fault, random),
+                            w -> w.process().setSlowdown(fault.magnitude()),
+                            w -> w.process().setSlowdown(1));
             case LATE_REPORTS ->
-                    forAWhile(
+                    applyTemporarily(
                             fault,
-                            List.copyOf(day.servers()),
-                            w -> w.process().reportsLate((long) (fault.size() * 1e9)),
-                            w -> w.process().reportsLate(0));
+                            List.copyOf(target.servers()),
+                            w -> w.process().setReportDelay((long) (fault.magnitude() * 1e9)),
+                            w -> w.process().setReportDelay(0));
             case HEAVY_TAIL -> {
-                day.setHeavyTail(fault.extra(), fault.size());
-                eventQueue.scheduleAfter(fault.forNs(), () -> day.setHeavyTail(0, 1));
+                target.setHeavyTail(fault.requestShare(), fault.magnitude());
+                eventQueue.scheduleAfter(fault.durationNs(), () -> target.setHeavyTail(0, 1));
             }
             case ZONE_CUT -> {
-                day.isolateZone(fault.zone());
-                eventQueue.scheduleAfter(fault.forNs(), () -> day.isolateZone(null));
+                target.isolateZone(fault.zone());
+                eventQueue.scheduleAfter(fault.durationNs(), () -> target.isolateZone(null));
             }
             case RESTART, REPLACE -> {
-                List<FaultTarget.Server> all = servers(fault, random);
+                List<FaultTarget.Server> all = affectedServers(fault, random);
                 for (int i = 0; i < all.size(); i++) {
                     FaultTarget.Server server = all.get(i);
                     eventQueue.scheduleAfter(
-                            fault.forNs() * i / all.size(),
-                            () -> leaves(server, fault.trouble() == Trouble.REPLACE));
+                            fault.durationNs() * i / all.size(),
+                            () -> restart(server, fault.kind() == FaultKind.REPLACE));
                 }
             }
             case COLD_FLEET ->
-                    servers(fault, random)
+                    affectedServers(fault, random)
                             .forEach(
                                     server -> {
                                         server.stop();
-                                        eventQueue.scheduleAfter(POWER_BACK_NS, server::restart);
+                                        eventQueue.scheduleAfter(POWER_LOSS_NS, server::restart);
                                     });
             case ROSTER_DOWN -> {
-                day.setDiscoveryDown(true);
-                eventQueue.scheduleAfter(fault.forNs(), () -> day.setDiscoveryDown(false));
+                target.setDiscoveryDown(true);
+                eventQueue.scheduleAfter(fault.durationNs(), () -> target.setDiscoveryDown(false));
             }
             case NODE_KILL ->
-                    struck(day.nodes(), fault.part(), random)
+                    choose(target.nodes(), fault.affectedShare(), random)
                             .forEach(
                                     node -> {
                                         node.kill();
-                                        eventQueue.scheduleAfter(fault.forNs(), node::start);
+                                        eventQueue.scheduleAfter(fault.durationNs(), node::start);
                                     });
             case NODE_RESTART -> {
-                List<FaultTarget.Node> all = struck(List.copyOf(day.nodes()), fault.part(), random);
-                roll(all, fault.forNs() / Math.max(1, all.size()));
+                List<FaultTarget.Node> all =
+                        choose(List.copyOf(target.nodes()), fault.affectedShare(), random);
+                restartInTurn(all, fault.durationNs() / Math.max(1, all.size()));
             }
             case NODE_RELOAD ->
-                    struck(day.nodes(), fault.part(), random).forEach(FaultTarget.Node::reload);
+                    choose(target.nodes(), fault.affectedShare(), random)
+                            .forEach(FaultTarget.Node::reload);
             case NODE_PAUSE ->
-                    struck(day.nodes(), fault.part(), random)
-                            .forEach(node -> node.pause(fault.forNs()));
-            default -> throw new IllegalStateException(fault.trouble().name());
+                    choose(target.nodes(), fault.affectedShare(), random)
+                            .forEach(node -> node.pause(fault.durationNs()));
+            default -> throw new IllegalStateException(fault.kind().name());
         }
     }
 
-    private void ills(
-            Fault fault,
+    private void setServerFaults(
+            ScheduledFault fault,
             UniformRandomProvider random,
             Consumer<ServerFaults> on,
             Consumer<ServerFaults> off) {
-        forAWhile(
+        applyTemporarily(
                 fault,
-                servers(fault, random),
-                w -> on.accept(w.process().ills),
-                w -> off.accept(w.process().ills));
+                affectedServers(fault, random),
+                w -> on.accept(w.process().faults),
+                w -> off.accept(w.process().faults));
     }
 
-    private void forAWhile(
-            Fault fault,
-            List<FaultTarget.Server> struck,
+    private void applyTemporarily(
+            ScheduledFault fault,
+            List<FaultTarget.Server> affected,
             Consumer<FaultTarget.Server> on,
             Consumer<FaultTarget.Server> off) {
-        struck.forEach(on);
-        eventQueue.scheduleAfter(fault.forNs(), () -> struck.forEach(off));
+        affected.forEach(on);
+        eventQueue.scheduleAfter(fault.durationNs(), () -> affected.forEach(off));
     }
 
     /**
@@ -168,26 +191,26 @@
      * restarted while a node is out of service, however long this machine takes to start one. A day
      * must not depend on that.
      */
-    private void roll(List<FaultTarget.Node> left, long eachNs) {
+    private void restartInTurn(List<FaultTarget.Node> left, long eachNs) {
         if (left.isEmpty()) {
             return;
         }
-        if (!day.nodes().stream().allMatch(FaultTarget.Node::isServing)) {
-            eventQueue.scheduleAfter(LOOK_NS, () -> roll(left, eachNs));
+        if (!target.nodes().stream().allMatch(FaultTarget.Node::isServing)) {
+            eventQueue.scheduleAfter(SERVING_POLL_NS, () -> restartInTurn(left, eachNs));
             return;
         }
         left.get(0).restart();
-        eventQueue.scheduleAfter(eachNs, () -> roll(left.subList(1, left.size()), eachNs));
+        eventQueue.scheduleAfter(eachNs, () -> restartInTurn(left.subList(1, left.size()), eachNs));
     }
 
-    private void leaves(FaultTarget.Server server, boolean forGood) {
+    private void restart(FaultTarget.Server server, boolean replaced) {
         server.startDraining();
         eventQueue.scheduleAfter(
-                DRAINS_NS,
+                DRAIN_NS,
                 () -> {
                     server.stop();
                     eventQueue.scheduleAfter(
-                            STARTS_NS, forGood ? server::replace : server::restart);
+                            START_NS, replaced ? server::replace : server::restart);
                 });
     }
 }
--- a/lab/src/main/java/trailthread/lab/invariant/InvariantChecker.java
+++ b/lab/src/main/java/trailthread/lab/invariant/InvariantChecker.java
@@ -22,7 +22,7 @@
     private static final int MAX_ABANDONED = 10_000;
 
     /** A place where an attempt runs, as far as repeats go. */
-    public record Place(String server, String zone, int cell) {}
+    public record ServerLocation(String server, String zone, int cell) {}
 
     private static final class TrackedRequest {
         final RequestTerms terms;
@@ -32,7 +32,7 @@
          * The place and time of the first attempt that reached a server and was not turned away by
          * it.
          */
-        Place firstExecutedAt;
+        ServerLocation firstExecutedAt;
 
         long firstExecutedSentAt;
         int attemptsInFlight;
@@ -47,7 +47,7 @@
         }
     }
 
-    private record SentAttempt(Place place, long at) {}
+    private record SentAttempt(ServerLocation location, long at) {}
 
     private final long responseSlackNs;
     private final long drainGraceNs;
@@ -112,7 +112,8 @@
     }
 
     /** An attempt leaves its node; its last byte need not have. */
-    public void attemptSent(long at, String requestId, int attempt, String node, Place place) {
+    public void attemptSent(
+            long at, String requestId, int attempt, String node, ServerLocation location) {
         TrackedRequest tracked = tracked(requestId);
         if (tracked == null) {
             violated(
@@ -122,13 +123,13 @@
                     "an attempt of "
                             + node
                             + " at "
-                            + place.server()
+                            + location.server()
                             + " for a call that is over or was never taken",
                     List.of());
             return;
         }
         tracked.history.add(
-                new HistoryEntry(at, HistoryEntry.Event.SENT, attempt, place.server(), null));
+                new HistoryEntry(at, HistoryEntry.Event.SENT, attempt, location.server(), null));
         if (tracked.attemptsInFlight > 0) {
             violated(
                     Invariant.ONE_ATTEMPT,
@@ -138,8 +139,8 @@
                     tracked.history);
         }
         tracked.attemptsInFlight++;
-        tracked.sentAttempts.put(attempt, new SentAttempt(place, at));
-        Long notifiedAt = drainNotifiedAt.get(node + " " + place.server());
+        tracked.sentAttempts.put(attempt, new SentAttempt(location, at));
+        Long notifiedAt = drainNotifiedAt.get(node + " " + location.server());
         if (notifiedAt != null && at > notifiedAt + drainGraceNs) {
             violated(
                     Invariant.DRAINS,
@@ -150,7 +151,7 @@
                             "%s was told at %.6f s that %s wants nothing new",
                             node,
                             notifiedAt / 1e9,
-                            place.server()),
+                            location.server()),
                     tracked.history);
         }
     }
@@ -167,11 +168,15 @@
         SentAttempt attemptSent = tracked.sentAttempts.get(attempt);
         tracked.history.add(
                 new HistoryEntry(
-                        at, HistoryEntry.Event.BEGUN, attempt, attemptSent.place.server(), null));
+                        at,
+                        HistoryEntry.Event.BEGUN,
+                        attempt,
+                        attemptSent.location.server(),
+                        null));
         if (tracked.firstExecutedAt == null) {
-            tracked.firstExecutedAt = attemptSent.place;
+            tracked.firstExecutedAt = attemptSent.location;
             tracked.firstExecutedSentAt = attemptSent.at;
-        } else if (!mayRepeat(tracked, attemptSent.place, at)) {
+        } else if (!mayRepeat(tracked, attemptSent.location, at)) {
             violated(
                     Invariant.REPEATS,
                     at,
@@ -181,7 +186,7 @@
         }
     }
 
-    private static boolean mayRepeat(TrackedRequest tracked, Place place, long at) {
+    private static boolean mayRepeat(TrackedRequest tracked, ServerLocation location, long at) {
         RequestTerms terms = tracked.terms;
         if (terms.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
@@ -190,12 +195,12 @@
                 || at > tracked.firstExecutedSentAt + terms.deduplicationWindowNs()) {
             return false;
         }
-        return switch (terms.group()) {
+        return switch (terms.deduplicationScope()) {
             case ALL -> true;
-            case ZONE -> place.zone().equals(tracked.firstExecutedAt.zone());
+            case ZONE -> location.zone().equals(tracked.firstExecutedAt.zone());
             case CELL ->
-                    (place.cell() >= 0 && place.cell() == tracked.firstExecutedAt.cell())
-                            || place.server().equals(tracked.firstExecutedAt.server());
+                    (location.cell() >= 0 && location.cell() == tracked.firstExecutedAt.cell())
+                            || location.server().equals(tracked.firstExecutedAt.server());
         };
     }
 
--- a/lab/src/main/java/trailthread/lab/metrics/RunMetrics.java
+++ b/lab/src/main/java/trailthread/lab/metrics/RunMetrics.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import trailthread.lab.scenario.Scenario.ClassLaw;
+import trailthread.lab.scenario.Scenario.ClassModel;
 
 /**
  * What came of a run, counted as it goes. What clients first asked for before the end of the
@@ -103,14 +103,14 @@
 
     /** A client's request has come to its end, over all its tries. */
     public void recordOperation(
-            ClassLaw classModel,
+            ClassModel classModel,
             boolean served,
             boolean refused,
             long startedAt,
             long endedAt,
             int clientAttemptsUsed) {
         long latency = endedAt - startedAt;
-        boolean inTime = served && latency <= classModel.rules().latencyObjectiveNs();
+        boolean inTime = served && latency <= classModel.requestClass().latencyObjectiveNs();
         SecondMetrics second = second(startedAt);
         second.offered++;
         second.inTime += inTime ? 1 : 0;
@@ -121,20 +121,21 @@
             return;
         }
         ClassMetrics classMetrics =
-                classes.computeIfAbsent(classModel.rules().name(), name -> new ClassMetrics());
+                classes.computeIfAbsent(
+                        classModel.requestClass().name(), name -> new ClassMetrics());
         operations++;
         clientAttempts += clientAttemptsUsed;
         classMetrics.offered++;
         classMetrics.inTime += inTime ? 1 : 0;
         classMetrics.late += served && !inTime ? 1 : 0;
         classMetrics.refused += refused ? 1 : 0;
-        offeredWeight += classModel.rules().priorityWeight();
+        offeredWeight += classModel.requestClass().priorityWeight();
         goodWeight +=
                 inTime
-                        ? classModel.rules().priorityWeight()
+                        ? classModel.requestClass().priorityWeight()
                         : served
-                                ? classModel.rules().priorityWeight()
-                                        * classModel.rules().lateWeightShare()
+                                ? classModel.requestClass().priorityWeight()
+                                        * classModel.requestClass().lateWeightShare()
                                 : 0;
         if (served) {
             classMetrics.latencyUs.recordValue(
--- a/lab/src/main/java/trailthread/lab/model/ServerModel.java
+++ b/lab/src/main/java/trailthread/lab/model/ServerModel.java
@@ -9,9 +9,9 @@
  * away. Time is handed in and may be virtual or real; nothing here draws a random number.
  *
  * <p>All requests in work go on at one rate, so the work that one of them has had since the
- * server's start, {@code served}, is the same for all; each is done when that reaches what it was
- * when the request began plus the request's own work. Every step costs the logarithm of what is in
- * work.
+ * server's start, {@code servedPerJob}, is the same for all; each is done when that reaches what it
+ * was when the request began plus the request's own work. Every step costs the logarithm of what is
+ * in work.
  */
 public final class ServerModel {
     /** A cold server's capacity rises in so many steps. */
@@ -21,14 +21,14 @@
     public static class Job implements Comparable<Job> {
         private final double work;
         private long serial;
-        private double doneAt;
+        private double completesAtServed;
         private State state = State.NEW;
 
         private enum State {
             NEW,
-            WAITS,
-            WORKS,
-            OVER
+            WAITING,
+            EXECUTING,
+            DONE
         }
 
         /** So much work, in ns on a standard core, above 0. */
@@ -46,44 +46,44 @@
 
         @Override
         public int compareTo(Job other) {
-            return doneAt != other.doneAt
-                    ? Double.compare(doneAt, other.doneAt)
+            return completesAtServed != other.completesAtServed
+                    ? Double.compare(completesAtServed, other.completesAtServed)
                     : Long.compare(serial, other.serial);
         }
     }
 
-    private final ServerLimits law;
+    private final ServerLimits limits;
     private final PriorityQueue<Job> working = new PriorityQueue<>();
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-    private final ArrayDeque<double[]> sentWhileCold = new ArrayDeque<>();
+    private final ArrayDeque<double[]> coldArrivals = new ArrayDeque<>();
     private final long startedAt;
     private long at;
-    private double served;
+    private double servedPerJob;
     private long serial;
-    private double slowed = 1;
+    private double slowdown = 1;
     private boolean jammed;
 
     /**
      * Since when it has been crowded enough to jam, or calm enough to end a jam; Long.MAX_VALUE: it
      * is not.
      */
-    private long tipsSince = Long.MAX_VALUE;
+    private long jamConditionSince = Long.MAX_VALUE;
 
-    private double sentInWindow;
-    private boolean fallen;
+    private double coldWorkInWindow;
+    private boolean crashed;
     private int jams;
-    private double busy;
+    private double workDone;
 
     /** One that starts now; with {@code cold}, as the law says, else warm. */
-    public ServerModel(ServerLimits law, long now, boolean cold) {
-        this.law = law;
+    public ServerModel(ServerLimits limits, long now, boolean cold) {
+        this.limits = limits;
         this.at = now;
-        this.startedAt = cold ? now : now - law.cold().warmNs();
+        this.startedAt = cold ? now : now - limits.cold().warmNs();
     }
 
     /** What it is able to do. */
-    public ServerLimits law() {
-        return law;
+    public ServerLimits limits() {
+        return limits;
     }
 
     /** Requests that it holds, waiting ones with them. */
@@ -107,18 +107,18 @@
     }
 
     /** Whether it was pushed over while cold, and does nothing any more. */
-    public boolean hasFallen() {
-        return fallen;
+    public boolean hasCrashed() {
+        return crashed;
     }
 
     /** Work done, in ns on a standard core. */
     public double workDone() {
-        return busy;
+        return workDone;
     }
 
     /** The share of its capacity that it has at a time, by its start alone. */
-    public double warmth(long now) {
-        ServerLimits.Cold cold = law.cold();
+    public double capacityShare(long now) {
+        ServerLimits.Cold cold = limits.cold();
         long age = now - startedAt;
         if (age >= cold.warmNs()) {
             return 1;
@@ -128,9 +128,9 @@
     }
 
     /** From now on it works so many times slower, by a fault; 1: as usual. */
-    public void slow(long now, double times, Consumer<Job> done) {
+    public void setSlowdown(long now, double times, Consumer<Job> done) {
         advance(now, done);
-        slowed = times;
+        slowdown = times;
     }
 
     /**
@@ -142,50 +142,50 @@
         if (job.state != Job.State.NEW) {
             throw new IllegalStateException("a request is brought twice");
         }
-        if (fallen) {
+        if (crashed) {
             return false;
         }
-        if (working.size() >= law.slots() && waiting.size() >= law.room()) {
-            job.state = Job.State.OVER;
+        if (working.size() >= limits.slots() && waiting.size() >= limits.queueCapacity()) {
+            job.state = Job.State.DONE;
             return false;
         }
-        weigh(now, job);
+        checkColdBudget(now, job);
         job.serial = serial++;
-        if (working.size() < law.slots()) {
-            begin(job);
+        if (working.size() < limits.slots()) {
+            startExecuting(job);
         } else {
-            job.state = Job.State.WAITS;
+            job.state = Job.State.WAITING;
             waiting.add(job);
         }
-        watchForJam(now);
+        updateJamCondition(now);
         return true;
     }
 
     /**
      * A cold server's budget: all work sent within the window, against what it can do in it now.
      */
-    private void weigh(long now, Job job) {
-        ServerLimits.Cold cold = law.cold();
-        double warmth = warmth(now);
-        if (warmth >= 1) {
-            sentWhileCold.clear();
-            sentInWindow = 0;
+    private void checkColdBudget(long now, Job job) {
+        ServerLimits.Cold cold = limits.cold();
+        double capacityShare = capacityShare(now);
+        if (capacityShare >= 1) {
+            coldArrivals.clear();
+            coldWorkInWindow = 0;
             return;
         }
-        sentWhileCold.add(new double[] {now, job.work});
-        sentInWindow += job.work;
-        while (sentWhileCold.peek()[0] < now - cold.deduplicationWindowNs()) {
-            sentInWindow -= sentWhileCold.poll()[1];
+        coldArrivals.add(new double[] {now, job.work});
+        coldWorkInWindow += job.work;
+        while (coldArrivals.peek()[0] < now - cold.windowNs()) {
+            coldWorkInWindow -= coldArrivals.poll()[1];
         }
-        double window = law.capacity() * warmth * cold.deduplicationWindowNs() / 1e9;
-        if (sentInWindow > cold.multiple() * window) {
-            fallen = true;
+        double window = limits.capacity() * capacityShare * cold.windowNs() / 1e9;
+        if (coldWorkInWindow > cold.overloadMultiple() * window) {
+            crashed = true;
         }
     }
 
-    private void begin(Job job) {
-        job.state = Job.State.WORKS;
-        job.doneAt = served + job.work;
+    private void startExecuting(Job job) {
+        job.state = Job.State.EXECUTING;
+        job.completesAtServed = servedPerJob + job.work;
         working.add(job);
     }
 
@@ -193,23 +193,23 @@
      * The node has given it up: what waits is dropped, what is in work goes on, unless the law says
      * otherwise.
      */
-    public boolean drop(long now, Job job) {
+    public boolean cancel(long now, Job job) {
         boolean dropped =
-                (job.state == Job.State.WAITS && waiting.remove(job))
-                        || (job.state == Job.State.WORKS
-                                && law.cancelStops()
+                (job.state == Job.State.WAITING && waiting.remove(job))
+                        || (job.state == Job.State.EXECUTING
+                                && limits.cancelStopsExecution()
                                 && working.remove(job));
         if (dropped) {
-            job.state = Job.State.OVER;
-            fill();
-            watchForJam(now);
+            job.state = Job.State.DONE;
+            fillSlots();
+            updateJamCondition(now);
         }
         return dropped;
     }
 
-    private void fill() {
-        while (working.size() < law.slots() && !waiting.isEmpty()) {
-            begin(waiting.poll());
+    private void fillSlots() {
+        while (working.size() < limits.slots() && !waiting.isEmpty()) {
+            startExecuting(waiting.poll());
         }
     }
 
@@ -218,116 +218,126 @@
      * from what is in work, in equal parts; an idle core does it unseen. {@link #advance} to this
      * time must have been called.
      */
-    public void takes(double work) {
+    public void addBackgroundWork(double work) {
         if (!working.isEmpty()) {
-            served -= work / working.size();
+            servedPerJob -= work / working.size();
         }
     }
 
     /** Everything that it holds is gone, as with the process. */
     public void clear() {
-        working.forEach(job -> job.state = Job.State.OVER);
-        waiting.forEach(job -> job.state = Job.State.OVER);
+        working.forEach(job -> job.state = Job.State.DONE);
+        waiting.forEach(job -> job.state = Job.State.DONE);
         working.clear();
         waiting.clear();
-        tipsSince = Long.MAX_VALUE;
+        jamConditionSince = Long.MAX_VALUE;
     }
 
     /** Work on each request in work, in ns on a standard core each ns. */
     private double rate(long now) {
         int n = working.size();
-        double share = Math.min(1, (double) law.cores() / n);
-        double crowd = 1 + law.crowding() * Math.max(0, inflight() - law.cores());
-        return law.speed()
+        double share = Math.min(1, (double) limits.cores() / n);
+        double contentionFactor =
+                1 + limits.contention() * Math.max(0, inflight() - limits.cores());
+        return limits.speed()
                 * share
-                * warmth(now)
-                / (crowd * slowed * (jammed ? law.jam().slower() : 1));
+                * capacityShare(now)
+                / (contentionFactor * slowdown * (jammed ? limits.jam().slowdownFactor() : 1));
     }
 
     /** When something changes if nothing comes, Long.MAX_VALUE: never. */
-    public long nextAt() {
-        if (fallen) {
+    public long nextEventTime() {
+        if (crashed) {
             return Long.MAX_VALUE;
         }
         long next = Long.MAX_VALUE;
         if (!working.isEmpty()) {
-            double left = Math.max(0, working.peek().doneAt - served);
+            double left = Math.max(0, working.peek().completesAtServed - servedPerJob);
             next = at + (long) Math.ceil(left / rate(at));
-            if (at - startedAt < law.cold().warmNs()) {
-                next = Math.min(next, nextStep(at));
+            if (at - startedAt < limits.cold().warmNs()) {
+                next = Math.min(next, nextWarmUpStep(at));
             }
         }
-        return Math.min(next, tipsAt());
+        return Math.min(next, jamChangesAt());
     }
 
-    private long nextStep(long now) {
-        long warm = law.cold().warmNs();
+    private long nextWarmUpStep(long now) {
+        long warm = limits.cold().warmNs();
         long step = (long) Math.floor((double) (now - startedAt) / warm * COLD_STEPS) + 1;
         return Math.max(now + 1, startedAt + (long) Math.ceil((double) step * warm / COLD_STEPS));
     }
 
-    private long tipsAt() {
-        if (tipsSince == Long.MAX_VALUE) {
+    private long jamChangesAt() {
+        if (jamConditionSince == Long.MAX_VALUE) {
             return Long.MAX_VALUE;
         }
-        return tipsSince + (jammed ? law.jam().calmNs() : law.jam().afterNs());
+        return jamConditionSince + (jammed ? limits.jam().calmNs() : limits.jam().afterNs());
     }
 
     /**
      * How long one more request would take, for each ns of its work, if all that it holds, and that
      * is coming, were of its size; infinite: it has no room.
      */
-    public double stretch(long now, int coming) {
-        if (fallen || (working.size() >= law.slots() && waiting.size() >= law.room())) {
+    public double expectedSlowdown(long now, int arriving) {
+        if (crashed
+                || (working.size() >= limits.slots() && waiting.size() >= limits.queueCapacity())) {
             return Double.POSITIVE_INFINITY;
         }
-        int held = inflight() + coming + 1;
-        double crowd = 1 + law.crowding() * Math.max(0, held - law.cores());
+        int held = inflight() + arriving + 1;
+        double contentionFactor = 1 + limits.contention() * Math.max(0, held - limits.cores());
         double pace =
-                law.speed() * warmth(now) / (crowd * slowed * (jammed ? law.jam().slower() : 1));
-        return Math.max(1, (double) held / law.cores()) / pace;
+                limits.speed()
+                        * capacityShare(now)
+                        / (contentionFactor
+                                * slowdown
+                                * (jammed ? limits.jam().slowdownFactor() : 1));
+        return Math.max(1, (double) held / limits.cores()) / pace;
     }
 
     /** Lets the time pass; requests that are done on the way are told of in their order. */
     public void advance(long now, Consumer<Job> done) {
-        while (!fallen) {
-            long next = nextAt();
+        while (!crashed) {
+            long next = nextEventTime();
             if (next > now) {
                 break;
             }
-            pass(next);
+            advanceTo(next);
             if (!working.isEmpty()
-                    && working.peek().doneAt - served <= 1e-6 * rate(at) + 1e-12 * served) {
+                    && working.peek().completesAtServed - servedPerJob
+                            <= 1e-6 * rate(at) + 1e-12 * servedPerJob) {
                 Job job = working.poll();
-                job.state = Job.State.OVER;
-                fill();
-                watchForJam(at);
+                job.state = Job.State.DONE;
+                fillSlots();
+                updateJamCondition(at);
                 done.accept(job);
-            } else if (tipsAt() <= at) {
+            } else if (jamChangesAt() <= at) {
                 jammed = !jammed;
                 jams += jammed ? 1 : 0;
-                tipsSince = Long.MAX_VALUE;
-                watchForJam(at);
+                jamConditionSince = Long.MAX_VALUE;
+                updateJamCondition(at);
             }
         }
-        pass(now);
+        advanceTo(now);
     }
 
-    private void pass(long now) {
-        if (!working.isEmpty() && !fallen) {
+    private void advanceTo(long now) {
+        if (!working.isEmpty() && !crashed) {
             double each = rate(at) * (now - at);
-            served += each;
-            busy += each * working.size();
+            servedPerJob += each;
+            workDone += each * working.size();
         }
         at = Math.max(at, now);
     }
 
-    private void watchForJam(long now) {
-        ServerLimits.Jam jam = law.jam();
-        boolean tips =
+    private void updateJamCondition(long now) {
+        ServerLimits.Jam jam = limits.jam();
+        boolean conditionHolds =
                 jammed
-                        ? inflight() <= jam.idle() * law.cores()
-                        : waiting.size() > jam.waitingPerCore() * law.cores();
-        tipsSince = !tips ? Long.MAX_VALUE : tipsSince == Long.MAX_VALUE ? now : tipsSince;
+                        ? inflight() <= jam.idlePerCore() * limits.cores()
+                        : waiting.size() > jam.waitingPerCore() * limits.cores();
+        jamConditionSince =
+                !conditionHolds
+                        ? Long.MAX_VALUE
+                        : jamConditionSince == Long.MAX_VALUE ? now : jamConditionSince;
     }
 }
--- a/lab/src/main/java/trailthread/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/trailthread/lab/scenario/ScenarioReader.java
@@ -14,15 +14,16 @@
 import trailthread.api.Tenant;
 import trailthread.configuration.Fault;
 import trailthread.lab.model.ServerLimits;
-import trailthread.lab.scenario.Scenario.ClassLaw;
-import trailthread.lab.scenario.Scenario.ClientLaw;
-import trailthread.lab.scenario.Scenario.Draw;
-import trailthread.lab.scenario.Scenario.FleetLaw;
-import trailthread.lab.scenario.Scenario.ListLaw;
-import trailthread.lab.scenario.Scenario.NetworkLaw;
-import trailthread.lab.scenario.Scenario.RuleLaw;
+import trailthread.lab.scenario.Scenario.ClassModel;
+import trailthread.lab.scenario.Scenario.ClientModel;
+import trailthread.lab.scenario.Scenario.DiscoveryModel;
+import trailthread.lab.scenario.Scenario.FaultKind;
+import trailthread.lab.scenario.Scenario.FleetModel;
+import trailthread.lab.scenario.Scenario.NetworkModel;
+import trailthread.lab.scenario.Scenario.NodeRules;
+import trailthread.lab.scenario.Scenario.ScheduledFault;
 import trailthread.lab.scenario.Scenario.Surge;
-import trailthread.lab.scenario.Scenario.Trouble;
+import trailthread.lab.scenario.Scenario.WorkDistribution;
 
 /** Reads scenarios; docs/lab-scenarios.md lists the keys. */
 public final class ScenarioReader {
@@ -89,12 +90,12 @@
 
     private Scenario scenario(ScenarioTable top) {
         String name = top.text("name", null);
-        String about = top.text("about", "");
-        long length = top.time("length", null);
+        String description = top.text("about", "");
+        long duration = top.time("length", null);
         long warmUp = top.time("warm_up", "0s");
         int nodes = top.whole("nodes", 1, 1, 10_000);
         List<String> zones = top.texts("zones", List.of("a"));
-        List<ClassLaw> classes = new ArrayList<>();
+        List<ClassModel> classes = new ArrayList<>();
         top.parts("classes").forEach(part -> classes.add(requestClass(part)));
         if (classes.isEmpty()) {
             top.fault("classes", "at least one, begun with [[classes]]");
@@ -108,21 +109,21 @@
                             part.number("share", null, 0, 1)));
             part.end();
         }
-        ClientLaw clients = clients(top.part("clients"));
-        NetworkLaw network = network(top.part("network"));
-        FleetLaw fleet = fleet(top.part("fleet"));
+        ClientModel clients = clients(top.part("clients"));
+        NetworkModel network = network(top.part("network"));
+        FleetModel fleet = fleet(top.part("fleet"));
         ScenarioTable list = top.part("list");
         long[] delay = list.times("delay", "500ms");
         list.end();
-        RuleLaw rules = rules(top.part("rules"));
-        List<Scenario.Fault> troubles = new ArrayList<>();
-        top.parts("faults").forEach(part -> troubles.add(trouble(part, zones)));
+        NodeRules rules = rules(top.part("rules"));
+        List<ScheduledFault> scheduledFaults = new ArrayList<>();
+        top.parts("faults").forEach(part -> scheduledFaults.add(scheduledFault(part, zones)));
         top.end();
         return faults.isEmpty()
                 ? new Scenario(
                         name,
-                        about,
-                        length,
+                        description,
+                        duration,
                         warmUp,
                         nodes,
                         zones,
@@ -131,9 +132,9 @@
                         clients,
                         network,
                         fleet,
-                        new ListLaw(delay[0], delay[1]),
+                        new DiscoveryModel(delay[0], delay[1]),
                         rules,
-                        troubles)
+                        scheduledFaults)
                 : null;
     }
 
@@ -150,9 +151,13 @@
         }
     }
 
-    private static ClassLaw requestClass(ScenarioTable part) {
+    private static ClassModel requestClass(ScenarioTable part) {
         long[] work = part.times("work", null);
-        Draw draw = part.word("draw", work[0] == work[1] ? Draw.FIXED : Draw.UNIFORM, Draw.class);
+        WorkDistribution draw =
+                part.word(
+                        "draw",
+                        work[0] == work[1] ? WorkDistribution.FIXED : WorkDistribution.UNIFORM,
+                        WorkDistribution.class);
         RequestClass rules =
                 new RequestClass(
                         part.text("name", null),
@@ -164,13 +169,13 @@
                         part.time("window", "0s"),
                         part.number("worth", 1.0, 0, 1e6),
                         part.number("late_worth", 0.0, 0, 1));
-        ClassLaw law =
-                new ClassLaw(rules, part.number("share", 1.0, 0, 1e6), draw, work[0], work[1]);
+        ClassModel model =
+                new ClassModel(rules, part.number("share", 1.0, 0, 1e6), draw, work[0], work[1]);
         part.end();
-        return law;
+        return model;
     }
 
-    private static ClientLaw clients(ScenarioTable part) {
+    private static ClientModel clients(ScenarioTable part) {
         List<Surge> surges = new ArrayList<>();
         for (ScenarioTable surge : part.parts("surges")) {
             surges.add(
@@ -181,8 +186,8 @@
             surge.end();
         }
         double[] patience = part.numbers("patience", 1, 0.01, 1);
-        ClientLaw law =
-                new ClientLaw(
+        ClientModel model =
+                new ClientModel(
                         part.number("per_second", null, 0.001, 1e7),
                         surges,
                         part.time("swing_period", "0s"),
@@ -194,12 +199,12 @@
                         patience[1],
                         part.whole("keys", 0, 0, 1_000_000_000));
         part.end();
-        return law;
+        return model;
     }
 
-    private static NetworkLaw network(ScenarioTable part) {
-        NetworkLaw law =
-                new NetworkLaw(
+    private static NetworkModel network(ScenarioTable part) {
+        NetworkModel model =
+                new NetworkModel(
                         part.time("near", "200us"),
                         part.time("far", "4ms"),
                         part.number("jitter", 0.2, 0, 10),
@@ -208,12 +213,12 @@
                         part.time("idle_close", "5s"),
                         part.whole("connections", 1000, 1, 1_000_000));
         part.end();
-        return law;
+        return model;
     }
 
-    private static FleetLaw fleet(ScenarioTable part) {
+    private static FleetModel fleet(ScenarioTable part) {
         ScenarioTable jam = part.part("jam");
-        ServerLimits.Jam jamLaw =
+        ServerLimits.Jam jamModel =
                 new ServerLimits.Jam(
                         jam.number(
                                 "waiting_per_core",
@@ -226,7 +231,7 @@
                         jam.time("calm", "1s"));
         jam.end();
         ScenarioTable cold = part.part("cold");
-        ServerLimits.Cold coldLaw =
+        ServerLimits.Cold coldModel =
                 new ServerLimits.Cold(
                         cold.number("share", 1.0, 0.001, 1),
                         cold.time("warm", "0s"),
@@ -236,22 +241,22 @@
         cold.end();
         int cores = part.whole("cores", 1, 1, 10_000);
         int slots = part.whole("slots", 1_000_000, 1, 1_000_000);
-        ServerLimits law =
+        ServerLimits limits =
                 new ServerLimits(
                         1,
                         cores,
                         slots,
                         part.whole("room", 1_000_000, 0, 1_000_000),
                         part.number("crowding", 0.0, 0, 10),
-                        jamLaw,
-                        coldLaw,
+                        jamModel,
+                        coldModel,
                         part.flag("cancel_stops", false));
         double[] speed = part.numbers("speed", 1, 0.001, 1000);
         long[] every = part.times("report_every", "500ms");
-        FleetLaw fleet =
-                new FleetLaw(
+        FleetModel fleet =
+                new FleetModel(
                         part.whole("workers", null, 1, 100_000),
-                        law,
+                        limits,
                         speed[0],
                         speed[1],
                         part.whole("cells", 0, 0, 100_000),
@@ -265,9 +270,9 @@
         return fleet;
     }
 
-    private static RuleLaw rules(ScenarioTable part) {
-        RuleLaw law =
-                new RuleLaw(
+    private static NodeRules rules(ScenarioTable part) {
+        NodeRules rules =
+                new NodeRules(
                         part.whole("attempts", 3, 1, 100),
                         part.time("answer_slack", "20ms"),
                         part.time("drain_grace", "1s"),
@@ -275,21 +280,21 @@
                         part.flag("probes", true),
                         part.number("cross_zone_price", 0.0, 0, 1));
         part.end();
-        return law;
+        return rules;
     }
 
-    private static Scenario.Fault trouble(ScenarioTable part, List<String> zones) {
-        Trouble trouble = part.word("trouble", null, Trouble.class);
+    private static ScheduledFault scheduledFault(ScenarioTable part, List<String> zones) {
+        FaultKind kind = part.word("trouble", null, FaultKind.class);
         String zone = part.text("zone", "");
         if (!zone.isEmpty() && !zones.contains(zone)) {
             part.fault("zone", "one of " + String.join(", ", zones));
         }
-        if (trouble == Trouble.ZONE_CUT && zone.isEmpty()) {
+        if (kind == FaultKind.ZONE_CUT && zone.isEmpty()) {
             part.fault("zone", "the zone that is cut off");
         }
-        Scenario.Fault fault =
-                new Scenario.Fault(
-                        trouble,
+        ScheduledFault fault =
+                new ScheduledFault(
+                        kind,
                         part.time("at", null),
                         part.time("for", "1s"),
                         part.number("part", 1.0, 0, 1),
--- a/lab/src/main/java/trailthread/lab/server/IncomingRequest.java
+++ b/lab/src/main/java/trailthread/lab/server/IncomingRequest.java
@@ -3,7 +3,7 @@
 /** A request at a server's process, whoever brought it. */
 public interface IncomingRequest {
     /** What a server says in the end. */
-    enum Answer {
+    enum Response {
         /** Served. */
         OK,
         /** Failed, perhaps after it has run. */
@@ -20,11 +20,11 @@
     double work();
 
     /** It has been taken: from now on it may run. */
-    void begins();
+    void executionStarted();
 
-    /** It ends so, now. An answer of {@code drips} above 0 takes so long to come, in ns. */
-    void answers(Answer answer, long drips);
+    /** It ends so, now. An answer of {@code trickleNs} above 0 takes so long to come, in ns. */
+    void respond(Response response, long trickleNs);
 
     /** The process has ended under it. */
-    void breaks();
+    void connectionBroken();
 }
--- a/lab/src/main/java/trailthread/lab/server/ServerProcess.java
+++ b/lab/src/main/java/trailthread/lab/server/ServerProcess.java
@@ -10,8 +10,8 @@
 import trailthread.lab.model.ServerLimits;
 import trailthread.lab.model.ServerModel;
 import trailthread.lab.random.RandomStreams;
-import trailthread.lab.scenario.Scenario.FleetLaw;
-import trailthread.lab.server.IncomingRequest.Answer;
+import trailthread.lab.scenario.Scenario.FleetModel;
+import trailthread.lab.server.IncomingRequest.Response;
 
 /**
  * A server's process: its model, its reports, and what is wrong with it. Driven by an event queue,
@@ -25,87 +25,89 @@
     private static final double TIME_WEIGHT = 0.2;
 
     /** Times are kept by what was held when a request came, up to so many. */
-    private static final int MOST_DEPTHS = 256;
+    private static final int MAX_TRACKED_INFLIGHT = 256;
 
     private record Report(long at, double inflight, double queue) {}
 
     /** What is wrong with it. */
-    public final ServerFaults ills = new ServerFaults();
+    public final ServerFaults faults = new ServerFaults();
 
     private final EventQueue eventQueue;
-    private final FleetLaw fleet;
-    private final ServerLimits law;
-    private final Runnable fell;
+    private final FleetModel fleet;
+    private final ServerLimits limits;
+    private final Runnable onCrash;
     private final UniformRandomProvider reportRandom;
-    private final UniformRandomProvider illRandom;
+    private final UniformRandomProvider faultRandom;
     private final ArrayDeque<Report> reports = new ArrayDeque<>();
 
     /** What is here, in the order in which it came. */
-    private final Map<IncomingRequest, ServerModel.Job> here = new LinkedHashMap<>();
+    private final Map<IncomingRequest, ServerModel.Job> requests = new LinkedHashMap<>();
 
     private ServerModel model;
-    private EventQueue.Entry wake;
-    private long wakesAt = Long.MAX_VALUE;
+    private EventQueue.Entry wakeEntry;
+    private long wakeAt = Long.MAX_VALUE;
     private boolean up = true;
-    private int life;
+    private int incarnation;
     private long startedAt;
-    private double slower = 1;
-    private final double[] tookNs = new double[MOST_DEPTHS];
-    private long reportsLateNs;
+    private double slowdown = 1;
+    private final double[] latencyNs = new double[MAX_TRACKED_INFLIGHT];
+    private long reportDelayNs;
 
     /**
      * One that runs.
      *
      * @param name of its streams of random numbers
-     * @param law its own
+     * @param limits its own
      * @param cold whether it has just started
-     * @param fell is run when it is pushed over while cold; the process is down then
+     * @param onCrash is run when it is pushed over while cold; the process is down then
      */
     public ServerProcess(
             EventQueue eventQueue,
             RandomStreams streams,
-            FleetLaw fleet,
+            FleetModel fleet,
             String name,
-            ServerLimits law,
+            ServerLimits limits,
             boolean cold,
-            Runnable fell) {
+            Runnable onCrash) {
         this.eventQueue = eventQueue;
         this.fleet = fleet;
-        this.law = law;
-        this.fell = fell;
+        this.limits = limits;
+        this.onCrash = onCrash;
         reportRandom = streams.stream("reports of " + name);
-        illRandom = streams.stream("ills of " + name);
-        model = new ServerModel(law, eventQueue.now(), cold);
+        faultRandom = streams.stream("ills of " + name);
+        model = new ServerModel(limits, eventQueue.now(), cold);
         startedAt = cold ? eventQueue.now() : 0;
-        if (fleet.reports()) {
-            refresh();
+        if (fleet.reportsLoad()) {
+            refreshReport();
         }
     }
 
-    private void refresh() {
+    private void refreshReport() {
         advance();
-        double noise = 1 + fleet.noise() * (2 * reportRandom.nextDouble() - 1);
+        double noise = 1 + fleet.reportNoise() * (2 * reportRandom.nextDouble() - 1);
         long now = eventQueue.now();
         reports.add(new Report(now, model.inflight() * noise, model.queue() * noise));
         while (reports.size() > 1
-                && reports.peek().at < now - reportsLateNs - fleet.everyHighNs() * 2) {
+                && reports.peek().at < now - reportDelayNs - fleet.reportEveryHighNs() * 2) {
             reports.poll();
         }
         eventQueue.scheduleAfter(
-                (long) RandomStreams.uniform(reportRandom, fleet.everyLowNs(), fleet.everyHighNs()),
-                this::refresh);
+                (long)
+                        RandomStreams.uniform(
+                                reportRandom, fleet.reportEveryLowNs(), fleet.reportEveryHighNs()),
+                this::refreshReport);
     }
 
     /** Reports arrive so much later than usual, in ns. */
-    public void reportsLate(long ns) {
-        reportsLateNs = ns;
+    public void setReportDelay(long ns) {
+        reportDelayNs = ns;
     }
 
     /** What an answer that leaves now says; null: nothing. */
     public LoadReport report() {
         Report newest = null;
         for (Report report : reports) {
-            if (report.at <= eventQueue.now() - reportsLateNs) {
+            if (report.at <= eventQueue.now() - reportDelayNs) {
                 newest = report;
             }
         }
@@ -124,19 +126,19 @@
      * What a probe's answer says: the present, and the time that requests of late took here that
      * came when about as much was held as now (as in Prequal: Wydrowski et al., NSDI 2024, 4).
      */
-    public LoadReport healthChecked() {
-        int held = Math.min(MOST_DEPTHS - 1, model.inflight());
-        double took = Double.NaN;
-        for (int off = 0; off < MOST_DEPTHS && Double.isNaN(took); off++) {
-            took =
-                    held >= off && tookNs[held - off] > 0
-                            ? tookNs[held - off]
-                            : held + off < MOST_DEPTHS && tookNs[held + off] > 0
-                                    ? tookNs[held + off]
-                                    : took;
+    public LoadReport healthReport() {
+        int inflight = Math.min(MAX_TRACKED_INFLIGHT - 1, model.inflight());
+        double latency = Double.NaN;
+        for (int off = 0; off < MAX_TRACKED_INFLIGHT && Double.isNaN(latency); off++) {
+            latency =
+                    inflight >= off && latencyNs[inflight - off] > 0
+                            ? latencyNs[inflight - off]
+                            : inflight + off < MAX_TRACKED_INFLIGHT && latencyNs[inflight + off] > 0
+                                    ? latencyNs[inflight + off]
+                                    : latency;
         }
         return new LoadReport(
-                model.inflight(), model.queue(), Double.NaN, took / 1e6, Double.NaN, Double.NaN);
+                model.inflight(), model.queue(), Double.NaN, latency / 1e6, Double.NaN, Double.NaN);
     }
 
     /** Its work, by the law. */
@@ -150,8 +152,8 @@
     }
 
     /** Which start of it this is: what belongs to an earlier one is dead. */
-    public int life() {
-        return life;
+    public int incarnation() {
+        return incarnation;
     }
 
     /** When it started last, in ns; 0: long ago. */
@@ -165,93 +167,94 @@
     }
 
     /** A request's last byte has come. */
-    public void arrived(IncomingRequest incoming) {
-        if (draws(ills.failing)) {
-            incoming.begins();
-            eventQueue.scheduleAfter(FAST_ERROR_NS, () -> incoming.answers(Answer.ERROR, 0));
+    public void receive(IncomingRequest incoming) {
+        if (drawFault(faults.errorShare)) {
+            incoming.executionStarted();
+            eventQueue.scheduleAfter(FAST_ERROR_NS, () -> incoming.respond(Response.ERROR, 0));
             return;
         }
         advance();
-        Served job = new Served(incoming.work(), incoming, null, eventQueue.now());
-        job.depth = Math.min(MOST_DEPTHS - 1, model.inflight());
+        ServedJob job = new ServedJob(incoming.work(), incoming, null, eventQueue.now());
+        job.inflightOnArrival = Math.min(MAX_TRACKED_INFLIGHT - 1, model.inflight());
         boolean taken = model.arrive(eventQueue.now(), job);
         if (taken) {
-            incoming.begins();
-            here.put(incoming, job);
-        } else if (!model.hasFallen()) {
-            incoming.answers(Answer.FULL, 0);
+            incoming.executionStarted();
+            requests.put(incoming, job);
+        } else if (!model.hasCrashed()) {
+            incoming.respond(Response.FULL, 0);
         }
-        if (model.hasFallen()) {
-            goDown();
-            fell.run();
+        if (model.hasCrashed()) {
+            stop();
+            onCrash.run();
         } else {
-            arrange();
+            scheduleWake();
         }
     }
 
     /** Its node has closed the connection of a request that may be here. */
-    public void givenUp(IncomingRequest incoming) {
-        ServerModel.Job job = here.remove(incoming);
+    public void cancelRequest(IncomingRequest incoming) {
+        ServerModel.Job job = requests.remove(incoming);
         if (job != null) {
             advance();
-            model.drop(eventQueue.now(), job);
-            arrange();
+            model.cancel(eventQueue.now(), job);
+            scheduleWake();
         }
     }
 
     /** Work that belongs to no request, as a connection's opening. */
-    public void works(double ns) {
+    public void addBackgroundWork(double ns) {
         if (ns > 0) {
             advance();
-            model.takes(ns);
-            arrange();
+            model.addBackgroundWork(ns);
+            scheduleWake();
         }
     }
 
     /** A probe has come; {@code done} is run when its answer leaves, and never if there is none. */
-    public void probes(Runnable done) {
-        if (fleet.deepProbes()) {
+    public void checkHealth(Runnable done) {
+        if (fleet.queuedHealthChecks()) {
             advance();
             model.arrive(
-                    eventQueue.now(), new Served(Math.max(1, fleet.probeWorkNs()), null, done, 0));
-            arrange();
+                    eventQueue.now(),
+                    new ServedJob(Math.max(1, fleet.healthCheckWorkNs()), null, done, 0));
+            scheduleWake();
         } else {
-            works(fleet.probeWorkNs());
+            addBackgroundWork(fleet.healthCheckWorkNs());
             done.run();
         }
     }
 
     /** It works so many times slower; 1: as usual. */
-    public void slow(double times) {
-        slower = times;
-        model.slow(eventQueue.now(), times, this::done);
-        arrange();
+    public void setSlowdown(double times) {
+        slowdown = times;
+        model.setSlowdown(eventQueue.now(), times, this::done);
+        scheduleWake();
     }
 
-    private boolean draws(double share) {
-        return share > 0 && illRandom.nextDouble() < share;
+    private boolean drawFault(double share) {
+        return share > 0 && faultRandom.nextDouble() < share;
     }
 
     private void done(ServerModel.Job job) {
-        Served served = (Served) job;
-        if (served.after != null) {
-            served.after.run();
+        ServedJob served = (ServedJob) job;
+        if (served.onDone != null) {
+            served.onDone.run();
             return;
         }
-        if (here.remove(served.incoming) == null) {
+        if (requests.remove(served.incoming) == null) {
             return; // it was given up, and the work went on
         }
-        double before = tookNs[served.depth];
-        tookNs[served.depth] +=
+        double before = latencyNs[served.inflightOnArrival];
+        latencyNs[served.inflightOnArrival] +=
                 (before == 0 ? 1 : TIME_WEIGHT) * (eventQueue.now() - served.at - before);
-        if (draws(ills.losing)) {
+        if (drawFault(faults.lostResponseShare)) {
             return;
         }
-        Answer answer =
-                draws(ills.resetting)
-                        ? Answer.RESET
-                        : draws(ills.spoiling) ? Answer.GARBAGE : Answer.OK;
-        served.incoming.answers(answer, ills.drips);
+        Response response =
+                drawFault(faults.resetShare)
+                        ? Response.RESET
+                        : drawFault(faults.garbageShare) ? Response.GARBAGE : Response.OK;
+        served.incoming.respond(response, faults.trickleNs);
     }
 
     private void advance() {
@@ -260,57 +263,57 @@
         }
     }
 
-    private void wakes() {
-        wake = null;
-        wakesAt = Long.MAX_VALUE;
+    private void wakeUp() {
+        wakeEntry = null;
+        wakeAt = Long.MAX_VALUE;
         advance();
-        arrange();
+        scheduleWake();
     }
 
-    private void arrange() {
-        long next = up ? model.nextAt() : Long.MAX_VALUE;
-        if (next < wakesAt) {
-            if (wake != null) {
-                wake.cancel();
+    private void scheduleWake() {
+        long next = up ? model.nextEventTime() : Long.MAX_VALUE;
+        if (next < wakeAt) {
+            if (wakeEntry != null) {
+                wakeEntry.cancel();
             }
-            wakesAt = next;
-            wake = eventQueue.scheduleAt(next, this::wakes);
+            wakeAt = next;
+            wakeEntry = eventQueue.scheduleAt(next, this::wakeUp);
         }
     }
 
     /** Its process ends: what it holds breaks off. */
-    public void goDown() {
+    public void stop() {
         if (up) {
             up = false;
-            life++;
-            List<IncomingRequest> broken = List.copyOf(here.keySet());
-            here.clear();
+            incarnation++;
+            List<IncomingRequest> interrupted = List.copyOf(requests.keySet());
+            requests.clear();
             model.clear();
-            broken.forEach(IncomingRequest::breaks);
+            interrupted.forEach(IncomingRequest::connectionBroken);
         }
     }
 
     /** Its process has started again, cold. */
-    public void comeUp() {
+    public void start() {
         up = true;
         startedAt = eventQueue.now();
-        model = new ServerModel(law, eventQueue.now(), true);
-        if (slower != 1) {
-            model.slow(eventQueue.now(), slower, job -> {});
+        model = new ServerModel(limits, eventQueue.now(), true);
+        if (slowdown != 1) {
+            model.setSlowdown(eventQueue.now(), slowdown, job -> {});
         }
     }
 
     /** A request of a node's, or work with something to do after it. */
-    private static final class Served extends ServerModel.Job {
+    private static final class ServedJob extends ServerModel.Job {
         private final IncomingRequest incoming;
-        private final Runnable after;
+        private final Runnable onDone;
         private final long at;
-        private int depth;
+        private int inflightOnArrival;
 
-        Served(double work, IncomingRequest incoming, Runnable after, long at) {
+        ServedJob(double work, IncomingRequest incoming, Runnable onDone, long at) {
             super(work);
             this.incoming = incoming;
-            this.after = after;
+            this.onDone = onDone;
             this.at = at;
         }
     }
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
@@ -10,7 +10,7 @@
     final SimulatedRequest request;
     final int number;
     final SimulatedServer server;
-    private final Simulation world;
+    private final Simulation simulation;
     private final SimulatedNode node;
     private final long sentAt;
     private EventQueue.Entry timeout;
@@ -19,33 +19,34 @@
     /** It has a connection, of this life of its server. */
     private boolean connected;
 
-    private int life;
+    private int incarnation;
     private boolean written;
 
     /** It counts among those that are on their way. */
     private boolean arriving = true;
 
     SimulatedAttempt(
-            Simulation world,
+            Simulation simulation,
             SimulatedNode node,
             SimulatedRequest request,
             int number,
             SimulatedServer server) {
-        this.world = world;
+        this.simulation = simulation;
         this.node = node;
         this.request = request;
         this.number = number;
         this.server = server;
-        this.sentAt = world.now();
-        this.life = server.process().life();
+        this.sentAt = simulation.now();
+        this.incarnation = server.process().incarnation();
         server.arriving++;
     }
 
     /** Begins it; it is given up after this time, in ns. */
     void send(long withinNs) {
         timeout =
-                world.eventQueue()
-                        .scheduleAfter(withinNs, () -> node.input(() -> giveUp(Outcome.TIMEOUT)));
+                simulation
+                        .eventQueue()
+                        .scheduleAfter(withinNs, () -> node.deliver(() -> giveUp(Outcome.TIMEOUT)));
         if (node.takeIdleConnection(server)) {
             connected = true;
             write();
@@ -55,29 +56,30 @@
     }
 
     private void connect() {
-        world.metrics().recordConnection();
-        world.eventQueue()
+        simulation.metrics().recordConnection();
+        simulation
+                .eventQueue()
                 .scheduleAfter(
-                        world.network().dialNs(),
+                        simulation.network().connectTimeoutNs(),
                         () ->
-                                node.input(
+                                node.deliver(
                                         () -> {
                                             if (!connected) {
                                                 end(Outcome.CONNECT_FAILED, null);
                                             }
                                         }));
-        world.travel(
+        simulation.travel(
                 node,
                 server,
                 () -> {
                     boolean accepted = server.acceptConnection();
-                    life = server.process().life();
-                    world.travel(
+                    incarnation = server.process().incarnation();
+                    simulation.travel(
                             server,
                             node,
                             () -> {
                                 if (ended && accepted) {
-                                    server.connectionClosed(life);
+                                    server.connectionClosed(incarnation);
                                 } else if (accepted) {
                                     connected = true;
                                     write();
@@ -90,7 +92,7 @@
 
     private void write() {
         written = true;
-        world.travel(
+        simulation.travel(
                 node,
                 server,
                 () -> {
@@ -98,10 +100,10 @@
                         return; // the connection was closed on it
                     }
                     noLongerArriving();
-                    if (server.process().isUp() && server.process().life() == life) {
-                        server.process().arrived(this);
+                    if (server.process().isUp() && server.process().incarnation() == incarnation) {
+                        server.process().receive(this);
                     } else {
-                        world.travel(server, node, () -> end(Outcome.RESET, null));
+                        simulation.travel(server, node, () -> end(Outcome.RESET, null));
                     }
                 });
     }
@@ -119,36 +121,37 @@
     }
 
     @Override
-    public void begins() {
-        world.checker().executionStarted(world.now(), request.name, number);
+    public void executionStarted() {
+        simulation.checker().executionStarted(simulation.now(), request.name, number);
     }
 
     @Override
-    public void answers(Answer answer, long drips) {
-        if (server.process().life() != life || ended) {
+    public void respond(Response answer, long trickleNs) {
+        if (server.process().incarnation() != incarnation || ended) {
             return;
         }
-        if (answer == Answer.RESET || answer == Answer.GARBAGE) {
-            server.connectionClosed(life);
-            breaks();
+        if (answer == Response.RESET || answer == Response.GARBAGE) {
+            server.connectionClosed(incarnation);
+            connectionBroken();
             return;
         }
         LoadReport load = server.process().report();
-        world.eventQueue()
+        simulation
+                .eventQueue()
                 .scheduleAfter(
-                        drips,
+                        trickleNs,
                         () ->
-                                world.travel(
+                                simulation.travel(
                                         server,
                                         node,
                                         () -> {
                                             if (!ended) {
-                                                node.keepIdleConnection(server, life);
+                                                node.keepIdleConnection(server, incarnation);
                                                 connected = false;
                                                 end(
-                                                        answer == Answer.OK
+                                                        answer == Response.OK
                                                                 ? Outcome.OK
-                                                                : answer == Answer.FULL
+                                                                : answer == Response.FULL
                                                                         ? Outcome.REJECTED
                                                                         : Outcome.ERROR,
                                                         load);
@@ -157,8 +160,8 @@
     }
 
     @Override
-    public void breaks() {
-        world.travel(server, node, () -> end(Outcome.RESET, null));
+    public void connectionBroken() {
+        simulation.travel(server, node, () -> end(Outcome.RESET, null));
     }
 
     /** Its node waits no longer. */
@@ -173,13 +176,13 @@
     }
 
     private void closeConnection() {
-        int of = life;
-        world.travel(
+        int closed = incarnation;
+        simulation.travel(
                 node,
                 server,
                 () -> {
-                    server.connectionClosed(of);
-                    server.process().givenUp(this);
+                    server.connectionClosed(closed);
+                    server.process().cancelRequest(this);
                 });
     }
 
@@ -188,7 +191,7 @@
             ended = true;
             noLongerArriving();
             timeout.cancel();
-            node.attemptEnded(this, outcome, world.now() - sentAt, load);
+            node.attemptEnded(this, outcome, simulation.now() - sentAt, load);
         }
     }
 
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedDiscovery.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedDiscovery.java
@@ -15,7 +15,7 @@
  * it is down.
  */
 final class SimulatedDiscovery {
-    private final Simulation world;
+    private final Simulation simulation;
     private final UniformRandomProvider random;
 
     /** In the order in which servers were first named. */
@@ -24,9 +24,9 @@
     private final Map<SimulatedNode, Long> lastNotifiedAt = new HashMap<>();
     private boolean down;
 
-    SimulatedDiscovery(Simulation world) {
-        this.world = world;
-        random = world.streams().stream("roster");
+    SimulatedDiscovery(Simulation simulation) {
+        this.simulation = simulation;
+        random = simulation.streams().stream("roster");
     }
 
     /** The whole list, as a node that starts now would have had it. */
@@ -48,7 +48,7 @@
         if (state == EndpointState.GONE) {
             servers.remove(server);
         }
-        for (SimulatedNode node : world.nodes()) {
+        for (SimulatedNode node : simulation.nodes()) {
             if (node.watching && !down) {
                 notifyLater(node, () -> node.list(ListKind.DELTA, List.of(entry)));
             }
@@ -57,11 +57,15 @@
 
     /** After the usual delay, and after all that was to be told before. */
     private void notifyLater(SimulatedNode node, Runnable message) {
-        var law = world.scenario().list();
-        long at = world.now() + (long) RandomStreams.uniform(random, law.lowNs(), law.highNs());
+        var model = simulation.scenario().discovery();
+        long at =
+                simulation.now()
+                        + (long)
+                                RandomStreams.uniform(
+                                        random, model.minDelayNs(), model.maxDelayNs());
         at = Math.max(at, lastNotifiedAt.getOrDefault(node, 0L));
         lastNotifiedAt.put(node, at);
-        world.eventQueue().scheduleAt(at, () -> node.input(message));
+        simulation.eventQueue().scheduleAt(at, () -> node.deliver(message));
     }
 
     void watch(SimulatedNode node, boolean on) {
@@ -88,25 +92,27 @@
         List<EndpointEntry> entries = snapshot();
         long at =
                 Math.max(
-                        world.now() + world.scenario().list().lowNs(),
+                        simulation.now() + simulation.scenario().discovery().minDelayNs(),
                         lastNotifiedAt.getOrDefault(node, 0L));
         lastNotifiedAt.put(node, at);
-        world.eventQueue()
-                .scheduleAt(at, () -> node.input(() -> node.list(ListKind.FULL, entries)));
+        simulation
+                .eventQueue()
+                .scheduleAt(at, () -> node.deliver(() -> node.list(ListKind.FULL, entries)));
     }
 
     private void sendFailure(SimulatedNode node) {
-        world.eventQueue()
+        simulation
+                .eventQueue()
                 .scheduleAfter(
-                        world.scenario().list().lowNs(),
-                        () -> node.input(() -> node.list(ListKind.FAILED, List.of())));
+                        simulation.scenario().discovery().minDelayNs(),
+                        () -> node.deliver(() -> node.list(ListKind.FAILED, List.of())));
     }
 
     /** It answers nothing from now on, and watches break; or it is back. */
     void setDown(boolean on) {
         down = on;
         if (on) {
-            for (SimulatedNode node : world.nodes()) {
+            for (SimulatedNode node : simulation.nodes()) {
                 if (node.watching) {
                     node.watching = false;
                     sendFailure(node);
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
@@ -31,24 +31,24 @@
 
     private static final int MAX_TIMERS = 2_000_000;
 
-    private record IdleConnection(int life, long idleSince) {}
+    private record IdleConnection(int incarnation, long idleSince) {}
 
     /** One event, told at this time. */
     private interface ModuleEvent {
-        void deliver(BalancerEvents module, long now);
+        void dispatch(BalancerEvents module, long now);
     }
 
     final int number;
     final String name;
     final String zone;
-    private final Simulation world;
+    private final Simulation simulation;
     private final Map<Long, SimulatedRequest> requests = new LinkedHashMap<>();
     private final Map<SimulatedServer, ArrayDeque<IdleConnection>> idleConnections =
             new LinkedHashMap<>();
     private final ArrayDeque<Runnable> pendingActions = new ArrayDeque<>();
     private BalancerEvents module;
     private boolean runningActions;
-    private int life;
+    private int incarnation;
     private boolean up = true;
     private long pausedUntil;
     private long diedAt;
@@ -58,8 +58,8 @@
     private long lastEventAt;
     boolean watching;
 
-    SimulatedNode(Simulation world, int number, String zone) {
-        this.world = world;
+    SimulatedNode(Simulation simulation, int number, String zone) {
+        this.simulation = simulation;
         this.number = number;
         this.name = "n" + number;
         this.zone = zone;
@@ -70,17 +70,18 @@
     public void start() {
         up = true;
         leaving = false;
-        life++;
-        Settings settings = world.settings(this);
+        incarnation++;
+        Settings settings = simulation.settings(this);
         module =
-                world.policy()
-                        .make(
+                simulation
+                        .policy()
+                        .create(
                                 settings,
-                                world.streams().seedOf(name + " life " + life),
-                                world.now(),
+                                simulation.streams().seedOf(name + " life " + incarnation),
+                                simulation.now(),
                                 this,
-                                world.truth());
-        list(ListKind.CACHED, world.discovery().snapshot());
+                                simulation.fleetView());
+        list(ListKind.CACHED, simulation.discovery().snapshot());
     }
 
     boolean isUp() {
@@ -88,14 +89,15 @@
     }
 
     /** Something that reaches it: at once, or when it goes on. */
-    void input(Runnable task) {
-        int of = life;
-        if (pausedUntil > world.now()) {
-            world.eventQueue()
+    void deliver(Runnable task) {
+        int current = incarnation;
+        if (pausedUntil > simulation.now()) {
+            simulation
+                    .eventQueue()
                     .scheduleAt(
                             pausedUntil,
                             () -> {
-                                if (life == of) {
+                                if (incarnation == current) {
                                     task.run();
                                 }
                             });
@@ -106,11 +108,11 @@
 
     @Override
     public void pause(long forNs) {
-        pausedUntil = world.now() + forNs;
+        pausedUntil = simulation.now() + forNs;
     }
 
     boolean isPaused() {
-        return pausedUntil > world.now();
+        return pausedUntil > simulation.now();
     }
 
     @Override
@@ -125,12 +127,13 @@
     @Override
     public void restart() {
         leaving = true;
-        int of = life;
-        world.eventQueue()
+        int current = incarnation;
+        simulation
+                .eventQueue()
                 .scheduleAfter(
-                        world.longestDeadline(),
+                        simulation.longestDeadline(),
                         () -> {
-                            if (life == of) {
+                            if (incarnation == current) {
                                 kill();
                                 start();
                             }
@@ -154,9 +157,9 @@
     @Override
     public void kill() {
         up = false;
-        diedAt = world.now();
+        diedAt = simulation.now();
         watching = false;
-        life++;
+        incarnation++;
         List<SimulatedRequest> openRequests = new ArrayList<>(requests.values());
         requests.clear();
         pendingActions.clear();
@@ -165,7 +168,7 @@
                 (server, connections) ->
                         connections.forEach(
                                 c -> {
-                                    if (c.life == server.process().life()) {
+                                    if (c.incarnation == server.process().incarnation()) {
                                         server.connections--;
                                     }
                                 }));
@@ -174,7 +177,7 @@
             if (request.currentAttempt != null) {
                 request.currentAttempt.nodeKilled();
             }
-            world.checker().forget(request.name);
+            simulation.checker().forget(request.name);
             if (!request.finished) {
                 request.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
             }
@@ -185,7 +188,7 @@
     // ------------------------------------------------------------------------------------
 
     private void notifyModule(ModuleEvent event) {
-        long now = world.now();
+        long now = simulation.now();
         eventsAtSameTime = now == lastEventAt ? eventsAtSameTime + 1 : 0;
         lastEventAt = now;
         if (eventsAtSameTime > MAX_ACTIONS_PER_EVENT) {
@@ -195,8 +198,8 @@
                     "more than " + MAX_ACTIONS_PER_EVENT + " events without time passing");
         }
         long startedAt = System.nanoTime();
-        event.deliver(module, now);
-        world.metrics().recordDecision(System.nanoTime() - startedAt);
+        event.dispatch(module, now);
+        simulation.metrics().recordDecision(System.nanoTime() - startedAt);
         if (pendingActions.size() > MAX_ACTIONS_PER_EVENT) {
             throw new BalancerFailureException(
                     now,
@@ -222,12 +225,17 @@
     void receiveRequest(ClientOperation operation, long deadline) {
         SimulatedRequest request =
                 new SimulatedRequest(
-                        world.nextId(), world.nextSerial(), operation, world.now(), deadline);
+                        simulation.nextId(),
+                        simulation.nextSerial(),
+                        operation,
+                        simulation.now(),
+                        deadline);
         requests.put(request.id, request);
-        var rules = operation.classModel().rules();
-        world.checker()
+        var rules = operation.classModel().requestClass();
+        simulation
+                .checker()
                 .requestReceived(
-                        world.now(),
+                        simulation.now(),
                         request.name,
                         name,
                         new RequestTerms(
@@ -236,8 +244,8 @@
                                 rules.deduplicationScope(),
                                 rules.deduplicationWindowNs(),
                                 deadline));
-        long slack = world.scenario().rules().responseSlackNs();
-        world.eventQueue().scheduleAt(deadline + slack + 1, () -> clientTimedOut(request));
+        long slack = simulation.scenario().rules().responseSlackNs();
+        simulation.eventQueue().scheduleAt(deadline + slack + 1, () -> clientTimedOut(request));
         notifyModule(
                 (m, now) ->
                         m.request(
@@ -257,16 +265,17 @@
             return;
         }
         if (isPaused()) {
-            world.checker()
+            simulation
+                    .checker()
                     .clientDisconnected(
-                            world.now(),
+                            simulation.now(),
                             request.name); // a process that is stopped owes nothing meanwhile
         } else {
-            world.checker().deadlineMissed(world.now(), request.name);
+            simulation.checker().deadlineMissed(simulation.now(), request.name);
         }
         request.finished = true;
         request.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
-        input(() -> notifyModule((m, now) -> m.clientDisconnected(now, request.id)));
+        deliver(() -> notifyModule((m, now) -> m.clientDisconnected(now, request.id)));
         forgetIfDone(request);
     }
 
@@ -274,8 +283,8 @@
     void attemptEnded(SimulatedAttempt attempt, Outcome outcome, long latencyNs, LoadReport load) {
         SimulatedRequest request = attempt.request;
         request.currentAttempt = null;
-        world.checker().attemptEnded(world.now(), request.name, attempt.number, outcome);
-        input(
+        simulation.checker().attemptEnded(simulation.now(), request.name, attempt.number, outcome);
+        deliver(
                 () -> {
                     if (outcome == Outcome.OK && !request.finished) {
                         respond(request, ClientOperation.AttemptResult.SERVED, 0, "served");
@@ -300,7 +309,7 @@
             ClientOperation.AttemptResult seen,
             long retryAfterNs,
             String description) {
-        world.checker().responded(world.now(), request.name, description);
+        simulation.checker().responded(simulation.now(), request.name, description);
         if (!request.finished) {
             request.finished = true;
             request.operation.attemptEnded(seen, retryAfterNs);
@@ -317,9 +326,10 @@
     /** News of the servers. */
     void list(ListKind kind, List<EndpointEntry> entries) {
         for (EndpointEntry entry : entries) {
-            world.checker()
+            simulation
+                    .checker()
                     .endpointStateReceived(
-                            world.now(),
+                            simulation.now(),
                             name,
                             entry.endpoint(),
                             entry.state() == EndpointState.READY);
@@ -339,24 +349,25 @@
         if (connections == null) {
             return false;
         }
-        long idleLimit = world.now() - world.network().idleCloseNs();
+        long idleLimit = simulation.now() - simulation.network().idleCloseNs();
         for (IdleConnection first = connections.peekFirst();
                 first != null
-                        && (first.idleSince <= idleLimit || first.life != server.process().life());
+                        && (first.idleSince <= idleLimit
+                                || first.incarnation != server.process().incarnation());
                 first = connections.peekFirst()) {
             connections.pollFirst();
-            if (first.life == server.process().life()) {
+            if (first.incarnation == server.process().incarnation()) {
                 server.connections--;
             }
         }
         return connections.pollLast() != null;
     }
 
-    void keepIdleConnection(SimulatedServer server, int of) {
-        if (server.process().life() == of) {
+    void keepIdleConnection(SimulatedServer server, int current) {
+        if (server.process().incarnation() == current) {
             idleConnections
                     .computeIfAbsent(server, w -> new ArrayDeque<>())
-                    .addLast(new IdleConnection(of, world.now()));
+                    .addLast(new IdleConnection(current, simulation.now()));
         }
     }
 
@@ -364,10 +375,10 @@
     // -----------------------------------------------------------------------------------
 
     private SimulatedServer server(String endpoint) {
-        SimulatedServer server = world.server(endpoint);
+        SimulatedServer server = simulation.server(endpoint);
         if (server == null) {
             throw new BalancerFailureException(
-                    world.now(), number, "a worker that no list has named: " + endpoint);
+                    simulation.now(), number, "a worker that no list has named: " + endpoint);
         }
         return server;
     }
@@ -382,11 +393,11 @@
                         return; // it ended a moment ago
                     }
                     int attempt = request.attempts++;
-                    long left = request.deadline - world.now();
+                    long left = request.deadline - simulation.now();
                     if (request.finished
                             || left <= 0
                             || request.currentAttempt != null
-                            || attempt >= world.scenario().rules().maxAttempts()) {
+                            || attempt >= simulation.scenario().rules().maxAttempts()) {
                         notifyModule(
                                 (m, now) ->
                                         m.outcome(
@@ -400,15 +411,16 @@
                         return;
                     }
                     request.currentAttempt =
-                            new SimulatedAttempt(world, this, request, attempt, server);
-                    world.metrics().recordAttempt(server.index);
-                    world.checker()
+                            new SimulatedAttempt(simulation, this, request, attempt, server);
+                    simulation.metrics().recordAttempt(server.index);
+                    simulation
+                            .checker()
                             .attemptSent(
-                                    world.now(),
+                                    simulation.now(),
                                     request.name,
                                     attempt,
                                     name,
-                                    new InvariantChecker.Place(
+                                    new InvariantChecker.ServerLocation(
                                             server.name, server.zone, server.cell));
                     request.currentAttempt.send(timeoutNs == 0 ? left : Math.min(timeoutNs, left));
                 });
@@ -420,7 +432,7 @@
                 () -> {
                     SimulatedRequest request = requests.get(id);
                     if (request != null) {
-                        world.metrics().recordRefusal();
+                        simulation.metrics().recordRefusal();
                         respond(
                                 request,
                                 ClientOperation.AttemptResult.REFUSED,
@@ -456,18 +468,19 @@
 
     @Override
     public void timer(long delayNs, long token) {
-        int of = life;
+        int current = incarnation;
         if (++timerCount > MAX_TIMERS) {
             throw new BalancerFailureException(
-                    world.now(), number, "more than " + MAX_TIMERS + " timers");
+                    simulation.now(), number, "more than " + MAX_TIMERS + " timers");
         }
-        world.eventQueue()
+        simulation
+                .eventQueue()
                 .scheduleAfter(
                         delayNs,
                         () -> {
-                            if (life == of) {
+                            if (incarnation == current) {
                                 timerCount--;
-                                input(() -> notifyModule((m, now) -> m.timer(now, token)));
+                                deliver(() -> notifyModule((m, now) -> m.timer(now, token)));
                             }
                         });
     }
@@ -477,11 +490,12 @@
         pendingActions.add(
                 () -> {
                     SimulatedServer server = server(endpoint);
-                    world.metrics().recordHealthCheck();
-                    long startedAt = world.now();
+                    simulation.metrics().recordHealthCheck();
+                    long startedAt = simulation.now();
                     boolean[] finished = new boolean[1];
-                    long within = world.probeWithinNs();
-                    world.eventQueue()
+                    long within = simulation.healthCheckTimeoutNs();
+                    simulation
+                            .eventQueue()
                             .scheduleAfter(
                                     within,
                                     () ->
@@ -491,35 +505,35 @@
                                                     within,
                                                     null,
                                                     finished));
-                    world.travel(
+                    simulation.travel(
                             this,
                             server,
                             () -> {
                                 if (!server.process().isUp()) {
-                                    world.travel(
+                                    simulation.travel(
                                             server,
                                             this,
                                             () ->
                                                     healthChecked(
                                                             server,
                                                             Outcome.RESET,
-                                                            world.now() - startedAt,
+                                                            simulation.now() - startedAt,
                                                             null,
                                                             finished));
                                 } else {
                                     server.process()
-                                            .probes(
+                                            .checkHealth(
                                                     () -> {
                                                         LoadReport load =
-                                                                server.process().healthChecked();
-                                                        world.travel(
+                                                                server.process().healthReport();
+                                                        simulation.travel(
                                                                 server,
                                                                 this,
                                                                 () ->
                                                                         healthChecked(
                                                                                 server,
                                                                                 Outcome.OK,
-                                                                                world.now()
+                                                                                simulation.now()
                                                                                         - startedAt,
                                                                                 load,
                                                                                 finished));
@@ -537,7 +551,7 @@
             boolean[] finished) {
         if (!finished[0] && up) {
             finished[0] = true;
-            input(
+            deliver(
                     () ->
                             notifyModule(
                                     (m, now) ->
@@ -556,7 +570,11 @@
                         server.connections -=
                                 (int)
                                         connections.stream()
-                                                .filter(c -> c.life == server.process().life())
+                                                .filter(
+                                                        c ->
+                                                                c.incarnation
+                                                                        == server.process()
+                                                                                .incarnation())
                                                 .count();
                     }
                 });
@@ -565,21 +583,21 @@
     @Override
     public void sendToPeer(int peer, byte[] data) {
         throw new BalancerFailureException(
-                world.now(), number, "a message to a peer: nodes share nothing here");
+                simulation.now(), number, "a message to a peer: nodes share nothing here");
     }
 
     @Override
     public void watch(boolean on) {
-        pendingActions.add(() -> world.discovery().watch(this, on));
+        pendingActions.add(() -> simulation.discovery().watch(this, on));
     }
 
     @Override
     public void fetch() {
-        pendingActions.add(() -> world.discovery().fetch(this));
+        pendingActions.add(() -> simulation.discovery().fetch(this));
     }
 
     @Override
     public void log(String text) {
-        world.metrics().recordLogLine();
+        simulation.metrics().recordLogLine();
     }
 }
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedServer.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedServer.java
@@ -12,7 +12,7 @@
     final int index;
     final String zone;
     final int cell;
-    private final Simulation world;
+    private final Simulation simulation;
     private final ServerProcess process;
     EndpointState state = EndpointState.READY;
     int connections;
@@ -21,29 +21,29 @@
     int arriving;
 
     SimulatedServer(
-            Simulation world,
+            Simulation simulation,
             String name,
             int index,
             String zone,
             int cell,
-            ServerLimits law,
+            ServerLimits limits,
             boolean cold) {
-        this.world = world;
+        this.simulation = simulation;
         this.name = name;
         this.index = index;
         this.zone = zone;
         this.cell = cell;
         process =
                 new ServerProcess(
-                        world.eventQueue(),
-                        world.streams(),
-                        world.scenario().fleet(),
+                        simulation.eventQueue(),
+                        simulation.streams(),
+                        simulation.scenario().fleet(),
                         name,
-                        law,
+                        limits,
                         cold,
                         () -> {
                             connections = 0;
-                            world.checker().coldServerOverloaded(world.now(), name);
+                            simulation.checker().coldServerOverloaded(simulation.now(), name);
                         });
     }
 
@@ -53,17 +53,17 @@
 
     /** A connect has come; whether it is taken. */
     boolean acceptConnection() {
-        if (!process.isUp() || connections >= world.network().connections()) {
+        if (!process.isUp() || connections >= simulation.network().maxConnections()) {
             return false;
         }
         connections++;
-        process.works(world.network().openWorkNs());
+        process.addBackgroundWork(simulation.network().connectionWorkNs());
         return true;
     }
 
     /** A connection of this life of it is closed by its node. */
-    void connectionClosed(int life) {
-        if (life == process.life()) {
+    void connectionClosed(int incarnation) {
+        if (incarnation == process.incarnation()) {
             connections--;
         }
     }
@@ -85,24 +85,24 @@
 
     @Override
     public void startDraining() {
-        world.discovery().setState(this, EndpointState.DRAINING);
+        simulation.discovery().setState(this, EndpointState.DRAINING);
     }
 
     @Override
     public void stop() {
         connections = 0;
-        process.goDown();
+        process.stop();
     }
 
     @Override
     public void restart() {
-        process.comeUp();
-        world.discovery().setState(this, EndpointState.READY);
+        process.start();
+        simulation.discovery().setState(this, EndpointState.READY);
     }
 
     @Override
     public void replace() {
-        world.discovery().setState(this, EndpointState.GONE);
-        world.addServer(zone, Math.max(0, cell), true);
+        simulation.discovery().setState(this, EndpointState.GONE);
+        simulation.addServer(zone, Math.max(0, cell), true);
     }
 }
--- a/lab/src/main/java/trailthread/lab/simulation/Simulation.java
+++ b/lab/src/main/java/trailthread/lab/simulation/Simulation.java
@@ -21,7 +21,7 @@
 import trailthread.lab.model.ServerLimits;
 import trailthread.lab.random.RandomStreams;
 import trailthread.lab.scenario.Scenario;
-import trailthread.lab.scenario.Scenario.NetworkLaw;
+import trailthread.lab.scenario.Scenario.NetworkModel;
 
 /**
  * A day in virtual time: clients, nodes with the decisions under test, the network, servers, the
@@ -33,7 +33,7 @@
     private static final long BEGIN = 1_000_000_000_000L;
 
     /** How long the front of the nodes goes on sending to one that has died. */
-    private static final long FRONT_LEARNS_NS = 500_000_000L;
+    private static final long FRONTEND_DETECTION_NS = 500_000_000L;
 
     private static final long SECOND = 1_000_000_000L;
 
@@ -48,10 +48,10 @@
     private final Map<String, SimulatedServer> byName = new HashMap<>();
     private final SimulatedDiscovery discovery;
     private final ClientPopulation clients;
-    private final UniformRandomProvider network;
-    private final UniformRandomProvider speeds;
+    private final UniformRandomProvider networkRandom;
+    private final UniformRandomProvider speedRandom;
     private long lastId;
-    private long serials;
+    private long lastSerial;
     private String isolatedZone;
 
     private Simulation(Scenario scenario, Policy policy, long seed) {
@@ -62,14 +62,14 @@
                 new InvariantChecker(
                         scenario.rules().responseSlackNs(), scenario.rules().drainGraceNs());
         metrics = new RunMetrics(BEGIN, BEGIN + scenario.warmUpNs());
-        network = streams.stream("network");
-        speeds = streams.stream("speeds");
+        networkRandom = streams.stream("network");
+        speedRandom = streams.stream("speeds");
         discovery = new SimulatedDiscovery(this);
         clients = new ClientPopulation(eventQueue, streams, scenario, metrics, this);
     }
 
     /** What came of a day, and how it was judged. */
-    public record Day(
+    public record RunResult(
             RunMetrics metrics,
             InvariantChecker checker,
             long events,
@@ -81,19 +81,19 @@
      *
      * @throws BalancerFailureException if the decisions ask for what nobody can do
      */
-    public static Day play(Scenario scenario, Policy policy, long seed) {
-        long begun = System.nanoTime();
-        Simulation world = new Simulation(scenario, policy, seed);
-        world.run();
-        return new Day(
-                world.metrics,
-                world.checker,
-                world.eventQueue.executedCount(),
-                System.nanoTime() - begun,
-                world.servers.stream().map(w -> w.name).toList());
-    }
-
-    private void run() {
+    public static RunResult run(Scenario scenario, Policy policy, long seed) {
+        long startedAt = System.nanoTime();
+        Simulation simulation = new Simulation(scenario, policy, seed);
+        simulation.runToEnd();
+        return new RunResult(
+                simulation.metrics,
+                simulation.checker,
+                simulation.eventQueue.executedCount(),
+                System.nanoTime() - startedAt,
+                simulation.servers.stream().map(w -> w.name).toList());
+    }
+
+    private void runToEnd() {
         for (int i = 0; i < scenario.fleet().servers(); i++) {
             addServer(scenario.zones().get(i % scenario.zones().size()), i, false);
         }
@@ -102,10 +102,10 @@
                     new SimulatedNode(this, i, scenario.zones().get(i % scenario.zones().size())));
         }
         nodes.forEach(SimulatedNode::start);
-        FaultInjector.arrange(eventQueue, streams, scenario.faults(), this);
-        long end = BEGIN + scenario.lengthNs();
+        FaultInjector.schedule(eventQueue, streams, scenario.faults(), this);
+        long end = BEGIN + scenario.durationNs();
         clients.begin(end);
-        sample(end);
+        sampleEachSecond(end);
         // After the last arrival it runs on until all is answered.
         for (long until = end + 2 * longestDeadline() + SECOND;
                 eventQueue.now() < until
@@ -119,7 +119,10 @@
     void addServer(String zone, int place, boolean cold) {
         var fleet = scenario.fleet();
         ServerLimits own =
-                fleet.law().at(RandomStreams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
+                fleet.limits()
+                        .withSpeedFactor(
+                                RandomStreams.uniform(
+                                        speedRandom, fleet.speedLow(), fleet.speedHigh()));
         int cell = fleet.cells() > 0 ? place % fleet.cells() : -1;
         SimulatedServer server =
                 new SimulatedServer(
@@ -135,25 +138,25 @@
     @Override
     public void startAttempt(
             ClientOperation operation, int zone, double draw, long clientTimeoutAt) {
-        SimulatedNode node = chosen(scenario.zones().get(zone), draw);
+        SimulatedNode node = chooseNode(scenario.zones().get(zone), draw);
         if (node == null || !node.isUp()) {
             operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
         } else {
-            boolean[] heard = new boolean[1];
-            node.input(
+            boolean[] received = new boolean[1];
+            node.deliver(
                     () -> {
                         if (now() <= clientTimeoutAt) { // else its client has left, before a node
                             // that was
                             // stopped came to read it
-                            heard[0] = true;
+                            received[0] = true;
                             node.receiveRequest(operation, clientTimeoutAt);
                         }
                     });
-            if (!heard[0]) {
+            if (!received[0]) {
                 eventQueue.scheduleAt(
                         clientTimeoutAt + 1,
                         () -> {
-                            if (!heard[0]) {
+                            if (!received[0]) {
                                 operation.attemptEnded(
                                         ClientOperation.AttemptResult.NO_RESPONSE, 0);
                             }
@@ -163,27 +166,27 @@
     }
 
     /** One of the zone's, or, if its front knows of none there, of all; null: there is none. */
-    private SimulatedNode chosen(String zone, double draw) {
+    private SimulatedNode chooseNode(String zone, double draw) {
         int near = 0;
         int all = 0;
         for (SimulatedNode node : nodes) {
-            if (frontKnows(node)) {
+            if (isRouted(node)) {
                 all++;
                 near += node.zone.equals(zone) ? 1 : 0;
             }
         }
         int left = (int) (draw * (near > 0 ? near : all));
         for (SimulatedNode node : nodes) {
-            if (frontKnows(node) && (near == 0 || node.zone.equals(zone)) && left-- == 0) {
+            if (isRouted(node) && (near == 0 || node.zone.equals(zone)) && left-- == 0) {
                 return node;
             }
         }
         return null;
     }
 
-    private boolean frontKnows(SimulatedNode node) {
+    private boolean isRouted(SimulatedNode node) {
         return (node.isUp() && !node.isLeaving())
-                || (!node.isUp() && eventQueue.now() - node.diedAt() < FRONT_LEARNS_NS);
+                || (!node.isUp() && eventQueue.now() - node.diedAt() < FRONTEND_DETECTION_NS);
     }
 
     // ---- what the parts need
@@ -205,7 +208,7 @@
         return scenario;
     }
 
-    NetworkLaw network() {
+    NetworkModel network() {
         return scenario.network();
     }
 
@@ -245,7 +248,7 @@
     }
 
     long nextSerial() {
-        return ++serials;
+        return ++lastSerial;
     }
 
     @Override
@@ -265,15 +268,15 @@
 
     long longestDeadline() {
         return scenario.classes().stream()
-                .mapToLong(c -> c.rules().deadlineNs())
+                .mapToLong(c -> c.requestClass().deadlineNs())
                 .max()
                 .orElseThrow();
     }
 
     /** What takes longer to tell its load than the tightest aim is fit for nothing just now. */
-    long probeWithinNs() {
+    long healthCheckTimeoutNs() {
         return scenario.classes().stream()
-                .mapToLong(c -> c.rules().latencyObjectiveNs())
+                .mapToLong(c -> c.requestClass().latencyObjectiveNs())
                 .min()
                 .orElseThrow();
     }
@@ -283,21 +286,22 @@
     }
 
     void travel(SimulatedServer from, SimulatedNode to, Runnable task) {
-        travel(from.zone, to.zone, from, () -> to.input(task));
+        travel(from.zone, to.zone, from, () -> to.deliver(task));
     }
 
     /** One way over the network, if there is one. */
     private void travel(String from, String to, SimulatedServer server, Runnable task) {
         boolean far = !from.equals(to);
-        if (server.process().ills.cut
+        if (server.process().faults.isolated
                 || (far
                         && isolatedZone != null
                         && (from.equals(isolatedZone) || to.equals(isolatedZone)))) {
             return; // nothing is said
         }
-        NetworkLaw law = scenario.network();
+        NetworkModel model = scenario.network();
         double delay =
-                (far ? law.farNs() : law.nearNs()) * (1 + law.jitter() * network.nextDouble());
+                (far ? model.crossZoneDelayNs() : model.sameZoneDelayNs())
+                        * (1 + model.jitter() * networkRandom.nextDouble());
         eventQueue.scheduleAfter((long) delay, task);
     }
 
@@ -308,27 +312,28 @@
         s.nodeIndex = node.number;
         s.nodes = scenario.nodes();
         s.zone = node.zone;
-        scenario.classes().forEach(c -> s.classes.add(c.rules()));
+        scenario.classes().forEach(c -> s.classes.add(c.requestClass()));
         s.tenants.addAll(scenario.tenants());
         s.crossZonePrice = rules.crossZonePrice();
         s.mayCancel = true;
-        s.mayCheckHealth = rules.probes();
+        s.mayCheckHealth = rules.healthChecks();
         s.maxAttempts = rules.maxAttempts();
         s.retryAfter = rules.maxRetryAfterNs() > 0;
         s.maxRetryAfterNs = rules.maxRetryAfterNs();
-        s.connectTimeoutNs = network().dialNs();
+        s.connectTimeoutNs = network().connectTimeoutNs();
         s.listIsPolled = true;
-        s.reports = scenario.fleet().reports() ? LoadReportSource.RESPONSES : LoadReportSource.NONE;
+        s.reports =
+                scenario.fleet().reportsLoad() ? LoadReportSource.RESPONSES : LoadReportSource.NONE;
         s.responseSlackNs = rules.responseSlackNs();
-        var cold = scenario.fleet().law().cold();
+        var cold = scenario.fleet().limits().cold();
         s.slowStartInitialShare = cold.share();
         s.slowStartNs = cold.warmNs();
-        s.overloadMultiple = Math.min(1e6, cold.multiple());
-        s.overloadWindowNs = cold.deduplicationWindowNs();
+        s.overloadMultiple = Math.min(1e6, cold.overloadMultiple());
+        s.overloadWindowNs = cold.windowNs();
         return s;
     }
 
-    FleetView truth() {
+    FleetView fleetView() {
         return new FleetView() {
             private final double meanWork = scenario.meanWorkNs();
 
@@ -338,20 +343,20 @@
             }
 
             @Override
-            public double stretch(String name) {
+            public double expectedSlowdown(String name) {
                 SimulatedServer w = byName.get(name);
                 boolean well =
                         w.process().isUp()
-                                && w.process().ills.none()
+                                && w.process().faults.noneActive()
                                 && w.state == EndpointState.READY;
                 return well
-                        ? w.process().model().stretch(now(), w.arriving)
+                        ? w.process().model().expectedSlowdown(now(), w.arriving)
                         : Double.POSITIVE_INFINITY;
             }
         };
     }
 
-    private void sample(long end) {
+    private void sampleEachSecond(long end) {
         for (long at = BEGIN + SECOND - 1; at < end; at += SECOND) {
             eventQueue.scheduleAt(
                     at,
--- a/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
@@ -42,7 +42,7 @@
             delay = "10ms"
             """;
     private final List<Socket> open = new ArrayList<>();
-    private Emulation day;
+    private Emulation emulation;
     private Thread loop;
     private volatile boolean ending;
 
@@ -51,15 +51,15 @@
      * moment on.
      */
     private void start(String faults) throws Exception {
-        day = new Emulation(ScenarioReader.parse("test", SCENARIO + faults), 1, 1);
+        emulation = new Emulation(ScenarioReader.parse("test", SCENARIO + faults), 1, 1);
         CountDownLatch begun = new CountDownLatch(1);
         loop =
                 new Thread(
                         () -> {
                             try {
-                                day.eventQueue().scheduleAfter(1_000_000, begun::countDown);
-                                day.eventQueue().scheduleAfter(0, this::watchEnd);
-                                day.play(true, d -> {});
+                                emulation.eventQueue().scheduleAfter(1_000_000, begun::countDown);
+                                emulation.eventQueue().scheduleAfter(0, this::watchEnd);
+                                emulation.run(true, d -> {});
                             } catch (IOException | IllegalStateException e) {
                                 if (!ending) {
                                     throw new AssertionError(e);
@@ -74,14 +74,14 @@
         if (ending) {
             throw new IllegalStateException("the test is over");
         }
-        day.eventQueue().scheduleAfter(5_000_000, this::watchEnd);
+        emulation.eventQueue().scheduleAfter(5_000_000, this::watchEnd);
     }
 
     @After
     public void end() throws Exception {
         ending = true;
         loop.join();
-        day.close();
+        emulation.close();
         for (Socket socket : open) {
             socket.close();
         }
@@ -98,7 +98,7 @@
     }
 
     private Socket get(String target, String headers) throws IOException {
-        Socket socket = connect(day.serversAt(0).get(0));
+        Socket socket = connect(emulation.serversAt(0).get(0));
         Message.send(socket, "GET " + target + " HTTP/1.1\r\nHost: w\r\n" + headers + "\r\n");
         return socket;
     }
@@ -173,7 +173,7 @@
     }
 
     @Test
-    public void drips() throws Exception {
+    public void sendsResponsesSlowly() throws Exception {
         start(fault("drips", "size = 0.5"));
         Socket slow = request("1", 1);
         slow.setSoTimeout(30); // an answer that comes in one piece is there after the first wait
@@ -207,9 +207,9 @@
     @Test
     public void drainsEndsAndComesBackUnderItsAddress() throws Exception {
         start("[[faults]]\ntrouble = \"restart\"\nat = \"100ms\"\nfor = \"1s\"\n");
-        Socket watch = connect(day.discoveryAt(0));
+        Socket watch = connect(emulation.discoveryAt(0));
         Message.send(watch, "GET /v1/endpoints?stream=1&index=0 HTTP/1.1\r\nHost: r\r\n\r\n");
-        String server = day.serversAt(0).get(0);
+        String server = emulation.serversAt(0).get(0);
         String told = "";
         while (!told.contains("leaving")) {
             told = line(watch);
@@ -219,7 +219,7 @@
             told = line(watch);
         }
         assertTrue(told, told.contains("\"active\"") && !told.contains("\"startedAtMs\":0}"));
-        assertEquals("the same address", server, day.serversAt(0).get(0));
+        assertEquals("the same address", server, emulation.serversAt(0).get(0));
         assertEquals(200, Message.read(request("2", 1)).status());
     }
 
@@ -236,7 +236,7 @@
     @Test
     public void discoveryFailsAndItsWatchesBreak() throws Exception {
         start("[[faults]]\ntrouble = \"roster_down\"\nat = \"300ms\"\nfor = \"50s\"\n");
-        Socket watch = connect(day.discoveryAt(0));
+        Socket watch = connect(emulation.discoveryAt(0));
         Message.send(watch, "GET /v1/endpoints?stream=1&index=0 HTTP/1.1\r\nHost: r\r\n\r\n");
         assertThrows(
                 SocketException.class,
@@ -245,7 +245,7 @@
                         line(watch);
                     }
                 });
-        Socket again = connect(day.discoveryAt(0));
+        Socket again = connect(emulation.discoveryAt(0));
         Message.send(again, "GET /v1/endpoints HTTP/1.1\r\nHost: r\r\n\r\n");
         Message answer;
         try {
--- a/lab/src/test/java/trailthread/lab/emulation/EmulationTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulationTest.java
@@ -97,18 +97,22 @@
                         "-Xmx64m",
                         "trailthread.daemon.Main",
                         "serve");
-        try (Emulation day = new Emulation(scenario, 7, scenario.nodes())) {
-            day.startNodes(new Emulation.Program(command, Path.of("").toAbsolutePath()), logs);
-            day.play(true, d -> {});
+        try (Emulation emulation = new Emulation(scenario, 7, scenario.nodes())) {
+            emulation.startNodes(
+                    new Emulation.Program(command, Path.of("").toAbsolutePath()), logs);
+            emulation.run(true, d -> {});
             assertEquals(
-                    day.checker().violations().toString(),
+                    emulation.checker().violations().toString(),
                     Map.of(),
-                    day.checker().violationCounts());
+                    emulation.checker().violationCounts());
             assertTrue(
-                    "judged " + day.checker().checkedRequests(),
-                    day.checker().checkedRequests() > 500);
-            assertTrue("goodput " + day.metrics().goodput(), day.metrics().goodput() > 0.8);
-            assertTrue("what nodes hold is looked at", day.nodeSeconds().get(1).rssMb()[0] > 1);
+                    "judged " + emulation.checker().checkedRequests(),
+                    emulation.checker().checkedRequests() > 500);
+            assertTrue(
+                    "goodput " + emulation.metrics().goodput(),
+                    emulation.metrics().goodput() > 0.8);
+            assertTrue(
+                    "what nodes hold is looked at", emulation.nodeSeconds().get(1).rssMb()[0] > 1);
         }
     }
 }
--- a/lab/src/test/java/trailthread/lab/fault/RollingRestartTest.java
+++ b/lab/src/test/java/trailthread/lab/fault/RollingRestartTest.java
@@ -7,8 +7,8 @@
 import org.junit.Test;
 import trailthread.lab.event.EventQueue;
 import trailthread.lab.random.RandomStreams;
-import trailthread.lab.scenario.Scenario.Fault;
-import trailthread.lab.scenario.Scenario.Trouble;
+import trailthread.lab.scenario.Scenario.FaultKind;
+import trailthread.lab.scenario.Scenario.ScheduledFault;
 
 /** However slowly nodes start, a rolling restart takes one at a time. */
 public class RollingRestartTest {
@@ -85,8 +85,9 @@
     public void atMostOneNodeIsOutOfServiceAndAllAreRestartedOnce() {
         List<SlowNode> nodes =
                 Stream.of(5 * SECOND, SECOND / 10, 7 * SECOND).map(SlowNode::new).toList();
-        Fault fault = new Fault(Trouble.NODE_RESTART, SECOND, 3 * SECOND, 1, 0, 0, null);
-        FaultInjector.arrange(eventQueue, new RandomStreams(3), List.of(fault), new Nodes(nodes));
+        ScheduledFault fault =
+                new ScheduledFault(FaultKind.NODE_RESTART, SECOND, 3 * SECOND, 1, 0, 0, null);
+        FaultInjector.schedule(eventQueue, new RandomStreams(3), List.of(fault), new Nodes(nodes));
         nodes.get(0).kill(); // out of service already when the restart is due
         eventQueue.scheduleAt(4 * SECOND, nodes.get(0)::start);
         for (int i = 1; i < 300; i++) {
--- a/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
+++ b/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
@@ -8,22 +8,24 @@
 import trailthread.api.DeduplicationScope;
 import trailthread.api.Idempotency;
 import trailthread.api.Outcome;
-import trailthread.lab.invariant.InvariantChecker.Place;
+import trailthread.lab.invariant.InvariantChecker.ServerLocation;
 
 /** For each rule a violation that must be caught, and a near miss that must pass. */
 public class InvariantCheckerTest {
-    private static final Place A = new Place("a", "east", 0);
-    private static final Place SAME_CELL = new Place("b", "west", 0);
-    private static final Place OTHER = new Place("c", "east", 1);
+    private static final ServerLocation A = new ServerLocation("a", "east", 0);
+    private static final ServerLocation SAME_CELL = new ServerLocation("b", "west", 0);
+    private static final ServerLocation OTHER = new ServerLocation("c", "east", 1);
     private final InvariantChecker checker = new InvariantChecker(10, 100);
 
-    private void receive(Idempotency idempotency, DeduplicationScope group) {
-        checker.requestReceived(0, "7", "n0", new RequestTerms("c", idempotency, group, 500, 1000));
+    private void receive(Idempotency idempotency, DeduplicationScope deduplicationScope) {
+        checker.requestReceived(
+                0, "7", "n0", new RequestTerms("c", idempotency, deduplicationScope, 500, 1000));
     }
 
     /** One attempt that runs and ends so. */
-    private void attempt(long at, int number, Place place, boolean runs, Outcome outcome) {
-        checker.attemptSent(at, "7", number, "n0", place);
+    private void attempt(
+            long at, int number, ServerLocation location, boolean runs, Outcome outcome) {
+        checker.attemptSent(at, "7", number, "n0", location);
         if (runs) {
             checker.executionStarted(at + 1, "7", number);
         }
--- a/lab/src/test/java/trailthread/lab/model/ServerModelTest.java
+++ b/lab/src/test/java/trailthread/lab/model/ServerModelTest.java
@@ -24,8 +24,8 @@
         }
     }
 
-    private void start(ServerLimits law, boolean cold) {
-        model = new ServerModel(law, 0, cold);
+    private void start(ServerLimits limits, boolean cold) {
+        model = new ServerModel(limits, 0, cold);
     }
 
     private boolean bring(long at, Job job) {
@@ -34,8 +34,8 @@
     }
 
     private void advance(long until) {
-        while (model.nextAt() <= until) {
-            long at = model.nextAt();
+        while (model.nextEventTime() <= until) {
+            long at = model.nextEventTime();
             model.advance(
                     at, job -> done.add(((Named) job).name + "@" + Math.round((double) at / MS)));
         }
@@ -81,11 +81,11 @@
     @Test
     public void workBesideRequestsIsTakenFromThoseInWork() {
         start(ServerLimits.plain(1, 1, 8, 0), false);
-        model.takes(100 * MS); // by an idle core
+        model.addBackgroundWork(100 * MS); // by an idle core
         bring(0, new Named("a", 10 * MS));
         bring(0, new Named("b", 10 * MS));
         advance(5 * MS);
-        model.takes(4 * MS);
+        model.addBackgroundWork(4 * MS);
         advance(100 * MS);
         assertEquals(List.of("a@24", "b@24"), done);
     }
@@ -98,9 +98,9 @@
         bring(0, a);
         bring(0, b);
         bring(0, new Named("c", 10 * MS));
-        assertFalse(model.drop(0, a));
-        assertTrue(model.drop(0, b));
-        assertFalse("it is gone", model.drop(0, b));
+        assertFalse(model.cancel(0, a));
+        assertTrue(model.cancel(0, b));
+        assertFalse("it is gone", model.cancel(0, b));
         advance(100 * MS);
         assertEquals(List.of("a@10", "c@20"), done);
     }
@@ -140,9 +140,9 @@
     public void aColdStartRisesEvenly() {
         ServerLimits.Cold cold = new ServerLimits.Cold(0.5, 64 * MS, 100, 1000 * MS);
         start(new ServerLimits(1, 1, 1, 10, 0, ServerLimits.Jam.NEVER, cold, false), true);
-        assertEquals(0.5, model.warmth(0), 0);
-        assertEquals(0.75, model.warmth(32 * MS), 0.01);
-        assertEquals(1, model.warmth(64 * MS), 0);
+        assertEquals(0.5, model.capacityShare(0), 0);
+        assertEquals(0.75, model.capacityShare(32 * MS), 0.01);
+        assertEquals(1, model.capacityShare(64 * MS), 0);
         bring(0, new Named("a", 20 * MS));
         advance(100 * MS);
         // The integral of 0.5 + t / 128 is 20 at t = 32.0 (with steps a little later).
@@ -152,25 +152,26 @@
     @Test
     public void aColdOneSentTooMuchFallsOverAndOneSentLessDoesNot() {
         ServerLimits.Cold cold = new ServerLimits.Cold(0.25, 10_000 * MS, 2, 1000 * MS);
-        ServerLimits law = new ServerLimits(1, 1, 1, 1000, 0, ServerLimits.Jam.NEVER, cold, false);
-        start(law, true);
+        ServerLimits limits =
+                new ServerLimits(1, 1, 1, 1000, 0, ServerLimits.Jam.NEVER, cold, false);
+        start(limits, true);
         for (int i = 0; i < 50; i++) { // twice a quarter of a second's work, to the last
             assertTrue(bring(0, new Named("a", 10 * MS)));
         }
-        assertFalse(model.hasFallen());
+        assertFalse(model.hasCrashed());
         bring(0, new Named("a", 10 * MS));
-        assertTrue(model.hasFallen());
+        assertTrue(model.hasCrashed());
         assertFalse("it does nothing any more", bring(1, new Named("a", MS)));
-        start(law, true);
+        start(limits, true);
         for (int i = 0; i < 400; i++) {
             bring(25L * i * MS, new Named("a", 10 * MS));
         }
-        assertFalse("spread out", model.hasFallen());
-        start(law, false);
+        assertFalse("spread out", model.hasCrashed());
+        start(limits, false);
         for (int i = 0; i < 500; i++) {
             bring(0, new Named("a", 10 * MS));
         }
-        assertFalse("warm", model.hasFallen());
+        assertFalse("warm", model.hasCrashed());
     }
 
     @Test(expected = IllegalStateException.class)
--- a/lab/src/test/java/trailthread/lab/model/ServerModelTheoryTest.java
+++ b/lab/src/test/java/trailthread/lab/model/ServerModelTheoryTest.java
@@ -20,18 +20,19 @@
      * The mean time from arrival to end over the mean work, with Poisson arrivals at this share of
      * the capacity.
      */
-    private static double meanTime(ServerLimits law, double load, boolean exponential, long seed) {
+    private static double meanTime(
+            ServerLimits limits, double load, boolean exponential, long seed) {
         UniformRandomProvider random = new RandomStreams(seed).stream("theory");
-        ServerModel model = new ServerModel(law, 0, false);
+        ServerModel model = new ServerModel(limits, 0, false);
         Map<ServerModel.Job, Long> arrivedAt = new HashMap<>();
         double[] sum = new double[2];
-        double gap = MEAN_NS / (load * law.cores() * law.speed());
+        double gap = MEAN_NS / (load * limits.cores() * limits.speed());
         long now = 0;
         for (int i = 0; i < CUSTOMERS; i++) {
             now += (long) RandomStreams.exponential(random, gap);
             long until = now;
-            while (model.nextAt() <= until) {
-                long at = model.nextAt();
+            while (model.nextEventTime() <= until) {
+                long at = model.nextEventTime();
                 model.advance(
                         at,
                         job -> {
@@ -93,8 +94,8 @@
     @Test
     public void processorSharing() {
         double expected = 1 / (1 - 0.7);
-        ServerLimits law = ServerLimits.plain(1, 1, 1_000_000, 0);
-        assertEquals(expected, meanTime(law, 0.7, true, 13), 0.02 * expected);
-        assertEquals(expected, meanTime(law, 0.7, false, 14), 0.02 * expected);
+        ServerLimits limits = ServerLimits.plain(1, 1, 1_000_000, 0);
+        assertEquals(expected, meanTime(limits, 0.7, true, 13), 0.02 * expected);
+        assertEquals(expected, meanTime(limits, 0.7, false, 14), 0.02 * expected);
     }
 }
--- a/lab/src/test/java/trailthread/lab/scenario/ScenarioReaderTest.java
+++ b/lab/src/test/java/trailthread/lab/scenario/ScenarioReaderTest.java
@@ -27,10 +27,10 @@
     @Test
     public void aScenarioAndWhatItDoesNotSay() throws Exception {
         Scenario scenario = ScenarioReader.parse("f", GOOD);
-        assertEquals(10_000_000_000L, scenario.lengthNs());
-        assertEquals(2e6, scenario.classes().get(0).meanNs(), 0);
-        assertEquals(Scenario.Draw.UNIFORM, scenario.classes().get(0).draw());
-        assertEquals(100 * 2e6 / 4e9, scenario.load(), 1e-9);
+        assertEquals(10_000_000_000L, scenario.durationNs());
+        assertEquals(2e6, scenario.classes().get(0).meanWorkNs(), 0);
+        assertEquals(Scenario.WorkDistribution.UNIFORM, scenario.classes().get(0).distribution());
+        assertEquals(100 * 2e6 / 4e9, scenario.offeredLoad(), 1e-9);
         assertEquals(1, scenario.nodes());
     }
 
