--- a/lab/src/test/java/trailthread/lab/simulation/FleetTheoryTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/FleetTheoryTest.java
@@ -41,8 +41,8 @@
     @Test
     public void twoChoicesKeepTheLongestLineShort() throws Exception {
         Scenario scenario = scenario(100, 9000, "");
-        int random = longest(Simulation.play(scenario, Policies.named("random"), 1).metrics());
-        int two = longest(Simulation.play(scenario, Policies.named("two-choices"), 1).metrics());
+        int random = longest(Simulation.run(scenario, Policies.byName("random"), 1).metrics());
+        int two = longest(Simulation.run(scenario, Policies.byName("two-choices"), 1).metrics());
         assertTrue(two + " of " + random, 3 * two < random);
     }
 
@@ -63,9 +63,9 @@
     @Test
     public void theCorrectionDampsTheSwingOfTwoServers() throws Exception {
         Scenario scenario = scenario(2, 170, "report_every = \"2s\"");
-        double with = swing(Simulation.play(scenario, Policies.named("sns"), 1).metrics());
+        double with = swing(Simulation.run(scenario, Policies.byName("sns"), 1).metrics());
         double without =
-                swing(Simulation.play(scenario, Policies.named("sns-uncorrected"), 1).metrics());
+                swing(Simulation.run(scenario, Policies.byName("sns-uncorrected"), 1).metrics());
         assertTrue(without + " without, " + with + " with", 2 * with < without);
     }
 
@@ -90,6 +90,6 @@
     }
 
     private static double mean(Scenario scenario, String policy) {
-        return Simulation.play(scenario, Policies.named(policy), 4).metrics().latencyUs().getMean();
+        return Simulation.run(scenario, Policies.byName(policy), 4).metrics().latencyUs().getMean();
     }
 }
--- a/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
@@ -20,7 +20,7 @@
 import trailthread.lab.baseline.Policies;
 import trailthread.lab.baseline.Policy;
 import trailthread.lab.experiment.Result;
-import trailthread.lab.experiment.Runs;
+import trailthread.lab.experiment.RunExecutor;
 import trailthread.lab.invariant.Invariant;
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
@@ -36,10 +36,10 @@
     private static Scenario shortened(String name, double seconds)
             throws IOException, ScenarioReader.BadScenario {
         Scenario s = ScenarioReader.read(SCENARIOS.resolve(name + ".toml"));
-        long length = Math.min(s.lengthNs(), (long) (seconds * 1e9));
+        long length = Math.min(s.durationNs(), (long) (seconds * 1e9));
         return new Scenario(
                 s.name(),
-                s.about(),
+                s.description(),
                 length,
                 Math.min(s.warmUpNs(), length / 4),
                 s.nodes(),
@@ -49,34 +49,38 @@
                 s.clients(),
                 s.network(),
                 s.fleet(),
-                s.list(),
+                s.discovery(),
                 s.rules(),
                 s.faults());
     }
 
-    private static Result play(Scenario scenario, String policy, long seed) {
+    private static Result run(Scenario scenario, String policy, long seed) {
         return Result.of(
                         scenario,
                         policy,
                         seed,
-                        Simulation.play(scenario, Policies.named(policy), seed))
+                        Simulation.run(scenario, Policies.byName(policy), seed))
                 .withoutTimes();
     }
 
     @Test
     public void oneSeedGivesOneResultToTheByteOnAnyNumberOfThreads() throws Exception {
-        List<Runs.Order> orders = new ArrayList<>();
+        List<RunExecutor.RunSpec> specs = new ArrayList<>();
         for (String name : List.of("fast-errors", "rolling-restart", "node-killed")) {
             for (Policy policy : Policies.all()) {
-                orders.add(new Runs.Order(shortened(name, 7), policy, 5));
+                specs.add(new RunExecutor.RunSpec(shortened(name, 7), policy, 5));
             }
         }
         List<String> once =
-                Runs.make(orders, 1, r -> {}).stream().map(r -> r.withoutTimes().json()).toList();
+                RunExecutor.runAll(specs, 1, r -> {}).stream()
+                        .map(r -> r.withoutTimes().json())
+                        .toList();
         List<String> again =
-                Runs.make(orders, 7, r -> {}).stream().map(r -> r.withoutTimes().json()).toList();
+                RunExecutor.runAll(specs, 7, r -> {}).stream()
+                        .map(r -> r.withoutTimes().json())
+                        .toList();
         assertEquals(once, again);
-        assertNotEquals(once.get(0), play(shortened("fast-errors", 7), "trailthread", 6).json());
+        assertNotEquals(once.get(0), run(shortened("fast-errors", 7), "trailthread", 6).json());
     }
 
     /** Whoever decides: what clients ask for, when and how much work it is. */
@@ -84,14 +88,14 @@
     public void policiesMeetTheSameClients() throws Exception {
         Scenario scenario = shortened("calm", 8);
         long[] asked =
-                Simulation.play(scenario, Policies.named("random"), 3)
+                Simulation.run(scenario, Policies.byName("random"), 3)
                         .metrics()
                         .classes()
                         .get("action")
                         .counts();
         for (Policy policy : Policies.all()) {
             long[] other =
-                    Simulation.play(scenario, policy, 3).metrics().classes().get("action").counts();
+                    Simulation.run(scenario, policy, 3).metrics().classes().get("action").counts();
             assertEquals(policy.name(), asked[0], other[0]);
         }
     }
@@ -99,19 +103,19 @@
     /** A short form of every scenario: the project's module keeps all rules, and nothing hangs. */
     @Test
     public void theModuleKeepsTheRulesOnEveryScenario() throws Exception {
-        List<Runs.Order> orders = new ArrayList<>();
+        List<RunExecutor.RunSpec> specs = new ArrayList<>();
         try (Stream<Path> files = Files.list(SCENARIOS)) {
             for (Path file : files.sorted().toList()) {
                 String name = file.getFileName().toString().replace(".toml", "");
-                orders.add(
-                        new Runs.Order(
+                specs.add(
+                        new RunExecutor.RunSpec(
                                 shortened(name, name.equals("large") ? 0.5 : 14),
                                 Policies.TRAILTHREAD,
                                 2));
             }
         }
-        assertTrue("twelve at least", orders.size() >= 12);
-        for (Result result : Runs.make(orders, 4, r -> {})) {
+        assertTrue("twelve at least", specs.size() >= 12);
+        for (Result result : RunExecutor.runAll(specs, 4, r -> {})) {
             assertTrue(result.row(), result.broken().isEmpty());
             assertTrue(result.row(), result.goodput() > 0.3);
         }
@@ -133,17 +137,17 @@
             }
 
             @Override
-            public String about() {
+            public String description() {
                 return "for tests";
             }
 
             @Override
-            public BalancerEvents make(
+            public BalancerEvents create(
                     Settings settings,
                     long seed,
                     long now,
                     BalancerActions actions,
-                    FleetView truth) {
+                    FleetView fleetView) {
                 BalancerEvents[] module = new BalancerEvents[1];
                 module[0] = new Balancer(settings, seed, now, spoiler.spoil(actions, module));
                 return module[0];
@@ -219,7 +223,7 @@
         BalancerFailureException fault =
                 assertThrows(
                         BalancerFailureException.class,
-                        () -> Simulation.play(scenario, spoilt(spoiler), 1));
+                        () -> Simulation.run(scenario, spoilt(spoiler), 1));
         assertTrue(fault.getMessage(), fault.getMessage().contains(with));
     }
 
@@ -278,8 +282,8 @@
 
     @Test
     public void aSecondAnswerIsSeen() throws Exception {
-        Simulation.Day day =
-                Simulation.play(
+        Simulation.RunResult run =
+                Simulation.run(
                         shortened("calm", 4),
                         spoilt(
                                 (actions, module) ->
@@ -297,17 +301,17 @@
                                         }),
                         1);
         assertTrue(
-                day.checker().violationCounts().toString(),
-                day.checker().violationCounts().containsKey(Invariant.ONE_ANSWER));
+                run.checker().violationCounts().toString(),
+                run.checker().violationCounts().containsKey(Invariant.ONE_ANSWER));
         assertTrue(
-                day.checker().violations().get(0).describe(),
-                day.checker().violations().get(0).describe().contains("answered: refused"));
+                run.checker().violations().get(0).describe(),
+                run.checker().violations().get(0).describe().contains("answered: refused"));
     }
 
     @Test
     public void callsThatAreForgottenAreSeen() throws Exception {
-        Simulation.Day day =
-                Simulation.play(
+        Simulation.RunResult run =
+                Simulation.run(
                         shortened("calm", 4),
                         spoilt(
                                 (actions, module) ->
@@ -328,8 +332,8 @@
                                         }),
                         1);
         assertTrue(
-                day.checker().violationCounts().toString(),
-                day.checker().violationCounts().containsKey(Invariant.IN_TIME));
-        assertEquals("each is judged", 0, day.checker().openRequests());
+                run.checker().violationCounts().toString(),
+                run.checker().violationCounts().containsKey(Invariant.IN_TIME));
+        assertEquals("each is judged", 0, run.checker().openRequests());
     }
 }
