--- a/lab/src/main/java/trailthread/lab/event/EventQueue.java
+++ b/lab/src/main/java/trailthread/lab/event/EventQueue.java
@@ -3,80 +3,83 @@
 import java.util.PriorityQueue;
 
 /**
- * What is to happen in virtual time, in order: by time, and at one time in the order in which it
- * was set. Nothing depends on hashing or on the machine, so one seed gives one history
+ * The events of a run in order of their time, and at one time in the order in which they were
+ * scheduled. Nothing depends on hashing or on the machine, so one seed gives one history
  * (discrete-event simulation with a future event list: Law, "Simulation Modeling and Analysis",
- * 1.3).
+ * 1.3). The emulation drives the same queue by the real clock.
  */
 public final class EventQueue {
-    /** Something that is to happen; {@link #cancel} takes it back. */
+    /** A scheduled task. */
     public static final class Entry implements Comparable<Entry> {
-        private final long at;
-        private final long serial;
+        private final long time;
+        private final long sequence;
         private Runnable task;
 
-        private Entry(long at, long serial, Runnable task) {
-            this.at = at;
-            this.serial = serial;
+        private Entry(long time, long sequence, Runnable task) {
+            this.time = time;
+            this.sequence = sequence;
             this.task = task;
         }
 
-        /** It does not happen. */
+        /** Prevents the task from running; without effect once it has run. */
         public void cancel() {
             task = null;
         }
 
         @Override
         public int compareTo(Entry other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(serial, other.serial);
+            return time != other.time
+                    ? Long.compare(time, other.time)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
     private final PriorityQueue<Entry> entries = new PriorityQueue<>(1024);
     private long now;
-    private long serial;
+    private long nextSequence;
     private long executedCount;
 
-    /** Begins at this time, in ns. */
-    public EventQueue(long begin) {
-        now = begin;
+    /** Creates an empty queue whose clock starts at this time, in ns. */
+    public EventQueue(long start) {
+        now = start;
     }
 
-    /** The time of what happens now, in ns; it never goes back. */
+    /** The time of the task that runs now, in ns; it never goes back. */
     public long now() {
         return now;
     }
 
-    /** How much has happened so far. */
+    /** The number of tasks that have run. */
     public long executedCount() {
         return executedCount;
     }
 
-    /** How much is set and has not happened, with what was taken back and not yet passed. */
+    /** The number of scheduled tasks, including cancelled ones whose time has not come. */
     public int size() {
         return entries.size();
     }
 
     /**
-     * Sets a task to a time; one that has passed stands for now, after all else that is set to now.
+     * Schedules a task. A time in the past stands for now: the task runs after all that are already
+     * scheduled for now.
      */
     public Entry scheduleAt(long time, Runnable task) {
-        Entry entry = new Entry(Math.max(now, time), serial++, task);
+        Entry entry = new Entry(Math.max(now, time), nextSequence++, task);
         entries.add(entry);
         return entry;
     }
 
-    /** Sets a task to be done after a delay, in ns. */
+    /** Schedules a task after a delay, in ns. */
     public Entry scheduleAfter(long delay, Runnable task) {
         return scheduleAt(now + Math.max(0, delay), task);
     }
 
-    /** Does the next thing; false if nothing is left. */
+    /** Runs the next task; false if none is left. */
     public boolean runNext() {
         for (Entry entry = entries.poll(); entry != null; entry = entries.poll()) {
             Runnable task = entry.task;
             if (task != null) {
-                now = entry.at;
+                now = entry.time;
                 entry.task = null;
                 executedCount++;
                 task.run();
@@ -86,14 +89,16 @@
         return false;
     }
 
-    /** When the next thing is due, perhaps one that was taken back; Long.MAX_VALUE: nothing is. */
+    /**
+     * The time of the next task, which may have been cancelled; Long.MAX_VALUE if there is none.
+     */
     public long nextTime() {
-        return entries.isEmpty() ? Long.MAX_VALUE : entries.peek().at;
+        return entries.isEmpty() ? Long.MAX_VALUE : entries.peek().time;
     }
 
-    /** Does all that is set up to this time, which is then the present. */
+    /** Runs all tasks up to this time and sets the clock to it. */
     public void runUntil(long time) {
-        while (!entries.isEmpty() && entries.peek().at <= time) {
+        while (!entries.isEmpty() && entries.peek().time <= time) {
             runNext();
         }
         now = Math.max(now, time);
--- a/lab/src/main/java/trailthread/lab/model/ServerLimits.java
+++ b/lab/src/main/java/trailthread/lab/model/ServerLimits.java
@@ -1,20 +1,20 @@
 package trailthread.lab.model;
 
 /**
- * What a server is able to do. Times in ns; work in ns on a standard core.
+ * The capacity of a server and how it degrades. Times in ns; work in ns on a standard core.
  *
- * @param speed of a core, against a standard one; above 0
- * @param cores shared equally by all requests in work (processor sharing: Kleinrock, "Queueing
+ * @param speed of a core, relative to a standard one; above 0
+ * @param cores shared equally by all executing requests (processor sharing: Kleinrock, "Queueing
  *     Systems" II, 4.4)
- * @param slots most requests in work at once, 1 or more
- * @param queueCapacity most that wait, first come first served; what comes past it is turned away
- * @param contention what each request held past the cores takes off its efficiency, as a share:
- *     with h held, it works at 1 / (1 + crowding (h - cores)) (the contention of the Universal
- *     Scalability Law: Gunther, "Guerrilla Capacity Planning", 2007)
- * @param jam when it slows and stays slow, or {@link Jam#NEVER}
- * @param cold how it starts, or {@link Cold#NEVER}
- * @param cancelStopsExecution a call that its node gives up stops at once also while it is in work;
- *     else only while it waits
+ * @param slots the most requests that execute at once, 1 or more
+ * @param queueCapacity the most requests that wait, first come first served; more are rejected
+ * @param contention the share of efficiency lost for each request in flight beyond the cores: with
+ *     n requests, the server works at 1 / (1 + contention (n - cores)) (the contention of the
+ *     Universal Scalability Law: Gunther, "Guerrilla Capacity Planning", 2007)
+ * @param jam when the server becomes slow and stays so, or {@link Jam#NEVER}
+ * @param cold how it performs after a start, or {@link Cold#NEVER}
+ * @param cancelStopsExecution whether a request that its node cancels stops while it executes; else
+ *     cancelling only removes it from the queue
  */
 public record ServerLimits(
         double speed,
@@ -26,9 +26,10 @@
         Cold cold,
         boolean cancelStopsExecution) {
     /**
-     * A state that keeps itself up (metastable failures: Bronson et al., HotOS 2021): past so many
-     * waiting requests for each core, for so long, it works {@code slowdownFactor} times slower,
-     * until it holds no more than {@code idle} requests a core for a time.
+     * A metastable failure (Bronson et al., HotOS 2021): once the queue has been longer than {@code
+     * waitingPerCore} requests per core for {@code afterNs}, the server works {@code
+     * slowdownFactor} times slower, until it has held no more than {@code idlePerCore} requests per
+     * core for {@code calmNs}.
      */
     public record Jam(
             double waitingPerCore,
@@ -36,42 +37,41 @@
             double slowdownFactor,
             double idlePerCore,
             long calmNs) {
-        /** It never jams. */
+        /** A server that never jams. */
         public static final Jam NEVER = new Jam(Double.POSITIVE_INFINITY, Long.MAX_VALUE, 1, 0, 0);
     }
 
     /**
-     * After a start it does {@code share} of its work, rising evenly to all of it after {@code
-     * warmNs}. If it is sent more work within {@code windowNs} than {@code multiple} times what it
-     * can do in it now, it falls over.
+     * After a start the server has {@code share} of its capacity, which rises linearly to all of it
+     * at {@code warmNs}. It crashes if it receives, within {@code windowNs}, more than {@code
+     * overloadMultiple} times the work that it could do in that time at its present capacity.
      */
     public record Cold(double share, long warmNs, double overloadMultiple, long windowNs) {
-        /** It starts warm. */
+        /** A server that has its full capacity from the start. */
         public static final Cold NEVER = new Cold(1, 0, Double.POSITIVE_INFINITY, 1);
     }
 
-    /** Throws IllegalArgumentException at figures that make no sense. */
     public ServerLimits {
         if (!(speed > 0) || cores < 1 || slots < 1 || queueCapacity < 0 || !(contention >= 0)) {
             throw new IllegalArgumentException(
-                    "a worker needs speed, cores and slots, and no negative figures");
+                    "a server needs a speed above 0, cores and slots, and no negative values");
         }
         if (!(cold.share() > 0 && cold.share() <= 1) || cold.warmNs() < 0 || cold.windowNs() <= 0) {
             throw new IllegalArgumentException(
-                    "a cold start needs a share in (0, 1] and times that are not negative");
+                    "a cold start needs a share in (0, 1], no negative warm-up time and a window above 0");
         }
     }
 
-    /** A server that neither jams nor starts cold. */
+    /** A server without contention that neither jams nor starts cold. */
     public static ServerLimits plain(double speed, int cores, int slots, int queueCapacity) {
         return new ServerLimits(
                 speed, cores, slots, queueCapacity, 0, Jam.NEVER, Cold.NEVER, false);
     }
 
-    /** The same of another speed: so many times this one's. */
-    public ServerLimits withSpeedFactor(double times) {
+    /** A copy whose cores are this many times as fast. */
+    public ServerLimits withSpeedFactor(double factor) {
         return new ServerLimits(
-                speed * times,
+                speed * factor,
                 cores,
                 slots,
                 queueCapacity,
@@ -81,7 +81,9 @@
                 cancelStopsExecution);
     }
 
-    /** Work that it can do in a second when warm and not crowded, in ns on a standard core. */
+    /**
+     * The work that a warm server does in one second without contention, in ns on a standard core.
+     */
     public double capacity() {
         return speed * Math.min(cores, slots) * 1e9;
     }
--- a/lab/src/main/java/trailthread/lab/model/ServerModel.java
+++ b/lab/src/main/java/trailthread/lab/model/ServerModel.java
@@ -5,22 +5,23 @@
 import java.util.function.Consumer;
 
 /**
- * A server's work, by {@link ServerLimits}: requests share its cores, wait for slots, are turned
- * away. Time is handed in and may be virtual or real; nothing here draws a random number.
+ * A queueing model of one server within its {@link ServerLimits}: requests share the cores, wait
+ * for slots, and are rejected when the queue is full. The caller passes the time, virtual or real;
+ * the model draws no random numbers.
  *
- * <p>All requests in work go on at one rate, so the work that one of them has had since the
- * server's start, {@code servedPerJob}, is the same for all; each is done when that reaches what it
- * was when the request began plus the request's own work. Every step costs the logarithm of what is
- * in work.
+ * <p>All executing jobs progress at one rate, so the work done for each of them since the start of
+ * the server, {@code servedPerJob}, is the same. A job completes when {@code servedPerJob} reaches
+ * its value at the beginning of the job plus the work of the job. Each step costs O(log n) for n
+ * executing jobs.
  */
 public final class ServerModel {
-    /** A cold server's capacity rises in so many steps. */
+    /** The number of steps in which the capacity of a cold server rises. */
     private static final int COLD_STEPS = 64;
 
-    /** One request; what else belongs to it is kept in subclasses by those who bring it. */
+    /** A request; callers add their own data in a subclass. */
     public static class Job implements Comparable<Job> {
         private final double work;
-        private long serial;
+        private long sequence;
         private double completesAtServed;
         private State state = State.NEW;
 
@@ -31,7 +32,7 @@
             DONE
         }
 
-        /** So much work, in ns on a standard core, above 0. */
+        /** Creates a job with this work, in ns on a standard core; above 0. */
         public Job(double work) {
             if (!(work > 0)) {
                 throw new IllegalArgumentException("work must be above 0, not " + work);
@@ -39,7 +40,7 @@
             this.work = work;
         }
 
-        /** In ns on a standard core. */
+        /** The work of the job, in ns on a standard core. */
         public double work() {
             return work;
         }
@@ -48,24 +49,24 @@
         public int compareTo(Job other) {
             return completesAtServed != other.completesAtServed
                     ? Double.compare(completesAtServed, other.completesAtServed)
-                    : Long.compare(serial, other.serial);
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
     private final ServerLimits limits;
-    private final PriorityQueue<Job> working = new PriorityQueue<>();
+    private final PriorityQueue<Job> executing = new PriorityQueue<>();
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final ArrayDeque<double[]> coldArrivals = new ArrayDeque<>();
     private final long startedAt;
-    private long at;
+    private long currentTime;
     private double servedPerJob;
-    private long serial;
+    private long nextSequence;
     private double slowdown = 1;
     private boolean jammed;
 
     /**
-     * Since when it has been crowded enough to jam, or calm enough to end a jam; Long.MAX_VALUE: it
-     * is not.
+     * Since when the queue has been long enough for a jam to begin or the server idle enough for it
+     * to end; Long.MAX_VALUE if neither.
      */
     private long jamConditionSince = Long.MAX_VALUE;
 
@@ -74,49 +75,50 @@
     private int jams;
     private double workDone;
 
-    /** One that starts now; with {@code cold}, as the law says, else warm. */
+    /** Creates a server that starts now: with the reduced capacity of a cold start, or warm. */
     public ServerModel(ServerLimits limits, long now, boolean cold) {
         this.limits = limits;
-        this.at = now;
+        this.currentTime = now;
         this.startedAt = cold ? now : now - limits.cold().warmNs();
     }
 
-    /** What it is able to do. */
     public ServerLimits limits() {
         return limits;
     }
 
-    /** Requests that it holds, waiting ones with them. */
+    /** The number of requests that execute or wait. */
     public int inflight() {
-        return working.size() + waiting.size();
+        return executing.size() + waiting.size();
     }
 
-    /** Requests that wait. */
+    /** The number of requests that wait. */
     public int queue() {
         return waiting.size();
     }
 
-    /** Whether it is slow by a jam. */
     public boolean isJammed() {
         return jammed;
     }
 
-    /** How often it has jammed. */
+    /** The number of jams so far. */
     public int jams() {
         return jams;
     }
 
-    /** Whether it was pushed over while cold, and does nothing any more. */
+    /**
+     * Whether it crashed because it received too much work while cold; it then rejects all
+     * requests.
+     */
     public boolean hasCrashed() {
         return crashed;
     }
 
-    /** Work done, in ns on a standard core. */
+    /** The work done so far, in ns on a standard core. */
     public double workDone() {
         return workDone;
     }
 
-    /** The share of its capacity that it has at a time, by its start alone. */
+    /** The share of its capacity that the server has at this time after its start. */
     public double capacityShare(long now) {
         ServerLimits.Cold cold = limits.cold();
         long age = now - startedAt;
@@ -127,31 +129,32 @@
         return cold.share() + (1 - cold.share()) * step;
     }
 
-    /** From now on it works so many times slower, by a fault; 1: as usual. */
-    public void setSlowdown(long now, double times, Consumer<Job> done) {
+    /** Injects a fault: from now on the server works this many times slower; 1 ends the fault. */
+    public void setSlowdown(long now, double factor, Consumer<Job> done) {
         advance(now, done);
-        slowdown = times;
+        slowdown = factor;
     }
 
     /**
-     * Brings a request; whether it is taken. {@link #advance} to this time must have been called.
+     * Accepts or rejects a request; true if it was accepted. {@link #advance} must have been called
+     * with this time.
      *
-     * @throws IllegalStateException if the request was brought before
+     * @throws IllegalStateException if the job has arrived before
      */
     public boolean arrive(long now, Job job) {
         if (job.state != Job.State.NEW) {
-            throw new IllegalStateException("a request is brought twice");
+            throw new IllegalStateException("the job has arrived before");
         }
         if (crashed) {
             return false;
         }
-        if (working.size() >= limits.slots() && waiting.size() >= limits.queueCapacity()) {
+        if (executing.size() >= limits.slots() && waiting.size() >= limits.queueCapacity()) {
             job.state = Job.State.DONE;
             return false;
         }
         checkColdBudget(now, job);
-        job.serial = serial++;
-        if (working.size() < limits.slots()) {
+        job.sequence = nextSequence++;
+        if (executing.size() < limits.slots()) {
             startExecuting(job);
         } else {
             job.state = Job.State.WAITING;
@@ -162,7 +165,8 @@
     }
 
     /**
-     * A cold server's budget: all work sent within the window, against what it can do in it now.
+     * Crashes a cold server that receives more work within the window than {@link
+     * ServerLimits.Cold} allows.
      */
     private void checkColdBudget(long now, Job job) {
         ServerLimits.Cold cold = limits.cold();
@@ -177,8 +181,8 @@
         while (coldArrivals.peek()[0] < now - cold.windowNs()) {
             coldWorkInWindow -= coldArrivals.poll()[1];
         }
-        double window = limits.capacity() * capacityShare * cold.windowNs() / 1e9;
-        if (coldWorkInWindow > cold.overloadMultiple() * window) {
+        double workPerWindow = limits.capacity() * capacityShare * cold.windowNs() / 1e9;
+        if (coldWorkInWindow > cold.overloadMultiple() * workPerWindow) {
             crashed = true;
         }
     }
@@ -186,57 +190,57 @@
     private void startExecuting(Job job) {
         job.state = Job.State.EXECUTING;
         job.completesAtServed = servedPerJob + job.work;
-        working.add(job);
+        executing.add(job);
     }
 
     /**
-     * The node has given it up: what waits is dropped, what is in work goes on, unless the law says
-     * otherwise.
+     * Cancels a request whose node has given up: removes it from the queue, and stops its execution
+     * only if {@code cancelStopsExecution} is set. Returns whether the job was removed.
      */
     public boolean cancel(long now, Job job) {
-        boolean dropped =
+        boolean removed =
                 (job.state == Job.State.WAITING && waiting.remove(job))
                         || (job.state == Job.State.EXECUTING
                                 && limits.cancelStopsExecution()
-                                && working.remove(job));
-        if (dropped) {
+                                && executing.remove(job));
+        if (removed) {
             job.state = Job.State.DONE;
             fillSlots();
             updateJamCondition(now);
         }
-        return dropped;
+        return removed;
     }
 
     private void fillSlots() {
-        while (working.size() < limits.slots() && !waiting.isEmpty()) {
+        while (executing.size() < limits.slots() && !waiting.isEmpty()) {
             startExecuting(waiting.poll());
         }
     }
 
     /**
-     * Work beside all requests, as for a new connection, so much on a standard core: it is taken
-     * from what is in work, in equal parts; an idle core does it unseen. {@link #advance} to this
-     * time must have been called.
+     * Adds work that belongs to no request, such as opening a connection, in ns on a standard core.
+     * It delays all executing jobs equally; on an idle server it has no effect. {@link #advance}
+     * must have been called with this time.
      */
     public void addBackgroundWork(double work) {
-        if (!working.isEmpty()) {
-            servedPerJob -= work / working.size();
+        if (!executing.isEmpty()) {
+            servedPerJob -= work / executing.size();
         }
     }
 
-    /** Everything that it holds is gone, as with the process. */
+    /** Drops all requests, as when the process ends. */
     public void clear() {
-        working.forEach(job -> job.state = Job.State.DONE);
+        executing.forEach(job -> job.state = Job.State.DONE);
         waiting.forEach(job -> job.state = Job.State.DONE);
-        working.clear();
+        executing.clear();
         waiting.clear();
         jamConditionSince = Long.MAX_VALUE;
     }
 
-    /** Work on each request in work, in ns on a standard core each ns. */
+    /** The work done for each executing job, in ns on a standard core per ns. */
     private double rate(long now) {
-        int n = working.size();
-        double share = Math.min(1, (double) limits.cores() / n);
+        int count = executing.size();
+        double share = Math.min(1, (double) limits.cores() / count);
         double contentionFactor =
                 1 + limits.contention() * Math.max(0, inflight() - limits.cores());
         return limits.speed()
@@ -245,17 +249,19 @@
                 / (contentionFactor * slowdown * (jammed ? limits.jam().slowdownFactor() : 1));
     }
 
-    /** When something changes if nothing comes, Long.MAX_VALUE: never. */
+    /**
+     * The time of the next change of state if no request arrives; Long.MAX_VALUE if there is none.
+     */
     public long nextEventTime() {
         if (crashed) {
             return Long.MAX_VALUE;
         }
         long next = Long.MAX_VALUE;
-        if (!working.isEmpty()) {
-            double left = Math.max(0, working.peek().completesAtServed - servedPerJob);
-            next = at + (long) Math.ceil(left / rate(at));
-            if (at - startedAt < limits.cold().warmNs()) {
-                next = Math.min(next, nextWarmUpStep(at));
+        if (!executing.isEmpty()) {
+            double left = Math.max(0, executing.peek().completesAtServed - servedPerJob);
+            next = currentTime + (long) Math.ceil(left / rate(currentTime));
+            if (currentTime - startedAt < limits.cold().warmNs()) {
+                next = Math.min(next, nextWarmUpStep(currentTime));
             }
         }
         return Math.min(next, jamChangesAt());
@@ -275,26 +281,27 @@
     }
 
     /**
-     * How long one more request would take, for each ns of its work, if all that it holds, and that
-     * is coming, were of its size; infinite: it has no room.
+     * The expected response time of one more request divided by its work, if all requests in flight
+     * and those still arriving had the same work; infinite if the request would be rejected.
      */
     public double expectedSlowdown(long now, int arriving) {
         if (crashed
-                || (working.size() >= limits.slots() && waiting.size() >= limits.queueCapacity())) {
+                || (executing.size() >= limits.slots()
+                        && waiting.size() >= limits.queueCapacity())) {
             return Double.POSITIVE_INFINITY;
         }
-        int held = inflight() + arriving + 1;
-        double contentionFactor = 1 + limits.contention() * Math.max(0, held - limits.cores());
-        double pace =
+        int jobs = inflight() + arriving + 1;
+        double contentionFactor = 1 + limits.contention() * Math.max(0, jobs - limits.cores());
+        double workRate =
                 limits.speed()
                         * capacityShare(now)
                         / (contentionFactor
                                 * slowdown
                                 * (jammed ? limits.jam().slowdownFactor() : 1));
-        return Math.max(1, (double) held / limits.cores()) / pace;
+        return Math.max(1, (double) jobs / limits.cores()) / workRate;
     }
 
-    /** Lets the time pass; requests that are done on the way are told of in their order. */
+    /** Advances to this time; passes completed jobs to {@code done} in the order of completion. */
     public void advance(long now, Consumer<Job> done) {
         while (!crashed) {
             long next = nextEventTime();
@@ -302,31 +309,31 @@
                 break;
             }
             advanceTo(next);
-            if (!working.isEmpty()
-                    && working.peek().completesAtServed - servedPerJob
-                            <= 1e-6 * rate(at) + 1e-12 * servedPerJob) {
-                Job job = working.poll();
+            if (!executing.isEmpty()
+                    && executing.peek().completesAtServed - servedPerJob
+                            <= 1e-6 * rate(currentTime) + 1e-12 * servedPerJob) {
+                Job job = executing.poll();
                 job.state = Job.State.DONE;
                 fillSlots();
-                updateJamCondition(at);
+                updateJamCondition(currentTime);
                 done.accept(job);
-            } else if (jamChangesAt() <= at) {
+            } else if (jamChangesAt() <= currentTime) {
                 jammed = !jammed;
                 jams += jammed ? 1 : 0;
                 jamConditionSince = Long.MAX_VALUE;
-                updateJamCondition(at);
+                updateJamCondition(currentTime);
             }
         }
         advanceTo(now);
     }
 
     private void advanceTo(long now) {
-        if (!working.isEmpty() && !crashed) {
-            double each = rate(at) * (now - at);
-            servedPerJob += each;
-            workDone += each * working.size();
+        if (!executing.isEmpty() && !crashed) {
+            double workPerJob = rate(currentTime) * (now - currentTime);
+            servedPerJob += workPerJob;
+            workDone += workPerJob * executing.size();
         }
-        at = Math.max(at, now);
+        currentTime = Math.max(currentTime, now);
     }
 
     private void updateJamCondition(long now) {
--- a/lab/src/main/java/trailthread/lab/random/RandomStreams.java
+++ b/lab/src/main/java/trailthread/lab/random/RandomStreams.java
@@ -5,24 +5,23 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Streams of random numbers, each by its name: what one part of a run draws moves no other part, so
- * that two policies meet the same clients, work and faults (common random numbers: Law, "Simulation
- * Modeling and Analysis", 11.2).
+ * Independent streams of random numbers, each identified by its name. What one part of a run draws
+ * does not shift the numbers of another, so two policies meet the same clients, work and faults
+ * (common random numbers: Law, "Simulation Modeling and Analysis", 11.2).
  */
 public final class RandomStreams {
     private final long seed;
 
-    /** All streams come from this seed. */
     public RandomStreams(long seed) {
         this.seed = seed;
     }
 
-    /** The stream of this name; the same each time. */
+    /** Creates the stream of this name from its start. */
     public UniformRandomProvider stream(String name) {
         return RandomSource.XO_RO_SHI_RO_128_PP.create(seedOf(name));
     }
 
-    /** A seed by a name, for what makes its own numbers. */
+    /** Derives a seed from a name, for a component with a generator of its own. */
     public long seedOf(String name) {
         long hash = mix(seed ^ 0x9e3779b97f4a7c15L);
         for (byte b : name.getBytes(StandardCharsets.UTF_8)) {
@@ -39,14 +38,14 @@
     }
 
     /**
-     * Exponential with this mean: StrictMath, as other logarithms may differ in the last bit
-     * between machines.
+     * Draws from the exponential distribution with this mean. Uses StrictMath because the last bit
+     * of other logarithms may differ between machines.
      */
     public static double exponential(UniformRandomProvider random, double mean) {
         return -mean * StrictMath.log(1 - random.nextDouble());
     }
 
-    /** Uniform from low to high. */
+    /** Draws uniformly from low to high. */
     public static double uniform(UniformRandomProvider random, double low, double high) {
         return low + (high - low) * random.nextDouble();
     }
--- a/lab/src/test/java/trailthread/lab/event/EventQueueTest.java
+++ b/lab/src/test/java/trailthread/lab/event/EventQueueTest.java
@@ -7,25 +7,23 @@
 import java.util.List;
 import org.junit.Test;
 
-/**
- * The order of what happens is defined, and rests on nothing but times and the order of setting.
- */
+/** The order of tasks depends only on their times and the order in which they were scheduled. */
 public class EventQueueTest {
     private final EventQueue eventQueue = new EventQueue(100);
     private final List<String> done = new ArrayList<>();
 
-    private EventQueue.Entry set(long at, String name) {
+    private EventQueue.Entry schedule(long at, String name) {
         return eventQueue.scheduleAt(at, () -> done.add(name + "@" + eventQueue.now()));
     }
 
     @Test
-    public void tiesGoInTheOrderOfTheirSetting() {
-        set(300, "c");
-        set(200, "a");
+    public void tasksAtOneTimeRunInSchedulingOrder() {
+        schedule(300, "c");
+        schedule(200, "a");
         for (int i = 0; i < 50; i++) {
-            set(250, "t" + i);
+            schedule(250, "t" + i);
         }
-        set(200, "b");
+        schedule(200, "b");
         eventQueue.runUntil(1000);
         assertEquals("a@200", done.get(0));
         assertEquals("b@200", done.get(1));
@@ -37,23 +35,25 @@
     }
 
     @Test
-    public void whatIsSetWithinSomethingFollowsWhatStoodThereBefore() {
+    public void tasksScheduledByATaskRunAfterThoseScheduledBefore() {
         eventQueue.scheduleAt(
                 200,
                 () -> {
                     done.add("first");
-                    set(200, "set within");
-                    set(150, "set to the past");
+                    schedule(200, "scheduled within");
+                    schedule(150, "scheduled in the past");
                 });
-        set(200, "second");
+        schedule(200, "second");
         eventQueue.runUntil(200);
-        assertEquals(List.of("first", "second@200", "set within@200", "set to the past@200"), done);
+        assertEquals(
+                List.of("first", "second@200", "scheduled within@200", "scheduled in the past@200"),
+                done);
     }
 
     @Test
-    public void whatIsTakenBackDoesNotHappen() {
-        EventQueue.Entry a = set(200, "a");
-        set(200, "b");
+    public void cancelledTasksDoNotRun() {
+        EventQueue.Entry a = schedule(200, "a");
+        schedule(200, "b");
         a.cancel();
         eventQueue.runUntil(200);
         a.cancel();
--- a/lab/src/test/java/trailthread/lab/model/ServerModelTheoryTest.java
+++ b/lab/src/test/java/trailthread/lab/model/ServerModelTheoryTest.java
@@ -9,18 +9,18 @@
 import trailthread.lab.random.RandomStreams;
 
 /**
- * The model against queueing theory (Kleinrock, "Queueing Systems" I, 3.2 and 3.5; II, 4.4), within
- * 2%.
+ * Compares the model with queueing theory (Kleinrock, "Queueing Systems" I, 3.2 and 3.5; II, 4.4),
+ * within 2%.
  */
 public class ServerModelTheoryTest {
-    private static final int CUSTOMERS = 1_000_000;
+    private static final int REQUESTS = 1_000_000;
     private static final double MEAN_NS = 1e6;
 
     /**
-     * The mean time from arrival to end over the mean work, with Poisson arrivals at this share of
-     * the capacity.
+     * The mean response time over the mean work, for Poisson arrivals at this share of the
+     * capacity.
      */
-    private static double meanTime(
+    private static double meanSlowdown(
             ServerLimits limits, double load, boolean exponential, long seed) {
         UniformRandomProvider random = new RandomStreams(seed).stream("theory");
         ServerModel model = new ServerModel(limits, 0, false);
@@ -28,7 +28,7 @@
         double[] sum = new double[2];
         double gap = MEAN_NS / (load * limits.cores() * limits.speed());
         long now = 0;
-        for (int i = 0; i < CUSTOMERS; i++) {
+        for (int i = 0; i < REQUESTS; i++) {
             now += (long) RandomStreams.exponential(random, gap);
             long until = now;
             while (model.nextEventTime() <= until) {
@@ -52,7 +52,7 @@
         return sum[0] / sum[1] / MEAN_NS;
     }
 
-    /** The chance of waiting at c servers under a load of so much each (Erlang C). */
+    /** The probability of waiting at c servers of this load each (Erlang C). */
     private static double erlangC(int c, double load) {
         double offered = load * c;
         double term = 1;
@@ -72,7 +72,7 @@
             assertEquals(
                     "load " + load,
                     expected,
-                    meanTime(ServerLimits.plain(1, 1, 1, 1_000_000), load, true, 11),
+                    meanSlowdown(ServerLimits.plain(1, 1, 1, 1_000_000), load, true, 11),
                     0.02 * expected);
         }
     }
@@ -85,17 +85,20 @@
             assertEquals(
                     "servers " + c,
                     expected,
-                    meanTime(ServerLimits.plain(1, c, c, 1_000_000), load, true, 12),
+                    meanSlowdown(ServerLimits.plain(1, c, c, 1_000_000), load, true, 12),
                     0.02 * expected);
         }
     }
 
-    /** The mean does not depend on how work is spread: the same for one fixed size of it. */
+    /**
+     * The mean response time under processor sharing depends only on the mean work: it is the same
+     * for exponential and fixed work.
+     */
     @Test
     public void processorSharing() {
         double expected = 1 / (1 - 0.7);
         ServerLimits limits = ServerLimits.plain(1, 1, 1_000_000, 0);
-        assertEquals(expected, meanTime(limits, 0.7, true, 13), 0.02 * expected);
-        assertEquals(expected, meanTime(limits, 0.7, false, 14), 0.02 * expected);
+        assertEquals(expected, meanSlowdown(limits, 0.7, true, 13), 0.02 * expected);
+        assertEquals(expected, meanSlowdown(limits, 0.7, false, 14), 0.02 * expected);
     }
 }
