--- a/lab/src/main/java/trailthread/lab/fault/FaultInjector.java
+++ b/lab/src/main/java/trailthread/lab/fault/FaultInjector.java
@@ -10,17 +10,18 @@
 import trailthread.lab.scenario.Scenario.ScheduledFault;
 import trailthread.lab.server.ServerFaults;
 
-/** Makes go wrong, when it is to, what a scenario lists. */
+/** Injects the faults of a scenario at their times. */
 public final class FaultInjector {
-    /** How long a server that drains goes on before it ends, and how long its next start takes. */
+    /** How long a server drains before its process ends. */
     private static final long DRAIN_NS = 2_000_000_000L;
 
+    /** How long its next start takes. */
     private static final long START_NS = 1_000_000_000L;
 
-    /** And after a loss of power. */
-    private static final long POWER_LOSS_NS = 2_000_000_000L;
+    /** How long a start takes after a loss of power. */
+    private static final long START_AFTER_POWER_LOSS_NS = 2_000_000_000L;
 
-    /** How often it is looked whether all nodes serve. */
+    /** How often to check whether all nodes are serving. */
     private static final long SERVING_POLL_NS = 20_000_000L;
 
     private final EventQueue eventQueue;
@@ -31,7 +32,7 @@
         this.target = target;
     }
 
-    /** Arranges all of these for a day that begins now. */
+    /** Schedules these faults for a run that begins now. */
     public static void schedule(
             EventQueue eventQueue,
             RandomStreams streams,
@@ -46,14 +47,14 @@
     }
 
     private static <T> List<T> choose(List<T> all, double share, UniformRandomProvider random) {
-        List<T> left = new ArrayList<>(all);
+        List<T> remaining = new ArrayList<>(all);
         List<T> chosen = new ArrayList<>();
         int count =
                 Math.min(
-                        left.size(),
-                        (int) Math.max(share > 0 ? 1 : 0, Math.round(share * left.size())));
+                        remaining.size(),
+                        (int) Math.max(share > 0 ? 1 : 0, Math.round(share * remaining.size())));
         while (chosen.size() < count) {
-            chosen.add(left.remove(random.nextInt(left.size())));
+            chosen.add(remaining.remove(random.nextInt(remaining.size())));
         }
         return chosen;
     }
@@ -75,46 +76,52 @@
                     setServerFaults(
                             fault,
                             random,
-                            f -> f.errorShare = fault.magnitude(),
-                            f -> f.errorShare = 0);
+                            faults -> faults.errorShare = fault.magnitude(),
+                            faults -> faults.errorShare = 0);
             case LOST_ANSWERS ->
                     setServerFaults(
                             fault,
                             random,
-                            f -> f.lostResponseShare = fault.magnitude(),
-                            f -> f.lostResponseShare = 0);
+                            faults -> faults.lostResponseShare = fault.magnitude(),
+                            faults -> faults.lostResponseShare = 0);
             case RESETS ->
                     setServerFaults(
                             fault,
                             random,
-                            f -> f.resetShare = fault.magnitude(),
-                            f -> f.resetShare = 0);
+                            faults -> faults.resetShare = fault.magnitude(),
+                            faults -> faults.resetShare = 0);
             case GARBAGE ->
                     setServerFaults(
                             fault,
                             random,
-                            f -> f.garbageShare = fault.magnitude(),
-                            f -> f.garbageShare = 0);
+                            faults -> faults.garbageShare = fault.magnitude(),
+                            faults -> faults.garbageShare = 0);
             case DRIPS ->
                     setServerFaults(
                             fault,
                             random,
-                            f -> f.trickleNs = (long) (fault.magnitude() * 1e9),
-                            f -> f.trickleNs = 0);
+                            faults -> faults.trickleNs = (long) (fault.magnitude() * 1e9),
+                            faults -> faults.trickleNs = 0);
             case CUT ->
-                    setServerFaults(fault, random, f -> f.isolated = true, f -> f.isolated = false);
+                    setServerFaults(
+                            fault,
+                            random,
+                            faults -> faults.isolated = true,
+                            faults -> faults.isolated = false);
             case SLOW ->
                     applyTemporarily(
                             fault,
                             affectedServers(fault, random),
-                            w -> w.process().setSlowdown(fault.magnitude()),
-                            w -> w.process().setSlowdown(1));
+                            server -> server.process().setSlowdown(fault.magnitude()),
+                            server -> server.process().setSlowdown(1));
             case LATE_REPORTS ->
                     applyTemporarily(
                             fault,
                             List.copyOf(target.servers()),
-                            w -> w.process().setReportDelay((long) (fault.magnitude() * 1e9)),
-                            w -> w.process().setReportDelay(0));
+                            server ->
+                                    server.process()
+                                            .setReportDelay((long) (fault.magnitude() * 1e9)),
+                            server -> server.process().setReportDelay(0));
             case HEAVY_TAIL -> {
                 target.setHeavyTail(fault.requestShare(), fault.magnitude());
                 eventQueue.scheduleAfter(fault.durationNs(), () -> target.setHeavyTail(0, 1));
@@ -137,7 +144,8 @@
                             .forEach(
                                     server -> {
                                         server.stop();
-                                        eventQueue.scheduleAfter(POWER_LOSS_NS, server::restart);
+                                        eventQueue.scheduleAfter(
+                                                START_AFTER_POWER_LOSS_NS, server::restart);
                                     });
             case ROSTER_DOWN -> {
                 target.setDiscoveryDown(true);
@@ -173,8 +181,8 @@
         applyTemporarily(
                 fault,
                 affectedServers(fault, random),
-                w -> on.accept(w.process().faults),
-                w -> off.accept(w.process().faults));
+                server -> on.accept(server.process().faults),
+                server -> off.accept(server.process().faults));
     }
 
     private void applyTemporarily(
@@ -187,20 +195,22 @@
     }
 
     /**
-     * Restarts the first of these, and the others after it at this distance or later: nothing is
-     * restarted while a node is out of service, however long this machine takes to start one. A day
-     * must not depend on that.
+     * Restarts the first of these nodes, and then the others at this interval or later. No node is
+     * restarted while another is out of service, however long a start takes on this machine;
+     * otherwise the outcome of a run would depend on the speed of the machine.
      */
-    private void restartInTurn(List<FaultTarget.Node> left, long eachNs) {
-        if (left.isEmpty()) {
+    private void restartInTurn(List<FaultTarget.Node> remaining, long intervalNs) {
+        if (remaining.isEmpty()) {
             return;
         }
         if (!target.nodes().stream().allMatch(FaultTarget.Node::isServing)) {
-            eventQueue.scheduleAfter(SERVING_POLL_NS, () -> restartInTurn(left, eachNs));
+            eventQueue.scheduleAfter(SERVING_POLL_NS, () -> restartInTurn(remaining, intervalNs));
             return;
         }
-        left.get(0).restart();
-        eventQueue.scheduleAfter(eachNs, () -> restartInTurn(left.subList(1, left.size()), eachNs));
+        remaining.get(0).restart();
+        eventQueue.scheduleAfter(
+                intervalNs,
+                () -> restartInTurn(remaining.subList(1, remaining.size()), intervalNs));
     }
 
     private void restart(FaultTarget.Server server, boolean replaced) {
--- a/lab/src/main/java/trailthread/lab/fault/FaultTarget.java
+++ b/lab/src/main/java/trailthread/lab/fault/FaultTarget.java
@@ -3,67 +3,65 @@
 import java.util.List;
 import trailthread.lab.server.ServerProcess;
 
-/** What things can go wrong with: a day in virtual time or on sockets. */
+/** A run, in virtual time or on sockets, into which faults can be injected. */
 public interface FaultTarget {
-    /** A server of it. */
+    /** A server that faults can strike. */
     interface Server {
-        /** Its zone. */
         String zone();
 
-        /** Whether discovery names it as ready. */
+        /** Whether discovery lists it as ready. */
         boolean isReady();
 
-        /** Its process. */
         ServerProcess process();
 
-        /** Discovery names it as one that wants nothing new. */
+        /** Discovery lists it as draining. */
         void startDraining();
 
-        /** Its process ends. */
+        /** Ends its process. */
         void stop();
 
-        /** It starts again under its name, and discovery names it so. */
+        /** Starts its process again; discovery lists it as ready under the same name. */
         void restart();
 
-        /** Discovery names it no more, and another one takes its place. */
+        /** Removes it from discovery and adds a new server in its place. */
         void replace();
     }
 
-    /** A node of it. */
+    /** A node that faults can strike. */
     interface Node {
-        /** Ends it at once. */
+        /** Kills the process. */
         void kill();
 
-        /** Starts it again. */
         void start();
 
         /**
-         * Whether it takes clients' requests: it has started, and neither ended nor been told to.
+         * Whether it accepts requests of clients: it has started, and has neither ended nor begun
+         * to shut down.
          */
         boolean isServing();
 
-        /** Ends it in order, and starts it again when it has ended. */
+        /** Shuts it down gracefully and starts it again when it has ended. */
         void restart();
 
-        /** Tells it to read its configuration again. */
+        /** Makes it read its configuration again. */
         void reload();
 
-        /** Stops it for so long, in ns. */
-        void pause(long forNs);
+        /** Suspends it for this time, in ns. */
+        void pause(long durationNs);
     }
 
-    /** In an order of their own that does not change. */
+    /** The servers, in an order that does not change. */
     List<? extends Server> servers();
 
-    /** Also. */
+    /** The nodes, in an order that does not change. */
     List<? extends Node> nodes();
 
-    /** Discovery answers nothing, or it is back. */
+    /** Makes discovery stop answering, or answer again. */
     void setDiscoveryDown(boolean down);
 
-    /** All in a zone are cut off from all others; null: no more. */
+    /** Cuts the servers and nodes of a zone off from all other zones; null ends the fault. */
     void isolateZone(String zone);
 
-    /** This share of the requests costs so many times the usual work. */
-    void setHeavyTail(double share, double times);
+    /** Makes this share of the requests cost this many times the usual work. */
+    void setHeavyTail(double share, double factor);
 }
--- a/lab/src/main/java/trailthread/lab/metrics/RunMetrics.java
+++ b/lab/src/main/java/trailthread/lab/metrics/RunMetrics.java
@@ -8,14 +8,14 @@
 import trailthread.lab.scenario.Scenario.ClassModel;
 
 /**
- * What came of a run, counted as it goes. What clients first asked for before the end of the
- * warm-up does not count in the totals; it stands in the series by seconds.
+ * Metrics of a run. Operations that began before the end of the warm-up count only in the series of
+ * seconds, not in the totals.
  */
 public final class RunMetrics {
     private static final long MAX_LATENCY_US = 600_000_000L;
     private static final int HISTOGRAM_DIGITS = 3;
 
-    /** What became of the requests of one class. */
+    /** The results of one request class. */
     public static final class ClassMetrics {
         private long offered;
         private long inTime;
@@ -24,19 +24,20 @@
         private final Histogram latencyUs = new Histogram(MAX_LATENCY_US, HISTOGRAM_DIGITS);
 
         /**
-         * Asked for; answered within the aim; after it; refused in the end; the rest has failed.
+         * The number of operations: all, completed within the latency objective, completed late,
+         * refused, failed.
          */
         public long[] counts() {
             return new long[] {offered, inTime, late, refused, offered - inTime - late - refused};
         }
 
-        /** Of those that were served, from the first try on, in us. */
+        /** The latencies of completed operations, measured from the first attempt, in us. */
         public Histogram latencyUs() {
             return latencyUs;
         }
     }
 
-    /** A second of the day. */
+    /** The results of one second of the run. */
     public static final class SecondMetrics {
         private long offered;
         private long inTime;
@@ -47,20 +48,20 @@
         private int[] inflight = new int[0];
 
         /**
-         * First tries in it, and what became of these: within the aim, after it, refused, failed;
-         * and attempts.
+         * The operations that began in this second, and how they ended (within the latency
+         * objective, late, refused, failed); and the attempts sent to servers in this second.
          */
         public long[] counts() {
             return new long[] {offered, inTime, late, refused, failed, attempts};
         }
 
-        /** What each server held at its end. */
+        /** The requests in flight at each server at the end of the second. */
         public int[] inflight() {
             return inflight;
         }
     }
 
-    private final long begin;
+    private final long runStart;
     private final long countedFrom;
     private long clock = Long.MIN_VALUE;
     private final Map<String, ClassMetrics> classes = new LinkedHashMap<>();
@@ -71,21 +72,24 @@
     private long clientAttempts;
     private long operations;
     private long attempts;
-    private long probes;
+    private long healthChecks;
     private long connections;
     private long refusals;
     private long logLines;
     private long decisions;
     private long decisionNs;
 
-    /** The day begins at {@code begin} and counts from {@code countedFrom} on, in ns. */
-    public RunMetrics(long begin, long countedFrom) {
-        this.begin = begin;
+    /**
+     * Starts the series of seconds at {@code runStart} and the totals at {@code countedFrom}, in
+     * ns.
+     */
+    public RunMetrics(long runStart, long countedFrom) {
+        this.runStart = runStart;
         this.countedFrom = countedFrom;
     }
 
     private SecondMetrics second(long at) {
-        int index = (int) ((at - begin) / 1_000_000_000L);
+        int index = (int) ((at - runStart) / 1_000_000_000L);
         while (seconds.size() <= index) {
             seconds.add(new SecondMetrics());
         }
@@ -96,12 +100,12 @@
         return clock >= countedFrom ? 1 : 0;
     }
 
-    /** The time of what is counted next, where it is not said. */
+    /** Sets the time for the {@code record} methods that take none. */
     public void setClock(long now) {
         clock = now;
     }
 
-    /** A client's request has come to its end, over all its tries. */
+    /** Records that a client operation has ended, after all its attempts. */
     public void recordOperation(
             ClassModel classModel,
             boolean served,
@@ -143,7 +147,7 @@
         }
     }
 
-    /** An attempt was sent to the server of this number. */
+    /** Records an attempt sent to the server of this index. */
     public void recordAttempt(int server) {
         attempts += counted();
         second(clock).attempts++;
@@ -153,80 +157,80 @@
         attemptsByServer.set(server, attemptsByServer.get(server) + 1);
     }
 
-    /** A probe was sent. */
     public void recordHealthCheck() {
-        probes += counted();
+        healthChecks += counted();
     }
 
-    /** A connection to a server was opened. */
     public void recordConnection() {
         connections += counted();
     }
 
-    /** A node has refused a try. */
+    /** Records that a node refused a request. */
     public void recordRefusal() {
         refusals += counted();
     }
 
-    /** A node has written a line for its staff. */
+    /** Records that the balancer wrote a log line. */
     public void recordLogLine() {
         logLines += counted();
     }
 
-    /** The decisions took this long for one event. */
+    /** Records the time that the balancer took for one event. */
     public void recordDecision(long ns) {
         decisions++;
         decisionNs += ns;
     }
 
-    /** What each server holds now. */
+    /** Records the requests in flight at each server. */
     public void recordInflight(long now, int[] inflight) {
         second(now).inflight = inflight;
     }
 
-    /** Worth that was answered in time over worth that was asked for; 1 where nothing was. */
+    /**
+     * The weight of operations completed in time over the weight of all operations; late ones count
+     * in part. 1 if there were none.
+     */
     public double goodput() {
         return offeredWeight == 0 ? 1 : goodWeight / offeredWeight;
     }
 
-    /** By class, in the order in which they were first asked for. */
+    /** The results of each class, in the order of the first operation. */
     public Map<String, ClassMetrics> classes() {
         return classes;
     }
 
-    /** Of all classes together, in us. */
+    /** The latencies of all classes, in us. */
     public Histogram latencyUs() {
         Histogram all = new Histogram(MAX_LATENCY_US, HISTOGRAM_DIGITS);
         classes.values().forEach(classMetrics -> all.add(classMetrics.latencyUs));
         return all;
     }
 
-    /** By seconds. */
     public List<SecondMetrics> seconds() {
         return seconds;
     }
 
-    /** Attempts sent to each server. */
+    /** The number of attempts sent to each server, by its index. */
     public List<Long> attemptsByServer() {
         return attemptsByServer;
     }
 
     /**
-     * Requests of clients, and their tries; attempts, probes, connections opened, refusals, lines
-     * of log.
+     * The numbers of client operations, client attempts, attempts at servers, health checks, opened
+     * connections, refusals and log lines.
      */
     public long[] totals() {
         return new long[] {
-            operations, clientAttempts, attempts, probes, connections, refusals, logLines
+            operations, clientAttempts, attempts, healthChecks, connections, refusals, logLines
         };
     }
 
-    /** Events that the decisions were told of. */
+    /** The number of events passed to the balancer. */
     public long decisions() {
         return decisions;
     }
 
-    /** Time that the decisions took, in ns of this machine. */
+    /** The time that the balancer took for all events, in ns of this machine. */
     public long decisionNs() {
         return decisionNs;
     }
--- a/lab/src/main/java/trailthread/lab/server/IncomingRequest.java
+++ b/lab/src/main/java/trailthread/lab/server/IncomingRequest.java
@@ -1,30 +1,32 @@
 package trailthread.lab.server;
 
-/** A request at a server's process, whoever brought it. */
+/** A request as seen by the server process, in virtual time or on a socket. */
 public interface IncomingRequest {
-    /** What a server says in the end. */
+    /** How the server responds. */
     enum Response {
-        /** Served. */
         OK,
-        /** Failed, perhaps after it has run. */
+        /** The request failed and may have been executed. */
         ERROR,
-        /** Turned away unseen. */
+        /** Rejected without execution. */
         FULL,
-        /** It has run, and the connection is reset in place of an answer. */
+        /** Executed, but the connection is reset instead of a response. */
         RESET,
-        /** It has run, and what comes can't be read. */
+        /** Executed, but the response is not valid HTTP. */
         GARBAGE
     }
 
-    /** In ns on a standard core. */
+    /** The work of the request, in ns on a standard core. */
     double work();
 
-    /** It has been taken: from now on it may run. */
+    /** The server has accepted the request: from now on it may be executed. */
     void executionStarted();
 
-    /** It ends so, now. An answer of {@code trickleNs} above 0 takes so long to come, in ns. */
+    /**
+     * Sends the response now. With {@code trickleNs} above 0 its bytes are spread over this time,
+     * in ns.
+     */
     void respond(Response response, long trickleNs);
 
-    /** The process has ended under it. */
+    /** The server process has ended, and with it the connection. */
     void connectionBroken();
 }
--- a/lab/src/main/java/trailthread/lab/server/ServerFaults.java
+++ b/lab/src/main/java/trailthread/lab/server/ServerFaults.java
@@ -1,26 +1,29 @@
 package trailthread.lab.server;
 
-/** What is wrong with a server just now: shares of its requests, 0 to 1; all 0 at first. */
+/**
+ * The faults injected into a server. Shares are of its requests, from 0 to 1; initially there are
+ * no faults.
+ */
 public final class ServerFaults {
-    /** Failed at once. */
+    /** Share of requests that fail immediately. */
     public double errorShare;
 
-    /** Done, and the answer is lost. */
+    /** Share of requests that are executed but get no response. */
     public double lostResponseShare;
 
-    /** Done, and the connection is reset. */
+    /** Share of requests that are executed before their connection is reset. */
     public double resetShare;
 
-    /** Done, and what comes can't be read. */
+    /** Share of requests that are executed and get a response that is not valid HTTP. */
     public double garbageShare;
 
-    /** How long answers take to come, byte by byte, in ns. */
+    /** The time over which the bytes of a response are spread, in ns; 0 sends it at once. */
     public long trickleNs;
 
-    /** Nothing comes or goes, and nothing is said. */
+    /** Whether the server is cut off from the network: packets are dropped without an error. */
     public boolean isolated;
 
-    /** Whether a request sent now would be served as usual. */
+    /** Whether a request sent now would be served normally. */
     public boolean noneActive() {
         return errorShare + lostResponseShare + resetShare + garbageShare == 0
                 && trickleNs == 0
--- a/lab/src/main/java/trailthread/lab/server/ServerProcess.java
+++ b/lab/src/main/java/trailthread/lab/server/ServerProcess.java
@@ -14,22 +14,26 @@
 import trailthread.lab.server.IncomingRequest.Response;
 
 /**
- * A server's process: its model, its reports, and what is wrong with it. Driven by an event queue,
- * whose time may be virtual or real.
+ * The process of a server: its queueing model, its load reports and its injected faults. An event
+ * queue drives it, in virtual or real time.
  */
 public final class ServerProcess {
-    /** How long a server that fails at once takes for it. */
+    /** The response time of a request that fails immediately. */
     private static final long FAST_ERROR_NS = 1_000_000L;
 
-    /** The weight of one request in the time that requests take here, as probes tell it. */
-    private static final double TIME_WEIGHT = 0.2;
+    /**
+     * The weight of the newest request in the moving average of latency that health checks report.
+     */
+    private static final double LATENCY_SMOOTHING = 0.2;
 
-    /** Times are kept by what was held when a request came, up to so many. */
+    /**
+     * Latencies are averaged separately for each number of requests in flight at arrival, up to
+     * this one.
+     */
     private static final int MAX_TRACKED_INFLIGHT = 256;
 
-    private record Report(long at, double inflight, double queue) {}
+    private record Report(long createdAt, double inflight, double queue) {}
 
-    /** What is wrong with it. */
     public final ServerFaults faults = new ServerFaults();
 
     private final EventQueue eventQueue;
@@ -40,7 +44,7 @@
     private final UniformRandomProvider faultRandom;
     private final ArrayDeque<Report> reports = new ArrayDeque<>();
 
-    /** What is here, in the order in which it came. */
+    /** The accepted requests, in the order of arrival. */
     private final Map<IncomingRequest, ServerModel.Job> requests = new LinkedHashMap<>();
 
     private ServerModel model;
@@ -50,16 +54,16 @@
     private int incarnation;
     private long startedAt;
     private double slowdown = 1;
-    private final double[] latencyNs = new double[MAX_TRACKED_INFLIGHT];
+    private final double[] latencyByInflightNs = new double[MAX_TRACKED_INFLIGHT];
     private long reportDelayNs;
 
     /**
-     * One that runs.
+     * Creates a running process.
      *
-     * @param name of its streams of random numbers
-     * @param limits its own
+     * @param name identifies its streams of random numbers
      * @param cold whether it has just started
-     * @param onCrash is run when it is pushed over while cold; the process is down then
+     * @param onCrash called when too much work crashes the server while it is cold; the process is
+     *     down by then
      */
     public ServerProcess(
             EventQueue eventQueue,
@@ -88,7 +92,7 @@
         long now = eventQueue.now();
         reports.add(new Report(now, model.inflight() * noise, model.queue() * noise));
         while (reports.size() > 1
-                && reports.peek().at < now - reportDelayNs - fleet.reportEveryHighNs() * 2) {
+                && reports.peek().createdAt < now - reportDelayNs - fleet.reportEveryHighNs() * 2) {
             reports.poll();
         }
         eventQueue.scheduleAfter(
@@ -98,16 +102,16 @@
                 this::refreshReport);
     }
 
-    /** Reports arrive so much later than usual, in ns. */
-    public void setReportDelay(long ns) {
-        reportDelayNs = ns;
+    /** Delays all load reports by this time, in ns. */
+    public void setReportDelay(long delayNs) {
+        reportDelayNs = delayNs;
     }
 
-    /** What an answer that leaves now says; null: nothing. */
+    /** The load report that a response sent now carries; null if there is none. */
     public LoadReport report() {
         Report newest = null;
         for (Report report : reports) {
-            if (report.at <= eventQueue.now() - reportDelayNs) {
+            if (report.createdAt <= eventQueue.now() - reportDelayNs) {
                 newest = report;
             }
         }
@@ -123,50 +127,52 @@
     }
 
     /**
-     * What a probe's answer says: the present, and the time that requests of late took here that
-     * came when about as much was held as now (as in Prequal: Wydrowski et al., NSDI 2024, 4).
+     * The load report of a health check: the present load, and the average latency of recent
+     * requests that arrived when about as many were in flight as now (as in Prequal: Wydrowski et
+     * al., NSDI 2024, 4).
      */
     public LoadReport healthReport() {
         int inflight = Math.min(MAX_TRACKED_INFLIGHT - 1, model.inflight());
         double latency = Double.NaN;
-        for (int off = 0; off < MAX_TRACKED_INFLIGHT && Double.isNaN(latency); off++) {
+        for (int distance = 0;
+                distance < MAX_TRACKED_INFLIGHT && Double.isNaN(latency);
+                distance++) {
             latency =
-                    inflight >= off && latencyNs[inflight - off] > 0
-                            ? latencyNs[inflight - off]
-                            : inflight + off < MAX_TRACKED_INFLIGHT && latencyNs[inflight + off] > 0
-                                    ? latencyNs[inflight + off]
+                    inflight >= distance && latencyByInflightNs[inflight - distance] > 0
+                            ? latencyByInflightNs[inflight - distance]
+                            : inflight + distance < MAX_TRACKED_INFLIGHT
+                                            && latencyByInflightNs[inflight + distance] > 0
+                                    ? latencyByInflightNs[inflight + distance]
                                     : latency;
         }
         return new LoadReport(
                 model.inflight(), model.queue(), Double.NaN, latency / 1e6, Double.NaN, Double.NaN);
     }
 
-    /** Its work, by the law. */
     public ServerModel model() {
         return model;
     }
 
-    /** Whether its process runs. */
     public boolean isUp() {
         return up;
     }
 
-    /** Which start of it this is: what belongs to an earlier one is dead. */
+    /** Counts the starts: connections and requests of an earlier incarnation are gone. */
     public int incarnation() {
         return incarnation;
     }
 
-    /** When it started last, in ns; 0: long ago. */
+    /** The time of the last start, in ns; 0 if it has run since before the run began. */
     public long startedAt() {
         return startedAt;
     }
 
-    /** Requests that it holds. */
+    /** The requests in flight; 0 while the process is down. */
     public int inflight() {
         return up ? model.inflight() : 0;
     }
 
-    /** A request's last byte has come. */
+    /** Handles a request whose last byte has arrived. */
     public void receive(IncomingRequest incoming) {
         if (drawFault(faults.errorShare)) {
             incoming.executionStarted();
@@ -191,7 +197,7 @@
         }
     }
 
-    /** Its node has closed the connection of a request that may be here. */
+    /** The node has closed the connection of this request, which may already have ended. */
     public void cancelRequest(IncomingRequest incoming) {
         ServerModel.Job job = requests.remove(incoming);
         if (job != null) {
@@ -201,16 +207,19 @@
         }
     }
 
-    /** Work that belongs to no request, as a connection's opening. */
-    public void addBackgroundWork(double ns) {
-        if (ns > 0) {
+    /** Adds work that belongs to no request, such as opening a connection. */
+    public void addBackgroundWork(double workNs) {
+        if (workNs > 0) {
             advance();
-            model.addBackgroundWork(ns);
+            model.addBackgroundWork(workNs);
             scheduleWake();
         }
     }
 
-    /** A probe has come; {@code done} is run when its answer leaves, and never if there is none. */
+    /**
+     * Handles a health check; {@code done} runs when the response leaves, and never if there is
+     * none.
+     */
     public void checkHealth(Runnable done) {
         if (fleet.queuedHealthChecks()) {
             advance();
@@ -224,10 +233,10 @@
         }
     }
 
-    /** It works so many times slower; 1: as usual. */
-    public void setSlowdown(double times) {
-        slowdown = times;
-        model.setSlowdown(eventQueue.now(), times, this::done);
+    /** Makes the server this many times slower; 1 is normal. */
+    public void setSlowdown(double factor) {
+        slowdown = factor;
+        model.setSlowdown(eventQueue.now(), factor, this::jobDone);
         scheduleWake();
     }
 
@@ -235,18 +244,19 @@
         return share > 0 && faultRandom.nextDouble() < share;
     }
 
-    private void done(ServerModel.Job job) {
+    private void jobDone(ServerModel.Job job) {
         ServedJob served = (ServedJob) job;
         if (served.onDone != null) {
             served.onDone.run();
             return;
         }
         if (requests.remove(served.incoming) == null) {
-            return; // it was given up, and the work went on
+            return; // cancelled by its node while it was executing
         }
-        double before = latencyNs[served.inflightOnArrival];
-        latencyNs[served.inflightOnArrival] +=
-                (before == 0 ? 1 : TIME_WEIGHT) * (eventQueue.now() - served.at - before);
+        double previous = latencyByInflightNs[served.inflightOnArrival];
+        latencyByInflightNs[served.inflightOnArrival] +=
+                (previous == 0 ? 1 : LATENCY_SMOOTHING)
+                        * (eventQueue.now() - served.arrivedAt - previous);
         if (drawFault(faults.lostResponseShare)) {
             return;
         }
@@ -259,7 +269,7 @@
 
     private void advance() {
         if (up) {
-            model.advance(eventQueue.now(), this::done);
+            model.advance(eventQueue.now(), this::jobDone);
         }
     }
 
@@ -281,7 +291,7 @@
         }
     }
 
-    /** Its process ends: what it holds breaks off. */
+    /** Ends the process; the connections of its requests break. */
     public void stop() {
         if (up) {
             up = false;
@@ -293,7 +303,7 @@
         }
     }
 
-    /** Its process has started again, cold. */
+    /** Starts the process again, cold. */
     public void start() {
         up = true;
         startedAt = eventQueue.now();
@@ -303,18 +313,18 @@
         }
     }
 
-    /** A request of a node's, or work with something to do after it. */
+    /** A request, or a queued health check, which runs {@code onDone} instead of responding. */
     private static final class ServedJob extends ServerModel.Job {
         private final IncomingRequest incoming;
         private final Runnable onDone;
-        private final long at;
+        private final long arrivedAt;
         private int inflightOnArrival;
 
-        ServedJob(double work, IncomingRequest incoming, Runnable onDone, long at) {
+        ServedJob(double work, IncomingRequest incoming, Runnable onDone, long arrivedAt) {
             super(work);
             this.incoming = incoming;
             this.onDone = onDone;
-            this.at = at;
+            this.arrivedAt = arrivedAt;
         }
     }
 }
--- a/lab/src/test/java/trailthread/lab/fault/RollingRestartTest.java
+++ b/lab/src/test/java/trailthread/lab/fault/RollingRestartTest.java
@@ -10,20 +10,20 @@
 import trailthread.lab.scenario.Scenario.FaultKind;
 import trailthread.lab.scenario.Scenario.ScheduledFault;
 
-/** However slowly nodes start, a rolling restart takes one at a time. */
+/** A rolling restart takes one node out of service at a time, however slowly nodes start. */
 public class RollingRestartTest {
     private static final long SECOND = 1_000_000_000L;
 
     private final EventQueue eventQueue = new EventQueue(0);
 
-    /** A node of which only restarts are asked. */
+    /** Supports only restarts. */
     private final class SlowNode implements FaultTarget.Node {
-        private final long startsNs;
+        private final long startDelayNs;
         private boolean serving = true;
         private int restarts;
 
-        private SlowNode(long startsNs) {
-            this.startsNs = startsNs;
+        private SlowNode(long startDelayNs) {
+            this.startDelayNs = startDelayNs;
         }
 
         @Override
@@ -35,7 +35,7 @@
         public void restart() {
             restarts++;
             kill();
-            eventQueue.scheduleAfter(startsNs, this::start);
+            eventQueue.scheduleAfter(startDelayNs, this::start);
         }
 
         @Override
@@ -54,7 +54,7 @@
         }
 
         @Override
-        public void pause(long forNs) {
+        public void pause(long durationNs) {
             throw new AssertionError();
         }
     }
@@ -76,7 +76,7 @@
         }
 
         @Override
-        public void setHeavyTail(double share, double times) {
+        public void setHeavyTail(double share, double factor) {
             throw new AssertionError();
         }
     }
@@ -88,7 +88,7 @@
         ScheduledFault fault =
                 new ScheduledFault(FaultKind.NODE_RESTART, SECOND, 3 * SECOND, 1, 0, 0, null);
         FaultInjector.schedule(eventQueue, new RandomStreams(3), List.of(fault), new Nodes(nodes));
-        nodes.get(0).kill(); // out of service already when the restart is due
+        nodes.get(0).kill(); // already out of service when its restart is due
         eventQueue.scheduleAt(4 * SECOND, nodes.get(0)::start);
         for (int i = 1; i < 300; i++) {
             eventQueue.runUntil(i * SECOND / 10);
