--- a/lab/src/main/java/trailthread/lab/baseline/FleetView.java
+++ b/lab/src/main/java/trailthread/lab/baseline/FleetView.java
@@ -1,13 +1,13 @@
 package trailthread.lab.baseline;
 
-/** What no real node can see: the servers as they are now. Only {@link OraclePolicy} looks. */
+/** The true state of the servers, which no real node can see. Only {@link OraclePolicy} uses it. */
 public interface FleetView {
-    /** What a request of mean size is, in ns of work on a standard core. */
+    /** The mean work of a request, in ns on a standard core. */
     double meanWorkNs();
 
     /**
-     * How long one more request would take there, for each ns of its work, behind all that it holds
-     * and that is on its way to it; infinite where it would not be served.
+     * The expected response time of one more request at this server divided by its work, behind all
+     * requests in flight and on their way; infinite if the request would not be served.
      */
     double expectedSlowdown(String server);
 }
--- a/lab/src/main/java/trailthread/lab/baseline/OraclePolicy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/OraclePolicy.java
@@ -6,9 +6,9 @@
 import trailthread.api.Settings;
 
 /**
- * The server at which one more request would be done soonest, by the true state of all, with what
- * is on its way; none, where that would be past the aim. It holds nothing back and foresees no
- * fault, so a policy may still pass it.
+ * Chooses the server at which one more request would complete first, given the true state of all
+ * servers and the requests on their way; none if it would miss the latency objective. It does not
+ * reserve capacity and does not foresee faults, so another policy may still do better.
  */
 final class OraclePolicy extends PlainPolicy {
     private final FleetView fleetView;
@@ -19,10 +19,10 @@
     }
 
     @Override
-    Endpoint choose(List<Endpoint> candidates, RequestClass rules, long now) {
-        Endpoint best = leastBy(candidates, b -> fleetView.expectedSlowdown(b.name));
+    Endpoint choose(List<Endpoint> candidates, RequestClass requestClass, long now) {
+        Endpoint best = leastBy(candidates, endpoint -> fleetView.expectedSlowdown(endpoint.name));
         return fleetView.expectedSlowdown(best.name) * fleetView.meanWorkNs()
-                        > rules.latencyObjectiveNs()
+                        > requestClass.latencyObjectiveNs()
                 ? null
                 : best;
     }
--- a/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
@@ -19,31 +19,32 @@
 import trailthread.api.Settings;
 
 /**
- * What all textbook policies have in common: the list, and the rules on repeats, which are the same
- * for all. Which server a request goes to is each one's own. None of them holds requests back or
- * limits what is out.
+ * What the textbook policies have in common: the endpoint list and the rules on repeats. Each
+ * policy only chooses the server. None of them queues requests or limits the outstanding ones.
  */
 abstract class PlainPolicy implements BalancerEvents {
     private static final long WATCH_RETRY_NS = 1_000_000_000L;
     private static final long WATCH_TIMER = 1;
 
-    /** A server, as this node knows it. */
+    /** A server as this node sees it. */
     static class Endpoint {
         final String name;
         String zone;
         int cell;
         EndpointState state;
 
-        /** Own attempts that are out. */
+        /** The outstanding attempts of this node. */
         int outstanding;
 
         /**
-         * Queue as reports told it, smoothed, or requests in hand where they tell no queue; own
-         * sends since then.
+         * The smoothed queue length from load reports, or the requests in flight if the reports
+         * have no queue length.
          */
         double reportedQueue;
 
         double lastReportedQueue = -1;
+
+        /** Attempts of this node since the reported value last changed. */
         int sentSinceReport;
 
         Endpoint(String name) {
@@ -52,14 +53,16 @@
     }
 
     private static final class Request {
-        final RequestClass rules;
+        final RequestClass requestClass;
         final long deadline;
-        final List<Endpoint> sent = new ArrayList<>(1);
+        final List<Endpoint> sentTo = new ArrayList<>(1);
         final List<Long> sentAt = new ArrayList<>(1);
-        int firstRan = -1;
 
-        Request(RequestClass rules, long deadline) {
-            this.rules = rules;
+        /** The first attempt that may have been executed; -1 if none. */
+        int firstExecuted = -1;
+
+        Request(RequestClass requestClass, long deadline) {
+            this.requestClass = requestClass;
             this.deadline = deadline;
         }
     }
@@ -68,7 +71,7 @@
     final BalancerActions actions;
     final SplittableRandom random;
     private final Map<String, RequestClass> classes = new HashMap<>();
-    private final Map<String, Endpoint> known = new LinkedHashMap<>();
+    private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
     private final Map<Long, Request> requests = new HashMap<>();
     private List<Endpoint> ready = List.of();
 
@@ -79,17 +82,17 @@
         settings.classes.forEach(c -> classes.put(c.name(), c));
     }
 
-    /** One of these, of which there is at least one; null: none, and the request is given up. */
-    abstract Endpoint choose(List<Endpoint> candidates, RequestClass rules, long now);
+    /** Chooses one of the candidates, of which there is at least one; null refuses the request. */
+    abstract Endpoint choose(List<Endpoint> candidates, RequestClass requestClass, long now);
 
-    /** Those that want new work. */
+    /** The servers that accept new requests. */
     List<Endpoint> ready() {
         return ready;
     }
 
-    /** A server by its name, or null. */
-    Endpoint known(String name) {
-        return known.get(name);
+    /** Returns null if there is none. */
+    Endpoint byName(String name) {
+        return endpoints.get(name);
     }
 
     @Override
@@ -99,22 +102,25 @@
             return;
         }
         if (kind != ListKind.DELTA) {
-            known.values().forEach(b -> b.state = EndpointState.GONE);
+            endpoints.values().forEach(endpoint -> endpoint.state = EndpointState.GONE);
         }
         for (EndpointEntry entry : entries) {
-            Endpoint endpoint = known.computeIfAbsent(entry.endpoint(), this::endpoint);
+            Endpoint endpoint = endpoints.computeIfAbsent(entry.endpoint(), this::newEndpoint);
             endpoint.state = entry.state();
             endpoint.zone = entry.zone();
             endpoint.cell = entry.cell();
         }
-        known.values().removeIf(b -> b.state == EndpointState.GONE);
-        ready = known.values().stream().filter(b -> b.state == EndpointState.READY).toList();
+        endpoints.values().removeIf(endpoint -> endpoint.state == EndpointState.GONE);
+        ready =
+                endpoints.values().stream()
+                        .filter(endpoint -> endpoint.state == EndpointState.READY)
+                        .toList();
         if (kind == ListKind.CACHED && settings.listIsPolled) {
             actions.watch(true);
         }
     }
 
-    Endpoint endpoint(String name) {
+    Endpoint newEndpoint(String name) {
         return new Endpoint(name);
     }
 
@@ -135,21 +141,22 @@
 
     private void send(long now, long id, Request request) {
         List<Endpoint> candidates = candidates(request, now);
-        boolean may =
+        boolean maySend =
                 !candidates.isEmpty()
-                        && request.sent.size() < settings.maxAttempts
+                        && request.sentTo.size() < settings.maxAttempts
                         && now < request.deadline;
-        Endpoint endpoint = may ? choose(candidates, request.rules, now) : null;
+        Endpoint endpoint = maySend ? choose(candidates, request.requestClass, now) : null;
         if (endpoint == null) {
             requests.remove(id);
-            if (request.firstRan < 0 || request.rules.idempotency() == Idempotency.IDEMPOTENT) {
+            if (request.firstExecuted < 0
+                    || request.requestClass.idempotency() == Idempotency.IDEMPOTENT) {
                 actions.refuse(id, 0);
             } else {
                 actions.fail(id);
             }
             return;
         }
-        request.sent.add(endpoint);
+        request.sentTo.add(endpoint);
         request.sentAt.add(now);
         endpoint.outstanding++;
         endpoint.sentSinceReport++;
@@ -157,35 +164,36 @@
     }
 
     /**
-     * Where it may go: the rules on repeats, and then another server than before where there is
-     * one.
+     * The servers that the rules on repeats allow; those that the request was not sent to yet, if
+     * there are any.
      */
     private List<Endpoint> candidates(Request request, long now) {
-        if (request.sent.isEmpty()) {
+        if (request.sentTo.isEmpty()) {
             return ready;
         }
         List<Endpoint> allowed = new ArrayList<>();
         for (Endpoint endpoint : ready) {
-            if (request.firstRan < 0 || mayRepeat(request, endpoint, now)) {
+            if (request.firstExecuted < 0 || mayRepeat(request, endpoint, now)) {
                 allowed.add(endpoint);
             }
         }
-        List<Endpoint> others = allowed.stream().filter(b -> !request.sent.contains(b)).toList();
+        List<Endpoint> others =
+                allowed.stream().filter(endpoint -> !request.sentTo.contains(endpoint)).toList();
         return others.isEmpty() ? allowed : others;
     }
 
     private boolean mayRepeat(Request request, Endpoint endpoint, long now) {
-        RequestClass rules = request.rules;
-        Endpoint first = request.sent.get(request.firstRan);
-        return rules.idempotency() == Idempotency.IDEMPOTENT
-                || (rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
+        RequestClass requestClass = request.requestClass;
+        Endpoint first = request.sentTo.get(request.firstExecuted);
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                         && now + settings.connectTimeoutNs
-                                < request.sentAt.get(request.firstRan)
-                                        + rules.deduplicationWindowNs()
-                        && (rules.deduplicationScope() == DeduplicationScope.ALL
-                                || (rules.deduplicationScope() == DeduplicationScope.ZONE
+                                < request.sentAt.get(request.firstExecuted)
+                                        + requestClass.deduplicationWindowNs()
+                        && (requestClass.deduplicationScope() == DeduplicationScope.ALL
+                                || (requestClass.deduplicationScope() == DeduplicationScope.ZONE
                                         && first.zone.equals(endpoint.zone))
-                                || (rules.deduplicationScope() == DeduplicationScope.CELL
+                                || (requestClass.deduplicationScope() == DeduplicationScope.CELL
                                         && (first == endpoint
                                                 || (first.cell >= 0
                                                         && first.cell == endpoint.cell)))));
@@ -204,14 +212,14 @@
         if (request == null) {
             return;
         }
-        Endpoint endpoint = request.sent.get(attempt);
+        Endpoint endpoint = request.sentTo.get(attempt);
         endpoint.outstanding--;
         endpoint.sentSinceReport = Math.max(0, endpoint.sentSinceReport - 1);
         if (load != null) {
-            report(endpoint, load);
+            updateReport(endpoint, load);
         }
-        if (outcome.mayHaveRun() && request.firstRan < 0) {
-            request.firstRan = attempt;
+        if (outcome.mayHaveRun() && request.firstExecuted < 0) {
+            request.firstExecuted = attempt;
         }
         if (closed || outcome == Outcome.OK) {
             requests.remove(id);
@@ -220,7 +228,7 @@
         }
     }
 
-    private static void report(Endpoint endpoint, LoadReport load) {
+    private static void updateReport(Endpoint endpoint, LoadReport load) {
         double reportedQueue = load.queue() >= 0 ? load.queue() : load.inflight();
         if (reportedQueue >= 0 && reportedQueue != endpoint.lastReportedQueue) {
             endpoint.lastReportedQueue = reportedQueue;
@@ -232,8 +240,8 @@
     @Override
     public void clientDisconnected(long now, long id) {
         Request request = requests.remove(id);
-        if (request != null && !request.sent.isEmpty()) {
-            Endpoint endpoint = request.sent.get(request.sent.size() - 1);
+        if (request != null && !request.sentTo.isEmpty()) {
+            Endpoint endpoint = request.sentTo.get(request.sentTo.size() - 1);
             endpoint.outstanding = Math.max(0, endpoint.outstanding - 1);
         }
     }
@@ -252,7 +260,10 @@
     public void healthChecked(
             long now, String endpoint, Outcome outcome, long latency, LoadReport load) {}
 
-    /** The first of the least, from a random place on, so that ties fall evenly. */
+    /**
+     * Returns the endpoint of least cost. The search starts at a random place, so that ties are
+     * broken evenly.
+     */
     Endpoint leastBy(
             List<Endpoint> candidates, java.util.function.ToDoubleFunction<Endpoint> cost) {
         int from = random.nextInt(candidates.size());
@@ -260,10 +271,10 @@
         double least = 0;
         for (int i = 0; i < candidates.size(); i++) {
             Endpoint endpoint = candidates.get((from + i) % candidates.size());
-            double its = cost.applyAsDouble(endpoint);
-            if (best == null || its < least) {
+            double endpointCost = cost.applyAsDouble(endpoint);
+            if (best == null || endpointCost < least) {
                 best = endpoint;
-                least = its;
+                least = endpointCost;
             }
         }
         return best;
--- a/lab/src/main/java/trailthread/lab/baseline/Policies.java
+++ b/lab/src/main/java/trailthread/lab/baseline/Policies.java
@@ -6,9 +6,8 @@
 import trailthread.api.BalancerEvents;
 import trailthread.api.Settings;
 
-/** All policies that runs can have, by name. */
+/** All policies, by name. */
 public final class Policies {
-    /** Makes the decisions of a policy. */
     private interface Factory {
         BalancerEvents create(
                 Settings settings,
@@ -30,19 +29,18 @@
         }
     }
 
-    /** The project's own decision module. */
     public static final Policy TRAILTHREAD =
             new NamedPolicy(
                     "trailthread",
-                    "this project's decision module",
+                    "the balancer of this project",
                     (settings, seed, now, actions, fleetView) ->
                             new Balancer(settings, seed, now, actions));
 
-    /** Sees what no real node can. */
+    /** Uses the true state of the servers. */
     public static final Policy ORACLE =
             new NamedPolicy(
                     "oracle",
-                    "the worker that is best by the true state of all; refuses what would miss its aim",
+                    "the best server by the true state of all; refuses what would miss its latency objective",
                     (settings, seed, now, actions, fleetView) ->
                             new OraclePolicy(settings, seed, actions, fleetView));
 
@@ -51,50 +49,50 @@
                     TRAILTHREAD,
                     new NamedPolicy(
                             "random",
-                            "any worker, evenly",
+                            "any server with equal probability",
                             (settings, seed, now, actions, fleetView) ->
                                     new RandomChoice(settings, seed, actions)),
                     new NamedPolicy(
                             "round-robin",
-                            "each worker in its turn",
+                            "each server in turn",
                             (settings, seed, now, actions, fleetView) ->
                                     new RoundRobin(settings, seed, actions)),
                     new NamedPolicy(
                             "least-outstanding",
-                            "the worker with the fewest of this node's own requests",
+                            "the server with the fewest outstanding requests of this node",
                             (settings, seed, now, actions, fleetView) ->
                                     new LeastOutstanding(settings, seed, actions)),
                     new NamedPolicy(
                             "two-choices",
-                            "the better of two drawn evenly, by own requests (Mitzenmacher, IEEE TPDS 2001)",
+                            "the better of two random servers by outstanding requests (Mitzenmacher, IEEE TPDS 2001)",
                             (settings, seed, now, actions, fleetView) ->
                                     new TwoChoices(settings, seed, actions)),
                     new NamedPolicy(
                             "sns",
-                            "lottery by reported queues and own sends since then (Chawathe and Brewer 1998)",
+                            "lottery by reported queue and attempts since the report (Chawathe and Brewer 1998)",
                             (settings, seed, now, actions, fleetView) ->
                                     new SnsLottery(settings, seed, actions, true)),
                     new NamedPolicy(
                             "sns-uncorrected",
-                            "the same without own sends",
+                            "the same without attempts since the report",
                             (settings, seed, now, actions, fleetView) ->
                                     new SnsLottery(settings, seed, actions, false)),
                     new NamedPolicy(
                             "prequal",
-                            "probes, hot and cold, least latency among the cold (Wydrowski et al., NSDI 2024)",
+                            "probes; least latency among the servers that are not hot (Wydrowski et al., NSDI 2024)",
                             (settings, seed, now, actions, fleetView) ->
                                     new Prequal(settings, seed, actions)),
                     ORACLE);
 
     private Policies() {}
 
-    /** In the order of tables. */
+    /** All policies, in the order of tables. */
     public static List<Policy> all() {
         return ALL;
     }
 
     /**
-     * The policy of this name.
+     * Returns the policy of this name.
      *
      * @throws IllegalArgumentException if there is none
      */
--- a/lab/src/main/java/trailthread/lab/baseline/Policy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/Policy.java
@@ -4,15 +4,15 @@
 import trailthread.api.BalancerEvents;
 import trailthread.api.Settings;
 
-/** What decides for a node; made anew at each start of one. */
+/** Creates the balancer of a node, anew at each start of the node. */
 public interface Policy {
-    /** One word, as on the command line. */
+    /** The name on the command line. */
     String name();
 
-    /** One line for people: what it does, and after which paper. */
+    /** One line on what it does and which paper it follows. */
     String description();
 
-    /** Makes the decisions of one node, which share nothing with those of others. */
+    /** Creates a balancer that shares nothing with those of other nodes. */
     BalancerEvents create(
             Settings settings, long seed, long now, BalancerActions actions, FleetView fleetView);
 }
--- a/lab/src/main/java/trailthread/lab/baseline/Prequal.java
+++ b/lab/src/main/java/trailthread/lab/baseline/Prequal.java
@@ -10,40 +10,41 @@
 
 /**
  * Prequal (Wydrowski, Kleinberg, Rumble, Archer: "Load is not what you should balance", NSDI 2024):
- * each request sends three probes and is sent by what a pool of earlier answers says. Servers with
- * more requests in flight than a quantile of those seen are hot; among the cold the one of least
- * latency is taken, and if all are hot the one with the fewest requests in flight. Figures are the
- * paper's (section 4 and its table of parameters).
+ * each request triggers three probes, and the server is chosen from a pool of earlier probe
+ * results. Servers with more requests in flight than a quantile of the pool are hot. The cold
+ * server with the lowest latency is chosen; if all are hot, the one with the fewest requests in
+ * flight. Constants are from the paper (section 4 and its table of parameters). Its probes are
+ * health checks here.
  */
 final class Prequal extends PlainPolicy {
-    private static final int PROBES = 3;
+    private static final int PROBES_PER_REQUEST = 3;
 
-    /** And no more than half of the servers: the paper has far more of these. */
-    private static final int POOL = 16;
+    /** Limited to half of the servers as well, because the paper has far more of these. */
+    private static final int MAX_POOL = 16;
 
-    private static final long PROBE_LIVES_NS = 1_000_000_000L;
+    private static final long PROBE_LIFETIME_NS = 1_000_000_000L;
     private static final double HOT_QUANTILE = 0.8408964152537145; // 2^-0.25
-    private static final double REMOVED = 1;
+    private static final double REMOVED_PER_REQUEST = 1;
     private static final double DELTA = 1;
-    private static final int LEAST_POOL = 2;
+    private static final int MIN_POOL = 2;
 
     private static final class Probe {
         final Endpoint endpoint;
-        final long at;
+        final long receivedAt;
         double inflight;
         final double latencyMs;
         double uses;
 
-        Probe(Endpoint endpoint, long at, double inflight, double latencyMs, double uses) {
+        Probe(Endpoint endpoint, long receivedAt, double inflight, double latencyMs, double uses) {
             this.endpoint = endpoint;
-            this.at = at;
+            this.receivedAt = receivedAt;
             this.inflight = inflight;
             this.latencyMs = latencyMs;
             this.uses = uses;
         }
     }
 
-    /** The oldest first. */
+    /** Oldest first. */
     private final List<Probe> pool = new ArrayList<>();
 
     private boolean worstNext;
@@ -55,17 +56,18 @@
     @Override
     public void healthChecked(
             long now, String endpoint, Outcome outcome, long latency, LoadReport load) {
-        Endpoint of = known(endpoint);
-        if (outcome == Outcome.OK && load != null && of != null) {
+        Endpoint known = byName(endpoint);
+        if (outcome == Outcome.OK && load != null && known != null) {
             double reuse =
                     Math.max(
                             1,
                             (1 + DELTA)
-                                    / ((1 - (double) poolCapacity() / ready().size()) * PROBES
-                                            - REMOVED));
+                                    / ((1 - (double) poolCapacity() / ready().size())
+                                                    * PROBES_PER_REQUEST
+                                            - REMOVED_PER_REQUEST));
             pool.add(
                     new Probe(
-                            of,
+                            known,
                             now,
                             load.inflight(),
                             load.latencyMs() >= 0 ? load.latencyMs() : 0,
@@ -77,27 +79,28 @@
     }
 
     private int poolCapacity() {
-        return Math.max(LEAST_POOL, Math.min(POOL, ready().size() / 2));
+        return Math.max(MIN_POOL, Math.min(MAX_POOL, ready().size() / 2));
     }
 
     @Override
-    Endpoint choose(List<Endpoint> candidates, RequestClass rules, long now) {
+    Endpoint choose(List<Endpoint> candidates, RequestClass requestClass, long now) {
         if (settings.mayCheckHealth) {
-            for (int i = 0; i < PROBES; i++) {
+            for (int i = 0; i < PROBES_PER_REQUEST; i++) {
                 actions.checkHealth(ready().get(random.nextInt(ready().size())).name);
             }
         }
-        pool.removeIf(p -> now - p.at > PROBE_LIVES_NS);
-        List<Probe> fit = pool.stream().filter(p -> candidates.contains(p.endpoint)).toList();
-        if (fit.size() < LEAST_POOL) {
+        pool.removeIf(probe -> now - probe.receivedAt > PROBE_LIFETIME_NS);
+        List<Probe> usable =
+                pool.stream().filter(probe -> candidates.contains(probe.endpoint)).toList();
+        if (usable.size() < MIN_POOL) {
             return candidates.get(random.nextInt(candidates.size()));
         }
-        double[] inflight = fit.stream().mapToDouble(p -> p.inflight).sorted().toArray();
+        double[] inflight = usable.stream().mapToDouble(probe -> probe.inflight).sorted().toArray();
         double hot =
                 inflight[Math.min(inflight.length - 1, (int) (HOT_QUANTILE * inflight.length))];
         Probe best = null;
-        for (Probe p : fit) {
-            best = best == null || better(p, best, hot) ? p : best;
+        for (Probe probe : usable) {
+            best = best == null || better(probe, best, hot) ? probe : best;
         }
         best.inflight++;
         if (--best.uses <= 0) {
@@ -107,7 +110,7 @@
         return best.endpoint;
     }
 
-    /** Hot-cold lexicographic. */
+    /** The hot-cold lexicographic order of the paper. */
     private static boolean better(Probe a, Probe b, double hot) {
         boolean aHot = a.inflight > hot;
         boolean bHot = b.inflight > hot;
@@ -115,17 +118,17 @@
     }
 
     /**
-     * One a request, by turns the oldest and the worst, so that the pool does not fill with what
-     * was not chosen.
+     * Removes one probe for each request, alternately the oldest and the worst, so that the pool
+     * does not fill with results that were never chosen.
      */
     private void removeOne(double hot) {
-        if (pool.size() <= LEAST_POOL) {
+        if (pool.size() <= MIN_POOL) {
             return;
         }
         Probe out = pool.get(0);
         if (worstNext) {
-            for (Probe p : pool) {
-                out = better(out, p, hot) ? p : out;
+            for (Probe probe : pool) {
+                out = better(out, probe, hot) ? probe : out;
             }
         }
         worstNext = !worstNext;
--- a/lab/src/main/java/trailthread/lab/baseline/RandomChoice.java
+++ b/lab/src/main/java/trailthread/lab/baseline/RandomChoice.java
@@ -5,14 +5,14 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/** Any server, each with the same chance. */
+/** Chooses any server with equal probability. */
 final class RandomChoice extends PlainPolicy {
     RandomChoice(Settings settings, long seed, BalancerActions actions) {
         super(settings, seed, actions);
     }
 
     @Override
-    Endpoint choose(List<Endpoint> candidates, RequestClass rules, long now) {
+    Endpoint choose(List<Endpoint> candidates, RequestClass requestClass, long now) {
         return candidates.get(random.nextInt(candidates.size()));
     }
 }
--- a/lab/src/main/java/trailthread/lab/baseline/RoundRobin.java
+++ b/lab/src/main/java/trailthread/lab/baseline/RoundRobin.java
@@ -5,7 +5,7 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/** Each server in its turn, from a place of this node's own on. */
+/** Chooses each server in turn, starting at a random one. */
 final class RoundRobin extends PlainPolicy {
     private int next;
 
@@ -15,7 +15,7 @@
     }
 
     @Override
-    Endpoint choose(List<Endpoint> candidates, RequestClass rules, long now) {
+    Endpoint choose(List<Endpoint> candidates, RequestClass requestClass, long now) {
         return candidates.get(Math.floorMod(next++, candidates.size()));
     }
 }
--- a/lab/src/main/java/trailthread/lab/baseline/SnsLottery.java
+++ b/lab/src/main/java/trailthread/lab/baseline/SnsLottery.java
@@ -6,9 +6,9 @@
 import trailthread.api.Settings;
 
 /**
- * The paper's lottery, with nothing else of this project's: tickets inverse to the reported queue,
- * smoothed, with the correction by own sends since the report, or without (Chawathe and Brewer,
- * "System Support for Scalable and Fault Tolerant Internet Services", 1998, 3.2).
+ * The lottery of the paper alone: tickets inversely proportional to the smoothed reported queue
+ * length, with or without the correction by the attempts of this node since the report (Chawathe
+ * and Brewer, "System Support for Scalable and Fault Tolerant Internet Services", 1998, 3.2).
  */
 final class SnsLottery extends PlainPolicy {
     private final boolean corrected;
@@ -18,21 +18,21 @@
         this.corrected = corrected;
     }
 
-    private double tickets(Endpoint b) {
-        return 1 / (1 + b.reportedQueue + (corrected ? b.sentSinceReport : 0));
+    private double tickets(Endpoint endpoint) {
+        return 1 / (1 + endpoint.reportedQueue + (corrected ? endpoint.sentSinceReport : 0));
     }
 
     @Override
-    Endpoint choose(List<Endpoint> candidates, RequestClass rules, long now) {
+    Endpoint choose(List<Endpoint> candidates, RequestClass requestClass, long now) {
         double sum = 0;
-        for (Endpoint b : candidates) {
-            sum += tickets(b);
+        for (Endpoint endpoint : candidates) {
+            sum += tickets(endpoint);
         }
         double draw = random.nextDouble() * sum;
-        for (Endpoint b : candidates) {
-            draw -= tickets(b);
+        for (Endpoint endpoint : candidates) {
+            draw -= tickets(endpoint);
             if (draw < 0) {
-                return b;
+                return endpoint;
             }
         }
         return candidates.get(candidates.size() - 1);
--- a/lab/src/main/java/trailthread/lab/baseline/TwoChoices.java
+++ b/lab/src/main/java/trailthread/lab/baseline/TwoChoices.java
@@ -6,8 +6,8 @@
 import trailthread.api.Settings;
 
 /**
- * The one of two drawn evenly that has fewer of this node's own requests out (Mitzenmacher, "The
- * Power of Two Choices in Randomized Load Balancing", IEEE TPDS 12(10), 2001).
+ * Draws two servers at random and chooses the one with fewer outstanding requests of this node
+ * (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", IEEE TPDS 12(10), 2001).
  */
 final class TwoChoices extends PlainPolicy {
     TwoChoices(Settings settings, long seed, BalancerActions actions) {
@@ -15,14 +15,14 @@
     }
 
     @Override
-    Endpoint choose(List<Endpoint> candidates, RequestClass rules, long now) {
+    Endpoint choose(List<Endpoint> candidates, RequestClass requestClass, long now) {
         int first = random.nextInt(candidates.size());
         if (candidates.size() == 1) {
             return candidates.get(first);
         }
         int second = random.nextInt(candidates.size() - 1);
-        Endpoint a = candidates.get(first);
-        Endpoint b = candidates.get(second >= first ? second + 1 : second);
-        return b.outstanding < a.outstanding ? b : a;
+        Endpoint firstChoice = candidates.get(first);
+        Endpoint secondChoice = candidates.get(second >= first ? second + 1 : second);
+        return secondChoice.outstanding < firstChoice.outstanding ? secondChoice : firstChoice;
     }
 }
--- a/lab/src/main/java/trailthread/lab/clients/ClientOperation.java
+++ b/lab/src/main/java/trailthread/lab/clients/ClientOperation.java
@@ -4,24 +4,30 @@
 import trailthread.lab.scenario.Scenario.ClassModel;
 
 /**
- * What a client wants, over all its attempts. All that is drawn is drawn at its beginning, whatever
- * becomes of it.
+ * What a client wants done, over one or more attempts. All its random numbers are drawn when it
+ * begins, so they do not depend on what happens to it.
  */
 public final class ClientOperation {
-    /** What an attempt came to, as its client sees it. */
+    /** The result of an attempt as its client sees it. */
     public enum AttemptResult {
         SERVED,
         REFUSED,
         FAILED,
-        /** No node was there, or it closed the connection unheard: nothing has run. */
+        /**
+         * No node was reachable, or the node closed the connection without reading the request:
+         * nothing has been executed.
+         */
         UNREACHABLE,
-        /** No answer; it may have run. */
+        /** There was no response; the request may have been executed. */
         NO_RESPONSE
     }
 
     /**
-     * What is drawn for each attempt: how long it lasts, how long the wait after it, and which
-     * node.
+     * The random numbers of each attempt.
+     *
+     * @param timeoutShare the client timeout, as a share of the deadline
+     * @param backoff the wait before the next attempt, as a share of the nominal backoff
+     * @param nodeChoice selects the node
      */
     record RandomDraws(double[] timeoutShare, double[] backoff, double[] nodeChoice) {}
 
@@ -55,22 +61,21 @@
         this.startedAt = clients.now();
     }
 
-    /** Its class. */
     public ClassModel classModel() {
         return classModel;
     }
 
-    /** Who asks; null: nobody by name. */
+    /** The tenant, or null. */
     public String tenant() {
         return tenant;
     }
 
-    /** In ns on a standard core. */
+    /** The work of the request, in ns on a standard core. */
     public double work() {
         return work;
     }
 
-    /** What it concerns; 0: nothing. */
+    /** The key of the object that the request concerns; 0 if none. */
     public long key() {
         return key;
     }
@@ -82,29 +87,33 @@
             end(AttemptResult.FAILED);
             return;
         }
-        int number = attempts++;
+        int attempt = attempts++;
         clients.sink()
                 .startAttempt(
                         this,
                         zone,
-                        draws.nodeChoice[number],
+                        draws.nodeChoice[attempt],
                         Math.min(
                                 deadline,
                                 now
                                         + (long)
-                                                (draws.timeoutShare[number]
+                                                (draws.timeoutShare[attempt]
                                                         * classModel.requestClass().deadlineNs())));
     }
 
-    /** An attempt has ended so; what the answer advises, in ns, 0: nothing. */
+    /**
+     * Reports the end of an attempt.
+     *
+     * @param retryAfterNs the advice of the response; 0 if there was none
+     */
     public void attemptEnded(AttemptResult result, long retryAfterNs) {
         if (done) {
             return;
         }
         mayHaveRun |= result == AttemptResult.FAILED || result == AttemptResult.NO_RESPONSE;
-        boolean harmless =
+        boolean mayRetry =
                 !mayHaveRun || classModel.requestClass().idempotency() == Idempotency.IDEMPOTENT;
-        if (result == AttemptResult.SERVED || attempts >= draws.timeoutShare.length || !harmless) {
+        if (result == AttemptResult.SERVED || attempts >= draws.timeoutShare.length || !mayRetry) {
             end(result);
         } else {
             clients.scheduleRetry(
--- a/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
+++ b/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
@@ -11,11 +11,11 @@
 import trailthread.lab.scenario.Scenario.WorkDistribution;
 
 /**
- * The clients of a day: an open loop of Poisson arrivals. Times come from an event queue, virtual
- * or real; a request counts from when it was due, also where this machine brought it late.
+ * The clients of a run: an open loop of Poisson arrivals, in virtual or real time. Latency counts
+ * from when an operation was due, also if this machine sends it late.
  */
 public final class ClientPopulation {
-    private static final int MOST_DOUBLINGS = 10;
+    private static final int MAX_BACKOFF_DOUBLINGS = 10;
 
     private final EventQueue eventQueue;
     private final Scenario scenario;
@@ -26,12 +26,12 @@
     private final UniformRandomProvider tailRandom;
     private final double[] classShares;
     private final double[] tenantShares;
-    private final long begin;
+    private final long startedAt;
     private double tailShare;
     private double tailFactor = 1;
     private int openOperations;
 
-    /** Those of a day that begins now. */
+    /** Creates the clients of a run that begins now. */
     public ClientPopulation(
             EventQueue eventQueue,
             RandomStreams streams,
@@ -42,7 +42,7 @@
         this.scenario = scenario;
         this.metrics = metrics;
         this.sink = sink;
-        begin = eventQueue.now();
+        startedAt = eventQueue.now();
         arrivalRandom = streams.stream("arrivals");
         operationRandom = streams.stream("asks");
         tailRandom = streams.stream("tails");
@@ -50,13 +50,13 @@
         tenantShares = scenario.tenants().stream().mapToDouble(Tenant::share).toArray();
     }
 
-    /** From now on this share of the requests costs so many times the usual work. */
-    public void setHeavyTail(double share, double times) {
+    /** From now on, this share of the requests costs this many times the usual work. */
+    public void setHeavyTail(double share, double factor) {
         tailShare = share;
-        tailFactor = times;
+        tailFactor = factor;
     }
 
-    /** Requests that have not come to their ends. */
+    /** The operations that have not ended. */
     public int openOperations() {
         return openOperations;
     }
@@ -77,13 +77,16 @@
         return sink;
     }
 
-    /** After an attempt's wait, or as long as the answer advises where clients heed that. */
+    /**
+     * Runs the task after an exponential backoff, or after the advised time if that is longer and
+     * the clients honor it.
+     */
     void scheduleRetry(int attempts, double draw, long retryAfterNs, Runnable task) {
         var clientModel = scenario.clients();
         long wait =
                 (long)
                         (clientModel.backoffNs()
-                                * (1L << Math.min(attempts - 1, MOST_DOUBLINGS))
+                                * (1L << Math.min(attempts - 1, MAX_BACKOFF_DOUBLINGS))
                                 * draw);
         eventQueue.scheduleAfter(
                 Math.max(wait, clientModel.honorsRetryAfter() ? retryAfterNs : 0), task);
@@ -92,7 +95,7 @@
     private double rate(long at) {
         var clientModel = scenario.clients();
         double rate = clientModel.perSecond();
-        long since = at - begin;
+        long since = at - startedAt;
         if (clientModel.swingPeriodNs() > 0) {
             rate *=
                     1
@@ -111,33 +114,34 @@
         return rate;
     }
 
-    private double maxRate() {
-        double most = scenario.clients().perSecond() * (1 + scenario.clients().swingDepth());
+    private double peakRate() {
+        double maxRate = scenario.clients().perSecond() * (1 + scenario.clients().swingDepth());
         for (Surge surge : scenario.clients().surges()) {
-            most *= Math.max(1, surge.rateFactor());
+            maxRate *= Math.max(1, surge.rateFactor());
         }
-        return most;
+        return maxRate;
     }
 
     /**
-     * Begins to ask, until this time; a rate that changes by thinning (Lewis and Shedler, 1979).
+     * Sends operations until this time. A varying rate is drawn by thinning (Lewis and Shedler,
+     * 1979).
      */
     public void begin(long end) {
-        arrive(maxRate(), end);
+        scheduleNextArrival(peakRate(), end);
     }
 
-    private void arrive(double most, long end) {
+    private void scheduleNextArrival(double maxRate, long end) {
         long at = eventQueue.now();
         do {
-            at += (long) RandomStreams.exponential(arrivalRandom, 1e9 / most);
-        } while (at < end && arrivalRandom.nextDouble() * most >= rate(at));
+            at += (long) RandomStreams.exponential(arrivalRandom, 1e9 / maxRate);
+        } while (at < end && arrivalRandom.nextDouble() * maxRate >= rate(at));
         if (at < end) {
             eventQueue.scheduleAt(
                     at,
                     () -> {
                         openOperations++;
                         newOperation().startAttempt();
-                        arrive(most, end);
+                        scheduleNextArrival(maxRate, end);
                     });
         }
     }
--- a/lab/src/main/java/trailthread/lab/clients/RequestSink.java
+++ b/lab/src/main/java/trailthread/lab/clients/RequestSink.java
@@ -1,13 +1,15 @@
 package trailthread.lab.clients;
 
-/** What client attempts come to: the front of some nodes, in virtual time or on sockets. */
+/** Where clients send their attempts: the frontend of the nodes, in virtual time or on sockets. */
 public interface RequestSink {
     /**
-     * Takes an attempt, and tells {@link ClientOperation#attemptEnded} once how it ended.
+     * Sends an attempt to a node, and calls {@link ClientOperation#attemptEnded} once when it has
+     * ended.
      *
-     * @param zone the client's, by number
-     * @param draw uniform in [0, 1), for the choice of a node
-     * @param clientTimeoutAt when the client gives this attempt up, in ns
+     * @param zoneIndex the zone of the client
+     * @param nodeChoice uniform in [0, 1); selects the node
+     * @param clientTimeoutAt when the client gives up this attempt, in ns
      */
-    void startAttempt(ClientOperation operation, int zone, double draw, long clientTimeoutAt);
+    void startAttempt(
+            ClientOperation operation, int zoneIndex, double nodeChoice, long clientTimeoutAt);
 }
--- a/lab/src/main/java/trailthread/lab/simulation/BalancerFailureException.java
+++ b/lab/src/main/java/trailthread/lab/simulation/BalancerFailureException.java
@@ -1,6 +1,9 @@
 package trailthread.lab.simulation;
 
-/** The decisions under test have asked for what nobody can do: the run ends here. */
+/**
+ * The balancer under test requested an impossible action, such as sending to an endpoint that is in
+ * no list, or got into an endless loop. The run ends.
+ */
 public final class BalancerFailureException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
@@ -5,7 +5,7 @@
 import trailthread.lab.event.EventQueue;
 import trailthread.lab.server.IncomingRequest;
 
-/** One attempt of a call, from its node to a server and back, in virtual time. */
+/** One attempt of a node at a server, in virtual time. */
 final class SimulatedAttempt implements IncomingRequest {
     final SimulatedRequest request;
     final int number;
@@ -16,13 +16,13 @@
     private EventQueue.Entry timeout;
     private boolean ended;
 
-    /** It has a connection, of this life of its server. */
+    /** Whether it has a connection, which belongs to {@code serverIncarnation}. */
     private boolean connected;
 
-    private int incarnation;
-    private boolean written;
+    private int serverIncarnation;
+    private boolean requestWritten;
 
-    /** It counts among those that are on their way. */
+    /** Whether it counts in {@link SimulatedServer#arriving}. */
     private boolean arriving = true;
 
     SimulatedAttempt(
@@ -37,16 +37,17 @@
         this.number = number;
         this.server = server;
         this.sentAt = simulation.now();
-        this.incarnation = server.process().incarnation();
+        this.serverIncarnation = server.process().incarnation();
         server.arriving++;
     }
 
-    /** Begins it; it is given up after this time, in ns. */
-    void send(long withinNs) {
+    /** Sends the attempt, with a timeout in ns. */
+    void send(long timeoutNs) {
         timeout =
                 simulation
                         .eventQueue()
-                        .scheduleAfter(withinNs, () -> node.deliver(() -> giveUp(Outcome.TIMEOUT)));
+                        .scheduleAfter(
+                                timeoutNs, () -> node.deliver(() -> giveUp(Outcome.TIMEOUT)));
         if (node.takeIdleConnection(server)) {
             connected = true;
             write();
@@ -68,18 +69,18 @@
                                                 end(Outcome.CONNECT_FAILED, null);
                                             }
                                         }));
-        simulation.travel(
+        simulation.transmit(
                 node,
                 server,
                 () -> {
                     boolean accepted = server.acceptConnection();
-                    incarnation = server.process().incarnation();
-                    simulation.travel(
+                    serverIncarnation = server.process().incarnation();
+                    simulation.transmit(
                             server,
                             node,
                             () -> {
                                 if (ended && accepted) {
-                                    server.connectionClosed(incarnation);
+                                    server.connectionClosed(serverIncarnation);
                                 } else if (accepted) {
                                     connected = true;
                                     write();
@@ -91,19 +92,20 @@
     }
 
     private void write() {
-        written = true;
-        simulation.travel(
+        requestWritten = true;
+        simulation.transmit(
                 node,
                 server,
                 () -> {
                     if (ended) {
-                        return; // the connection was closed on it
+                        return; // its connection was closed before the request arrived
                     }
                     noLongerArriving();
-                    if (server.process().isUp() && server.process().incarnation() == incarnation) {
+                    if (server.process().isUp()
+                            && server.process().incarnation() == serverIncarnation) {
                         server.process().receive(this);
                     } else {
-                        simulation.travel(server, node, () -> end(Outcome.RESET, null));
+                        simulation.transmit(server, node, () -> end(Outcome.RESET, null));
                     }
                 });
     }
@@ -126,12 +128,12 @@
     }
 
     @Override
-    public void respond(Response answer, long trickleNs) {
-        if (server.process().incarnation() != incarnation || ended) {
+    public void respond(Response response, long trickleNs) {
+        if (server.process().incarnation() != serverIncarnation || ended) {
             return;
         }
-        if (answer == Response.RESET || answer == Response.GARBAGE) {
-            server.connectionClosed(incarnation);
+        if (response == Response.RESET || response == Response.GARBAGE) {
+            server.connectionClosed(serverIncarnation);
             connectionBroken();
             return;
         }
@@ -141,17 +143,17 @@
                 .scheduleAfter(
                         trickleNs,
                         () ->
-                                simulation.travel(
+                                simulation.transmit(
                                         server,
                                         node,
                                         () -> {
                                             if (!ended) {
-                                                node.keepIdleConnection(server, incarnation);
+                                                node.keepIdleConnection(server, serverIncarnation);
                                                 connected = false;
                                                 end(
-                                                        answer == Response.OK
+                                                        response == Response.OK
                                                                 ? Outcome.OK
-                                                                : answer == Response.FULL
+                                                                : response == Response.FULL
                                                                         ? Outcome.REJECTED
                                                                         : Outcome.ERROR,
                                                         load);
@@ -161,27 +163,31 @@
 
     @Override
     public void connectionBroken() {
-        simulation.travel(server, node, () -> end(Outcome.RESET, null));
+        simulation.transmit(server, node, () -> end(Outcome.RESET, null));
     }
 
-    /** Its node waits no longer. */
+    /** The node stops waiting for the response. */
     void giveUp(Outcome outcome) {
         if (!ended) {
-            boolean open = connected;
-            end(!written && outcome == Outcome.TIMEOUT ? Outcome.CONNECT_FAILED : outcome, null);
-            if (open) {
+            boolean hadConnection = connected;
+            end(
+                    !requestWritten && outcome == Outcome.TIMEOUT
+                            ? Outcome.CONNECT_FAILED
+                            : outcome,
+                    null);
+            if (hadConnection) {
                 closeConnection();
             }
         }
     }
 
     private void closeConnection() {
-        int closed = incarnation;
-        simulation.travel(
+        int closedIncarnation = serverIncarnation;
+        simulation.transmit(
                 node,
                 server,
                 () -> {
-                    server.connectionClosed(closed);
+                    server.connectionClosed(closedIncarnation);
                     server.process().cancelRequest(this);
                 });
     }
@@ -195,7 +201,7 @@
         }
     }
 
-    /** Its node was killed: its connection is closed by the system. */
+    /** The node was killed, so the operating system closes the connection. */
     void nodeKilled() {
         ended = true;
         noLongerArriving();
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedDiscovery.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedDiscovery.java
@@ -11,14 +11,14 @@
 import trailthread.lab.random.RandomStreams;
 
 /**
- * The list of servers in virtual time: told to those who watch, late, in order, or not at all while
- * it is down.
+ * Discovery in virtual time. Nodes that watch are notified after a delay, in order, and not at all
+ * while discovery is down.
  */
 final class SimulatedDiscovery {
     private final Simulation simulation;
     private final UniformRandomProvider random;
 
-    /** In the order in which servers were first named. */
+    /** In the order in which they were added. */
     private final List<SimulatedServer> servers = new ArrayList<>();
 
     private final Map<SimulatedNode, Long> lastNotifiedAt = new HashMap<>();
@@ -29,7 +29,7 @@
         random = simulation.streams().stream("roster");
     }
 
-    /** The whole list, as a node that starts now would have had it. */
+    /** The whole list, as a node that starts now has it cached. */
     List<EndpointEntry> snapshot() {
         List<EndpointEntry> entries = new ArrayList<>();
         servers.forEach(server -> entries.add(server.entry()));
@@ -41,7 +41,6 @@
         setState(server, server.state);
     }
 
-    /** A server's state is this now. */
     void setState(SimulatedServer server, EndpointState state) {
         server.state = state;
         EndpointEntry entry = server.entry();
@@ -50,12 +49,15 @@
         }
         for (SimulatedNode node : simulation.nodes()) {
             if (node.watching && !down) {
-                notifyLater(node, () -> node.list(ListKind.DELTA, List.of(entry)));
+                notifyLater(node, () -> node.receiveList(ListKind.DELTA, List.of(entry)));
             }
         }
     }
 
-    /** After the usual delay, and after all that was to be told before. */
+    /**
+     * Delivers the message after the delay of the scenario and after all earlier messages to this
+     * node.
+     */
     private void notifyLater(SimulatedNode node, Runnable message) {
         var model = simulation.scenario().discovery();
         long at =
@@ -97,7 +99,7 @@
         lastNotifiedAt.put(node, at);
         simulation
                 .eventQueue()
-                .scheduleAt(at, () -> node.deliver(() -> node.list(ListKind.FULL, entries)));
+                .scheduleAt(at, () -> node.deliver(() -> node.receiveList(ListKind.FULL, entries)));
     }
 
     private void sendFailure(SimulatedNode node) {
@@ -105,13 +107,13 @@
                 .eventQueue()
                 .scheduleAfter(
                         simulation.scenario().discovery().minDelayNs(),
-                        () -> node.deliver(() -> node.list(ListKind.FAILED, List.of())));
+                        () -> node.deliver(() -> node.receiveList(ListKind.FAILED, List.of())));
     }
 
-    /** It answers nothing from now on, and watches break; or it is back. */
-    void setDown(boolean on) {
-        down = on;
-        if (on) {
+    /** Makes discovery stop answering, which ends all watches, or answer again. */
+    void setDown(boolean nowDown) {
+        down = nowDown;
+        if (nowDown) {
             for (SimulatedNode node : simulation.nodes()) {
                 if (node.watching) {
                     node.watching = false;
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
@@ -19,23 +19,24 @@
 import trailthread.lab.invariant.RequestTerms;
 
 /**
- * A node in virtual time: hosts one instance of the decisions under test, which learns and acts by
- * it alone.
+ * A node in virtual time. It hosts one instance of the balancer under test, which receives events
+ * and acts only through this node.
  */
 final class SimulatedNode implements BalancerActions, FaultTarget.Node {
     /**
-     * What one event may ask for, and what a node may have set as timers: past it the decisions run
-     * wild.
+     * Ends the run of a balancer in an endless loop: the most actions that one event may request,
+     * and the most events at one point in time.
      */
-    private static final int MAX_ACTIONS_PER_EVENT = 100_000;
+    private static final int MAX_STEPS_AT_ONCE = 100_000;
 
+    /** Likewise the most timers that a node may have. */
     private static final int MAX_TIMERS = 2_000_000;
 
-    private record IdleConnection(int incarnation, long idleSince) {}
+    private record IdleConnection(int serverIncarnation, long idleSince) {}
 
-    /** One event, told at this time. */
-    private interface ModuleEvent {
-        void dispatch(BalancerEvents module, long now);
+    /** An event for the balancer. */
+    private interface BalancerEvent {
+        void dispatch(BalancerEvents balancer, long now);
     }
 
     final int number;
@@ -46,13 +47,13 @@
     private final Map<SimulatedServer, ArrayDeque<IdleConnection>> idleConnections =
             new LinkedHashMap<>();
     private final ArrayDeque<Runnable> pendingActions = new ArrayDeque<>();
-    private BalancerEvents module;
+    private BalancerEvents balancer;
     private boolean runningActions;
     private int incarnation;
     private boolean up = true;
     private long pausedUntil;
-    private long diedAt;
-    private boolean leaving;
+    private long killedAt;
+    private boolean draining;
     private int timerCount;
     private int eventsAtSameTime;
     private long lastEventAt;
@@ -65,14 +66,14 @@
         this.zone = zone;
     }
 
-    /** Starts it; of the servers it knows what discovery knows. */
+    /** Starts the node with the present list of discovery as its cached list. */
     @Override
     public void start() {
         up = true;
-        leaving = false;
+        draining = false;
         incarnation++;
         Settings settings = simulation.settings(this);
-        module =
+        balancer =
                 simulation
                         .policy()
                         .create(
@@ -81,23 +82,26 @@
                                 simulation.now(),
                                 this,
                                 simulation.fleetView());
-        list(ListKind.CACHED, simulation.discovery().snapshot());
+        receiveList(ListKind.CACHED, simulation.discovery().snapshot());
     }
 
     boolean isUp() {
         return up;
     }
 
-    /** Something that reaches it: at once, or when it goes on. */
+    /**
+     * Runs a task when the node is not paused: at once, or after the pause. A stopped node runs
+     * none.
+     */
     void deliver(Runnable task) {
-        int current = incarnation;
+        int expectedIncarnation = incarnation;
         if (pausedUntil > simulation.now()) {
             simulation
                     .eventQueue()
                     .scheduleAt(
                             pausedUntil,
                             () -> {
-                                if (incarnation == current) {
+                                if (incarnation == expectedIncarnation) {
                                     task.run();
                                 }
                             });
@@ -107,8 +111,8 @@
     }
 
     @Override
-    public void pause(long forNs) {
-        pausedUntil = simulation.now() + forNs;
+    public void pause(long durationNs) {
+        pausedUntil = simulation.now() + durationNs;
     }
 
     boolean isPaused() {
@@ -117,23 +121,23 @@
 
     @Override
     public boolean isServing() {
-        return up && !leaving;
+        return up && !draining;
     }
 
     /**
-     * New calls go elsewhere until it is back; it ends once all that it had must have been
-     * answered.
+     * The frontend sends new requests to other nodes until this node is back. The node ends after
+     * the longest deadline, when all its requests must have been answered.
      */
     @Override
     public void restart() {
-        leaving = true;
-        int current = incarnation;
+        draining = true;
+        int expectedIncarnation = incarnation;
         simulation
                 .eventQueue()
                 .scheduleAfter(
                         simulation.longestDeadline(),
                         () -> {
-                            if (incarnation == current) {
+                            if (incarnation == expectedIncarnation) {
                                 kill();
                                 start();
                             }
@@ -142,22 +146,22 @@
 
     @Override
     public void reload() {
-        // nothing has changed in it
+        // the configuration has not changed
     }
 
-    boolean isLeaving() {
-        return leaving;
+    boolean isDraining() {
+        return draining;
     }
 
-    /** When it died last. */
-    long diedAt() {
-        return diedAt;
+    /** When it was killed last. */
+    long killedAt() {
+        return killedAt;
     }
 
     @Override
     public void kill() {
         up = false;
-        diedAt = simulation.now();
+        killedAt = simulation.now();
         watching = false;
         incarnation++;
         List<SimulatedRequest> openRequests = new ArrayList<>(requests.values());
@@ -167,8 +171,9 @@
         idleConnections.forEach(
                 (server, connections) ->
                         connections.forEach(
-                                c -> {
-                                    if (c.incarnation == server.process().incarnation()) {
+                                connection -> {
+                                    if (connection.serverIncarnation
+                                            == server.process().incarnation()) {
                                         server.connections--;
                                     }
                                 }));
@@ -185,26 +190,21 @@
     }
 
     // ---- events
-    // ------------------------------------------------------------------------------------
 
-    private void notifyModule(ModuleEvent event) {
+    private void notifyBalancer(BalancerEvent event) {
         long now = simulation.now();
         eventsAtSameTime = now == lastEventAt ? eventsAtSameTime + 1 : 0;
         lastEventAt = now;
-        if (eventsAtSameTime > MAX_ACTIONS_PER_EVENT) {
+        if (eventsAtSameTime > MAX_STEPS_AT_ONCE) {
             throw new BalancerFailureException(
-                    now,
-                    number,
-                    "more than " + MAX_ACTIONS_PER_EVENT + " events without time passing");
+                    now, number, "more than " + MAX_STEPS_AT_ONCE + " events without time passing");
         }
         long startedAt = System.nanoTime();
-        event.dispatch(module, now);
+        event.dispatch(balancer, now);
         simulation.metrics().recordDecision(System.nanoTime() - startedAt);
-        if (pendingActions.size() > MAX_ACTIONS_PER_EVENT) {
+        if (pendingActions.size() > MAX_STEPS_AT_ONCE) {
             throw new BalancerFailureException(
-                    now,
-                    number,
-                    "one event asked for more than " + MAX_ACTIONS_PER_EVENT + " actions");
+                    now, number, "one event requested more than " + MAX_STEPS_AT_ONCE + " actions");
         }
         if (runningActions) {
             return;
@@ -221,7 +221,7 @@
         }
     }
 
-    /** Takes a call whose client waits until this time. */
+    /** Receives a request whose client times out at this deadline. */
     void receiveRequest(ClientOperation operation, long deadline) {
         SimulatedRequest request =
                 new SimulatedRequest(
@@ -231,7 +231,7 @@
                         simulation.now(),
                         deadline);
         requests.put(request.id, request);
-        var rules = operation.classModel().requestClass();
+        var requestClass = operation.classModel().requestClass();
         simulation
                 .checker()
                 .requestReceived(
@@ -239,19 +239,19 @@
                         request.name,
                         name,
                         new RequestTerms(
-                                rules.name(),
-                                rules.idempotency(),
-                                rules.deduplicationScope(),
-                                rules.deduplicationWindowNs(),
+                                requestClass.name(),
+                                requestClass.idempotency(),
+                                requestClass.deduplicationScope(),
+                                requestClass.deduplicationWindowNs(),
                                 deadline));
         long slack = simulation.scenario().rules().responseSlackNs();
         simulation.eventQueue().scheduleAt(deadline + slack + 1, () -> clientTimedOut(request));
-        notifyModule(
-                (m, now) ->
-                        m.request(
+        notifyBalancer(
+                (balancer, now) ->
+                        balancer.request(
                                 now,
                                 request.id,
-                                rules.name(),
+                                requestClass.name(),
                                 0,
                                 deadline,
                                 operation.tenant(),
@@ -259,7 +259,7 @@
                                 operation.key()));
     }
 
-    /** The client's time is over. */
+    /** The client has timed out. */
     private void clientTimedOut(SimulatedRequest request) {
         if (request.finished || !requests.containsKey(request.id)) {
             return;
@@ -268,18 +268,23 @@
             simulation
                     .checker()
                     .clientDisconnected(
-                            simulation.now(),
-                            request.name); // a process that is stopped owes nothing meanwhile
+                            simulation.now(), request.name); // a paused process owes no response
         } else {
             simulation.checker().deadlineMissed(simulation.now(), request.name);
         }
         request.finished = true;
         request.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
-        deliver(() -> notifyModule((m, now) -> m.clientDisconnected(now, request.id)));
+        deliver(
+                () ->
+                        notifyBalancer(
+                                (balancer, now) -> balancer.clientDisconnected(now, request.id)));
         forgetIfDone(request);
     }
 
-    /** An attempt has ended; what that came to is told to the client first. */
+    /**
+     * Handles the end of an attempt. The client gets its response before the balancer learns of the
+     * outcome.
+     */
     void attemptEnded(SimulatedAttempt attempt, Outcome outcome, long latencyNs, LoadReport load) {
         SimulatedRequest request = attempt.request;
         request.currentAttempt = null;
@@ -290,9 +295,9 @@
                         respond(request, ClientOperation.AttemptResult.SERVED, 0, "served");
                     }
                     boolean closed = request.finished;
-                    notifyModule(
-                            (m, now) ->
-                                    m.outcome(
+                    notifyBalancer(
+                            (balancer, now) ->
+                                    balancer.outcome(
                                             now,
                                             request.id,
                                             attempt.number,
@@ -306,13 +311,13 @@
 
     private void respond(
             SimulatedRequest request,
-            ClientOperation.AttemptResult seen,
+            ClientOperation.AttemptResult result,
             long retryAfterNs,
             String description) {
         simulation.checker().responded(simulation.now(), request.name, description);
         if (!request.finished) {
             request.finished = true;
-            request.operation.attemptEnded(seen, retryAfterNs);
+            request.operation.attemptEnded(result, retryAfterNs);
         }
         forgetIfDone(request);
     }
@@ -323,8 +328,8 @@
         }
     }
 
-    /** News of the servers. */
-    void list(ListKind kind, List<EndpointEntry> entries) {
+    /** Passes an endpoint list, whole or in part, to the balancer. */
+    void receiveList(ListKind kind, List<EndpointEntry> entries) {
         for (EndpointEntry entry : entries) {
             simulation
                     .checker()
@@ -334,15 +339,14 @@
                             entry.endpoint(),
                             entry.state() == EndpointState.READY);
         }
-        notifyModule((m, now) -> m.list(now, kind, entries));
+        notifyBalancer((balancer, now) -> balancer.list(now, kind, entries));
     }
 
     // ---- connections
-    // -------------------------------------------------------------------------------
 
     /**
-     * Takes the idle connection that was used last, if there is one that the server has not closed
-     * yet.
+     * Takes the most recently used idle connection to the server; false if the server has closed
+     * them all. Drops those that have been idle for too long.
      */
     boolean takeIdleConnection(SimulatedServer server) {
         ArrayDeque<IdleConnection> connections = idleConnections.get(server);
@@ -350,35 +354,34 @@
             return false;
         }
         long idleLimit = simulation.now() - simulation.network().idleCloseNs();
-        for (IdleConnection first = connections.peekFirst();
-                first != null
-                        && (first.idleSince <= idleLimit
-                                || first.incarnation != server.process().incarnation());
-                first = connections.peekFirst()) {
+        for (IdleConnection oldest = connections.peekFirst();
+                oldest != null
+                        && (oldest.idleSince <= idleLimit
+                                || oldest.serverIncarnation != server.process().incarnation());
+                oldest = connections.peekFirst()) {
             connections.pollFirst();
-            if (first.incarnation == server.process().incarnation()) {
+            if (oldest.serverIncarnation == server.process().incarnation()) {
                 server.connections--;
             }
         }
         return connections.pollLast() != null;
     }
 
-    void keepIdleConnection(SimulatedServer server, int current) {
-        if (server.process().incarnation() == current) {
+    void keepIdleConnection(SimulatedServer server, int serverIncarnation) {
+        if (server.process().incarnation() == serverIncarnation) {
             idleConnections
-                    .computeIfAbsent(server, w -> new ArrayDeque<>())
-                    .addLast(new IdleConnection(current, simulation.now()));
+                    .computeIfAbsent(server, key -> new ArrayDeque<>())
+                    .addLast(new IdleConnection(serverIncarnation, simulation.now()));
         }
     }
 
     // ---- actions
-    // -----------------------------------------------------------------------------------
 
     private SimulatedServer server(String endpoint) {
         SimulatedServer server = simulation.server(endpoint);
         if (server == null) {
             throw new BalancerFailureException(
-                    simulation.now(), number, "a worker that no list has named: " + endpoint);
+                    simulation.now(), number, "an endpoint that no list has named: " + endpoint);
         }
         return server;
     }
@@ -390,17 +393,17 @@
                     SimulatedServer server = server(endpoint);
                     SimulatedRequest request = requests.get(id);
                     if (request == null) {
-                        return; // it ended a moment ago
+                        return; // the request has just ended
                     }
                     int attempt = request.attempts++;
-                    long left = request.deadline - simulation.now();
+                    long remainingNs = request.deadline - simulation.now();
                     if (request.finished
-                            || left <= 0
+                            || remainingNs <= 0
                             || request.currentAttempt != null
                             || attempt >= simulation.scenario().rules().maxAttempts()) {
-                        notifyModule(
-                                (m, now) ->
-                                        m.outcome(
+                        notifyBalancer(
+                                (balancer, now) ->
+                                        balancer.outcome(
                                                 now,
                                                 id,
                                                 attempt,
@@ -422,7 +425,8 @@
                                     name,
                                     new InvariantChecker.ServerLocation(
                                             server.name, server.zone, server.cell));
-                    request.currentAttempt.send(timeoutNs == 0 ? left : Math.min(timeoutNs, left));
+                    request.currentAttempt.send(
+                            timeoutNs == 0 ? remainingNs : Math.min(timeoutNs, remainingNs));
                 });
     }
 
@@ -468,7 +472,7 @@
 
     @Override
     public void timer(long delayNs, long token) {
-        int current = incarnation;
+        int expectedIncarnation = incarnation;
         if (++timerCount > MAX_TIMERS) {
             throw new BalancerFailureException(
                     simulation.now(), number, "more than " + MAX_TIMERS + " timers");
@@ -478,9 +482,13 @@
                 .scheduleAfter(
                         delayNs,
                         () -> {
-                            if (incarnation == current) {
+                            if (incarnation == expectedIncarnation) {
                                 timerCount--;
-                                deliver(() -> notifyModule((m, now) -> m.timer(now, token)));
+                                deliver(
+                                        () ->
+                                                notifyBalancer(
+                                                        (balancer, now) ->
+                                                                balancer.timer(now, token)));
                             }
                         });
     }
@@ -493,24 +501,24 @@
                     simulation.metrics().recordHealthCheck();
                     long startedAt = simulation.now();
                     boolean[] finished = new boolean[1];
-                    long within = simulation.healthCheckTimeoutNs();
+                    long timeoutNs = simulation.healthCheckTimeoutNs();
                     simulation
                             .eventQueue()
                             .scheduleAfter(
-                                    within,
+                                    timeoutNs,
                                     () ->
                                             healthChecked(
                                                     server,
                                                     Outcome.TIMEOUT,
-                                                    within,
+                                                    timeoutNs,
                                                     null,
                                                     finished));
-                    simulation.travel(
+                    simulation.transmit(
                             this,
                             server,
                             () -> {
                                 if (!server.process().isUp()) {
-                                    simulation.travel(
+                                    simulation.transmit(
                                             server,
                                             this,
                                             () ->
@@ -526,7 +534,7 @@
                                                     () -> {
                                                         LoadReport load =
                                                                 server.process().healthReport();
-                                                        simulation.travel(
+                                                        simulation.transmit(
                                                                 server,
                                                                 this,
                                                                 () ->
@@ -553,9 +561,9 @@
             finished[0] = true;
             deliver(
                     () ->
-                            notifyModule(
-                                    (m, now) ->
-                                            m.healthChecked(
+                            notifyBalancer(
+                                    (balancer, now) ->
+                                            balancer.healthChecked(
                                                     now, server.name, outcome, latencyNs, load)));
         }
     }
@@ -571,8 +579,8 @@
                                 (int)
                                         connections.stream()
                                                 .filter(
-                                                        c ->
-                                                                c.incarnation
+                                                        connection ->
+                                                                connection.serverIncarnation
                                                                         == server.process()
                                                                                 .incarnation())
                                                 .count();
@@ -583,7 +591,7 @@
     @Override
     public void sendToPeer(int peer, byte[] data) {
         throw new BalancerFailureException(
-                simulation.now(), number, "a message to a peer: nodes share nothing here");
+                simulation.now(), number, "a message to a peer, which simulated nodes can't send");
     }
 
     @Override
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedRequest.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedRequest.java
@@ -2,14 +2,16 @@
 
 import trailthread.lab.clients.ClientOperation;
 
-/** A call at a node. */
+/** A request at a node. */
 final class SimulatedRequest {
     final long id;
 
-    /** Over all nodes, in the order of the calls. */
+    /** Counts the requests of all nodes. */
     final long serial;
 
+    /** Identifies the request to the checker. */
     final String name;
+
     final ClientOperation operation;
     final long deadline;
     final long receivedAt;
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedServer.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedServer.java
@@ -6,7 +6,7 @@
 import trailthread.lab.model.ServerLimits;
 import trailthread.lab.server.ServerProcess;
 
-/** A server in virtual time: its process, its connections, and what discovery says of it. */
+/** A server in virtual time: its process, its connections and its state in discovery. */
 final class SimulatedServer implements FaultTarget.Server {
     final String name;
     final int index;
@@ -17,7 +17,7 @@
     EndpointState state = EndpointState.READY;
     int connections;
 
-    /** Attempts that are on their way to it. */
+    /** Attempts on their way to this server. */
     int arriving;
 
     SimulatedServer(
@@ -51,7 +51,7 @@
         return new EndpointEntry(name, 1, state, zone, process.startedAt(), cell);
     }
 
-    /** A connect has come; whether it is taken. */
+    /** Accepts or refuses a new connection; true if it is accepted. */
     boolean acceptConnection() {
         if (!process.isUp() || connections >= simulation.network().maxConnections()) {
             return false;
@@ -61,7 +61,7 @@
         return true;
     }
 
-    /** A connection of this life of it is closed by its node. */
+    /** A node has closed a connection that was opened to this incarnation of the server. */
     void connectionClosed(int incarnation) {
         if (incarnation == process.incarnation()) {
             connections--;
--- a/lab/src/main/java/trailthread/lab/simulation/Simulation.java
+++ b/lab/src/main/java/trailthread/lab/simulation/Simulation.java
@@ -24,15 +24,15 @@
 import trailthread.lab.scenario.Scenario.NetworkModel;
 
 /**
- * A day in virtual time: clients, nodes with the decisions under test, the network, servers, the
- * discovery and what goes wrong. One seed gives one history. Runs on the thread that calls it and
- * shares nothing, so that many can run at once.
+ * A run in virtual time: clients, nodes with the balancer under test, network, servers, discovery
+ * and faults. One seed gives one history. It runs on the calling thread and shares nothing, so many
+ * can run at once.
  */
 public final class Simulation implements RequestSink, FaultTarget {
-    /** Virtual clocks begin at an odd time, so that nothing rests on zero. */
-    private static final long BEGIN = 1_000_000_000_000L;
+    /** Virtual clocks do not begin at 0, so that no code can rely on it. */
+    private static final long START_TIME = 1_000_000_000_000L;
 
-    /** How long the front of the nodes goes on sending to one that has died. */
+    /** How long the frontend of the nodes continues to send to a node that was killed. */
     private static final long FRONTEND_DETECTION_NS = 500_000_000L;
 
     private static final long SECOND = 1_000_000_000L;
@@ -40,12 +40,12 @@
     private final Scenario scenario;
     private final Policy policy;
     private final RandomStreams streams;
-    private final EventQueue eventQueue = new EventQueue(BEGIN);
+    private final EventQueue eventQueue = new EventQueue(START_TIME);
     private final InvariantChecker checker;
     private final RunMetrics metrics;
     private final List<SimulatedNode> nodes = new ArrayList<>();
     private final List<SimulatedServer> servers = new ArrayList<>();
-    private final Map<String, SimulatedServer> byName = new HashMap<>();
+    private final Map<String, SimulatedServer> serversByName = new HashMap<>();
     private final SimulatedDiscovery discovery;
     private final ClientPopulation clients;
     private final UniformRandomProvider networkRandom;
@@ -61,14 +61,14 @@
         checker =
                 new InvariantChecker(
                         scenario.rules().responseSlackNs(), scenario.rules().drainGraceNs());
-        metrics = new RunMetrics(BEGIN, BEGIN + scenario.warmUpNs());
+        metrics = new RunMetrics(START_TIME, START_TIME + scenario.warmUpNs());
         networkRandom = streams.stream("network");
         speedRandom = streams.stream("speeds");
         discovery = new SimulatedDiscovery(this);
         clients = new ClientPopulation(eventQueue, streams, scenario, metrics, this);
     }
 
-    /** What came of a day, and how it was judged. */
+    /** The metrics of a run and the violations that were found. */
     public record RunResult(
             RunMetrics metrics,
             InvariantChecker checker,
@@ -77,9 +77,10 @@
             List<String> servers) {}
 
     /**
-     * Plays a day.
+     * Simulates a run.
      *
-     * @throws BalancerFailureException if the decisions ask for what nobody can do
+     * @throws BalancerFailureException if the balancer requests an impossible action or gets into
+     *     an endless loop
      */
     public static RunResult run(Scenario scenario, Policy policy, long seed) {
         long startedAt = System.nanoTime();
@@ -90,7 +91,7 @@
                 simulation.checker,
                 simulation.eventQueue.executedCount(),
                 System.nanoTime() - startedAt,
-                simulation.servers.stream().map(w -> w.name).toList());
+                simulation.servers.stream().map(server -> server.name).toList());
     }
 
     private void runToEnd() {
@@ -103,10 +104,10 @@
         }
         nodes.forEach(SimulatedNode::start);
         FaultInjector.schedule(eventQueue, streams, scenario.faults(), this);
-        long end = BEGIN + scenario.durationNs();
+        long end = START_TIME + scenario.durationNs();
         clients.begin(end);
         sampleEachSecond(end);
-        // After the last arrival it runs on until all is answered.
+        // Continues after the last arrival until all operations have ended.
         for (long until = end + 2 * longestDeadline() + SECOND;
                 eventQueue.now() < until
                         && (eventQueue.now() < end || clients.openOperations() > 0); ) {
@@ -115,39 +116,38 @@
         checker.finish(eventQueue.now());
     }
 
-    /** A server under a new name. */
-    void addServer(String zone, int place, boolean cold) {
+    /** Adds a server with a new name. */
+    void addServer(String zone, int index, boolean cold) {
         var fleet = scenario.fleet();
-        ServerLimits own =
+        ServerLimits ownLimits =
                 fleet.limits()
                         .withSpeedFactor(
                                 RandomStreams.uniform(
                                         speedRandom, fleet.speedLow(), fleet.speedHigh()));
-        int cell = fleet.cells() > 0 ? place % fleet.cells() : -1;
+        int cell = fleet.cells() > 0 ? index % fleet.cells() : -1;
         SimulatedServer server =
                 new SimulatedServer(
-                        this, "w" + servers.size(), servers.size(), zone, cell, own, cold);
+                        this, "w" + servers.size(), servers.size(), zone, cell, ownLimits, cold);
         servers.add(server);
-        byName.put(server.name, server);
+        serversByName.put(server.name, server);
         discovery.add(server);
     }
 
-    // ---- the front of the nodes
-    // ---------------------------------------------------------------------
+    // ---- frontend of the nodes
 
     @Override
     public void startAttempt(
-            ClientOperation operation, int zone, double draw, long clientTimeoutAt) {
-        SimulatedNode node = chooseNode(scenario.zones().get(zone), draw);
+            ClientOperation operation, int zoneIndex, double nodeChoice, long clientTimeoutAt) {
+        SimulatedNode node = chooseNode(scenario.zones().get(zoneIndex), nodeChoice);
         if (node == null || !node.isUp()) {
             operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
         } else {
             boolean[] received = new boolean[1];
             node.deliver(
                     () -> {
-                        if (now() <= clientTimeoutAt) { // else its client has left, before a node
-                            // that was
-                            // stopped came to read it
+                        // A client that timed out during a pause has disconnected before the node
+                        // could read its request.
+                        if (now() <= clientTimeoutAt) {
                             received[0] = true;
                             node.receiveRequest(operation, clientTimeoutAt);
                         }
@@ -165,19 +165,22 @@
         }
     }
 
-    /** One of the zone's, or, if its front knows of none there, of all; null: there is none. */
+    /**
+     * Chooses a node of the zone, or of all zones if the frontend knows none there; null if there
+     * is none.
+     */
     private SimulatedNode chooseNode(String zone, double draw) {
-        int near = 0;
+        int inZone = 0;
         int all = 0;
         for (SimulatedNode node : nodes) {
             if (isRouted(node)) {
                 all++;
-                near += node.zone.equals(zone) ? 1 : 0;
+                inZone += node.zone.equals(zone) ? 1 : 0;
             }
         }
-        int left = (int) (draw * (near > 0 ? near : all));
+        int left = (int) (draw * (inZone > 0 ? inZone : all));
         for (SimulatedNode node : nodes) {
-            if (isRouted(node) && (near == 0 || node.zone.equals(zone)) && left-- == 0) {
+            if (isRouted(node) && (inZone == 0 || node.zone.equals(zone)) && left-- == 0) {
                 return node;
             }
         }
@@ -185,12 +188,11 @@
     }
 
     private boolean isRouted(SimulatedNode node) {
-        return (node.isUp() && !node.isLeaving())
-                || (!node.isUp() && eventQueue.now() - node.diedAt() < FRONTEND_DETECTION_NS);
+        return (node.isUp() && !node.isDraining())
+                || (!node.isUp() && eventQueue.now() - node.killedAt() < FRONTEND_DETECTION_NS);
     }
 
-    // ---- what the parts need
-    // -----------------------------------------------------------------------
+    // ---- used by the parts of the simulation
 
     long now() {
         return eventQueue.now();
@@ -240,7 +242,7 @@
     }
 
     SimulatedServer server(String name) {
-        return byName.get(name);
+        return serversByName.get(name);
     }
 
     long nextId() {
@@ -252,8 +254,8 @@
     }
 
     @Override
-    public void setHeavyTail(double share, double times) {
-        clients.setHeavyTail(share, times);
+    public void setHeavyTail(double share, double factor) {
+        clients.setHeavyTail(share, factor);
     }
 
     @Override
@@ -273,7 +275,10 @@
                 .orElseThrow();
     }
 
-    /** What takes longer to tell its load than the tightest aim is fit for nothing just now. */
+    /**
+     * The timeout of a health check. A server that takes longer to respond than the strictest
+     * latency objective allows could not serve a request in time now.
+     */
     long healthCheckTimeoutNs() {
         return scenario.classes().stream()
                 .mapToLong(c -> c.requestClass().latencyObjectiveNs())
@@ -281,26 +286,26 @@
                 .orElseThrow();
     }
 
-    void travel(SimulatedNode from, SimulatedServer to, Runnable task) {
-        travel(from.zone, to.zone, to, task);
+    void transmit(SimulatedNode from, SimulatedServer to, Runnable task) {
+        transmit(from.zone, to.zone, to, task);
     }
 
-    void travel(SimulatedServer from, SimulatedNode to, Runnable task) {
-        travel(from.zone, to.zone, from, () -> to.deliver(task));
+    void transmit(SimulatedServer from, SimulatedNode to, Runnable task) {
+        transmit(from.zone, to.zone, from, () -> to.deliver(task));
     }
 
-    /** One way over the network, if there is one. */
-    private void travel(String from, String to, SimulatedServer server, Runnable task) {
-        boolean far = !from.equals(to);
+    /** Runs the task after one network delay, if the network delivers at all. */
+    private void transmit(String from, String to, SimulatedServer server, Runnable task) {
+        boolean crossZone = !from.equals(to);
         if (server.process().faults.isolated
-                || (far
+                || (crossZone
                         && isolatedZone != null
                         && (from.equals(isolatedZone) || to.equals(isolatedZone)))) {
-            return; // nothing is said
+            return; // dropped without an error
         }
         NetworkModel model = scenario.network();
         double delay =
-                (far ? model.crossZoneDelayNs() : model.sameZoneDelayNs())
+                (crossZone ? model.crossZoneDelayNs() : model.sameZoneDelayNs())
                         * (1 + model.jitter() * networkRandom.nextDouble());
         eventQueue.scheduleAfter((long) delay, task);
     }
@@ -344,28 +349,28 @@
 
             @Override
             public double expectedSlowdown(String name) {
-                SimulatedServer w = byName.get(name);
-                boolean well =
-                        w.process().isUp()
-                                && w.process().faults.noneActive()
-                                && w.state == EndpointState.READY;
-                return well
-                        ? w.process().model().expectedSlowdown(now(), w.arriving)
+                SimulatedServer server = serversByName.get(name);
+                boolean available =
+                        server.process().isUp()
+                                && server.process().faults.noneActive()
+                                && server.state == EndpointState.READY;
+                return available
+                        ? server.process().model().expectedSlowdown(now(), server.arriving)
                         : Double.POSITIVE_INFINITY;
             }
         };
     }
 
     private void sampleEachSecond(long end) {
-        for (long at = BEGIN + SECOND - 1; at < end; at += SECOND) {
+        for (long at = START_TIME + SECOND - 1; at < end; at += SECOND) {
             eventQueue.scheduleAt(
                     at,
                     () -> {
-                        int[] held = new int[servers.size()];
-                        for (int i = 0; i < held.length; i++) {
-                            held[i] = servers.get(i).process().inflight();
+                        int[] inflight = new int[servers.size()];
+                        for (int i = 0; i < inflight.length; i++) {
+                            inflight[i] = servers.get(i).process().inflight();
                         }
-                        metrics.recordInflight(now(), held);
+                        metrics.recordInflight(now(), inflight);
                     });
         }
     }
--- a/lab/src/test/java/trailthread/lab/simulation/FleetTheoryTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/FleetTheoryTest.java
@@ -9,7 +9,7 @@
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
 
-/** What is known of whole fleets shows in the model. */
+/** Known results on fleets hold in the simulation. */
 public class FleetTheoryTest {
     private static Scenario scenario(int servers, double perSecond, String fleet) throws Exception {
         return ScenarioReader.parse(
@@ -37,59 +37,64 @@
                         .formatted(perSecond, servers, fleet));
     }
 
-    /** Two choices against one: the longest line is far shorter (Mitzenmacher 2001). */
+    /** With two choices the longest queue is much shorter than with one (Mitzenmacher 2001). */
     @Test
-    public void twoChoicesKeepTheLongestLineShort() throws Exception {
+    public void twoChoicesKeepTheLongestQueueShort() throws Exception {
         Scenario scenario = scenario(100, 9000, "");
-        int random = longest(Simulation.run(scenario, Policies.byName("random"), 1).metrics());
-        int two = longest(Simulation.run(scenario, Policies.byName("two-choices"), 1).metrics());
-        assertTrue(two + " of " + random, 3 * two < random);
+        int random = longestQueue(Simulation.run(scenario, Policies.byName("random"), 1).metrics());
+        int twoChoices =
+                longestQueue(Simulation.run(scenario, Policies.byName("two-choices"), 1).metrics());
+        assertTrue(
+                twoChoices + " with two choices, " + random + " at random",
+                3 * twoChoices < random);
     }
 
-    private static int longest(RunMetrics metrics) {
+    private static int longestQueue(RunMetrics metrics) {
         int most = 0;
         for (RunMetrics.SecondMetrics second : metrics.seconds()) {
-            for (int held : second.inflight()) {
-                most = Math.max(most, held);
+            for (int inflight : second.inflight()) {
+                most = Math.max(most, inflight);
             }
         }
         return most;
     }
 
     /**
-     * Without the correction, queues of two servers swing with the reports; with it they do not
-     * (the paper, 4.3).
+     * Without the correction the queues of two servers oscillate with the load reports; with it
+     * they do not (Chawathe and Brewer 1998, 4.3).
      */
     @Test
-    public void theCorrectionDampsTheSwingOfTwoServers() throws Exception {
+    public void correctionDampsTheOscillationBetweenTwoServers() throws Exception {
         Scenario scenario = scenario(2, 170, "report_every = \"2s\"");
-        double with = swing(Simulation.run(scenario, Policies.byName("sns"), 1).metrics());
+        double with =
+                meanQueueDifference(Simulation.run(scenario, Policies.byName("sns"), 1).metrics());
         double without =
-                swing(Simulation.run(scenario, Policies.byName("sns-uncorrected"), 1).metrics());
+                meanQueueDifference(
+                        Simulation.run(scenario, Policies.byName("sns-uncorrected"), 1).metrics());
         assertTrue(without + " without, " + with + " with", 2 * with < without);
     }
 
-    private static double swing(RunMetrics metrics) {
+    private static double meanQueueDifference(RunMetrics metrics) {
         return metrics.seconds().stream()
                 .map(RunMetrics.SecondMetrics::inflight)
-                .filter(held -> held.length == 2)
-                .mapToInt(held -> Math.abs(held[0] - held[1]))
+                .filter(inflight -> inflight.length == 2)
+                .mapToInt(inflight -> Math.abs(inflight[0] - inflight[1]))
                 .average()
                 .orElseThrow();
     }
 
-    /** Who sees the true state is no worse than who draws blindly. */
+    /** A policy that sees the true state has a lower mean latency than those that do not. */
     @Test
-    public void theOracleIsBestOfAll() throws Exception {
+    public void oracleHasTheLowestMeanLatency() throws Exception {
         Scenario scenario = scenario(10, 800, "speed = [0.6, 1.4]");
-        double oracle = mean(scenario, "oracle");
+        double oracle = meanLatencyUs(scenario, "oracle");
         for (String other :
                 List.of("random", "round-robin", "least-outstanding", "two-choices", "sns")) {
-            assertTrue(other, oracle < mean(scenario, other));
+            assertTrue(other, oracle < meanLatencyUs(scenario, other));
         }
     }
 
-    private static double mean(Scenario scenario, String policy) {
+    private static double meanLatencyUs(Scenario scenario, String policy) {
         return Simulation.run(scenario, Policies.byName(policy), 4).metrics().latencyUs().getMean();
     }
 }
--- a/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
@@ -26,13 +26,13 @@
 import trailthread.lab.scenario.ScenarioReader;
 
 /**
- * Days in virtual time: the same from the same seed, judged, and ended where the decisions run
- * wild.
+ * Runs in virtual time are reproducible, have no violations, and end when the balancer gets into an
+ * endless loop or requests an impossible action.
  */
 public class SimulationTest {
     private static final Path SCENARIOS = Path.of("scenarios");
 
-    /** A short form of a scenario of the repository. */
+    /** A scenario of the repository, shortened. */
     private static Scenario shortened(String name, double seconds)
             throws IOException, ScenarioReader.BadScenario {
         Scenario s = ScenarioReader.read(SCENARIOS.resolve(name + ".toml"));
@@ -71,23 +71,24 @@
                 specs.add(new RunExecutor.RunSpec(shortened(name, 7), policy, 5));
             }
         }
-        List<String> once =
+        List<String> onOneThread =
                 RunExecutor.runAll(specs, 1, r -> {}).stream()
                         .map(r -> r.withoutTimes().json())
                         .toList();
-        List<String> again =
+        List<String> onSevenThreads =
                 RunExecutor.runAll(specs, 7, r -> {}).stream()
                         .map(r -> r.withoutTimes().json())
                         .toList();
-        assertEquals(once, again);
-        assertNotEquals(once.get(0), run(shortened("fast-errors", 7), "trailthread", 6).json());
+        assertEquals(onOneThread, onSevenThreads);
+        assertNotEquals(
+                onOneThread.get(0), run(shortened("fast-errors", 7), "trailthread", 6).json());
     }
 
-    /** Whoever decides: what clients ask for, when and how much work it is. */
+    /** The operations of clients, their times and their work do not depend on the policy. */
     @Test
-    public void policiesMeetTheSameClients() throws Exception {
+    public void allPoliciesReceiveTheSameClientRequests() throws Exception {
         Scenario scenario = shortened("calm", 8);
-        long[] asked =
+        long[] counts =
                 Simulation.run(scenario, Policies.byName("random"), 3)
                         .metrics()
                         .classes()
@@ -96,13 +97,13 @@
         for (Policy policy : Policies.all()) {
             long[] other =
                     Simulation.run(scenario, policy, 3).metrics().classes().get("action").counts();
-            assertEquals(policy.name(), asked[0], other[0]);
+            assertEquals(policy.name(), counts[0], other[0]);
         }
     }
 
-    /** A short form of every scenario: the project's module keeps all rules, and nothing hangs. */
+    /** The balancer of this project violates no invariant in any scenario, and nothing hangs. */
     @Test
-    public void theModuleKeepsTheRulesOnEveryScenario() throws Exception {
+    public void noInvariantIsViolatedInAnyScenario() throws Exception {
         List<RunExecutor.RunSpec> specs = new ArrayList<>();
         try (Stream<Path> files = Files.list(SCENARIOS)) {
             for (Path file : files.sorted().toList()) {
@@ -114,26 +115,25 @@
                                 2));
             }
         }
-        assertTrue("twelve at least", specs.size() >= 12);
+        assertTrue("at least twelve scenarios", specs.size() >= 12);
         for (Result result : RunExecutor.runAll(specs, 4, r -> {})) {
             assertTrue(result.row(), result.broken().isEmpty());
             assertTrue(result.row(), result.goodput() > 0.3);
         }
     }
 
-    // ---- decisions that run wild
-    // -------------------------------------------------------------------
+    // ---- faulty balancers
 
-    /** The project's module, but for what the test puts between. */
-    private interface Spoiler {
-        BalancerActions spoil(BalancerActions actions, BalancerEvents[] module);
+    /** Changes the actions of the balancer of this project. */
+    private interface ActionFilter {
+        BalancerActions wrap(BalancerActions actions, BalancerEvents[] balancer);
     }
 
-    private static Policy spoilt(Spoiler spoiler) {
+    private static Policy filteredPolicy(ActionFilter filter) {
         return new Policy() {
             @Override
             public String name() {
-                return "spoilt";
+                return "filtered";
             }
 
             @Override
@@ -148,91 +148,91 @@
                     long now,
                     BalancerActions actions,
                     FleetView fleetView) {
-                BalancerEvents[] module = new BalancerEvents[1];
-                module[0] = new Balancer(settings, seed, now, spoiler.spoil(actions, module));
-                return module[0];
+                BalancerEvents[] balancer = new BalancerEvents[1];
+                balancer[0] = new Balancer(settings, seed, now, filter.wrap(actions, balancer));
+                return balancer[0];
             }
         };
     }
 
-    private static class Passing implements BalancerActions {
-        private final BalancerActions to;
+    private static class ForwardingActions implements BalancerActions {
+        private final BalancerActions target;
 
-        Passing(BalancerActions to) {
-            this.to = to;
+        ForwardingActions(BalancerActions target) {
+            this.target = target;
         }
 
         @Override
         public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
-            to.send(id, timeoutNs, writtenBy, endpoint);
+            target.send(id, timeoutNs, writtenBy, endpoint);
         }
 
         @Override
         public void refuse(long id, long retryAfterNs) {
-            to.refuse(id, retryAfterNs);
+            target.refuse(id, retryAfterNs);
         }
 
         @Override
         public void fail(long id) {
-            to.fail(id);
+            target.fail(id);
         }
 
         @Override
         public void cancel(long id, int attempt) {
-            to.cancel(id, attempt);
+            target.cancel(id, attempt);
         }
 
         @Override
         public void timer(long delayNs, long token) {
-            to.timer(delayNs, token);
+            target.timer(delayNs, token);
         }
 
         @Override
         public void checkHealth(String endpoint) {
-            to.checkHealth(endpoint);
+            target.checkHealth(endpoint);
         }
 
         @Override
         public void closeIdle(String endpoint) {
-            to.closeIdle(endpoint);
+            target.closeIdle(endpoint);
         }
 
         @Override
         public void sendToPeer(int peer, byte[] data) {
-            to.sendToPeer(peer, data);
+            target.sendToPeer(peer, data);
         }
 
         @Override
         public void watch(boolean on) {
-            to.watch(on);
+            target.watch(on);
         }
 
         @Override
         public void fetch() {
-            to.fetch();
+            target.fetch();
         }
 
         @Override
         public void log(String text) {
-            to.log(text);
+            target.log(text);
         }
     }
 
-    private static void runsWild(String with, Spoiler spoiler) throws Exception {
+    private static void assertRunFails(String message, ActionFilter filter) throws Exception {
         Scenario scenario = shortened("calm", 5);
-        BalancerFailureException fault =
+        BalancerFailureException failure =
                 assertThrows(
                         BalancerFailureException.class,
-                        () -> Simulation.run(scenario, spoilt(spoiler), 1));
-        assertTrue(fault.getMessage(), fault.getMessage().contains(with));
+                        () -> Simulation.run(scenario, filteredPolicy(filter), 1));
+        assertTrue(failure.getMessage(), failure.getMessage().contains(message));
     }
 
     @Test(timeout = 60_000)
     public void aFloodOfTimersEndsTheRun() throws Exception {
-        runsWild(
+        assertRunFails(
                 "without time passing",
-                (actions, module) ->
-                        new Passing(actions) {
+                (actions, balancer) ->
+                        new ForwardingActions(actions) {
                             @Override
                             public void timer(long delayNs, long token) {
                                 super.timer(0, token);
@@ -241,21 +241,20 @@
                             @Override
                             public void send(
                                     long id, long timeoutNs, long writtenBy, String endpoint) {
-                                super.timer(
-                                        0,
-                                        2); // each sets the next: it is the timer that the module
-                                // sets again
+                                // Each timer event schedules the next: the balancer
+                                // schedules this timer again.
+                                super.timer(0, 2);
                                 super.send(id, timeoutNs, writtenBy, endpoint);
                             }
                         });
     }
 
     @Test
-    public void moreActionsThanAnyEventNeedsEndTheRun() throws Exception {
-        runsWild(
-                "one event asked for more than",
-                (actions, module) ->
-                        new Passing(actions) {
+    public void tooManyActionsForOneEventEndTheRun() throws Exception {
+        assertRunFails(
+                "one event requested more than",
+                (actions, balancer) ->
+                        new ForwardingActions(actions) {
                             @Override
                             public void send(
                                     long id, long timeoutNs, long writtenBy, String endpoint) {
@@ -268,10 +267,10 @@
 
     @Test
     public void anEndpointInNoListEndsTheRun() throws Exception {
-        runsWild(
+        assertRunFails(
                 "no list has named: w999",
-                (actions, module) ->
-                        new Passing(actions) {
+                (actions, balancer) ->
+                        new ForwardingActions(actions) {
                             @Override
                             public void send(
                                     long id, long timeoutNs, long writtenBy, String endpoint) {
@@ -281,13 +280,13 @@
     }
 
     @Test
-    public void aSecondAnswerIsSeen() throws Exception {
+    public void aSecondResponseIsReported() throws Exception {
         Simulation.RunResult run =
                 Simulation.run(
                         shortened("calm", 4),
-                        spoilt(
-                                (actions, module) ->
-                                        new Passing(actions) {
+                        filteredPolicy(
+                                (actions, balancer) ->
+                                        new ForwardingActions(actions) {
                                             @Override
                                             public void send(
                                                     long id,
@@ -309,31 +308,31 @@
     }
 
     @Test
-    public void callsThatAreForgottenAreSeen() throws Exception {
+    public void requestsWithoutAResponseAreReported() throws Exception {
         Simulation.RunResult run =
                 Simulation.run(
                         shortened("calm", 4),
-                        spoilt(
-                                (actions, module) ->
-                                        new Passing(actions) {
+                        filteredPolicy(
+                                (actions, balancer) ->
+                                        new ForwardingActions(actions) {
                                             @Override
                                             public void send(
                                                     long id,
                                                     long timeoutNs,
                                                     long writtenBy,
                                                     String endpoint) {
-                                                // nothing
+                                                // drops the request
                                             }
 
                                             @Override
                                             public void refuse(long id, long retryAfterNs) {
-                                                // nothing
+                                                // drops the request
                                             }
                                         }),
                         1);
         assertTrue(
                 run.checker().violationCounts().toString(),
                 run.checker().violationCounts().containsKey(Invariant.IN_TIME));
-        assertEquals("each is judged", 0, run.checker().openRequests());
+        assertEquals("each request is checked", 0, run.checker().openRequests());
     }
 }
