--- a/lab/src/main/java/trailthread/lab/clients/ClientOperation.java
+++ b/lab/src/main/java/trailthread/lab/clients/ClientOperation.java
@@ -5,7 +5,7 @@
 
 /**
  * What a client wants done, over one or more attempts. All its random numbers are drawn when it
- * begins, so they do not depend on what happens to it.
+ * begins, so they do not depend on the results of its attempts.
  */
 public final class ClientOperation {
     /** The result of an attempt as its client sees it. */
--- a/lab/src/main/java/trailthread/lab/random/RandomStreams.java
+++ b/lab/src/main/java/trailthread/lab/random/RandomStreams.java
@@ -16,7 +16,10 @@
         this.seed = seed;
     }
 
-    /** Creates the stream of this name from its start. */
+    /**
+     * Creates the stream of this name from its start. Another name would give other numbers, and so
+     * other results for the same seed.
+     */
     public UniformRandomProvider stream(String name) {
         return RandomSource.XO_RO_SHI_RO_128_PP.create(seedOf(name));
     }
--- a/lab/src/main/java/trailthread/lab/simulation/BalancerFailureException.java
+++ b/lab/src/main/java/trailthread/lab/simulation/BalancerFailureException.java
@@ -7,7 +7,7 @@
 public final class BalancerFailureException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    BalancerFailureException(long at, int node, String what) {
-        super(String.format(java.util.Locale.ROOT, "%.6f s, node %d: %s", at / 1e9, node, what));
+    BalancerFailureException(long at, int node, String problem) {
+        super(String.format(java.util.Locale.ROOT, "%.6f s, node %d: %s", at / 1e9, node, problem));
     }
 }
--- a/lab/src/main/java/trailthread/lab/simulation/Simulation.java
+++ b/lab/src/main/java/trailthread/lab/simulation/Simulation.java
@@ -116,15 +116,15 @@
         checker.finish(eventQueue.now());
     }
 
-    /** Adds a server with a new name. */
-    void addServer(String zone, int index, boolean cold) {
+    /** Adds a server with a new name; its cell is {@code cellIndex} modulo the number of cells. */
+    void addServer(String zone, int cellIndex, boolean cold) {
         var fleet = scenario.fleet();
         ServerLimits ownLimits =
                 fleet.limits()
                         .withSpeedFactor(
                                 RandomStreams.uniform(
                                         speedRandom, fleet.speedLow(), fleet.speedHigh()));
-        int cell = fleet.cells() > 0 ? index % fleet.cells() : -1;
+        int cell = fleet.cells() > 0 ? cellIndex % fleet.cells() : -1;
         SimulatedServer server =
                 new SimulatedServer(
                         this, "w" + servers.size(), servers.size(), zone, cell, ownLimits, cold);
--- a/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
+++ b/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
@@ -222,7 +222,7 @@
     @Test
     public void aConnectionThatTheNodeClosesWithoutAResponse() {
         receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        checker.connectionLost(5, "7", "the connection ended without an answer");
+        checker.connectionLost(5, "7", "the connection ended without a response");
         checker.deadlineMissed(1100, "7"); // the request has ended: counted once
         assertViolations(Invariant.ONE_ANSWER);
     }
