--- a/lab/src/main/java/trailthread/lab/baseline/OraclePolicy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/OraclePolicy.java
@@ -6,22 +6,23 @@
 import trailthread.api.Settings;
 
 /**
- * The worker at which one more request would be done soonest, by the true state of all, with what
- * is on its way; none, where that would be past the aim. It holds nothing back and foresees no
- * fault, so a policy may still pass it.
+ * Chooses the server at which one more request would complete first, given the true state of all
+ * servers and the requests on their way; none if it would miss the latency objective. It does not
+ * reserve capacity and does not foresee faults, so another policy may still do better.
  */
 final class OraclePolicy extends PlainPolicy {
-    private final FleetView truth;
+    private final FleetView fleetView;
 
-    OraclePolicy(Settings settings, long seed, BalancerActions actions, FleetView truth) {
+    OraclePolicy(Settings settings, long seed, BalancerActions actions, FleetView fleetView) {
         super(settings, seed, actions);
-        this.truth = truth;
+        this.fleetView = fleetView;
     }
 
     @Override
-    Endpoint choose(List<Endpoint> among, RequestClass rules, long now) {
-        Endpoint best = least(among, b -> truth.stretch(b.name));
-        return truth.stretch(best.name) * truth.meanWorkNs() > rules.latencyObjectiveNs()
+    Endpoint choose(List<Endpoint> candidates, RequestClass requestClass, long now) {
+        Endpoint best = leastBy(candidates, endpoint -> fleetView.expectedSlowdown(endpoint.name));
+        return fleetView.expectedSlowdown(best.name) * fleetView.meanWorkNs()
+                        > requestClass.latencyObjectiveNs()
                 ? null
                 : best;
     }
--- a/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
+++ b/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
@@ -6,162 +6,189 @@
 import trailthread.lab.metrics.RunMetrics;
 import trailthread.lab.random.RandomStreams;
 import trailthread.lab.scenario.Scenario;
-import trailthread.lab.scenario.Scenario.ClassLaw;
-import trailthread.lab.scenario.Scenario.Draw;
+import trailthread.lab.scenario.Scenario.ClassModel;
 import trailthread.lab.scenario.Scenario.Surge;
+import trailthread.lab.scenario.Scenario.WorkDistribution;
 
 /**
- * The clients of a day: an open loop of Poisson arrivals. Times come from an agenda, virtual or
- * real; a request counts from when it was due, also where this machine brought it late.
+ * The clients of a run: an open loop of Poisson arrivals, in virtual or real time. Latency counts
+ * from when an operation was due, also if this machine sends it late.
  */
 public final class ClientPopulation {
-    private static final int MOST_DOUBLINGS = 10;
+    private static final int MAX_BACKOFF_DOUBLINGS = 10;
 
-    private final EventQueue agenda;
+    private final EventQueue eventQueue;
     private final Scenario scenario;
-    private final RunMetrics figures;
-    private final RequestSink front;
-    private final UniformRandomProvider arrivals;
-    private final UniformRandomProvider asks;
-    private final UniformRandomProvider tails;
+    private final RunMetrics metrics;
+    private final RequestSink sink;
+    private final UniformRandomProvider arrivalRandom;
+    private final UniformRandomProvider operationRandom;
+    private final UniformRandomProvider tailRandom;
     private final double[] classShares;
     private final double[] tenantShares;
-    private final long begin;
+    private final long startedAt;
     private double tailShare;
-    private double tailTimes = 1;
-    private int open;
+    private double tailFactor = 1;
+    private int openOperations;
 
-    /** Those of a day that begins now. */
+    /** Creates the clients of a run that begins now. */
     public ClientPopulation(
-            EventQueue agenda,
+            EventQueue eventQueue,
             RandomStreams streams,
             Scenario scenario,
-            RunMetrics figures,
-            RequestSink front) {
-        this.agenda = agenda;
+            RunMetrics metrics,
+            RequestSink sink) {
+        this.eventQueue = eventQueue;
         this.scenario = scenario;
-        this.figures = figures;
-        this.front = front;
-        begin = agenda.now();
-        arrivals = streams.of("arrivals");
-        asks = streams.of("asks");
-        tails = streams.of("tails");
-        classShares = scenario.classes().stream().mapToDouble(ClassLaw::share).toArray();
+        this.metrics = metrics;
+        this.sink = sink;
+        startedAt = eventQueue.now();
+        arrivalRandom = streams.stream("arrivals");
+        operationRandom = streams.stream("asks");
+        tailRandom = streams.stream("tails");
+        classShares = scenario.classes().stream().mapToDouble(ClassModel::share).toArray();
         tenantShares = scenario.tenants().stream().mapToDouble(Tenant::share).toArray();
     }
 
-    /** From now on this share of the requests costs so many times the usual work. */
-    public void setTail(double share, double times) {
+    /** From now on, this share of the requests costs this many times the usual work. */
+    public void setHeavyTail(double share, double factor) {
         tailShare = share;
-        tailTimes = times;
+        tailFactor = factor;
     }
 
-    /** Requests that have not come to their ends. */
-    public int open() {
-        return open;
+    /** The operations that have not ended. */
+    public int openOperations() {
+        return openOperations;
     }
 
-    void ended() {
-        open--;
+    void operationEnded() {
+        openOperations--;
     }
 
     long now() {
-        return agenda.now();
+        return eventQueue.now();
     }
 
-    RunMetrics figures() {
-        return figures;
+    RunMetrics metrics() {
+        return metrics;
     }
 
-    RequestSink front() {
-        return front;
+    RequestSink sink() {
+        return sink;
     }
 
-    /** After a try's wait, or as long as the answer advises where clients heed that. */
-    void later(int tries, double draw, long retryAfterNs, Runnable task) {
-        var law = scenario.clients();
-        long wait = (long) (law.backoffNs() * (1L << Math.min(tries - 1, MOST_DOUBLINGS)) * draw);
-        agenda.in(Math.max(wait, law.heeds() ? retryAfterNs : 0), task);
+    /**
+     * Runs the task after an exponential backoff, or after the advised time if that is longer and
+     * the clients honor it.
+     */
+    void scheduleRetry(int attempts, double draw, long retryAfterNs, Runnable task) {
+        var clientModel = scenario.clients();
+        long wait =
+                (long)
+                        (clientModel.backoffNs()
+                                * (1L << Math.min(attempts - 1, MAX_BACKOFF_DOUBLINGS))
+                                * draw);
+        eventQueue.scheduleAfter(
+                Math.max(wait, clientModel.honorsRetryAfter() ? retryAfterNs : 0), task);
     }
 
     private double rate(long at) {
-        var law = scenario.clients();
-        double rate = law.perSecond();
-        long since = at - begin;
-        if (law.swingNs() > 0) {
-            rate *= 1 + law.swing() * StrictMath.sin(2 * StrictMath.PI * since / law.swingNs());
+        var clientModel = scenario.clients();
+        double rate = clientModel.perSecond();
+        long since = at - startedAt;
+        if (clientModel.swingPeriodNs() > 0) {
+            rate *=
+                    1
+                            + clientModel.swingDepth()
+                                    * StrictMath.sin(
+                                            2
+                                                    * StrictMath.PI
+                                                    * since
+                                                    / clientModel.swingPeriodNs());
         }
-        for (Surge surge : law.surges()) {
-            if (since >= surge.atNs() && since < surge.atNs() + surge.forNs()) {
-                rate *= surge.times();
+        for (Surge surge : clientModel.surges()) {
+            if (since >= surge.startNs() && since < surge.startNs() + surge.durationNs()) {
+                rate *= surge.rateFactor();
             }
         }
         return rate;
     }
 
-    private double mostRate() {
-        double most = scenario.clients().perSecond() * (1 + scenario.clients().swing());
+    private double peakRate() {
+        double maxRate = scenario.clients().perSecond() * (1 + scenario.clients().swingDepth());
         for (Surge surge : scenario.clients().surges()) {
-            most *= Math.max(1, surge.times());
+            maxRate *= Math.max(1, surge.rateFactor());
         }
-        return most;
+        return maxRate;
     }
 
     /**
-     * Begins to ask, until this time; a rate that changes by thinning (Lewis and Shedler, 1979).
+     * Sends operations until this time. A varying rate is drawn by thinning (Lewis and Shedler,
+     * 1979).
      */
     public void begin(long end) {
-        arrive(mostRate(), end);
+        scheduleNextArrival(peakRate(), end);
     }
 
-    private void arrive(double most, long end) {
-        long at = agenda.now();
+    private void scheduleNextArrival(double maxRate, long end) {
+        long at = eventQueue.now();
         do {
-            at += (long) RandomStreams.exponential(arrivals, 1e9 / most);
-        } while (at < end && arrivals.nextDouble() * most >= rate(at));
+            at += (long) RandomStreams.exponential(arrivalRandom, 1e9 / maxRate);
+        } while (at < end && arrivalRandom.nextDouble() * maxRate >= rate(at));
         if (at < end) {
-            agenda.at(
+            eventQueue.scheduleAt(
                     at,
                     () -> {
-                        open++;
-                        ask().attempt();
-                        arrive(most, end);
+                        openOperations++;
+                        newOperation().startAttempt();
+                        scheduleNextArrival(maxRate, end);
                     });
         }
     }
 
-    private ClientRequest ask() {
-        var law = scenario.clients();
-        ClassLaw of = scenario.classes().get(drawn(classShares, asks.nextDouble()));
+    private ClientOperation newOperation() {
+        var clientModel = scenario.clients();
+        ClassModel classModel =
+                scenario.classes().get(drawIndex(classShares, operationRandom.nextDouble()));
         String tenant =
                 tenantShares.length == 0
                         ? null
-                        : scenario.tenants().get(drawn(tenantShares, asks.nextDouble())).name();
-        double draw = asks.nextDouble();
+                        : scenario.tenants()
+                                .get(drawIndex(tenantShares, operationRandom.nextDouble()))
+                                .name();
+        double draw = operationRandom.nextDouble();
         double work =
-                of.draw() == Draw.FIXED
-                        ? of.lowNs()
-                        : of.draw() == Draw.UNIFORM
-                                ? of.lowNs() + draw * (of.highNs() - of.lowNs())
-                                : -of.lowNs() * StrictMath.log(1 - draw);
-        if (tails.nextDouble() < tailShare) {
-            work *= tailTimes;
+                classModel.distribution() == WorkDistribution.FIXED
+                        ? classModel.lowWorkNs()
+                        : classModel.distribution() == WorkDistribution.UNIFORM
+                                ? classModel.lowWorkNs()
+                                        + draw * (classModel.highWorkNs() - classModel.lowWorkNs())
+                                : -classModel.lowWorkNs() * StrictMath.log(1 - draw);
+        if (tailRandom.nextDouble() < tailShare) {
+            work *= tailFactor;
         }
-        long key = law.keys() > 0 ? 1 + asks.nextLong(law.keys()) : 0;
-        int zone = asks.nextInt(scenario.zones().size());
-        int tries = law.retries() + 1;
-        ClientRequest.Draws draws =
-                new ClientRequest.Draws(new double[tries], new double[tries], new double[tries]);
-        for (int i = 0; i < tries; i++) {
-            draws.patience()[i] =
-                    RandomStreams.uniform(asks, law.patienceLow(), law.patienceHigh());
-            draws.backoff()[i] = RandomStreams.uniform(asks, 0.5, 1);
-            draws.front()[i] = asks.nextDouble();
+        long key =
+                clientModel.keyCount() > 0
+                        ? 1 + operationRandom.nextLong(clientModel.keyCount())
+                        : 0;
+        int zone = operationRandom.nextInt(scenario.zones().size());
+        int attempts = clientModel.retries() + 1;
+        ClientOperation.RandomDraws draws =
+                new ClientOperation.RandomDraws(
+                        new double[attempts], new double[attempts], new double[attempts]);
+        for (int i = 0; i < attempts; i++) {
+            draws.timeoutShare()[i] =
+                    RandomStreams.uniform(
+                            operationRandom,
+                            clientModel.timeoutShareLow(),
+                            clientModel.timeoutShareHigh());
+            draws.backoff()[i] = RandomStreams.uniform(operationRandom, 0.5, 1);
+            draws.nodeChoice()[i] = operationRandom.nextDouble();
         }
-        return new ClientRequest(this, of, tenant, Math.max(1, work), key, zone, draws);
+        return new ClientOperation(this, classModel, tenant, Math.max(1, work), key, zone, draws);
     }
 
-    private static int drawn(double[] shares, double draw) {
+    private static int drawIndex(double[] shares, double draw) {
         double sum = 0;
         for (double share : shares) {
             sum += share;
--- a/lab/src/main/java/trailthread/lab/clients/RequestSink.java
+++ b/lab/src/main/java/trailthread/lab/clients/RequestSink.java
@@ -1,13 +1,15 @@
 package trailthread.lab.clients;
 
-/** What clients' tries come to: the front of some nodes, in virtual time or on sockets. */
+/** Where clients send their attempts: the frontend of the nodes, in virtual time or on sockets. */
 public interface RequestSink {
     /**
-     * Takes a try, and tells {@link ClientRequest#saw} once how it ended.
+     * Sends an attempt to a node, and calls {@link ClientOperation#attemptEnded} once when it has
+     * ended.
      *
-     * @param zone the client's, by number
-     * @param draw uniform in [0, 1), for the choice of a node
-     * @param until when the client gives this try up, in ns
+     * @param zoneIndex the zone of the client
+     * @param nodeChoice uniform in [0, 1); selects the node
+     * @param clientTimeoutAt when the client gives up this attempt, in ns
      */
-    void take(ClientRequest ask, int zone, double draw, long until);
+    void startAttempt(
+            ClientOperation operation, int zoneIndex, double nodeChoice, long clientTimeoutAt);
 }
--- a/lab/src/main/java/trailthread/lab/command/RunCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/RunCommand.java
@@ -63,19 +63,19 @@
         PrintWriter print = spec.commandLine().getOut();
         Scenario scenario = ScenarioReader.read(file);
         Path directory = logs != null ? logs : Files.createTempDirectory("trailthread-lab");
-        try (Emulation day = new Emulation(scenario, seed, scenario.nodes())) {
-            day.startNodes(Emulation.Program.ofCheckout(root.toAbsolutePath()), directory);
+        try (Emulation emulation = new Emulation(scenario, seed, scenario.nodes())) {
+            emulation.startNodes(Emulation.Program.ofCheckout(root.toAbsolutePath()), directory);
             print.println(
                     scenario.name()
                             + ": "
                             + scenario.nodes()
                             + " nodes are ready, before "
-                            + scenario.fleet().workers()
+                            + scenario.fleet().servers()
                             + " workers; logs in "
                             + directory);
             print.flush();
             long begun = System.nanoTime();
-            day.play(
+            emulation.run(
                     true,
                     d -> {
                         if (!quiet) {
@@ -87,17 +87,17 @@
                             scenario,
                             "node",
                             seed,
-                            day.figures(),
-                            day.referee(),
+                            emulation.metrics(),
+                            emulation.checker(),
                             0,
                             System.nanoTime() - begun);
             print.println(Result.head());
             print.println(result.row());
-            day.referee().violations().stream()
+            emulation.checker().violations().stream()
                     .limit(3)
-                    .map(Violation::told)
+                    .map(Violation::describe)
                     .forEach(print::println);
-            boolean counts = EmulationRun.counts(day, print);
+            boolean counts = EmulationRun.counts(emulation, print);
             if (counts && out != null) {
                 Files.writeString(
                         out,
--- a/lab/src/main/java/trailthread/lab/emulation/EmulatedDiscovery.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulatedDiscovery.java
@@ -22,7 +22,7 @@
     private static final Pattern INDEX = Pattern.compile("[?&]index=([0-9]{1,18})\\b");
     private static final long IDLE_NS = 2_000_000_000L;
 
-    private final Emulation day;
+    private final Emulation emulation;
     private final UniformRandomProvider random;
     private final List<EmulatedServer> listed = new ArrayList<>();
     private final List<RestartableListener> listeners = new ArrayList<>();
@@ -31,12 +31,13 @@
     private long generation = 1;
     private boolean down;
 
-    EmulatedDiscovery(Emulation day, int nodes) throws IOException {
-        this.day = day;
-        random = day.streams().of("roster");
+    EmulatedDiscovery(Emulation emulation, int nodes) throws IOException {
+        this.emulation = emulation;
+        random = emulation.streams().stream("roster");
         for (int i = 0; i < Math.max(1, nodes); i++) {
             int node = i;
-            listeners.add(new RestartableListener(day.loop(), 0, channel -> accept(node, channel)));
+            listeners.add(
+                    new RestartableListener(emulation.loop(), 0, channel -> accept(node, channel)));
         }
     }
 
@@ -52,43 +53,48 @@
                 return;
             }
             Watch line = new Watch(node);
-            line.wire = HttpMessageConnection.accepted(day.loop(), channel, line);
+            line.wire = HttpMessageConnection.accepted(emulation.loop(), channel, line);
             lines.add(line);
         } catch (IOException e) {
             // the client has gone already
         }
     }
 
-    void add(EmulatedServer worker) {
-        listed.add(worker);
-        changed(worker, worker.state);
+    void add(EmulatedServer server) {
+        listed.add(server);
+        changed(server, server.state);
     }
 
-    /** A worker's state is this now. */
-    void changed(EmulatedServer worker, EndpointState state) {
-        worker.state = state;
+    /** A server's state is this now. */
+    void changed(EmulatedServer server, EndpointState state) {
+        server.state = state;
         generation++;
         if (state == EndpointState.GONE) {
-            listed.remove(worker);
+            listed.remove(server);
         }
         long of = generation;
         for (Watch watch : List.copyOf(watches)) {
-            var law = day.scenario().list();
-            long at = day.now() + (long) RandomStreams.uniform(random, law.lowNs(), law.highNs());
+            var model = emulation.scenario().discovery();
+            long at =
+                    emulation.now()
+                            + (long)
+                                    RandomStreams.uniform(
+                                            random, model.minDelayNs(), model.maxDelayNs());
             watch.toldAt = Math.max(at, watch.toldAt);
-            String line = object(of, false, entry(worker, watch.node, state));
-            day.agenda()
-                    .at(
+            String line = object(of, false, entry(server, watch.node, state));
+            emulation
+                    .eventQueue()
+                    .scheduleAt(
                             watch.toldAt,
                             () -> {
                                 if (watches.contains(watch)) {
                                     watch.line(line);
-                                    day.judged(
+                                    emulation.check(
                                             r ->
-                                                    r.told(
-                                                            day.now(),
+                                                    r.endpointStateReceived(
+                                                            emulation.now(),
                                                             "n" + watch.node,
-                                                            worker.name,
+                                                            server.name,
                                                             state == EndpointState.READY));
                                 }
                             });
@@ -98,7 +104,7 @@
     /** The whole list, as a node hears it. */
     String whole(int node) {
         List<String> entries = new ArrayList<>();
-        listed.forEach(worker -> entries.add(entry(worker, node, worker.state)));
+        listed.forEach(server -> entries.add(entry(server, node, server.state)));
         return object(generation, true, String.join(",", entries));
     }
 
@@ -106,10 +112,10 @@
     void known(int node) {
         listed.forEach(
                 w ->
-                        day.judged(
+                        emulation.check(
                                 r ->
-                                        r.told(
-                                                day.now(),
+                                        r.endpointStateReceived(
+                                                emulation.now(),
                                                 "n" + node,
                                                 w.name,
                                                 w.state == EndpointState.READY)));
@@ -125,7 +131,7 @@
                 + "]}";
     }
 
-    private String entry(EmulatedServer worker, int node, EndpointState state) {
+    private String entry(EmulatedServer server, int node, EndpointState state) {
         String lifecycle =
                 state == EndpointState.READY
                         ? "active"
@@ -134,12 +140,12 @@
                 Locale.ROOT,
                 "{\"instanceId\":\"%s\",\"hostPort\":\"%s\",\"zone\":\"%s\",\"cell\":%d,"
                         + "\"lifecycle\":\"%s\",\"weight\":1.0,\"startedAtMs\":%d}",
-                worker.name,
-                worker.hostPort(node),
-                worker.zone,
-                worker.cell,
+                server.name,
+                server.hostPort(node),
+                server.zone,
+                server.cell,
                 lifecycle,
-                day.unixMs(worker.process().startedAt()));
+                emulation.unixMs(server.process().startedAt()));
     }
 
     /** It answers nothing, and watches end; or it is back. */
@@ -170,15 +176,16 @@
                 wire.send("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
                 return;
             }
-            long at = day.now() + day.scenario().list().lowNs();
+            long at = emulation.now() + emulation.scenario().discovery().minDelayNs();
             toldAt = Math.max(at, toldAt);
             if (message.target().contains("stream=1")) {
                 Matcher index = INDEX.matcher(message.target());
                 long has = index.find() ? Long.parseLong(index.group(1)) : -1;
                 wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 watches.add(this);
-                day.agenda()
-                        .at(
+                emulation
+                        .eventQueue()
+                        .scheduleAt(
                                 toldAt,
                                 () -> {
                                     if (watches.contains(this) && has != generation) {
@@ -188,8 +195,9 @@
                                 });
                 idles();
             } else {
-                day.agenda()
-                        .at(
+                emulation
+                        .eventQueue()
+                        .scheduleAt(
                                 toldAt,
                                 () -> {
                                     String list = whole(node);
@@ -214,8 +222,9 @@
                 idle.cancel();
             }
             idle =
-                    day.agenda()
-                            .in(
+                    emulation
+                            .eventQueue()
+                            .scheduleAfter(
                                     IDLE_NS,
                                     () -> {
                                         if (watches.contains(this)) {
--- a/lab/src/main/java/trailthread/lab/emulation/EmulatedServer.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulatedServer.java
@@ -19,11 +19,11 @@
 import trailthread.lab.server.ServerProcess;
 
 /**
- * A worker on sockets: the model of virtual time, driven by the real clock, behind the workers'
- * side of the platform's protocol. Each node has an address of its own for it, so that the referee
+ * A server on sockets: the model of virtual time, driven by the real clock, behind the servers'
+ * side of the platform's protocol. Each node has an address of its own for it, so that the checker
  * knows who sends.
  */
-final class EmulatedServer implements FaultTarget.Worker {
+final class EmulatedServer implements FaultTarget.Server {
     private static final Pattern WORK = Pattern.compile("[?&]work=([0-9]{1,15})\\b");
     private static final String GARBAGE =
             "HTTP/9 \u0001\u0002 wor\u00ffk\r\n\u0000\u0003: ;;\r\n\r\n\u00fe";
@@ -32,7 +32,7 @@
     final String name;
     final String zone;
     final int cell;
-    private final Emulation day;
+    private final Emulation emulation;
     private final ServerProcess process;
     private final List<RestartableListener> listeners = new ArrayList<>();
     private final Set<Line> lines = new HashSet<>();
@@ -40,27 +40,33 @@
     private boolean wasCut;
 
     EmulatedServer(
-            Emulation day, String name, String zone, int cell, ServerLimits law, boolean cold)
+            Emulation emulation,
+            String name,
+            String zone,
+            int cell,
+            ServerLimits limits,
+            boolean cold)
             throws IOException {
-        this.day = day;
+        this.emulation = emulation;
         this.name = name;
         this.zone = zone;
         this.cell = cell;
         process =
                 new ServerProcess(
-                        day.agenda(),
-                        day.streams(),
-                        day.scenario().fleet(),
+                        emulation.eventQueue(),
+                        emulation.streams(),
+                        emulation.scenario().fleet(),
                         name,
-                        law,
+                        limits,
                         cold,
                         () -> {
-                            day.judged(r -> r.fell(day.now(), name));
-                            goesDown();
+                            emulation.check(r -> r.coldServerOverloaded(emulation.now(), name));
+                            stop();
                         });
-        for (int i = 0; i < Math.max(1, day.nodeCount()); i++) {
+        for (int i = 0; i < Math.max(1, emulation.nodeCount()); i++) {
             String node = "n" + i;
-            listeners.add(new RestartableListener(day.loop(), 0, channel -> accept(node, channel)));
+            listeners.add(
+                    new RestartableListener(emulation.loop(), 0, channel -> accept(node, channel)));
         }
     }
 
@@ -71,14 +77,14 @@
 
     private void accept(String node, SocketChannel channel) {
         try {
-            if (lines.size() >= day.scenario().network().connections()) {
+            if (lines.size() >= emulation.scenario().network().maxConnections()) {
                 channel.close();
                 return;
             }
-            process.works(day.scenario().network().openWorkNs());
+            process.addBackgroundWork(emulation.scenario().network().connectionWorkNs());
             Line line = new Line(node);
-            line.wire = HttpMessageConnection.accepted(day.loop(), channel, line);
-            line.wire.mute(process.ills.cut);
+            line.wire = HttpMessageConnection.accepted(emulation.loop(), channel, line);
+            line.wire.mute(process.faults.isolated);
             lines.add(line);
         } catch (IOException e) {
             // the client has gone already
@@ -91,10 +97,10 @@
      * way to another one.
      */
     void arrangeCut() {
-        if (process.ills.cut == wasCut) {
+        if (process.faults.isolated == wasCut) {
             return;
         }
-        wasCut = process.ills.cut;
+        wasCut = process.faults.isolated;
         for (Line line : List.copyOf(lines)) {
             if (wasCut) {
                 line.wire.mute(true);
@@ -106,9 +112,9 @@
     }
 
     /** Looks whether the connection of an attempt has ended by now. */
-    void look(String call) {
+    void look(String requestId) {
         List.copyOf(lines).stream()
-                .filter(line -> line.served != null && line.served.call.equals(call))
+                .filter(line -> line.served != null && line.served.requestId.equals(requestId))
                 .forEach(line -> line.wire.read());
     }
 
@@ -128,12 +134,12 @@
     }
 
     @Override
-    public void drains() {
-        day.roster().changed(this, EndpointState.DRAINING);
+    public void startDraining() {
+        emulation.discovery().changed(this, EndpointState.DRAINING);
     }
 
     @Override
-    public void goesDown() {
+    public void stop() {
         for (RestartableListener listener : listeners) {
             try {
                 listener.close();
@@ -141,7 +147,7 @@
                 throw new IllegalStateException(e);
             }
         }
-        process.goDown();
+        process.stop();
         for (Line line : List.copyOf(lines)) {
             line.wire.reset();
             line.ends();
@@ -149,7 +155,7 @@
     }
 
     @Override
-    public void comesBack() {
+    public void restart() {
         try {
             for (RestartableListener listener : listeners) {
                 listener.again();
@@ -157,14 +163,14 @@
         } catch (IOException e) {
             throw new IllegalStateException(name + " can't listen again", e);
         }
-        process.comeUp();
-        day.roster().changed(this, EndpointState.READY);
+        process.start();
+        emulation.discovery().changed(this, EndpointState.READY);
     }
 
     @Override
-    public void isReplaced() {
-        day.roster().changed(this, EndpointState.GONE);
-        day.addWorker(zone, Math.max(0, cell), true);
+    public void replace() {
+        emulation.discovery().changed(this, EndpointState.GONE);
+        emulation.addServer(zone, Math.max(0, cell), true);
     }
 
     private static String load(LoadReport load) {
@@ -202,9 +208,9 @@
                 return;
             }
             if (message.target().equals("/health") || message.target().equals("/status/load")) {
-                day.figures().probes();
-                process.probes(
-                        () -> wire.send(answer("200 OK", null, "", load(process.healthChecked()))));
+                emulation.metrics().recordHealthCheck();
+                process.checkHealth(
+                        () -> wire.send(answer("200 OK", null, "", load(process.healthReport()))));
                 return;
             }
             String id = message.header("x-correlation-id");
@@ -213,18 +219,18 @@
                 wire.send(answer("404 Not Found", null, "", ""));
                 return;
             }
-            int attempt = day.nextAttempt(id, EmulatedServer.this);
+            int attempt = emulation.nextAttempt(id, EmulatedServer.this);
             served = new Served(this, id, attempt, Math.max(1, Double.parseDouble(work.group(1))));
-            day.judged(
+            emulation.check(
                     r ->
-                            r.sent(
+                            r.attemptSent(
                                     wire.beganAt(),
                                     id,
                                     attempt,
                                     node,
-                                    new InvariantChecker.Place(name, zone, cell)));
-            day.figures().sends(day.workers().indexOf(EmulatedServer.this));
-            process.arrived(served);
+                                    new InvariantChecker.ServerLocation(name, zone, cell)));
+            emulation.metrics().recordAttempt(emulation.servers().indexOf(EmulatedServer.this));
+            process.receive(served);
         }
 
         @Override
@@ -238,22 +244,29 @@
             if (served != null) {
                 Served was = served;
                 served = null;
-                process.givenUp(was);
-                day.judged(r -> r.ended(day.now(), was.call, was.attempt, Outcome.CANCELLED));
+                process.cancelRequest(was);
+                emulation.check(
+                        r ->
+                                r.attemptEnded(
+                                        emulation.now(),
+                                        was.requestId,
+                                        was.attempt,
+                                        Outcome.CANCELLED));
             }
         }
 
-        private void answered(Served of, Outcome outcome, String text, long drips) {
+        private void answered(Served of, Outcome outcome, String text, long trickleNs) {
             served = null;
-            day.judged(r -> r.ended(day.now(), of.call, of.attempt, outcome));
-            if (drips == 0) {
+            emulation.check(
+                    r -> r.attemptEnded(emulation.now(), of.requestId, of.attempt, outcome));
+            if (trickleNs == 0) {
                 wire.send(text);
                 return;
             }
             int piece = Math.max(1, text.length() / DRIPS);
             for (int from = 0, i = 0; from < text.length(); from += piece, i++) {
                 String part = text.substring(from, Math.min(text.length(), from + piece));
-                day.agenda().in(drips * i / DRIPS, () -> wire.send(part));
+                emulation.eventQueue().scheduleAfter(trickleNs * i / DRIPS, () -> wire.send(part));
             }
         }
     }
@@ -261,13 +274,13 @@
     /** A request that is here. */
     private final class Served implements IncomingRequest {
         private final Line line;
-        private final String call;
+        private final String requestId;
         private final int attempt;
         private final double work;
 
-        Served(Line line, String call, int attempt, double work) {
+        Served(Line line, String requestId, int attempt, double work) {
             this.line = line;
-            this.call = call;
+            this.requestId = requestId;
             this.attempt = attempt;
             this.work = work;
         }
@@ -278,12 +291,12 @@
         }
 
         @Override
-        public void begins() {
-            day.judged(r -> r.begun(day.now(), call, attempt));
+        public void executionStarted() {
+            emulation.check(r -> r.executionStarted(emulation.now(), requestId, attempt));
         }
 
         @Override
-        public void answers(Answer answer, long drips) {
+        public void respond(Response answer, long trickleNs) {
             if (line.served != this) {
                 return;
             }
@@ -297,17 +310,17 @@
                                         "200 OK",
                                         load,
                                         "",
-                                        call + " " + name + " " + (long) work + "\n"),
-                                drips);
+                                        requestId + " " + name + " " + (long) work + "\n"),
+                                trickleNs);
                 case ERROR ->
                         line.answered(
-                                this, Outcome.ERROR, answer("500 Failed", load, "", ""), drips);
+                                this, Outcome.ERROR, answer("500 Failed", load, "", ""), trickleNs);
                 case FULL ->
                         line.answered(
                                 this,
                                 Outcome.REJECTED,
                                 answer("503 Full", load, "X-Unprocessed: 1\r\n", ""),
-                                drips);
+                                trickleNs);
                 case GARBAGE -> line.answered(this, Outcome.RESET, GARBAGE, 0);
                 case RESET -> {
                     line.wire.reset();
@@ -318,7 +331,7 @@
         }
 
         @Override
-        public void breaks() {
+        public void connectionBroken() {
             // its connection is reset with all others
         }
     }
--- a/lab/src/main/java/trailthread/lab/emulation/Emulation.java
+++ b/lab/src/main/java/trailthread/lab/emulation/Emulation.java
@@ -24,14 +24,14 @@
 import trailthread.lab.scenario.Scenario;
 
 /**
- * A day on sockets: the scenario's workers and roster as stand-ins on loopback, and, where asked
+ * A day on sockets: the scenario's servers and discovery as stand-ins on loopback, and, where asked
  * for, its clients and real nodes. All but the nodes runs on one thread. Only loopback is spoken
  * to.
  */
 public final class Emulation implements FaultTarget, Closeable {
     private static final long SECOND = 1_000_000_000L;
     private static final long STARTS_WITHIN_NS = 30 * SECOND;
-    private static final int CALLS_REMEMBERED = 200_000;
+    private static final int MAX_REMEMBERED_REQUESTS = 200_000;
 
     /** Attempts of one call so far, and where the last one went. */
     private static final class Attempts {
@@ -68,10 +68,10 @@
     private final Scenario scenario;
     private final EmulationLoop loop = new EmulationLoop();
     private final RandomStreams streams;
-    private final List<EmulatedServer> workers = new ArrayList<>();
+    private final List<EmulatedServer> servers = new ArrayList<>();
     private final List<NodeProcess> nodes = new ArrayList<>();
     private final List<NodeSecond> nodeSeconds = new ArrayList<>();
-    private final EmulatedDiscovery roster;
+    private final EmulatedDiscovery discovery;
     private final UniformRandomProvider speeds;
     private final int nodeCount;
     private final long unixOffsetNs = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
@@ -81,17 +81,17 @@
 
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Attempts> eldest) {
-                    return size() > CALLS_REMEMBERED;
+                    return size() > MAX_REMEMBERED_REQUESTS;
                 }
             };
-    private InvariantChecker referee;
-    private RunMetrics figures;
+    private InvariantChecker checker;
+    private RunMetrics metrics;
     private HttpClients front;
     private ClientPopulation clients;
     private long lastId = System.nanoTime() << 8 & 0xfffffffffffffL;
 
     /**
-     * Starts workers and roster.
+     * Starts servers and discovery.
      *
      * @param nodeCount how many nodes there will be; each has addresses of its own
      */
@@ -99,22 +99,22 @@
         this.scenario = scenario;
         this.nodeCount = nodeCount;
         streams = new RandomStreams(seed);
-        speeds = streams.of("speeds");
-        figures = new RunMetrics(loop.agenda().now(), Long.MAX_VALUE);
-        roster = new EmulatedDiscovery(this, nodeCount);
-        for (int i = 0; i < scenario.fleet().workers(); i++) {
-            addWorker(scenario.zones().get(i % scenario.zones().size()), i, false);
+        speeds = streams.stream("speeds");
+        metrics = new RunMetrics(loop.eventQueue().now(), Long.MAX_VALUE);
+        discovery = new EmulatedDiscovery(this, nodeCount);
+        for (int i = 0; i < scenario.fleet().servers(); i++) {
+            addServer(scenario.zones().get(i % scenario.zones().size()), i, false);
         }
     }
 
-    /** Where a node, by its number, finds the roster. */
-    public String rosterAt(int node) {
-        return roster.hostPort(node);
+    /** Where a node, by its number, finds discovery. */
+    public String discoveryAt(int node) {
+        return discovery.hostPort(node);
     }
 
-    /** Where a node finds the workers. */
-    public List<String> workersAt(int node) {
-        return workers.stream().map(w -> w.hostPort(node)).toList();
+    /** Where a node finds the servers. */
+    public List<String> serversAt(int node) {
+        return servers.stream().map(w -> w.hostPort(node)).toList();
     }
 
     /** How late this machine did what was due. */
@@ -123,14 +123,14 @@
     }
 
     /** What came of it. */
-    public RunMetrics figures() {
-        figures.at(now());
-        return figures;
+    public RunMetrics metrics() {
+        metrics.setClock(now());
+        return metrics;
     }
 
     /** How it was judged. */
-    public InvariantChecker referee() {
-        return referee;
+    public InvariantChecker checker() {
+        return checker;
     }
 
     /** By seconds, what the nodes held. */
@@ -145,7 +145,7 @@
 
     /** Starts real nodes with this command; what they say goes to files in the directory. */
     public void startNodes(Program program, Path directory) throws IOException {
-        referee =
+        checker =
                 new InvariantChecker(
                         scenario.rules().responseSlackNs() + 50_000_000L,
                         scenario.rules().drainGraceNs() + 50_000_000L);
@@ -176,18 +176,18 @@
         front =
                 new HttpClients(
                         loop,
-                        referee,
+                        checker,
                         scenario.rules().responseSlackNs(),
                         scenario.zones(),
                         () -> ++lastId);
     }
 
     /**
-     * Sends to these nodes, which others have started; without workers of its own nothing but
+     * Sends to these nodes, which others have started; without servers of its own nothing but
      * answers is judged.
      */
     public void sendTo(List<Integer> ports) {
-        referee =
+        checker =
                 new InvariantChecker(
                         scenario.rules().responseSlackNs() + 50_000_000L, Long.MAX_VALUE / 4);
         front();
@@ -205,41 +205,49 @@
     /**
      * Plays the day, from now on.
      *
-     * @param withTroubles whether its faults happen
+     * @param withFaults whether its faults happen
      * @param everySecond hears of its progress
      */
-    public void play(boolean withTroubles, Consumer<Emulation> everySecond) throws IOException {
+    public void run(boolean withFaults, Consumer<Emulation> everySecond) throws IOException {
         long begin = now();
-        figures = new RunMetrics(begin, begin + scenario.warmUpNs());
+        metrics = new RunMetrics(begin, begin + scenario.warmUpNs());
         loop.lateUs().reset();
         if (front != null) {
-            clients = new ClientPopulation(agenda(), streams, scenario, figures, front);
-            clients.begin(begin + scenario.lengthNs());
+            clients = new ClientPopulation(eventQueue(), streams, scenario, metrics, front);
+            clients.begin(begin + scenario.durationNs());
         }
-        if (withTroubles) {
-            FaultInjector.arrange(agenda(), streams, scenario.faults(), this);
+        if (withFaults) {
+            FaultInjector.schedule(eventQueue(), streams, scenario.faults(), this);
         }
-        sample(begin, begin + scenario.lengthNs(), everySecond);
-        cuts(begin + scenario.lengthNs());
+        sample(begin, begin + scenario.durationNs(), everySecond);
+        cuts(begin + scenario.durationNs());
         long longest =
-                scenario.classes().stream().mapToLong(c -> c.rules().deadlineNs()).max().orElse(0);
-        long end = begin + scenario.lengthNs();
+                scenario.classes().stream()
+                        .mapToLong(c -> c.requestClass().deadlineNs())
+                        .max()
+                        .orElse(0);
+        long end = begin + scenario.durationNs();
         loop.runUntil(end);
-        while (System.nanoTime() < end + 2 * longest && clients != null && clients.open() > 0) {
+        while (System.nanoTime() < end + 2 * longest
+                && clients != null
+                && clients.openOperations() > 0) {
             loop.runUntil(System.nanoTime() + SECOND / 20);
         }
-        if (referee != null) {
-            referee.finish(now());
+        if (checker != null) {
+            checker.finish(now());
         }
     }
 
     private void sample(long begin, long end, Consumer<Emulation> everySecond) {
-        agenda().in(
+        eventQueue()
+                .scheduleAfter(
                         SECOND,
                         () -> {
-                            figures.holds(
+                            metrics.recordInflight(
                                     now() - 1,
-                                    workers.stream().mapToInt(w -> w.process().holds()).toArray());
+                                    servers.stream()
+                                            .mapToInt(w -> w.process().inflight())
+                                            .toArray());
                             List<NodeProcess.Sample> samples =
                                     nodes.stream().map(NodeProcess::sample).toList();
                             nodeSeconds.add(
@@ -262,31 +270,31 @@
 
     /** Machines that are cut off fall silent within a moment. */
     private void cuts(long end) {
-        workers.forEach(EmulatedServer::arrangeCut);
+        servers.forEach(EmulatedServer::arrangeCut);
         if (now() < end) {
-            agenda().in(SECOND / 100, () -> cuts(end));
+            eventQueue().scheduleAfter(SECOND / 100, () -> cuts(end));
         }
     }
 
     // ---- what the parts need
     // -----------------------------------------------------------------------
 
-    void judged(Consumer<InvariantChecker> told) {
-        if (referee != null) {
-            told.accept(referee);
+    void check(Consumer<InvariantChecker> told) {
+        if (checker != null) {
+            told.accept(checker);
         }
     }
 
     long now() {
-        return agenda().now();
+        return eventQueue().now();
     }
 
     long unixMs(long at) {
         return at == 0 ? 0 : (at + unixOffsetNs) / 1_000_000;
     }
 
-    EventQueue agenda() {
-        return loop.agenda();
+    EventQueue eventQueue() {
+        return loop.eventQueue();
     }
 
     RandomStreams streams() {
@@ -297,8 +305,8 @@
         return scenario;
     }
 
-    EmulatedDiscovery roster() {
-        return roster;
+    EmulatedDiscovery discovery() {
+        return discovery;
     }
 
     int nodeCount() {
@@ -309,39 +317,41 @@
      * The number of an attempt that has come; an earlier one's connection that has ended by now is
      * looked at first.
      */
-    int nextAttempt(String call, EmulatedServer worker) {
-        Attempts of = attempts.computeIfAbsent(call, c -> new Attempts());
+    int nextAttempt(String requestId, EmulatedServer server) {
+        Attempts of = attempts.computeIfAbsent(requestId, c -> new Attempts());
         if (of.last != null) {
-            of.last.look(call);
+            of.last.look(requestId);
         }
-        of.last = worker;
+        of.last = server;
         return of.count++;
     }
 
-    /** A worker under a new name. */
-    void addWorker(String zone, int place, boolean cold) {
+    /** A server under a new name. */
+    void addServer(String zone, int place, boolean cold) {
         var fleet = scenario.fleet();
         ServerLimits own =
-                fleet.law().at(RandomStreams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
+                fleet.limits()
+                        .withSpeedFactor(
+                                RandomStreams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
         try {
-            EmulatedServer worker =
+            EmulatedServer server =
                     new EmulatedServer(
                             this,
-                            "w" + workers.size(),
+                            "w" + servers.size(),
                             zone,
                             fleet.cells() > 0 ? place % fleet.cells() : -1,
                             own,
                             cold);
-            workers.add(worker);
-            roster.add(worker);
+            servers.add(server);
+            discovery.add(server);
         } catch (IOException e) {
             throw new IllegalStateException("no worker can be added", e);
         }
     }
 
     @Override
-    public List<EmulatedServer> workers() {
-        return workers;
+    public List<EmulatedServer> servers() {
+        return servers;
     }
 
     @Override
@@ -350,22 +360,22 @@
     }
 
     @Override
-    public void rosterDown(boolean down) {
-        roster.down(down);
+    public void setDiscoveryDown(boolean down) {
+        discovery.down(down);
     }
 
     @Override
-    public void cutZone(String zone) {
-        for (EmulatedServer worker :
-                workers) { // nodes of the zone still reach it: they are on this machine
-            worker.process().ills.cut = zone != null && worker.zone.equals(zone);
+    public void isolateZone(String zone) {
+        for (EmulatedServer server :
+                servers) { // nodes of the zone still reach it: they are on this machine
+            server.process().faults.isolated = zone != null && server.zone.equals(zone);
         }
     }
 
     @Override
-    public void tail(double share, double times) {
+    public void setHeavyTail(double share, double times) {
         if (clients != null) {
-            clients.setTail(share, times);
+            clients.setHeavyTail(share, times);
         }
     }
 
--- a/lab/src/main/java/trailthread/lab/experiment/Bootstrap.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Bootstrap.java
@@ -41,7 +41,7 @@
             throw new IllegalArgumentException("no pairs");
         }
         double mean = Arrays.stream(differences).average().orElseThrow();
-        UniformRandomProvider random = new RandomStreams(differences.length).of("bootstrap");
+        UniformRandomProvider random = new RandomStreams(differences.length).stream("bootstrap");
         double[] means = new double[SAMPLES];
         for (int i = 0; i < SAMPLES; i++) {
             double sum = 0;
@@ -51,8 +51,9 @@
             means[i] = sum / differences.length;
         }
         Arrays.sort(means);
-        int tail = (int) (SAMPLES * (1 - LEVEL) / 2);
-        return new Bootstrap(mean, means[tail], means[SAMPLES - 1 - tail], differences.length);
+        int tailCount = (int) (SAMPLES * (1 - LEVEL) / 2);
+        return new Bootstrap(
+                mean, means[tailCount], means[SAMPLES - 1 - tailCount], differences.length);
     }
 
     /**
--- a/lab/src/main/java/trailthread/lab/experiment/Result.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Result.java
@@ -17,10 +17,10 @@
  * @param goodput worth answered in time over worth asked for
  * @param classes by class: asked, within the aim, after it, refused, failed
  * @param p50Ms latency of what was served, from the client's first try on
- * @param attempts sent to workers, for each request of a client
+ * @param attempts sent to servers, for each request of a client
  * @param probes a second
- * @param opened connections to workers opened, a second
- * @param unevenness the most that a worker was sent over the mean
+ * @param opened connections to servers opened, a second
+ * @param unevenness the most that a server was sent over the mean
  * @param broken how often each rule was broken; empty: none was
  * @param events done in virtual time
  * @param wallMs of this machine; not the same in another run
@@ -46,8 +46,8 @@
     private static final Gson GSON = new GsonBuilder().disableHtmlEscaping().create();
 
     /** Of a day in virtual time. */
-    public static Result of(Scenario scenario, String policy, long seed, Simulation.Day day) {
-        return of(scenario, policy, seed, day.figures(), day.referee(), day.events(), day.wallNs());
+    public static Result of(Scenario scenario, String policy, long seed, Simulation.RunResult run) {
+        return of(scenario, policy, seed, run.metrics(), run.checker(), run.events(), run.wallNs());
     }
 
     /** Of what was counted and judged. */
@@ -55,25 +55,27 @@
             Scenario scenario,
             String policy,
             long seed,
-            RunMetrics figures,
-            InvariantChecker referee,
+            RunMetrics metrics,
+            InvariantChecker checker,
             long events,
             long wallNs) {
         Map<String, long[]> classes = new LinkedHashMap<>();
-        figures.classes().forEach((name, of) -> classes.put(name, of.counts()));
+        metrics.classes().forEach((name, of) -> classes.put(name, of.counts()));
         Map<String, Integer> broken = new LinkedHashMap<>();
-        referee.broken()
+        checker.violationCounts()
                 .forEach((rule, times) -> broken.put(rule.name().toLowerCase(Locale.ROOT), times));
-        long[] totals = figures.totals();
-        double seconds = (scenario.lengthNs() - scenario.warmUpNs()) / 1e9;
-        Histogram latency = figures.latencyUs();
-        double mean = figures.sent().stream().mapToLong(Long::longValue).average().orElse(0);
-        double most = figures.sent().stream().mapToLong(Long::longValue).max().orElse(0);
+        long[] totals = metrics.totals();
+        double seconds = (scenario.durationNs() - scenario.warmUpNs()) / 1e9;
+        Histogram latency = metrics.latencyUs();
+        double mean =
+                metrics.attemptsByServer().stream().mapToLong(Long::longValue).average().orElse(0);
+        double most =
+                metrics.attemptsByServer().stream().mapToLong(Long::longValue).max().orElse(0);
         return new Result(
                 scenario.name(),
                 policy,
                 seed,
-                figures.goodput(),
+                metrics.goodput(),
                 classes,
                 latency.getValueAtPercentile(50) / 1e3,
                 latency.getValueAtPercentile(99) / 1e3,
@@ -85,7 +87,7 @@
                 broken,
                 events,
                 wallNs / 1e6,
-                figures.decisionNs() / 1e6);
+                metrics.decisionNs() / 1e6);
     }
 
     /** One line, without an end. */
--- a/lab/src/main/java/trailthread/lab/fault/FaultInjector.java
+++ b/lab/src/main/java/trailthread/lab/fault/FaultInjector.java
@@ -6,187 +6,221 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import trailthread.lab.event.EventQueue;
 import trailthread.lab.random.RandomStreams;
-import trailthread.lab.scenario.Scenario.Fault;
-import trailthread.lab.scenario.Scenario.Trouble;
+import trailthread.lab.scenario.Scenario.FaultKind;
+import trailthread.lab.scenario.Scenario.ScheduledFault;
 import trailthread.lab.server.ServerFaults;
 
-/** Makes go wrong, when it is to, what a scenario lists. */
+/** Injects the faults of a scenario at their times. */
 public final class FaultInjector {
-    /** How long a worker that drains goes on before it ends, and how long its next start takes. */
-    private static final long DRAINS_NS = 2_000_000_000L;
+    /** How long a server drains before its process ends. */
+    private static final long DRAIN_NS = 2_000_000_000L;
 
-    private static final long STARTS_NS = 1_000_000_000L;
+    /** How long its next start takes. */
+    private static final long START_NS = 1_000_000_000L;
 
-    /** And after a loss of power. */
-    private static final long POWER_BACK_NS = 2_000_000_000L;
+    /** How long a start takes after a loss of power. */
+    private static final long START_AFTER_POWER_LOSS_NS = 2_000_000_000L;
 
-    /** How often it is looked whether all nodes serve. */
-    private static final long LOOK_NS = 20_000_000L;
+    /** How often to check whether all nodes are serving. */
+    private static final long SERVING_POLL_NS = 20_000_000L;
 
-    private final EventQueue agenda;
-    private final FaultTarget day;
+    private final EventQueue eventQueue;
+    private final FaultTarget target;
 
-    private FaultInjector(EventQueue agenda, FaultTarget day) {
-        this.agenda = agenda;
-        this.day = day;
+    private FaultInjector(EventQueue eventQueue, FaultTarget target) {
+        this.eventQueue = eventQueue;
+        this.target = target;
     }
 
-    /** Arranges all of these for a day that begins now. */
-    public static void arrange(
-            EventQueue agenda, RandomStreams streams, List<Fault> faults, FaultTarget day) {
-        FaultInjector troubles = new FaultInjector(agenda, day);
+    /** Schedules these faults for a run that begins now. */
+    public static void schedule(
+            EventQueue eventQueue,
+            RandomStreams streams,
+            List<ScheduledFault> faults,
+            FaultTarget target) {
+        FaultInjector injector = new FaultInjector(eventQueue, target);
         for (int i = 0; i < faults.size(); i++) {
-            Fault fault = faults.get(i);
-            UniformRandomProvider random = streams.of("fault " + i);
-            agenda.in(fault.atNs(), () -> troubles.begin(fault, random));
+            ScheduledFault fault = faults.get(i);
+            UniformRandomProvider random = streams.stream("fault " + i);
+            eventQueue.scheduleAfter(fault.startNs(), () -> injector.start(fault, random));
         }
     }
 
-    private static <T> List<T> struck(List<T> all, double part, UniformRandomProvider random) {
-        List<T> left = new ArrayList<>(all);
-        List<T> struck = new ArrayList<>();
+    private static <T> List<T> choose(List<T> all, double share, UniformRandomProvider random) {
+        List<T> remaining = new ArrayList<>(all);
+        List<T> chosen = new ArrayList<>();
         int count =
                 Math.min(
-                        left.size(),
-                        (int) Math.max(part > 0 ? 1 : 0, Math.round(part * left.size())));
-        while (struck.size() < count) {
-            struck.add(left.remove(random.nextInt(left.size())));
+                        remaining.size(),
+                        (int) Math.max(share > 0 ? 1 : 0, Math.round(share * remaining.size())));
+        while (chosen.size() < count) {
+            chosen.add(remaining.remove(random.nextInt(remaining.size())));
         }
-        return struck;
+        return chosen;
     }
 
-    private List<FaultTarget.Worker> workers(Fault fault, UniformRandomProvider random) {
-        List<FaultTarget.Worker> fit = new ArrayList<>();
-        for (FaultTarget.Worker worker : day.workers()) {
-            if (worker.isReady() && (fault.zone() == null || worker.zone().equals(fault.zone()))) {
-                fit.add(worker);
+    private List<FaultTarget.Server> affectedServers(
+            ScheduledFault fault, UniformRandomProvider random) {
+        List<FaultTarget.Server> eligible = new ArrayList<>();
+        for (FaultTarget.Server server : target.servers()) {
+            if (server.isReady() && (fault.zone() == null || server.zone().equals(fault.zone()))) {
+                eligible.add(server);
             }
         }
-        return struck(fit, fault.part(), random);
+        return choose(eligible, fault.affectedShare(), random);
     }
 
-    private void begin(Fault fault, UniformRandomProvider random) {
-        switch (fault.trouble()) {
+    private void start(ScheduledFault fault, UniformRandomProvider random) {
+        switch (fault.kind()) {
             case FAST_ERRORS ->
-                    ills(fault, random, i -> i.failing = fault.size(), i -> i.failing = 0);
+                    setServerFaults(
+                            fault,
+                            random,
+                            faults -> faults.errorShare = fault.magnitude(),
+                            faults -> faults.errorShare = 0);
             case LOST_ANSWERS ->
-                    ills(fault, random, i -> i.losing = fault.size(), i -> i.losing = 0);
+                    setServerFaults(
+                            fault,
+                            random,
+                            faults -> faults.lostResponseShare = fault.magnitude(),
+                            faults -> faults.lostResponseShare = 0);
             case RESETS ->
-                    ills(fault, random, i -> i.resetting = fault.size(), i -> i.resetting = 0);
+                    setServerFaults(
+                            fault,
+                            random,
+                            faults -> faults.resetShare = fault.magnitude(),
+                            faults -> faults.resetShare = 0);
             case GARBAGE ->
-                    ills(fault, random, i -> i.spoiling = fault.size(), i -> i.spoiling = 0);
+                    setServerFaults(
+                            fault,
+                            random,
+                            faults -> faults.garbageShare = fault.magnitude(),
+                            faults -> faults.garbageShare = 0);
             case DRIPS ->
-                    ills(
+                    setServerFaults(
+                            fault,
+                            random,
+                            faults -> faults.trickleNs = (long) (fault.magnitude() * 1e9),
+                            faults -> faults.trickleNs = 0);
+            case CUT ->
+                    setServerFaults(
                             fault,
                             random,
-                            i -> i.drips = (long) (fault.size() * 1e9),
-                            i -> i.drips = 0);
-            case CUT -> ills(fault, random, i -> i.cut = true, i -> i.cut = false);
+                            faults -> faults.isolated = true,
+                            faults -> faults.isolated = false);
             case SLOW ->
-                    forAWhile(
+                    applyTemporarily(
                             fault,
-                            workers(fault, random),
-                            w -> w.process().slow(fault.size()),
-                            w -> w.process().slow(1));
+                            affectedServers(fault, random),
+                            server -> server.process().setSlowdown(fault.magnitude()),
+                            server -> server.process().setSlowdown(1));
             case LATE_REPORTS ->
-                    forAWhile(
+                    applyTemporarily(
                             fault,
-                            List.copyOf(day.workers()),
-                            w -> w.process().reportsLate((long) (fault.size() * 1e9)),
-                            w -> w.process().reportsLate(0));
+                            List.copyOf(target.servers()),
+                            server ->
+                                    server.process()
+                                            .setReportDelay((long) (fault.magnitude() * 1e9)),
+                            server -> server.process().setReportDelay(0));
             case HEAVY_TAIL -> {
-                day.tail(fault.extra(), fault.size());
-                agenda.in(fault.forNs(), () -> day.tail(0, 1));
+                target.setHeavyTail(fault.requestShare(), fault.magnitude());
+                eventQueue.scheduleAfter(fault.durationNs(), () -> target.setHeavyTail(0, 1));
             }
             case ZONE_CUT -> {
-                day.cutZone(fault.zone());
-                agenda.in(fault.forNs(), () -> day.cutZone(null));
+                target.isolateZone(fault.zone());
+                eventQueue.scheduleAfter(fault.durationNs(), () -> target.isolateZone(null));
             }
             case RESTART, REPLACE -> {
-                List<FaultTarget.Worker> all = workers(fault, random);
+                List<FaultTarget.Server> all = affectedServers(fault, random);
                 for (int i = 0; i < all.size(); i++) {
-                    FaultTarget.Worker worker = all.get(i);
-                    agenda.in(
-                            fault.forNs() * i / all.size(),
-                            () -> leaves(worker, fault.trouble() == Trouble.REPLACE));
+                    FaultTarget.Server server = all.get(i);
+                    eventQueue.scheduleAfter(
+                            fault.durationNs() * i / all.size(),
+                            () -> restart(server, fault.kind() == FaultKind.REPLACE));
                 }
             }
             case COLD_FLEET ->
-                    workers(fault, random)
+                    affectedServers(fault, random)
                             .forEach(
-                                    worker -> {
-                                        worker.goesDown();
-                                        agenda.in(POWER_BACK_NS, worker::comesBack);
+                                    server -> {
+                                        server.stop();
+                                        eventQueue.scheduleAfter(
+                                                START_AFTER_POWER_LOSS_NS, server::restart);
                                     });
             case ROSTER_DOWN -> {
-                day.rosterDown(true);
-                agenda.in(fault.forNs(), () -> day.rosterDown(false));
+                target.setDiscoveryDown(true);
+                eventQueue.scheduleAfter(fault.durationNs(), () -> target.setDiscoveryDown(false));
             }
             case NODE_KILL ->
-                    struck(day.nodes(), fault.part(), random)
+                    choose(target.nodes(), fault.affectedShare(), random)
                             .forEach(
                                     node -> {
                                         node.kill();
-                                        agenda.in(fault.forNs(), node::start);
+                                        eventQueue.scheduleAfter(fault.durationNs(), node::start);
                                     });
             case NODE_RESTART -> {
-                List<FaultTarget.Node> all = struck(List.copyOf(day.nodes()), fault.part(), random);
-                roll(all, fault.forNs() / Math.max(1, all.size()));
+                List<FaultTarget.Node> all =
+                        choose(List.copyOf(target.nodes()), fault.affectedShare(), random);
+                restartInTurn(all, fault.durationNs() / Math.max(1, all.size()));
             }
             case NODE_RELOAD ->
-                    struck(day.nodes(), fault.part(), random).forEach(FaultTarget.Node::reload);
+                    choose(target.nodes(), fault.affectedShare(), random)
+                            .forEach(FaultTarget.Node::reload);
             case NODE_PAUSE ->
-                    struck(day.nodes(), fault.part(), random)
-                            .forEach(node -> node.pause(fault.forNs()));
-            default -> throw new IllegalStateException(fault.trouble().name());
+                    choose(target.nodes(), fault.affectedShare(), random)
+                            .forEach(node -> node.pause(fault.durationNs()));
+            default -> throw new IllegalStateException(fault.kind().name());
         }
     }
 
-    private void ills(
-            Fault fault,
+    private void setServerFaults(
+            ScheduledFault fault,
             UniformRandomProvider random,
             Consumer<ServerFaults> on,
             Consumer<ServerFaults> off) {
-        forAWhile(
+        applyTemporarily(
                 fault,
-                workers(fault, random),
-                w -> on.accept(w.process().ills),
-                w -> off.accept(w.process().ills));
+                affectedServers(fault, random),
+                server -> on.accept(server.process().faults),
+                server -> off.accept(server.process().faults));
     }
 
-    private void forAWhile(
-            Fault fault,
-            List<FaultTarget.Worker> struck,
-            Consumer<FaultTarget.Worker> on,
-            Consumer<FaultTarget.Worker> off) {
-        struck.forEach(on);
-        agenda.in(fault.forNs(), () -> struck.forEach(off));
+    private void applyTemporarily(
+            ScheduledFault fault,
+            List<FaultTarget.Server> affected,
+            Consumer<FaultTarget.Server> on,
+            Consumer<FaultTarget.Server> off) {
+        affected.forEach(on);
+        eventQueue.scheduleAfter(fault.durationNs(), () -> affected.forEach(off));
     }
 
     /**
-     * Restarts the first of these, and the others after it at this distance or later: nothing is
-     * restarted while a node is out of service, however long this machine takes to start one. A day
-     * must not depend on that.
+     * Restarts the first of these nodes, and then the others at this interval or later. No node is
+     * restarted while another is out of service, however long a start takes on this machine;
+     * otherwise the outcome of a run would depend on the speed of the machine.
      */
-    private void roll(List<FaultTarget.Node> left, long eachNs) {
-        if (left.isEmpty()) {
+    private void restartInTurn(List<FaultTarget.Node> remaining, long intervalNs) {
+        if (remaining.isEmpty()) {
             return;
         }
-        if (!day.nodes().stream().allMatch(FaultTarget.Node::isServing)) {
-            agenda.in(LOOK_NS, () -> roll(left, eachNs));
+        if (!target.nodes().stream().allMatch(FaultTarget.Node::isServing)) {
+            eventQueue.scheduleAfter(SERVING_POLL_NS, () -> restartInTurn(remaining, intervalNs));
             return;
         }
-        left.get(0).restart();
-        agenda.in(eachNs, () -> roll(left.subList(1, left.size()), eachNs));
+        remaining.get(0).restart();
+        eventQueue.scheduleAfter(
+                intervalNs,
+                () -> restartInTurn(remaining.subList(1, remaining.size()), intervalNs));
     }
 
-    private void leaves(FaultTarget.Worker worker, boolean forGood) {
-        worker.drains();
-        agenda.in(
-                DRAINS_NS,
+    private void restart(FaultTarget.Server server, boolean replaced) {
+        server.startDraining();
+        eventQueue.scheduleAfter(
+                DRAIN_NS,
                 () -> {
-                    worker.goesDown();
-                    agenda.in(STARTS_NS, forGood ? worker::isReplaced : worker::comesBack);
+                    server.stop();
+                    eventQueue.scheduleAfter(
+                            START_NS, replaced ? server::replace : server::restart);
                 });
     }
 }
--- a/lab/src/main/java/trailthread/lab/invariant/HistoryEntry.java
+++ b/lab/src/main/java/trailthread/lab/invariant/HistoryEntry.java
@@ -1,17 +1,16 @@
 package trailthread.lab.invariant;
 
 /**
- * One thing in the life of a call.
+ * One event in the history of a request.
  *
- * @param at in ns
- * @param what what happened
+ * @param at when it happened, in ns
  * @param attempt its number, or -1
- * @param worker its name, or null
- * @param detail what else there is to say, or null
+ * @param server its name, or null
+ * @param detail the node, outcome or result, or null
  */
-public record HistoryEntry(long at, What what, int attempt, String worker, Object detail) {
-    /** What can happen to a call. */
-    public enum What {
+public record HistoryEntry(long at, Event event, int attempt, String server, Object detail) {
+    /** The kinds of events; their names in lower case appear in reports of violations. */
+    public enum Event {
         TAKEN,
         SENT,
         BEGUN,
@@ -29,12 +28,12 @@
                                 java.util.Locale.ROOT,
                                 "%.6f s %s",
                                 at / 1e9,
-                                what.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ')));
+                                event.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ')));
         if (attempt >= 0) {
             text.append(" attempt ").append(attempt);
         }
-        if (worker != null) {
-            text.append(" at ").append(worker);
+        if (server != null) {
+            text.append(" at ").append(server);
         }
         return detail == null ? text.toString() : text.append(": ").append(detail).toString();
     }
--- a/lab/src/main/java/trailthread/lab/invariant/InvariantChecker.java
+++ b/lab/src/main/java/trailthread/lab/invariant/InvariantChecker.java
@@ -11,329 +11,340 @@
 import trailthread.api.Outcome;
 
 /**
- * Watches a run, virtual or real, from outside, and judges it by the rules. It is told what
- * happened, in order, and asks nothing of those it judges: an attempt counts as one that may have
- * run from its last byte on, whatever its node makes of its end.
+ * Checks the {@link Invariant}s of a run, virtual or real, from the outside. It is told of events
+ * in order and relies on nothing that a node claims: an attempt counts as one that may have run
+ * from its last byte on, whatever outcome its node sees.
  */
 public final class InvariantChecker {
-    /** Violations that are kept with their histories; more are counted. */
-    private static final int MOST_KEPT = 20;
+    /** The number of violations kept with their histories; later ones are only counted. */
+    private static final int MAX_KEPT_VIOLATIONS = 20;
 
-    private static final int MOST_DEPARTED = 10_000;
+    private static final int MAX_ABANDONED = 10_000;
 
-    /** A place where an attempt runs, as far as repeats go. */
-    public record Place(String worker, String zone, int cell) {}
+    /** Where an attempt runs, as far as deduplication is concerned. */
+    public record ServerLocation(String server, String zone, int cell) {}
 
-    private static final class Watched {
+    private static final class TrackedRequest {
         final RequestTerms terms;
         final List<HistoryEntry> history = new ArrayList<>(6);
 
-        /**
-         * The place and time of the first attempt that reached a worker and was not turned away by
-         * it.
-         */
-        Place firstRan;
+        /** The location of the first attempt that a server did not reject, and when it was sent. */
+        ServerLocation firstExecutionLocation;
 
-        long firstRanSent;
-        int out;
-        boolean answered;
-        boolean released;
+        long firstExecutionSentAt;
+        int attemptsInFlight;
+        boolean responded;
+        boolean noResponseOwed;
 
-        /** The attempts, by number, that are out. */
-        final Map<Integer, Sent> sent = new HashMap<>(2);
+        /** All attempts by number. */
+        final Map<Integer, SentAttempt> sentAttempts = new HashMap<>(2);
 
-        Watched(RequestTerms terms) {
+        TrackedRequest(RequestTerms terms) {
             this.terms = terms;
         }
     }
 
-    private record Sent(Place place, long at) {}
+    private record SentAttempt(ServerLocation location, long at) {}
 
     private final long responseSlackNs;
     private final long drainGraceNs;
-    private final Map<String, Watched> calls = new HashMap<>();
+    private final Map<String, TrackedRequest> openRequests = new HashMap<>();
 
     /**
-     * Calls whose clients have left: their nodes may still send them, and may repeat them no more
-     * than others.
+     * Requests whose clients have disconnected. Their nodes may still send them, and the rules on
+     * repeats still hold.
      */
-    private final Map<String, Watched> departed = new LinkedHashMap<>();
+    private final Map<String, TrackedRequest> abandoned = new LinkedHashMap<>();
 
-    /** When each node was told that a worker wants nothing new. */
-    private final Map<String, Long> drainTold = new HashMap<>();
+    /** When a node learned that a server drains or is gone; the key is the node and the server. */
+    private final Map<String, Long> drainNotifiedAt = new HashMap<>();
 
-    private final Map<Invariant, Integer> broken = new EnumMap<>(Invariant.class);
-    private final List<Violation> kept = new ArrayList<>();
-    private long judged;
+    private final Map<Invariant, Integer> violationCounts = new EnumMap<>(Invariant.class);
+    private final List<Violation> violations = new ArrayList<>();
+    private long checkedRequests;
 
     /**
-     * @param responseSlackNs how far past its deadline an answer still counts
-     * @param drainGraceNs how long after the news of a drain something new may still be sent
+     * @param responseSlackNs how long after its deadline a response still counts as in time
+     * @param drainGraceNs how long a node may send new attempts after it learned of a drain
      */
     public InvariantChecker(long responseSlackNs, long drainGraceNs) {
         this.responseSlackNs = responseSlackNs;
         this.drainGraceNs = drainGraceNs;
     }
 
-    /** How often each rule was broken; without those that were kept. */
-    public Map<Invariant, Integer> broken() {
-        return new EnumMap<>(broken);
+    /**
+     * The number of violations of each invariant that was violated, including those without a
+     * history.
+     */
+    public Map<Invariant, Integer> violationCounts() {
+        return new EnumMap<>(violationCounts);
     }
 
-    /** The first violations, with their histories. */
+    /** The first violations, with the histories of their requests. */
     public List<Violation> violations() {
-        return List.copyOf(kept);
+        return List.copyOf(violations);
     }
 
-    /** Calls that have been judged to their ends. */
-    public long judged() {
-        return judged;
+    /** The number of requests that were checked to their ends. */
+    public long checkedRequests() {
+        return checkedRequests;
     }
 
-    /** Calls whose ends are still to come. */
-    public int open() {
-        return calls.size();
+    /** The number of requests that have not ended. */
+    public int openRequests() {
+        return openRequests.size();
     }
 
-    private void violated(
-            Invariant rule, long at, String who, String what, List<HistoryEntry> history) {
-        broken.merge(rule, 1, Integer::sum);
-        if (kept.size() < MOST_KEPT) {
-            kept.add(new Violation(rule, at, who, what, List.copyOf(history)));
+    private void recordViolation(
+            Invariant rule, long at, String subject, String finding, List<HistoryEntry> history) {
+        violationCounts.merge(rule, 1, Integer::sum);
+        if (violations.size() < MAX_KEPT_VIOLATIONS) {
+            violations.add(new Violation(rule, at, subject, finding, List.copyOf(history)));
         }
     }
 
-    /** A node has taken a call, under a name that no other call has. */
-    public void taken(long at, String call, String node, RequestTerms terms) {
-        Watched watched = new Watched(terms);
-        calls.put(call, watched);
-        watched.history.add(
-                new HistoryEntry(at, HistoryEntry.What.TAKEN, -1, node, terms.requestClass()));
+    /** A node has received a request; its id must be unique in the run. */
+    public void requestReceived(long at, String requestId, String node, RequestTerms terms) {
+        TrackedRequest tracked = new TrackedRequest(terms);
+        openRequests.put(requestId, tracked);
+        tracked.history.add(
+                new HistoryEntry(at, HistoryEntry.Event.TAKEN, -1, node, terms.requestClass()));
     }
 
-    /** An attempt leaves its node; its last byte need not have. */
-    public void sent(long at, String call, int attempt, String node, Place place) {
-        Watched watched = watched(call);
-        if (watched == null) {
-            violated(
+    /** A node has begun to send an attempt; its last byte may still be to come. */
+    public void attemptSent(
+            long at, String requestId, int attempt, String node, ServerLocation location) {
+        TrackedRequest tracked = tracked(requestId);
+        if (tracked == null) {
+            recordViolation(
                     Invariant.REPEATS,
                     at,
-                    call,
+                    requestId,
                     "an attempt of "
                             + node
                             + " at "
-                            + place.worker()
-                            + " for a call that is over or was never taken",
+                            + location.server()
+                            + " for a request that has ended or was never received",
                     List.of());
             return;
         }
-        watched.history.add(
-                new HistoryEntry(at, HistoryEntry.What.SENT, attempt, place.worker(), null));
-        if (watched.out > 0) {
-            violated(
+        tracked.history.add(
+                new HistoryEntry(at, HistoryEntry.Event.SENT, attempt, location.server(), null));
+        if (tracked.attemptsInFlight > 0) {
+            recordViolation(
                     Invariant.ONE_ATTEMPT,
                     at,
-                    call,
-                    "another attempt is still out",
-                    watched.history);
+                    requestId,
+                    "another attempt is still in flight",
+                    tracked.history);
         }
-        watched.out++;
-        watched.sent.put(attempt, new Sent(place, at));
-        Long told = drainTold.get(node + " " + place.worker());
-        if (told != null && at > told + drainGraceNs) {
-            violated(
+        tracked.attemptsInFlight++;
+        tracked.sentAttempts.put(attempt, new SentAttempt(location, at));
+        Long notifiedAt = drainNotifiedAt.get(node + " " + location.server());
+        if (notifiedAt != null && at > notifiedAt + drainGraceNs) {
+            recordViolation(
                     Invariant.DRAINS,
                     at,
-                    call,
+                    requestId,
                     String.format(
                             Locale.ROOT,
-                            "%s was told at %.6f s that %s wants nothing new",
+                            "%s learned at %.6f s that %s accepts no new requests",
                             node,
-                            told / 1e9,
-                            place.worker()),
-                    watched.history);
+                            notifiedAt / 1e9,
+                            location.server()),
+                    tracked.history);
         }
     }
 
     /**
-     * An attempt's last byte has come to its worker, which has not turned it away: from now on it
-     * may run.
+     * A server has received the last byte of an attempt and has not rejected it: from now on it may
+     * be executed.
      */
-    public void begun(long at, String call, int attempt) {
-        Watched watched = watched(call);
-        if (watched == null || !watched.sent.containsKey(attempt)) {
-            return; // its client and its node have forgotten it
+    public void executionStarted(long at, String requestId, int attempt) {
+        TrackedRequest tracked = tracked(requestId);
+        if (tracked == null || !tracked.sentAttempts.containsKey(attempt)) {
+            return; // the request has ended and is not tracked any more
         }
-        Sent sent = watched.sent.get(attempt);
-        watched.history.add(
-                new HistoryEntry(at, HistoryEntry.What.BEGUN, attempt, sent.place.worker(), null));
-        if (watched.firstRan == null) {
-            watched.firstRan = sent.place;
-            watched.firstRanSent = sent.at;
-        } else if (!mayRepeat(watched, sent.place, at)) {
-            violated(
+        SentAttempt sent = tracked.sentAttempts.get(attempt);
+        tracked.history.add(
+                new HistoryEntry(
+                        at, HistoryEntry.Event.BEGUN, attempt, sent.location.server(), null));
+        if (tracked.firstExecutionLocation == null) {
+            tracked.firstExecutionLocation = sent.location;
+            tracked.firstExecutionSentAt = sent.at;
+        } else if (!mayRepeat(tracked, sent.location, at)) {
+            recordViolation(
                     Invariant.REPEATS,
                     at,
-                    call,
-                    "it may have run at " + watched.firstRan.worker() + " before",
-                    watched.history);
+                    requestId,
+                    "it may already have run at " + tracked.firstExecutionLocation.server(),
+                    tracked.history);
         }
     }
 
-    private static boolean mayRepeat(Watched watched, Place place, long at) {
-        RequestTerms terms = watched.terms;
+    private static boolean mayRepeat(TrackedRequest tracked, ServerLocation location, long at) {
+        RequestTerms terms = tracked.terms;
         if (terms.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
         if (terms.idempotency() == Idempotency.NOT_IDEMPOTENT
-                || at > watched.firstRanSent + terms.deduplicationWindowNs()) {
+                || at > tracked.firstExecutionSentAt + terms.deduplicationWindowNs()) {
             return false;
         }
-        return switch (terms.group()) {
+        return switch (terms.deduplicationScope()) {
             case ALL -> true;
-            case ZONE -> place.zone().equals(watched.firstRan.zone());
+            case ZONE -> location.zone().equals(tracked.firstExecutionLocation.zone());
             case CELL ->
-                    (place.cell() >= 0 && place.cell() == watched.firstRan.cell())
-                            || place.worker().equals(watched.firstRan.worker());
+                    (location.cell() >= 0
+                                    && location.cell() == tracked.firstExecutionLocation.cell())
+                            || location.server().equals(tracked.firstExecutionLocation.server());
         };
     }
 
-    /** An attempt's node has heard, or decided, how it ended. */
-    public void ended(long at, String call, int attempt, Outcome outcome) {
-        Watched watched = watched(call);
-        if (watched != null) {
-            watched.history.add(
-                    new HistoryEntry(at, HistoryEntry.What.ENDED, attempt, null, outcome));
-            watched.out--;
-            release(call, watched);
+    /** A node has learned, or decided, how an attempt ended. */
+    public void attemptEnded(long at, String requestId, int attempt, Outcome outcome) {
+        TrackedRequest tracked = tracked(requestId);
+        if (tracked != null) {
+            tracked.history.add(
+                    new HistoryEntry(at, HistoryEntry.Event.ENDED, attempt, null, outcome));
+            tracked.attemptsInFlight--;
+            closeIfDone(requestId, tracked);
         }
     }
 
-    /** A node answers a call. */
-    public void answered(long at, String call, String how) {
-        Watched watched = calls.get(call);
-        if (watched == null && departed.containsKey(call)) {
-            return; // nobody hears it any more
+    /** A node responds to a request. */
+    public void responded(long at, String requestId, String description) {
+        TrackedRequest tracked = openRequests.get(requestId);
+        if (tracked == null && abandoned.containsKey(requestId)) {
+            return; // the client has disconnected
         }
-        if (watched == null) {
-            violated(
+        if (tracked == null) {
+            recordViolation(
                     Invariant.ONE_ANSWER,
                     at,
-                    call,
-                    "answered (" + how + ") after its end",
+                    requestId,
+                    "response (" + description + ") after the request ended",
                     List.of());
             return;
         }
-        watched.history.add(new HistoryEntry(at, HistoryEntry.What.ANSWERED, -1, null, how));
-        if (watched.answered) {
-            violated(Invariant.ONE_ANSWER, at, call, "a second answer", watched.history);
-        } else if (at > watched.terms.deadline() + responseSlackNs) {
-            violated(
+        tracked.history.add(
+                new HistoryEntry(at, HistoryEntry.Event.ANSWERED, -1, null, description));
+        if (tracked.responded) {
+            recordViolation(
+                    Invariant.ONE_ANSWER, at, requestId, "second response", tracked.history);
+        } else if (at > tracked.terms.deadline() + responseSlackNs) {
+            recordViolation(
                     Invariant.IN_TIME,
                     at,
-                    call,
+                    requestId,
                     String.format(
                             Locale.ROOT,
-                            "%.3f ms after its deadline",
-                            (at - watched.terms.deadline()) / 1e6),
-                    watched.history);
+                            "response %.3f ms after the deadline",
+                            (at - tracked.terms.deadline()) / 1e6),
+                    tracked.history);
         }
-        watched.answered = true;
-        release(call, watched);
+        tracked.responded = true;
+        closeIfDone(requestId, tracked);
     }
 
-    /** The answer that a call was given is none that a worker made for it. */
-    public void foreign(long at, String call, String what) {
-        Watched watched = calls.get(call);
-        violated(
+    /** A client received a response that no server produced for its request. */
+    public void wrongResponse(long at, String requestId, String finding) {
+        TrackedRequest tracked = openRequests.get(requestId);
+        recordViolation(
                 Invariant.OWN_ANSWER,
                 at,
-                call,
-                "served with: " + what,
-                watched == null ? List.of() : watched.history);
+                requestId,
+                "wrong response: " + finding,
+                tracked == null ? List.of() : tracked.history);
     }
 
-    /** A call's connection was ended by its node without a whole answer. */
-    public void lost(long at, String call, String how) {
-        Watched watched = calls.get(call);
-        if (watched != null) {
-            violated(Invariant.ONE_ANSWER, at, call, how, watched.history);
-            watched.released = true;
-            release(call, watched);
+    /** A node closed the connection of a request before the whole response. */
+    public void connectionLost(long at, String requestId, String description) {
+        TrackedRequest tracked = openRequests.get(requestId);
+        if (tracked != null) {
+            recordViolation(Invariant.ONE_ANSWER, at, requestId, description, tracked.history);
+            tracked.noResponseOwed = true;
+            closeIfDone(requestId, tracked);
         }
     }
 
-    /** The client has gone early, or its node was killed: no answer is owed any more. */
-    public void gone(long at, String call) {
-        Watched watched = calls.get(call);
-        if (watched != null) {
-            watched.history.add(
-                    new HistoryEntry(at, HistoryEntry.What.CLIENT_GONE, -1, null, null));
-            watched.released = true;
-            release(call, watched);
+    /**
+     * The client disconnected early, or its node was killed or paused: the request is owed no
+     * response any more.
+     */
+    public void clientDisconnected(long at, String requestId) {
+        TrackedRequest tracked = openRequests.get(requestId);
+        if (tracked != null) {
+            tracked.history.add(
+                    new HistoryEntry(at, HistoryEntry.Event.CLIENT_GONE, -1, null, null));
+            tracked.noResponseOwed = true;
+            closeIfDone(requestId, tracked);
         }
     }
 
-    /** The client's time is over, with all slack, and nothing came. */
-    public void overdue(long at, String call) {
-        Watched watched = calls.get(call);
-        if (watched != null && !watched.answered && !watched.released) {
-            watched.history.add(new HistoryEntry(at, HistoryEntry.What.OVERDUE, -1, null, null));
-            violated(Invariant.IN_TIME, at, call, "no answer", watched.history);
-            watched.released = true;
-            release(call, watched);
+    /** The client timed out, including all slack, without a response. */
+    public void deadlineMissed(long at, String requestId) {
+        TrackedRequest tracked = openRequests.get(requestId);
+        if (tracked != null && !tracked.responded && !tracked.noResponseOwed) {
+            tracked.history.add(new HistoryEntry(at, HistoryEntry.Event.OVERDUE, -1, null, null));
+            recordViolation(Invariant.IN_TIME, at, requestId, "no response", tracked.history);
+            tracked.noResponseOwed = true;
+            closeIfDone(requestId, tracked);
         }
     }
 
-    /** A node was killed: what it had is over. */
-    public void forget(String call) {
-        if (calls.remove(call) != null) {
-            judged++;
+    /**
+     * Drops a request whose node was killed, or whose client is about to send it again on a new
+     * connection.
+     */
+    public void forget(String requestId) {
+        if (openRequests.remove(requestId) != null) {
+            checkedRequests++;
         }
     }
 
-    private void release(String call, Watched watched) {
-        if ((watched.answered || watched.released)
-                && watched.out <= 0
-                && calls.remove(call) != null) {
-            judged++;
-            if (!watched.answered) {
-                departed.put(call, watched);
-                if (departed.size() > MOST_DEPARTED) {
-                    departed.remove(departed.keySet().iterator().next());
+    private void closeIfDone(String requestId, TrackedRequest tracked) {
+        if ((tracked.responded || tracked.noResponseOwed)
+                && tracked.attemptsInFlight <= 0
+                && openRequests.remove(requestId) != null) {
+            checkedRequests++;
+            if (!tracked.responded) {
+                abandoned.put(requestId, tracked);
+                if (abandoned.size() > MAX_ABANDONED) {
+                    abandoned.remove(abandoned.keySet().iterator().next());
                 }
             }
         }
     }
 
-    private Watched watched(String call) {
-        Watched watched = calls.get(call);
-        return watched != null ? watched : departed.get(call);
+    private TrackedRequest tracked(String requestId) {
+        TrackedRequest tracked = openRequests.get(requestId);
+        return tracked != null ? tracked : abandoned.get(requestId);
     }
 
-    /** A node has been told that a worker drains or is gone, or that it is ready (again). */
-    public void told(long at, String node, String worker, boolean wantsNew) {
-        if (wantsNew) {
-            drainTold.remove(node + " " + worker);
+    /** A node has learned that a server drains or is gone, or that it is ready again. */
+    public void endpointStateReceived(long at, String node, String server, boolean acceptsNew) {
+        if (acceptsNew) {
+            drainNotifiedAt.remove(node + " " + server);
         } else {
-            drainTold.putIfAbsent(node + " " + worker, at);
+            drainNotifiedAt.putIfAbsent(node + " " + server, at);
         }
     }
 
-    /** A cold worker has fallen over. */
-    public void fell(long at, String worker) {
-        violated(
+    /** A cold server crashed because it received too much work. */
+    public void coldServerOverloaded(long at, String server) {
+        recordViolation(
                 Invariant.COLD_STARTS,
                 at,
-                worker,
-                "it was sent more than a cold worker bears",
+                server,
+                "the cold server received more work than it can take",
                 List.of());
     }
 
-    /** The run is over: calls that are still owed an answer were lost. */
+    /** Ends the run: requests that are still owed a response count as overdue. */
     public void finish(long at) {
-        for (String call : new ArrayList<>(calls.keySet())) {
-            overdue(at, call);
+        for (String requestId : new ArrayList<>(openRequests.keySet())) {
+            deadlineMissed(at, requestId);
         }
     }
 }
--- a/lab/src/main/java/trailthread/lab/invariant/RequestTerms.java
+++ b/lab/src/main/java/trailthread/lab/invariant/RequestTerms.java
@@ -4,16 +4,16 @@
 import trailthread.api.Idempotency;
 
 /**
- * What is owed to a call.
+ * The deadline and the rules on repeats that hold for a request.
  *
- * @param deadline when its client gives up, in ns
- * @param group for keyed calls: which workers drop a repeat
- * @param deduplicationWindowNs for keyed calls: for how long after the first attempt that may have
- *     run was sent
+ * @param deadline when its client times out, in ns
+ * @param deduplicationScope which servers drop a repeated request that carries an idempotency key
+ * @param deduplicationWindowNs for how long they do, counted from when the first attempt that may
+ *     have run was sent
  */
 public record RequestTerms(
         String requestClass,
         Idempotency idempotency,
-        DeduplicationScope group,
+        DeduplicationScope deduplicationScope,
         long deduplicationWindowNs,
         long deadline) {}
--- a/lab/src/main/java/trailthread/lab/invariant/Violation.java
+++ b/lab/src/main/java/trailthread/lab/invariant/Violation.java
@@ -3,28 +3,28 @@
 import java.util.List;
 
 /**
- * A broken rule.
+ * A violation of an invariant.
  *
- * @param rule which
- * @param at when it broke, in ns
- * @param who the call, or the worker, that it broke on
- * @param what what was seen
- * @param history the whole life of the call so far, in order; empty where it is no call's
+ * @param at when it was detected, in ns
+ * @param subject the id of the request, or the name of the server
+ * @param finding what was observed
+ * @param history all events of the request so far, in order; empty for a server or an unknown
+ *     request
  */
 public record Violation(
-        Invariant rule, long at, String who, String what, List<HistoryEntry> history) {
-    /** Over several lines, for people. */
-    public String told() {
+        Invariant rule, long at, String subject, String finding, List<HistoryEntry> history) {
+    /** Describes the violation and its history in several lines. */
+    public String describe() {
         StringBuilder text =
                 new StringBuilder(
                         String.format(
                                 java.util.Locale.ROOT,
-                                "%s broken at %.6f s by %s: %s",
+                                "%s violated at %.6f s by %s: %s",
                                 rule,
                                 at / 1e9,
-                                who,
-                                what));
-        history.forEach(moment -> text.append("\n    ").append(moment));
+                                subject,
+                                finding));
+        history.forEach(entry -> text.append("\n    ").append(entry));
         return text.toString();
     }
 }
--- a/lab/src/main/java/trailthread/lab/model/ServerModel.java
+++ b/lab/src/main/java/trailthread/lab/model/ServerModel.java
@@ -5,33 +5,34 @@
 import java.util.function.Consumer;
 
 /**
- * A worker's work, by {@link ServerLimits}: requests share its cores, wait for slots, are turned
- * away. Time is handed in and may be virtual or real; nothing here draws a random number.
+ * A queueing model of one server within its {@link ServerLimits}: requests share the cores, wait
+ * for slots, and are rejected when the queue is full. The caller passes the time, virtual or real;
+ * the model draws no random numbers.
  *
- * <p>All requests in work go on at one rate, so the work that one of them has had since the
- * worker's start, {@code served}, is the same for all; each is done when that reaches what it was
- * when the request began plus the request's own work. Every step costs the logarithm of what is in
- * work.
+ * <p>All executing jobs progress at one rate, so the work done for each of them since the start of
+ * the server, {@code servedPerJob}, is the same. A job completes when {@code servedPerJob} reaches
+ * its value at the beginning of the job plus the work of the job. Each step costs O(log n) for n
+ * executing jobs.
  */
 public final class ServerModel {
-    /** A cold worker's capacity rises in so many steps. */
+    /** The number of steps in which the capacity of a cold server rises. */
     private static final int COLD_STEPS = 64;
 
-    /** One request; what else belongs to it is kept in subclasses by those who bring it. */
+    /** A request; callers add their own data in a subclass. */
     public static class Job implements Comparable<Job> {
         private final double work;
-        private long serial;
-        private double doneAt;
+        private long sequence;
+        private double completesAtServed;
         private State state = State.NEW;
 
         private enum State {
             NEW,
-            WAITS,
-            WORKS,
-            OVER
+            WAITING,
+            EXECUTING,
+            DONE
         }
 
-        /** So much work, in ns on a standard core, above 0. */
+        /** Creates a job with this work, in ns on a standard core; above 0. */
         public Job(double work) {
             if (!(work > 0)) {
                 throw new IllegalArgumentException("work must be above 0, not " + work);
@@ -39,86 +40,87 @@
             this.work = work;
         }
 
-        /** In ns on a standard core. */
+        /** The work of the job, in ns on a standard core. */
         public double work() {
             return work;
         }
 
         @Override
         public int compareTo(Job other) {
-            return doneAt != other.doneAt
-                    ? Double.compare(doneAt, other.doneAt)
-                    : Long.compare(serial, other.serial);
+            return completesAtServed != other.completesAtServed
+                    ? Double.compare(completesAtServed, other.completesAtServed)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
-    private final ServerLimits law;
-    private final PriorityQueue<Job> working = new PriorityQueue<>();
+    private final ServerLimits limits;
+    private final PriorityQueue<Job> executing = new PriorityQueue<>();
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-    private final ArrayDeque<double[]> sentWhileCold = new ArrayDeque<>();
+    private final ArrayDeque<double[]> coldArrivals = new ArrayDeque<>();
     private final long startedAt;
-    private long at;
-    private double served;
-    private long serial;
-    private double slowed = 1;
+    private long currentTime;
+    private double servedPerJob;
+    private long nextSequence;
+    private double slowdown = 1;
     private boolean jammed;
 
     /**
-     * Since when it has been crowded enough to jam, or calm enough to end a jam; Long.MAX_VALUE: it
-     * is not.
+     * Since when the queue has been long enough for a jam to begin or the server idle enough for it
+     * to end; Long.MAX_VALUE if neither.
      */
-    private long tipsSince = Long.MAX_VALUE;
+    private long jamConditionSince = Long.MAX_VALUE;
 
-    private double sentInWindow;
-    private boolean fallen;
+    private double coldWorkInWindow;
+    private boolean crashed;
     private int jams;
-    private double busy;
+    private double workDone;
 
-    /** One that starts now; with {@code cold}, as the law says, else warm. */
-    public ServerModel(ServerLimits law, long now, boolean cold) {
-        this.law = law;
-        this.at = now;
-        this.startedAt = cold ? now : now - law.cold().warmNs();
+    /** Creates a server that starts now: with the reduced capacity of a cold start, or warm. */
+    public ServerModel(ServerLimits limits, long now, boolean cold) {
+        this.limits = limits;
+        this.currentTime = now;
+        this.startedAt = cold ? now : now - limits.cold().warmNs();
     }
 
-    /** What it is able to do. */
-    public ServerLimits law() {
-        return law;
+    public ServerLimits limits() {
+        return limits;
     }
 
-    /** Requests that it holds, waiting ones with them. */
+    /** The number of requests that execute or wait. */
     public int inflight() {
-        return working.size() + waiting.size();
+        return executing.size() + waiting.size();
     }
 
-    /** Requests that wait. */
+    /** The number of requests that wait. */
     public int queue() {
         return waiting.size();
     }
 
-    /** Whether it is slow by a jam. */
     public boolean isJammed() {
         return jammed;
     }
 
-    /** How often it has jammed. */
+    /** The number of jams so far. */
     public int jams() {
         return jams;
     }
 
-    /** Whether it was pushed over while cold, and does nothing any more. */
-    public boolean hasFallen() {
-        return fallen;
+    /**
+     * Whether it crashed because it received too much work while cold; it then rejects all
+     * requests.
+     */
+    public boolean hasCrashed() {
+        return crashed;
     }
 
-    /** Work done, in ns on a standard core. */
+    /** The work done so far, in ns on a standard core. */
     public double workDone() {
-        return busy;
+        return workDone;
     }
 
-    /** The share of its capacity that it has at a time, by its start alone. */
-    public double warmth(long now) {
-        ServerLimits.Cold cold = law.cold();
+    /** The share of its capacity that the server has at this time after its start. */
+    public double capacityShare(long now) {
+        ServerLimits.Cold cold = limits.cold();
         long age = now - startedAt;
         if (age >= cold.warmNs()) {
             return 1;
@@ -127,207 +129,222 @@
         return cold.share() + (1 - cold.share()) * step;
     }
 
-    /** From now on it works so many times slower, by a fault; 1: as usual. */
-    public void slow(long now, double times, Consumer<Job> done) {
+    /** Injects a fault: from now on the server works this many times slower; 1 ends the fault. */
+    public void setSlowdown(long now, double factor, Consumer<Job> done) {
         advance(now, done);
-        slowed = times;
+        slowdown = factor;
     }
 
     /**
-     * Brings a request; whether it is taken. {@link #advance} to this time must have been called.
+     * Accepts or rejects a request; true if it was accepted. {@link #advance} must have been called
+     * with this time.
      *
-     * @throws IllegalStateException if the request was brought before
+     * @throws IllegalStateException if the job has arrived before
      */
     public boolean arrive(long now, Job job) {
         if (job.state != Job.State.NEW) {
-            throw new IllegalStateException("a request is brought twice");
+            throw new IllegalStateException("the job has arrived before");
         }
-        if (fallen) {
+        if (crashed) {
             return false;
         }
-        if (working.size() >= law.slots() && waiting.size() >= law.room()) {
-            job.state = Job.State.OVER;
+        if (executing.size() >= limits.slots() && waiting.size() >= limits.queueCapacity()) {
+            job.state = Job.State.DONE;
             return false;
         }
-        weigh(now, job);
-        job.serial = serial++;
-        if (working.size() < law.slots()) {
-            begin(job);
+        checkColdBudget(now, job);
+        job.sequence = nextSequence++;
+        if (executing.size() < limits.slots()) {
+            startExecuting(job);
         } else {
-            job.state = Job.State.WAITS;
+            job.state = Job.State.WAITING;
             waiting.add(job);
         }
-        watchForJam(now);
+        updateJamCondition(now);
         return true;
     }
 
     /**
-     * A cold worker's budget: all work sent within the window, against what it can do in it now.
+     * Crashes a cold server that receives more work within the window than {@link
+     * ServerLimits.Cold} allows.
      */
-    private void weigh(long now, Job job) {
-        ServerLimits.Cold cold = law.cold();
-        double warmth = warmth(now);
-        if (warmth >= 1) {
-            sentWhileCold.clear();
-            sentInWindow = 0;
+    private void checkColdBudget(long now, Job job) {
+        ServerLimits.Cold cold = limits.cold();
+        double capacityShare = capacityShare(now);
+        if (capacityShare >= 1) {
+            coldArrivals.clear();
+            coldWorkInWindow = 0;
             return;
         }
-        sentWhileCold.add(new double[] {now, job.work});
-        sentInWindow += job.work;
-        while (sentWhileCold.peek()[0] < now - cold.deduplicationWindowNs()) {
-            sentInWindow -= sentWhileCold.poll()[1];
+        coldArrivals.add(new double[] {now, job.work});
+        coldWorkInWindow += job.work;
+        while (coldArrivals.peek()[0] < now - cold.windowNs()) {
+            coldWorkInWindow -= coldArrivals.poll()[1];
         }
-        double window = law.capacity() * warmth * cold.deduplicationWindowNs() / 1e9;
-        if (sentInWindow > cold.multiple() * window) {
-            fallen = true;
+        double workPerWindow = limits.capacity() * capacityShare * cold.windowNs() / 1e9;
+        if (coldWorkInWindow > cold.overloadMultiple() * workPerWindow) {
+            crashed = true;
         }
     }
 
-    private void begin(Job job) {
-        job.state = Job.State.WORKS;
-        job.doneAt = served + job.work;
-        working.add(job);
+    private void startExecuting(Job job) {
+        job.state = Job.State.EXECUTING;
+        job.completesAtServed = servedPerJob + job.work;
+        executing.add(job);
     }
 
     /**
-     * The node has given it up: what waits is dropped, what is in work goes on, unless the law says
-     * otherwise.
+     * Cancels a request whose node has given up: removes it from the queue, and stops its execution
+     * only if {@code cancelStopsExecution} is set. Returns whether the job was removed.
      */
-    public boolean drop(long now, Job job) {
-        boolean dropped =
-                (job.state == Job.State.WAITS && waiting.remove(job))
-                        || (job.state == Job.State.WORKS
-                                && law.cancelStops()
-                                && working.remove(job));
-        if (dropped) {
-            job.state = Job.State.OVER;
-            fill();
-            watchForJam(now);
+    public boolean cancel(long now, Job job) {
+        boolean removed =
+                (job.state == Job.State.WAITING && waiting.remove(job))
+                        || (job.state == Job.State.EXECUTING
+                                && limits.cancelStopsExecution()
+                                && executing.remove(job));
+        if (removed) {
+            job.state = Job.State.DONE;
+            fillSlots();
+            updateJamCondition(now);
         }
-        return dropped;
+        return removed;
     }
 
-    private void fill() {
-        while (working.size() < law.slots() && !waiting.isEmpty()) {
-            begin(waiting.poll());
+    private void fillSlots() {
+        while (executing.size() < limits.slots() && !waiting.isEmpty()) {
+            startExecuting(waiting.poll());
         }
     }
 
     /**
-     * Work beside all requests, as for a new connection, so much on a standard core: it is taken
-     * from what is in work, in equal parts; an idle core does it unseen. {@link #advance} to this
-     * time must have been called.
+     * Adds work that belongs to no request, such as opening a connection, in ns on a standard core.
+     * It delays all executing jobs equally; on an idle server it has no effect. {@link #advance}
+     * must have been called with this time.
      */
-    public void takes(double work) {
-        if (!working.isEmpty()) {
-            served -= work / working.size();
+    public void addBackgroundWork(double work) {
+        if (!executing.isEmpty()) {
+            servedPerJob -= work / executing.size();
         }
     }
 
-    /** Everything that it holds is gone, as with the process. */
+    /** Drops all requests, as when the process ends. */
     public void clear() {
-        working.forEach(job -> job.state = Job.State.OVER);
-        waiting.forEach(job -> job.state = Job.State.OVER);
-        working.clear();
+        executing.forEach(job -> job.state = Job.State.DONE);
+        waiting.forEach(job -> job.state = Job.State.DONE);
+        executing.clear();
         waiting.clear();
-        tipsSince = Long.MAX_VALUE;
+        jamConditionSince = Long.MAX_VALUE;
     }
 
-    /** Work on each request in work, in ns on a standard core each ns. */
+    /** The work done for each executing job, in ns on a standard core per ns. */
     private double rate(long now) {
-        int n = working.size();
-        double share = Math.min(1, (double) law.cores() / n);
-        double crowd = 1 + law.crowding() * Math.max(0, inflight() - law.cores());
-        return law.speed()
+        int count = executing.size();
+        double share = Math.min(1, (double) limits.cores() / count);
+        double contentionFactor =
+                1 + limits.contention() * Math.max(0, inflight() - limits.cores());
+        return limits.speed()
                 * share
-                * warmth(now)
-                / (crowd * slowed * (jammed ? law.jam().slower() : 1));
+                * capacityShare(now)
+                / (contentionFactor * slowdown * (jammed ? limits.jam().slowdownFactor() : 1));
     }
 
-    /** When something changes if nothing comes, Long.MAX_VALUE: never. */
-    public long nextAt() {
-        if (fallen) {
+    /**
+     * The time of the next change of state if no request arrives; Long.MAX_VALUE if there is none.
+     */
+    public long nextEventTime() {
+        if (crashed) {
             return Long.MAX_VALUE;
         }
         long next = Long.MAX_VALUE;
-        if (!working.isEmpty()) {
-            double left = Math.max(0, working.peek().doneAt - served);
-            next = at + (long) Math.ceil(left / rate(at));
-            if (at - startedAt < law.cold().warmNs()) {
-                next = Math.min(next, nextStep(at));
+        if (!executing.isEmpty()) {
+            double left = Math.max(0, executing.peek().completesAtServed - servedPerJob);
+            next = currentTime + (long) Math.ceil(left / rate(currentTime));
+            if (currentTime - startedAt < limits.cold().warmNs()) {
+                next = Math.min(next, nextWarmUpStep(currentTime));
             }
         }
-        return Math.min(next, tipsAt());
+        return Math.min(next, jamChangesAt());
     }
 
-    private long nextStep(long now) {
-        long warm = law.cold().warmNs();
+    private long nextWarmUpStep(long now) {
+        long warm = limits.cold().warmNs();
         long step = (long) Math.floor((double) (now - startedAt) / warm * COLD_STEPS) + 1;
         return Math.max(now + 1, startedAt + (long) Math.ceil((double) step * warm / COLD_STEPS));
     }
 
-    private long tipsAt() {
-        if (tipsSince == Long.MAX_VALUE) {
+    private long jamChangesAt() {
+        if (jamConditionSince == Long.MAX_VALUE) {
             return Long.MAX_VALUE;
         }
-        return tipsSince + (jammed ? law.jam().calmNs() : law.jam().afterNs());
+        return jamConditionSince + (jammed ? limits.jam().calmNs() : limits.jam().afterNs());
     }
 
     /**
-     * How long one more request would take, for each ns of its work, if all that it holds, and that
-     * is coming, were of its size; infinite: it has no room.
+     * The expected response time of one more request divided by its work, if all requests in flight
+     * and those still arriving had the same work; infinite if the request would be rejected.
      */
-    public double stretch(long now, int coming) {
-        if (fallen || (working.size() >= law.slots() && waiting.size() >= law.room())) {
+    public double expectedSlowdown(long now, int arriving) {
+        if (crashed
+                || (executing.size() >= limits.slots()
+                        && waiting.size() >= limits.queueCapacity())) {
             return Double.POSITIVE_INFINITY;
         }
-        int held = inflight() + coming + 1;
-        double crowd = 1 + law.crowding() * Math.max(0, held - law.cores());
-        double pace =
-                law.speed() * warmth(now) / (crowd * slowed * (jammed ? law.jam().slower() : 1));
-        return Math.max(1, (double) held / law.cores()) / pace;
+        int jobs = inflight() + arriving + 1;
+        double contentionFactor = 1 + limits.contention() * Math.max(0, jobs - limits.cores());
+        double workRate =
+                limits.speed()
+                        * capacityShare(now)
+                        / (contentionFactor
+                                * slowdown
+                                * (jammed ? limits.jam().slowdownFactor() : 1));
+        return Math.max(1, (double) jobs / limits.cores()) / workRate;
     }
 
-    /** Lets the time pass; requests that are done on the way are told of in their order. */
+    /** Advances to this time; passes completed jobs to {@code done} in the order of completion. */
     public void advance(long now, Consumer<Job> done) {
-        while (!fallen) {
-            long next = nextAt();
+        while (!crashed) {
+            long next = nextEventTime();
             if (next > now) {
                 break;
             }
-            pass(next);
-            if (!working.isEmpty()
-                    && working.peek().doneAt - served <= 1e-6 * rate(at) + 1e-12 * served) {
-                Job job = working.poll();
-                job.state = Job.State.OVER;
-                fill();
-                watchForJam(at);
+            advanceTo(next);
+            if (!executing.isEmpty()
+                    && executing.peek().completesAtServed - servedPerJob
+                            <= 1e-6 * rate(currentTime) + 1e-12 * servedPerJob) {
+                Job job = executing.poll();
+                job.state = Job.State.DONE;
+                fillSlots();
+                updateJamCondition(currentTime);
                 done.accept(job);
-            } else if (tipsAt() <= at) {
+            } else if (jamChangesAt() <= currentTime) {
                 jammed = !jammed;
                 jams += jammed ? 1 : 0;
-                tipsSince = Long.MAX_VALUE;
-                watchForJam(at);
+                jamConditionSince = Long.MAX_VALUE;
+                updateJamCondition(currentTime);
             }
         }
-        pass(now);
+        advanceTo(now);
     }
 
-    private void pass(long now) {
-        if (!working.isEmpty() && !fallen) {
-            double each = rate(at) * (now - at);
-            served += each;
-            busy += each * working.size();
+    private void advanceTo(long now) {
+        if (!executing.isEmpty() && !crashed) {
+            double workPerJob = rate(currentTime) * (now - currentTime);
+            servedPerJob += workPerJob;
+            workDone += workPerJob * executing.size();
         }
-        at = Math.max(at, now);
+        currentTime = Math.max(currentTime, now);
     }
 
-    private void watchForJam(long now) {
-        ServerLimits.Jam jam = law.jam();
-        boolean tips =
+    private void updateJamCondition(long now) {
+        ServerLimits.Jam jam = limits.jam();
+        boolean conditionHolds =
                 jammed
-                        ? inflight() <= jam.idle() * law.cores()
-                        : waiting.size() > jam.waitingPerCore() * law.cores();
-        tipsSince = !tips ? Long.MAX_VALUE : tipsSince == Long.MAX_VALUE ? now : tipsSince;
+                        ? inflight() <= jam.idlePerCore() * limits.cores()
+                        : waiting.size() > jam.waitingPerCore() * limits.cores();
+        jamConditionSince =
+                !conditionHolds
+                        ? Long.MAX_VALUE
+                        : jamConditionSince == Long.MAX_VALUE ? now : jamConditionSince;
     }
 }
--- a/lab/src/main/java/trailthread/lab/server/ServerProcess.java
+++ b/lab/src/main/java/trailthread/lab/server/ServerProcess.java
@@ -10,102 +10,108 @@
 import trailthread.lab.model.ServerLimits;
 import trailthread.lab.model.ServerModel;
 import trailthread.lab.random.RandomStreams;
-import trailthread.lab.scenario.Scenario.FleetLaw;
-import trailthread.lab.server.IncomingRequest.Answer;
+import trailthread.lab.scenario.Scenario.FleetModel;
+import trailthread.lab.server.IncomingRequest.Response;
 
 /**
- * A worker's process: its model, its reports, and what is wrong with it. Driven by an agenda, whose
- * time may be virtual or real.
+ * The process of a server: its queueing model, its load reports and its injected faults. An event
+ * queue drives it, in virtual or real time.
  */
 public final class ServerProcess {
-    /** How long a worker that fails at once takes for it. */
+    /** The response time of a request that fails immediately. */
     private static final long FAST_ERROR_NS = 1_000_000L;
 
-    /** The weight of one request in the time that requests take here, as probes tell it. */
-    private static final double TIME_WEIGHT = 0.2;
+    /**
+     * The weight of the newest request in the moving average of latency that health checks report.
+     */
+    private static final double LATENCY_SMOOTHING = 0.2;
 
-    /** Times are kept by what was held when a request came, up to so many. */
-    private static final int MOST_DEPTHS = 256;
+    /**
+     * Latencies are averaged separately for each number of requests in flight at arrival, up to
+     * this one.
+     */
+    private static final int MAX_TRACKED_INFLIGHT = 256;
 
-    private record Report(long at, double inflight, double queue) {}
+    private record Report(long createdAt, double inflight, double queue) {}
 
-    /** What is wrong with it. */
-    public final ServerFaults ills = new ServerFaults();
+    public final ServerFaults faults = new ServerFaults();
 
-    private final EventQueue agenda;
-    private final FleetLaw fleet;
-    private final ServerLimits law;
-    private final Runnable fell;
+    private final EventQueue eventQueue;
+    private final FleetModel fleet;
+    private final ServerLimits limits;
+    private final Runnable onCrash;
     private final UniformRandomProvider reportRandom;
-    private final UniformRandomProvider illRandom;
+    private final UniformRandomProvider faultRandom;
     private final ArrayDeque<Report> reports = new ArrayDeque<>();
 
-    /** What is here, in the order in which it came. */
-    private final Map<IncomingRequest, ServerModel.Job> here = new LinkedHashMap<>();
+    /** The accepted requests, in the order of arrival. */
+    private final Map<IncomingRequest, ServerModel.Job> requests = new LinkedHashMap<>();
 
     private ServerModel model;
-    private EventQueue.Entry wake;
-    private long wakesAt = Long.MAX_VALUE;
+    private EventQueue.Entry wakeEntry;
+    private long wakeAt = Long.MAX_VALUE;
     private boolean up = true;
-    private int life;
+    private int incarnation;
     private long startedAt;
-    private double slower = 1;
-    private final double[] tookNs = new double[MOST_DEPTHS];
-    private long reportsLateNs;
+    private double slowdown = 1;
+    private final double[] latencyByInflightNs = new double[MAX_TRACKED_INFLIGHT];
+    private long reportDelayNs;
 
     /**
-     * One that runs.
+     * Creates a running process.
      *
-     * @param name of its streams of random numbers
-     * @param law its own
+     * @param name identifies its streams of random numbers
      * @param cold whether it has just started
-     * @param fell is run when it is pushed over while cold; the process is down then
+     * @param onCrash called when too much work crashes the server while it is cold; the process is
+     *     down by then
      */
     public ServerProcess(
-            EventQueue agenda,
+            EventQueue eventQueue,
             RandomStreams streams,
-            FleetLaw fleet,
+            FleetModel fleet,
             String name,
-            ServerLimits law,
+            ServerLimits limits,
             boolean cold,
-            Runnable fell) {
-        this.agenda = agenda;
+            Runnable onCrash) {
+        this.eventQueue = eventQueue;
         this.fleet = fleet;
-        this.law = law;
-        this.fell = fell;
-        reportRandom = streams.of("reports of " + name);
-        illRandom = streams.of("ills of " + name);
-        model = new ServerModel(law, agenda.now(), cold);
-        startedAt = cold ? agenda.now() : 0;
-        if (fleet.reports()) {
-            refresh();
+        this.limits = limits;
+        this.onCrash = onCrash;
+        reportRandom = streams.stream("reports of " + name);
+        faultRandom = streams.stream("ills of " + name);
+        model = new ServerModel(limits, eventQueue.now(), cold);
+        startedAt = cold ? eventQueue.now() : 0;
+        if (fleet.reportsLoad()) {
+            refreshReport();
         }
     }
 
-    private void refresh() {
+    private void refreshReport() {
         advance();
-        double noise = 1 + fleet.noise() * (2 * reportRandom.nextDouble() - 1);
-        long now = agenda.now();
+        double noise = 1 + fleet.reportNoise() * (2 * reportRandom.nextDouble() - 1);
+        long now = eventQueue.now();
         reports.add(new Report(now, model.inflight() * noise, model.queue() * noise));
         while (reports.size() > 1
-                && reports.peek().at < now - reportsLateNs - fleet.everyHighNs() * 2) {
+                && reports.peek().createdAt < now - reportDelayNs - fleet.reportEveryHighNs() * 2) {
             reports.poll();
         }
-        agenda.in(
-                (long) RandomStreams.uniform(reportRandom, fleet.everyLowNs(), fleet.everyHighNs()),
-                this::refresh);
+        eventQueue.scheduleAfter(
+                (long)
+                        RandomStreams.uniform(
+                                reportRandom, fleet.reportEveryLowNs(), fleet.reportEveryHighNs()),
+                this::refreshReport);
     }
 
-    /** Reports arrive so much later than usual, in ns. */
-    public void reportsLate(long ns) {
-        reportsLateNs = ns;
+    /** Delays all load reports by this time, in ns. */
+    public void setReportDelay(long delayNs) {
+        reportDelayNs = delayNs;
     }
 
-    /** What an answer that leaves now says; null: nothing. */
+    /** The load report that a response sent now carries; null if there is none. */
     public LoadReport report() {
         Report newest = null;
         for (Report report : reports) {
-            if (report.at <= agenda.now() - reportsLateNs) {
+            if (report.createdAt <= eventQueue.now() - reportDelayNs) {
                 newest = report;
             }
         }
@@ -121,196 +127,204 @@
     }
 
     /**
-     * What a probe's answer says: the present, and the time that requests of late took here that
-     * came when about as much was held as now (as in Prequal: Wydrowski et al., NSDI 2024, 4).
+     * The load report of a health check: the present load, and the average latency of recent
+     * requests that arrived when about as many were in flight as now (as in Prequal: Wydrowski et
+     * al., NSDI 2024, 4).
      */
-    public LoadReport healthChecked() {
-        int held = Math.min(MOST_DEPTHS - 1, model.inflight());
-        double took = Double.NaN;
-        for (int off = 0; off < MOST_DEPTHS && Double.isNaN(took); off++) {
-            took =
-                    held >= off && tookNs[held - off] > 0
-                            ? tookNs[held - off]
-                            : held + off < MOST_DEPTHS && tookNs[held + off] > 0
-                                    ? tookNs[held + off]
-                                    : took;
+    public LoadReport healthReport() {
+        int inflight = Math.min(MAX_TRACKED_INFLIGHT - 1, model.inflight());
+        double latency = Double.NaN;
+        for (int distance = 0;
+                distance < MAX_TRACKED_INFLIGHT && Double.isNaN(latency);
+                distance++) {
+            latency =
+                    inflight >= distance && latencyByInflightNs[inflight - distance] > 0
+                            ? latencyByInflightNs[inflight - distance]
+                            : inflight + distance < MAX_TRACKED_INFLIGHT
+                                            && latencyByInflightNs[inflight + distance] > 0
+                                    ? latencyByInflightNs[inflight + distance]
+                                    : latency;
         }
         return new LoadReport(
-                model.inflight(), model.queue(), Double.NaN, took / 1e6, Double.NaN, Double.NaN);
+                model.inflight(), model.queue(), Double.NaN, latency / 1e6, Double.NaN, Double.NaN);
     }
 
-    /** Its work, by the law. */
     public ServerModel model() {
         return model;
     }
 
-    /** Whether its process runs. */
     public boolean isUp() {
         return up;
     }
 
-    /** Which start of it this is: what belongs to an earlier one is dead. */
-    public int life() {
-        return life;
+    /** Counts the starts: connections and requests of an earlier incarnation are gone. */
+    public int incarnation() {
+        return incarnation;
     }
 
-    /** When it started last, in ns; 0: long ago. */
+    /** The time of the last start, in ns; 0 if it has run since before the run began. */
     public long startedAt() {
         return startedAt;
     }
 
-    /** Requests that it holds. */
-    public int holds() {
+    /** The requests in flight; 0 while the process is down. */
+    public int inflight() {
         return up ? model.inflight() : 0;
     }
 
-    /** A request's last byte has come. */
-    public void arrived(IncomingRequest incoming) {
-        if (draws(ills.failing)) {
-            incoming.begins();
-            agenda.in(FAST_ERROR_NS, () -> incoming.answers(Answer.ERROR, 0));
+    /** Handles a request whose last byte has arrived. */
+    public void receive(IncomingRequest incoming) {
+        if (drawFault(faults.errorShare)) {
+            incoming.executionStarted();
+            eventQueue.scheduleAfter(FAST_ERROR_NS, () -> incoming.respond(Response.ERROR, 0));
             return;
         }
         advance();
-        Served job = new Served(incoming.work(), incoming, null, agenda.now());
-        job.depth = Math.min(MOST_DEPTHS - 1, model.inflight());
-        boolean taken = model.arrive(agenda.now(), job);
+        ServedJob job = new ServedJob(incoming.work(), incoming, null, eventQueue.now());
+        job.inflightOnArrival = Math.min(MAX_TRACKED_INFLIGHT - 1, model.inflight());
+        boolean taken = model.arrive(eventQueue.now(), job);
         if (taken) {
-            incoming.begins();
-            here.put(incoming, job);
-        } else if (!model.hasFallen()) {
-            incoming.answers(Answer.FULL, 0);
+            incoming.executionStarted();
+            requests.put(incoming, job);
+        } else if (!model.hasCrashed()) {
+            incoming.respond(Response.FULL, 0);
         }
-        if (model.hasFallen()) {
-            goDown();
-            fell.run();
+        if (model.hasCrashed()) {
+            stop();
+            onCrash.run();
         } else {
-            arrange();
+            scheduleWake();
         }
     }
 
-    /** Its node has closed the connection of a request that may be here. */
-    public void givenUp(IncomingRequest incoming) {
-        ServerModel.Job job = here.remove(incoming);
+    /** The node has closed the connection of this request, which may already have ended. */
+    public void cancelRequest(IncomingRequest incoming) {
+        ServerModel.Job job = requests.remove(incoming);
         if (job != null) {
             advance();
-            model.drop(agenda.now(), job);
-            arrange();
+            model.cancel(eventQueue.now(), job);
+            scheduleWake();
         }
     }
 
-    /** Work that belongs to no request, as a connection's opening. */
-    public void works(double ns) {
-        if (ns > 0) {
+    /** Adds work that belongs to no request, such as opening a connection. */
+    public void addBackgroundWork(double workNs) {
+        if (workNs > 0) {
             advance();
-            model.takes(ns);
-            arrange();
+            model.addBackgroundWork(workNs);
+            scheduleWake();
         }
     }
 
-    /** A probe has come; {@code done} is run when its answer leaves, and never if there is none. */
-    public void probes(Runnable done) {
-        if (fleet.deepProbes()) {
+    /**
+     * Handles a health check; {@code done} runs when the response leaves, and never if there is
+     * none.
+     */
+    public void checkHealth(Runnable done) {
+        if (fleet.queuedHealthChecks()) {
             advance();
-            model.arrive(agenda.now(), new Served(Math.max(1, fleet.probeWorkNs()), null, done, 0));
-            arrange();
+            model.arrive(
+                    eventQueue.now(),
+                    new ServedJob(Math.max(1, fleet.healthCheckWorkNs()), null, done, 0));
+            scheduleWake();
         } else {
-            works(fleet.probeWorkNs());
+            addBackgroundWork(fleet.healthCheckWorkNs());
             done.run();
         }
     }
 
-    /** It works so many times slower; 1: as usual. */
-    public void slow(double times) {
-        slower = times;
-        model.slow(agenda.now(), times, this::done);
-        arrange();
+    /** Makes the server this many times slower; 1 is normal. */
+    public void setSlowdown(double factor) {
+        slowdown = factor;
+        model.setSlowdown(eventQueue.now(), factor, this::jobDone);
+        scheduleWake();
     }
 
-    private boolean draws(double share) {
-        return share > 0 && illRandom.nextDouble() < share;
+    private boolean drawFault(double share) {
+        return share > 0 && faultRandom.nextDouble() < share;
     }
 
-    private void done(ServerModel.Job job) {
-        Served served = (Served) job;
-        if (served.after != null) {
-            served.after.run();
+    private void jobDone(ServerModel.Job job) {
+        ServedJob served = (ServedJob) job;
+        if (served.onDone != null) {
+            served.onDone.run();
             return;
         }
-        if (here.remove(served.incoming) == null) {
-            return; // it was given up, and the work went on
+        if (requests.remove(served.incoming) == null) {
+            return; // cancelled by its node while it was executing
         }
-        double before = tookNs[served.depth];
-        tookNs[served.depth] +=
-                (before == 0 ? 1 : TIME_WEIGHT) * (agenda.now() - served.at - before);
-        if (draws(ills.losing)) {
+        double previous = latencyByInflightNs[served.inflightOnArrival];
+        latencyByInflightNs[served.inflightOnArrival] +=
+                (previous == 0 ? 1 : LATENCY_SMOOTHING)
+                        * (eventQueue.now() - served.arrivedAt - previous);
+        if (drawFault(faults.lostResponseShare)) {
             return;
         }
-        Answer answer =
-                draws(ills.resetting)
-                        ? Answer.RESET
-                        : draws(ills.spoiling) ? Answer.GARBAGE : Answer.OK;
-        served.incoming.answers(answer, ills.drips);
+        Response response =
+                drawFault(faults.resetShare)
+                        ? Response.RESET
+                        : drawFault(faults.garbageShare) ? Response.GARBAGE : Response.OK;
+        served.incoming.respond(response, faults.trickleNs);
     }
 
     private void advance() {
         if (up) {
-            model.advance(agenda.now(), this::done);
+            model.advance(eventQueue.now(), this::jobDone);
         }
     }
 
-    private void wakes() {
-        wake = null;
-        wakesAt = Long.MAX_VALUE;
+    private void wakeUp() {
+        wakeEntry = null;
+        wakeAt = Long.MAX_VALUE;
         advance();
-        arrange();
+        scheduleWake();
     }
 
-    private void arrange() {
-        long next = up ? model.nextAt() : Long.MAX_VALUE;
-        if (next < wakesAt) {
-            if (wake != null) {
-                wake.cancel();
+    private void scheduleWake() {
+        long next = up ? model.nextEventTime() : Long.MAX_VALUE;
+        if (next < wakeAt) {
+            if (wakeEntry != null) {
+                wakeEntry.cancel();
             }
-            wakesAt = next;
-            wake = agenda.at(next, this::wakes);
+            wakeAt = next;
+            wakeEntry = eventQueue.scheduleAt(next, this::wakeUp);
         }
     }
 
-    /** Its process ends: what it holds breaks off. */
-    public void goDown() {
+    /** Ends the process; the connections of its requests break. */
+    public void stop() {
         if (up) {
             up = false;
-            life++;
-            List<IncomingRequest> broken = List.copyOf(here.keySet());
-            here.clear();
+            incarnation++;
+            List<IncomingRequest> interrupted = List.copyOf(requests.keySet());
+            requests.clear();
             model.clear();
-            broken.forEach(IncomingRequest::breaks);
+            interrupted.forEach(IncomingRequest::connectionBroken);
         }
     }
 
-    /** Its process has started again, cold. */
-    public void comeUp() {
+    /** Starts the process again, cold. */
+    public void start() {
         up = true;
-        startedAt = agenda.now();
-        model = new ServerModel(law, agenda.now(), true);
-        if (slower != 1) {
-            model.slow(agenda.now(), slower, job -> {});
+        startedAt = eventQueue.now();
+        model = new ServerModel(limits, eventQueue.now(), true);
+        if (slowdown != 1) {
+            model.setSlowdown(eventQueue.now(), slowdown, job -> {});
         }
     }
 
-    /** A request of a node's, or work with something to do after it. */
-    private static final class Served extends ServerModel.Job {
+    /** A request, or a queued health check, which runs {@code onDone} instead of responding. */
+    private static final class ServedJob extends ServerModel.Job {
         private final IncomingRequest incoming;
-        private final Runnable after;
-        private final long at;
-        private int depth;
+        private final Runnable onDone;
+        private final long arrivedAt;
+        private int inflightOnArrival;
 
-        Served(double work, IncomingRequest incoming, Runnable after, long at) {
+        ServedJob(double work, IncomingRequest incoming, Runnable onDone, long arrivedAt) {
             super(work);
             this.incoming = incoming;
-            this.after = after;
-            this.at = at;
+            this.onDone = onDone;
+            this.arrivedAt = arrivedAt;
         }
     }
 }
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
@@ -5,46 +5,50 @@
 import trailthread.lab.event.EventQueue;
 import trailthread.lab.server.IncomingRequest;
 
-/** One attempt of a call, from its node to a worker and back, in virtual time. */
+/** One attempt of a node at a server, in virtual time. */
 final class SimulatedAttempt implements IncomingRequest {
-    final SimulatedRequest call;
+    final SimulatedRequest request;
     final int number;
-    final SimulatedServer worker;
-    private final Simulation world;
+    final SimulatedServer server;
+    private final Simulation simulation;
     private final SimulatedNode node;
     private final long sentAt;
     private EventQueue.Entry timeout;
-    private boolean over;
+    private boolean ended;
 
-    /** It has a connection, of this life of its worker. */
+    /** Whether it has a connection, which belongs to {@code serverIncarnation}. */
     private boolean connected;
 
-    private int life;
-    private boolean written;
+    private int serverIncarnation;
+    private boolean requestWritten;
 
-    /** It counts among those that are on their way. */
-    private boolean coming = true;
+    /** Whether it counts in {@link SimulatedServer#arriving}. */
+    private boolean arriving = true;
 
     SimulatedAttempt(
-            Simulation world,
+            Simulation simulation,
             SimulatedNode node,
-            SimulatedRequest call,
+            SimulatedRequest request,
             int number,
-            SimulatedServer worker) {
-        this.world = world;
+            SimulatedServer server) {
+        this.simulation = simulation;
         this.node = node;
-        this.call = call;
+        this.request = request;
         this.number = number;
-        this.worker = worker;
-        this.sentAt = world.now();
-        this.life = worker.process().life();
-        worker.coming++;
+        this.server = server;
+        this.sentAt = simulation.now();
+        this.serverIncarnation = server.process().incarnation();
+        server.arriving++;
     }
 
-    /** Begins it; it is given up after this time, in ns. */
-    void send(long withinNs) {
-        timeout = world.agenda().in(withinNs, () -> node.input(() -> giveUp(Outcome.TIMEOUT)));
-        if (node.takesIdle(worker)) {
+    /** Sends the attempt, with a timeout in ns. */
+    void send(long timeoutNs) {
+        timeout =
+                simulation
+                        .eventQueue()
+                        .scheduleAfter(
+                                timeoutNs, () -> node.deliver(() -> giveUp(Outcome.TIMEOUT)));
+        if (node.takeIdleConnection(server)) {
             connected = true;
             write();
         } else {
@@ -53,30 +57,31 @@
     }
 
     private void connect() {
-        world.figures().opens();
-        world.agenda()
-                .in(
-                        world.network().dialNs(),
+        simulation.metrics().recordConnection();
+        simulation
+                .eventQueue()
+                .scheduleAfter(
+                        simulation.network().connectTimeoutNs(),
                         () ->
-                                node.input(
+                                node.deliver(
                                         () -> {
                                             if (!connected) {
                                                 end(Outcome.CONNECT_FAILED, null);
                                             }
                                         }));
-        world.travel(
+        simulation.transmit(
                 node,
-                worker,
+                server,
                 () -> {
-                    boolean opened = worker.opens();
-                    life = worker.process().life();
-                    world.travel(
-                            worker,
+                    boolean accepted = server.acceptConnection();
+                    serverIncarnation = server.process().incarnation();
+                    simulation.transmit(
+                            server,
                             node,
                             () -> {
-                                if (over && opened) {
-                                    worker.closes(life);
-                                } else if (opened) {
+                                if (ended && accepted) {
+                                    server.connectionClosed(serverIncarnation);
+                                } else if (accepted) {
                                     connected = true;
                                     write();
                                 } else {
@@ -87,66 +92,68 @@
     }
 
     private void write() {
-        written = true;
-        world.travel(
+        requestWritten = true;
+        simulation.transmit(
                 node,
-                worker,
+                server,
                 () -> {
-                    if (over) {
-                        return; // the connection was closed on it
+                    if (ended) {
+                        return; // its connection was closed before the request arrived
                     }
-                    comesNoMore();
-                    if (worker.process().isUp() && worker.process().life() == life) {
-                        worker.process().arrived(this);
+                    noLongerArriving();
+                    if (server.process().isUp()
+                            && server.process().incarnation() == serverIncarnation) {
+                        server.process().receive(this);
                     } else {
-                        world.travel(worker, node, () -> end(Outcome.RESET, null));
+                        simulation.transmit(server, node, () -> end(Outcome.RESET, null));
                     }
                 });
     }
 
-    private void comesNoMore() {
-        if (coming) {
-            coming = false;
-            worker.coming--;
+    private void noLongerArriving() {
+        if (arriving) {
+            arriving = false;
+            server.arriving--;
         }
     }
 
     @Override
     public double work() {
-        return call.ask.work();
+        return request.operation.work();
     }
 
     @Override
-    public void begins() {
-        world.referee().begun(world.now(), call.name, number);
+    public void executionStarted() {
+        simulation.checker().executionStarted(simulation.now(), request.name, number);
     }
 
     @Override
-    public void answers(Answer answer, long drips) {
-        if (worker.process().life() != life || over) {
+    public void respond(Response response, long trickleNs) {
+        if (server.process().incarnation() != serverIncarnation || ended) {
             return;
         }
-        if (answer == Answer.RESET || answer == Answer.GARBAGE) {
-            worker.closes(life);
-            breaks();
+        if (response == Response.RESET || response == Response.GARBAGE) {
+            server.connectionClosed(serverIncarnation);
+            connectionBroken();
             return;
         }
-        LoadReport load = worker.process().report();
-        world.agenda()
-                .in(
-                        drips,
+        LoadReport load = server.process().report();
+        simulation
+                .eventQueue()
+                .scheduleAfter(
+                        trickleNs,
                         () ->
-                                world.travel(
-                                        worker,
+                                simulation.transmit(
+                                        server,
                                         node,
                                         () -> {
-                                            if (!over) {
-                                                node.mayKeepIdle(worker, life);
+                                            if (!ended) {
+                                                node.keepIdleConnection(server, serverIncarnation);
                                                 connected = false;
                                                 end(
-                                                        answer == Answer.OK
+                                                        response == Response.OK
                                                                 ? Outcome.OK
-                                                                : answer == Answer.FULL
+                                                                : response == Response.FULL
                                                                         ? Outcome.REJECTED
                                                                         : Outcome.ERROR,
                                                         load);
@@ -155,48 +162,52 @@
     }
 
     @Override
-    public void breaks() {
-        world.travel(worker, node, () -> end(Outcome.RESET, null));
+    public void connectionBroken() {
+        simulation.transmit(server, node, () -> end(Outcome.RESET, null));
     }
 
-    /** Its node waits no longer. */
+    /** The node stops waiting for the response. */
     void giveUp(Outcome outcome) {
-        if (!over) {
-            boolean open = connected;
-            end(!written && outcome == Outcome.TIMEOUT ? Outcome.CONNECT_FAILED : outcome, null);
-            if (open) {
-                closes();
+        if (!ended) {
+            boolean hadConnection = connected;
+            end(
+                    !requestWritten && outcome == Outcome.TIMEOUT
+                            ? Outcome.CONNECT_FAILED
+                            : outcome,
+                    null);
+            if (hadConnection) {
+                closeConnection();
             }
         }
     }
 
-    private void closes() {
-        int of = life;
-        world.travel(
+    private void closeConnection() {
+        int closedIncarnation = serverIncarnation;
+        simulation.transmit(
                 node,
-                worker,
+                server,
                 () -> {
-                    worker.closes(of);
-                    worker.process().givenUp(this);
+                    server.connectionClosed(closedIncarnation);
+                    server.process().cancelRequest(this);
                 });
     }
 
     private void end(Outcome outcome, LoadReport load) {
-        if (!over) {
-            over = true;
-            comesNoMore();
+        if (!ended) {
+            ended = true;
+            noLongerArriving();
             timeout.cancel();
-            node.ended(this, outcome, world.now() - sentAt, load);
+            node.attemptEnded(this, outcome, simulation.now() - sentAt, load);
         }
     }
 
-    /** Its node was killed: its connection is closed by the system. */
-    void dies() {
-        over = true;
-        comesNoMore();
+    /** The node was killed, so the operating system closes the connection. */
+    void nodeKilled() {
+        ended = true;
+        noLongerArriving();
         timeout.cancel();
         if (connected) {
-            closes();
+            closeConnection();
         }
     }
 }
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedDiscovery.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedDiscovery.java
@@ -11,104 +11,113 @@
 import trailthread.lab.random.RandomStreams;
 
 /**
- * The list of workers in virtual time: told to those who watch, late, in order, or not at all while
- * it is down.
+ * Discovery in virtual time. Nodes that watch are notified after a delay, in order, and not at all
+ * while discovery is down.
  */
 final class SimulatedDiscovery {
-    private final Simulation world;
+    private final Simulation simulation;
     private final UniformRandomProvider random;
 
-    /** In the order in which workers were first named. */
-    private final List<SimulatedServer> listed = new ArrayList<>();
+    /** In the order in which they were added. */
+    private final List<SimulatedServer> servers = new ArrayList<>();
 
-    private final Map<SimulatedNode, Long> lastTold = new HashMap<>();
+    private final Map<SimulatedNode, Long> lastNotifiedAt = new HashMap<>();
     private boolean down;
 
-    SimulatedDiscovery(Simulation world) {
-        this.world = world;
-        random = world.streams().of("roster");
+    SimulatedDiscovery(Simulation simulation) {
+        this.simulation = simulation;
+        random = simulation.streams().stream("roster");
     }
 
-    /** The whole list, as a node that starts now would have had it. */
-    List<EndpointEntry> whole() {
+    /** The whole list, as a node that starts now has it cached. */
+    List<EndpointEntry> snapshot() {
         List<EndpointEntry> entries = new ArrayList<>();
-        listed.forEach(worker -> entries.add(worker.entry()));
+        servers.forEach(server -> entries.add(server.entry()));
         return entries;
     }
 
-    void add(SimulatedServer worker) {
-        listed.add(worker);
-        changed(worker, worker.state);
+    void add(SimulatedServer server) {
+        servers.add(server);
+        setState(server, server.state);
     }
 
-    /** A worker's state is this now. */
-    void changed(SimulatedServer worker, EndpointState state) {
-        worker.state = state;
-        EndpointEntry entry = worker.entry();
+    void setState(SimulatedServer server, EndpointState state) {
+        server.state = state;
+        EndpointEntry entry = server.entry();
         if (state == EndpointState.GONE) {
-            listed.remove(worker);
+            servers.remove(server);
         }
-        for (SimulatedNode node : world.nodes()) {
-            if (node.watches && !down) {
-                tell(node, () -> node.list(ListKind.DELTA, List.of(entry)));
+        for (SimulatedNode node : simulation.nodes()) {
+            if (node.watching && !down) {
+                notifyLater(node, () -> node.receiveList(ListKind.DELTA, List.of(entry)));
             }
         }
     }
 
-    /** After the usual delay, and after all that was to be told before. */
-    private void tell(SimulatedNode node, Runnable news) {
-        var law = world.scenario().list();
-        long at = world.now() + (long) RandomStreams.uniform(random, law.lowNs(), law.highNs());
-        at = Math.max(at, lastTold.getOrDefault(node, 0L));
-        lastTold.put(node, at);
-        world.agenda().at(at, () -> node.input(news));
+    /**
+     * Delivers the message after the delay of the scenario and after all earlier messages to this
+     * node.
+     */
+    private void notifyLater(SimulatedNode node, Runnable message) {
+        var model = simulation.scenario().discovery();
+        long at =
+                simulation.now()
+                        + (long)
+                                RandomStreams.uniform(
+                                        random, model.minDelayNs(), model.maxDelayNs());
+        at = Math.max(at, lastNotifiedAt.getOrDefault(node, 0L));
+        lastNotifiedAt.put(node, at);
+        simulation.eventQueue().scheduleAt(at, () -> node.deliver(message));
     }
 
     void watch(SimulatedNode node, boolean on) {
         if (!on || down) {
-            node.watches = false;
+            node.watching = false;
             if (on) {
-                failed(node);
+                sendFailure(node);
             }
             return;
         }
-        node.watches = true;
-        whole(node);
+        node.watching = true;
+        sendSnapshot(node);
     }
 
     void fetch(SimulatedNode node) {
         if (down) {
-            failed(node);
+            sendFailure(node);
         } else {
-            whole(node);
+            sendSnapshot(node);
         }
     }
 
-    private void whole(SimulatedNode node) {
-        List<EndpointEntry> entries = whole();
+    private void sendSnapshot(SimulatedNode node) {
+        List<EndpointEntry> entries = snapshot();
         long at =
                 Math.max(
-                        world.now() + world.scenario().list().lowNs(),
-                        lastTold.getOrDefault(node, 0L));
-        lastTold.put(node, at);
-        world.agenda().at(at, () -> node.input(() -> node.list(ListKind.FULL, entries)));
+                        simulation.now() + simulation.scenario().discovery().minDelayNs(),
+                        lastNotifiedAt.getOrDefault(node, 0L));
+        lastNotifiedAt.put(node, at);
+        simulation
+                .eventQueue()
+                .scheduleAt(at, () -> node.deliver(() -> node.receiveList(ListKind.FULL, entries)));
     }
 
-    private void failed(SimulatedNode node) {
-        world.agenda()
-                .in(
-                        world.scenario().list().lowNs(),
-                        () -> node.input(() -> node.list(ListKind.FAILED, List.of())));
+    private void sendFailure(SimulatedNode node) {
+        simulation
+                .eventQueue()
+                .scheduleAfter(
+                        simulation.scenario().discovery().minDelayNs(),
+                        () -> node.deliver(() -> node.receiveList(ListKind.FAILED, List.of())));
     }
 
-    /** It answers nothing from now on, and watches break; or it is back. */
-    void down(boolean on) {
-        down = on;
-        if (on) {
-            for (SimulatedNode node : world.nodes()) {
-                if (node.watches) {
-                    node.watches = false;
-                    failed(node);
+    /** Makes discovery stop answering, which ends all watches, or answer again. */
+    void setDown(boolean nowDown) {
+        down = nowDown;
+        if (nowDown) {
+            for (SimulatedNode node : simulation.nodes()) {
+                if (node.watching) {
+                    node.watching = false;
+                    sendFailure(node);
                 }
             }
         }
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
@@ -13,88 +13,95 @@
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
 import trailthread.api.Settings;
-import trailthread.lab.clients.ClientRequest;
+import trailthread.lab.clients.ClientOperation;
 import trailthread.lab.fault.FaultTarget;
 import trailthread.lab.invariant.InvariantChecker;
 import trailthread.lab.invariant.RequestTerms;
 
 /**
- * A node in virtual time: hosts one instance of the decisions under test, which learns and acts by
- * it alone.
+ * A node in virtual time. It hosts one instance of the balancer under test, which receives events
+ * and acts only through this node.
  */
 final class SimulatedNode implements BalancerActions, FaultTarget.Node {
     /**
-     * What one event may ask for, and what a node may have set as timers: past it the decisions run
-     * wild.
+     * Ends the run of a balancer in an endless loop: the most actions that one event may request,
+     * and the most events at one point in time.
      */
-    private static final int MOST_ACTIONS = 100_000;
+    private static final int MAX_STEPS_AT_ONCE = 100_000;
 
-    private static final int MOST_TIMERS = 2_000_000;
+    /** Likewise the most timers that a node may have. */
+    private static final int MAX_TIMERS = 2_000_000;
 
-    private record Idle(int life, long since) {}
+    private record IdleConnection(int serverIncarnation, long idleSince) {}
 
-    /** One event, told at this time. */
-    private interface Telling {
-        void tell(BalancerEvents module, long now);
+    /** An event for the balancer. */
+    private interface BalancerEvent {
+        void dispatch(BalancerEvents balancer, long now);
     }
 
     final int number;
     final String name;
     final String zone;
-    private final Simulation world;
-    private final Map<Long, SimulatedRequest> calls = new LinkedHashMap<>();
-    private final Map<SimulatedServer, ArrayDeque<Idle>> idle = new LinkedHashMap<>();
-    private final ArrayDeque<Runnable> asked = new ArrayDeque<>();
-    private BalancerEvents module;
-    private boolean busy;
-    private int life;
+    private final Simulation simulation;
+    private final Map<Long, SimulatedRequest> requests = new LinkedHashMap<>();
+    private final Map<SimulatedServer, ArrayDeque<IdleConnection>> idleConnections =
+            new LinkedHashMap<>();
+    private final ArrayDeque<Runnable> pendingActions = new ArrayDeque<>();
+    private BalancerEvents balancer;
+    private boolean runningActions;
+    private int incarnation;
     private boolean up = true;
     private long pausedUntil;
-    private long diedAt;
-    private boolean leaving;
-    private int timers;
-    private int atOnce;
-    private long lastAt;
-    boolean watches;
-
-    SimulatedNode(Simulation world, int number, String zone) {
-        this.world = world;
+    private long killedAt;
+    private boolean draining;
+    private int timerCount;
+    private int eventsAtSameTime;
+    private long lastEventAt;
+    boolean watching;
+
+    SimulatedNode(Simulation simulation, int number, String zone) {
+        this.simulation = simulation;
         this.number = number;
         this.name = "n" + number;
         this.zone = zone;
     }
 
-    /** Starts it; of the workers it knows what the roster knows. */
+    /** Starts the node with the present list of discovery as its cached list. */
     @Override
     public void start() {
         up = true;
-        leaving = false;
-        life++;
-        Settings settings = world.settings(this);
-        module =
-                world.policy()
-                        .make(
+        draining = false;
+        incarnation++;
+        Settings settings = simulation.settings(this);
+        balancer =
+                simulation
+                        .policy()
+                        .create(
                                 settings,
-                                world.streams().seedOf(name + " life " + life),
-                                world.now(),
+                                simulation.streams().seedOf(name + " life " + incarnation),
+                                simulation.now(),
                                 this,
-                                world.truth());
-        list(ListKind.CACHED, world.roster().whole());
+                                simulation.fleetView());
+        receiveList(ListKind.CACHED, simulation.discovery().snapshot());
     }
 
     boolean isUp() {
         return up;
     }
 
-    /** Something that reaches it: at once, or when it goes on. */
-    void input(Runnable task) {
-        int of = life;
-        if (pausedUntil > world.now()) {
-            world.agenda()
-                    .at(
+    /**
+     * Runs a task when the node is not paused: at once, or after the pause. A stopped node runs
+     * none.
+     */
+    void deliver(Runnable task) {
+        int expectedIncarnation = incarnation;
+        if (pausedUntil > simulation.now()) {
+            simulation
+                    .eventQueue()
+                    .scheduleAt(
                             pausedUntil,
                             () -> {
-                                if (life == of) {
+                                if (incarnation == expectedIncarnation) {
                                     task.run();
                                 }
                             });
@@ -104,32 +111,33 @@
     }
 
     @Override
-    public void pause(long forNs) {
-        pausedUntil = world.now() + forNs;
+    public void pause(long durationNs) {
+        pausedUntil = simulation.now() + durationNs;
     }
 
     boolean isPaused() {
-        return pausedUntil > world.now();
+        return pausedUntil > simulation.now();
     }
 
     @Override
     public boolean isServing() {
-        return up && !leaving;
+        return up && !draining;
     }
 
     /**
-     * New calls go elsewhere until it is back; it ends once all that it had must have been
-     * answered.
+     * The frontend sends new requests to other nodes until this node is back. The node ends after
+     * the longest deadline, when all its requests must have been answered.
      */
     @Override
     public void restart() {
-        leaving = true;
-        int of = life;
-        world.agenda()
-                .in(
-                        world.longestDeadline(),
+        draining = true;
+        int expectedIncarnation = incarnation;
+        simulation
+                .eventQueue()
+                .scheduleAfter(
+                        simulation.longestDeadline(),
                         () -> {
-                            if (life == of) {
+                            if (incarnation == expectedIncarnation) {
                                 kill();
                                 start();
                             }
@@ -138,366 +146,405 @@
 
     @Override
     public void reload() {
-        // nothing has changed in it
+        // the configuration has not changed
     }
 
-    boolean isLeaving() {
-        return leaving;
+    boolean isDraining() {
+        return draining;
     }
 
-    /** When it died last. */
-    long diedAt() {
-        return diedAt;
+    /** When it was killed last. */
+    long killedAt() {
+        return killedAt;
     }
 
     @Override
     public void kill() {
         up = false;
-        diedAt = world.now();
-        watches = false;
-        life++;
-        List<SimulatedRequest> had = new ArrayList<>(calls.values());
-        calls.clear();
-        asked.clear();
-        timers = 0;
-        idle.forEach(
-                (worker, connections) ->
+        killedAt = simulation.now();
+        watching = false;
+        incarnation++;
+        List<SimulatedRequest> openRequests = new ArrayList<>(requests.values());
+        requests.clear();
+        pendingActions.clear();
+        timerCount = 0;
+        idleConnections.forEach(
+                (server, connections) ->
                         connections.forEach(
-                                c -> {
-                                    if (c.life == worker.process().life()) {
-                                        worker.connections--;
+                                connection -> {
+                                    if (connection.serverIncarnation
+                                            == server.process().incarnation()) {
+                                        server.connections--;
                                     }
                                 }));
-        idle.clear();
-        for (SimulatedRequest call : had) {
-            if (call.out != null) {
-                call.out.dies();
+        idleConnections.clear();
+        for (SimulatedRequest request : openRequests) {
+            if (request.currentAttempt != null) {
+                request.currentAttempt.nodeKilled();
             }
-            world.referee().forget(call.name);
-            if (!call.finished) {
-                call.ask.saw(ClientRequest.Seen.NOTHING, 0);
+            simulation.checker().forget(request.name);
+            if (!request.finished) {
+                request.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
             }
         }
     }
 
     // ---- events
-    // ------------------------------------------------------------------------------------
 
-    private void event(Telling telling) {
-        long now = world.now();
-        atOnce = now == lastAt ? atOnce + 1 : 0;
-        lastAt = now;
-        if (atOnce > MOST_ACTIONS) {
+    private void notifyBalancer(BalancerEvent event) {
+        long now = simulation.now();
+        eventsAtSameTime = now == lastEventAt ? eventsAtSameTime + 1 : 0;
+        lastEventAt = now;
+        if (eventsAtSameTime > MAX_STEPS_AT_ONCE) {
             throw new BalancerFailureException(
-                    now, number, "more than " + MOST_ACTIONS + " events without time passing");
+                    now, number, "more than " + MAX_STEPS_AT_ONCE + " events without time passing");
         }
-        long begun = System.nanoTime();
-        telling.tell(module, now);
-        world.figures().decided(System.nanoTime() - begun);
-        if (asked.size() > MOST_ACTIONS) {
+        long startedAt = System.nanoTime();
+        event.dispatch(balancer, now);
+        simulation.metrics().recordDecision(System.nanoTime() - startedAt);
+        if (pendingActions.size() > MAX_STEPS_AT_ONCE) {
             throw new BalancerFailureException(
-                    now, number, "one event asked for more than " + MOST_ACTIONS + " actions");
+                    now, number, "one event requested more than " + MAX_STEPS_AT_ONCE + " actions");
         }
-        if (busy) {
+        if (runningActions) {
             return;
         }
-        busy = true;
+        runningActions = true;
         try {
-            for (Runnable action = asked.poll(); action != null; action = asked.poll()) {
+            for (Runnable action = pendingActions.poll();
+                    action != null;
+                    action = pendingActions.poll()) {
                 action.run();
             }
         } finally {
-            busy = false;
+            runningActions = false;
         }
     }
 
-    /** Takes a call whose client waits until this time. */
-    void take(ClientRequest ask, long until) {
-        SimulatedRequest call =
-                new SimulatedRequest(world.nextId(), world.nextSerial(), ask, world.now(), until);
-        calls.put(call.id, call);
-        var rules = ask.law().rules();
-        world.referee()
-                .taken(
-                        world.now(),
-                        call.name,
+    /** Receives a request whose client times out at this deadline. */
+    void receiveRequest(ClientOperation operation, long deadline) {
+        SimulatedRequest request =
+                new SimulatedRequest(
+                        simulation.nextId(),
+                        simulation.nextSerial(),
+                        operation,
+                        simulation.now(),
+                        deadline);
+        requests.put(request.id, request);
+        var requestClass = operation.classModel().requestClass();
+        simulation
+                .checker()
+                .requestReceived(
+                        simulation.now(),
+                        request.name,
                         name,
                         new RequestTerms(
-                                rules.name(),
-                                rules.idempotency(),
-                                rules.deduplicationScope(),
-                                rules.deduplicationWindowNs(),
-                                until));
-        long slack = world.scenario().rules().responseSlackNs();
-        world.agenda().at(until + slack + 1, () -> clientLeaves(call));
-        event(
-                (m, now) ->
-                        m.request(
+                                requestClass.name(),
+                                requestClass.idempotency(),
+                                requestClass.deduplicationScope(),
+                                requestClass.deduplicationWindowNs(),
+                                deadline));
+        long slack = simulation.scenario().rules().responseSlackNs();
+        simulation.eventQueue().scheduleAt(deadline + slack + 1, () -> clientTimedOut(request));
+        notifyBalancer(
+                (balancer, now) ->
+                        balancer.request(
                                 now,
-                                call.id,
-                                rules.name(),
+                                request.id,
+                                requestClass.name(),
                                 0,
-                                until,
-                                ask.tenant(),
+                                deadline,
+                                operation.tenant(),
                                 false,
-                                ask.key()));
+                                operation.key()));
     }
 
-    /** The client's time is over. */
-    private void clientLeaves(SimulatedRequest call) {
-        if (call.finished || !calls.containsKey(call.id)) {
+    /** The client has timed out. */
+    private void clientTimedOut(SimulatedRequest request) {
+        if (request.finished || !requests.containsKey(request.id)) {
             return;
         }
         if (isPaused()) {
-            world.referee()
-                    .gone(
-                            world.now(),
-                            call.name); // a process that is stopped owes nothing meanwhile
+            simulation
+                    .checker()
+                    .clientDisconnected(
+                            simulation.now(), request.name); // a paused process owes no response
         } else {
-            world.referee().overdue(world.now(), call.name);
+            simulation.checker().deadlineMissed(simulation.now(), request.name);
         }
-        call.finished = true;
-        call.ask.saw(ClientRequest.Seen.NOTHING, 0);
-        input(() -> event((m, now) -> m.clientDisconnected(now, call.id)));
-        forgetIfDone(call);
-    }
-
-    /** An attempt has ended; what that came to is told to the client first. */
-    void ended(SimulatedAttempt attempt, Outcome outcome, long latencyNs, LoadReport load) {
-        SimulatedRequest call = attempt.call;
-        call.out = null;
-        world.referee().ended(world.now(), call.name, attempt.number, outcome);
-        input(
+        request.finished = true;
+        request.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
+        deliver(
+                () ->
+                        notifyBalancer(
+                                (balancer, now) -> balancer.clientDisconnected(now, request.id)));
+        forgetIfDone(request);
+    }
+
+    /**
+     * Handles the end of an attempt. The client gets its response before the balancer learns of the
+     * outcome.
+     */
+    void attemptEnded(SimulatedAttempt attempt, Outcome outcome, long latencyNs, LoadReport load) {
+        SimulatedRequest request = attempt.request;
+        request.currentAttempt = null;
+        simulation.checker().attemptEnded(simulation.now(), request.name, attempt.number, outcome);
+        deliver(
                 () -> {
-                    if (outcome == Outcome.OK && !call.finished) {
-                        answer(call, ClientRequest.Seen.SERVED, 0, "served");
+                    if (outcome == Outcome.OK && !request.finished) {
+                        respond(request, ClientOperation.AttemptResult.SERVED, 0, "served");
                     }
-                    boolean closed = call.finished;
-                    event(
-                            (m, now) ->
-                                    m.outcome(
+                    boolean closed = request.finished;
+                    notifyBalancer(
+                            (balancer, now) ->
+                                    balancer.outcome(
                                             now,
-                                            call.id,
+                                            request.id,
                                             attempt.number,
                                             outcome,
                                             latencyNs,
                                             closed,
                                             load));
-                    forgetIfDone(call);
+                    forgetIfDone(request);
                 });
     }
 
-    private void answer(
-            SimulatedRequest call, ClientRequest.Seen seen, long retryAfterNs, String how) {
-        world.referee().answered(world.now(), call.name, how);
-        if (!call.finished) {
-            call.finished = true;
-            call.ask.saw(seen, retryAfterNs);
+    private void respond(
+            SimulatedRequest request,
+            ClientOperation.AttemptResult result,
+            long retryAfterNs,
+            String description) {
+        simulation.checker().responded(simulation.now(), request.name, description);
+        if (!request.finished) {
+            request.finished = true;
+            request.operation.attemptEnded(result, retryAfterNs);
         }
-        forgetIfDone(call);
+        forgetIfDone(request);
     }
 
-    private void forgetIfDone(SimulatedRequest call) {
-        if (call.finished && call.out == null) {
-            calls.remove(call.id);
+    private void forgetIfDone(SimulatedRequest request) {
+        if (request.finished && request.currentAttempt == null) {
+            requests.remove(request.id);
         }
     }
 
-    /** News of the workers. */
-    void list(ListKind kind, List<EndpointEntry> entries) {
+    /** Passes an endpoint list, whole or in part, to the balancer. */
+    void receiveList(ListKind kind, List<EndpointEntry> entries) {
         for (EndpointEntry entry : entries) {
-            world.referee()
-                    .told(
-                            world.now(),
+            simulation
+                    .checker()
+                    .endpointStateReceived(
+                            simulation.now(),
                             name,
                             entry.endpoint(),
                             entry.state() == EndpointState.READY);
         }
-        event((m, now) -> m.list(now, kind, entries));
+        notifyBalancer((balancer, now) -> balancer.list(now, kind, entries));
     }
 
     // ---- connections
-    // -------------------------------------------------------------------------------
 
     /**
-     * Takes the idle connection that was used last, if there is one that the worker has not closed
-     * yet.
+     * Takes the most recently used idle connection to the server; false if the server has closed
+     * them all. Drops those that have been idle for too long.
      */
-    boolean takesIdle(SimulatedServer worker) {
-        ArrayDeque<Idle> connections = idle.get(worker);
+    boolean takeIdleConnection(SimulatedServer server) {
+        ArrayDeque<IdleConnection> connections = idleConnections.get(server);
         if (connections == null) {
             return false;
         }
-        long oldest = world.now() - world.network().idleCloseNs();
-        for (Idle first = connections.peekFirst();
-                first != null && (first.since <= oldest || first.life != worker.process().life());
-                first = connections.peekFirst()) {
+        long idleLimit = simulation.now() - simulation.network().idleCloseNs();
+        for (IdleConnection oldest = connections.peekFirst();
+                oldest != null
+                        && (oldest.idleSince <= idleLimit
+                                || oldest.serverIncarnation != server.process().incarnation());
+                oldest = connections.peekFirst()) {
             connections.pollFirst();
-            if (first.life == worker.process().life()) {
-                worker.connections--;
+            if (oldest.serverIncarnation == server.process().incarnation()) {
+                server.connections--;
             }
         }
         return connections.pollLast() != null;
     }
 
-    void mayKeepIdle(SimulatedServer worker, int of) {
-        if (worker.process().life() == of) {
-            idle.computeIfAbsent(worker, w -> new ArrayDeque<>())
-                    .addLast(new Idle(of, world.now()));
+    void keepIdleConnection(SimulatedServer server, int serverIncarnation) {
+        if (server.process().incarnation() == serverIncarnation) {
+            idleConnections
+                    .computeIfAbsent(server, key -> new ArrayDeque<>())
+                    .addLast(new IdleConnection(serverIncarnation, simulation.now()));
         }
     }
 
     // ---- actions
-    // -----------------------------------------------------------------------------------
 
-    private SimulatedServer worker(String endpoint) {
-        SimulatedServer worker = world.worker(endpoint);
-        if (worker == null) {
+    private SimulatedServer server(String endpoint) {
+        SimulatedServer server = simulation.server(endpoint);
+        if (server == null) {
             throw new BalancerFailureException(
-                    world.now(), number, "a worker that no list has named: " + endpoint);
+                    simulation.now(), number, "an endpoint that no list has named: " + endpoint);
         }
-        return worker;
+        return server;
     }
 
     @Override
     public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
-        asked.add(
+        pendingActions.add(
                 () -> {
-                    SimulatedServer worker = worker(endpoint);
-                    SimulatedRequest call = calls.get(id);
-                    if (call == null) {
-                        return; // it ended a moment ago
+                    SimulatedServer server = server(endpoint);
+                    SimulatedRequest request = requests.get(id);
+                    if (request == null) {
+                        return; // the request has just ended
                     }
-                    int attempt = call.attempts++;
-                    long left = call.deadline - world.now();
-                    if (call.finished
-                            || left <= 0
-                            || call.out != null
-                            || attempt >= world.scenario().rules().maxAttempts()) {
-                        event(
-                                (m, now) ->
-                                        m.outcome(
+                    int attempt = request.attempts++;
+                    long remainingNs = request.deadline - simulation.now();
+                    if (request.finished
+                            || remainingNs <= 0
+                            || request.currentAttempt != null
+                            || attempt >= simulation.scenario().rules().maxAttempts()) {
+                        notifyBalancer(
+                                (balancer, now) ->
+                                        balancer.outcome(
                                                 now,
                                                 id,
                                                 attempt,
                                                 Outcome.NOT_SENT,
                                                 0,
-                                                call.finished,
+                                                request.finished,
                                                 null));
                         return;
                     }
-                    call.out = new SimulatedAttempt(world, this, call, attempt, worker);
-                    world.figures().sends(worker.index);
-                    world.referee()
-                            .sent(
-                                    world.now(),
-                                    call.name,
+                    request.currentAttempt =
+                            new SimulatedAttempt(simulation, this, request, attempt, server);
+                    simulation.metrics().recordAttempt(server.index);
+                    simulation
+                            .checker()
+                            .attemptSent(
+                                    simulation.now(),
+                                    request.name,
                                     attempt,
                                     name,
-                                    new InvariantChecker.Place(
-                                            worker.name, worker.zone, worker.cell));
-                    call.out.send(timeoutNs == 0 ? left : Math.min(timeoutNs, left));
+                                    new InvariantChecker.ServerLocation(
+                                            server.name, server.zone, server.cell));
+                    request.currentAttempt.send(
+                            timeoutNs == 0 ? remainingNs : Math.min(timeoutNs, remainingNs));
                 });
     }
 
     @Override
     public void refuse(long id, long retryAfterNs) {
-        asked.add(
+        pendingActions.add(
                 () -> {
-                    SimulatedRequest call = calls.get(id);
-                    if (call != null) {
-                        world.figures().refuses();
-                        answer(call, ClientRequest.Seen.REFUSED, retryAfterNs, "refused");
+                    SimulatedRequest request = requests.get(id);
+                    if (request != null) {
+                        simulation.metrics().recordRefusal();
+                        respond(
+                                request,
+                                ClientOperation.AttemptResult.REFUSED,
+                                retryAfterNs,
+                                "refused");
                     }
                 });
     }
 
     @Override
     public void fail(long id) {
-        asked.add(
+        pendingActions.add(
                 () -> {
-                    SimulatedRequest call = calls.get(id);
-                    if (call != null) {
-                        answer(call, ClientRequest.Seen.FAILED, 0, "failed");
+                    SimulatedRequest request = requests.get(id);
+                    if (request != null) {
+                        respond(request, ClientOperation.AttemptResult.FAILED, 0, "failed");
                     }
                 });
     }
 
     @Override
     public void cancel(long id, int attempt) {
-        asked.add(
+        pendingActions.add(
                 () -> {
-                    SimulatedRequest call = calls.get(id);
-                    if (call != null && call.out != null && call.out.number == attempt) {
-                        call.out.giveUp(Outcome.CANCELLED);
+                    SimulatedRequest request = requests.get(id);
+                    if (request != null
+                            && request.currentAttempt != null
+                            && request.currentAttempt.number == attempt) {
+                        request.currentAttempt.giveUp(Outcome.CANCELLED);
                     }
                 });
     }
 
     @Override
     public void timer(long delayNs, long token) {
-        int of = life;
-        if (++timers > MOST_TIMERS) {
+        int expectedIncarnation = incarnation;
+        if (++timerCount > MAX_TIMERS) {
             throw new BalancerFailureException(
-                    world.now(), number, "more than " + MOST_TIMERS + " timers");
+                    simulation.now(), number, "more than " + MAX_TIMERS + " timers");
         }
-        world.agenda()
-                .in(
+        simulation
+                .eventQueue()
+                .scheduleAfter(
                         delayNs,
                         () -> {
-                            if (life == of) {
-                                timers--;
-                                input(() -> event((m, now) -> m.timer(now, token)));
+                            if (incarnation == expectedIncarnation) {
+                                timerCount--;
+                                deliver(
+                                        () ->
+                                                notifyBalancer(
+                                                        (balancer, now) ->
+                                                                balancer.timer(now, token)));
                             }
                         });
     }
 
     @Override
     public void checkHealth(String endpoint) {
-        asked.add(
+        pendingActions.add(
                 () -> {
-                    SimulatedServer worker = worker(endpoint);
-                    world.figures().probes();
-                    long begun = world.now();
-                    boolean[] over = new boolean[1];
-                    long within = world.probeWithinNs();
-                    world.agenda()
-                            .in(
-                                    within,
+                    SimulatedServer server = server(endpoint);
+                    simulation.metrics().recordHealthCheck();
+                    long startedAt = simulation.now();
+                    boolean[] finished = new boolean[1];
+                    long timeoutNs = simulation.healthCheckTimeoutNs();
+                    simulation
+                            .eventQueue()
+                            .scheduleAfter(
+                                    timeoutNs,
                                     () ->
                                             healthChecked(
-                                                    worker, Outcome.TIMEOUT, within, null, over));
-                    world.travel(
+                                                    server,
+                                                    Outcome.TIMEOUT,
+                                                    timeoutNs,
+                                                    null,
+                                                    finished));
+                    simulation.transmit(
                             this,
-                            worker,
+                            server,
                             () -> {
-                                if (!worker.process().isUp()) {
-                                    world.travel(
-                                            worker,
+                                if (!server.process().isUp()) {
+                                    simulation.transmit(
+                                            server,
                                             this,
                                             () ->
                                                     healthChecked(
-                                                            worker,
+                                                            server,
                                                             Outcome.RESET,
-                                                            world.now() - begun,
+                                                            simulation.now() - startedAt,
                                                             null,
-                                                            over));
+                                                            finished));
                                 } else {
-                                    worker.process()
-                                            .probes(
+                                    server.process()
+                                            .checkHealth(
                                                     () -> {
                                                         LoadReport load =
-                                                                worker.process().healthChecked();
-                                                        world.travel(
-                                                                worker,
+                                                                server.process().healthReport();
+                                                        simulation.transmit(
+                                                                server,
                                                                 this,
                                                                 () ->
                                                                         healthChecked(
-                                                                                worker,
+                                                                                server,
                                                                                 Outcome.OK,
-                                                                                world.now() - begun,
+                                                                                simulation.now()
+                                                                                        - startedAt,
                                                                                 load,
-                                                                                over));
+                                                                                finished));
                                                     });
                                 }
                             });
@@ -505,33 +552,37 @@
     }
 
     private void healthChecked(
-            SimulatedServer worker,
+            SimulatedServer server,
             Outcome outcome,
             long latencyNs,
             LoadReport load,
-            boolean[] over) {
-        if (!over[0] && up) {
-            over[0] = true;
-            input(
+            boolean[] finished) {
+        if (!finished[0] && up) {
+            finished[0] = true;
+            deliver(
                     () ->
-                            event(
-                                    (m, now) ->
-                                            m.healthChecked(
-                                                    now, worker.name, outcome, latencyNs, load)));
+                            notifyBalancer(
+                                    (balancer, now) ->
+                                            balancer.healthChecked(
+                                                    now, server.name, outcome, latencyNs, load)));
         }
     }
 
     @Override
     public void closeIdle(String endpoint) {
-        asked.add(
+        pendingActions.add(
                 () -> {
-                    SimulatedServer worker = worker(endpoint);
-                    ArrayDeque<Idle> connections = idle.remove(worker);
+                    SimulatedServer server = server(endpoint);
+                    ArrayDeque<IdleConnection> connections = idleConnections.remove(server);
                     if (connections != null) {
-                        worker.connections -=
+                        server.connections -=
                                 (int)
                                         connections.stream()
-                                                .filter(c -> c.life == worker.process().life())
+                                                .filter(
+                                                        connection ->
+                                                                connection.serverIncarnation
+                                                                        == server.process()
+                                                                                .incarnation())
                                                 .count();
                     }
                 });
@@ -540,21 +591,21 @@
     @Override
     public void sendToPeer(int peer, byte[] data) {
         throw new BalancerFailureException(
-                world.now(), number, "a message to a peer: nodes share nothing here");
+                simulation.now(), number, "a message to a peer, which simulated nodes can't send");
     }
 
     @Override
     public void watch(boolean on) {
-        asked.add(() -> world.roster().watch(this, on));
+        pendingActions.add(() -> simulation.discovery().watch(this, on));
     }
 
     @Override
     public void fetch() {
-        asked.add(() -> world.roster().fetch(this));
+        pendingActions.add(() -> simulation.discovery().fetch(this));
     }
 
     @Override
     public void log(String text) {
-        world.figures().logs();
+        simulation.metrics().recordLogLine();
     }
 }
