--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedServer.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedServer.java
@@ -6,44 +6,44 @@
 import trailthread.lab.model.ServerLimits;
 import trailthread.lab.server.ServerProcess;
 
-/** A worker in virtual time: its process, its connections, and what its roster says of it. */
-final class SimulatedServer implements FaultTarget.Worker {
+/** A server in virtual time: its process, its connections and its state in discovery. */
+final class SimulatedServer implements FaultTarget.Server {
     final String name;
     final int index;
     final String zone;
     final int cell;
-    private final Simulation world;
+    private final Simulation simulation;
     private final ServerProcess process;
     EndpointState state = EndpointState.READY;
     int connections;
 
-    /** Attempts that are on their way to it. */
-    int coming;
+    /** Attempts on their way to this server. */
+    int arriving;
 
     SimulatedServer(
-            Simulation world,
+            Simulation simulation,
             String name,
             int index,
             String zone,
             int cell,
-            ServerLimits law,
+            ServerLimits limits,
             boolean cold) {
-        this.world = world;
+        this.simulation = simulation;
         this.name = name;
         this.index = index;
         this.zone = zone;
         this.cell = cell;
         process =
                 new ServerProcess(
-                        world.agenda(),
-                        world.streams(),
-                        world.scenario().fleet(),
+                        simulation.eventQueue(),
+                        simulation.streams(),
+                        simulation.scenario().fleet(),
                         name,
-                        law,
+                        limits,
                         cold,
                         () -> {
                             connections = 0;
-                            world.referee().fell(world.now(), name);
+                            simulation.checker().coldServerOverloaded(simulation.now(), name);
                         });
     }
 
@@ -51,19 +51,19 @@
         return new EndpointEntry(name, 1, state, zone, process.startedAt(), cell);
     }
 
-    /** A connect has come; whether it is taken. */
-    boolean opens() {
-        if (!process.isUp() || connections >= world.network().connections()) {
+    /** Accepts or refuses a new connection; true if it is accepted. */
+    boolean acceptConnection() {
+        if (!process.isUp() || connections >= simulation.network().maxConnections()) {
             return false;
         }
         connections++;
-        process.works(world.network().openWorkNs());
+        process.addBackgroundWork(simulation.network().connectionWorkNs());
         return true;
     }
 
-    /** A connection of this life of it is closed by its node. */
-    void closes(int life) {
-        if (life == process.life()) {
+    /** A node has closed a connection that was opened to this incarnation of the server. */
+    void connectionClosed(int incarnation) {
+        if (incarnation == process.incarnation()) {
             connections--;
         }
     }
@@ -84,25 +84,25 @@
     }
 
     @Override
-    public void drains() {
-        world.roster().changed(this, EndpointState.DRAINING);
+    public void startDraining() {
+        simulation.discovery().setState(this, EndpointState.DRAINING);
     }
 
     @Override
-    public void goesDown() {
+    public void stop() {
         connections = 0;
-        process.goDown();
+        process.stop();
     }
 
     @Override
-    public void comesBack() {
-        process.comeUp();
-        world.roster().changed(this, EndpointState.READY);
+    public void restart() {
+        process.start();
+        simulation.discovery().setState(this, EndpointState.READY);
     }
 
     @Override
-    public void isReplaced() {
-        world.roster().changed(this, EndpointState.GONE);
-        world.addWorker(zone, Math.max(0, cell), true);
+    public void replace() {
+        simulation.discovery().setState(this, EndpointState.GONE);
+        simulation.addServer(zone, Math.max(0, cell), true);
     }
 }
--- a/lab/src/main/java/trailthread/lab/simulation/Simulation.java
+++ b/lab/src/main/java/trailthread/lab/simulation/Simulation.java
@@ -10,8 +10,8 @@
 import trailthread.api.Settings;
 import trailthread.lab.baseline.FleetView;
 import trailthread.lab.baseline.Policy;
+import trailthread.lab.clients.ClientOperation;
 import trailthread.lab.clients.ClientPopulation;
-import trailthread.lab.clients.ClientRequest;
 import trailthread.lab.clients.RequestSink;
 import trailthread.lab.event.EventQueue;
 import trailthread.lab.fault.FaultInjector;
@@ -21,176 +21,185 @@
 import trailthread.lab.model.ServerLimits;
 import trailthread.lab.random.RandomStreams;
 import trailthread.lab.scenario.Scenario;
-import trailthread.lab.scenario.Scenario.NetworkLaw;
+import trailthread.lab.scenario.Scenario.NetworkModel;
 
 /**
- * A day in virtual time: clients, nodes with the decisions under test, the network, workers, the
- * roster and what goes wrong. One seed gives one history. Runs on the thread that calls it and
- * shares nothing, so that many can run at once.
+ * A run in virtual time: clients, nodes with the balancer under test, network, servers, discovery
+ * and faults. One seed gives one history. It runs on the calling thread and shares nothing, so many
+ * can run at once.
  */
 public final class Simulation implements RequestSink, FaultTarget {
-    /** Virtual clocks begin at an odd time, so that nothing rests on zero. */
-    private static final long BEGIN = 1_000_000_000_000L;
+    /** Virtual clocks do not begin at 0, so that no code can rely on it. */
+    private static final long START_TIME = 1_000_000_000_000L;
 
-    /** How long the front of the nodes goes on sending to one that has died. */
-    private static final long FRONT_LEARNS_NS = 500_000_000L;
+    /** How long the frontend of the nodes continues to send to a node that was killed. */
+    private static final long FRONTEND_DETECTION_NS = 500_000_000L;
 
     private static final long SECOND = 1_000_000_000L;
 
     private final Scenario scenario;
     private final Policy policy;
     private final RandomStreams streams;
-    private final EventQueue agenda = new EventQueue(BEGIN);
-    private final InvariantChecker referee;
-    private final RunMetrics figures;
+    private final EventQueue eventQueue = new EventQueue(START_TIME);
+    private final InvariantChecker checker;
+    private final RunMetrics metrics;
     private final List<SimulatedNode> nodes = new ArrayList<>();
-    private final List<SimulatedServer> workers = new ArrayList<>();
-    private final Map<String, SimulatedServer> byName = new HashMap<>();
-    private final SimulatedDiscovery roster;
+    private final List<SimulatedServer> servers = new ArrayList<>();
+    private final Map<String, SimulatedServer> serversByName = new HashMap<>();
+    private final SimulatedDiscovery discovery;
     private final ClientPopulation clients;
-    private final UniformRandomProvider network;
-    private final UniformRandomProvider speeds;
+    private final UniformRandomProvider networkRandom;
+    private final UniformRandomProvider speedRandom;
     private long lastId;
-    private long serials;
-    private String cutZone;
+    private long lastSerial;
+    private String isolatedZone;
 
     private Simulation(Scenario scenario, Policy policy, long seed) {
         this.scenario = scenario;
         this.policy = policy;
         streams = new RandomStreams(seed);
-        referee =
+        checker =
                 new InvariantChecker(
                         scenario.rules().responseSlackNs(), scenario.rules().drainGraceNs());
-        figures = new RunMetrics(BEGIN, BEGIN + scenario.warmUpNs());
-        network = streams.of("network");
-        speeds = streams.of("speeds");
-        roster = new SimulatedDiscovery(this);
-        clients = new ClientPopulation(agenda, streams, scenario, figures, this);
+        metrics = new RunMetrics(START_TIME, START_TIME + scenario.warmUpNs());
+        networkRandom = streams.stream("network");
+        speedRandom = streams.stream("speeds");
+        discovery = new SimulatedDiscovery(this);
+        clients = new ClientPopulation(eventQueue, streams, scenario, metrics, this);
     }
 
-    /** What came of a day, and how it was judged. */
-    public record Day(
-            RunMetrics figures,
-            InvariantChecker referee,
+    /** The metrics of a run and the violations that were found. */
+    public record RunResult(
+            RunMetrics metrics,
+            InvariantChecker checker,
             long events,
             long wallNs,
-            List<String> workers) {}
+            List<String> servers) {}
 
     /**
-     * Plays a day.
+     * Simulates a run.
      *
-     * @throws BalancerFailureException if the decisions ask for what nobody can do
+     * @throws BalancerFailureException if the balancer requests an impossible action or gets into
+     *     an endless loop
      */
-    public static Day play(Scenario scenario, Policy policy, long seed) {
-        long begun = System.nanoTime();
-        Simulation world = new Simulation(scenario, policy, seed);
-        world.run();
-        return new Day(
-                world.figures,
-                world.referee,
-                world.agenda.done(),
-                System.nanoTime() - begun,
-                world.workers.stream().map(w -> w.name).toList());
-    }
-
-    private void run() {
-        for (int i = 0; i < scenario.fleet().workers(); i++) {
-            addWorker(scenario.zones().get(i % scenario.zones().size()), i, false);
+    public static RunResult run(Scenario scenario, Policy policy, long seed) {
+        long startedAt = System.nanoTime();
+        Simulation simulation = new Simulation(scenario, policy, seed);
+        simulation.runToEnd();
+        return new RunResult(
+                simulation.metrics,
+                simulation.checker,
+                simulation.eventQueue.executedCount(),
+                System.nanoTime() - startedAt,
+                simulation.servers.stream().map(server -> server.name).toList());
+    }
+
+    private void runToEnd() {
+        for (int i = 0; i < scenario.fleet().servers(); i++) {
+            addServer(scenario.zones().get(i % scenario.zones().size()), i, false);
         }
         for (int i = 0; i < scenario.nodes(); i++) {
             nodes.add(
                     new SimulatedNode(this, i, scenario.zones().get(i % scenario.zones().size())));
         }
         nodes.forEach(SimulatedNode::start);
-        FaultInjector.arrange(agenda, streams, scenario.faults(), this);
-        long end = BEGIN + scenario.lengthNs();
+        FaultInjector.schedule(eventQueue, streams, scenario.faults(), this);
+        long end = START_TIME + scenario.durationNs();
         clients.begin(end);
-        sample(end);
-        // After the last arrival it runs on until all is answered.
+        sampleEachSecond(end);
+        // Continues after the last arrival until all operations have ended.
         for (long until = end + 2 * longestDeadline() + SECOND;
-                agenda.now() < until && (agenda.now() < end || clients.open() > 0); ) {
-            agenda.runUntil(Math.min(until, agenda.now() + SECOND));
+                eventQueue.now() < until
+                        && (eventQueue.now() < end || clients.openOperations() > 0); ) {
+            eventQueue.runUntil(Math.min(until, eventQueue.now() + SECOND));
         }
-        referee.finish(agenda.now());
+        checker.finish(eventQueue.now());
     }
 
-    /** A worker under a new name. */
-    void addWorker(String zone, int place, boolean cold) {
+    /** Adds a server with a new name; its cell is {@code cellIndex} modulo the number of cells. */
+    void addServer(String zone, int cellIndex, boolean cold) {
         var fleet = scenario.fleet();
-        ServerLimits own =
-                fleet.law().at(RandomStreams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
-        int cell = fleet.cells() > 0 ? place % fleet.cells() : -1;
-        SimulatedServer worker =
+        ServerLimits ownLimits =
+                fleet.limits()
+                        .withSpeedFactor(
+                                RandomStreams.uniform(
+                                        speedRandom, fleet.speedLow(), fleet.speedHigh()));
+        int cell = fleet.cells() > 0 ? cellIndex % fleet.cells() : -1;
+        SimulatedServer server =
                 new SimulatedServer(
-                        this, "w" + workers.size(), workers.size(), zone, cell, own, cold);
-        workers.add(worker);
-        byName.put(worker.name, worker);
-        roster.add(worker);
+                        this, "w" + servers.size(), servers.size(), zone, cell, ownLimits, cold);
+        servers.add(server);
+        serversByName.put(server.name, server);
+        discovery.add(server);
     }
 
-    // ---- the front of the nodes
-    // ---------------------------------------------------------------------
+    // ---- frontend of the nodes
 
     @Override
-    public void take(ClientRequest ask, int zone, double draw, long until) {
-        SimulatedNode node = chosen(scenario.zones().get(zone), draw);
+    public void startAttempt(
+            ClientOperation operation, int zoneIndex, double nodeChoice, long clientTimeoutAt) {
+        SimulatedNode node = chooseNode(scenario.zones().get(zoneIndex), nodeChoice);
         if (node == null || !node.isUp()) {
-            ask.saw(ClientRequest.Seen.UNREACHABLE, 0);
+            operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
         } else {
-            boolean[] heard = new boolean[1];
-            node.input(
+            boolean[] received = new boolean[1];
+            node.deliver(
                     () -> {
-                        if (now() <= until) { // else its client has left, before a node that was
-                            // stopped came to read it
-                            heard[0] = true;
-                            node.take(ask, until);
+                        // A client that timed out during a pause has disconnected before the node
+                        // could read its request.
+                        if (now() <= clientTimeoutAt) {
+                            received[0] = true;
+                            node.receiveRequest(operation, clientTimeoutAt);
                         }
                     });
-            if (!heard[0]) {
-                agenda.at(
-                        until + 1,
+            if (!received[0]) {
+                eventQueue.scheduleAt(
+                        clientTimeoutAt + 1,
                         () -> {
-                            if (!heard[0]) {
-                                ask.saw(ClientRequest.Seen.NOTHING, 0);
+                            if (!received[0]) {
+                                operation.attemptEnded(
+                                        ClientOperation.AttemptResult.NO_RESPONSE, 0);
                             }
                         });
             }
         }
     }
 
-    /** One of the zone's, or, if its front knows of none there, of all; null: there is none. */
-    private SimulatedNode chosen(String zone, double draw) {
-        int near = 0;
+    /**
+     * Chooses a node of the zone, or of all zones if the frontend knows none there; null if there
+     * is none.
+     */
+    private SimulatedNode chooseNode(String zone, double draw) {
+        int inZone = 0;
         int all = 0;
         for (SimulatedNode node : nodes) {
-            if (frontKnows(node)) {
+            if (isRouted(node)) {
                 all++;
-                near += node.zone.equals(zone) ? 1 : 0;
+                inZone += node.zone.equals(zone) ? 1 : 0;
             }
         }
-        int left = (int) (draw * (near > 0 ? near : all));
+        int left = (int) (draw * (inZone > 0 ? inZone : all));
         for (SimulatedNode node : nodes) {
-            if (frontKnows(node) && (near == 0 || node.zone.equals(zone)) && left-- == 0) {
+            if (isRouted(node) && (inZone == 0 || node.zone.equals(zone)) && left-- == 0) {
                 return node;
             }
         }
         return null;
     }
 
-    private boolean frontKnows(SimulatedNode node) {
-        return (node.isUp() && !node.isLeaving())
-                || (!node.isUp() && agenda.now() - node.diedAt() < FRONT_LEARNS_NS);
+    private boolean isRouted(SimulatedNode node) {
+        return (node.isUp() && !node.isDraining())
+                || (!node.isUp() && eventQueue.now() - node.killedAt() < FRONTEND_DETECTION_NS);
     }
 
-    // ---- what the parts need
-    // -----------------------------------------------------------------------
+    // ---- used by the parts of the simulation
 
     long now() {
-        return agenda.now();
+        return eventQueue.now();
     }
 
-    EventQueue agenda() {
-        return agenda;
+    EventQueue eventQueue() {
+        return eventQueue;
     }
 
     RandomStreams streams() {
@@ -201,7 +210,7 @@
         return scenario;
     }
 
-    NetworkLaw network() {
+    NetworkModel network() {
         return scenario.network();
     }
 
@@ -209,17 +218,17 @@
         return policy;
     }
 
-    InvariantChecker referee() {
-        return referee;
+    InvariantChecker checker() {
+        return checker;
     }
 
-    RunMetrics figures() {
-        figures.at(agenda.now());
-        return figures;
+    RunMetrics metrics() {
+        metrics.setClock(eventQueue.now());
+        return metrics;
     }
 
-    SimulatedDiscovery roster() {
-        return roster;
+    SimulatedDiscovery discovery() {
+        return discovery;
     }
 
     @Override
@@ -228,12 +237,12 @@
     }
 
     @Override
-    public List<SimulatedServer> workers() {
-        return workers;
+    public List<SimulatedServer> servers() {
+        return servers;
     }
 
-    SimulatedServer worker(String name) {
-        return byName.get(name);
+    SimulatedServer server(String name) {
+        return serversByName.get(name);
     }
 
     long nextId() {
@@ -241,58 +250,64 @@
     }
 
     long nextSerial() {
-        return ++serials;
+        return ++lastSerial;
     }
 
     @Override
-    public void tail(double share, double times) {
-        clients.setTail(share, times);
+    public void setHeavyTail(double share, double factor) {
+        clients.setHeavyTail(share, factor);
     }
 
     @Override
-    public void rosterDown(boolean down) {
-        roster.down(down);
+    public void setDiscoveryDown(boolean down) {
+        discovery.setDown(down);
     }
 
     @Override
-    public void cutZone(String zone) {
-        cutZone = zone;
+    public void isolateZone(String zone) {
+        isolatedZone = zone;
     }
 
     long longestDeadline() {
         return scenario.classes().stream()
-                .mapToLong(c -> c.rules().deadlineNs())
+                .mapToLong(c -> c.requestClass().deadlineNs())
                 .max()
                 .orElseThrow();
     }
 
-    /** What takes longer to tell its load than the tightest aim is fit for nothing just now. */
-    long probeWithinNs() {
+    /**
+     * The timeout of a health check. A server that takes longer to respond than the strictest
+     * latency objective allows could not serve a request in time now.
+     */
+    long healthCheckTimeoutNs() {
         return scenario.classes().stream()
-                .mapToLong(c -> c.rules().latencyObjectiveNs())
+                .mapToLong(c -> c.requestClass().latencyObjectiveNs())
                 .min()
                 .orElseThrow();
     }
 
-    void travel(SimulatedNode from, SimulatedServer to, Runnable task) {
-        travel(from.zone, to.zone, to, task);
+    void transmit(SimulatedNode from, SimulatedServer to, Runnable task) {
+        transmit(from.zone, to.zone, to, task);
     }
 
-    void travel(SimulatedServer from, SimulatedNode to, Runnable task) {
-        travel(from.zone, to.zone, from, () -> to.input(task));
+    void transmit(SimulatedServer from, SimulatedNode to, Runnable task) {
+        transmit(from.zone, to.zone, from, () -> to.deliver(task));
     }
 
-    /** One way over the network, if there is one. */
-    private void travel(String from, String to, SimulatedServer worker, Runnable task) {
-        boolean far = !from.equals(to);
-        if (worker.process().ills.cut
-                || (far && cutZone != null && (from.equals(cutZone) || to.equals(cutZone)))) {
-            return; // nothing is said
+    /** Runs the task after one network delay, if the network delivers at all. */
+    private void transmit(String from, String to, SimulatedServer server, Runnable task) {
+        boolean crossZone = !from.equals(to);
+        if (server.process().faults.isolated
+                || (crossZone
+                        && isolatedZone != null
+                        && (from.equals(isolatedZone) || to.equals(isolatedZone)))) {
+            return; // dropped without an error
         }
-        NetworkLaw law = scenario.network();
+        NetworkModel model = scenario.network();
         double delay =
-                (far ? law.farNs() : law.nearNs()) * (1 + law.jitter() * network.nextDouble());
-        agenda.in((long) delay, task);
+                (crossZone ? model.crossZoneDelayNs() : model.sameZoneDelayNs())
+                        * (1 + model.jitter() * networkRandom.nextDouble());
+        eventQueue.scheduleAfter((long) delay, task);
     }
 
     Settings settings(SimulatedNode node) {
@@ -302,27 +317,28 @@
         s.nodeIndex = node.number;
         s.nodes = scenario.nodes();
         s.zone = node.zone;
-        scenario.classes().forEach(c -> s.classes.add(c.rules()));
+        scenario.classes().forEach(c -> s.classes.add(c.requestClass()));
         s.tenants.addAll(scenario.tenants());
         s.crossZonePrice = rules.crossZonePrice();
         s.mayCancel = true;
-        s.mayCheckHealth = rules.probes();
+        s.mayCheckHealth = rules.healthChecks();
         s.maxAttempts = rules.maxAttempts();
         s.retryAfter = rules.maxRetryAfterNs() > 0;
         s.maxRetryAfterNs = rules.maxRetryAfterNs();
-        s.connectTimeoutNs = network().dialNs();
+        s.connectTimeoutNs = network().connectTimeoutNs();
         s.listIsPolled = true;
-        s.reports = scenario.fleet().reports() ? LoadReportSource.RESPONSES : LoadReportSource.NONE;
+        s.reports =
+                scenario.fleet().reportsLoad() ? LoadReportSource.RESPONSES : LoadReportSource.NONE;
         s.responseSlackNs = rules.responseSlackNs();
-        var cold = scenario.fleet().law().cold();
+        var cold = scenario.fleet().limits().cold();
         s.slowStartInitialShare = cold.share();
         s.slowStartNs = cold.warmNs();
-        s.overloadMultiple = Math.min(1e6, cold.multiple());
-        s.overloadWindowNs = cold.deduplicationWindowNs();
+        s.overloadMultiple = Math.min(1e6, cold.overloadMultiple());
+        s.overloadWindowNs = cold.windowNs();
         return s;
     }
 
-    FleetView truth() {
+    FleetView fleetView() {
         return new FleetView() {
             private final double meanWork = scenario.meanWorkNs();
 
@@ -332,29 +348,29 @@
             }
 
             @Override
-            public double stretch(String name) {
-                SimulatedServer w = byName.get(name);
-                boolean well =
-                        w.process().isUp()
-                                && w.process().ills.none()
-                                && w.state == EndpointState.READY;
-                return well
-                        ? w.process().model().stretch(now(), w.coming)
+            public double expectedSlowdown(String name) {
+                SimulatedServer server = serversByName.get(name);
+                boolean available =
+                        server.process().isUp()
+                                && server.process().faults.noneActive()
+                                && server.state == EndpointState.READY;
+                return available
+                        ? server.process().model().expectedSlowdown(now(), server.arriving)
                         : Double.POSITIVE_INFINITY;
             }
         };
     }
 
-    private void sample(long end) {
-        for (long at = BEGIN + SECOND - 1; at < end; at += SECOND) {
-            agenda.at(
+    private void sampleEachSecond(long end) {
+        for (long at = START_TIME + SECOND - 1; at < end; at += SECOND) {
+            eventQueue.scheduleAt(
                     at,
                     () -> {
-                        int[] held = new int[workers.size()];
-                        for (int i = 0; i < held.length; i++) {
-                            held[i] = workers.get(i).process().holds();
+                        int[] inflight = new int[servers.size()];
+                        for (int i = 0; i < inflight.length; i++) {
+                            inflight[i] = servers.get(i).process().inflight();
                         }
-                        figures.holds(now(), held);
+                        metrics.recordInflight(now(), inflight);
                     });
         }
     }
--- a/lab/src/test/java/trailthread/lab/emulation/EmulationTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulationTest.java
@@ -97,13 +97,22 @@
                         "-Xmx64m",
                         "trailthread.daemon.Main",
                         "serve");
-        try (Emulation day = new Emulation(scenario, 7, scenario.nodes())) {
-            day.startNodes(new Emulation.Program(command, Path.of("").toAbsolutePath()), logs);
-            day.play(true, d -> {});
-            assertEquals(day.referee().violations().toString(), Map.of(), day.referee().broken());
-            assertTrue("judged " + day.referee().judged(), day.referee().judged() > 500);
-            assertTrue("goodput " + day.figures().goodput(), day.figures().goodput() > 0.8);
-            assertTrue("what nodes hold is looked at", day.nodeSeconds().get(1).rssMb()[0] > 1);
+        try (Emulation emulation = new Emulation(scenario, 7, scenario.nodes())) {
+            emulation.startNodes(
+                    new Emulation.Program(command, Path.of("").toAbsolutePath()), logs);
+            emulation.run(true, d -> {});
+            assertEquals(
+                    emulation.checker().violations().toString(),
+                    Map.of(),
+                    emulation.checker().violationCounts());
+            assertTrue(
+                    "judged " + emulation.checker().checkedRequests(),
+                    emulation.checker().checkedRequests() > 500);
+            assertTrue(
+                    "goodput " + emulation.metrics().goodput(),
+                    emulation.metrics().goodput() > 0.8);
+            assertTrue(
+                    "what nodes hold is looked at", emulation.nodeSeconds().get(1).rssMb()[0] > 1);
         }
     }
 }
--- a/lab/src/test/java/trailthread/lab/event/EventQueueTest.java
+++ b/lab/src/test/java/trailthread/lab/event/EventQueueTest.java
@@ -7,58 +7,58 @@
 import java.util.List;
 import org.junit.Test;
 
-/**
- * The order of what happens is defined, and rests on nothing but times and the order of setting.
- */
+/** The order of tasks depends only on their times and the order in which they were scheduled. */
 public class EventQueueTest {
-    private final EventQueue agenda = new EventQueue(100);
+    private final EventQueue eventQueue = new EventQueue(100);
     private final List<String> done = new ArrayList<>();
 
-    private EventQueue.Entry set(long at, String name) {
-        return agenda.at(at, () -> done.add(name + "@" + agenda.now()));
+    private EventQueue.Entry schedule(long at, String name) {
+        return eventQueue.scheduleAt(at, () -> done.add(name + "@" + eventQueue.now()));
     }
 
     @Test
-    public void tiesGoInTheOrderOfTheirSetting() {
-        set(300, "c");
-        set(200, "a");
+    public void tasksAtOneTimeRunInSchedulingOrder() {
+        schedule(300, "c");
+        schedule(200, "a");
         for (int i = 0; i < 50; i++) {
-            set(250, "t" + i);
+            schedule(250, "t" + i);
         }
-        set(200, "b");
-        agenda.runUntil(1000);
+        schedule(200, "b");
+        eventQueue.runUntil(1000);
         assertEquals("a@200", done.get(0));
         assertEquals("b@200", done.get(1));
         for (int i = 0; i < 50; i++) {
             assertEquals("t" + i + "@250", done.get(2 + i));
         }
         assertEquals("c@300", done.get(52));
-        assertEquals(1000, agenda.now());
+        assertEquals(1000, eventQueue.now());
     }
 
     @Test
-    public void whatIsSetWithinSomethingFollowsWhatStoodThereBefore() {
-        agenda.at(
+    public void tasksScheduledByATaskRunAfterThoseScheduledBefore() {
+        eventQueue.scheduleAt(
                 200,
                 () -> {
                     done.add("first");
-                    set(200, "set within");
-                    set(150, "set to the past");
+                    schedule(200, "scheduled within");
+                    schedule(150, "scheduled in the past");
                 });
-        set(200, "second");
-        agenda.runUntil(200);
-        assertEquals(List.of("first", "second@200", "set within@200", "set to the past@200"), done);
+        schedule(200, "second");
+        eventQueue.runUntil(200);
+        assertEquals(
+                List.of("first", "second@200", "scheduled within@200", "scheduled in the past@200"),
+                done);
     }
 
     @Test
-    public void whatIsTakenBackDoesNotHappen() {
-        EventQueue.Entry a = set(200, "a");
-        set(200, "b");
+    public void cancelledTasksDoNotRun() {
+        EventQueue.Entry a = schedule(200, "a");
+        schedule(200, "b");
         a.cancel();
-        agenda.runUntil(200);
+        eventQueue.runUntil(200);
         a.cancel();
         assertEquals(List.of("b@200"), done);
-        assertFalse(agenda.next());
-        assertEquals(1, agenda.done());
+        assertFalse(eventQueue.runNext());
+        assertEquals(1, eventQueue.executedCount());
     }
 }
--- a/lab/src/test/java/trailthread/lab/fault/RollingRestartTest.java
+++ b/lab/src/test/java/trailthread/lab/fault/RollingRestartTest.java
@@ -7,23 +7,23 @@
 import org.junit.Test;
 import trailthread.lab.event.EventQueue;
 import trailthread.lab.random.RandomStreams;
-import trailthread.lab.scenario.Scenario.Fault;
-import trailthread.lab.scenario.Scenario.Trouble;
+import trailthread.lab.scenario.Scenario.FaultKind;
+import trailthread.lab.scenario.Scenario.ScheduledFault;
 
-/** However slowly nodes start, a rolling restart takes one at a time. */
+/** A rolling restart takes one node out of service at a time, however slowly nodes start. */
 public class RollingRestartTest {
     private static final long SECOND = 1_000_000_000L;
 
-    private final EventQueue agenda = new EventQueue(0);
+    private final EventQueue eventQueue = new EventQueue(0);
 
-    /** A node of which only restarts are asked. */
+    /** Supports only restarts. */
     private final class SlowNode implements FaultTarget.Node {
-        private final long startsNs;
+        private final long startDelayNs;
         private boolean serving = true;
         private int restarts;
 
-        private SlowNode(long startsNs) {
-            this.startsNs = startsNs;
+        private SlowNode(long startDelayNs) {
+            this.startDelayNs = startDelayNs;
         }
 
         @Override
@@ -35,7 +35,7 @@
         public void restart() {
             restarts++;
             kill();
-            agenda.in(startsNs, this::start);
+            eventQueue.scheduleAfter(startDelayNs, this::start);
         }
 
         @Override
@@ -54,29 +54,29 @@
         }
 
         @Override
-        public void pause(long forNs) {
+        public void pause(long durationNs) {
             throw new AssertionError();
         }
     }
 
     private record Nodes(List<SlowNode> nodes) implements FaultTarget {
         @Override
-        public List<? extends Worker> workers() {
+        public List<? extends Server> servers() {
             return List.of();
         }
 
         @Override
-        public void rosterDown(boolean down) {
+        public void setDiscoveryDown(boolean down) {
             throw new AssertionError();
         }
 
         @Override
-        public void cutZone(String zone) {
+        public void isolateZone(String zone) {
             throw new AssertionError();
         }
 
         @Override
-        public void tail(double share, double times) {
+        public void setHeavyTail(double share, double factor) {
             throw new AssertionError();
         }
     }
@@ -85,14 +85,15 @@
     public void atMostOneNodeIsOutOfServiceAndAllAreRestartedOnce() {
         List<SlowNode> nodes =
                 Stream.of(5 * SECOND, SECOND / 10, 7 * SECOND).map(SlowNode::new).toList();
-        Fault fault = new Fault(Trouble.NODE_RESTART, SECOND, 3 * SECOND, 1, 0, 0, null);
-        FaultInjector.arrange(agenda, new RandomStreams(3), List.of(fault), new Nodes(nodes));
-        nodes.get(0).kill(); // out of service already when the restart is due
-        agenda.at(4 * SECOND, nodes.get(0)::start);
+        ScheduledFault fault =
+                new ScheduledFault(FaultKind.NODE_RESTART, SECOND, 3 * SECOND, 1, 0, 0, null);
+        FaultInjector.schedule(eventQueue, new RandomStreams(3), List.of(fault), new Nodes(nodes));
+        nodes.get(0).kill(); // already out of service when its restart is due
+        eventQueue.scheduleAt(4 * SECOND, nodes.get(0)::start);
         for (int i = 1; i < 300; i++) {
-            agenda.runUntil(i * SECOND / 10);
+            eventQueue.runUntil(i * SECOND / 10);
             long out = nodes.stream().filter(n -> !n.isServing()).count();
-            assertEquals("out of service at " + agenda.now(), Math.min(1, out), out);
+            assertEquals("out of service at " + eventQueue.now(), Math.min(1, out), out);
         }
         assertEquals(List.of(1, 1, 1), nodes.stream().map(n -> n.restarts).toList());
     }
--- a/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
+++ b/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
@@ -8,222 +8,228 @@
 import trailthread.api.DeduplicationScope;
 import trailthread.api.Idempotency;
 import trailthread.api.Outcome;
-import trailthread.lab.invariant.InvariantChecker.Place;
+import trailthread.lab.invariant.InvariantChecker.ServerLocation;
 
-/** For each rule a violation that must be caught, and a near miss that must pass. */
+/** For each invariant, a violation that must be detected and a near miss that must pass. */
 public class InvariantCheckerTest {
-    private static final Place A = new Place("a", "east", 0);
-    private static final Place SAME_CELL = new Place("b", "west", 0);
-    private static final Place OTHER = new Place("c", "east", 1);
-    private final InvariantChecker referee = new InvariantChecker(10, 100);
-
-    private void take(Idempotency idempotency, DeduplicationScope group) {
-        referee.taken(0, "7", "n0", new RequestTerms("c", idempotency, group, 500, 1000));
-    }
-
-    /** One attempt that runs and ends so. */
-    private void attempt(long at, int number, Place place, boolean runs, Outcome outcome) {
-        referee.sent(at, "7", number, "n0", place);
-        if (runs) {
-            referee.begun(at + 1, "7", number);
+    private static final ServerLocation A = new ServerLocation("a", "east", 0);
+    private static final ServerLocation SAME_CELL = new ServerLocation("b", "west", 0);
+    private static final ServerLocation OTHER = new ServerLocation("c", "east", 1);
+    private final InvariantChecker checker = new InvariantChecker(10, 100);
+
+    private void receive(Idempotency idempotency, DeduplicationScope deduplicationScope) {
+        checker.requestReceived(
+                0, "7", "n0", new RequestTerms("c", idempotency, deduplicationScope, 500, 1000));
+    }
+
+    /** An attempt that ends with this outcome. */
+    private void attempt(
+            long at, int number, ServerLocation location, boolean executes, Outcome outcome) {
+        checker.attemptSent(at, "7", number, "n0", location);
+        if (executes) {
+            checker.executionStarted(at + 1, "7", number);
         }
-        referee.ended(at + 2, "7", number, outcome);
+        checker.attemptEnded(at + 2, "7", number, outcome);
     }
 
-    private void broken(Invariant... rules) {
-        Map<Invariant, Integer> seen = referee.broken();
-        assertEquals(referee.violations().toString(), rules.length, seen.size());
+    private void assertViolations(Invariant... rules) {
+        Map<Invariant, Integer> counts = checker.violationCounts();
+        assertEquals(checker.violations().toString(), rules.length, counts.size());
         for (Invariant rule : rules) {
-            assertEquals(rule.name(), Integer.valueOf(1), seen.get(rule));
+            assertEquals(rule.name(), Integer.valueOf(1), counts.get(rule));
         }
     }
 
     @Test
-    public void aSecondAnswer() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.sent(1, "7", 0, "n0", A); // still out, so that the call is not over
-        referee.answered(5, "7", "refused");
-        broken();
-        referee.answered(6, "7", "failed");
-        broken(Invariant.ONE_ANSWER);
+    public void aSecondResponse() {
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        // Still in flight, so that the request has not ended.
+        checker.attemptSent(1, "7", 0, "n0", A);
+        checker.responded(5, "7", "refused");
+        assertViolations();
+        checker.responded(6, "7", "failed");
+        assertViolations(Invariant.ONE_ANSWER);
         assertTrue(
-                referee.violations().get(0).told(),
-                referee.violations().get(0).told().contains("refused"));
+                checker.violations().get(0).describe(),
+                checker.violations().get(0).describe().contains("refused"));
     }
 
     @Test
-    public void anAnswerAfterTheEnd() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.answered(5, "7", "refused");
-        referee.answered(6, "7", "refused");
-        broken(Invariant.ONE_ANSWER);
+    public void aResponseAfterTheRequestEnded() {
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.responded(5, "7", "refused");
+        checker.responded(6, "7", "refused");
+        assertViolations(Invariant.ONE_ANSWER);
     }
 
     @Test
-    public void noAnswer() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.overdue(1011, "7");
-        broken(Invariant.IN_TIME);
+    public void noResponse() {
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.deadlineMissed(1011, "7");
+        assertViolations(Invariant.IN_TIME);
     }
 
     @Test
-    public void noAnswerByTheEndOfTheRun() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.finish(2000);
-        broken(Invariant.IN_TIME);
-        assertEquals(0, referee.open());
+    public void noResponseByTheEndOfTheRun() {
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.finish(2000);
+        assertViolations(Invariant.IN_TIME);
+        assertEquals(0, checker.openRequests());
     }
 
     @Test
-    public void anAnswerWithinTheSlackAndOneAfter() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.answered(1010, "7", "failed");
-        broken();
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.answered(1011, "7", "failed");
-        broken(Invariant.IN_TIME);
+    public void responsesWithinAndAfterTheSlack() {
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.responded(1010, "7", "failed");
+        assertViolations();
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.responded(1011, "7", "failed");
+        assertViolations(Invariant.IN_TIME);
     }
 
     @Test
-    public void aClientThatLeftIsOwedNothing() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.gone(500, "7");
-        referee.overdue(1011, "7");
-        referee.finish(2000);
-        broken();
+    public void noResponseIsOwedToADisconnectedClient() {
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.clientDisconnected(500, "7");
+        checker.deadlineMissed(1011, "7");
+        checker.finish(2000);
+        assertViolations();
     }
 
     @Test
-    public void anUnsafeCallThatMayHaveRunTwice() {
-        take(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+    public void aNonIdempotentRequestThatMayHaveRunTwice() {
+        receive(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         attempt(1, 0, A, true, Outcome.RESET);
         attempt(10, 1, OTHER, true, Outcome.OK);
-        broken(Invariant.REPEATS);
+        assertViolations(Invariant.REPEATS);
     }
 
     @Test
-    public void anUnsafeCallThatWasTurnedAwayMayGoOn() {
-        take(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+    public void aNonIdempotentRequestMayBeRetriedAfterARejection() {
+        receive(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         attempt(1, 0, A, false, Outcome.REJECTED);
         attempt(10, 1, OTHER, false, Outcome.CONNECT_FAILED);
         attempt(20, 2, OTHER, true, Outcome.OK);
-        broken();
+        assertViolations();
     }
 
-    /** What a node believes of an end does not count: it calls a reset a failed connect. */
+    /**
+     * The checker does not rely on the outcome that a node reports: here the node reports a reset
+     * connection as a failed connect.
+     */
     @Test
-    public void aNodeThatTakesWhatRanForWhatDidNot() {
-        take(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+    public void aNodeThatMistakesAnExecutedAttemptForAFailedConnect() {
+        receive(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         attempt(1, 0, A, true, Outcome.CONNECT_FAILED);
         attempt(10, 1, A, true, Outcome.OK);
-        broken(Invariant.REPEATS);
+        assertViolations(Invariant.REPEATS);
     }
 
     @Test
-    public void aKeyedCallWithinItsCellAndOutside() {
-        take(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL);
+    public void aKeyedRequestRepeatedWithinItsCellAndOutside() {
+        receive(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL);
         attempt(1, 0, A, true, Outcome.RESET);
         attempt(10, 1, SAME_CELL, true, Outcome.RESET);
-        broken();
+        assertViolations();
         attempt(20, 2, OTHER, true, Outcome.OK);
-        broken(Invariant.REPEATS);
+        assertViolations(Invariant.REPEATS);
     }
 
     @Test
-    public void aKeyedCallWithinItsZoneAndOutside() {
-        take(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE);
+    public void aKeyedRequestRepeatedWithinItsZoneAndOutside() {
+        receive(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE);
         attempt(1, 0, A, true, Outcome.RESET);
         attempt(10, 1, OTHER, true, Outcome.RESET);
-        broken();
+        assertViolations();
         attempt(20, 2, SAME_CELL, true, Outcome.OK);
-        broken(Invariant.REPEATS);
+        assertViolations(Invariant.REPEATS);
     }
 
     @Test
-    public void aKeyedCallWithinItsWindowAndAfter() {
-        take(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL);
+    public void aKeyedRequestRepeatedWithinItsWindowAndAfter() {
+        receive(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL);
         attempt(1, 0, A, true, Outcome.RESET);
         attempt(490, 1, OTHER, true, Outcome.RESET);
-        broken();
+        assertViolations();
         attempt(501, 2, OTHER, true, Outcome.OK);
-        broken(Invariant.REPEATS);
+        assertViolations(Invariant.REPEATS);
     }
 
     @Test
     public void twoAttemptsAtOnce() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.sent(1, "7", 0, "n0", A);
-        referee.ended(5, "7", 0, Outcome.TIMEOUT);
-        referee.sent(5, "7", 1, "n0", OTHER);
-        broken();
-        referee.sent(6, "7", 2, "n0", SAME_CELL);
-        broken(Invariant.ONE_ATTEMPT);
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.attemptSent(1, "7", 0, "n0", A);
+        checker.attemptEnded(5, "7", 0, Outcome.TIMEOUT);
+        checker.attemptSent(5, "7", 1, "n0", OTHER);
+        assertViolations();
+        checker.attemptSent(6, "7", 2, "n0", SAME_CELL);
+        assertViolations(Invariant.ONE_ATTEMPT);
     }
 
-    /** As by a node that was stopped, and reads what came meanwhile. */
+    /** A node that was paused handles the request after its client has disconnected. */
     @Test
-    public void aCallWhoseClientLeftIsStillRepeatedOnlyAsItsClassAllows() {
-        take(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
-        referee.gone(500, "7");
+    public void aRequestOfADisconnectedClientIsRepeatedOnlyAsItsClassAllows() {
+        receive(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+        checker.clientDisconnected(500, "7");
         attempt(600, 0, A, true, Outcome.RESET);
-        referee.answered(610, "7", "failed");
-        broken();
+        checker.responded(610, "7", "failed");
+        assertViolations();
         attempt(620, 1, OTHER, true, Outcome.OK);
-        broken(Invariant.REPEATS);
+        assertViolations(Invariant.REPEATS);
     }
 
     @Test
-    public void anAttemptForACallThatIsOver() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.answered(5, "7", "refused");
-        referee.sent(6, "7", 0, "n0", A);
-        broken(Invariant.REPEATS);
+    public void anAttemptForARequestThatHasEnded() {
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.responded(5, "7", "refused");
+        checker.attemptSent(6, "7", 0, "n0", A);
+        assertViolations(Invariant.REPEATS);
     }
 
     @Test
-    public void somethingNewAfterTheGraceOfADrain() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.told(50, "n0", "a", false);
-        referee.told(140, "n0", "a", false); // told again: the first news counts
+    public void anAttemptAfterTheDrainGrace() {
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.endpointStateReceived(50, "n0", "a", false);
+        checker.endpointStateReceived(140, "n0", "a", false); // the first notification counts
         attempt(150, 0, A, true, Outcome.RESET);
-        broken();
-        referee.sent(151, "7", 1, "n1", A); // another node, which has not heard
-        referee.ended(152, "7", 1, Outcome.RESET);
-        broken();
+        assertViolations();
+        checker.attemptSent(151, "7", 1, "n1", A); // another node, which has not been notified
+        checker.attemptEnded(152, "7", 1, Outcome.RESET);
+        assertViolations();
         attempt(153, 2, A, true, Outcome.RESET);
-        broken(Invariant.DRAINS);
+        assertViolations(Invariant.DRAINS);
     }
 
     @Test
-    public void aWorkerThatIsBackWantsWork() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.told(50, "n0", "a", false);
-        referee.told(200, "n0", "a", true);
+    public void aReadyServerAcceptsRequestsAgain() {
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.endpointStateReceived(50, "n0", "a", false);
+        checker.endpointStateReceived(200, "n0", "a", true);
         attempt(300, 0, A, true, Outcome.OK);
-        broken();
+        assertViolations();
     }
 
     @Test
-    public void anAnswerThatWasMadeForAnother() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+    public void aResponseToAnotherRequest() {
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         attempt(1, 0, A, true, Outcome.OK);
-        referee.answered(5, "7", "served");
-        broken();
-        referee.foreign(5, "7", "8 w1");
-        broken(Invariant.OWN_ANSWER);
+        checker.responded(5, "7", "served");
+        assertViolations();
+        checker.wrongResponse(5, "7", "8 w1");
+        assertViolations(Invariant.OWN_ANSWER);
     }
 
     @Test
-    public void aConnectionThatItsNodeEnds() {
-        take(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        referee.lost(5, "7", "the connection ended without an answer");
-        referee.overdue(1100, "7"); // the call is over: once is enough
-        broken(Invariant.ONE_ANSWER);
+    public void aConnectionThatTheNodeClosesWithoutAResponse() {
+        receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        checker.connectionLost(5, "7", "the connection ended without a response");
+        checker.deadlineMissed(1100, "7"); // the request has ended: counted once
+        assertViolations(Invariant.ONE_ANSWER);
     }
 
     @Test
-    public void aColdWorkerPushedOver() {
-        referee.fell(9, "a");
-        broken(Invariant.COLD_STARTS);
+    public void aColdServerOverloaded() {
+        checker.coldServerOverloaded(9, "a");
+        assertViolations(Invariant.COLD_STARTS);
     }
 }
