--- a/daemon/src/main/java/trailthread/daemon/LoopbackWarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/LoopbackWarmUp.java
@@ -245,12 +245,12 @@
      * and then, dispatched, as they reach the endpoint.
      */
     @Override
-    public Runnable take(ClientRequest request, long deadline, ClientResponse response) {
+    public Runnable handle(ClientRequest request, long deadline, ClientResponse response) {
         if (!request.id().startsWith(idPrefix)) {
-            return clientRequests.take(request, deadline, response);
+            return clientRequests.handle(request, deadline, response);
         }
         if (!over && sent % REQUESTS_PER_REJECTION != 0 && dispatched.add(request.id())) {
-            return loopbackRequests.take(request, deadline, response);
+            return loopbackRequests.handle(request, deadline, response);
         }
         respond(response);
         return () -> {};
@@ -258,11 +258,11 @@
 
     private void respond(ClientResponse response) {
         if (over) {
-            response.failed();
+            response.fail();
         } else if (sent % REQUESTS_PER_REJECTION == 0) {
-            response.refused(REQUEST_TIMEOUT_NS);
+            response.reject(REQUEST_TIMEOUT_NS);
         } else {
-            response.served(EndpointResponse.of(BODY));
+            response.respond(EndpointResponse.of(BODY));
         }
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
@@ -73,19 +73,20 @@
     }
 
     @Override
-    public void served(EndpointResponse response) {
+    public void respond(EndpointResponse response) {
         forwardHeaders(response);
         send(response.status(), response.body());
     }
 
     @Override
-    public ByteSink begin(EndpointResponse head, long length, Runnable more, Runnable gone) {
+    public ByteSink beginStreaming(
+            EndpointResponse head, long length, Runnable onWritable, Runnable onDisconnect) {
         forwardHeaders(head);
         start(head.status());
         if (length >= 0) {
             exchange.setResponseContentLength(length);
         }
-        streamed = new StreamedResponse(loop, exchange, more, gone);
+        streamed = new StreamedResponse(loop, exchange, onWritable, onDisconnect);
         return streamed;
     }
 
@@ -106,12 +107,12 @@
     }
 
     @Override
-    public void released() {
+    public void onReleased() {
         onReleased.run();
     }
 
     @Override
-    public void refused(long retryAfterNs) {
+    public void reject(long retryAfterNs) {
         if (retryAfterNs > 0) {
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Seconds.format(retryAfterNs));
         }
@@ -119,7 +120,7 @@
     }
 
     @Override
-    public void failed() {
+    public void fail() {
         send(StatusCodes.BAD_GATEWAY, NO_BODY);
     }
 
@@ -177,7 +178,7 @@
     }
 
     @Override
-    public void look() {
+    public void checkConnected() {
         if (onClientGone != null && !answered) {
             readAhead(connection());
         }
--- a/daemon/src/main/java/trailthread/daemon/listener/ServiceFrontend.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ServiceFrontend.java
@@ -153,7 +153,7 @@
         @Override
         public Runnable handle(
                 ClientRequest request, long deadline, ClientResponse response, long reservedBytes) {
-            return pool.take(request, deadline, response, reservedBytes);
+            return pool.handle(request, deadline, response, reservedBytes);
         }
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/listener/UnboundedHandler.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/UnboundedHandler.java
@@ -20,6 +20,6 @@
     @Override
     public Runnable handle(
             ClientRequest request, long deadline, ClientResponse response, long reservedBytes) {
-        return handler.take(request, deadline, response);
+        return handler.handle(request, deadline, response);
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
@@ -117,7 +117,7 @@
 
     private static final class NoRequests implements RequestHandler {
         @Override
-        public Runnable take(ClientRequest request, long deadline, ClientResponse response) {
+        public Runnable handle(ClientRequest request, long deadline, ClientResponse response) {
             throw new AssertionError("no request is sent");
         }
 
--- a/daemon/src/test/java/trailthread/daemon/listener/EndByMomentTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/EndByMomentTest.java
@@ -80,7 +80,7 @@
                                 List.of(use),
                                 new RequestHandler() {
                                     @Override
-                                    public Runnable take(
+                                    public Runnable handle(
                                             ClientRequest request,
                                             long deadline,
                                             ClientResponse response) {
@@ -159,7 +159,7 @@
         Socket unreadRequest = connectAndServe();
         Socket unreadResponse = connect(request());
         ClientResponse writtenResponse = nextResponse();
-        loop.execute(() -> writtenResponse.served(endpointResponse()));
+        loop.execute(() -> writtenResponse.respond(endpointResponse()));
         Socket atEndpoint = connect(request());
         final ClientResponse pendingResponse = nextResponse();
         Socket halfStreamed = connect(request());
@@ -169,7 +169,7 @@
         loop.execute(
                 () -> {
                     ByteSink sink =
-                            streamedResponse.begin(
+                            streamedResponse.beginStreaming(
                                     endpointResponse(),
                                     LONG_BODY_BYTES,
                                     writable::countDown,
@@ -196,13 +196,13 @@
         send(halfBody, "ur");
         for (int i = 0; i < 2; i++) { // for halfBody and unreadRequest
             ClientResponse response = nextResponse();
-            loop.execute(() -> response.served(endpointResponse()));
+            loop.execute(() -> response.respond(endpointResponse()));
         }
         assertLastResponse("with half a body", readAll(halfBody));
         assertLastResponse("with a complete request unread", readAll(unreadRequest));
         assertEquals("accepted and silent", "", readAll(silent));
         assertEquals("idle", "", readAll(idle));
-        loop.execute(() -> pendingResponse.served(endpointResponse()));
+        loop.execute(() -> pendingResponse.respond(endpointResponse()));
         assertLastResponse("with a request at an endpoint", readAll(atEndpoint));
         assertTrue("with its response written, not read", readAll(unreadResponse).endsWith("made"));
         ByteArrayOutputStream received = new ByteArrayOutputStream();
@@ -249,7 +249,7 @@
     private Socket connectAndServe() throws Exception {
         Socket client = connect(request());
         ClientResponse response = nextResponse();
-        loop.execute(() -> response.served(endpointResponse()));
+        loop.execute(() -> response.respond(endpointResponse()));
         StringBuilder text = new StringBuilder();
         while (!text.toString().endsWith("\r\n\r\nmade")) {
             int b = client.getInputStream().read();
--- a/daemon/src/test/java/trailthread/daemon/listener/LateLoopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LateLoopTest.java
@@ -82,14 +82,14 @@
                                 List.of(USE),
                                 new RequestHandler() {
                                     @Override
-                                    public Runnable take(
+                                    public Runnable handle(
                                             ClientRequest request,
                                             long deadline,
                                             ClientResponse response) {
                                         bodyLengths.add(request.body().length);
                                         deadlines.add(deadline);
                                         if (heldBack == null || !heldBack.complete(response)) {
-                                            response.served(RESPONSE);
+                                            response.respond(RESPONSE);
                                         }
                                         return () -> {};
                                     }
@@ -181,7 +181,7 @@
         whileLoopIsBlocked(
                 0,
                 () -> {
-                    loop.execute(() -> response.served(RESPONSE)); // before the sockets are read
+                    loop.execute(() -> response.respond(RESPONSE)); // before the sockets are read
                     send(client);
                 });
         assertFalse("another request follows", readResponse(client).contains(CONNECTION_CLOSE));
--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -171,8 +171,8 @@
     }
 
     @Override
-    public Runnable take(ClientRequest request, long deadline, ClientResponse response) {
-        return take(request, deadline, response, 0);
+    public Runnable handle(ClientRequest request, long deadline, ClientResponse response) {
+        return handle(request, deadline, response, 0);
     }
 
     /**
@@ -182,7 +182,7 @@
      * @param bodyBytes how many bytes were acquired for its body; they are released with its end.
      *     -1: they could not be acquired
      */
-    public Runnable take(
+    public Runnable handle(
             ClientRequest request, long deadline, ClientResponse response, long bodyBytes) {
         QuotaReleasingResponse releasing =
                 new QuotaReleasingResponse(response, quotas, Math.max(0, bodyBytes));
@@ -204,7 +204,7 @@
         if (withinQuota) {
             response.countAsOpen();
         }
-        response.setWhenDisconnected(dispatcher.take(request, deadline, response));
+        response.setWhenDisconnected(dispatcher.handle(request, deadline, response));
     }
 
     @Override
--- a/engine/src/main/java/trailthread/engine/pool/QuotaReleasingResponse.java
+++ b/engine/src/main/java/trailthread/engine/pool/QuotaReleasingResponse.java
@@ -46,31 +46,33 @@
     }
 
     @Override
-    public void served(EndpointResponse made) {
+    public void respond(EndpointResponse endpointResponse) {
         releaseQuota();
-        response.served(made);
+        response.respond(endpointResponse);
     }
 
     @Override
-    public ByteSink begin(EndpointResponse head, long length, Runnable more, Runnable clientGone) {
-        return new QuotaReleasingSink(response.begin(head, length, more, clientGone));
+    public ByteSink beginStreaming(
+            EndpointResponse head, long length, Runnable onWritable, Runnable onDisconnect) {
+        return new QuotaReleasingSink(
+                response.beginStreaming(head, length, onWritable, onDisconnect));
     }
 
     @Override
-    public void refused(long retryAfterNs) {
+    public void reject(long retryAfterNs) {
         releaseQuota();
-        response.refused(retryAfterNs);
+        response.reject(retryAfterNs);
     }
 
     @Override
-    public void failed() {
+    public void fail() {
         releaseQuota();
-        response.failed();
+        response.fail();
     }
 
     @Override
-    public void released() {
-        response.released();
+    public void onReleased() {
+        response.onReleased();
     }
 
     /** The client has disconnected. */
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -151,7 +151,7 @@
          */
         @Override
         public boolean isWanted() {
-            response.look();
+            response.checkConnected();
             return !finished;
         }
 
@@ -171,7 +171,8 @@
             finish();
             streaming = true;
             ByteSink sink =
-                    response.begin(head, length, more, ActiveRequest.this::clientDisconnected);
+                    response.beginStreaming(
+                            head, length, more, ActiveRequest.this::clientDisconnected);
             streamingBegun(endpoint, attempt, load);
             return sink;
         }
@@ -213,7 +214,7 @@
         if (succeeded && !finished) {
             finish();
             recordAnswer(RequestResult.SERVED);
-            response.served(result.response());
+            response.respond(result.response());
         }
         boolean closed = finished;
         driver.deliver(
@@ -239,7 +240,7 @@
         if (!finished) {
             finish();
             recordAnswer(RequestResult.REFUSED);
-            response.refused(retryAfterNs);
+            response.reject(retryAfterNs);
             releaseIfDone();
         }
     }
@@ -249,7 +250,7 @@
         if (!finished) {
             finish();
             recordAnswer(RequestResult.FAILED);
-            response.failed();
+            response.fail();
             releaseIfDone();
         }
     }
@@ -317,6 +318,6 @@
 
     /** Nothing of the request is used any more; called once. */
     void released() {
-        response.released();
+        response.onReleased();
     }
 }
--- a/engine/src/main/java/trailthread/engine/request/ClientResponse.java
+++ b/engine/src/main/java/trailthread/engine/request/ClientResponse.java
@@ -4,43 +4,47 @@
 import trailthread.engine.http.ByteSink;
 
 /**
- * Where the answer to one request goes: exactly one of {@link #served}, {@link #begin}, {@link
- * #refused} and {@link #failed} is called, unless the client disconnects first.
+ * The response to one client request. Exactly one of {@link #respond}, {@link #beginStreaming},
+ * {@link #reject} and {@link #fail} is called, unless the client disconnects first.
  */
 public interface ClientResponse {
     /** Answers with an endpoint's complete response. */
-    void served(EndpointResponse made);
+    void respond(EndpointResponse response);
 
     /**
-     * Begins an answer that is streamed from an endpoint. The request counts as answered, even if
-     * the stream breaks later.
+     * Starts a response whose body is streamed from an endpoint. The request counts as answered,
+     * even if the stream breaks later.
      *
      * @param head status and headers, without a body
      * @param length of the body, in bytes; -1: not known before its end
-     * @param more runs when the client can take more bytes after it could not
-     * @param gone runs if the client disconnects before the end
+     * @param onWritable runs when more bytes can be written to the client, after the returned sink
+     *     had no capacity
+     * @param onDisconnect runs if the client disconnects before the end of the body
+     * @return receives the body
      */
-    ByteSink begin(EndpointResponse head, long length, Runnable more, Runnable gone);
+    ByteSink beginStreaming(
+            EndpointResponse head, long length, Runnable onWritable, Runnable onDisconnect);
 
     /**
-     * Checks whether the client is still connected. If it is not, what is to run on its
-     * disconnection has run when this returns.
+     * Checks whether the client is still connected. If it has disconnected, the disconnect callback
+     * of the request has run when this method returns.
      */
-    default void look() {}
+    default void checkConnected() {}
 
     /**
-     * The engine holds nothing of the request any more, its body included: it is answered or its
-     * client has disconnected, and no attempt is in flight. Called once, after all else.
+     * Called once, as the last method, when the engine no longer holds any part of the request, its
+     * body included: the request is answered or its client has disconnected, and no attempt is in
+     * flight.
      */
-    default void released() {}
+    default void onReleased() {}
 
     /**
-     * Rejects the request; it had no effect, so a retry is safe.
+     * Rejects the request. It had no effect at any endpoint, so the client may retry it.
      *
-     * @param retryAfterNs when to retry; 0: no advice
+     * @param retryAfterNs how long the client should wait before a retry; 0: no advice
      */
-    void refused(long retryAfterNs);
+    void reject(long retryAfterNs);
 
-    /** Answers with a failure; the request may have had its effect. */
-    void failed();
+    /** Answers with a failure. The request may have had its effect at an endpoint. */
+    void fail();
 }
--- a/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public Runnable take(ClientRequest client, long deadline, ClientResponse response) {
+    public Runnable handle(ClientRequest client, long deadline, ClientResponse response) {
         long id = ++lastId;
         ActiveRequest request =
                 new ActiveRequest(this, id, client, Math.min(deadline, latestDeadline), response);
--- a/engine/src/main/java/trailthread/engine/request/RequestHandler.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestHandler.java
@@ -3,13 +3,17 @@
 /** Handles the requests that clients send. */
 public interface RequestHandler {
     /**
-     * Admits a request that has been received; {@code response} answers it by its deadline.
+     * Handles a request that has been received. It is answered on {@code response} by its deadline,
+     * unless the client disconnects first.
      *
-     * @param deadline when the client stops waiting, by the loop's clock
-     * @return to be run if the client disconnects before it is answered
+     * @param deadline when the client stops waiting: Unix time in nanoseconds, by the loop's clock
+     * @return to be run if the client disconnects before the request is answered
      */
-    Runnable take(ClientRequest request, long deadline, ClientResponse response);
+    Runnable handle(ClientRequest request, long deadline, ClientResponse response);
 
-    /** Whether a request with this client's id is open; a second one may not be admitted then. */
+    /**
+     * Returns whether a request with this correlation id is open. A second request with the same id
+     * must not be handled while the first one is open.
+     */
     boolean isOpen(String clientId);
 }
--- a/engine/src/test/java/trailthread/engine/request/SingleEndpointDispatcher.java
+++ b/engine/src/test/java/trailthread/engine/request/SingleEndpointDispatcher.java
@@ -94,7 +94,7 @@
                         null,
                         new byte[4],
                         null);
-        return dispatcher.take(request, loop.now() + TIMEOUT_NS, response(called));
+        return dispatcher.handle(request, loop.now() + TIMEOUT_NS, response(called));
     }
 
     private static ClientResponse response(Consumer<String> called) {
