--- a/daemon/src/main/java/trailthread/daemon/listener/RequestReceiver.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/RequestReceiver.java
@@ -207,7 +207,7 @@
                 return;
             }
             HttpResponseWriter response = responseWriter(0, body::stop);
-            ClientRequest request = head.request().withSource(body);
+            ClientRequest request = head.request().withBodySource(body);
             long deadline = loop.now() + body.longestNs() + request.timeLeftNs();
             Runnable onClientGone =
                     head.handler().handle(request, deadline, response, reservedBytes);
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -69,8 +69,8 @@
                         client.target(),
                         client.idempotencyKey(),
                         client.body(),
-                        client.passing(),
-                        client.source(),
+                        client.forwardedHeaders(),
+                        client.bodySource(),
                         client.timeLeftNs());
     }
 
@@ -86,9 +86,9 @@
                                 client.requestClass(),
                                 client.workNs(),
                                 deadline,
-                                client.account(),
-                                client.repeat(),
-                                client.entity()));
+                                client.tenant(),
+                                client.isRetry(),
+                                client.affinityKey()));
     }
 
     /**
@@ -119,7 +119,7 @@
         }
         long timeLeftNs = deadline - now;
         // A streamed body can't be sent a second time.
-        boolean bodyConsumed = client.source() != null && client.source().hasBegun();
+        boolean bodyConsumed = client.bodySource() != null && client.bodySource().hasBegun();
         if (finished || attemptInFlight != null || timeLeftNs <= 0 || bodyConsumed) {
             attemptEnded(endpoint, attempt, new AttemptResult(Outcome.NOT_SENT, 0, null, null));
             return;
@@ -158,7 +158,7 @@
         @Override
         public void sent() {
             metrics.attemptSent();
-            if (client.source() != null) {
+            if (client.bodySource() != null) {
                 streamedBodySent();
             }
         }
@@ -265,7 +265,7 @@
         }
         finish();
         if (attemptInFlight != null
-                && (streaming || client.source() != null || !attemptInFlight.isSent())) {
+                && (streaming || client.bodySource() != null || !attemptInFlight.isSent())) {
             attemptInFlight.cancel();
         }
         driver.deliver((balancer, now) -> balancer.clientDisconnected(now, id));
--- a/engine/src/main/java/trailthread/engine/request/ClientRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ClientRequest.java
@@ -7,58 +7,59 @@
  * A client's request, decoded.
  *
  * @param id the client's X-Correlation-Id
- * @param account the tenant, or null
+ * @param tenant the tenant whose quota the request counts against, or null
  * @param timeLeftNs how long the client waits, from when it sent the request
- * @param repeat whether the client says that this is a retry
+ * @param isRetry whether the client says that this is a retry
  * @param workNs the expected work, ns; 0: not known
- * @param entity what the request concerns; 0: not given
+ * @param affinityKey identifies what the request concerns, for the balancer's key affinity; 0:
+ *     not given
  * @param target path and query as the client sent them
- * @param idempotencyKey or null
- * @param passing what else is forwarded to the endpoint, which may then answer with any status;
- *     null: nothing
- * @param source the body, if it is streamed; null: it is buffered in {@code body}
+ * @param idempotencyKey the client's Idempotency-Key, or null
+ * @param forwardedHeaders the client's headers to forward to the endpoint, which may then answer
+ *     with any status; null: no headers are forwarded
+ * @param bodySource the body, if it is streamed; null: it is buffered in {@code body}
  */
 public record ClientRequest(
         String id,
         String requestClass,
-        String account,
+        String tenant,
         long timeLeftNs,
-        boolean repeat,
+        boolean isRetry,
         long workNs,
-        long entity,
+        long affinityKey,
         String method,
         String target,
         String idempotencyKey,
         byte[] body,
-        ForwardedHeaders passing,
-        ByteSource source) {
+        ForwardedHeaders forwardedHeaders,
+        ByteSource bodySource) {
     /** A request whose body is buffered, or is still to be received. */
     public ClientRequest(
             String id,
             String requestClass,
-            String account,
+            String tenant,
             long timeLeftNs,
-            boolean repeat,
+            boolean isRetry,
             long workNs,
-            long entity,
+            long affinityKey,
             String method,
             String target,
             String idempotencyKey,
             byte[] body,
-            ForwardedHeaders passing) {
+            ForwardedHeaders forwardedHeaders) {
         this(
                 id,
                 requestClass,
-                account,
+                tenant,
                 timeLeftNs,
-                repeat,
+                isRetry,
                 workNs,
-                entity,
+                affinityKey,
                 method,
                 target,
                 idempotencyKey,
                 body,
-                passing,
+                forwardedHeaders,
                 null);
     }
 
@@ -68,7 +69,7 @@
     }
 
     /** The request with a body that is streamed while it is forwarded. */
-    public ClientRequest withSource(ByteSource streamed) {
+    public ClientRequest withBodySource(ByteSource streamed) {
         return with(new byte[0], streamed);
     }
 
@@ -76,16 +77,16 @@
         return new ClientRequest(
                 id,
                 requestClass,
-                account,
+                tenant,
                 timeLeftNs,
-                repeat,
+                isRetry,
                 workNs,
-                entity,
+                affinityKey,
                 method,
                 target,
                 idempotencyKey,
                 buffered,
-                passing,
+                forwardedHeaders,
                 streamed);
     }
 }
