--- a/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
+++ b/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
@@ -132,7 +132,7 @@
         for (DiscoveredEndpoint endpoint : update.instances()) {
             entries.add(endpoint.entry());
         }
-        metrics.listed(kind, entries);
+        metrics.endpointListUpdated(kind, entries);
         requests.list(kind, entries);
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -60,7 +60,8 @@
         descriptors = DescriptorBudget.of(config.descriptorLimit(), config.adminAddress() != null);
         loop = new EventLoop(config.name());
         admin = adminServer(config);
-        MetricsRecorder adminMetrics = admin == null ? MetricsRecorder.OFF : admin.meter();
+        MetricsRecorder adminMetrics =
+                admin == null ? MetricsRecorder.OFF : admin.metricsRecorder();
         degradation = degradationService(config, adminMetrics);
         metrics = degradation == null ? adminMetrics : degradation;
         endpoints =
@@ -188,7 +189,7 @@
             loop.execute(() -> apply(next));
         } catch (ConfigException e) {
             LOG.error("configuration not taken over: {}", e.getMessage());
-            loop.execute(() -> metrics.reloaded(false));
+            loop.execute(() -> metrics.configurationReloaded(false));
         }
     }
 
@@ -205,7 +206,7 @@
         if (admin != null) {
             admin.serves(next.settings().classes);
         }
-        metrics.reloaded(true);
+        metrics.configurationReloaded(true);
         LOG.info(
                 "configuration taken over: {} classes, {} attempts at most",
                 next.settings().classes.size(),
--- a/daemon/src/main/java/trailthread/daemon/admin/AdminServer.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminServer.java
@@ -95,8 +95,8 @@
         classes.forEach(requestClass -> metrics.addClass(requestClass.name()));
     }
 
-    /** Records the node's events. */
-    public MetricsRecorder meter() {
+    /** Returns the recorder of the node's events, from which the metrics are exported. */
+    public MetricsRecorder metricsRecorder() {
         return metrics;
     }
 
--- a/daemon/src/main/java/trailthread/daemon/admin/NodeMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/NodeMetrics.java
@@ -52,29 +52,30 @@
     }
 
     @Override
-    public void taken(String requestClass) {
+    public void requestAdmitted(String requestClass) {
         metricsOf(requestClass).admitted++;
     }
 
     @Override
-    public void answered(String requestClass, RequestResult result, long afterNs, long waitedNs) {
+    public void requestAnswered(
+            String requestClass, RequestResult result, long afterNs, long waitedNs) {
         ClassMetrics metrics = metricsOf(requestClass);
         metrics.responses.increment(result);
         metrics.durations.add(afterNs);
     }
 
     @Override
-    public void gone(String requestClass) {
+    public void clientDisconnected(String requestClass) {
         metricsOf(requestClass).clientsGone++;
     }
 
     @Override
-    public void rejected(RejectionReason reason) {
+    public void requestRejected(RejectionReason reason) {
         rejections.increment(reason);
     }
 
     @Override
-    public void attemptBegun(String endpoint) {
+    public void attemptStarted(String endpoint) {
         attemptsInFlight++;
         EndpointMetrics metrics = endpoints.get(endpoint);
         if (metrics != null) {
@@ -107,7 +108,7 @@
     }
 
     @Override
-    public void listed(ListKind kind, List<EndpointEntry> entries) {
+    public void endpointListUpdated(ListKind kind, List<EndpointEntry> entries) {
         Map<String, EndpointMetrics> before = Map.of();
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
             before = new HashMap<>(endpoints);
@@ -128,7 +129,7 @@
     }
 
     @Override
-    public void reloaded(boolean applied) {
+    public void configurationReloaded(boolean applied) {
         if (applied) {
             reloadsApplied++;
         } else {
@@ -137,7 +138,7 @@
     }
 
     @Override
-    public void levelEntered(long now, String entered) {
+    public void degradationLevelEntered(long now, String entered) {
         if (entered.equals(level)) {
             return;
         }
--- a/daemon/src/main/java/trailthread/daemon/listener/RequestReceiver.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/RequestReceiver.java
@@ -96,7 +96,7 @@
      * route is missing.
      */
     private void reject(HttpServerExchange exchange, RejectionReason reason) {
-        metrics.rejected(reason);
+        metrics.requestRejected(reason);
         exchange.setStatusCode(statusCode(reason));
         if (reason != RejectionReason.NO_ROUTE || isLastOnConnection(exchange)) {
             exchange.setPersistent(false);
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -80,7 +80,7 @@
                         file.seed() == null ? new SecureRandom().nextLong() : file.seed());
         idPrefix = Long.toHexString(new SecureRandom().nextLong()) + "-";
         admin = adminServer(file);
-        metrics = admin == null ? MetricsRecorder.OFF : admin.meter();
+        metrics = admin == null ? MetricsRecorder.OFF : admin.metricsRecorder();
         ServicesConfig services = file.services();
         shares = new Shares(loop, services.calls(), services.connections(), services.bodyBytes());
         pools = new PoolSet(loop, shares, random, metrics);
@@ -163,7 +163,7 @@
         }
         if (result.read() == null) {
             LOG.error("{} is not taken over: {} faults", path, result.faults().size());
-            loop.execute(() -> metrics.reloaded(false));
+            loop.execute(() -> metrics.configurationReloaded(false));
             return;
         }
         loop.execute(() -> applyReloaded(result.read()));
@@ -172,14 +172,14 @@
     private void applyReloaded(OperatorFile next) {
         if (!hasSameTotals(file.services(), next.services())) {
             LOG.error("{} is not taken over: descriptors and body_memory take a restart", path);
-            metrics.reloaded(false);
+            metrics.configurationReloaded(false);
             return;
         }
         if (!hasSameAddresses(file, next)) {
             LOG.warn("{}: name and listen wait for the next start", path);
         }
         apply(next);
-        metrics.reloaded(true);
+        metrics.configurationReloaded(true);
     }
 
     private static boolean hasSameTotals(ServicesConfig a, ServicesConfig b) {
--- a/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
+++ b/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
@@ -36,8 +36,9 @@
         String before = held();
         AdminServer operator =
                 listen == null ? null : new AdminServer(loop, "n0", List.of(), new Nothing());
-        MetricsRecorder meter = operator == null ? MetricsRecorder.OFF : operator.meter();
-        meter.taken("read");
+        MetricsRecorder recorder =
+                operator == null ? MetricsRecorder.OFF : operator.metricsRecorder();
+        recorder.requestAdmitted("read");
         if (operator != null) {
             operator.listen(listen, null);
         }
--- a/daemon/src/test/java/trailthread/daemon/admin/AdminServerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/AdminServerTest.java
@@ -139,7 +139,7 @@
     public void countersIncreaseFromScrapeToScrape() throws Exception {
         listen(maxConnections(8));
         Socket client = connect();
-        MetricsRecorder meter = server.meter();
+        MetricsRecorder recorder = server.metricsRecorder();
         for (int admitted = 0; admitted < 3; admitted++) {
             String response = get(client, "/metrics");
             assertStatus(200, response);
@@ -150,9 +150,10 @@
                     body,
                     body.contains(
                             "\ntrailthread_calls_total{class=\"read\"} " + admitted + ".0\n"));
-            loop.execute(() -> meter.taken("read")); // runs before the next request is read
+            loop.execute(
+                    () -> recorder.requestAdmitted("read")); // runs before the next request is read
         }
-        loop.execute(() -> meter.levelEntered(loop.now(), "full"));
+        loop.execute(() -> recorder.degradationLevelEntered(loop.now(), "full"));
         sendRequest(
                 client,
                 "GET",
@@ -210,20 +211,20 @@
     @Test
     public void prescribedMetricsAreCurrent() throws Exception {
         listen(maxConnections(8));
-        MetricsRecorder meter = server.meter();
+        MetricsRecorder recorder = server.metricsRecorder();
         loop.execute(
                 () -> {
-                    meter.listed(
+                    recorder.endpointListUpdated(
                             ListKind.FULL,
                             List.of(new EndpointEntry("w", 1, EndpointState.READY, "a", 0, 0)));
                     for (int i = 0; i < 4; i++) {
-                        meter.taken("read");
+                        recorder.requestAdmitted("read");
                     }
-                    meter.attemptSent();
-                    meter.answered("read", RequestResult.SERVED, 1, 1);
-                    meter.answered("read", RequestResult.REFUSED, 1, 1);
-                    meter.answered("read", RequestResult.FAILED, 1, 1);
-                    meter.reloaded(true);
+                    recorder.attemptSent();
+                    recorder.requestAnswered("read", RequestResult.SERVED, 1, 1);
+                    recorder.requestAnswered("read", RequestResult.REFUSED, 1, 1);
+                    recorder.requestAnswered("read", RequestResult.FAILED, 1, 1);
+                    recorder.configurationReloaded(true);
                 });
         String first = sendPrescribed("GET", "/-/metrics", "\r\n");
         assertStatus(200, first);
@@ -240,7 +241,7 @@
                 app_conf_invalid 0
                 """,
                 first.substring(first.indexOf("\r\n\r\n") + 4));
-        loop.execute(() -> meter.reloaded(false));
+        loop.execute(() -> recorder.configurationReloaded(false));
         assertTrue(sendPrescribed("GET", "/-/metrics", "\r\n").contains("\napp_conf_invalid 1\n"));
     }
 
@@ -325,7 +326,7 @@
         for (int i = 0; i < 300; i++) {
             entries.add(new EndpointEntry("w" + i, 1, EndpointState.READY, "a", 0, 0));
         }
-        loop.execute(() -> server.meter().listed(ListKind.FULL, entries));
+        loop.execute(() -> server.metricsRecorder().endpointListUpdated(ListKind.FULL, entries));
         Socket unread = connect();
         send(unread, "GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n".repeat(requests));
         assertTrue(status.snapshots.tryAcquire(LONGEST_WAIT_S, TimeUnit.SECONDS));
--- a/daemon/src/test/java/trailthread/daemon/admin/MetricsExpositionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/MetricsExpositionTest.java
@@ -84,11 +84,11 @@
         for (String endpoint : endpoints) {
             entries.add(new EndpointEntry(endpoint, 1, state, "a", 0, 0));
         }
-        metrics.listed(kind, entries);
+        metrics.endpointListUpdated(kind, entries);
     }
 
     private void attempt(String endpoint, Outcome outcome, double queue) {
-        metrics.attemptBegun(endpoint);
+        metrics.attemptStarted(endpoint);
         metrics.attemptEnded(endpoint, outcome, 20_000_000L, new LoadReport(1, queue, 0, 0, 0, 0));
     }
 
@@ -98,17 +98,17 @@
         list(ListKind.FULL, EndpointState.READY, escapedId, "w1");
         list(ListKind.DELTA, EndpointState.DRAINING, "w1");
         for (int i = 0; i < 3; i++) {
-            metrics.taken("read");
+            metrics.requestAdmitted("read");
         }
-        metrics.answered("read", RequestResult.SERVED, 20_000_000L, 0);
-        metrics.gone("read");
-        metrics.rejected(RejectionReason.CONFLICT);
+        metrics.requestAnswered("read", RequestResult.SERVED, 20_000_000L, 0);
+        metrics.clientDisconnected("read");
+        metrics.requestRejected(RejectionReason.CONFLICT);
         attempt(escapedId, Outcome.OK, 7);
-        metrics.attemptBegun("w1");
+        metrics.attemptStarted("w1");
         metrics.healthChecked("w1", Outcome.TIMEOUT, null);
-        metrics.levelEntered(1_500_000_000L, "full");
-        metrics.levelEntered(2_500_000_000L, "saving");
-        metrics.levelEntered(3_500_000_000L, "saving");
+        metrics.degradationLevelEntered(1_500_000_000L, "full");
+        metrics.degradationLevelEntered(2_500_000_000L, "saving");
+        metrics.degradationLevelEntered(3_500_000_000L, "saving");
         String text = text();
         assertTextFormat(text);
         for (String line :
@@ -181,7 +181,7 @@
         }
         attempt("w77", Outcome.RESET, 0);
         attempt("w4321", Outcome.RESET, 1);
-        metrics.attemptBegun("w9");
+        metrics.attemptStarted("w9");
         attempt("unlisted", Outcome.RESET, 0);
         FleetMetrics fleet = metrics.snapshot(new FixedNodeStatus()).fleet();
         assertEquals(10_000, fleet.ready());
@@ -205,7 +205,7 @@
     /** In the page's tables, each row begins with a metric's name and its type. */
     @Test
     public void theOperatorsPageDocumentsEachMetricAndNoOther() throws IOException {
-        metrics.levelEntered(1, "full");
+        metrics.degradationLevelEntered(1, "full");
         list(ListKind.FULL, EndpointState.READY, "w0");
         attempt("w0", Outcome.OK, 1);
         Set<String> rendered = matches("(?m)^# TYPE (\\S+ \\S+)$", text());
--- a/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
+++ b/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
@@ -72,7 +72,7 @@
     public void start(DoubleSupplier descriptors, Consumer<Admission> admit) {
         this.admit = admit;
         collector.start(descriptors);
-        levelEntered(loop.now(), levels.level().name());
+        degradationLevelEntered(loop.now(), levels.level().name());
         dueAt = loop.now();
         read();
     }
@@ -116,7 +116,7 @@
                 .addKeyValue("value", joined(change, cause -> text(cause, cause.value())))
                 .addKeyValue("bound", joined(change, cause -> text(cause, cause.bound())))
                 .log(change.toString());
-        levelEntered(loop.now(), change.to());
+        degradationLevelEntered(loop.now(), change.to());
         // Without a filter, the balancer draws no random number for each request.
         boolean admitsAll = levels.level().reach() == DegradationLevel.Reach.NONE;
         admit.accept(admitsAll ? null : this::admits);
@@ -144,9 +144,10 @@
     }
 
     @Override
-    public void answered(String requestClass, RequestResult result, long latencyNs, long queuedNs) {
+    public void requestAnswered(
+            String requestClass, RequestResult result, long latencyNs, long queuedNs) {
         collector.answered(requestClass, result, queuedNs, loop.now());
-        super.answered(requestClass, result, latencyNs, queuedNs);
+        super.requestAnswered(requestClass, result, latencyNs, queuedNs);
     }
 
     @Override
@@ -162,8 +163,8 @@
     }
 
     @Override
-    public void listed(ListKind kind, List<EndpointEntry> entries) {
-        collector.listed(kind, entries);
-        super.listed(kind, entries);
+    public void endpointListUpdated(ListKind kind, List<EndpointEntry> entries) {
+        collector.endpointListUpdated(kind, entries);
+        super.endpointListUpdated(kind, entries);
     }
 }
--- a/engine/src/main/java/trailthread/engine/degradation/FailingEndpointRate.java
+++ b/engine/src/main/java/trailthread/engine/degradation/FailingEndpointRate.java
@@ -55,7 +55,7 @@
     }
 
     /** The endpoint list was updated. */
-    void listed(ListKind kind, List<EndpointEntry> entries) {
+    void endpointListUpdated(ListKind kind, List<EndpointEntry> entries) {
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
             endpoints.values().forEach(history -> history.state = EndpointState.GONE);
         }
--- a/engine/src/main/java/trailthread/engine/degradation/ReadingsCollector.java
+++ b/engine/src/main/java/trailthread/engine/degradation/ReadingsCollector.java
@@ -111,7 +111,7 @@
     }
 
     /** The endpoint list was updated. */
-    void listed(ListKind kind, List<EndpointEntry> entries) {
-        failing.listed(kind, entries);
+    void endpointListUpdated(ListKind kind, List<EndpointEntry> entries) {
+        failing.endpointListUpdated(kind, entries);
     }
 }
--- a/engine/src/main/java/trailthread/engine/metrics/ForwardingMetricsRecorder.java
+++ b/engine/src/main/java/trailthread/engine/metrics/ForwardingMetricsRecorder.java
@@ -18,28 +18,29 @@
     }
 
     @Override
-    public void taken(String requestClass) {
-        recorder.taken(requestClass);
+    public void requestAdmitted(String requestClass) {
+        recorder.requestAdmitted(requestClass);
     }
 
     @Override
-    public void answered(String requestClass, RequestResult result, long latencyNs, long queuedNs) {
-        recorder.answered(requestClass, result, latencyNs, queuedNs);
+    public void requestAnswered(
+            String requestClass, RequestResult result, long latencyNs, long queuedNs) {
+        recorder.requestAnswered(requestClass, result, latencyNs, queuedNs);
     }
 
     @Override
-    public void gone(String requestClass) {
-        recorder.gone(requestClass);
+    public void clientDisconnected(String requestClass) {
+        recorder.clientDisconnected(requestClass);
     }
 
     @Override
-    public void rejected(RejectionReason reason) {
-        recorder.rejected(reason);
+    public void requestRejected(RejectionReason reason) {
+        recorder.requestRejected(reason);
     }
 
     @Override
-    public void attemptBegun(String endpoint) {
-        recorder.attemptBegun(endpoint);
+    public void attemptStarted(String endpoint) {
+        recorder.attemptStarted(endpoint);
     }
 
     @Override
@@ -58,17 +59,17 @@
     }
 
     @Override
-    public void listed(ListKind kind, List<EndpointEntry> entries) {
-        recorder.listed(kind, entries);
+    public void endpointListUpdated(ListKind kind, List<EndpointEntry> entries) {
+        recorder.endpointListUpdated(kind, entries);
     }
 
     @Override
-    public void reloaded(boolean applied) {
-        recorder.reloaded(applied);
+    public void configurationReloaded(boolean applied) {
+        recorder.configurationReloaded(applied);
     }
 
     @Override
-    public void levelEntered(long now, String level) {
-        recorder.levelEntered(now, level);
+    public void degradationLevelEntered(long now, String level) {
+        recorder.degradationLevelEntered(now, level);
     }
 }
--- a/engine/src/main/java/trailthread/engine/metrics/MetricsRecorder.java
+++ b/engine/src/main/java/trailthread/engine/metrics/MetricsRecorder.java
@@ -6,17 +6,20 @@
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
 
-/** Records what happens in the node; called on the loop's thread, it must not block. */
+/**
+ * Records events of the node for its metrics. The methods are called on the event loop's thread,
+ * and must not block.
+ */
 public interface MetricsRecorder {
     /** Records nothing. */
     MetricsRecorder OFF = new NoopMetricsRecorder();
 
     /**
      * A request was admitted: it has been received completely or, if its body is streamed, up to
-     * what can be buffered. {@link #answered} or {@link #gone} follows, once; for a streamed answer
-     * with its last byte from the endpoint.
+     * what can be buffered. {@link #requestAnswered} or {@link #clientDisconnected} follows, once.
+     * For a streamed response it follows with the last byte from the endpoint.
      */
-    void taken(String requestClass);
+    void requestAdmitted(String requestClass);
 
     /**
      * An admitted request was answered.
@@ -24,16 +27,16 @@
      * @param latencyNs from its admission to the answer
      * @param queuedNs from its admission to its first attempt; -1: there was none
      */
-    void answered(String requestClass, RequestResult result, long latencyNs, long queuedNs);
+    void requestAnswered(String requestClass, RequestResult result, long latencyNs, long queuedNs);
 
     /** The client of an admitted request disconnected before its answer. */
-    void gone(String requestClass);
+    void clientDisconnected(String requestClass);
 
     /** A request was answered without being admitted. */
-    void rejected(RejectionReason reason);
+    void requestRejected(RejectionReason reason);
 
-    /** An attempt begins; its end follows, once. */
-    void attemptBegun(String endpoint);
+    /** An attempt has started; {@link #attemptEnded} follows, once. */
+    void attemptStarted(String endpoint);
 
     /** An attempt's last byte has been written to its endpoint. */
     void attemptSent();
@@ -54,16 +57,20 @@
      */
     void healthChecked(String endpoint, Outcome outcome, LoadReport load);
 
-    /** The endpoint list was updated, as the balancer gets it. */
-    void listed(ListKind kind, List<EndpointEntry> entries);
+    /** The endpoint list was updated; the arguments are those that the balancer gets. */
+    void endpointListUpdated(ListKind kind, List<EndpointEntry> entries);
 
-    /** The configuration was read again, and applied or not. */
-    void reloaded(boolean applied);
+    /**
+     * The configuration was read again.
+     *
+     * @param applied whether it is in effect now; false: the one before stays in effect
+     */
+    void configurationReloaded(boolean applied);
 
     /**
-     * The node is at this degradation level from now on; no change if it was before.
+     * The node entered a degradation level. No change if it was at this level already.
      *
      * @param now Unix time in nanoseconds
      */
-    void levelEntered(long now, String level);
+    void degradationLevelEntered(long now, String level);
 }
--- a/engine/src/main/java/trailthread/engine/metrics/NoopMetricsRecorder.java
+++ b/engine/src/main/java/trailthread/engine/metrics/NoopMetricsRecorder.java
@@ -9,20 +9,20 @@
 /** Records nothing. */
 final class NoopMetricsRecorder implements MetricsRecorder {
     @Override
-    public void taken(String requestClass) {}
+    public void requestAdmitted(String requestClass) {}
 
     @Override
-    public void answered(
+    public void requestAnswered(
             String requestClass, RequestResult result, long latencyNs, long queuedNs) {}
 
     @Override
-    public void gone(String requestClass) {}
+    public void clientDisconnected(String requestClass) {}
 
     @Override
-    public void rejected(RejectionReason reason) {}
+    public void requestRejected(RejectionReason reason) {}
 
     @Override
-    public void attemptBegun(String endpoint) {}
+    public void attemptStarted(String endpoint) {}
 
     @Override
     public void attemptSent() {}
@@ -34,11 +34,11 @@
     public void healthChecked(String endpoint, Outcome outcome, LoadReport load) {}
 
     @Override
-    public void listed(ListKind kind, List<EndpointEntry> entries) {}
+    public void endpointListUpdated(ListKind kind, List<EndpointEntry> entries) {}
 
     @Override
-    public void reloaded(boolean applied) {}
+    public void configurationReloaded(boolean applied) {}
 
     @Override
-    public void levelEntered(long now, String level) {}
+    public void degradationLevelEntered(long now, String level) {}
 }
--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -236,7 +236,7 @@
         endpoints.update(update, knownSince);
         List<EndpointEntry> entries = new ArrayList<>();
         update.instances().forEach(endpoint -> entries.add(endpoint.entry()));
-        metrics.listed(kind, entries);
+        metrics.endpointListUpdated(kind, entries);
         dispatcher.list(kind, entries);
     }
 
--- a/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
@@ -26,23 +26,24 @@
     }
 
     @Override
-    public void taken(String requestClass) {
-        super.taken(prefix + requestClass);
+    public void requestAdmitted(String requestClass) {
+        super.requestAdmitted(prefix + requestClass);
     }
 
     @Override
-    public void answered(String requestClass, RequestResult result, long latencyNs, long queuedNs) {
-        super.answered(prefix + requestClass, result, latencyNs, queuedNs);
+    public void requestAnswered(
+            String requestClass, RequestResult result, long latencyNs, long queuedNs) {
+        super.requestAnswered(prefix + requestClass, result, latencyNs, queuedNs);
     }
 
     @Override
-    public void gone(String requestClass) {
-        super.gone(prefix + requestClass);
+    public void clientDisconnected(String requestClass) {
+        super.clientDisconnected(prefix + requestClass);
     }
 
     @Override
-    public void attemptBegun(String endpoint) {
-        super.attemptBegun(prefix + endpoint);
+    public void attemptStarted(String endpoint) {
+        super.attemptStarted(prefix + endpoint);
     }
 
     @Override
@@ -60,7 +61,7 @@
      * pools, and a full list of one would remove the others.
      */
     @Override
-    public void listed(ListKind kind, List<EndpointEntry> entries) {
+    public void endpointListUpdated(ListKind kind, List<EndpointEntry> entries) {
         List<EndpointEntry> changes = new ArrayList<>();
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
             Map<String, EndpointEntry> removed = new HashMap<>(listed);
@@ -76,12 +77,12 @@
                 listed.put(entry.endpoint(), entry);
             }
         }
-        super.listed(ListKind.DELTA, changes);
+        super.endpointListUpdated(ListKind.DELTA, changes);
     }
 
     /** Removes the pool's endpoints from the metrics. */
     void poolRemoved() {
-        listed(ListKind.FULL, List.of());
+        endpointListUpdated(ListKind.FULL, List.of());
     }
 
     private EndpointEntry withPrefix(EndpointEntry entry, EndpointState state) {
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -112,7 +112,7 @@
      */
     void startAttempt(String endpoint, long timeoutNs, long writtenBy) {
         int attempt = attempts++;
-        metrics.attemptBegun(endpoint);
+        metrics.attemptStarted(endpoint);
         long now = dispatcher.now();
         if (attempt == 0) {
             queuedNs = now - admittedAt;
@@ -261,7 +261,7 @@
      */
     void clientDisconnected() {
         if (!finished) {
-            metrics.gone(client.requestClass());
+            metrics.clientDisconnected(client.requestClass());
         }
         finish();
         if (attemptInFlight != null
@@ -302,7 +302,8 @@
     }
 
     private void recordAnswer(RequestResult result) {
-        metrics.answered(client.requestClass(), result, dispatcher.now() - admittedAt, queuedNs);
+        metrics.requestAnswered(
+                client.requestClass(), result, dispatcher.now() - admittedAt, queuedNs);
     }
 
     private void finish() {
--- a/engine/src/main/java/trailthread/engine/request/ClientRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ClientRequest.java
@@ -11,8 +11,8 @@
  * @param timeLeftNs how long the client waits, from when it sent the request
  * @param isRetry whether the client says that this is a retry
  * @param workNs the expected work, ns; 0: not known
- * @param affinityKey identifies what the request concerns, for the balancer's key affinity; 0:
- *     not given
+ * @param affinityKey identifies what the request concerns, for the balancer's key affinity; 0: not
+ *     given
  * @param target path and query as the client sent them
  * @param idempotencyKey the client's Idempotency-Key, or null
  * @param forwardedHeaders the client's headers to forward to the endpoint, which may then answer
--- a/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
@@ -176,7 +176,7 @@
         ActiveRequest request =
                 new ActiveRequest(this, id, client, Math.min(deadline, latestDeadline), response);
         requests.add(id, client.id(), request);
-        metrics.taken(client.requestClass());
+        metrics.requestAdmitted(client.requestClass());
         request.start();
         return request::clientDisconnected;
     }
--- a/engine/src/test/java/trailthread/engine/degradation/ReadingsTest.java
+++ b/engine/src/test/java/trailthread/engine/degradation/ReadingsTest.java
@@ -51,8 +51,8 @@
         };
         for (Object[] c : cases) {
             FailingEndpointRate failing = new FailingEndpointRate(100 * MS);
-            failing.listed(ListKind.FULL, entries(EndpointState.READY, "w0", "w1"));
-            failing.listed(ListKind.DELTA, entries(EndpointState.DRAINING, "w2"));
+            failing.endpointListUpdated(ListKind.FULL, entries(EndpointState.READY, "w0", "w1"));
+            failing.endpointListUpdated(ListKind.DELTA, entries(EndpointState.DRAINING, "w2"));
             for (char how : ((String) c[0]).toCharArray()) {
                 Outcome outcome =
                         switch (how) {
@@ -78,9 +78,9 @@
     public void withoutReadyEndpointsTheFailingRateIsUnknown() {
         FailingEndpointRate failing = new FailingEndpointRate(MS);
         assertTrue(Double.isNaN(failing.rate(0)));
-        failing.listed(ListKind.FULL, entries(EndpointState.READY, "w0"));
+        failing.endpointListUpdated(ListKind.FULL, entries(EndpointState.READY, "w0"));
         assertEquals(0, failing.rate(0), EXACT);
-        failing.listed(ListKind.FULL, entries(EndpointState.DRAINING, "w1"));
+        failing.endpointListUpdated(ListKind.FULL, entries(EndpointState.DRAINING, "w1"));
         assertTrue(Double.isNaN(failing.rate(0)));
     }
 
