--- a/daemon/src/main/java/trailthread/daemon/Drain.java
+++ b/daemon/src/main/java/trailthread/daemon/Drain.java
@@ -57,8 +57,8 @@
         int number = drainNumber;
         LOG.info("drains: clients are led away");
         listener.setDrained(true);
-        loop.after(CLOSE_WITH_RESPONSES_AFTER_NS, () -> closeWithResponses(number));
-        loop.after(CLOSE_IDLE_AFTER_NS, () -> closeIdle(number));
+        loop.schedule(CLOSE_WITH_RESPONSES_AFTER_NS, () -> closeWithResponses(number));
+        loop.schedule(CLOSE_IDLE_AFTER_NS, () -> closeIdle(number));
     }
 
     private boolean isInProgress(int number) {
@@ -74,7 +74,7 @@
     private void closeIdle(int number) {
         if (isInProgress(number)) {
             listener.closeUnused();
-            loop.after(CLOSE_IDLE_INTERVAL_NS, () -> closeIdle(number));
+            loop.schedule(CLOSE_IDLE_INTERVAL_NS, () -> closeIdle(number));
         }
     }
 
--- a/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
+++ b/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
@@ -149,7 +149,7 @@
             logPlan(latenessNs);
         }
         if (loop.now() < requestedAt + planForAll.answeredNs()) {
-            loop.after(PLAN_INTERVAL_NS, this::planAgain);
+            loop.schedule(PLAN_INTERVAL_NS, this::planAgain);
         }
     }
 
@@ -186,7 +186,7 @@
     }
 
     private XnioExecutor.Key runAt(long afterRequestNs, Runnable step) {
-        return loop.after(requestedAt + afterRequestNs - loop.now(), step);
+        return loop.schedule(requestedAt + afterRequestNs - loop.now(), step);
     }
 
     private void close() {
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -178,7 +178,7 @@
      * requests in flight and the endpoint list are kept. Other keys wait for the next start.
      */
     void reload(Map<String, String> environment) {
-        loop.worker().execute(() -> readAndApply(environment));
+        loop.xnioWorker().execute(() -> readAndApply(environment));
     }
 
     private void readAndApply(Map<String, String> environment) {
--- a/daemon/src/main/java/trailthread/daemon/StartSequence.java
+++ b/daemon/src/main/java/trailthread/daemon/StartSequence.java
@@ -105,7 +105,7 @@
             return;
         }
         LOG.info("waits for the list before it is ready");
-        loop.after(startedAt + LIST_TIMEOUT_NS - loop.now(), this::listTimedOut);
+        loop.schedule(startedAt + LIST_TIMEOUT_NS - loop.now(), this::listTimedOut);
     }
 
     private void listTimedOut() {
--- a/daemon/src/main/java/trailthread/daemon/admin/AdminHandler.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminHandler.java
@@ -69,7 +69,7 @@
         }
         exchange.dispatch(
                 SameThreadExecutor.INSTANCE,
-                () -> loop.after(responseAt - now, () -> respond(exchange)));
+                () -> loop.schedule(responseAt - now, () -> respond(exchange)));
     }
 
     /** Tracks the connection's state; returns when the response may be sent. */
@@ -162,7 +162,7 @@
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, form.contentType());
         exchange.getResponseSender().send(ByteBuffer.wrap(body));
         if (!exchange.isResponseComplete()) {
-            loop.after(limits.readWithinNs(), () -> closeIfUnread(exchange));
+            loop.schedule(limits.readWithinNs(), () -> closeIfUnread(exchange));
         }
     }
 
--- a/daemon/src/main/java/trailthread/daemon/admin/AdminServer.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminServer.java
@@ -153,7 +153,7 @@
                         .set(Options.CONNECTION_LOW_WATER, openAtOnce)
                         .getMap();
         try {
-            return loop.worker().createStreamConnectionServer(address, accept, options);
+            return loop.xnioWorker().createStreamConnectionServer(address, accept, options);
         } catch (IOException | UnresolvedAddressException e) {
             throw new BindException("management: " + address + ": " + e.getMessage());
         }
@@ -171,7 +171,7 @@
 
     private void measureLateness() {
         long dueAt = loop.now() + LATENESS_INTERVAL_NS;
-        loop.after(
+        loop.schedule(
                 LATENESS_INTERVAL_NS,
                 () -> {
                     metrics.timerRan(loop.now() - dueAt);
@@ -196,7 +196,7 @@
         }
         acceptsSuspended = true;
         server.suspendAccepts();
-        loop.after(limits.acceptEveryNs(), this::resumeAccepts);
+        loop.schedule(limits.acceptEveryNs(), this::resumeAccepts);
     }
 
     private void resumeAccepts() {
--- a/daemon/src/main/java/trailthread/daemon/admin/MetricsCache.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/MetricsCache.java
@@ -101,7 +101,7 @@
         if (entry.waiting.size() == 1) {
             long now = loop.now();
             Snapshot snapshot = snapshots.get();
-            loop.worker().execute(() -> renderInto(entry, form, snapshot, now));
+            loop.xnioWorker().execute(() -> renderInto(entry, form, snapshot, now));
         }
     }
 
--- a/daemon/src/main/java/trailthread/daemon/listener/BodyReader.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/BodyReader.java
@@ -105,7 +105,7 @@
         this.receiver = receiver;
         buffer = buffered ? new BodyBuffer(memory, exchange.getRequestContentLength()) : null;
         channel = exchange.getRequestChannel();
-        deadlineTimer = loop.afterReading(dueAt - loop.now(), this::checkDeadline);
+        deadlineTimer = loop.scheduleAfterReading(dueAt - loop.now(), this::checkDeadline);
     }
 
     /**
@@ -292,9 +292,10 @@
     private void checkDeadline() {
         long leftNs = dueAt + timeForBytesNs(receivedBytes) - loop.now();
         if (pausedAt > 0) {
-            deadlineTimer = loop.afterReading(PAUSED_CHECK_INTERVAL_NS, this::checkDeadline);
+            deadlineTimer =
+                    loop.scheduleAfterReading(PAUSED_CHECK_INTERVAL_NS, this::checkDeadline);
         } else if (leftNs > 0) {
-            deadlineTimer = loop.afterReading(leftNs, this::checkDeadline);
+            deadlineTimer = loop.scheduleAfterReading(leftNs, this::checkDeadline);
         } else {
             giveUp();
         }
--- a/daemon/src/main/java/trailthread/daemon/listener/ClientConnection.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ClientConnection.java
@@ -91,13 +91,13 @@
 
     @Override
     public int read(ByteBuffer dst) throws IOException {
-        loop.servesSocket();
+        loop.beforeServingSocket();
         return (int) noteReceived(super.read(dst));
     }
 
     @Override
     public long read(ByteBuffer[] dsts, int offs, int len) throws IOException {
-        loop.servesSocket();
+        loop.beforeServingSocket();
         return noteReceived(super.read(dsts, offs, len));
     }
 
--- a/daemon/src/main/java/trailthread/daemon/listener/ClientConnections.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ClientConnections.java
@@ -99,7 +99,7 @@
         if (whenNone != null) {
             closeUnused();
         }
-        loop.after(CHECK_INTERVAL_NS, this::checkRegularly);
+        loop.schedule(CHECK_INTERVAL_NS, this::checkRegularly);
     }
 
     ClientConnection opened(StreamConnection connection) {
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
@@ -75,7 +75,7 @@
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         server =
-                loop.worker()
+                loop.xnioWorker()
                         .createStreamConnectionServer(address, acceptListener(), socketOptions());
         server.resumeAccepts();
         return server.getLocalAddress(InetSocketAddress.class);
@@ -90,7 +90,9 @@
      */
     public void share(ServerSocketChannel inherited) throws IOException {
         IoUtils.safeClose(server);
-        server = InheritedTcpServer.on(inherited, loop.worker(), acceptListener(), socketOptions());
+        server =
+                InheritedTcpServer.on(
+                        inherited, loop.xnioWorker(), acceptListener(), socketOptions());
         shared = true;
         server.resumeAccepts();
     }
@@ -193,7 +195,7 @@
         // The thread that accepts is late when the loop is. Connections that wait to be accepted
         // would be reset with the listening socket, and their requests lost.
         boolean late = loop.latency().latenessNs(System.nanoTime()) > LATE_NS;
-        loop.after(late ? ACCEPT_GRACE_NS : 0, () -> stopAccepting(whenDone));
+        loop.schedule(late ? ACCEPT_GRACE_NS : 0, () -> stopAccepting(whenDone));
     }
 
     private void stopAccepting(Runnable whenDone) {
@@ -201,6 +203,6 @@
             IoUtils.safeClose(server);
         }
         // The loop has yet to open what the accepting thread handed over last.
-        loop.after(HANDOVER_NS, () -> loop.afterSockets(() -> connections.endAll(whenDone)));
+        loop.schedule(HANDOVER_NS, () -> loop.afterSockets(() -> connections.endAll(whenDone)));
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
@@ -148,7 +148,7 @@
             exchange.getResponseSender().send(ByteBuffer.wrap(body));
         }
         if (!exchange.isResponseComplete()) {
-            loop.afterReading(READ_TIMEOUT_NS, this::closeIfUnread);
+            loop.scheduleAfterReading(READ_TIMEOUT_NS, this::closeIfUnread);
         }
     }
 
--- a/daemon/src/main/java/trailthread/daemon/listener/StreamedResponse.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/StreamedResponse.java
@@ -57,7 +57,7 @@
         this.onClientGone = onClientGone;
         channel = exchange.getResponseChannel();
         channel.getWriteSetter().set(writable -> writeUnwritten());
-        timeoutTimer = loop.after(WRITE_TIMEOUT_NS, this::checkTimeout);
+        timeoutTimer = loop.schedule(WRITE_TIMEOUT_NS, this::checkTimeout);
     }
 
     @Override
@@ -182,6 +182,6 @@
             return;
         }
         writtenBytesAtCheck = waiting ? writtenBytes : NOT_WAITING;
-        timeoutTimer = loop.after(WRITE_TIMEOUT_NS, this::checkTimeout);
+        timeoutTimer = loop.schedule(WRITE_TIMEOUT_NS, this::checkTimeout);
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -153,7 +153,7 @@
      * stays as it was.
      */
     public void reload() {
-        loop.worker().execute(this::readAndApply);
+        loop.xnioWorker().execute(this::readAndApply);
     }
 
     private void readAndApply() {
--- a/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
@@ -57,7 +57,7 @@
 
     @After
     public void end() {
-        loop.worker().shutdownNow();
+        loop.xnioWorker().shutdownNow();
     }
 
     private <T> T onLoop(Supplier<T> does) throws Exception {
--- a/daemon/src/test/java/trailthread/daemon/ShutdownReplanTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ShutdownReplanTest.java
@@ -81,7 +81,7 @@
 
     @After
     public void end() {
-        loop.worker().shutdownNow();
+        loop.xnioWorker().shutdownNow();
     }
 
     private long nextAnswerTime() throws InterruptedException {
--- a/daemon/src/test/java/trailthread/daemon/UnreadUpdatesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UnreadUpdatesTest.java
@@ -84,7 +84,7 @@
     public void end() throws Exception {
         peer.close();
         server.close();
-        loop.worker().shutdownNow();
+        loop.xnioWorker().shutdownNow();
     }
 
     private static InetSocketAddress address(ScriptedServer of) {
--- a/daemon/src/test/java/trailthread/daemon/UpdateDueTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UpdateDueTest.java
@@ -67,7 +67,7 @@
     @After
     public void end() throws Exception {
         peer.close();
-        loop.worker().shutdownNow();
+        loop.xnioWorker().shutdownNow();
     }
 
     private long known() throws InterruptedException {
--- a/daemon/src/test/java/trailthread/daemon/admin/AdminServerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/AdminServerTest.java
@@ -83,10 +83,10 @@
         server.close();
         CountDownLatch ended = new CountDownLatch(1);
         // Waits for the tasks of the loop, and for what they have rendered.
-        loop.execute(() -> loop.worker().execute(() -> loop.execute(ended::countDown)));
+        loop.execute(() -> loop.xnioWorker().execute(() -> loop.execute(ended::countDown)));
         assertTrue(ended.await(LONGEST_WAIT_S, TimeUnit.SECONDS));
-        loop.worker().shutdown();
-        assertTrue(loop.worker().awaitTermination(LONGEST_WAIT_S, TimeUnit.SECONDS));
+        loop.xnioWorker().shutdown();
+        assertTrue(loop.xnioWorker().awaitTermination(LONGEST_WAIT_S, TimeUnit.SECONDS));
     }
 
     private Socket connect() throws IOException {
@@ -281,7 +281,7 @@
         get(connect(), "/status");
         status.snapshots.drainPermits();
         CountDownLatch rendering = new CountDownLatch(1);
-        loop.worker()
+        loop.xnioWorker()
                 .execute(
                         () -> {
                             try {
--- a/daemon/src/test/java/trailthread/daemon/listener/EndByMomentTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/EndByMomentTest.java
@@ -56,7 +56,7 @@
         for (Socket client : clients) {
             client.close();
         }
-        loop.worker().shutdownNow();
+        loop.xnioWorker().shutdownNow();
     }
 
     private void listen() throws IOException {
@@ -150,7 +150,7 @@
 
     private void endUnusedRepeatedly() {
         listener.closeUnused();
-        loop.after(100_000_000L, this::endUnusedRepeatedly);
+        loop.schedule(100_000_000L, this::endUnusedRepeatedly);
     }
 
     private void assertEachIsEnded(Runnable endConnections) throws Exception {
--- a/daemon/src/test/java/trailthread/daemon/listener/LateLoopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LateLoopTest.java
@@ -108,7 +108,7 @@
         for (Socket client : clients) {
             client.close();
         }
-        loop.worker().shutdownNow();
+        loop.xnioWorker().shutdownNow();
     }
 
     private Socket connect() throws IOException {
--- a/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
@@ -104,7 +104,7 @@
     @After
     public void end() throws IOException {
         endpoint.close();
-        loop.worker().shutdownNow();
+        loop.xnioWorker().shutdownNow();
     }
 
     private Socket connect() throws IOException {
@@ -296,7 +296,7 @@
                 awaitInFlight(id(requests.get(0)));
                 Thread sender = new Thread(() -> sendAll(client, requests.subList(1, count)));
                 sender.start();
-                loop.execute(() -> loop.after(100_000_000L, this::list));
+                loop.execute(() -> loop.schedule(100_000_000L, this::list));
                 for (String request : requests) {
                     assertEquals("made", Message.read(client).body());
                     assertEquals(id(request), endpoint.asked().header("X-Correlation-Id"));
--- a/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
+++ b/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
@@ -105,7 +105,7 @@
         readings = collector.read(now, Math.max(0, now - dueAt));
         levels.read(readings).ifPresent(this::levelChanged);
         dueAt = loop.now() + PERIOD_NS;
-        loop.after(PERIOD_NS, this::read);
+        loop.schedule(PERIOD_NS, this::read);
     }
 
     private void levelChanged(Change change) {
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
@@ -194,7 +194,7 @@
                 watch = null;
             }
             if (pushed) {
-                loop.after(REOPEN_DELAY_NS, () -> watch(watchWanted));
+                loop.schedule(REOPEN_DELAY_NS, () -> watch(watchWanted));
             } else {
                 listener.failed();
             }
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryExchange.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryExchange.java
@@ -276,7 +276,7 @@
         if (timeout != null) {
             timeout.remove();
         }
-        timeout = loop.afterReading(ns, this::timedOut);
+        timeout = loop.scheduleAfterReading(ns, this::timedOut);
     }
 
     private void timedOut() {
--- a/engine/src/main/java/trailthread/engine/discovery/EndpointListFile.java
+++ b/engine/src/main/java/trailthread/engine/discovery/EndpointListFile.java
@@ -88,8 +88,8 @@
             return;
         }
         FileVersion before = lastVersion;
-        loop.worker().execute(() -> checkBesideLoop(before));
-        loop.after(CHECK_INTERVAL_NS, this::startCheck);
+        loop.xnioWorker().execute(() -> checkBesideLoop(before));
+        loop.schedule(CHECK_INTERVAL_NS, this::startCheck);
     }
 
     /** Runs on the worker thread, as reading a file may block. */
--- a/engine/src/main/java/trailthread/engine/endpoint/Attempt.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/Attempt.java
@@ -81,14 +81,14 @@
             end(Outcome.CONNECT_FAILED);
             return;
         }
-        timeout = loop.after(deadline - loop.now(), this::timedOut);
+        timeout = loop.schedule(deadline - loop.now(), this::timedOut);
         HttpConnection idle = connections.takeIdle(endpoint);
         if (idle != null) {
             send(idle);
             return;
         }
         connectTimeout =
-                loop.afterReading(
+                loop.scheduleAfterReading(
                         connections.connectTimeoutNs(), () -> end(Outcome.CONNECT_FAILED));
         cancelConnect = connections.connect(endpoint, this::connectCompleted);
     }
@@ -182,7 +182,7 @@
         sentAt = loop.now(); // the time a long body takes to send is not the endpoint's latency
         if (request.source() != null && !isStreaming() && !over) {
             cancelTimeout();
-            timeout = loop.after(request.afterBodyNs(), this::timedOut);
+            timeout = loop.schedule(request.afterBodyNs(), this::timedOut);
         }
         listener.sent();
     }
--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
@@ -104,7 +104,7 @@
             return; // the body of a failed attempt is not used
         }
         if (bufferedBytes == 0 && !isStreaming() && length == UNKNOWN_LENGTH) {
-            bufferTimeout = loop.after(MAX_BUFFERED_NS, this::startStreaming);
+            bufferTimeout = loop.schedule(MAX_BUFFERED_NS, this::startStreaming);
         }
         if (!isStreaming() && fitsBuffer(piece)) {
             buffer(piece);
@@ -147,7 +147,7 @@
             return false;
         }
         attempt.streamingStarted();
-        silenceTimeout = loop.after(MAX_SILENCE_NS, this::resetIfSilent);
+        silenceTimeout = loop.schedule(MAX_SILENCE_NS, this::resetIfSilent);
         if (bufferedBytes > 0) {
             ByteBuffer buffered = ByteBuffer.wrap(buffer, 0, bufferedBytes);
             buffer = NO_BYTES;
@@ -178,7 +178,7 @@
         if (silentNs >= MAX_SILENCE_NS) {
             attempt.end(Outcome.RESET);
         } else {
-            silenceTimeout = loop.after(MAX_SILENCE_NS - silentNs, this::resetIfSilent);
+            silenceTimeout = loop.schedule(MAX_SILENCE_NS - silentNs, this::resetIfSilent);
         }
     }
 
--- a/engine/src/main/java/trailthread/engine/endpoint/ConnectionLimit.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionLimit.java
@@ -1,17 +1,20 @@
 package trailthread.engine.endpoint;
 
 /**
- * Limits the number of connections to endpoints. Each {@link #take} that is granted is followed by
- * one {@link #give}.
+ * Limits the number of connections to endpoints. Each {@link #tryAcquire} that returns true is
+ * followed by one {@link #release}.
  */
 public interface ConnectionLimit {
-    /** Takes a permit for another connection; returns whether it was granted. */
-    boolean take();
+    /** Acquires a permit for another connection, if one is free; returns whether it did. */
+    boolean tryAcquire();
 
-    /** Gives back the permit of a connection that was closed or could not be established. */
-    void give();
+    /** Releases the permit of a connection that was closed or could not be established. */
+    void release();
 
-    /** Returns whether a connection may be kept while it is idle, as no one else needs it more. */
+    /**
+     * Returns whether an idle connection may be kept open; false: its permit is needed for another
+     * connection.
+     */
     boolean mayKeepIdle();
 
     /** Returns a limit of a fixed number of connections. */
--- a/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
@@ -176,19 +176,19 @@
 
     /** Takes a permit for a connection, if need be that of an idle one, which is closed. */
     private boolean takePermit() {
-        if (limit.take()) {
+        if (limit.tryAcquire()) {
             return true;
         }
         if (idle.isEmpty()) {
             return false;
         }
         closeLongestIdle();
-        return limit.take();
+        return limit.tryAcquire();
     }
 
     private void connectionClosed() {
         open--;
-        limit.give();
+        limit.release();
     }
 
     /** Returns a connection to the pool, or closes it if it cannot carry another request. */
@@ -204,7 +204,7 @@
         idle.add(released);
         if (!sweepScheduled) {
             sweepScheduled = true;
-            loop.after(idleNs, this::sweep);
+            loop.schedule(idleNs, this::sweep);
         }
     }
 
@@ -218,7 +218,8 @@
         }
         sweepScheduled = !idle.isEmpty();
         if (sweepScheduled) {
-            loop.after(Math.max(idleNs / SWEEPS_PER_IDLE_TIME, MIN_SWEEP_INTERVAL_NS), this::sweep);
+            loop.schedule(
+                    Math.max(idleNs / SWEEPS_PER_IDLE_TIME, MIN_SWEEP_INTERVAL_NS), this::sweep);
         }
     }
 
--- a/engine/src/main/java/trailthread/engine/endpoint/FixedConnectionLimit.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/FixedConnectionLimit.java
@@ -10,7 +10,7 @@
     }
 
     @Override
-    public boolean take() {
+    public boolean tryAcquire() {
         if (open >= max) {
             return false;
         }
@@ -19,7 +19,7 @@
     }
 
     @Override
-    public void give() {
+    public void release() {
         open--;
     }
 
--- a/engine/src/main/java/trailthread/engine/http/HttpConnection.java
+++ b/engine/src/main/java/trailthread/engine/http/HttpConnection.java
@@ -49,7 +49,7 @@
         source = connection.getSourceChannel();
         source.setReadListener(
                 readable -> {
-                    loop.servesSocket();
+                    loop.beforeServingSocket();
                     account.charge(() -> read(EventLoop.MAX_BYTES_PER_PASS));
                 });
         source.resumeReads();
--- a/engine/src/main/java/trailthread/engine/loop/EventLoop.java
+++ b/engine/src/main/java/trailthread/engine/loop/EventLoop.java
@@ -38,7 +38,7 @@
 
     private static final int STACK_BYTES = 256 * 1024;
 
-    private final XnioWorker worker;
+    private final XnioWorker xnioWorker;
     private final XnioIoThread thread;
     private final LoopLatency latency = new LoopLatency(System.nanoTime());
     private final TimerWheel timers = new TimerWheel(System.nanoTime());
@@ -69,7 +69,7 @@
     public EventLoop(String name) throws IOException {
         // The provider is named here: to find one as a service, Java would open every jar, and keep
         // a descriptor of each.
-        worker =
+        xnioWorker =
                 new NioXnioProvider()
                         .getInstance()
                         .createWorker(
@@ -80,12 +80,15 @@
                                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                                         .set(Options.STACK_SIZE, (long) STACK_BYTES)
                                         .getMap());
-        thread = worker.getIoThread(0);
+        thread = xnioWorker.getIoThread(0);
     }
 
-    /** XNIO's worker, which owns the thread. */
-    public XnioWorker worker() {
-        return worker;
+    /**
+     * Returns XNIO's worker, which owns the thread and runs tasks that may block on threads of its
+     * own.
+     */
+    public XnioWorker xnioWorker() {
+        return xnioWorker;
     }
 
     /** The I/O thread. */
@@ -109,12 +112,12 @@
     }
 
     /**
-     * Runs a task on the thread once the delay is over. To be called on the thread.
+     * Schedules a task to run on the thread after a delay. To be called on the thread.
      *
      * @return cancels the task
      * @throws IllegalStateException on another thread
      */
-    public XnioExecutor.Key after(long delayNs, Runnable task) {
+    public XnioExecutor.Key schedule(long delayNs, Runnable task) {
         if (Thread.currentThread() != thread) {
             throw new IllegalStateException("a timer is set from another thread");
         }
@@ -156,26 +159,31 @@
     }
 
     /**
-     * As {@link #after}, for the timeout of a wait for a peer: if the timer runs late, the sockets
-     * are served first. Prevents a peer from timing out that has sent its input in time, as timers
-     * run before sockets.
+     * As {@link #schedule}, for the timeout of a wait for a peer: if the timer runs late, the task
+     * runs after the sockets that are ready have been served. Timers run before sockets, so a peer
+     * whose input arrived in time but was not read yet would time out otherwise.
+     *
+     * @return cancels the task
      */
-    public XnioExecutor.Key afterReading(long delayNs, Runnable task) {
+    public XnioExecutor.Key scheduleAfterReading(long delayNs, Runnable task) {
         TimeoutAfterReading timeout = new TimeoutAfterReading(System.nanoTime() + delayNs, task);
-        timeout.key = after(delayNs, timeout);
+        timeout.key = schedule(delayNs, timeout);
         return timeout;
     }
 
     /** Runs a task once every socket that is ready by now has been served. */
     public void afterSockets(Runnable task) {
         if (socketPass == null) {
-            socketPass = new SocketPass(thread, this::servesSocket, this::runSafely);
+            socketPass = new SocketPass(thread, this::beforeServingSocket, this::runSafely);
         }
         socketPass.after(task);
     }
 
-    /** To be called when a socket is about to be served, so that the time of the poll is known. */
-    public void servesSocket() {
+    /**
+     * To be called before a socket is served. The first call after a poll tells {@link #latency}
+     * when that poll returned.
+     */
+    public void beforeServingSocket() {
         if (latency.serveSocket(System.nanoTime())) {
             thread.execute(() -> latency.socketsServed(System.nanoTime()));
         }
--- a/engine/src/main/java/trailthread/engine/pool/PoolConnectionLimit.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolConnectionLimit.java
@@ -17,7 +17,7 @@
     }
 
     @Override
-    public boolean take() {
+    public boolean tryAcquire() {
         if (connections.acquire(1, loop.now())) {
             return true;
         }
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public void give() {
+    public void release() {
         connections.release(1);
     }
 
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -99,7 +99,7 @@
         deadlineTimer =
                 dispatcher
                         .loop()
-                        .afterReading(
+                        .scheduleAfterReading(
                                 timeLeftNs + dispatcher.responseSlackNs() / 2,
                                 this::deadlineExceeded);
     }
--- a/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
+++ b/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
@@ -95,7 +95,7 @@
 
     @Override
     public void timer(long delayNs, long token) {
-        loop.after(delayNs, () -> timerFired(token));
+        loop.schedule(delayNs, () -> timerFired(token));
     }
 
     private void timerFired(long token) {
--- a/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
@@ -120,7 +120,7 @@
         if (giveUpTimer != null) {
             giveUpTimer.remove();
         }
-        giveUpTimer = loop.afterReading(all - now(), () -> giveUpOpenRequests(all));
+        giveUpTimer = loop.scheduleAfterReading(all - now(), () -> giveUpOpenRequests(all));
     }
 
     /**
--- a/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
@@ -47,7 +47,7 @@
 
     @After
     public void end() throws IOException {
-        loop.worker().shutdownNow();
+        loop.xnioWorker().shutdownNow();
         server.close();
     }
 
@@ -305,7 +305,8 @@
                         write(connection, head);
                         sleep(600);
                     });
-            loop.execute(() -> loop.after(200 * MS, () -> write(connection, new byte[length - 1])));
+            loop.execute(
+                    () -> loop.schedule(200 * MS, () -> write(connection, new byte[length - 1])));
             assertEquals(Outcome.OK, nextResult().outcome());
             assertEquals(length + 1, streamed.get());
         }
--- a/engine/src/test/java/trailthread/engine/endpoint/LatencyTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LatencyTest.java
@@ -78,7 +78,7 @@
                 assertTrue(result.latencyNs() <= loop.now() - connectHungUntil);
             }
         } finally {
-            loop.worker().shutdownNow();
+            loop.xnioWorker().shutdownNow();
         }
         assertTrue("it has ended once", results.isEmpty());
     }
--- a/engine/src/test/java/trailthread/engine/endpoint/OutcomeByMomentTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/OutcomeByMomentTest.java
@@ -42,7 +42,7 @@
 
     @After
     public void end() {
-        loop.worker().shutdownNow();
+        loop.xnioWorker().shutdownNow();
     }
 
     /** What an endpoint does with a connection; it may close it, or leave it open. */
--- a/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
+++ b/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
@@ -41,7 +41,7 @@
 
     @After
     public void end() throws IOException {
-        loop.worker().shutdownNow();
+        loop.xnioWorker().shutdownNow();
         server.close();
     }
 
--- a/engine/src/test/java/trailthread/engine/request/DisconnectedClientTest.java
+++ b/engine/src/test/java/trailthread/engine/request/DisconnectedClientTest.java
@@ -25,7 +25,7 @@
 
     @After
     public void end() throws IOException {
-        loop.worker().shutdownNow();
+        loop.xnioWorker().shutdownNow();
         server.close();
     }
 
--- a/engine/src/test/java/trailthread/engine/request/GiveUpTest.java
+++ b/engine/src/test/java/trailthread/engine/request/GiveUpTest.java
@@ -36,7 +36,7 @@
 
     @After
     public void end() throws IOException {
-        loop.worker().shutdownNow();
+        loop.xnioWorker().shutdownNow();
         server.close();
         for (Socket connection : connections) {
             connection.close();
