--- a/command/src/main/java/trailthread/command/CheckCommand.java
+++ b/command/src/main/java/trailthread/command/CheckCommand.java
@@ -9,7 +9,7 @@
 import trailthread.configuration.OperatorFile;
 import trailthread.configuration.OperatorFileReader;
 import trailthread.engine.pool.PoolConfig;
-import trailthread.engine.pool.PoolConfig.Part;
+import trailthread.engine.pool.PoolConfig.QuotaRange;
 import trailthread.engine.pool.PoolConfig.Source;
 import trailthread.engine.routes.Route;
 import trailthread.engine.routes.RouteTable;
@@ -64,12 +64,12 @@
                 pool.name(),
                 lowerCase(pool.profile()),
                 describe(pool.source()),
-                describe(pool.limits().calls()),
+                describe(pool.limits().requests()),
                 describe(pool.limits().connections()),
                 describe(pool.limits().bodyBytes()),
                 pool.limits().loopWeight());
         for (PoolConfig.ClassConfig config : pool.classes()) {
-            out.printf(" %s (%s)", config.rules().name(), lowerCase(config.repeats()));
+            out.printf(" %s (%s)", config.requestClass().name(), lowerCase(config.retrySafety()));
         }
         out.println();
     }
@@ -95,8 +95,8 @@
         return value.name().toLowerCase(Locale.ROOT);
     }
 
-    private static String describe(Part part) {
-        return part.guaranteed() + " to " + part.most();
+    private static String describe(QuotaRange range) {
+        return range.guaranteed() + " to " + range.max();
     }
 
     private static String describe(Source source) {
--- a/configuration/src/main/java/trailthread/configuration/ClassesReader.java
+++ b/configuration/src/main/java/trailthread/configuration/ClassesReader.java
@@ -13,7 +13,7 @@
 import trailthread.api.RequestClass;
 import trailthread.engine.pool.PoolConfig.ClassConfig;
 import trailthread.engine.pool.PoolConfig.Profile;
-import trailthread.engine.pool.PoolConfig.Repeats;
+import trailthread.engine.pool.PoolConfig.RetrySafety;
 
 /** Reads the request classes of one pool. */
 final class ClassesReader {
@@ -21,12 +21,12 @@
     private static final double MAX_PRIORITY_WEIGHT = 1e9;
     private static final double DEFAULT_LATE_WEIGHT_SHARE = 0.5;
 
-    private static final List<Choice<Repeats>> REPEATS =
+    private static final List<Choice<RetrySafety>> RETRY_SAFETY_CHOICES =
             List.of(
-                    new Choice<>("safe", Repeats.SAFE),
-                    new Choice<>("idempotent", Repeats.IDEMPOTENT),
-                    new Choice<>("keyed", Repeats.KEYED),
-                    new Choice<>("unsafe", Repeats.UNSAFE));
+                    new Choice<>("safe", RetrySafety.SAFE),
+                    new Choice<>("idempotent", RetrySafety.IDEMPOTENT),
+                    new Choice<>("keyed", RetrySafety.KEYED),
+                    new Choice<>("unsafe", RetrySafety.UNSAFE));
 
     private static final List<Choice<DeduplicationScope>> DEDUPLICATION_SCOPES =
             List.of(
@@ -67,7 +67,8 @@
 
     private ClassConfig read(Section section) {
         String name = section.text(Key.CLASS_NAME, Names.UNNAMED);
-        Repeats repeats = section.choice(Key.CLASS_REPEATS, Repeats.UNSAFE, REPEATS);
+        RetrySafety retrySafety =
+                section.choice(Key.CLASS_REPEATS, RetrySafety.UNSAFE, RETRY_SAFETY_CHOICES);
         long deadlineNs = section.duration(Key.CLASS_DEADLINE, defaultDeadlineNs, MS, HOUR);
         DeduplicationScope scope =
                 section.choice(
@@ -80,19 +81,19 @@
         if (!names.add(name)) {
             section.fault(Key.CLASS_NAME, "a name that no other class of the pool has");
         }
-        if (profile == Profile.PLATFORM && repeats == Repeats.IDEMPOTENT) {
+        if (profile == Profile.PLATFORM && retrySafety == RetrySafety.IDEMPOTENT) {
             section.fault(
                     Key.CLASS_REPEATS, "safe, keyed or unsafe, as the platform knows no others");
         }
         long objectiveNs =
                 section.duration(Key.CLASS_LATENCY_OBJECTIVE, defaultObjectiveNs, MS, HOUR);
-        RequestClass rules =
+        RequestClass requestClass =
                 new RequestClass(
                         name,
                         Math.min(deadlineNs, objectiveNs),
                         0,
                         deadlineNs,
-                        ClassConfig.idempotency(repeats),
+                        ClassConfig.idempotency(retrySafety),
                         scope,
                         section.duration(Key.CLASS_DEDUPLICATION_WINDOW, deadlineNs, 0, HOUR),
                         section.number(
@@ -102,19 +103,19 @@
                                 MAX_PRIORITY_WEIGHT),
                         section.number(
                                 Key.CLASS_LATE_WEIGHT_SHARE, DEFAULT_LATE_WEIGHT_SHARE, 0, 1));
-        return new ClassConfig(rules, repeats);
+        return new ClassConfig(requestClass, retrySafety);
     }
 
     /** Adds classes so that each request of a plain client has one, whatever its method is. */
     private void addDefaults() {
         int configured = classes.size();
-        for (Repeats repeats : Repeats.values()) {
-            String name = repeats.name().toLowerCase(Locale.ROOT);
-            if (!hasClassFor(repeats) && names.add(name)) {
-                classes.add(defaultClass(name, repeats));
+        for (RetrySafety retrySafety : RetrySafety.values()) {
+            String name = retrySafety.name().toLowerCase(Locale.ROOT);
+            if (!hasClassFor(retrySafety) && names.add(name)) {
+                classes.add(defaultClass(name, retrySafety));
             }
         }
-        if (!hasClassFor(Repeats.UNSAFE)) {
+        if (!hasClassFor(RetrySafety.UNSAFE)) {
             pool.fault(
                     "classes",
                     "a class for calls that may not be repeated: the name unsafe is taken by another",
@@ -122,22 +123,22 @@
         }
     }
 
-    private boolean hasClassFor(Repeats repeats) {
-        return classes.stream().anyMatch(config -> config.repeats() == repeats);
+    private boolean hasClassFor(RetrySafety retrySafety) {
+        return classes.stream().anyMatch(config -> config.retrySafety() == retrySafety);
     }
 
-    private ClassConfig defaultClass(String name, Repeats repeats) {
-        RequestClass rules =
+    private ClassConfig defaultClass(String name, RetrySafety retrySafety) {
+        RequestClass requestClass =
                 new RequestClass(
                         name,
                         Math.min(defaultObjectiveNs, defaultDeadlineNs),
                         0,
                         defaultDeadlineNs,
-                        ClassConfig.idempotency(repeats),
+                        ClassConfig.idempotency(retrySafety),
                         DeduplicationScope.ALL,
                         defaultDeadlineNs,
                         DEFAULT_PRIORITY_WEIGHT,
                         DEFAULT_LATE_WEIGHT_SHARE);
-        return new ClassConfig(rules, repeats);
+        return new ClassConfig(requestClass, retrySafety);
     }
 }
--- a/configuration/src/main/java/trailthread/configuration/LimitsReader.java
+++ b/configuration/src/main/java/trailthread/configuration/LimitsReader.java
@@ -6,7 +6,7 @@
 import java.util.function.Function;
 import trailthread.engine.pool.PoolConfig;
 import trailthread.engine.pool.PoolConfig.Limits;
-import trailthread.engine.pool.PoolConfig.Part;
+import trailthread.engine.pool.PoolConfig.QuotaRange;
 
 /** Reads the limits of pools, and checks that all guarantees can be kept together. */
 final class LimitsReader {
@@ -26,7 +26,7 @@
      * @param total what there is of it
      * @param part a pool's part of it
      */
-    private record Resource(String name, long total, Function<Limits, Part> part) {}
+    private record Resource(String name, long total, Function<Limits, QuotaRange> part) {}
 
     private final Totals totals;
 
@@ -61,9 +61,9 @@
                         0,
                         maxBodyBytes);
         return new Limits(
-                new Part(guaranteedRequests, maxRequests),
-                new Part(guaranteedConnections, maxConnections),
-                new Part(guaranteedBodyBytes, maxBodyBytes),
+                new QuotaRange(guaranteedRequests, maxRequests),
+                new QuotaRange(guaranteedConnections, maxConnections),
+                new QuotaRange(guaranteedBodyBytes, maxBodyBytes),
                 section.number(Key.LIMITS_LOOP_WEIGHT, 1, MIN_LOOP_WEIGHT, MAX_LOOP_WEIGHT));
     }
 
@@ -83,7 +83,7 @@
     void checkGuarantees(Collection<PoolConfig> pools, Map<String, Section> sections) {
         List<Resource> resources =
                 List.of(
-                        new Resource("calls", totals.requests(), Limits::calls),
+                        new Resource("calls", totals.requests(), Limits::requests),
                         new Resource("connections", totals.connections(), Limits::connections),
                         new Resource("body memory", totals.bodyBytes(), Limits::bodyBytes));
         resources.forEach(resource -> checkGuarantees(resource, pools, sections));
--- a/configuration/src/main/java/trailthread/configuration/PoolsReader.java
+++ b/configuration/src/main/java/trailthread/configuration/PoolsReader.java
@@ -13,9 +13,9 @@
 import trailthread.api.LoadReportSource;
 import trailthread.api.Tenant;
 import trailthread.engine.pool.PoolConfig;
-import trailthread.engine.pool.PoolConfig.Place;
+import trailthread.engine.pool.PoolConfig.AttemptPolicy;
+import trailthread.engine.pool.PoolConfig.NodePlacement;
 import trailthread.engine.pool.PoolConfig.Profile;
-import trailthread.engine.pool.PoolConfig.Rules;
 import trailthread.engine.pool.PoolConfig.Source;
 
 /** Reads the pools of an operator's file. */
@@ -102,25 +102,25 @@
     private static PoolConfig pool(String name, Section pool, PoolConfig.Limits limits) {
         Profile profile = pool.choice(Key.POOL_PROFILE, Profile.PLAIN, PROFILES);
         int nodes = (int) pool.integer(Key.POOL_NODES, 1, 1, MAX_NODES);
-        Rules rules = rules(pool);
+        AttemptPolicy attemptPolicy = attemptPolicy(pool);
         return new PoolConfig(
                 name,
                 profile,
                 source(pool),
-                new Place(
+                new NodePlacement(
                         pool.text(Key.POOL_ZONE, ""),
                         (int) pool.integer(Key.POOL_NUMBER, 0, 0, nodes - 1),
                         nodes),
                 new ClassesReader(pool, profile).read(),
                 tenants(pool),
-                rules,
+                attemptPolicy,
                 limits);
     }
 
-    private static Rules rules(Section pool) {
+    private static AttemptPolicy attemptPolicy(Section pool) {
         LoadReportSource reports =
                 pool.choice(Key.POOL_REPORTS, LoadReportSource.NONE, REPORT_SOURCES);
-        return new Rules(
+        return new AttemptPolicy(
                 (int) pool.integer(Key.POOL_ATTEMPTS, 3, 1, MAX_ATTEMPTS),
                 pool.duration(Key.POOL_CONNECT_WITHIN, 200 * MS, MS, 60 * SECOND),
                 pool.duration(Key.POOL_IDLE_CLOSE, 5 * SECOND, 10 * MS, HOUR),
--- a/configuration/src/main/java/trailthread/configuration/RoutesReader.java
+++ b/configuration/src/main/java/trailthread/configuration/RoutesReader.java
@@ -108,7 +108,8 @@
         if (name == null || pool == null) {
             return name;
         }
-        List<String> known = pool.classes().stream().map(config -> config.rules().name()).toList();
+        List<String> known =
+                pool.classes().stream().map(config -> config.requestClass().name()).toList();
         if (!known.contains(name)) {
             section.fault(key, "a class of pool " + pool.name() + ": " + String.join(", ", known));
         }
--- a/configuration/src/test/java/trailthread/configuration/OperatorFileTest.java
+++ b/configuration/src/test/java/trailthread/configuration/OperatorFileTest.java
@@ -13,8 +13,8 @@
 import java.util.List;
 import org.junit.Test;
 import trailthread.engine.pool.PoolConfig;
-import trailthread.engine.pool.PoolConfig.Part;
-import trailthread.engine.pool.PoolConfig.Repeats;
+import trailthread.engine.pool.PoolConfig.QuotaRange;
+import trailthread.engine.pool.PoolConfig.RetrySafety;
 import trailthread.engine.pool.PoolConfig.Source;
 
 /** Reading operators' files, and the faults reported. */
@@ -50,10 +50,10 @@
         assertEquals(new Source.Fixed(List.of("127.0.0.1:1")), pool.source());
         assertEquals(
                 "whatever a plain client sends has a class",
-                List.of(Repeats.values()),
-                pool.classes().stream().map(PoolConfig.ClassConfig::repeats).toList());
+                List.of(RetrySafety.values()),
+                pool.classes().stream().map(PoolConfig.ClassConfig::retrySafety).toList());
         assertEquals(391, file.services().connections());
-        assertEquals(new Part(24, 391), pool.limits().connections());
+        assertEquals(new QuotaRange(24, 391), pool.limits().connections());
         assertEquals("/**", file.services().routes().get(0).path().toString());
         assertNull(file.operatorListen());
         assertEquals(
--- a/daemon/src/main/java/trailthread/daemon/listener/PlainRequestDecoder.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PlainRequestDecoder.java
@@ -10,7 +10,7 @@
 import trailthread.engine.loop.Seconds;
 import trailthread.engine.pool.PoolConfig;
 import trailthread.engine.pool.PoolConfig.ClassConfig;
-import trailthread.engine.pool.PoolConfig.Repeats;
+import trailthread.engine.pool.PoolConfig.RetrySafety;
 import trailthread.engine.request.ClientRequest;
 import trailthread.engine.routes.Target;
 
@@ -47,17 +47,17 @@
     ClientRequest decode(String method, Target target, HeaderMap headers, String assignedClass)
             throws BadRequestException {
         String key = single(headers, "Idempotency-Key");
-        Repeats repeats = repeats(method, key);
-        ClassConfig requestClass =
+        RetrySafety retrySafety = retrySafety(method, key);
+        ClassConfig classConfig =
                 assignedClass == null
-                        ? requestedClass(headers, repeats)
+                        ? requestedClass(headers, retrySafety)
                         : classNamed(assignedClass);
-        String className = requestClass.rules().name();
-        if (requestClass.repeats() == Repeats.KEYED && key == null) {
+        String className = classConfig.requestClass().name();
+        if (classConfig.retrySafety() == RetrySafety.KEYED && key == null) {
             throw new BadRequestException("class " + className + " needs an Idempotency-Key");
         }
         String id = single(headers, "X-Correlation-Id");
-        long timeLeftNs = timeLeftNs(headers, requestClass.rules().deadlineNs());
+        long timeLeftNs = timeLeftNs(headers, classConfig.requestClass().deadlineNs());
         List<String> forwarded = forwardedHeaders(headers);
         String host = headers.getFirst("Host");
         return new ClientRequest(
@@ -107,25 +107,25 @@
     }
 
     /** Whether a request may be repeated, by RFC 9110, 9.2.1 and 9.2.2; other methods may not. */
-    private static Repeats repeats(String method, String key) {
+    private static RetrySafety retrySafety(String method, String key) {
         return switch (method) {
-            case "GET", "HEAD", "OPTIONS", "TRACE" -> Repeats.SAFE;
-            case "PUT", "DELETE" -> Repeats.IDEMPOTENT;
-            default -> key == null ? Repeats.UNSAFE : Repeats.KEYED;
+            case "GET", "HEAD", "OPTIONS", "TRACE" -> RetrySafety.SAFE;
+            case "PUT", "DELETE" -> RetrySafety.IDEMPOTENT;
+            default -> key == null ? RetrySafety.UNSAFE : RetrySafety.KEYED;
         };
     }
 
     /** The class that the client names, or the default for its method. */
-    private ClassConfig requestedClass(HeaderMap headers, Repeats repeats)
+    private ClassConfig requestedClass(HeaderMap headers, RetrySafety retrySafety)
             throws BadRequestException {
         String name = single(headers, "X-Service-Class");
         if (name == null) {
-            return pool.defaultClass(repeats);
+            return pool.defaultClass(retrySafety);
         }
         ClassConfig named = classNamed(name);
         // Prevents work from being done twice that must not be: a client may ask for a stricter
         // class than its method's, but not for a laxer one.
-        if (named.repeats().compareTo(repeats) < 0) {
+        if (named.retrySafety().compareTo(retrySafety) < 0) {
             throw new BadRequestException(
                     "class " + name + " may be repeated, and the method may not");
         }
@@ -133,9 +133,9 @@
     }
 
     private ClassConfig classNamed(String name) throws BadRequestException {
-        for (ClassConfig requestClass : pool.classes()) {
-            if (requestClass.rules().name().equals(name)) {
-                return requestClass;
+        for (ClassConfig classConfig : pool.classes()) {
+            if (classConfig.requestClass().name().equals(name)) {
+                return classConfig;
             }
         }
         throw new BadRequestException("no class " + name);
--- a/daemon/src/main/java/trailthread/daemon/listener/ServiceFrontend.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ServiceFrontend.java
@@ -106,7 +106,9 @@
                 plainDecoder = null;
                 platformDecoder =
                         new PlatformRequestDecoder(
-                                pool.config().classes().stream().map(ClassConfig::rules).toList());
+                                pool.config().classes().stream()
+                                        .map(ClassConfig::requestClass)
+                                        .toList());
             }
         }
 
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -111,7 +111,7 @@
         List<RequestClass> classes = new ArrayList<>();
         for (PoolConfig pool : services.pools()) {
             for (PoolConfig.ClassConfig config : pool.classes()) {
-                classes.add(withPoolName(pool.name(), config.rules()));
+                classes.add(withPoolName(pool.name(), config.requestClass()));
             }
         }
         return classes;
@@ -213,7 +213,7 @@
     private static long longestDeadlineNs(ServicesConfig services) {
         return services.pools().stream()
                 .flatMap(pool -> pool.classes().stream())
-                .mapToLong(config -> config.rules().deadlineNs())
+                .mapToLong(config -> config.requestClass().deadlineNs())
                 .max()
                 .orElse(0);
     }
--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -70,8 +70,8 @@
                 new EndpointPool(
                         loop,
                         settings.connectTimeoutNs,
-                        config.rules().idleCloseNs(),
-                        config.rules().drainGraceNs(),
+                        config.attemptPolicy().idleCloseNs(),
+                        config.attemptPolicy().drainGraceNs(),
                         new PoolConnectionLimit(loop, shares, quotas.connections),
                         settings.latencyResolutionNs(),
                         this);
--- a/engine/src/main/java/trailthread/engine/pool/PoolConfig.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolConfig.java
@@ -9,27 +9,27 @@
 import trailthread.api.WeightMeaning;
 
 /**
- * The configuration of one pool. A reload keeps a pool whose configuration is equal to the one
- * before.
+ * The configuration of one pool. A reload of the operator's file keeps a running pool whose
+ * configuration has not changed.
  *
  * @param name unique in the process
  * @param profile the protocol of its clients and endpoints
  * @param source where its endpoint list comes from
- * @param place this node among those that share the endpoints
- * @param classes its request classes; for each {@link Repeats} the first one is the default of
+ * @param placement the position of this node among those that share the endpoints
+ * @param classes its request classes; for each {@link RetrySafety} the first one is the default of
  *     plain requests
  * @param tenants those with a quota
- * @param rules for its attempts and rejections
- * @param limits its parts of the quotas that pools share
+ * @param attemptPolicy how requests are attempted, retried and rejected
+ * @param limits its ranges in the quotas that pools share
  */
 public record PoolConfig(
         String name,
         Profile profile,
         Source source,
-        Place place,
+        NodePlacement placement,
         List<ClassConfig> classes,
         List<Tenant> tenants,
-        Rules rules,
+        AttemptPolicy attemptPolicy,
         Limits limits) {
     /** The protocol of clients and endpoints. */
     public enum Profile {
@@ -61,16 +61,17 @@
     }
 
     /**
-     * This node among those that share the endpoints.
+     * The position of this node among those that share the endpoints.
      *
-     * @param zone its own; endpoints of other zones cost more by {@link Rules#crossZonePrice}
-     * @param number its own, from 0
-     * @param nodes how many there are, 1 or more
+     * @param zone the node's zone; endpoints of other zones cost more by {@link
+     *     AttemptPolicy#crossZonePrice}
+     * @param index the node's index, from 0
+     * @param nodes the number of nodes, 1 or more
      */
-    public record Place(String zone, int number, int nodes) {}
+    public record NodePlacement(String zone, int index, int nodes) {}
 
     /** Which requests may be retried (RFC 9110, 9.2). */
-    public enum Repeats {
+    public enum RetrySafety {
         /** Read-only methods. */
         SAFE,
         /** Methods that have the same effect however often they are sent. */
@@ -81,11 +82,15 @@
         UNSAFE
     }
 
-    /** A request class, as the balancer has it, and which of its requests may be retried. */
-    public record ClassConfig(RequestClass rules, Repeats repeats) {
-        /** The same for the balancer, which does not tell safe from idempotent requests. */
-        public static Idempotency idempotency(Repeats repeats) {
-            return switch (repeats) {
+    /**
+     * A request class, and which of its requests may be retried.
+     *
+     * @param requestClass the settings of the class for the balancer
+     */
+    public record ClassConfig(RequestClass requestClass, RetrySafety retrySafety) {
+        /** Converts for the balancer, which does not tell safe from idempotent requests. */
+        public static Idempotency idempotency(RetrySafety retrySafety) {
+            return switch (retrySafety) {
                 case SAFE, IDEMPOTENT -> Idempotency.IDEMPOTENT;
                 case KEYED -> Idempotency.IDEMPOTENCY_KEY;
                 case UNSAFE -> Idempotency.NOT_IDEMPOTENT;
@@ -94,7 +99,7 @@
     }
 
     /**
-     * Rules for attempts and rejections; times in ns.
+     * How requests are attempted, retried and rejected; times in ns.
      *
      * @param idleCloseNs how long an endpoint leaves an idle connection open
      * @param drainGraceNs how long new requests may still be sent after an endpoint is known to be
@@ -107,7 +112,7 @@
      *     of its slow start
      * @param slowStartNs how long the slow start lasts
      */
-    public record Rules(
+    public record AttemptPolicy(
             int maxAttempts,
             long connectTimeoutNs,
             long idleCloseNs,
@@ -121,22 +126,23 @@
             long slowStartNs) {}
 
     /**
-     * A pool's part of one quota.
+     * A pool's range in a quota that all pools share.
      *
-     * @param guaranteed the amount that it can always have
-     * @param most its limit
+     * @param guaranteed the amount that the pool can always have
+     * @param max the most that the pool can have
      */
-    public record Part(long guaranteed, long most) {}
+    public record QuotaRange(long guaranteed, long max) {}
 
     /**
-     * Its parts of the quotas that pools share.
+     * A pool's ranges in the quotas that pools share.
      *
-     * @param calls requests open at a time
+     * @param requests open at a time
      * @param connections to its endpoints
      * @param bodyBytes of request bodies that are buffered
      * @param loopWeight its weight in the division of the loop's time, above 0
      */
-    public record Limits(Part calls, Part connections, Part bodyBytes, double loopWeight) {}
+    public record Limits(
+            QuotaRange requests, QuotaRange connections, QuotaRange bodyBytes, double loopWeight) {}
 
     public PoolConfig {
         classes = List.copyOf(classes);
@@ -146,36 +152,36 @@
     /** The settings of its balancer. */
     Settings settings() {
         Settings s = new Settings();
-        s.nodeIndex = place.number();
-        s.nodes = place.nodes();
-        s.zone = place.zone();
-        classes.forEach(c -> s.classes.add(c.rules()));
+        s.nodeIndex = placement.index();
+        s.nodes = placement.nodes();
+        s.zone = placement.zone();
+        classes.forEach(c -> s.classes.add(c.requestClass()));
         s.tenants.addAll(tenants);
-        s.crossZonePrice = rules.crossZonePrice();
-        s.mayCheckHealth = rules.mayCheckHealth();
-        s.maxAttempts = rules.maxAttempts();
-        s.retryAfter = rules.maxRetryAfterNs() > 0;
-        s.maxRetryAfterNs = rules.maxRetryAfterNs();
-        s.connectTimeoutNs = rules.connectTimeoutNs();
+        s.crossZonePrice = attemptPolicy.crossZonePrice();
+        s.mayCheckHealth = attemptPolicy.mayCheckHealth();
+        s.maxAttempts = attemptPolicy.maxAttempts();
+        s.retryAfter = attemptPolicy.maxRetryAfterNs() > 0;
+        s.maxRetryAfterNs = attemptPolicy.maxRetryAfterNs();
+        s.connectTimeoutNs = attemptPolicy.connectTimeoutNs();
         s.listIsPolled = source instanceof Source.Discovery;
         s.weights = WeightMeaning.NOMINAL;
-        s.reports = rules.reports();
-        s.responseSlackNs = rules.responseSlackNs();
-        s.slowStartInitialShare = rules.slowStartInitialShare();
-        s.slowStartNs = rules.slowStartNs();
+        s.reports = attemptPolicy.reports();
+        s.responseSlackNs = attemptPolicy.responseSlackNs();
+        s.slowStartInitialShare = attemptPolicy.slowStartInitialShare();
+        s.slowStartNs = attemptPolicy.slowStartNs();
         return s;
     }
 
     /**
-     * The class of a plain request that names none: the first for these repeats, else the first
-     * whose requests are not retried.
+     * Returns the class of a plain request that names none: the first class with this retry safety,
+     * else the first class whose requests are not retried.
      *
      * @throws IllegalStateException if there is neither
      */
-    public ClassConfig defaultClass(Repeats repeats) {
-        ClassConfig found = firstClass(repeats);
+    public ClassConfig defaultClass(RetrySafety retrySafety) {
+        ClassConfig found = firstClass(retrySafety);
         if (found == null) {
-            found = firstClass(Repeats.UNSAFE);
+            found = firstClass(RetrySafety.UNSAFE);
         }
         if (found == null) {
             throw new IllegalStateException(
@@ -184,9 +190,9 @@
         return found;
     }
 
-    private ClassConfig firstClass(Repeats repeats) {
+    private ClassConfig firstClass(RetrySafety retrySafety) {
         for (ClassConfig c : classes) {
-            if (c.repeats() == repeats) {
+            if (c.retrySafety() == retrySafety) {
                 return c;
             }
         }
--- a/engine/src/main/java/trailthread/engine/pool/PoolQuotas.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolQuotas.java
@@ -18,21 +18,21 @@
      */
     PoolQuotas(Shares shares, PoolConfig.Limits limits) {
         this.limits = limits;
-        requests = join(shares.requests, limits.calls());
+        requests = join(shares.requests, limits.requests());
         connections = join(shares.connections, limits.connections());
         bodyBytes = join(shares.bodyBytes, limits.bodyBytes());
         loopTime = shares.loopTime.join(limits.loopWeight());
     }
 
-    private static Quota.Member join(Quota quota, PoolConfig.Part part) {
-        return quota.join(part.guaranteed(), part.most());
+    private static Quota.Member join(Quota quota, PoolConfig.QuotaRange range) {
+        return quota.join(range.guaranteed(), range.max());
     }
 
     /** Leaves the guarantees to other pools; open requests may still borrow up to the limits. */
     void dropGuarantees() {
-        requests.resize(0, limits.calls().most());
-        connections.resize(0, limits.connections().most());
-        bodyBytes.resize(0, limits.bodyBytes().most());
+        requests.resize(0, limits.requests().max());
+        connections.resize(0, limits.connections().max());
+        bodyBytes.resize(0, limits.bodyBytes().max());
     }
 
     /** Leaves the quotas. */
