--- a/engine/src/main/java/trailthread/engine/endpoint/Attempt.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptExchange.java
@@ -12,13 +12,14 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * One attempt to have an endpoint serve a request: it gets a connection, sends the request, and
- * limits the time of each step. The response is kept by an {@link AttemptResponse}.
+ * The HTTP exchange of one attempt to have an endpoint serve a request: gets a connection, sends
+ * the request, and limits the time of each step. The response is kept by an {@link
+ * AttemptResponse}.
  *
  * <p>An attempt is over, and its connection closed or returned to the pool, before its listener is
- * notified, so that a retry never runs beside it.
+ * notified. Prevents a retry from running while the attempt before it holds a connection.
  */
-public final class Attempt implements ResponseListener {
+public final class AttemptExchange implements ResponseListener {
     /** A response whose body is longer counts as malformed. */
     private static final long MAX_BODY_BYTES = 32 * 1024 * 1024;
 
@@ -29,7 +30,7 @@
     private final ConnectionPool connections;
 
     /** Null: the endpoint is not in the list. */
-    private final Endpoint endpoint;
+    private final PooledEndpoint endpoint;
 
     private final EndpointRequest request;
     private final AttemptListener listener;
@@ -55,10 +56,10 @@
     /** Null until the response's head has been received. */
     private AttemptResponse response;
 
-    Attempt(
+    AttemptExchange(
             EventLoop loop,
             ConnectionPool connections,
-            Endpoint endpoint,
+            PooledEndpoint endpoint,
             EndpointRequest request,
             long timeoutNs,
             long writeDeadline,
--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
@@ -34,7 +34,7 @@
     private static final byte[] NO_BYTES = {};
 
     private final EventLoop loop;
-    private final Attempt attempt;
+    private final AttemptExchange attempt;
     private final AttemptListener listener;
     private final ResponseHead head;
 
@@ -62,7 +62,7 @@
      */
     AttemptResponse(
             EventLoop loop,
-            Attempt attempt,
+            AttemptExchange attempt,
             AttemptListener listener,
             int status,
             HeaderMap headers,
@@ -139,7 +139,7 @@
      * @return whether the attempt goes on
      */
     private boolean startStreaming() {
-        bufferTimeout = Attempt.cancelled(bufferTimeout);
+        bufferTimeout = AttemptExchange.cancelled(bufferTimeout);
         EndpointResponse start = new EndpointResponse(head.status(), forwardedHeaders, NO_BYTES);
         sink = listener.begins(start, length, head.load(), this::sinkReady);
         if (sink == null) {
@@ -194,7 +194,7 @@
         } else if (isStreaming()) {
             sink.broken();
         }
-        bufferTimeout = Attempt.cancelled(bufferTimeout);
-        silenceTimeout = Attempt.cancelled(silenceTimeout);
+        bufferTimeout = AttemptExchange.cancelled(bufferTimeout);
+        silenceTimeout = AttemptExchange.cancelled(silenceTimeout);
     }
 }
--- a/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
@@ -32,10 +32,10 @@
 
     /** A connection that carries no request. */
     static final class IdleConnection {
-        private final Endpoint endpoint;
+        private final PooledEndpoint endpoint;
         private final HttpConnection connection;
 
-        IdleConnection(Endpoint endpoint, HttpConnection connection) {
+        IdleConnection(PooledEndpoint endpoint, HttpConnection connection) {
             this.endpoint = endpoint;
             this.connection = connection;
         }
@@ -103,7 +103,7 @@
      * Returns whether a request may be sent to an endpoint now, by everything that discovery has
      * sent. A health check does not need a fresh list.
      */
-    boolean maySend(Endpoint endpoint, boolean isProbe) {
+    boolean maySend(PooledEndpoint endpoint, boolean isProbe) {
         // Updates count as known once they have arrived, even if the loop has not read them yet.
         readUpdates.run();
         long now = loop.now();
@@ -111,7 +111,7 @@
     }
 
     /** Takes an idle connection to the endpoint out of the pool; returns null if there is none. */
-    HttpConnection takeIdle(Endpoint endpoint) {
+    HttpConnection takeIdle(PooledEndpoint endpoint) {
         IdleConnection next = preferred(endpoint);
         while (next != null) {
             remove(next);
@@ -131,7 +131,7 @@
      * longest, or null. This prevents a surplus second response to the last request from being
      * taken for the next one's.
      */
-    private IdleConnection preferred(Endpoint endpoint) {
+    private IdleConnection preferred(PooledEndpoint endpoint) {
         long settledSince = loop.now() - SETTLE_TIME_NS;
         Iterator<IdleConnection> lastFirst = endpoint.idle.descendingIterator();
         while (lastFirst.hasNext()) {
@@ -150,7 +150,7 @@
      *     within this call
      * @return cancels the connect
      */
-    Runnable connect(Endpoint endpoint, Consumer<HttpConnection> opened) {
+    Runnable connect(PooledEndpoint endpoint, Consumer<HttpConnection> opened) {
         if (!takePermit()) {
             loop.execute(() -> opened.accept(null));
             return () -> {};
@@ -192,7 +192,7 @@
     }
 
     /** Returns a connection to the pool, or closes it if it cannot carry another request. */
-    void release(Endpoint endpoint, HttpConnection connection) {
+    void release(PooledEndpoint endpoint, HttpConnection connection) {
         if (!endpoint.listed || !limit.mayKeepIdle()) {
             connection.close();
         }
@@ -235,7 +235,7 @@
     }
 
     /** Closes all idle connections to the endpoint. */
-    void closeIdle(Endpoint endpoint) {
+    void closeIdle(PooledEndpoint endpoint) {
         while (!endpoint.idle.isEmpty()) {
             close(endpoint.idle.peekLast());
         }
@@ -256,7 +256,7 @@
     }
 
     private void remove(IdleConnection connection) {
-        Endpoint endpoint = connection.endpoint;
+        PooledEndpoint endpoint = connection.endpoint;
         // the last one is the usual case, and a search would find it last
         if (endpoint.idle.peekLast() == connection) {
             endpoint.idle.pollLast();
--- a/engine/src/main/java/trailthread/engine/endpoint/EndpointPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointPool.java
@@ -15,7 +15,7 @@
  * The endpoints of the current list, and the connections to them. Used on the event loop's thread.
  */
 public final class EndpointPool {
-    private final Map<String, Endpoint> endpoints = new HashMap<>();
+    private final Map<String, PooledEndpoint> endpoints = new HashMap<>();
     private final ConnectionPool connections;
     private final EventLoop loop;
     private final long latencyToleranceNs;
@@ -68,12 +68,12 @@
      */
     public void update(DiscoveryUpdate update, long now) {
         if (update.reset()) {
-            for (Endpoint endpoint : endpoints.values()) {
+            for (PooledEndpoint endpoint : endpoints.values()) {
                 endpoint.listed = false;
             }
         }
         for (DiscoveredEndpoint entry : update.instances()) {
-            Endpoint endpoint = findOrAdd(entry);
+            PooledEndpoint endpoint = findOrAdd(entry);
             endpoint.listed = entry.lifecycle() != EndpointState.GONE;
             endpoint.setState(entry.lifecycle(), now);
         }
@@ -81,8 +81,8 @@
     }
 
     /** Returns the endpoint of an entry; one whose address has changed is replaced by a new one. */
-    private Endpoint findOrAdd(DiscoveredEndpoint entry) {
-        Endpoint existing = endpoints.get(entry.instanceId());
+    private PooledEndpoint findOrAdd(DiscoveredEndpoint entry) {
+        PooledEndpoint existing = endpoints.get(entry.instanceId());
         if (existing != null && existing.hostPort.equals(entry.hostPort())) {
             return existing;
         }
@@ -90,14 +90,15 @@
             existing.listed = false;
             connections.closeIdle(existing);
         }
-        Endpoint added = new Endpoint(entry.instanceId(), entry.hostPort(), latencyToleranceNs);
+        PooledEndpoint added =
+                new PooledEndpoint(entry.instanceId(), entry.hostPort(), latencyToleranceNs);
         endpoints.put(entry.instanceId(), added);
         return added;
     }
 
     private void removeUnlisted(long now) {
-        for (Iterator<Endpoint> i = endpoints.values().iterator(); i.hasNext(); ) {
-            Endpoint endpoint = i.next();
+        for (Iterator<PooledEndpoint> i = endpoints.values().iterator(); i.hasNext(); ) {
+            PooledEndpoint endpoint = i.next();
             if (!endpoint.listed) {
                 endpoint.setState(EndpointState.GONE, now);
                 connections.closeIdle(endpoint);
@@ -125,7 +126,7 @@
     }
 
     /** Starts an attempt that may be written for as long as its response is waited for. */
-    public Attempt attempt(
+    public AttemptExchange attempt(
             String instanceId, EndpointRequest request, long timeoutNs, AttemptListener listener) {
         return attempt(instanceId, request, timeoutNs, Long.MAX_VALUE, listener);
     }
@@ -137,15 +138,15 @@
      * @param writeDeadline no byte is written then or later, by {@link EventLoop#now}
      * @param listener is never notified from within this call
      */
-    public Attempt attempt(
+    public AttemptExchange attempt(
             String instanceId,
             EndpointRequest request,
             long timeoutNs,
             long writeDeadline,
             AttemptListener listener) {
-        Endpoint endpoint = endpoints.get(instanceId);
-        Attempt attempt =
-                new Attempt(
+        PooledEndpoint endpoint = endpoints.get(instanceId);
+        AttemptExchange attempt =
+                new AttemptExchange(
                         loop, connections, endpoint, request, timeoutNs, writeDeadline, listener);
         loop.execute(() -> account.charge(attempt::start));
         return attempt;
@@ -168,7 +169,7 @@
 
     /** Closes the idle connections to one endpoint. */
     public void closeIdle(String instanceId) {
-        Endpoint endpoint = endpoints.get(instanceId);
+        PooledEndpoint endpoint = endpoints.get(instanceId);
         if (endpoint != null) {
             connections.closeIdle(endpoint);
         }
--- a/engine/src/main/java/trailthread/engine/endpoint/Endpoint.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/PooledEndpoint.java
@@ -4,8 +4,8 @@
 import java.util.ArrayDeque;
 import trailthread.api.EndpointState;
 
-/** One endpoint, with its idle connections and what is learned of its latency. */
-final class Endpoint {
+/** One endpoint of the pool, with its idle connections and samples of its latency. */
+final class PooledEndpoint {
     private static final long NOT_DRAINING = 0;
 
     final String instanceId;
@@ -27,7 +27,7 @@
      * @param hostPort address:port
      * @param latencyToleranceNs a difference in latency that is of no importance, in nanoseconds
      */
-    Endpoint(String instanceId, String hostPort, long latencyToleranceNs) {
+    PooledEndpoint(String instanceId, String hostPort, long latencyToleranceNs) {
         latency = new LatencySampler(latencyToleranceNs);
         this.instanceId = instanceId;
         this.hostPort = hostPort;
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -5,7 +5,7 @@
 import org.xnio.XnioExecutor;
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
-import trailthread.engine.endpoint.Attempt;
+import trailthread.engine.endpoint.AttemptExchange;
 import trailthread.engine.endpoint.AttemptListener;
 import trailthread.engine.endpoint.AttemptResult;
 import trailthread.engine.endpoint.EndpointRequest;
@@ -39,7 +39,7 @@
     private long queuedNs = -1;
 
     /** The attempt in flight, or null. */
-    private Attempt attemptInFlight;
+    private AttemptExchange attemptInFlight;
 
     /** No answer is to be sent any more: it was sent or begun, or the client has disconnected. */
     private boolean finished;
