--- a/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
+++ b/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
@@ -103,7 +103,7 @@
 
     @Override
     public void failed() {
-        requests.list(ListKind.FAILED, List.of());
+        requests.updateEndpointList(ListKind.FAILED, List.of());
     }
 
     @Override
@@ -119,8 +119,8 @@
     }
 
     private void publishLease() {
-        endpoints.listLeaseUntil(lease.until());
-        requests.listLeaseUntil(lease.until());
+        endpoints.setListLeaseEnd(lease.until());
+        requests.setListLeaseEnd(lease.until());
         if (lease.isHeld(loop.now())) {
             stopWaiting();
         }
@@ -133,6 +133,6 @@
             entries.add(endpoint.entry());
         }
         metrics.endpointListUpdated(kind, entries);
-        requests.list(kind, entries);
+        requests.updateEndpointList(kind, entries);
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
+++ b/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
@@ -21,10 +21,10 @@
          * Sets the times by which requests must be answered; later calls bring them forward. Times
          * are those of {@link EventLoop#now}, in nanoseconds.
          *
-         * @param newOnes for requests admitted from now on
-         * @param all for all requests
+         * @param newRequestsBy the latest deadline of requests that are admitted from now on
+         * @param allRequestsBy when every request that is still open is given up
          */
-        void answerBy(long newOnes, long all);
+        void setAnswerDeadlines(long newRequestsBy, long allRequestsBy);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(GracefulShutdown.class);
@@ -156,7 +156,8 @@
     private void follow(ShutdownPlan newPlan, ShutdownPlan newPlanForAll) {
         plan = newPlan;
         planForAll = newPlanForAll;
-        requests.answerBy(requestedAt + plan.answeredNs(), requestedAt + planForAll.answeredNs());
+        requests.setAnswerDeadlines(
+                requestedAt + plan.answeredNs(), requestedAt + planForAll.answeredNs());
         cancelSteps();
         steps.add(runAt(closeWithResponsesNs(), () -> listener.closeAfterResponse(true)));
         if (!closing) {
--- a/daemon/src/main/java/trailthread/daemon/LoopbackWarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/LoopbackWarmUp.java
@@ -154,7 +154,7 @@
                 new DiscoveredEndpoint(SELF, hostPort, zone, 0, EndpointState.READY, 1, 0);
         loopbackEndpoints.update(new DiscoveryUpdate(0, true, List.of(self)), loop.now());
         EndpointEntry entry = new EndpointEntry(SELF, 1, EndpointState.READY, zone, 0, 0);
-        loopbackRequests.list(ListKind.FULL, List.of(entry));
+        loopbackRequests.updateEndpointList(ListKind.FULL, List.of(entry));
     }
 
     /**
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -91,7 +91,7 @@
                 new HttpListener(
                         loop, descriptors.forClients(), maxActiveClients(), frontend, metrics);
         drain = new Drain(loop, listener);
-        shutdown = new GracefulShutdown(loop, listener, drain, requests::answerBy);
+        shutdown = new GracefulShutdown(loop, listener, drain, requests::setAnswerDeadlines);
         shutdown.setLongestDeadline(config.longestDeadlineNs());
     }
 
@@ -139,7 +139,7 @@
     }
 
     private void begin(InetSocketAddress ownAddress, ServerSocketChannel inherited) {
-        discovery.known(config.knownEndpoints());
+        discovery.setKnownList(config.knownEndpoints());
         endpointList.start(config.knownEndpoints());
         discovery.setPushed(!config.settings().listIsPolled);
         new StartSequence(loop, config, endpoints, endpointList, loopbackWarmUp)
@@ -155,8 +155,8 @@
         }
         listener.setReady(true);
         if (degradation != null) {
-            requests.setProbes(degradation::probes);
-            degradation.start(this::descriptorUse, requests::admit);
+            requests.setHealthCheckFilter(degradation::permitsHealthCheck);
+            degradation.start(this::descriptorUse, requests::setAdmission);
         }
         LOG.info(
                 "{} serves on {}",
@@ -195,13 +195,14 @@
 
     private void apply(NodeConfig next) {
         boolean pushed = !next.settings().listIsPolled;
-        if (discovery.move(next.discoveryAddress())) {
+        if (discovery.setAddress(next.discoveryAddress())) {
             endpointList.sourceMoved();
         }
         discovery.setPushed(pushed);
-        requests.retune(next.settings());
+        requests.applySettings(next.settings());
         endpointList.retune(next.drainGraceNs(), pushed);
-        endpoints.retune(next.settings().connectTimeoutNs, next.idleCloseNs(), next.drainGraceNs());
+        endpoints.setTimeouts(
+                next.settings().connectTimeoutNs, next.idleCloseNs(), next.drainGraceNs());
         frontend.retune(next.settings().classes);
         if (admin != null) {
             admin.serves(next.settings().classes);
--- a/daemon/src/main/java/trailthread/daemon/StartSequence.java
+++ b/daemon/src/main/java/trailthread/daemon/StartSequence.java
@@ -88,7 +88,7 @@
                         .map(DiscoveredEndpoint::instanceId)
                         .toList();
         for (String endpoint : probed) {
-            endpoints.probe(
+            endpoints.checkHealth(
                     endpoint,
                     PROBE_TIMEOUT_NS,
                     result -> loopbackWarmUp.loadReported(result.load()));
--- a/daemon/src/main/java/trailthread/daemon/listener/BodyReader.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/BodyReader.java
@@ -255,22 +255,22 @@
     }
 
     @Override
-    public boolean hasBegun() {
+    public boolean isStarted() {
         return sink != null;
     }
 
     @Override
-    public void flowTo(ByteSink to) {
+    public void streamTo(ByteSink to) {
         sink = to;
         ByteBuffer first = unstreamed;
         unstreamed = null;
         if (sink.piece(first)) {
-            more();
+            resume();
         }
     }
 
     @Override
-    public void more() {
+    public void resume() {
         if (!done) {
             dueAt += loop.now() - pausedAt; // the client is not to pay for the pause
             pausedAt = 0;
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
@@ -98,7 +98,7 @@
         HeaderMap to = exchange.getResponseHeaders();
         // The result is not needed: headers that could be taken for the start of another response
         // are left out, and have not been seen here.
-        EndToEndHeaders.pass(from, NOT_FORWARDED, to::add);
+        EndToEndHeaders.forward(from, NOT_FORWARDED, to::add);
         to.add(Headers.VIA, "1.1 trailthread");
         String length = from.getFirst(Headers.CONTENT_LENGTH);
         if (exchange.getRequestMethod().equals(Methods.HEAD) && length != null) {
--- a/daemon/src/main/java/trailthread/daemon/listener/PlainRequestDecoder.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PlainRequestDecoder.java
@@ -93,7 +93,7 @@
     private static List<String> forwardedHeaders(HeaderMap headers) throws BadRequestException {
         List<String> forwarded = new ArrayList<>(2 * headers.size());
         boolean complete =
-                EndToEndHeaders.pass(
+                EndToEndHeaders.forward(
                         headers,
                         NOT_FORWARDED,
                         (name, value) -> {
--- a/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
@@ -115,13 +115,13 @@
 
     /** Lists the endpoint, for which queued requests wait. To be called on the loop's thread. */
     private void list() {
-        dispatcher.list(
+        dispatcher.updateEndpointList(
                 ListKind.FULL, List.of(new EndpointEntry("w", 1, EndpointState.READY, "a", 0, 0)));
     }
 
     /** Lists no endpoint, so that requests are queued. To be called on the loop's thread. */
     private void listNone() {
-        dispatcher.list(ListKind.FULL, List.of());
+        dispatcher.updateEndpointList(ListKind.FULL, List.of());
     }
 
     /** Waits until the requests with these ids are in flight. */
--- a/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
+++ b/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
@@ -95,8 +95,8 @@
         return named;
     }
 
-    /** Whether a health check that the balancer requests is made. */
-    public boolean probes(String endpoint) {
+    /** Returns whether a health check that the balancer requests may be made at this level. */
+    public boolean permitsHealthCheck(String endpoint) {
         return healthChecks.permits(endpoint, levels.allowance().probeFactor());
     }
 
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
@@ -68,7 +68,7 @@
      *
      * @return whether the address has changed
      */
-    public boolean move(InetSocketAddress to) {
+    public boolean setAddress(InetSocketAddress to) {
         if (address.equals(to)) {
             return false;
         }
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public void known(DiscoveryUpdate update) {
+    public void setKnownList(DiscoveryUpdate update) {
         generation = update.generation();
     }
 
--- a/engine/src/main/java/trailthread/engine/discovery/EndpointListFile.java
+++ b/engine/src/main/java/trailthread/engine/discovery/EndpointListFile.java
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public void known(DiscoveryUpdate update) {
+    public void setKnownList(DiscoveryUpdate update) {
         // the file is read at the start and takes precedence over an earlier list
     }
 
--- a/engine/src/main/java/trailthread/engine/discovery/EndpointListSource.java
+++ b/engine/src/main/java/trailthread/engine/discovery/EndpointListSource.java
@@ -8,8 +8,11 @@
     /** Starts to notify the listener. */
     void start();
 
-    /** Sets the list that is held already, as after a restart; it is not reported again. */
-    void known(DiscoveryUpdate update);
+    /**
+     * Sets the complete list that the listener has already, as after a restart. The listener is not
+     * notified of it again.
+     */
+    void setKnownList(DiscoveryUpdate update);
 
     /**
      * Starts or stops watching the list for changes.
--- a/engine/src/main/java/trailthread/engine/discovery/StaticEndpointList.java
+++ b/engine/src/main/java/trailthread/engine/discovery/StaticEndpointList.java
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void known(DiscoveryUpdate ignored) {
+    public void setKnownList(DiscoveryUpdate ignored) {
         // the configuration takes precedence over an earlier list
     }
 
--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptListener.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptListener.java
@@ -24,7 +24,7 @@
      *     within a call to the sink
      * @return where to stream the body, or null: the response is no longer wanted
      */
-    default ByteSink begins(
+    default ByteSink streamingStarted(
             EndpointResponse head, long length, LoadReport load, Runnable onCapacity) {
         return null;
     }
--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
@@ -141,7 +141,7 @@
     private boolean startStreaming() {
         bufferTimeout = AttemptExchange.cancelled(bufferTimeout);
         EndpointResponse start = new EndpointResponse(head.status(), forwardedHeaders, NO_BYTES);
-        sink = listener.begins(start, length, head.load(), this::sinkReady);
+        sink = listener.streamingStarted(start, length, head.load(), this::sinkReady);
         if (sink == null) {
             attempt.end(Outcome.CANCELLED);
             return false;
--- a/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
@@ -71,7 +71,7 @@
         this.loop = loop;
         this.limit = limit;
         this.account = account;
-        retune(connectTimeoutNs, idleNs, drainGraceNs);
+        setTimeouts(connectTimeoutNs, idleNs, drainGraceNs);
     }
 
     /**
@@ -79,7 +79,7 @@
      *
      * @param endpointIdleNs how long an endpoint keeps an idle connection open, in nanoseconds
      */
-    void retune(long connectTimeout, long endpointIdleNs, long graceNs) {
+    void setTimeouts(long connectTimeout, long endpointIdleNs, long graceNs) {
         connectTimeoutNs = connectTimeout;
         idleNs = (long) (IDLE_TIME_FRACTION * endpointIdleNs);
         drainGraceNs = ListLease.usableGraceNs(graceNs);
@@ -90,7 +90,7 @@
     }
 
     /** Sets until when the endpoint list may be used, by {@link EventLoop#now}. */
-    void listLeaseUntil(long until) {
+    void setListLeaseEnd(long until) {
         listUsableUntil = until;
     }
 
--- a/engine/src/main/java/trailthread/engine/endpoint/EndpointPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointPool.java
@@ -46,8 +46,8 @@
     }
 
     /** Changes the timeouts, which have the meaning that they have in the constructor. */
-    public void retune(long connectTimeoutNs, long idleNs, long drainGraceNs) {
-        connections.retune(connectTimeoutNs, idleNs, drainGraceNs);
+    public void setTimeouts(long connectTimeoutNs, long idleNs, long drainGraceNs) {
+        connections.setTimeouts(connectTimeoutNs, idleNs, drainGraceNs);
     }
 
     /**
@@ -111,8 +111,8 @@
      * Sets until when the endpoint list may be used, by {@link EventLoop#now}; no request is sent
      * later.
      */
-    public void listLeaseUntil(long until) {
-        connections.listLeaseUntil(until);
+    public void setListLeaseEnd(long until) {
+        connections.setListLeaseEnd(until);
     }
 
     /** Sets what reads the list updates that have arrived; it is run before each request. */
@@ -158,7 +158,7 @@
      * @param timeoutNs how long to wait for the response, in nanoseconds
      * @param ended receives the result, with the load report in it
      */
-    public void probe(String instanceId, long timeoutNs, Consumer<AttemptResult> ended) {
+    public void checkHealth(String instanceId, long timeoutNs, Consumer<AttemptResult> ended) {
         attempt(instanceId, EndpointRequest.PROBE, timeoutNs, ended::accept);
     }
 
--- a/engine/src/main/java/trailthread/engine/http/ByteSource.java
+++ b/engine/src/main/java/trailthread/engine/http/ByteSource.java
@@ -5,15 +5,15 @@
     /** Returns the length in bytes; -1: not known. */
     long length();
 
-    /** Starts to pass all of the body to the sink, as it arrives. To be called once. */
-    void flowTo(ByteSink sink);
+    /** Starts to stream all of the body to the sink, as it arrives. To be called once. */
+    void streamTo(ByteSink sink);
 
-    /** Returns whether {@link #flowTo} was called, so that the body cannot be sent again. */
-    boolean hasBegun();
+    /** Returns whether {@link #streamTo} was called, so that the body cannot be sent again. */
+    boolean isStarted();
 
-    /** The sink has capacity again, after it had none. */
-    void more();
+    /** Continues to stream, as the sink has capacity again after it had none. */
+    void resume();
 
-    /** The rest of the body is not wanted; the sink is not called any more. */
+    /** Stops streaming: the rest of the body is not wanted. The sink is not called any more. */
     void stop();
 }
--- a/engine/src/main/java/trailthread/engine/http/EndToEndHeaders.java
+++ b/engine/src/main/java/trailthread/engine/http/EndToEndHeaders.java
@@ -38,13 +38,14 @@
     private EndToEndHeaders() {}
 
     /**
-     * Passes on the names and values of the headers to forward, in the order of the message.
+     * Passes the name and value of each header to forward to {@code out}, in the order of the
+     * message.
      *
      * @param except further names to leave out, in lower case
      * @return whether every header can be forwarded; false if one holds characters that could end
      *     the header early or start another one
      */
-    public static boolean pass(
+    public static boolean forward(
             HeaderMap headers, Set<String> except, BiConsumer<HttpString, String> out) {
         Set<String> connectionOptions = connectionOptions(headers);
         for (HeaderValues header : headers) {
--- a/engine/src/main/java/trailthread/engine/http/StreamedRequestBody.java
+++ b/engine/src/main/java/trailthread/engine/http/StreamedRequestBody.java
@@ -49,8 +49,8 @@
      * @return whether this call has written the last byte
      */
     boolean write() throws IOException {
-        if (!source.hasBegun()) {
-            source.flowTo(this); // the pieces are written, and the end reported, as they arrive
+        if (!source.isStarted()) {
+            source.streamTo(this); // the pieces are written, and the end reported, as they arrive
             return false;
         }
         if (unwritten == null) {
@@ -62,7 +62,7 @@
         }
         unwritten = null;
         if (!ended) {
-            source.more(); // may bring the end, which is reported then
+            source.resume(); // may bring the end, which is reported then
             return false;
         }
         return true;
@@ -70,7 +70,7 @@
 
     /** Stops the source if it was started. */
     void stop() {
-        if (source.hasBegun()) {
+        if (source.isStarted()) {
             source.stop();
         }
     }
--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -77,7 +77,7 @@
                         this);
         metrics = new PoolMetrics(config.name(), operators);
         dispatcher = new RequestDispatcher(loop, endpoints, settings, seed, metrics);
-        dispatcher.admit((requestClass, overQuota, random) -> withinQuota);
+        dispatcher.setAdmission((requestClass, overQuota, random) -> withinQuota);
         discovery = discovery(config.source());
         dispatcher.setDiscovery(discovery);
         shares.add(this);
@@ -100,7 +100,7 @@
      */
     public void start(DiscoveryUpdate before) {
         if (before != null) {
-            discovery.known(before);
+            discovery.setKnownList(before);
             apply(ListKind.CACHED, before, loop.now());
         } else {
             apply(ListKind.CACHED, known, loop.now());
@@ -227,7 +227,7 @@
     @Override
     public void failed() {
         if (!retired) {
-            dispatcher.list(ListKind.FAILED, List.of());
+            dispatcher.updateEndpointList(ListKind.FAILED, List.of());
         }
     }
 
@@ -237,7 +237,7 @@
         List<EndpointEntry> entries = new ArrayList<>();
         update.instances().forEach(endpoint -> entries.add(endpoint.entry()));
         metrics.endpointListUpdated(kind, entries);
-        dispatcher.list(kind, entries);
+        dispatcher.updateEndpointList(kind, entries);
     }
 
     /** Closes idle connections as far as the pool holds more than its part and others want some. */
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -119,7 +119,7 @@
         }
         long timeLeftNs = deadline - now;
         // A streamed body can't be sent a second time.
-        boolean bodyConsumed = client.bodySource() != null && client.bodySource().hasBegun();
+        boolean bodyConsumed = client.bodySource() != null && client.bodySource().isStarted();
         if (finished || attemptInFlight != null || timeLeftNs <= 0 || bodyConsumed) {
             attemptEnded(endpoint, attempt, new AttemptResult(Outcome.NOT_SENT, 0, null, null));
             return;
@@ -164,7 +164,8 @@
         }
 
         @Override
-        public ByteSink begins(EndpointResponse head, long length, LoadReport load, Runnable more) {
+        public ByteSink streamingStarted(
+                EndpointResponse head, long length, LoadReport load, Runnable more) {
             if (finished) {
                 return null; // the client has disconnected
             }
--- a/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
+++ b/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
@@ -107,7 +107,7 @@
     @Override
     public void checkHealth(String endpoint) {
         if (mayCheckHealth.test(endpoint)) {
-            endpoints.probe(
+            endpoints.checkHealth(
                     endpoint, healthCheckTimeoutNs, result -> healthChecked(endpoint, result));
         }
     }
--- a/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
@@ -39,7 +39,7 @@
     /** The latest deadline of any request, by {@link EventLoop#now}. */
     private long latestDeadline = Long.MAX_VALUE;
 
-    /** Gives up the open requests; null until {@link #answerBy}. */
+    /** Gives up the open requests; null until {@link #setAnswerDeadlines}. */
     private XnioExecutor.Key giveUpTimer;
 
     /** Runs once the last request has ended after {@link #retire}; null before that. */
@@ -78,8 +78,11 @@
                         .orElseThrow());
     }
 
-    /** Applies other settings from now on; open requests keep their class. */
-    public void retune(Settings settings) {
+    /**
+     * Applies changed settings from now on; open requests keep the class that they were admitted
+     * with.
+     */
+    public void applySettings(Settings settings) {
         apply(settings);
         driver.deliver((events, now) -> balancer.retune(now, settings));
     }
@@ -109,18 +112,20 @@
     }
 
     /**
-     * Bounds deadlines, as the process may be killed soon. Called again, it may only bring the
-     * times forward. Times are by {@link EventLoop#now}, ns.
+     * Limits deadlines, so that requests are answered before the process is killed. A later call
+     * may only bring the times forward. Times are by {@link EventLoop#now}, ns.
      *
-     * @param newOnes the latest deadline of requests that are admitted from now on
-     * @param all when every request still open is given up
+     * @param newRequestsBy the latest deadline of requests that are admitted from now on
+     * @param allRequestsBy when every request that is still open is given up
      */
-    public void answerBy(long newOnes, long all) {
-        latestDeadline = newOnes;
+    public void setAnswerDeadlines(long newRequestsBy, long allRequestsBy) {
+        latestDeadline = newRequestsBy;
         if (giveUpTimer != null) {
             giveUpTimer.remove();
         }
-        giveUpTimer = loop.scheduleAfterReading(all - now(), () -> giveUpOpenRequests(all));
+        giveUpTimer =
+                loop.scheduleAfterReading(
+                        allRequestsBy - now(), () -> giveUpOpenRequests(allRequestsBy));
     }
 
     /**
@@ -145,13 +150,16 @@
                 (answeredAt - begunAt) / NS_PER_MS);
     }
 
-    /** Sets which of the health checks that the balancer requests are made; at first, all. */
-    public void setProbes(Predicate<String> mayCheckHealth) {
+    /**
+     * Sets a filter for the health checks that the balancer requests, by endpoint; at first, all
+     * are made.
+     */
+    public void setHealthCheckFilter(Predicate<String> mayCheckHealth) {
         actions.setHealthCheckFilter(mayCheckHealth);
     }
 
     /** Sets which requests the balancer admits; null: all. */
-    public void admit(Admission admission) {
+    public void setAdmission(Admission admission) {
         driver.deliver((balancer, now) -> balancer.admit(admission));
     }
 
@@ -161,12 +169,12 @@
     }
 
     /** Delivers an update of the endpoint list to the balancer. */
-    public void list(ListKind kind, List<EndpointEntry> entries) {
+    public void updateEndpointList(ListKind kind, List<EndpointEntry> entries) {
         driver.deliver((balancer, now) -> balancer.list(now, kind, entries));
     }
 
     /** Sets until when the endpoint list is valid, by {@link EventLoop#now}. */
-    public void listLeaseUntil(long until) {
+    public void setListLeaseEnd(long until) {
         driver.deliver((balancer, now) -> balancer.listLeaseUntil(now, until));
     }
 
--- a/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
@@ -266,7 +266,7 @@
                                 400 * MS,
                                 new AttemptListener() {
                                     @Override
-                                    public ByteSink begins(
+                                    public ByteSink streamingStarted(
                                             EndpointResponse head,
                                             long contentLength,
                                             LoadReport load,
--- a/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
+++ b/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
@@ -181,19 +181,19 @@
                                     }
 
                                     @Override
-                                    public boolean hasBegun() {
+                                    public boolean isStarted() {
                                         return begun;
                                     }
 
                                     @Override
-                                    public void flowTo(ByteSink to) {
+                                    public void streamTo(ByteSink to) {
                                         begun = true;
                                         to.piece(ascii("pour")); // the end is told in a later
                                         // turn, or not at all
                                     }
 
                                     @Override
-                                    public void more() {}
+                                    public void resume() {}
 
                                     @Override
                                     public void stop() {}
@@ -232,7 +232,7 @@
                                     }
 
                                     @Override
-                                    public void flowTo(ByteSink sink) {
+                                    public void streamTo(ByteSink sink) {
                                         begun = true;
                                         try {
                                             endpoint.setSoLinger(true, 0);
@@ -247,12 +247,12 @@
                                     }
 
                                     @Override
-                                    public boolean hasBegun() {
+                                    public boolean isStarted() {
                                         return begun;
                                     }
 
                                     @Override
-                                    public void more() {}
+                                    public void resume() {}
 
                                     @Override
                                     public void stop() {}
--- a/engine/src/test/java/trailthread/engine/request/GiveUpTest.java
+++ b/engine/src/test/java/trailthread/engine/request/GiveUpTest.java
@@ -76,7 +76,7 @@
     @Test
     public void allAreAnsweredBeforeAnyAttemptIsCancelled() throws Exception {
         sendRequests();
-        loop.execute(() -> endpoint.dispatcher.answerBy(loop.now(), loop.now()));
+        loop.execute(() -> endpoint.dispatcher.setAnswerDeadlines(loop.now(), loop.now()));
         assertEquals(
                 List.of("failed", "failed", "failed", "released", "released", "released"),
                 nextEnds(2 * REQUESTS));
@@ -91,8 +91,8 @@
         loop.execute(
                 () -> {
                     long later = loop.now() + HOUR_NS;
-                    endpoint.dispatcher.answerBy(later, later);
-                    endpoint.dispatcher.answerBy(loop.now(), loop.now());
+                    endpoint.dispatcher.setAnswerDeadlines(later, later);
+                    endpoint.dispatcher.setAnswerDeadlines(loop.now(), loop.now());
                 });
         assertEquals(List.of("failed", "failed", "failed"), nextEnds(REQUESTS));
     }
--- a/engine/src/test/java/trailthread/engine/request/SingleEndpointDispatcher.java
+++ b/engine/src/test/java/trailthread/engine/request/SingleEndpointDispatcher.java
@@ -70,7 +70,7 @@
                 new DiscoveredEndpoint("w", "127.0.0.1:" + port, "a", 0, EndpointState.READY, 1, 0);
         endpoints.update(new DiscoveryUpdate(1, true, List.of(endpoint)), loop.now());
         EndpointEntry entry = new EndpointEntry("w", 1, EndpointState.READY, "a", 0, 0);
-        dispatcher.list(ListKind.FULL, List.of(entry));
+        dispatcher.updateEndpointList(ListKind.FULL, List.of(entry));
     }
 
     /**
