--- a/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
+++ b/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
@@ -103,7 +103,7 @@
 
     @Override
     public void failed() {
-        requests.list(ListKind.FAILED, List.of());
+        requests.updateEndpointList(ListKind.FAILED, List.of());
     }
 
     @Override
@@ -119,8 +119,8 @@
     }
 
     private void publishLease() {
-        endpoints.listLeaseUntil(lease.until());
-        requests.listLeaseUntil(lease.until());
+        endpoints.setListLeaseEnd(lease.until());
+        requests.setListLeaseEnd(lease.until());
         if (lease.isHeld(loop.now())) {
             stopWaiting();
         }
@@ -132,7 +132,7 @@
         for (DiscoveredEndpoint endpoint : update.instances()) {
             entries.add(endpoint.entry());
         }
-        metrics.listed(kind, entries);
-        requests.list(kind, entries);
+        metrics.endpointListUpdated(kind, entries);
+        requests.updateEndpointList(kind, entries);
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -60,7 +60,8 @@
         descriptors = DescriptorBudget.of(config.descriptorLimit(), config.adminAddress() != null);
         loop = new EventLoop(config.name());
         admin = adminServer(config);
-        MetricsRecorder adminMetrics = admin == null ? MetricsRecorder.OFF : admin.meter();
+        MetricsRecorder adminMetrics =
+                admin == null ? MetricsRecorder.OFF : admin.metricsRecorder();
         degradation = degradationService(config, adminMetrics);
         metrics = degradation == null ? adminMetrics : degradation;
         endpoints =
@@ -90,7 +91,7 @@
                 new HttpListener(
                         loop, descriptors.forClients(), maxActiveClients(), frontend, metrics);
         drain = new Drain(loop, listener);
-        shutdown = new GracefulShutdown(loop, listener, drain, requests::answerBy);
+        shutdown = new GracefulShutdown(loop, listener, drain, requests::setAnswerDeadlines);
         shutdown.setLongestDeadline(config.longestDeadlineNs());
     }
 
@@ -138,7 +139,7 @@
     }
 
     private void begin(InetSocketAddress ownAddress, ServerSocketChannel inherited) {
-        discovery.known(config.knownEndpoints());
+        discovery.setKnownList(config.knownEndpoints());
         endpointList.start(config.knownEndpoints());
         discovery.setPushed(!config.settings().listIsPolled);
         new StartSequence(loop, config, endpoints, endpointList, loopbackWarmUp)
@@ -154,8 +155,8 @@
         }
         listener.setReady(true);
         if (degradation != null) {
-            requests.setProbes(degradation::probes);
-            degradation.start(this::descriptorUse, requests::admit);
+            requests.setHealthCheckFilter(degradation::permitsHealthCheck);
+            degradation.start(this::descriptorUse, requests::setAdmission);
         }
         LOG.info(
                 "{} serves on {}",
@@ -177,7 +178,7 @@
      * requests in flight and the endpoint list are kept. Other keys wait for the next start.
      */
     void reload(Map<String, String> environment) {
-        loop.worker().execute(() -> readAndApply(environment));
+        loop.xnioWorker().execute(() -> readAndApply(environment));
     }
 
     private void readAndApply(Map<String, String> environment) {
@@ -188,24 +189,25 @@
             loop.execute(() -> apply(next));
         } catch (ConfigException e) {
             LOG.error("configuration not taken over: {}", e.getMessage());
-            loop.execute(() -> metrics.reloaded(false));
+            loop.execute(() -> metrics.configurationReloaded(false));
         }
     }
 
     private void apply(NodeConfig next) {
         boolean pushed = !next.settings().listIsPolled;
-        if (discovery.move(next.discoveryAddress())) {
+        if (discovery.setAddress(next.discoveryAddress())) {
             endpointList.sourceMoved();
         }
         discovery.setPushed(pushed);
-        requests.retune(next.settings());
+        requests.applySettings(next.settings());
         endpointList.retune(next.drainGraceNs(), pushed);
-        endpoints.retune(next.settings().connectTimeoutNs, next.idleCloseNs(), next.drainGraceNs());
+        endpoints.setTimeouts(
+                next.settings().connectTimeoutNs, next.idleCloseNs(), next.drainGraceNs());
         frontend.retune(next.settings().classes);
         if (admin != null) {
             admin.serves(next.settings().classes);
         }
-        metrics.reloaded(true);
+        metrics.configurationReloaded(true);
         LOG.info(
                 "configuration taken over: {} classes, {} attempts at most",
                 next.settings().classes.size(),
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
@@ -73,19 +73,20 @@
     }
 
     @Override
-    public void served(EndpointResponse response) {
+    public void respond(EndpointResponse response) {
         forwardHeaders(response);
         send(response.status(), response.body());
     }
 
     @Override
-    public ByteSink begin(EndpointResponse head, long length, Runnable more, Runnable gone) {
+    public ByteSink beginStreaming(
+            EndpointResponse head, long length, Runnable onWritable, Runnable onDisconnect) {
         forwardHeaders(head);
         start(head.status());
         if (length >= 0) {
             exchange.setResponseContentLength(length);
         }
-        streamed = new StreamedResponse(loop, exchange, more, gone);
+        streamed = new StreamedResponse(loop, exchange, onWritable, onDisconnect);
         return streamed;
     }
 
@@ -97,7 +98,7 @@
         HeaderMap to = exchange.getResponseHeaders();
         // The result is not needed: headers that could be taken for the start of another response
         // are left out, and have not been seen here.
-        EndToEndHeaders.pass(from, NOT_FORWARDED, to::add);
+        EndToEndHeaders.forward(from, NOT_FORWARDED, to::add);
         to.add(Headers.VIA, "1.1 trailthread");
         String length = from.getFirst(Headers.CONTENT_LENGTH);
         if (exchange.getRequestMethod().equals(Methods.HEAD) && length != null) {
@@ -106,12 +107,12 @@
     }
 
     @Override
-    public void released() {
+    public void onReleased() {
         onReleased.run();
     }
 
     @Override
-    public void refused(long retryAfterNs) {
+    public void reject(long retryAfterNs) {
         if (retryAfterNs > 0) {
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Seconds.format(retryAfterNs));
         }
@@ -119,7 +120,7 @@
     }
 
     @Override
-    public void failed() {
+    public void fail() {
         send(StatusCodes.BAD_GATEWAY, NO_BODY);
     }
 
@@ -147,7 +148,7 @@
             exchange.getResponseSender().send(ByteBuffer.wrap(body));
         }
         if (!exchange.isResponseComplete()) {
-            loop.afterReading(READ_TIMEOUT_NS, this::closeIfUnread);
+            loop.scheduleAfterReading(READ_TIMEOUT_NS, this::closeIfUnread);
         }
     }
 
@@ -177,7 +178,7 @@
     }
 
     @Override
-    public void look() {
+    public void checkConnected() {
         if (onClientGone != null && !answered) {
             readAhead(connection());
         }
--- a/daemon/src/main/java/trailthread/daemon/listener/RequestReceiver.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/RequestReceiver.java
@@ -96,7 +96,7 @@
      * route is missing.
      */
     private void reject(HttpServerExchange exchange, RejectionReason reason) {
-        metrics.rejected(reason);
+        metrics.requestRejected(reason);
         exchange.setStatusCode(statusCode(reason));
         if (reason != RejectionReason.NO_ROUTE || isLastOnConnection(exchange)) {
             exchange.setPersistent(false);
@@ -207,7 +207,7 @@
                 return;
             }
             HttpResponseWriter response = responseWriter(0, body::stop);
-            ClientRequest request = head.request().withSource(body);
+            ClientRequest request = head.request().withBodySource(body);
             long deadline = loop.now() + body.longestNs() + request.timeLeftNs();
             Runnable onClientGone =
                     head.handler().handle(request, deadline, response, reservedBytes);
--- a/daemon/src/main/java/trailthread/daemon/listener/ServiceFrontend.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ServiceFrontend.java
@@ -106,7 +106,9 @@
                 plainDecoder = null;
                 platformDecoder =
                         new PlatformRequestDecoder(
-                                pool.config().classes().stream().map(ClassConfig::rules).toList());
+                                pool.config().classes().stream()
+                                        .map(ClassConfig::requestClass)
+                                        .toList());
             }
         }
 
@@ -153,7 +155,7 @@
         @Override
         public Runnable handle(
                 ClientRequest request, long deadline, ClientResponse response, long reservedBytes) {
-            return pool.take(request, deadline, response, reservedBytes);
+            return pool.handle(request, deadline, response, reservedBytes);
         }
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
@@ -104,7 +104,7 @@
     @After
     public void end() throws IOException {
         endpoint.close();
-        loop.worker().shutdownNow();
+        loop.xnioWorker().shutdownNow();
     }
 
     private Socket connect() throws IOException {
@@ -115,13 +115,13 @@
 
     /** Lists the endpoint, for which queued requests wait. To be called on the loop's thread. */
     private void list() {
-        dispatcher.list(
+        dispatcher.updateEndpointList(
                 ListKind.FULL, List.of(new EndpointEntry("w", 1, EndpointState.READY, "a", 0, 0)));
     }
 
     /** Lists no endpoint, so that requests are queued. To be called on the loop's thread. */
     private void listNone() {
-        dispatcher.list(ListKind.FULL, List.of());
+        dispatcher.updateEndpointList(ListKind.FULL, List.of());
     }
 
     /** Waits until the requests with these ids are in flight. */
@@ -298,7 +298,7 @@
                 awaitInFlight(id(requests.get(0)));
                 Thread sender = new Thread(() -> sendAll(client, requests.subList(1, count)));
                 sender.start();
-                loop.execute(() -> loop.after(100_000_000L, this::list));
+                loop.execute(() -> loop.schedule(100_000_000L, this::list));
                 for (String request : requests) {
                     assertEquals("made", Message.read(client).body());
                     assertEquals(id(request), endpoint.takeRequest().header("X-Correlation-Id"));
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
@@ -68,7 +68,7 @@
      *
      * @return whether the address has changed
      */
-    public boolean move(InetSocketAddress to) {
+    public boolean setAddress(InetSocketAddress to) {
         if (address.equals(to)) {
             return false;
         }
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public void known(DiscoveryUpdate update) {
+    public void setKnownList(DiscoveryUpdate update) {
         generation = update.generation();
     }
 
@@ -194,7 +194,7 @@
                 watch = null;
             }
             if (pushed) {
-                loop.after(REOPEN_DELAY_NS, () -> watch(watchWanted));
+                loop.schedule(REOPEN_DELAY_NS, () -> watch(watchWanted));
             } else {
                 listener.failed();
             }
--- a/engine/src/main/java/trailthread/engine/discovery/EndpointListFile.java
+++ b/engine/src/main/java/trailthread/engine/discovery/EndpointListFile.java
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public void known(DiscoveryUpdate update) {
+    public void setKnownList(DiscoveryUpdate update) {
         // the file is read at the start and takes precedence over an earlier list
     }
 
@@ -88,8 +88,8 @@
             return;
         }
         FileVersion before = lastVersion;
-        loop.worker().execute(() -> checkBesideLoop(before));
-        loop.after(CHECK_INTERVAL_NS, this::startCheck);
+        loop.xnioWorker().execute(() -> checkBesideLoop(before));
+        loop.schedule(CHECK_INTERVAL_NS, this::startCheck);
     }
 
     /** Runs on the worker thread, as reading a file may block. */
--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
@@ -34,7 +34,7 @@
     private static final byte[] NO_BYTES = {};
 
     private final EventLoop loop;
-    private final Attempt attempt;
+    private final AttemptExchange attempt;
     private final AttemptListener listener;
     private final ResponseHead head;
 
@@ -62,7 +62,7 @@
      */
     AttemptResponse(
             EventLoop loop,
-            Attempt attempt,
+            AttemptExchange attempt,
             AttemptListener listener,
             int status,
             HeaderMap headers,
@@ -104,7 +104,7 @@
             return; // the body of a failed attempt is not used
         }
         if (bufferedBytes == 0 && !isStreaming() && length == UNKNOWN_LENGTH) {
-            bufferTimeout = loop.after(MAX_BUFFERED_NS, this::startStreaming);
+            bufferTimeout = loop.schedule(MAX_BUFFERED_NS, this::startStreaming);
         }
         if (!isStreaming() && fitsBuffer(piece)) {
             buffer(piece);
@@ -139,15 +139,15 @@
      * @return whether the attempt goes on
      */
     private boolean startStreaming() {
-        bufferTimeout = Attempt.cancelled(bufferTimeout);
+        bufferTimeout = AttemptExchange.cancelled(bufferTimeout);
         EndpointResponse start = new EndpointResponse(head.status(), forwardedHeaders, NO_BYTES);
-        sink = listener.begins(start, length, head.load(), this::sinkReady);
+        sink = listener.streamingStarted(start, length, head.load(), this::sinkReady);
         if (sink == null) {
             attempt.end(Outcome.CANCELLED);
             return false;
         }
         attempt.streamingStarted();
-        silenceTimeout = loop.after(MAX_SILENCE_NS, this::resetIfSilent);
+        silenceTimeout = loop.schedule(MAX_SILENCE_NS, this::resetIfSilent);
         if (bufferedBytes > 0) {
             ByteBuffer buffered = ByteBuffer.wrap(buffer, 0, bufferedBytes);
             buffer = NO_BYTES;
@@ -178,7 +178,7 @@
         if (silentNs >= MAX_SILENCE_NS) {
             attempt.end(Outcome.RESET);
         } else {
-            silenceTimeout = loop.after(MAX_SILENCE_NS - silentNs, this::resetIfSilent);
+            silenceTimeout = loop.schedule(MAX_SILENCE_NS - silentNs, this::resetIfSilent);
         }
     }
 
@@ -194,7 +194,7 @@
         } else if (isStreaming()) {
             sink.broken();
         }
-        bufferTimeout = Attempt.cancelled(bufferTimeout);
-        silenceTimeout = Attempt.cancelled(silenceTimeout);
+        bufferTimeout = AttemptExchange.cancelled(bufferTimeout);
+        silenceTimeout = AttemptExchange.cancelled(silenceTimeout);
     }
 }
--- a/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
@@ -32,10 +32,10 @@
 
     /** A connection that carries no request. */
     static final class IdleConnection {
-        private final Endpoint endpoint;
+        private final PooledEndpoint endpoint;
         private final HttpConnection connection;
 
-        IdleConnection(Endpoint endpoint, HttpConnection connection) {
+        IdleConnection(PooledEndpoint endpoint, HttpConnection connection) {
             this.endpoint = endpoint;
             this.connection = connection;
         }
@@ -71,7 +71,7 @@
         this.loop = loop;
         this.limit = limit;
         this.account = account;
-        retune(connectTimeoutNs, idleNs, drainGraceNs);
+        setTimeouts(connectTimeoutNs, idleNs, drainGraceNs);
     }
 
     /**
@@ -79,7 +79,7 @@
      *
      * @param endpointIdleNs how long an endpoint keeps an idle connection open, in nanoseconds
      */
-    void retune(long connectTimeout, long endpointIdleNs, long graceNs) {
+    void setTimeouts(long connectTimeout, long endpointIdleNs, long graceNs) {
         connectTimeoutNs = connectTimeout;
         idleNs = (long) (IDLE_TIME_FRACTION * endpointIdleNs);
         drainGraceNs = ListLease.usableGraceNs(graceNs);
@@ -90,7 +90,7 @@
     }
 
     /** Sets until when the endpoint list may be used, by {@link EventLoop#now}. */
-    void listLeaseUntil(long until) {
+    void setListLeaseEnd(long until) {
         listUsableUntil = until;
     }
 
@@ -103,7 +103,7 @@
      * Returns whether a request may be sent to an endpoint now, by everything that discovery has
      * sent. A health check does not need a fresh list.
      */
-    boolean maySend(Endpoint endpoint, boolean isProbe) {
+    boolean maySend(PooledEndpoint endpoint, boolean isProbe) {
         // Updates count as known once they have arrived, even if the loop has not read them yet.
         readUpdates.run();
         long now = loop.now();
@@ -111,7 +111,7 @@
     }
 
     /** Takes an idle connection to the endpoint out of the pool; returns null if there is none. */
-    HttpConnection takeIdle(Endpoint endpoint) {
+    HttpConnection takeIdle(PooledEndpoint endpoint) {
         IdleConnection next = preferred(endpoint);
         while (next != null) {
             remove(next);
@@ -131,7 +131,7 @@
      * longest, or null. This prevents a surplus second response to the last request from being
      * taken for the next one's.
      */
-    private IdleConnection preferred(Endpoint endpoint) {
+    private IdleConnection preferred(PooledEndpoint endpoint) {
         long settledSince = loop.now() - SETTLE_TIME_NS;
         Iterator<IdleConnection> lastFirst = endpoint.idle.descendingIterator();
         while (lastFirst.hasNext()) {
@@ -150,7 +150,7 @@
      *     within this call
      * @return cancels the connect
      */
-    Runnable connect(Endpoint endpoint, Consumer<HttpConnection> opened) {
+    Runnable connect(PooledEndpoint endpoint, Consumer<HttpConnection> opened) {
         if (!takePermit()) {
             loop.execute(() -> opened.accept(null));
             return () -> {};
@@ -176,23 +176,23 @@
 
     /** Takes a permit for a connection, if need be that of an idle one, which is closed. */
     private boolean takePermit() {
-        if (limit.take()) {
+        if (limit.tryAcquire()) {
             return true;
         }
         if (idle.isEmpty()) {
             return false;
         }
         closeLongestIdle();
-        return limit.take();
+        return limit.tryAcquire();
     }
 
     private void connectionClosed() {
         open--;
-        limit.give();
+        limit.release();
     }
 
     /** Returns a connection to the pool, or closes it if it cannot carry another request. */
-    void release(Endpoint endpoint, HttpConnection connection) {
+    void release(PooledEndpoint endpoint, HttpConnection connection) {
         if (!endpoint.listed || !limit.mayKeepIdle()) {
             connection.close();
         }
@@ -204,7 +204,7 @@
         idle.add(released);
         if (!sweepScheduled) {
             sweepScheduled = true;
-            loop.after(idleNs, this::sweep);
+            loop.schedule(idleNs, this::sweep);
         }
     }
 
@@ -218,7 +218,8 @@
         }
         sweepScheduled = !idle.isEmpty();
         if (sweepScheduled) {
-            loop.after(Math.max(idleNs / SWEEPS_PER_IDLE_TIME, MIN_SWEEP_INTERVAL_NS), this::sweep);
+            loop.schedule(
+                    Math.max(idleNs / SWEEPS_PER_IDLE_TIME, MIN_SWEEP_INTERVAL_NS), this::sweep);
         }
     }
 
@@ -234,7 +235,7 @@
     }
 
     /** Closes all idle connections to the endpoint. */
-    void closeIdle(Endpoint endpoint) {
+    void closeIdle(PooledEndpoint endpoint) {
         while (!endpoint.idle.isEmpty()) {
             close(endpoint.idle.peekLast());
         }
@@ -255,7 +256,7 @@
     }
 
     private void remove(IdleConnection connection) {
-        Endpoint endpoint = connection.endpoint;
+        PooledEndpoint endpoint = connection.endpoint;
         // the last one is the usual case, and a search would find it last
         if (endpoint.idle.peekLast() == connection) {
             endpoint.idle.pollLast();
--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -70,14 +70,14 @@
                 new EndpointPool(
                         loop,
                         settings.connectTimeoutNs,
-                        config.rules().idleCloseNs(),
-                        config.rules().drainGraceNs(),
+                        config.attemptPolicy().idleCloseNs(),
+                        config.attemptPolicy().drainGraceNs(),
                         new PoolConnectionLimit(loop, shares, quotas.connections),
                         settings.latencyResolutionNs(),
                         this);
         metrics = new PoolMetrics(config.name(), operators);
         dispatcher = new RequestDispatcher(loop, endpoints, settings, seed, metrics);
-        dispatcher.admit((requestClass, overQuota, random) -> withinQuota);
+        dispatcher.setAdmission((requestClass, overQuota, random) -> withinQuota);
         discovery = discovery(config.source());
         dispatcher.setDiscovery(discovery);
         shares.add(this);
@@ -100,7 +100,7 @@
      */
     public void start(DiscoveryUpdate before) {
         if (before != null) {
-            discovery.known(before);
+            discovery.setKnownList(before);
             apply(ListKind.CACHED, before, loop.now());
         } else {
             apply(ListKind.CACHED, known, loop.now());
@@ -171,8 +171,8 @@
     }
 
     @Override
-    public Runnable take(ClientRequest request, long deadline, ClientResponse response) {
-        return take(request, deadline, response, 0);
+    public Runnable handle(ClientRequest request, long deadline, ClientResponse response) {
+        return handle(request, deadline, response, 0);
     }
 
     /**
@@ -182,7 +182,7 @@
      * @param bodyBytes how many bytes were acquired for its body; they are released with its end.
      *     -1: they could not be acquired
      */
-    public Runnable take(
+    public Runnable handle(
             ClientRequest request, long deadline, ClientResponse response, long bodyBytes) {
         QuotaReleasingResponse releasing =
                 new QuotaReleasingResponse(response, quotas, Math.max(0, bodyBytes));
@@ -204,7 +204,7 @@
         if (withinQuota) {
             response.countAsOpen();
         }
-        response.setWhenDisconnected(dispatcher.take(request, deadline, response));
+        response.setWhenDisconnected(dispatcher.handle(request, deadline, response));
     }
 
     @Override
@@ -227,7 +227,7 @@
     @Override
     public void failed() {
         if (!retired) {
-            dispatcher.list(ListKind.FAILED, List.of());
+            dispatcher.updateEndpointList(ListKind.FAILED, List.of());
         }
     }
 
@@ -236,8 +236,8 @@
         endpoints.update(update, knownSince);
         List<EndpointEntry> entries = new ArrayList<>();
         update.instances().forEach(endpoint -> entries.add(endpoint.entry()));
-        metrics.listed(kind, entries);
-        dispatcher.list(kind, entries);
+        metrics.endpointListUpdated(kind, entries);
+        dispatcher.updateEndpointList(kind, entries);
     }
 
     /** Closes idle connections as far as the pool holds more than its part and others want some. */
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -5,7 +5,7 @@
 import org.xnio.XnioExecutor;
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
-import trailthread.engine.endpoint.Attempt;
+import trailthread.engine.endpoint.AttemptExchange;
 import trailthread.engine.endpoint.AttemptListener;
 import trailthread.engine.endpoint.AttemptResult;
 import trailthread.engine.endpoint.EndpointRequest;
@@ -39,7 +39,7 @@
     private long queuedNs = -1;
 
     /** The attempt in flight, or null. */
-    private Attempt attemptInFlight;
+    private AttemptExchange attemptInFlight;
 
     /** No answer is to be sent any more: it was sent or begun, or the client has disconnected. */
     private boolean finished;
@@ -69,8 +69,8 @@
                         client.target(),
                         client.idempotencyKey(),
                         client.body(),
-                        client.passing(),
-                        client.source(),
+                        client.forwardedHeaders(),
+                        client.bodySource(),
                         client.timeLeftNs());
     }
 
@@ -86,9 +86,9 @@
                                 client.requestClass(),
                                 client.workNs(),
                                 deadline,
-                                client.account(),
-                                client.repeat(),
-                                client.entity()));
+                                client.tenant(),
+                                client.isRetry(),
+                                client.affinityKey()));
     }
 
     /**
@@ -99,7 +99,7 @@
         deadlineTimer =
                 dispatcher
                         .loop()
-                        .afterReading(
+                        .scheduleAfterReading(
                                 timeLeftNs + dispatcher.responseSlackNs() / 2,
                                 this::deadlineExceeded);
     }
@@ -112,14 +112,14 @@
      */
     void startAttempt(String endpoint, long timeoutNs, long writtenBy) {
         int attempt = attempts++;
-        metrics.attemptBegun(endpoint);
+        metrics.attemptStarted(endpoint);
         long now = dispatcher.now();
         if (attempt == 0) {
             queuedNs = now - admittedAt;
         }
         long timeLeftNs = deadline - now;
         // A streamed body can't be sent a second time.
-        boolean bodyConsumed = client.source() != null && client.source().hasBegun();
+        boolean bodyConsumed = client.bodySource() != null && client.bodySource().isStarted();
         if (finished || attemptInFlight != null || timeLeftNs <= 0 || bodyConsumed) {
             attemptEnded(endpoint, attempt, new AttemptResult(Outcome.NOT_SENT, 0, null, null));
             return;
@@ -151,27 +151,29 @@
          */
         @Override
         public boolean isWanted() {
-            response.look();
+            response.checkConnected();
             return !finished;
         }
 
         @Override
         public void sent() {
             metrics.attemptSent();
-            if (client.source() != null) {
+            if (client.bodySource() != null) {
                 streamedBodySent();
             }
         }
 
         @Override
-        public ByteSink begins(EndpointResponse head, long length, LoadReport load, Runnable more) {
+        public ByteSink streamingStarted(
+                EndpointResponse head, long length, LoadReport load, Runnable more) {
             if (finished) {
                 return null; // the client has disconnected
             }
             finish();
             streaming = true;
             ByteSink sink =
-                    response.begin(head, length, more, ActiveRequest.this::clientDisconnected);
+                    response.beginStreaming(
+                            head, length, more, ActiveRequest.this::clientDisconnected);
             streamingBegun(endpoint, attempt, load);
             return sink;
         }
@@ -213,7 +215,7 @@
         if (succeeded && !finished) {
             finish();
             recordAnswer(RequestResult.SERVED);
-            response.served(result.response());
+            response.respond(result.response());
         }
         boolean closed = finished;
         driver.deliver(
@@ -239,7 +241,7 @@
         if (!finished) {
             finish();
             recordAnswer(RequestResult.REFUSED);
-            response.refused(retryAfterNs);
+            response.reject(retryAfterNs);
             releaseIfDone();
         }
     }
@@ -249,7 +251,7 @@
         if (!finished) {
             finish();
             recordAnswer(RequestResult.FAILED);
-            response.failed();
+            response.fail();
             releaseIfDone();
         }
     }
@@ -260,11 +262,11 @@
      */
     void clientDisconnected() {
         if (!finished) {
-            metrics.gone(client.requestClass());
+            metrics.clientDisconnected(client.requestClass());
         }
         finish();
         if (attemptInFlight != null
-                && (streaming || client.source() != null || !attemptInFlight.isSent())) {
+                && (streaming || client.bodySource() != null || !attemptInFlight.isSent())) {
             attemptInFlight.cancel();
         }
         driver.deliver((balancer, now) -> balancer.clientDisconnected(now, id));
@@ -301,7 +303,8 @@
     }
 
     private void recordAnswer(RequestResult result) {
-        metrics.answered(client.requestClass(), result, dispatcher.now() - admittedAt, queuedNs);
+        metrics.requestAnswered(
+                client.requestClass(), result, dispatcher.now() - admittedAt, queuedNs);
     }
 
     private void finish() {
@@ -317,6 +320,6 @@
 
     /** Nothing of the request is used any more; called once. */
     void released() {
-        response.released();
+        response.onReleased();
     }
 }
--- a/engine/src/test/java/trailthread/engine/request/SingleEndpointDispatcher.java
+++ b/engine/src/test/java/trailthread/engine/request/SingleEndpointDispatcher.java
@@ -70,7 +70,7 @@
                 new DiscoveredEndpoint("w", "127.0.0.1:" + port, "a", 0, EndpointState.READY, 1, 0);
         endpoints.update(new DiscoveryUpdate(1, true, List.of(endpoint)), loop.now());
         EndpointEntry entry = new EndpointEntry("w", 1, EndpointState.READY, "a", 0, 0);
-        dispatcher.list(ListKind.FULL, List.of(entry));
+        dispatcher.updateEndpointList(ListKind.FULL, List.of(entry));
     }
 
     /**
@@ -94,7 +94,7 @@
                         null,
                         new byte[4],
                         null);
-        return dispatcher.take(request, loop.now() + TIMEOUT_NS, response(called));
+        return dispatcher.handle(request, loop.now() + TIMEOUT_NS, response(called));
     }
 
     private static ClientResponse response(Consumer<String> called) {
