--- a/decisions/src/main/java/trailthread/Endpoint.java
+++ b/decisions/src/main/java/trailthread/Endpoint.java
@@ -23,7 +23,7 @@
     private int cell;
     private double largestWeight;
     private EndpointState state;
-    private long readyAtNs;
+    private long startedAtNs;
 
     Endpoint(String name) {
         this.name = name;
@@ -35,7 +35,7 @@
         cell = entry.cell();
         largestWeight = Math.max(largestWeight, entry.weight());
         state = entry.state();
-        readyAtNs = entry.readyAtNs();
+        startedAtNs = entry.startedAtNs();
     }
 
     void remove() {
@@ -60,8 +60,8 @@
     }
 
     /** When it last started, in nanoseconds; 0: long ago. */
-    long readyAtNs() {
-        return readyAtNs;
+    long startedAtNs() {
+        return startedAtNs;
     }
 
     /** The largest weight it was ever listed with: its size, where weights fall with load. */
--- a/decisions/src/main/java/trailthread/EndpointList.java
+++ b/decisions/src/main/java/trailthread/EndpointList.java
@@ -59,7 +59,7 @@
         }
         boolean restarted =
                 known != null
-                        && entry.readyAtNs() != known.readyAtNs()
+                        && entry.startedAtNs() != known.startedAtNs()
                         && entry.state() == EndpointState.READY;
         if (known != null && !restarted) {
             known.update(entry);
--- a/decisions/src/main/java/trailthread/SlowStart.java
+++ b/decisions/src/main/java/trailthread/SlowStart.java
@@ -46,11 +46,11 @@
     /** The share of its capacity that an endpoint has for certain: 1 when it is warm. */
     double capacityShare(Endpoint endpoint, long now) {
         Settings s = settings.get();
-        long readyAtNs = endpoint.readyAtNs();
-        if (readyAtNs == 0 || now - readyAtNs >= s.slowStartNs) {
+        long startedAtNs = endpoint.startedAtNs();
+        if (startedAtNs == 0 || now - startedAtNs >= s.slowStartNs) {
             return 1;
         }
-        double ageNs = Math.max(0, now - readyAtNs);
+        double ageNs = Math.max(0, now - startedAtNs);
         return s.slowStartInitialShare + (1 - s.slowStartInitialShare) * ageNs / s.slowStartNs;
     }
 
@@ -68,7 +68,7 @@
      * token by chance, as it is announced to all nodes at once.
      */
     void announced(EndpointEntry entry, long now) {
-        if (entry.readyAtNs() > Math.max(0, now - settings.get().slowStartNs)) {
+        if (entry.startedAtNs() > Math.max(0, now - settings.get().slowStartNs)) {
             tokens += random.uniform();
         }
     }
--- a/decisions/src/main/java/trailthread/api/EndpointEntry.java
+++ b/decisions/src/main/java/trailthread/api/EndpointEntry.java
@@ -5,7 +5,7 @@
  *
  * @param endpoint its name, the same at every node
  * @param weight see {@link WeightMeaning}
- * @param readyAtNs when it last started, in nanoseconds of the host's clock; 0: long ago
+ * @param startedAtNs when it last started, in nanoseconds of the host's clock; 0: long ago
  * @param cell the number of its cell, or -1
  */
 public record EndpointEntry(
@@ -13,5 +13,5 @@
         double weight,
         EndpointState state,
         String zone,
-        long readyAtNs,
+        long startedAtNs,
         int cell) {}
--- a/decisions/src/test/java/trailthread/EndpointListTest.java
+++ b/decisions/src/test/java/trailthread/EndpointListTest.java
@@ -22,8 +22,8 @@
         list.update(kind, List.of(names).stream().map(ScriptedBalancer::ready).toList(), NOW);
     }
 
-    private void delta(String name, EndpointState state, long readyAtNs) {
-        list.update(ListKind.DELTA, List.of(entry(name, state, readyAtNs)), NOW);
+    private void delta(String name, EndpointState state, long startedAtNs) {
+        list.update(ListKind.DELTA, List.of(entry(name, state, startedAtNs)), NOW);
     }
 
     private List<String> names() {
--- a/decisions/src/test/java/trailthread/ModuleFixture.java
+++ b/decisions/src/test/java/trailthread/ModuleFixture.java
@@ -51,14 +51,14 @@
         return startedAt(name, 0);
     }
 
-    static Endpoint startedAt(String name, long readyAtNs) {
+    static Endpoint startedAt(String name, long startedAtNs) {
         Endpoint endpoint = new Endpoint(name);
-        endpoint.update(entry(name, EndpointState.READY, readyAtNs));
+        endpoint.update(entry(name, EndpointState.READY, startedAtNs));
         return endpoint;
     }
 
-    static EndpointEntry entry(String name, EndpointState state, long readyAtNs) {
-        return new EndpointEntry(name, 1, state, "here", readyAtNs, 0);
+    static EndpointEntry entry(String name, EndpointState state, long startedAtNs) {
+        return new EndpointEntry(name, 1, state, "here", startedAtNs, 0);
     }
 
     /** Makes endpoints the subset, each shared with so many nodes. */
--- a/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
@@ -90,7 +90,7 @@
                 entry.weight(),
                 state,
                 entry.zone(),
-                entry.readyAtNs(),
+                entry.startedAtNs(),
                 entry.cell());
     }
 }
