--- a/decisions/src/main/java/trailthread/Balancer.java
+++ b/decisions/src/main/java/trailthread/Balancer.java
@@ -99,7 +99,7 @@
     }
 
     /** How many of the listed endpoints are not sent to for now: draining, ejected or resting. */
-    public int avoided(long now) {
+    public int countAvoided(long now) {
         return outliers.countAvoided(endpoints.all(), now);
     }
 
--- a/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
@@ -157,7 +157,7 @@
 
     /** How many of the listed endpoints the balancer avoids now. */
     public int avoidedEndpoints() {
-        return balancer.avoided(now());
+        return balancer.countAvoided(now());
     }
 
     /** Delivers an update of the endpoint list to the balancer. */
