--- a/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
+++ b/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
@@ -81,7 +81,7 @@
 
     /** The list comes from another discovery service from now on. */
     void sourceMoved() {
-        lease.moved(loop.now());
+        lease.recordSourceSwitch(loop.now());
     }
 
     /**
--- a/decisions/src/main/java/trailthread/ListLease.java
+++ b/decisions/src/main/java/trailthread/ListLease.java
@@ -83,7 +83,7 @@
     }
 
     /** Another discovery is the source of the list from now on. */
-    public void moved(long now) {
+    public void recordSourceSwitch(long now) {
         sourceSwitched = true;
         sourceSwitchedAt = now;
     }
--- a/decisions/src/test/java/trailthread/ListLeaseTest.java
+++ b/decisions/src/test/java/trailthread/ListLeaseTest.java
@@ -80,7 +80,7 @@
     public void anotherAgentCountsAsHeardFourSecondsAfterTheSwitch() {
         lease.retune(GRACE_NS, true);
         lease.confirmed(NOW);
-        lease.moved(NOW + 10_000 * MS);
+        lease.recordSourceSwitch(NOW + 10_000 * MS);
         assertEquals(NOW + 14_000 * MS + GRACE_NS - ListLease.MAX_WRITE_DELAY_NS, lease.until());
         lease.confirmed(NOW + 11_000 * MS);
         assertEquals(Long.MAX_VALUE, lease.until());
