--- a/decisions/src/main/java/trailthread/degradation/DegradationController.java
+++ b/decisions/src/main/java/trailthread/degradation/DegradationController.java
@@ -39,7 +39,7 @@
     /** Index of the level in force. */
     private int current;
 
-    private SheddingPolicy allowance;
+    private SheddingPolicy sheddingPolicy;
 
     /**
      * Makes a controller at full service.
@@ -55,7 +55,7 @@
             levels.add(new LevelTracker(level, order.count(level.reach()), plan));
         }
         depth = new SheddingDepth(plan);
-        renewAllowance();
+        renewSheddingPolicy();
     }
 
     /** The level in force. */
@@ -64,8 +64,8 @@
     }
 
     /** Which requests the node admits at present; a new object after every change of it. */
-    public SheddingPolicy allowance() {
-        return allowance;
+    public SheddingPolicy sheddingPolicy() {
+        return sheddingPolicy;
     }
 
     /** Takes in the latest readings; returns the change of level that they make, if any. */
@@ -76,8 +76,8 @@
         }
         depth.update(levels.get(current), maxDepthAbove(), step);
         Optional<Change> change = changeLevel(readings.now());
-        if (depth.classes() != allowance.depth() || change.isPresent()) {
-            renewAllowance();
+        if (depth.classes() != sheddingPolicy.depth() || change.isPresent()) {
+            renewSheddingPolicy();
         }
         return change;
     }
@@ -148,7 +148,7 @@
         return new Change(from, level().name(), down, now, causes, stayNs);
     }
 
-    private void renewAllowance() {
-        allowance = new SheddingPolicy(order, level(), depth.classes(), plan.keep);
+    private void renewSheddingPolicy() {
+        sheddingPolicy = new SheddingPolicy(order, level(), depth.classes(), plan.keep);
     }
 }
--- a/decisions/src/test/java/trailthread/degradation/ControllerDriver.java
+++ b/decisions/src/test/java/trailthread/degradation/ControllerDriver.java
@@ -78,6 +78,6 @@
 
     /** The share of a class that is admitted at present. */
     double share(String requestClass) {
-        return controller.allowance().share(requestClass, false);
+        return controller.sheddingPolicy().share(requestClass, false);
     }
 }
--- a/decisions/src/test/java/trailthread/degradation/DegradationControllerTest.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationControllerTest.java
@@ -213,7 +213,7 @@
                 driver.set(STARVED, 0.06).run(60).share("bench-state"),
                 1e-3);
         assertEquals(1, driver.share("bench-action"), 0);
-        SheddingPolicy before = driver.controller.allowance();
+        SheddingPolicy before = driver.controller.sheddingPolicy();
         double more = driver.set(STARVED, 0).run(6).share("bench-state");
         assertEquals("a tenth comes back in a tenth of the time", 0.05 + 0.1 * 0.95, more, 0.01);
         assertEquals(
--- a/decisions/src/test/java/trailthread/degradation/SimulatedNode.java
+++ b/decisions/src/test/java/trailthread/degradation/SimulatedNode.java
@@ -131,7 +131,7 @@
     }
 
     private boolean isAdmitted(RequestClass requestClass) {
-        return controller.allowance().admits(requestClass.name(), false, random.nextDouble());
+        return controller.sheddingPolicy().admits(requestClass.name(), false, random.nextDouble());
     }
 
     private void passDeadline(long id) {
--- a/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
+++ b/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
@@ -97,7 +97,7 @@
 
     /** Whether a health check that the balancer requests is made. */
     public boolean probes(String endpoint) {
-        return healthChecks.permits(endpoint, levels.allowance().probeFactor());
+        return healthChecks.permits(endpoint, levels.sheddingPolicy().probeFactor());
     }
 
     private void read() {
@@ -136,7 +136,7 @@
     }
 
     private boolean admits(String requestClass, boolean overQuota, double random) {
-        boolean admitted = levels.allowance().admits(requestClass, overQuota, random);
+        boolean admitted = levels.sheddingPolicy().admits(requestClass, overQuota, random);
         if (!admitted) {
             collector.shed(requestClass);
         }
