--- a/adapter/src/main/java/trailthread/adapter/EventDispatcher.java
+++ b/adapter/src/main/java/trailthread/adapter/EventDispatcher.java
@@ -115,6 +115,6 @@
     private void peerMessage(BalancerEvents balancer, long now) {
         reader.requireFieldCount(2, 3, WireMessages.PEER_MESSAGE);
         int peer = (int) reader.number(1, "src_peer");
-        balancer.peer(now, peer, reader.hexBytes(2, "contents"));
+        balancer.peerMessage(now, peer, reader.hexBytes(2, "contents"));
     }
 }
--- a/decisions/src/main/java/trailthread/api/BalancerEvents.java
+++ b/decisions/src/main/java/trailthread/api/BalancerEvents.java
@@ -70,5 +70,5 @@
     default void admit(Admission admission) {}
 
     /** A message from another node; a balancer that decides alone ignores it. */
-    default void peer(long now, int from, byte[] data) {}
+    default void peerMessage(long now, int from, byte[] data) {}
 }
