--- a/adapter/src/main/java/trailthread/adapter/WireActions.java
+++ b/adapter/src/main/java/trailthread/adapter/WireActions.java
@@ -16,7 +16,7 @@
     }
 
     @Override
-    public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
+    public void send(long id, long timeoutNs, long writeDeadline, String endpoint) {
         writer.beginMessage(instance, WireMessages.SEND);
         writer.numberField(id);
         writer.numberField(timeoutNs);
--- a/decisions/src/main/java/trailthread/AdmissionController.java
+++ b/decisions/src/main/java/trailthread/AdmissionController.java
@@ -65,8 +65,11 @@
         long usefulUntil = rules.lateWeightShare() > 0 ? request.deadline : request.objectiveAt;
         long until = usefulUntil - (long) (means.latencyNs() / 2);
         if (!hasListLease(now)) {
-            long timeNs = request.deadline - request.arrivedAt;
-            until = Math.min(until, request.arrivedAt + (long) (WAIT_FOR_LIST_SHARE * timeNs));
+            long timeToDeadlineNs = request.deadline - request.arrivedAt;
+            until =
+                    Math.min(
+                            until,
+                            request.arrivedAt + (long) (WAIT_FOR_LIST_SHARE * timeToDeadlineNs));
         }
         return Math.min(until, request.retryableUntil() - settings.get().connectTimeoutNs);
     }
--- a/decisions/src/main/java/trailthread/Attempt.java
+++ b/decisions/src/main/java/trailthread/Attempt.java
@@ -14,7 +14,7 @@
     Outcome outcome;
 
     /** Whether it counts as in flight; owned by {@link InFlightTracker}. */
-    boolean counted = true;
+    boolean countedInFlight = true;
 
     Attempt(Endpoint endpoint, long sentAt, int inFlightAtSend) {
         this.endpoint = endpoint;
--- a/decisions/src/main/java/trailthread/AttemptRecorder.java
+++ b/decisions/src/main/java/trailthread/AttemptRecorder.java
@@ -31,7 +31,7 @@
     }
 
     /** The answer to a streamed request has begun. */
-    void firstByte(Request request, Attempt attempt, long now) {
+    void recordFirstByte(Request request, Attempt attempt, long now) {
         inFlight.release(attempt);
         recordLatency(request, attempt, now - attempt.sentAt, now);
     }
@@ -42,16 +42,16 @@
      * @param latencyNs or -1: not known
      * @param load what the endpoint reported with it, or null
      */
-    void ended(Request request, Attempt attempt, long latencyNs, LoadReport load, long now) {
+    void recordEnd(Request request, Attempt attempt, long latencyNs, LoadReport load, long now) {
         Endpoint endpoint = attempt.endpoint;
         inFlight.end(attempt, now);
         if (load != null) {
             endpoint.load.record(load, now);
         }
         switch (attempt.outcome) {
-            case OK -> succeeded(request, attempt, latencyNs, now);
+            case OK -> recordSuccess(request, attempt, latencyNs, now);
             case REJECTED -> limiter.recordRejection(endpoint);
-            case ERROR, TIMEOUT, RESET, CONNECT_FAILED -> failed(attempt, latencyNs, now);
+            case ERROR, TIMEOUT, RESET, CONNECT_FAILED -> recordFailure(attempt, latencyNs, now);
             default -> {
                 // an attempt that was cancelled or never sent says nothing about the endpoint
             }
@@ -59,9 +59,9 @@
         limiter.attemptEnded(endpoint, now);
     }
 
-    private void succeeded(Request request, Attempt attempt, long latencyNs, long now) {
+    private void recordSuccess(Request request, Attempt attempt, long latencyNs, long now) {
         slowStart.recordServed(now);
-        inFlight.answered(attempt);
+        inFlight.recordResponse(attempt);
         outliers.recordSuccess(attempt.endpoint);
         // The length of a stream says nothing; its beginning has been recorded.
         if (!request.streaming && latencyNs >= 0) {
@@ -69,15 +69,15 @@
         }
     }
 
-    private void failed(Attempt attempt, long latencyNs, long now) {
+    private void recordFailure(Attempt attempt, long latencyNs, long now) {
         Endpoint endpoint = attempt.endpoint;
         outliers.recordFailure(endpoint);
         // A jammed endpoint gives no other sign; but the first in a row may be one lost response.
-        boolean showsJam =
+        boolean showsCongestion =
                 attempt.outcome == Outcome.TIMEOUT
                         && endpoint.health.failures() > 1
                         && attempt.sentAt > endpoint.inFlight.newestAnsweredSentAt();
-        if (showsJam) {
+        if (showsCongestion) {
             recordEndpointLatency(attempt, latencyNs, now);
         }
         outliers.ejectIfFailing(endpoint, now);
@@ -96,8 +96,8 @@
         Endpoint endpoint = attempt.endpoint;
         estimator.record(attempt, latencyNs, now);
         limiter.adjust(endpoint, now);
-        if (outliers.restIfJammed(endpoint, now)) {
-            limiter.cutToStart(endpoint);
+        if (outliers.ejectIfCongested(endpoint, now)) {
+            limiter.cutToInitialLimit(endpoint);
         }
     }
 }
--- a/decisions/src/main/java/trailthread/AttemptSender.java
+++ b/decisions/src/main/java/trailthread/AttemptSender.java
@@ -37,7 +37,7 @@
         if (!admissions.hasListLease(now)) {
             return false;
         }
-        boolean ejectionSuspended = outliers.isSuspendedLogged(now);
+        boolean ejectionSuspended = outliers.logIfEjectionSuspended(now);
         if (!retries.permitsAttempt(request, now)) {
             return false;
         }
@@ -53,10 +53,10 @@
 
     private void send(Request request, Endpoint endpoint, long now) {
         // Before begin: the new attempt will count as one that may have run.
-        long writtenBy = retries.writtenBy(request);
+        long writeDeadline = retries.writeDeadline(request);
         inFlight.begin(request, endpoint, now);
-        slowStart.spend(endpoint, now);
+        slowStart.takeToken(endpoint, now);
         long timeoutNs = retries.timeoutNs(request, endpoint, now);
-        actions.send(request.id, timeoutNs, writtenBy, endpoint.name);
+        actions.send(request.id, timeoutNs, writeDeadline, endpoint.name);
     }
 }
--- a/decisions/src/main/java/trailthread/Balancer.java
+++ b/decisions/src/main/java/trailthread/Balancer.java
@@ -155,7 +155,7 @@
                         id,
                         classStats,
                         fairShare.tenant(tenant),
-                        hasAffinity ? affinity.spread(key, subset.size()) : key,
+                        hasAffinity ? affinity.spreadKey(key, subset.size()) : key,
                         workNs,
                         now,
                         deadline,
@@ -183,7 +183,7 @@
         Request request = requests.get(id);
         if (request != null) {
             request.finished = true;
-            forgetIfOver(request);
+            removeIfComplete(request);
         }
     }
 
@@ -205,8 +205,8 @@
     }
 
     private void sendableTimerDue(Request request, long now) {
-        boolean isOpen = request != null && !request.finished && !request.streaming;
-        if (isOpen && !rejectIfLate(request, now)) {
+        boolean isPending = request != null && !request.finished && !request.streaming;
+        if (isPending && !rejectIfLate(request, now)) {
             setSendableTimer(request, now);
         }
     }
@@ -237,10 +237,10 @@
 
     private void refuseOrFail(Request request) {
         responder.answer(request);
-        forgetIfOver(request);
+        removeIfComplete(request);
     }
 
-    private void forgetIfOver(Request request) {
+    private void removeIfComplete(Request request) {
         if (request.finished && request.inFlight() == 0) {
             requests.remove(request.id);
         }
@@ -254,7 +254,7 @@
         Attempt attempt = request == null ? null : request.attempt(number);
         if (attempt != null && !request.streaming) {
             request.streaming = true;
-            recorder.firstByte(request, attempt, now);
+            recorder.recordFirstByte(request, attempt, now);
         }
     }
 
@@ -272,8 +272,8 @@
         if (attempt == null) {
             return;
         }
-        request.end(attempt, outcome);
-        recorder.ended(request, attempt, latency, load, now);
+        request.endAttempt(attempt, outcome);
+        recorder.recordEnd(request, attempt, latency, load, now);
         if (outcome == Outcome.OK && closed && !request.finished) {
             priorities.served(request, now);
         }
@@ -281,7 +281,7 @@
         if (!request.finished && !request.streaming && request.inFlight() == 0) {
             retry(request, now);
         }
-        forgetIfOver(request);
+        removeIfComplete(request);
         queue.release(now);
     }
 
--- a/decisions/src/main/java/trailthread/ConcurrencyLimiter.java
+++ b/decisions/src/main/java/trailthread/ConcurrencyLimiter.java
@@ -17,35 +17,35 @@
     /**
      * Attempts that all nodes together start with at an endpoint, so that its idle latency shows.
      */
-    private static final double START_TOGETHER = 4;
+    private static final double INITIAL_TOTAL_LIMIT = 4;
 
     /** What all nodes' limits at an endpoint grow by together in a latency. */
-    private static final double GROWTH = 0.7;
+    private static final double TOTAL_GROWTH = 0.7;
 
     /** The same where other endpoints' responses are the evidence, for the whole headroom. */
-    private static final double PRIOR_GROWTH = 5.6;
+    private static final double TOTAL_PRIOR_GROWTH = 5.6;
 
     /** The part of its attempts that a node keeps as its limit when an endpoint rejects one. */
-    private static final double REJECTED_CUT = 0.7;
+    private static final double REJECTED_SHARE_KEPT = 0.7;
 
     /** The least limit: an endpoint that rejects is still tried often within an objective. */
-    private static final double LEAST_LIMIT = 1.0 / 16;
+    private static final double MIN_LIMIT = 1.0 / 16;
 
     /** Target latency, as a share of the mean latency objective. */
-    private static final double TARGET_OBJECTIVES = 0.4;
+    private static final double TARGET_OBJECTIVE_SHARE = 0.4;
 
     /** Target latency, at least so many idle latencies: an endpoint far away is slow when idle. */
-    private static final double LEAST_TARGET_IDLES = 1.3;
+    private static final double MIN_TARGET_IDLE_LATENCIES = 1.3;
 
     /** Target latency, at most so many idle latencies, where the endpoint's own is known. */
-    private static final double MOST_TARGET_IDLES = 1.8;
+    private static final double MAX_TARGET_IDLE_LATENCIES = 1.8;
 
     /** The limit of one endpoint. */
     static final class Limit {
         private double attempts;
 
         /** Redrawn at each outcome, so that the fractions of all nodes' limits add up. */
-        private double rounding;
+        private double roundingOffset;
     }
 
     private final ActiveSettings settings;
@@ -58,8 +58,8 @@
     private final RandomSource random;
 
     private double totalCapacity = 1;
-    private double totalRounding;
-    private long closedUntil;
+    private double totalRoundingOffset;
+    private long pausedUntil;
 
     ConcurrencyLimiter(
             ActiveSettings settings,
@@ -87,19 +87,19 @@
             if (endpoint.limit.attempts > 0) {
                 continue;
             }
-            double start = startLimit();
+            double initial = initialLimit();
             // Up to twice that, where this node could not have one attempt in flight otherwise.
-            double onePerNode = Math.min(2 * start, 1.0 / endpoints.size());
-            endpoint.limit.attempts = Math.max(start, onePerNode);
+            double onePerNode = Math.min(2 * initial, 1.0 / endpoints.size());
+            endpoint.limit.attempts = Math.max(initial, onePerNode);
         }
     }
 
-    private double startLimit() {
-        return START_TOGETHER / subset.sharers();
+    private double initialLimit() {
+        return INITIAL_TOTAL_LIMIT / subset.sharingNodes();
     }
 
-    private double leastLimit() {
-        return Math.min(LEAST_LIMIT, 1 / subset.sharers());
+    private double minLimit() {
+        return Math.min(MIN_LIMIT, 1 / subset.sharingNodes());
     }
 
     /**
@@ -108,12 +108,12 @@
      */
     void recordRejection(Endpoint endpoint) {
         double reached = Math.min(endpoint.limit.attempts, endpoint.inFlight.count() + 1);
-        endpoint.limit.attempts = Math.max(leastLimit(), REJECTED_CUT * reached);
+        endpoint.limit.attempts = Math.max(minLimit(), REJECTED_SHARE_KEPT * reached);
     }
 
     /** Cuts the limit of an endpoint that rests to that of a new one. */
-    void cutToStart(Endpoint endpoint) {
-        endpoint.limit.attempts = Math.min(endpoint.limit.attempts, startLimit());
+    void cutToInitialLimit(Endpoint endpoint) {
+        endpoint.limit.attempts = Math.min(endpoint.limit.attempts, initialLimit());
     }
 
     /**
@@ -121,51 +121,53 @@
      * the responses of all move its limit too, less the noise of their mean: a crowd overloads
      * endpoints long before each node hears from each.
      */
-    void adjust(Endpoint answered, long now) {
-        boolean used = inFlight.total() + 2 > totalCapacity;
+    void adjust(Endpoint responder, long now) {
+        boolean nearCapacity = inFlight.total() + 2 > totalCapacity;
         double variance = estimator.allEndpoints().logVariance();
         double noise = Math.exp(-Math.sqrt(variance * LatencyStats.LATENCY_WEIGHT));
         List<Endpoint> endpoints = subset.endpoints();
         for (int i = 0; i < endpoints.size(); i++) {
             Endpoint endpoint = endpoints.get(i);
-            double prior = endpoint == answered ? 0 : priorShare(endpoint, now);
-            adjustByPrior(endpoint, noise, prior, used, now);
+            double prior = endpoint == responder ? 0 : priorWeight(endpoint, now);
+            adjustByAllResponses(endpoint, noise, prior, nearCapacity, now);
         }
-        adjustByOwn(answered, used, now);
+        adjustByOwnResponses(responder, nearCapacity, now);
     }
 
     /** How far the responses of all endpoints count for this one, 0 to 1. */
-    private double priorShare(Endpoint endpoint, long now) {
+    private double priorWeight(Endpoint endpoint, long now) {
         double own = endpoint.latency.recentResponses(now, means.objectiveNs());
         double share = LatencyStats.PRIOR_RESPONSES / (LatencyStats.PRIOR_RESPONSES + own);
         return share * share;
     }
 
-    private void adjustByPrior(
-            Endpoint endpoint, double noise, double prior, boolean used, long now) {
+    private void adjustByAllResponses(
+            Endpoint endpoint, double noise, double prior, boolean nearCapacity, long now) {
         Limit limit = endpoint.limit;
         double excess = noise * estimator.latencyNs(endpoint, now) / targetLatencyNs(endpoint) - 1;
         if (excess > 0) {
             double cut = 1 - Math.min(1, excess) * prior;
-            limit.attempts = Math.max(leastLimit(), limit.attempts * cut);
-        } else if (used) {
-            double nodes = subset.sharers() * Math.max(1 / START_TOGETHER, totalCapacity);
-            limit.attempts += PRIOR_GROWTH * -excess * prior / nodes;
+            limit.attempts = Math.max(minLimit(), limit.attempts * cut);
+        } else if (nearCapacity) {
+            double totalLimit =
+                    subset.sharingNodes() * Math.max(1 / INITIAL_TOTAL_LIMIT, totalCapacity);
+            limit.attempts += TOTAL_PRIOR_GROWTH * -excess * prior / totalLimit;
         }
     }
 
-    private void adjustByOwn(Endpoint endpoint, boolean used, long now) {
+    private void adjustByOwnResponses(Endpoint endpoint, boolean nearCapacity, long now) {
         Limit limit = endpoint.limit;
         int count = endpoint.inFlight.count();
         double excess = estimator.latencyNs(endpoint, now) / targetLatencyNs(endpoint) - 1;
         if (excess > 0) {
             double reached =
-                    Math.min(limit.attempts, Math.max(count, endpoint.latency.depth()) + 1);
+                    Math.min(limit.attempts, Math.max(count, endpoint.latency.meanInFlight()) + 1);
             double cut = 1 - LatencyStats.LATENCY_WEIGHT * Math.min(1, excess);
-            limit.attempts = Math.max(leastLimit(), reached * cut);
-        } else if (count + 2 > limit.attempts || used) {
-            double nodes = subset.sharers() * Math.max(1 / START_TOGETHER, limit.attempts);
-            limit.attempts += GROWTH / nodes;
+            limit.attempts = Math.max(minLimit(), reached * cut);
+        } else if (count + 2 > limit.attempts || nearCapacity) {
+            double totalLimit =
+                    subset.sharingNodes() * Math.max(1 / INITIAL_TOTAL_LIMIT, limit.attempts);
+            limit.attempts += TOTAL_GROWTH / totalLimit;
         }
     }
 
@@ -174,18 +176,20 @@
         double ownIdleNs = endpoint.latency.idleNs();
         double idleNs = Math.max(estimator.idleNs(endpoint), settings.latencyResolutionNs());
         double targetNs =
-                Math.max(TARGET_OBJECTIVES * means.objectiveNs(), LEAST_TARGET_IDLES * idleNs);
-        return ownIdleNs > 0 ? Math.min(targetNs, MOST_TARGET_IDLES * idleNs) : targetNs;
+                Math.max(
+                        TARGET_OBJECTIVE_SHARE * means.objectiveNs(),
+                        MIN_TARGET_IDLE_LATENCIES * idleNs);
+        return ownIdleNs > 0 ? Math.min(targetNs, MAX_TARGET_IDLE_LATENCIES * idleNs) : targetNs;
     }
 
     /**
      * How many attempts this node may have in flight at an endpoint; below one: for what share of
      * the time it may have one.
      *
-     * @param paceNs the endpoint's {@link LoadEstimator#paceNs}
+     * @param timePerRequestNs the endpoint's {@link LoadEstimator#timePerRequestNs}
      */
-    double capacity(Endpoint endpoint, double paceNs) {
-        return Math.min(endpoint.limit.attempts, targetLatencyNs(endpoint) / paceNs);
+    double capacity(Endpoint endpoint, double timePerRequestNs) {
+        return Math.min(endpoint.limit.attempts, targetLatencyNs(endpoint) / timePerRequestNs);
     }
 
     /**
@@ -194,13 +198,15 @@
      */
     void updateTotal(long now) {
         totalCapacity = 0;
-        boolean suspended = outliers.isSuspended();
+        boolean ejectionSuspended = outliers.isEjectionSuspended();
         List<Endpoint> endpoints = subset.endpoints();
         for (int i = 0; i < endpoints.size(); i++) {
             Endpoint endpoint = endpoints.get(i);
-            if (endpoint.isReady() && (suspended || !endpoint.health.isSuspect())) {
-                double warm = slowStart.capacityShare(endpoint, now);
-                totalCapacity += warm * capacity(endpoint, estimator.paceNs(endpoint, now));
+            if (endpoint.isReady() && (ejectionSuspended || !endpoint.health.isSuspect())) {
+                double capacityShare = slowStart.capacityShare(endpoint, now);
+                totalCapacity +=
+                        capacityShare
+                                * capacity(endpoint, estimator.timePerRequestNs(endpoint, now));
             }
         }
     }
@@ -212,16 +218,18 @@
      * once.
      */
     void attemptEnded(Endpoint endpoint, long now) {
-        endpoint.limit.rounding = random.uniform();
-        totalRounding = random.uniform();
+        endpoint.limit.roundingOffset = random.uniform();
+        totalRoundingOffset = random.uniform();
         updateTotal(now);
         if (totalCapacity > 0 && totalCapacity < 1 && inFlight.total() == 0) {
-            double allNs = estimator.allEndpoints().latencyNs();
+            double meanLatencyNs = estimator.allEndpoints().latencyNs();
             double objectiveNs = means.objectiveNs();
             double latencyNs =
-                    allNs > 0 ? Math.min(allNs, objectiveNs) : objectiveNs * TARGET_OBJECTIVES;
-            double idleShare = 1 / Math.max(totalCapacity, LEAST_LIMIT) - 1;
-            closedUntil = now + random.jittered(latencyNs * idleShare);
+                    meanLatencyNs > 0
+                            ? Math.min(meanLatencyNs, objectiveNs)
+                            : objectiveNs * TARGET_OBJECTIVE_SHARE;
+            double pauseLatencies = 1 / Math.max(totalCapacity, MIN_LIMIT) - 1;
+            pausedUntil = now + random.jittered(latencyNs * pauseLatencies);
         }
     }
 
@@ -233,16 +241,17 @@
      * @param capacity the endpoint's {@link #capacity}
      */
     boolean isOpen(Endpoint endpoint, double capacity, long now) {
-        return now >= closedUntil && hasTotalCapacity() && hasCapacity(endpoint, capacity);
+        return now >= pausedUntil && hasTotalCapacity() && hasCapacity(endpoint, capacity);
     }
 
     private boolean hasTotalCapacity() {
         int total = inFlight.total();
-        return total == 0 || total + totalRounding < totalCapacity;
+        return total == 0 || total + totalRoundingOffset < totalCapacity;
     }
 
     private static boolean hasCapacity(Endpoint endpoint, double capacity) {
         int count = endpoint.inFlight.count();
-        return count == 0 || endpoint.load.queue() + count + endpoint.limit.rounding < capacity;
+        return count == 0
+                || endpoint.load.queue() + count + endpoint.limit.roundingOffset < capacity;
     }
 }
--- a/decisions/src/main/java/trailthread/DemandStats.java
+++ b/decisions/src/main/java/trailthread/DemandStats.java
@@ -5,8 +5,8 @@
     final DecayingCounter requested;
     final DecayingCounter served;
 
-    DemandStats(long memoryNs, long now) {
-        requested = new DecayingCounter(memoryNs, now);
-        served = new DecayingCounter(memoryNs, now);
+    DemandStats(long decayNs, long now) {
+        requested = new DecayingCounter(decayNs, now);
+        served = new DecayingCounter(decayNs, now);
     }
 }
--- a/decisions/src/main/java/trailthread/Endpoint.java
+++ b/decisions/src/main/java/trailthread/Endpoint.java
@@ -15,7 +15,7 @@
 
     final LatencyStats latency = new LatencyStats();
     final ReportedLoad load = new ReportedLoad();
-    final InFlightTracker.AtEndpoint inFlight = new InFlightTracker.AtEndpoint();
+    final InFlightTracker.EndpointAttempts inFlight = new InFlightTracker.EndpointAttempts();
     final OutlierDetector.Health health = new OutlierDetector.Health();
     final ConcurrencyLimiter.Limit limit = new ConcurrencyLimiter.Limit();
 
--- a/decisions/src/main/java/trailthread/EndpointDirectory.java
+++ b/decisions/src/main/java/trailthread/EndpointDirectory.java
@@ -51,7 +51,7 @@
         list.update(kind, entries, now);
         selectSubset(now);
         polls.received(kind);
-        healthChecker.startIfWanted(now);
+        healthChecker.startIfConfigured(now);
         limiter.updateTotal(now);
     }
 
--- a/decisions/src/main/java/trailthread/EndpointList.java
+++ b/decisions/src/main/java/trailthread/EndpointList.java
@@ -70,7 +70,7 @@
         if (known == null) {
             listed.add(fresh);
         }
-        slowStart.announced(entry, now);
+        slowStart.endpointAnnounced(entry, now);
         fresh.update(entry);
         return restarted;
     }
--- a/decisions/src/main/java/trailthread/EndpointPicker.java
+++ b/decisions/src/main/java/trailthread/EndpointPicker.java
@@ -12,7 +12,7 @@
      * A request may go to an endpoint again that it was sent to before, once its last attempt was
      * sent longer ago than this part of the tightest latency objective.
      */
-    private static final int SAME_ENDPOINT_OBJECTIVE_PARTS = 8;
+    private static final int SAME_ENDPOINT_OBJECTIVE_DIVISOR = 8;
 
     private final ActiveSettings settings;
     private final WorkloadMeans means;
@@ -77,9 +77,9 @@
                             && (maySendAgain || !request.wasSentTo(endpoint))
                             && (ejectionSuspended || outliers.permits(endpoint, request, now));
             if (eligible) {
-                double paceNs = estimator.paceNs(endpoint, now);
-                if (limiter.isOpen(endpoint, limiter.capacity(endpoint, paceNs), now)) {
-                    candidates.open(i, estimator.predictedNs(endpoint, paceNs));
+                double timePerRequestNs = estimator.timePerRequestNs(endpoint, now);
+                if (limiter.isOpen(endpoint, limiter.capacity(endpoint, timePerRequestNs), now)) {
+                    candidates.open(i, estimator.predictedNs(endpoint, timePerRequestNs));
                 }
             }
         }
@@ -87,8 +87,8 @@
 
     private boolean maySendToSameEndpoint(Request request, long now) {
         Attempt last = request.lastAttempt();
-        long sinceNs = settings.tightestObjectiveNs() / SAME_ENDPOINT_OBJECTIVE_PARTS;
-        return last != null && now - last.sentAt > sinceNs;
+        long minIntervalNs = settings.tightestObjectiveNs() / SAME_ENDPOINT_OBJECTIVE_DIVISOR;
+        return last != null && now - last.sentAt > minIntervalNs;
     }
 
     private boolean isEligible(Request request, Endpoint endpoint, long now) {
--- a/decisions/src/main/java/trailthread/EndpointSubset.java
+++ b/decisions/src/main/java/trailthread/EndpointSubset.java
@@ -6,7 +6,7 @@
 /** The listed endpoints that this node sends to: all, or its part; see {@link SubsetSelector}. */
 final class EndpointSubset {
     private final List<Endpoint> endpoints = new ArrayList<>();
-    private double sharers = 1;
+    private double sharingNodes = 1;
 
     List<Endpoint> endpoints() {
         return endpoints;
@@ -17,14 +17,14 @@
     }
 
     /** How many nodes send to each endpoint, as far as this node can see; at least 1. */
-    double sharers() {
-        return sharers;
+    double sharingNodes() {
+        return sharingNodes;
     }
 
     /** Replaces the subset. */
-    void replace(List<Endpoint> next, double nextSharers) {
+    void replace(List<Endpoint> next, double nextSharingNodes) {
         endpoints.clear();
         endpoints.addAll(next);
-        sharers = nextSharers;
+        sharingNodes = nextSharingNodes;
     }
 }
--- a/decisions/src/main/java/trailthread/FairShare.java
+++ b/decisions/src/main/java/trailthread/FairShare.java
@@ -16,44 +16,44 @@
  */
 final class FairShare {
     /** Memory of demand and service, in longest deadlines: long against one request. */
-    private static final double MEMORY_DEADLINES = 20;
+    private static final double DECAY_DEADLINES = 20;
 
     private final Map<String, RequestClassStats> classes = new LinkedHashMap<>();
 
     /** Also the classes of earlier settings, whose requests may still be in flight. */
-    private final Map<String, RequestClassStats> everyClass = new HashMap<>();
+    private final Map<String, RequestClassStats> allClasses = new HashMap<>();
 
     private final Map<String, TenantStats> tenants = new LinkedHashMap<>();
 
     /** Takes over the settings' classes and tenants; those that stay the same keep their counts. */
     void retune(ActiveSettings active, long now) {
         Settings settings = active.get();
-        long memoryNs = memoryNs(active);
+        long decayNs = decayNs(active);
         classes.clear();
         for (RequestClass c : settings.classes) {
-            RequestClassStats fresh = new RequestClassStats(c, memoryNs, now);
+            RequestClassStats fresh = new RequestClassStats(c, decayNs, now);
             classes.put(
                     c.name(),
-                    everyClass.merge(
+                    allClasses.merge(
                             c.name(),
                             fresh,
                             (known, next) -> known.rules.equals(c) ? known : next));
         }
         for (Tenant t : settings.tenants) {
-            TenantStats fresh = new TenantStats(t, memoryNs, settings.overloadWindowNs, now);
+            TenantStats fresh = new TenantStats(t, decayNs, settings.overloadWindowNs, now);
             tenants.merge(t.name(), fresh, (known, next) -> known.tenant.equals(t) ? known : next);
         }
     }
 
-    static long memoryNs(ActiveSettings active) {
-        return (long) (MEMORY_DEADLINES * active.longestDeadlineNs());
+    static long decayNs(ActiveSettings active) {
+        return (long) (DECAY_DEADLINES * active.longestDeadlineNs());
     }
 
     /**
      * @throws IllegalArgumentException if no settings have had this class
      */
     RequestClassStats requestClass(String name) {
-        RequestClassStats found = everyClass.get(name);
+        RequestClassStats found = allClasses.get(name);
         if (found == null) {
             throw new IllegalArgumentException("classes: none is named " + name);
         }
--- a/decisions/src/main/java/trailthread/HealthChecker.java
+++ b/decisions/src/main/java/trailthread/HealthChecker.java
@@ -37,7 +37,7 @@
     }
 
     /** Begins, once, where the settings want it. */
-    void startIfWanted(long now) {
+    void startIfConfigured(long now) {
         Settings s = settings.get();
         if (!running && s.mayCheckHealth && s.reports == LoadReportSource.HEALTH_CHECKS) {
             running = true;
--- a/decisions/src/main/java/trailthread/InFlightTracker.java
+++ b/decisions/src/main/java/trailthread/InFlightTracker.java
@@ -13,8 +13,8 @@
  * <ul>
  *   <li>one that a later attempt has overtaken, after {@link #OVERTAKEN_LATENCIES} usual latencies
  *       (a long request may be overtaken, too, so it has more time);
- *   <li>one that none has overtaken, after {@link #SILENT_LATENCIES} usual latencies, doubled for
- *       each such attempt before it: its capacity is free then for an idempotent trial.
+ *   <li>one that none has overtaken, after {@link #NOT_OVERTAKEN_LATENCIES} usual latencies,
+ *       doubled for each such attempt before it: its capacity is free then for an idempotent trial.
  * </ul>
  */
 final class InFlightTracker {
@@ -22,19 +22,19 @@
     private static final double OVERTAKEN_LATENCIES = 5;
 
     /** Usual latencies after which an attempt that none has overtaken counts as lost. */
-    private static final double SILENT_LATENCIES = 2.5;
+    private static final double NOT_OVERTAKEN_LATENCIES = 2.5;
 
-    private static final int MOST_DOUBLINGS = 5;
+    private static final int MAX_DOUBLINGS = 5;
 
     /** The attempts at one endpoint. */
-    static final class AtEndpoint {
+    static final class EndpointAttempts {
         /** From the oldest that counts as in flight on. */
         private final ArrayDeque<Attempt> sent = new ArrayDeque<>();
 
         private int count;
-        private int unanswered;
+        private int presumedLost;
         private long newestAnsweredSentAt;
-        private long lastSignAt;
+        private long silentSince;
 
         /** Attempts in flight. */
         int count() {
@@ -42,13 +42,13 @@
         }
 
         /** Attempts that seem lost, with no response to a later one. */
-        int unanswered() {
-            return unanswered;
+        int presumedLost() {
+            return presumedLost;
         }
 
         /** Whether a response is awaited, or seems lost. */
-        boolean isAwaited() {
-            return count + unanswered > 0;
+        boolean isAwaitingResponse() {
+            return count + presumedLost > 0;
         }
 
         /** When the newest attempt that was answered had been sent. */
@@ -57,8 +57,8 @@
         }
 
         /** When it last ended an attempt in any way, or got one while it had none. */
-        long lastSignAt() {
-            return lastSignAt;
+        long silentSince() {
+            return silentSince;
         }
     }
 
@@ -66,7 +66,7 @@
     private final WorkloadMeans means;
 
     /** Endpoints with attempts in flight: of thousands, few. */
-    private final Set<Endpoint> awaited = new LinkedHashSet<>();
+    private final Set<Endpoint> awaitedEndpoints = new LinkedHashSet<>();
 
     private int total;
 
@@ -82,34 +82,34 @@
 
     /** Begins an attempt. */
     void begin(Request request, Endpoint endpoint, long now) {
-        AtEndpoint at = endpoint.inFlight;
-        if (!at.isAwaited()) {
-            at.lastSignAt = now;
+        EndpointAttempts attempts = endpoint.inFlight;
+        if (!attempts.isAwaitingResponse()) {
+            attempts.silentSince = now;
         }
-        Attempt attempt = new Attempt(endpoint, now, at.count);
-        request.add(attempt);
-        at.sent.add(attempt);
-        awaited.add(endpoint);
-        at.count++;
+        Attempt attempt = new Attempt(endpoint, now, attempts.count);
+        request.addAttempt(attempt);
+        attempts.sent.add(attempt);
+        awaitedEndpoints.add(endpoint);
+        attempts.count++;
         total++;
         endpoint.load.attemptSent();
     }
 
     /** An attempt has ended in some way. */
     void end(Attempt attempt, long now) {
-        AtEndpoint at = attempt.endpoint.inFlight;
-        boolean seemedLost = !release(attempt);
-        if (seemedLost) {
-            at.unanswered -= Math.min(1, at.unanswered);
+        EndpointAttempts attempts = attempt.endpoint.inFlight;
+        boolean wasPresumedLost = !release(attempt);
+        if (wasPresumedLost) {
+            attempts.presumedLost -= Math.min(1, attempts.presumedLost);
         }
-        at.lastSignAt = now;
+        attempts.silentSince = now;
     }
 
     /** An attempt was answered with success: those sent later and not answered are not lost. */
-    void answered(Attempt attempt) {
-        AtEndpoint at = attempt.endpoint.inFlight;
-        at.newestAnsweredSentAt = Math.max(at.newestAnsweredSentAt, attempt.sentAt);
-        at.unanswered = 0;
+    void recordResponse(Attempt attempt) {
+        EndpointAttempts attempts = attempt.endpoint.inFlight;
+        attempts.newestAnsweredSentAt = Math.max(attempts.newestAnsweredSentAt, attempt.sentAt);
+        attempts.presumedLost = 0;
     }
 
     /**
@@ -119,10 +119,10 @@
      * @return whether it had counted until now
      */
     boolean release(Attempt attempt) {
-        if (!attempt.counted) {
+        if (!attempt.countedInFlight) {
             return false;
         }
-        attempt.counted = false;
+        attempt.countedInFlight = false;
         attempt.endpoint.inFlight.count--;
         attempt.endpoint.load.attemptEnded();
         total--;
@@ -131,36 +131,36 @@
 
     /** Stops counting attempts that seem lost. */
     void releaseLost(long now) {
-        awaited.forEach(endpoint -> releaseLost(endpoint, now));
-        awaited.removeIf(endpoint -> endpoint.inFlight.sent.isEmpty());
+        awaitedEndpoints.forEach(endpoint -> releaseLost(endpoint, now));
+        awaitedEndpoints.removeIf(endpoint -> endpoint.inFlight.sent.isEmpty());
     }
 
     private void releaseLost(Endpoint endpoint, long now) {
-        AtEndpoint at = endpoint.inFlight;
-        for (Attempt oldest = at.sent.peek(); oldest != null; oldest = at.sent.peek()) {
+        EndpointAttempts attempts = endpoint.inFlight;
+        for (Attempt oldest = attempts.sent.peek(); oldest != null; oldest = attempts.sent.peek()) {
             if (oldest.outcome == null) {
-                boolean overtaken = oldest.sentAt < at.newestAnsweredSentAt;
-                if (!seemsLost(oldest, overtaken, now)) {
+                boolean overtaken = oldest.sentAt < attempts.newestAnsweredSentAt;
+                if (!isPresumedLost(oldest, overtaken, now)) {
                     return;
                 }
-                boolean counted = release(oldest);
-                if (counted && !overtaken) {
-                    at.unanswered++;
+                boolean wasCounted = release(oldest);
+                if (wasCounted && !overtaken) {
+                    attempts.presumedLost++;
                 }
             }
-            at.sent.remove();
+            attempts.sent.remove();
         }
     }
 
-    private boolean seemsLost(Attempt attempt, boolean overtaken, long now) {
+    private boolean isPresumedLost(Attempt attempt, boolean overtaken, long now) {
         double knownNs = Math.max(attempt.endpoint.latency.latencyNs(), means.latencyNs());
         if (knownNs == 0) {
             return false;
         }
         double usualNs = Math.max(knownNs, settings.latencyResolutionNs());
-        int unanswered = attempt.endpoint.inFlight.unanswered;
-        int doublings = overtaken ? 0 : Math.min(unanswered, MOST_DOUBLINGS);
-        double latencies = overtaken ? OVERTAKEN_LATENCIES : SILENT_LATENCIES;
+        int presumedLost = attempt.endpoint.inFlight.presumedLost;
+        int doublings = overtaken ? 0 : Math.min(presumedLost, MAX_DOUBLINGS);
+        double latencies = overtaken ? OVERTAKEN_LATENCIES : NOT_OVERTAKEN_LATENCIES;
         return now - attempt.sentAt >= latencies * usualNs * (1 << doublings);
     }
 }
--- a/decisions/src/main/java/trailthread/KeyAffinity.java
+++ b/decisions/src/main/java/trailthread/KeyAffinity.java
@@ -19,7 +19,7 @@
     private static final double LOAD_BOUND = 1.5;
 
     /** Requests after which the counts of keys are halved. */
-    private static final double REQUESTS_REMEMBERED = 1000;
+    private static final double HALVING_COUNT = 1000;
 
     /** No endpoint is open to the key. */
     static final int NONE = -1;
@@ -28,10 +28,10 @@
     private final RandomSource random;
 
     /** How often each key came of late. */
-    private final Map<Long, Double> seen = new LinkedHashMap<>();
+    private final Map<Long, Double> countsByKey = new LinkedHashMap<>();
 
     /** How often all keys came of late, together. */
-    private double seenInAll;
+    private double totalCount;
 
     KeyAffinity(ActiveSettings settings, RandomSource random) {
         this.settings = settings;
@@ -45,21 +45,21 @@
      *
      * @param endpoints how many this node sends to
      */
-    long spread(long key, int endpoints) {
-        double count = seen.merge(key, 1.0, Double::sum);
-        seenInAll++;
-        if (seenInAll > REQUESTS_REMEMBERED) {
+    long spreadKey(long key, int endpoints) {
+        double count = countsByKey.merge(key, 1.0, Double::sum);
+        totalCount++;
+        if (totalCount > HALVING_COUNT) {
             halveCounts();
         }
-        double certain = Math.max(0, count - Math.sqrt(count)) / seenInAll;
-        int parts = (int) Math.ceil(certain * endpoints / LOAD_BOUND);
+        double certainShare = Math.max(0, count - Math.sqrt(count)) / totalCount;
+        int parts = (int) Math.ceil(certainShare * endpoints / LOAD_BOUND);
         return parts <= 1 ? key : HashMixer.mix(key + random.below(parts));
     }
 
     private void halveCounts() {
-        seenInAll /= 2;
-        seen.replaceAll((key, count) -> count / 2);
-        seen.values().removeIf(count -> count < 1);
+        totalCount /= 2;
+        countsByKey.replaceAll((key, count) -> count / 2);
+        countsByKey.values().removeIf(count -> count < 1);
     }
 
     /**
@@ -71,11 +71,11 @@
         WeightMeaning meaning = settings.get().weights;
         boolean byWeight = meaning == WeightMeaning.NOMINAL || meaning == WeightMeaning.ROUGH;
         double inFlight = 1;
-        double sizes = 0;
+        double totalSize = 0;
         for (int i = 0; i < endpoints.size(); i++) {
             if (candidates.isOpen(i)) {
                 inFlight += endpoints.get(i).inFlight.count();
-                sizes += endpoints.get(i).size(byWeight);
+                totalSize += endpoints.get(i).size(byWeight);
             }
         }
         int home = NONE;
@@ -83,7 +83,8 @@
         for (int i = 0; i < endpoints.size(); i++) {
             Endpoint endpoint = endpoints.get(i);
             double size = endpoint.size(byWeight);
-            boolean withinBound = endpoint.inFlight.count() < LOAD_BOUND * inFlight * size / sizes;
+            boolean withinBound =
+                    endpoint.inFlight.count() < LOAD_BOUND * inFlight * size / totalSize;
             if (candidates.isOpen(i) && withinBound) {
                 double score = size / -Math.log(HashMixer.unit(key ^ endpoint.hash));
                 home = score > highest ? i : home;
--- a/decisions/src/main/java/trailthread/LatencyStats.java
+++ b/decisions/src/main/java/trailthread/LatencyStats.java
@@ -13,7 +13,7 @@
     static final double LATENCY_WEIGHT = 0.1;
 
     /** Memory of the present latency where responses are rare, in mean latency objectives. */
-    static final double MEMORY_OBJECTIVES = 5;
+    static final double DECAY_OBJECTIVES = 5;
 
     /** Weight of all endpoints' responses in the estimate for one, in responses of its own. */
     static final double PRIOR_RESPONSES = 2;
@@ -22,13 +22,13 @@
     private static final double SLOW_WEIGHT = 0.02;
 
     /** Responses before the slow mean is trusted as an idle latency. */
-    private static final double LEAST_RESPONSES_FOR_IDLE = 1 / SLOW_WEIGHT / 4;
+    private static final double MIN_RESPONSES_FOR_IDLE = 1 / SLOW_WEIGHT / 4;
 
     private double latencyNs;
     private double logLatency;
-    private double depth;
+    private double meanInFlight;
     private double idleNs;
-    private double slowLog;
+    private double slowLogLatency;
     private double recentResponses;
     private int responses;
     private long recordedAt;
@@ -39,49 +39,49 @@
      *
      * @param inFlightAtSend this node's attempts at the endpoint when it was sent
      * @param objectiveNs the mean latency objective
-     * @param idleMemoryNs the time in which the idle latency drifts up by its own value
+     * @param idleDriftNs the time in which the idle latency drifts up by its own value
      */
     void record(
             double responseNs,
             int inFlightAtSend,
             double objectiveNs,
-            double idleMemoryNs,
+            double idleDriftNs,
             long now) {
         double log = Math.log(Math.max(1, responseNs));
-        double stale = 1 - Math.exp(-(now - recordedAt) / (MEMORY_OBJECTIVES * objectiveNs));
+        double staleWeight = 1 - Math.exp(-(now - recordedAt) / (DECAY_OBJECTIVES * objectiveNs));
         recentResponses = 1 + recentResponses(now, objectiveNs);
-        double weight = latencyNs == 0 ? 1 : Math.max(LATENCY_WEIGHT, stale);
+        double weight = latencyNs == 0 ? 1 : Math.max(LATENCY_WEIGHT, staleWeight);
         if (latencyNs != 0) {
             logVariance += LATENCY_WEIGHT * (Math.pow(log - logLatency, 2) - logVariance);
         }
         logLatency += weight * (log - logLatency);
         latencyNs = Math.exp(logLatency);
-        depth += weight * (inFlightAtSend - depth);
+        meanInFlight += weight * (inFlightAtSend - meanInFlight);
         responses++;
-        slowLog += Math.max(SLOW_WEIGHT, 1.0 / responses) * (log - slowLog);
-        if (responses >= LEAST_RESPONSES_FOR_IDLE) {
-            recordIdle(idleMemoryNs, now);
+        slowLogLatency += Math.max(SLOW_WEIGHT, 1.0 / responses) * (log - slowLogLatency);
+        if (responses >= MIN_RESPONSES_FOR_IDLE) {
+            recordIdle(idleDriftNs, now);
         }
         recordedAt = now;
     }
 
-    private void recordIdle(double idleMemoryNs, long now) {
-        double slowNs = Math.exp(slowLog);
-        double drifted = idleNs * (1 + (now - recordedAt) / idleMemoryNs);
+    private void recordIdle(double idleDriftNs, long now) {
+        double slowNs = Math.exp(slowLogLatency);
+        double drifted = idleNs * (1 + (now - recordedAt) / idleDriftNs);
         idleNs = idleNs == 0 ? slowNs : Math.min(slowNs, drifted);
     }
 
-    /** Responses of late, fading over {@link #MEMORY_OBJECTIVES} objectives. */
+    /** Responses of late, fading over {@link #DECAY_OBJECTIVES} objectives. */
     double recentResponses(long now, double objectiveNs) {
         if (recentResponses == 0) {
             return 0;
         }
-        return recentResponses * Math.exp(-(now - recordedAt) / (MEMORY_OBJECTIVES * objectiveNs));
+        return recentResponses * Math.exp(-(now - recordedAt) / (DECAY_OBJECTIVES * objectiveNs));
     }
 
     /** How much slower it is than all together, as a logarithm, as far as its responses show. */
     double relativeSlowness(LatencyStats all) {
-        return (slowLog - all.slowLog) * responses / (responses + PRIOR_RESPONSES);
+        return (slowLogLatency - all.slowLogLatency) * responses / (responses + PRIOR_RESPONSES);
     }
 
     /** The present latency in nanoseconds; 0: no response has come. */
@@ -95,8 +95,8 @@
     }
 
     /** Mean number of this node's attempts that were in flight when one was sent. */
-    double depth() {
-        return depth;
+    double meanInFlight() {
+        return meanInFlight;
     }
 
     /** The latency when idle, in nanoseconds; 0: not known yet. */
--- a/decisions/src/main/java/trailthread/ListPollSchedule.java
+++ b/decisions/src/main/java/trailthread/ListPollSchedule.java
@@ -13,21 +13,21 @@
  */
 final class ListPollSchedule {
     /** Polls in a poll interval that all nodes together begin with; halved for each in vain. */
-    private static final double FIRST_POLLS_PER_INTERVAL = 400;
+    private static final double INITIAL_POLLS_PER_INTERVAL = 400;
 
     /** The longest backoff, in poll intervals. */
-    private static final double LONGEST_BACKOFF_INTERVALS = 2;
+    private static final double MAX_BACKOFF_INTERVALS = 2;
 
-    private static final int MOST_DOUBLINGS = 16;
+    private static final int MAX_DOUBLINGS = 16;
 
     /** The least time before a poll that failed at once is repeated, in nanoseconds. */
-    private static final double LEAST_RETRY_NS = 1e9;
+    private static final double MIN_RETRY_NS = 1e9;
 
     /** The longest such time; with jitter within {@link ListLease#NOTIFICATION_DUE_NS}. */
-    private static final double MOST_RETRY_NS = 5e9;
+    private static final double MAX_RETRY_NS = 5e9;
 
     /** First polls, of a start or after a broken watch, are spread over this, in nanoseconds. */
-    private static final double FIRST_POLL_NS = 4.4e9;
+    private static final double MAX_FIRST_POLL_NS = 4.4e9;
 
     /** A poll that brings nothing is repeated after this share of the poll interval. */
     private static final double REPEAT_SHARE = 0.25;
@@ -40,11 +40,11 @@
     private final RandomSource random;
 
     private boolean watching;
-    private int failedPolls;
+    private int failedQueuedPolls;
     private long serial;
 
     /** When the poll under way began; {@link Long#MAX_VALUE}: none is. */
-    private long polledAt = Long.MAX_VALUE;
+    private long pollSentAt = Long.MAX_VALUE;
 
     ListPollSchedule(ActiveSettings settings, BalancerActions actions, RandomSource random) {
         this.settings = settings;
@@ -54,49 +54,49 @@
 
     /** The poll or the watch under way has failed; sets the next poll. */
     void failed(long now) {
-        double waitedNs = polledAt == Long.MAX_VALUE ? 0 : now - polledAt;
-        polledAt = Long.MAX_VALUE;
-        boolean inVain = waitedNs > ListLease.QUEUED_POLL_NS;
-        if (inVain && failedPolls > 0) {
-            pollIn((0.5 + random.uniform()) * backoffNs());
+        double waitedNs = pollSentAt == Long.MAX_VALUE ? 0 : now - pollSentAt;
+        pollSentAt = Long.MAX_VALUE;
+        boolean wasQueued = waitedNs > ListLease.QUEUED_POLL_NS;
+        if (wasQueued && failedQueuedPolls > 0) {
+            schedulePoll((0.5 + random.uniform()) * backoffNs());
         } else {
             // At a fixed pace from poll to poll, the first in vain too: whenever discovery comes
             // back, the polls of all nodes come evenly spread.
-            double fraction = watching ? random.uniform() : 1;
-            pollIn(Math.max(0, fraction * retryNs() - waitedNs));
+            double spread = watching ? random.uniform() : 1;
+            schedulePoll(Math.max(0, spread * retryNs() - waitedNs));
         }
-        failedPolls += inVain ? 1 : 0;
+        failedQueuedPolls += wasQueued ? 1 : 0;
         watching = false;
     }
 
     private double backoffNs() {
-        double longestNs = LONGEST_BACKOFF_INTERVALS * settings.get().pollIntervalNs;
-        return Math.min(longestNs, spreadNs() * (1 << Math.min(failedPolls, MOST_DOUBLINGS)));
+        double maxNs = MAX_BACKOFF_INTERVALS * settings.get().pollIntervalNs;
+        return Math.min(maxNs, roundNs() * (1 << Math.min(failedQueuedPolls, MAX_DOUBLINGS)));
     }
 
     private double retryNs() {
-        double mostNs = watching ? FIRST_POLL_NS : MOST_RETRY_NS;
-        return Math.min(Math.max(SPREAD_MULTIPLE * spreadNs(), LEAST_RETRY_NS), mostNs);
+        double maxNs = watching ? MAX_FIRST_POLL_NS : MAX_RETRY_NS;
+        return Math.min(Math.max(SPREAD_MULTIPLE * roundNs(), MIN_RETRY_NS), maxNs);
     }
 
     /** The time in which all nodes poll once. */
-    private double spreadNs() {
+    private double roundNs() {
         Settings s = settings.get();
         double intervalNs = s.pollIntervalNs;
-        return s.nodes / FIRST_POLLS_PER_INTERVAL * intervalNs;
+        return s.nodes / INITIAL_POLLS_PER_INTERVAL * intervalNs;
     }
 
     /** A list has come; sets the first poll where it must be asked for and none is watched. */
     void received(ListKind kind) {
-        polledAt = Long.MAX_VALUE;
+        pollSentAt = Long.MAX_VALUE;
         watching = kind != ListKind.CACHED;
-        failedPolls = watching ? 0 : failedPolls;
+        failedQueuedPolls = watching ? 0 : failedQueuedPolls;
         Settings s = settings.get();
         if (s.listIsPolled && !watching) {
             // A node alone need not wait for others.
-            double othersNs = SPREAD_MULTIPLE * (spreadNs() - spreadNs() / s.nodes);
-            double longestNs = Math.min(othersNs, FIRST_POLL_NS);
-            pollIn(random.uniform() * longestNs / (1 + RandomSource.JITTER));
+            double othersNs = SPREAD_MULTIPLE * (roundNs() - roundNs() / s.nodes);
+            double maxNs = Math.min(othersNs, MAX_FIRST_POLL_NS);
+            schedulePoll(random.uniform() * maxNs / (1 + RandomSource.JITTER));
         }
     }
 
@@ -105,12 +105,12 @@
         if (timerSerial != serial || watching) {
             return;
         }
-        polledAt = Math.min(polledAt, now);
+        pollSentAt = Math.min(pollSentAt, now);
         actions.watch(true);
-        pollIn(REPEAT_SHARE * settings.get().pollIntervalNs);
+        schedulePoll(REPEAT_SHARE * settings.get().pollIntervalNs);
     }
 
-    private void pollIn(double delayNs) {
+    private void schedulePoll(double delayNs) {
         serial++;
         actions.timer(random.jittered(delayNs), TimerKind.LIST_POLL.token(serial));
     }
--- a/decisions/src/main/java/trailthread/LoadEstimator.java
+++ b/decisions/src/main/java/trailthread/LoadEstimator.java
@@ -18,10 +18,10 @@
     private static final double REPORT_RESPONSES = 5;
 
     /** Memory of the idle latency, in longest deadlines: minutes, so that no overload moves it. */
-    private static final double IDLE_MEMORY_DEADLINES = 300;
+    private static final double IDLE_DRIFT_DEADLINES = 300;
 
     /** A gap between responses of this many usual gaps shows a slow or frozen endpoint. */
-    private static final double SILENT_GAPS = 3;
+    private static final double SILENCE_DIVISOR = 3;
 
     /** What one point of cross-zone price adds to a remote endpoint's predicted time, a factor. */
     private static final double CROSS_ZONE_FACTOR = 20;
@@ -65,10 +65,10 @@
      */
     void record(Attempt attempt, double latencyNs, long now) {
         double objectiveNs = means.objectiveNs();
-        double memoryNs = IDLE_MEMORY_DEADLINES * settings.longestDeadlineNs();
-        int depth = attempt.inFlightAtSend;
-        attempt.endpoint.latency.record(latencyNs, depth, objectiveNs, memoryNs, now);
-        all.record(latencyNs, depth, objectiveNs, memoryNs, now);
+        double driftNs = IDLE_DRIFT_DEADLINES * settings.longestDeadlineNs();
+        int inFlight = attempt.inFlightAtSend;
+        attempt.endpoint.latency.record(latencyNs, inFlight, objectiveNs, driftNs, now);
+        all.record(latencyNs, inFlight, objectiveNs, driftNs, now);
     }
 
     /** The endpoint's present latency in nanoseconds; 0: nothing is known of any. */
@@ -87,8 +87,8 @@
                 own * stats.logLatency() + prior * (all.logLatency() + stats.relativeSlowness(all));
         double count = own + prior;
         if (reportedAt > 0) {
-            double memoryNs = LatencyStats.MEMORY_OBJECTIVES * means.objectiveNs();
-            double age = (now - reportedAt) / memoryNs;
+            double decayNs = LatencyStats.DECAY_OBJECTIVES * means.objectiveNs();
+            double age = (now - reportedAt) / decayNs;
             double weight = REPORT_RESPONSES * Math.exp(-age) * prior / count;
             double reportedNs = Math.max(1, queueingDelayNs + endpoint.load.serviceTimeNs());
             sum += weight * Math.log(reportedNs);
@@ -104,24 +104,24 @@
     }
 
     /** The time per place in the endpoint's queue, longer when responses are overdue. */
-    double paceNs(Endpoint endpoint, long now) {
+    double timePerRequestNs(Endpoint endpoint, long now) {
         LatencyStats stats = endpoint.latency;
         if (stats.latencyNs() == 0) {
             return Math.max(1, means.latencyNs());
         }
         double latencyNs = latencyNs(endpoint, now);
-        double silentNs = now - endpoint.inFlight.lastSignAt();
-        if (endpoint.inFlight.isAwaited()) {
-            return Math.max(latencyNs / (1 + stats.depth()), silentNs / SILENT_GAPS);
+        double silentNs = now - endpoint.inFlight.silentSince();
+        if (endpoint.inFlight.isAwaitingResponse()) {
+            return Math.max(latencyNs / (1 + stats.meanInFlight()), silentNs / SILENCE_DIVISOR);
         }
-        return fadeToIdle(endpoint, latencyNs, silentNs) / (1 + stats.depth());
+        return decayToIdle(endpoint, latencyNs, silentNs) / (1 + stats.meanInFlight());
     }
 
     /**
      * Forgets in time that an endpoint without attempts was slow: it would be drawn no more, and so
      * would look slow for ever.
      */
-    private double fadeToIdle(Endpoint endpoint, double latencyNs, double silentNs) {
+    private double decayToIdle(Endpoint endpoint, double latencyNs, double silentNs) {
         double idleNs = idleNs(endpoint);
         long longestDeadlineNs = settings.longestDeadlineNs();
         boolean wasSlow = latencyNs > idleNs && idleNs > 0;
@@ -135,15 +135,15 @@
     /**
      * The time that one more request would take, with the price of another zone as a factor.
      *
-     * @param paceNs the endpoint's {@link #paceNs}
+     * @param timePerRequestNs the endpoint's {@link #timePerRequestNs}
      */
-    double predictedNs(Endpoint endpoint, double paceNs) {
+    double predictedNs(Endpoint endpoint, double timePerRequestNs) {
         Settings s = settings.get();
         boolean isLocal = endpoint.zone().equals(s.zone);
         double factor = isLocal ? 1 : 1 + CROSS_ZONE_FACTOR * s.crossZonePrice;
         if (s.weights == WeightMeaning.LIVE && endpoint.largestWeight() > 0) {
             factor /= endpoint.largestWeight();
         }
-        return (1 + endpoint.load.requests(endpoint.inFlight.count())) * paceNs * factor;
+        return (1 + endpoint.load.requests(endpoint.inFlight.count())) * timePerRequestNs * factor;
     }
 }
--- a/decisions/src/main/java/trailthread/Lottery.java
+++ b/decisions/src/main/java/trailthread/Lottery.java
@@ -14,7 +14,7 @@
  */
 final class Lottery {
     /** An endpoint holds tickets while it takes at most this multiple of the best one's time. */
-    private static final double NEAR_BEST = 2;
+    private static final double MAX_BEST_MULTIPLE = 2;
 
     private static final int INITIAL_SIZE = 16;
 
@@ -51,27 +51,27 @@
                 home == KeyAffinity.NONE
                         ? issueToNearBest(endpoints, candidates, now)
                         : issueToHome(endpoints, candidates, home, now);
-        double left = random.uniform() * total;
+        double remaining = random.uniform() * total;
         int winner = -1;
-        for (int i = 0; i < endpoints.size() && left >= 0; i++) {
+        for (int i = 0; i < endpoints.size() && remaining >= 0; i++) {
             winner = tickets[i] > 0 ? i : winner;
-            left -= tickets[i];
+            remaining -= tickets[i];
         }
         return endpoints.get(winner);
     }
 
     private double issueToNearBest(List<Endpoint> endpoints, Candidates candidates, long now) {
         double bestNs = Math.max(candidates.bestNs(), settings.latencyResolutionNs());
-        double mostNs = NEAR_BEST * bestNs;
+        double maxNs = MAX_BEST_MULTIPLE * bestNs;
         double total = 0;
         for (int i = 0; i < endpoints.size(); i++) {
             tickets[i] = 0;
             double predictedNs = candidates.predictedNs(i);
-            if (predictedNs <= mostNs) {
+            if (predictedNs <= maxNs) {
                 Endpoint endpoint = endpoints.get(i);
-                double paceNs = estimator.paceNs(endpoint, now);
-                double fraction = Math.min(1, limiter.capacity(endpoint, paceNs));
-                tickets[i] = fraction * tickets(endpoint, predictedNs, now);
+                double timePerRequestNs = estimator.timePerRequestNs(endpoint, now);
+                double capacityFactor = Math.min(1, limiter.capacity(endpoint, timePerRequestNs));
+                tickets[i] = capacityFactor * tickets(endpoint, predictedNs, now);
                 total += tickets[i];
             }
         }
--- a/decisions/src/main/java/trailthread/OutlierDetector.java
+++ b/decisions/src/main/java/trailthread/OutlierDetector.java
@@ -10,32 +10,33 @@
  * after that it is half-open and gets one idempotent attempt at a time (Nygard's circuit breaker).
  *
  * <p>A server that was overcrowded may stay slow until it has been nearly idle for a while. So one
- * that is {@link #JAMMED_LATENCIES} times as slow as when idle rests for {@link #REST_DEADLINES}
- * longest deadlines, doubled for each slow trial after that. A node that is itself cut off sees all
- * endpoints fail: past {@link #MOST_EJECTED} of them, ejection is suspended.
+ * that is {@link #CONGESTED_LATENCIES} times as slow as when idle rests for {@link
+ * #CONGESTED_DEADLINES} longest deadlines, doubled for each slow trial after that. A node that is
+ * itself cut off sees all endpoints fail: past {@link #MAX_EJECTED_SHARE} of them, ejection is
+ * suspended.
  */
 final class OutlierDetector {
     /** Failures in a row that eject an endpoint; three by chance are rare. */
     private static final int FAILURES_TO_EJECT = 3;
 
     /** Longest ejection, in doublings of the tightest latency objective. */
-    private static final int MOST_EJECTION_DOUBLINGS = 5;
+    private static final int MAX_EJECTION_DOUBLINGS = 5;
 
     /** The largest share of ready endpoints that may be ejected. */
-    private static final double MOST_EJECTED = 0.5;
+    private static final double MAX_EJECTED_SHARE = 0.5;
 
     /** Latency, in multiples of the idle one, from which on an endpoint is jammed. */
-    static final double JAMMED_LATENCIES = 2.5;
+    static final double CONGESTED_LATENCIES = 2.5;
 
     /** The first rest, in longest deadlines: what the endpoint holds has ended by then. */
-    private static final double REST_DEADLINES = 1.5;
+    private static final double CONGESTED_DEADLINES = 1.5;
 
-    private static final int MOST_REST_DOUBLINGS = 2;
+    private static final int MAX_CONGESTED_DOUBLINGS = 2;
 
     /** What is known of one endpoint's failures. */
     static final class Health {
         private int failures;
-        private int rests;
+        private int congestedEjections;
         private long ejectedUntil;
         private double successRate = 1;
 
@@ -46,7 +47,7 @@
 
         /** Whether it is or was ejected or resting, and has not yet shown that it is well. */
         boolean isSuspect() {
-            return failures >= FAILURES_TO_EJECT || rests > 0;
+            return failures >= FAILURES_TO_EJECT || congestedEjections > 0;
         }
 
         /** Whether it fails in a row. */
@@ -55,8 +56,8 @@
         }
 
         /** Whether it is jammed. */
-        boolean isJammed() {
-            return rests > 0;
+        boolean isCongested() {
+            return congestedEjections > 0;
         }
 
         /** Failures in a row. */
@@ -102,7 +103,7 @@
         if (!health.isFailing()) {
             return;
         }
-        int doublings = Math.min(health.failures - FAILURES_TO_EJECT, MOST_EJECTION_DOUBLINGS);
+        int doublings = Math.min(health.failures - FAILURES_TO_EJECT, MAX_EJECTION_DOUBLINGS);
         double ejectedNs = (double) settings.tightestObjectiveNs() * (1 << doublings);
         health.ejectedUntil = now + random.jittered(ejectedNs);
         if (log.tryAcquire(RateLimitedLog.Kind.EJECTED, now)) {
@@ -115,22 +116,22 @@
      *
      * @return whether a rest begins now
      */
-    boolean restIfJammed(Endpoint endpoint, long now) {
+    boolean ejectIfCongested(Endpoint endpoint, long now) {
         Health health = endpoint.health;
         double idleNs = endpoint.latency.idleNs();
-        if (idleNs == 0 || !isJammed(endpoint, idleNs, now)) {
-            health.rests = 0;
+        if (idleNs == 0 || !isCongested(endpoint, idleNs, now)) {
+            health.congestedEjections = 0;
             return false;
         }
-        boolean mayRest = health.rests > 0 || !isSuspendedWith(1);
-        if (now < health.ejectedUntil || !mayRest) {
+        boolean mayEject = health.congestedEjections > 0 || !isEjectionSuspendedWith(1);
+        if (now < health.ejectedUntil || !mayEject) {
             return false;
         }
-        int doublings = Math.min(health.rests, MOST_REST_DOUBLINGS);
-        double restNs = REST_DEADLINES * settings.longestDeadlineNs() * (1 << doublings);
-        health.ejectedUntil = now + random.jittered(restNs);
-        health.rests++;
-        if (log.tryAcquire(RateLimitedLog.Kind.JAMMED, now)) {
+        int doublings = Math.min(health.congestedEjections, MAX_CONGESTED_DOUBLINGS);
+        double ejectedNs = CONGESTED_DEADLINES * settings.longestDeadlineNs() * (1 << doublings);
+        health.ejectedUntil = now + random.jittered(ejectedNs);
+        health.congestedEjections++;
+        if (log.tryAcquire(RateLimitedLog.Kind.CONGESTED, now)) {
             long idleLatencies = Math.round(estimator.latencyNs(endpoint, now) / idleNs);
             log.write(
                     "resting "
@@ -141,16 +142,16 @@
         return true;
     }
 
-    private boolean isJammed(Endpoint endpoint, double idleNs, long now) {
+    private boolean isCongested(Endpoint endpoint, double idleNs, long now) {
         double usualNs = Math.max(idleNs, settings.latencyResolutionNs());
-        return estimator.latencyNs(endpoint, now) > JAMMED_LATENCIES * usualNs;
+        return estimator.latencyNs(endpoint, now) > CONGESTED_LATENCIES * usualNs;
     }
 
     /** Whether the endpoint may be sent this request: not ejected, or half-open and idempotent. */
     boolean permits(Endpoint endpoint, Request request, long now) {
         Health health = endpoint.health;
         if (!health.isSuspect()) {
-            return endpoint.inFlight.unanswered() == 0 || request.isIdempotent();
+            return endpoint.inFlight.presumedLost() == 0 || request.isIdempotent();
         }
         return now >= health.ejectedUntil
                 && endpoint.inFlight.count() == 0
@@ -158,13 +159,13 @@
     }
 
     /** Whether too many of this node's endpoints are suspect, so that none is avoided. */
-    boolean isSuspended() {
-        return isSuspendedWith(0);
+    boolean isEjectionSuspended() {
+        return isEjectionSuspendedWith(0);
     }
 
-    /** As {@link #isSuspended}, and logs it. */
-    boolean isSuspendedLogged(long now) {
-        boolean suspended = isSuspended();
+    /** As {@link #isEjectionSuspended}, and logs it. */
+    boolean logIfEjectionSuspended(long now) {
+        boolean suspended = isEjectionSuspended();
         if (suspended && log.tryAcquire(RateLimitedLog.Kind.EJECTION_SUSPENDED, now)) {
             int all = subset.size();
             log.write("ejecting none: most of " + all + " backends fail; is this node cut off?");
@@ -172,9 +173,9 @@
         return suspended;
     }
 
-    private boolean isSuspendedWith(int more) {
+    private boolean isEjectionSuspendedWith(int additional) {
         List<Endpoint> endpoints = subset.endpoints();
-        int ejected = more;
+        int ejected = additional;
         int ready = 0;
         for (int i = 0; i < endpoints.size(); i++) {
             Endpoint endpoint = endpoints.get(i);
@@ -183,12 +184,12 @@
                 ejected += endpoint.health.isSuspect() ? 1 : 0;
             }
         }
-        return ejected > MOST_EJECTED * ready;
+        return ejected > MAX_EJECTED_SHARE * ready;
     }
 
     /** How many of these are not sent to for now: draining, ejected or resting. */
     int countAvoided(List<Endpoint> endpoints, long now) {
-        boolean suspended = isSuspended();
+        boolean suspended = isEjectionSuspended();
         int avoided = 0;
         for (Endpoint endpoint : endpoints) {
             Health health = endpoint.health;
--- a/decisions/src/main/java/trailthread/PriorityPolicy.java
+++ b/decisions/src/main/java/trailthread/PriorityPolicy.java
@@ -23,7 +23,7 @@
         this.settings = settings;
         this.means = means;
         this.fairShare = fairShare;
-        requested = new DecayingCounter(FairShare.memoryNs(settings), now);
+        requested = new DecayingCounter(FairShare.decayNs(settings), now);
     }
 
     /** Gives a request that has arrived its weight, and counts it as demand. */
@@ -33,9 +33,9 @@
         double work = s.weightByWork ? means.relativeWork(request.workNs) : 1;
         request.weight = rules.priorityWeight() * work;
         chargeTenant(request, now);
-        double others = requested.value(now);
+        double earlierWeight = requested.value(now);
         means.recordObjective(
-                rules.latencyObjectiveNs(), request.weight / (others + request.weight));
+                rules.latencyObjectiveNs(), request.weight / (earlierWeight + request.weight));
         request.requestClass.requested.add(now, request.weight);
         requested.add(now, request.weight);
     }
@@ -69,10 +69,15 @@
      * still meets its objective: {@code x^3 / (1 + x^3)} with x the time left in mean latencies.
      */
     double weightPerWork(Request request, long now) {
-        double left = Math.max(0, request.objectiveAt - now) / Math.max(1, means.latencyNs());
-        double chance = left * left * left / (1 + left * left * left);
-        double late = request.requestClass.rules.lateWeightShare();
-        return request.weight * (late + (1 - late) * chance) / relativeWork(request);
+        double latenciesLeft =
+                Math.max(0, request.objectiveAt - now) / Math.max(1, means.latencyNs());
+        double probability =
+                latenciesLeft
+                        * latenciesLeft
+                        * latenciesLeft
+                        / (1 + latenciesLeft * latenciesLeft * latenciesLeft);
+        double lateShare = request.requestClass.rules.lateWeightShare();
+        return request.weight * (lateShare + (1 - lateShare) * probability) / relativeWork(request);
     }
 
     private double relativeWork(Request request) {
@@ -86,33 +91,33 @@
     /** What one more unit of served weight adds to the goal at present. */
     MarginalGain marginalGain(long now) {
         Settings s = settings.get();
-        double overall = (s.goalWhole + s.goalWorstWindow) / requested.value(now);
+        double base = (s.goalWhole + s.goalWorstWindow) / requested.value(now);
         RequestClassStats worstClass = fairShare.worstClass(now);
         TenantStats worstTenant = fairShare.worstTenant(now);
-        double ofClass =
+        double classGain =
                 worstClass == null ? 0 : s.goalWorstClass / worstClass.requested.value(now);
-        double ofTenant =
+        double tenantGain =
                 worstTenant == null ? 0 : s.goalWorstTenant / worstTenant.requested.value(now);
-        return new MarginalGain(overall, worstClass, ofClass, worstTenant, ofTenant);
+        return new MarginalGain(base, worstClass, classGain, worstTenant, tenantGain);
     }
 
     /**
      * What one more unit of served weight adds to the goal.
      *
-     * @param overall whoever it is served to
-     * @param ofClass in addition, if it is served to the worst-served class
-     * @param ofTenant in addition, if it is served to the worst-served tenant
+     * @param base whoever it is served to
+     * @param classGain in addition, if it is served to the worst-served class
+     * @param tenantGain in addition, if it is served to the worst-served tenant
      */
     record MarginalGain(
-            double overall,
+            double base,
             RequestClassStats worstClass,
-            double ofClass,
+            double classGain,
             TenantStats worstTenant,
-            double ofTenant) {
+            double tenantGain) {
         /** For a request of this class and tenant, which may be null. */
-        double of(RequestClassStats requestClass, TenantStats tenant) {
-            double gain = overall + (requestClass == worstClass ? ofClass : 0);
-            return gain + (tenant != null && tenant == worstTenant ? ofTenant : 0);
+        double gainFor(RequestClassStats requestClass, TenantStats tenant) {
+            double gain = base + (requestClass == worstClass ? classGain : 0);
+            return gain + (tenant != null && tenant == worstTenant ? tenantGain : 0);
         }
     }
 }
--- a/decisions/src/main/java/trailthread/RateLimitedLog.java
+++ b/decisions/src/main/java/trailthread/RateLimitedLog.java
@@ -10,7 +10,7 @@
     /** Kinds of lines. */
     enum Kind {
         EJECTED,
-        JAMMED,
+        CONGESTED,
         REJECTING,
         LIST_FAILED,
         EJECTION_SUSPENDED
--- a/decisions/src/main/java/trailthread/ReportedLoad.java
+++ b/decisions/src/main/java/trailthread/ReportedLoad.java
@@ -18,7 +18,7 @@
     private boolean reportsQueue;
     private double serviceTimeNs;
     private long serviceTimeAt;
-    private int sentSince;
+    private int sentSinceReport;
 
     /** Takes in a report; a value that is absent or not finite is skipped. */
     void record(LoadReport report, long now) {
@@ -33,16 +33,16 @@
         if (usable && reported != lastReported) {
             lastReported = reported;
             smoothed += REPORT_WEIGHT * (reported - smoothed);
-            sentSince = 0;
+            sentSinceReport = 0;
         }
     }
 
     void attemptSent() {
-        sentSince++;
+        sentSinceReport++;
     }
 
     void attemptEnded() {
-        sentSince = Math.max(0, sentSince - 1);
+        sentSinceReport = Math.max(0, sentSinceReport - 1);
     }
 
     /**
@@ -51,7 +51,7 @@
      * @param inFlight this node's attempts there; requests in hand, if reported, include them
      */
     double requests(int inFlight) {
-        double corrected = smoothed + sentSince;
+        double corrected = smoothed + sentSinceReport;
         return reportsQueue ? corrected : Math.max(inFlight, corrected);
     }
 
--- a/decisions/src/main/java/trailthread/Request.java
+++ b/decisions/src/main/java/trailthread/Request.java
@@ -28,7 +28,7 @@
     final TenantStats tenant;
 
     private final Attempt[] attempts;
-    private int sent;
+    private int attemptsSent;
     private int inFlight;
 
     /** What serving it adds to the goal; set by {@link PriorityPolicy}. */
@@ -80,8 +80,8 @@
     }
 
     /** Attempts sent so far. */
-    int sent() {
-        return sent;
+    int attemptsSent() {
+        return attemptsSent;
     }
 
     /** Attempts whose outcome has not come. */
@@ -89,9 +89,9 @@
         return inFlight;
     }
 
-    void add(Attempt attempt) {
-        attempts[sent] = attempt;
-        sent++;
+    void addAttempt(Attempt attempt) {
+        attempts[attemptsSent] = attempt;
+        attemptsSent++;
         inFlight++;
     }
 
@@ -103,22 +103,22 @@
 
     /** The attempt of this number, or null. */
     Attempt attempt(int number) {
-        return number >= 0 && number < sent ? attempts[number] : null;
+        return number >= 0 && number < attemptsSent ? attempts[number] : null;
     }
 
     /** The attempt sent last, or null. */
     Attempt lastAttempt() {
-        return attempt(sent - 1);
+        return attempt(attemptsSent - 1);
     }
 
-    void end(Attempt attempt, Outcome outcome) {
+    void endAttempt(Attempt attempt, Outcome outcome) {
         attempt.outcome = outcome;
         inFlight--;
     }
 
     /** The first attempt that may have run, or may still run; null: none. */
-    Attempt firstThatMayHaveRun() {
-        for (int i = 0; i < sent; i++) {
+    Attempt firstAttemptThatMayHaveRun() {
+        for (int i = 0; i < attemptsSent; i++) {
             if (attempts[i].mayHaveRun()) {
                 return attempts[i];
             }
@@ -131,7 +131,7 @@
      * time, within the deduplication window, or never.
      */
     long retryableUntil() {
-        Attempt first = firstThatMayHaveRun();
+        Attempt first = firstAttemptThatMayHaveRun();
         if (first == null || isIdempotent()) {
             return Long.MAX_VALUE;
         }
@@ -143,10 +143,10 @@
      * Whether the endpoint drops a repeat of what may have run; any will do where none needs to.
      */
     boolean isDeduplicatedAt(Endpoint endpoint) {
-        if (sent == 0 || idempotency() != Idempotency.IDEMPOTENCY_KEY) {
+        if (attemptsSent == 0 || idempotency() != Idempotency.IDEMPOTENCY_KEY) {
             return true;
         }
-        Attempt first = firstThatMayHaveRun();
+        Attempt first = firstAttemptThatMayHaveRun();
         return first == null || sharesWindow(first.endpoint, endpoint);
     }
 
@@ -160,7 +160,7 @@
     }
 
     boolean wasSentTo(Endpoint endpoint) {
-        for (int i = 0; i < sent; i++) {
+        for (int i = 0; i < attemptsSent; i++) {
             if (attempts[i].endpoint == endpoint) {
                 return true;
             }
--- a/decisions/src/main/java/trailthread/RequestClassStats.java
+++ b/decisions/src/main/java/trailthread/RequestClassStats.java
@@ -7,13 +7,13 @@
     final RequestClass rules;
     private double latencyNs;
 
-    RequestClassStats(RequestClass rules, long memoryNs, long now) {
-        super(memoryNs, now);
+    RequestClassStats(RequestClass rules, long decayNs, long now) {
+        super(decayNs, now);
         this.rules = rules;
     }
 
     void recordLatency(long responseNs) {
-        latencyNs += WorkloadMeans.smoothing(latencyNs) * (responseNs - latencyNs);
+        latencyNs += WorkloadMeans.nextResponseWeight(latencyNs) * (responseNs - latencyNs);
     }
 
     /** The mean latency of the class's responses; 0: none has come. */
--- a/decisions/src/main/java/trailthread/RequestQueue.java
+++ b/decisions/src/main/java/trailthread/RequestQueue.java
@@ -15,10 +15,10 @@
  */
 final class RequestQueue {
     /** Queued requests are looked at again after this share of the tightest latency objective. */
-    private static final double RELEASE_SHARE = 0.05;
+    private static final double RELEASE_OBJECTIVE_SHARE = 0.05;
 
     /** What is done with a queued request; whether it has been done. */
-    interface Step {
+    interface RequestAction {
         boolean apply(Request request, long now);
     }
 
@@ -37,18 +37,18 @@
             requestClass = first.requestClass;
             tenant = first.tenant;
             overQuota = first.overQuota;
-            retries = first.sent() > 0;
+            retries = first.attemptsSent() > 0;
         }
 
-        boolean takes(Request request) {
+        boolean accepts(Request request) {
             return requestClass == request.requestClass
                     && tenant == request.tenant
                     && overQuota == request.overQuota
-                    && retries == request.sent() > 0;
+                    && retries == request.attemptsSent() > 0;
         }
 
         /** Whether any endpoint that is open at all is open to these requests. */
-        boolean isLeastBound() {
+        boolean mayUseAnyOpenEndpoint() {
             return !retries && requests.peekLast().isIdempotent();
         }
     }
@@ -57,8 +57,8 @@
     private final PriorityPolicy priorities;
     private final BalancerActions actions;
     private final RandomSource random;
-    private final Step sendIfOpen;
-    private final Step rejectIfLate;
+    private final RequestAction sendIfOpen;
+    private final RequestAction rejectIfLate;
     private final List<Lane> lanes = new ArrayList<>();
     private int size;
     private boolean releaseTimerSet;
@@ -72,8 +72,8 @@
             PriorityPolicy priorities,
             BalancerActions actions,
             RandomSource random,
-            Step sendIfOpen,
-            Step rejectIfLate) {
+            RequestAction sendIfOpen,
+            RequestAction rejectIfLate) {
         this.settings = settings;
         this.priorities = priorities;
         this.actions = actions;
@@ -100,7 +100,7 @@
     private Lane laneOf(Request request) {
         for (int i = 0; i < lanes.size(); i++) {
             Lane lane = lanes.get(i);
-            if (lane.takes(request)) {
+            if (lane.accepts(request)) {
                 return lane;
             }
         }
@@ -118,9 +118,9 @@
     private void setReleaseTimer() {
         if (!releaseTimerSet) {
             releaseTimerSet = true;
-            double delayNs = RELEASE_SHARE * settings.tightestObjectiveNs();
-            double leastNs = Math.max(settings.get().tickNs, delayNs);
-            actions.timer(random.jittered(leastNs), TimerKind.QUEUE_RELEASE.token(0));
+            double delayNs = RELEASE_OBJECTIVE_SHARE * settings.tightestObjectiveNs();
+            double timerNs = Math.max(settings.get().tickNs, delayNs);
+            actions.timer(random.jittered(timerNs), TimerKind.QUEUE_RELEASE.token(0));
         }
     }
 
@@ -136,7 +136,7 @@
             if (sendIfOpen.apply(best.requests.peekLast(), now)) {
                 best.requests.removeLast();
                 size--;
-            } else if (best.isLeastBound()) {
+            } else if (best.mayUseAnyOpenEndpoint()) {
                 break; // no endpoint is open at all
             } else {
                 blocked.add(best);
@@ -151,7 +151,7 @@
     /** The lane whose newest request adds most to the goal, or null: none is left. */
     private Lane bestLane(PriorityPolicy.MarginalGain gain, List<Lane> blocked, long now) {
         Lane best = null;
-        double most = -1;
+        double bestValue = -1;
         for (int i = 0; i < lanes.size(); i++) {
             Lane lane = lanes.get(i);
             trim(lane, now);
@@ -159,10 +159,10 @@
                 continue;
             }
             double value =
-                    gain.of(lane.requestClass, lane.tenant)
+                    gain.gainFor(lane.requestClass, lane.tenant)
                             * priorities.weightPerWork(lane.requests.peekLast(), now);
-            if (value > most) {
-                most = value;
+            if (value > bestValue) {
+                bestValue = value;
                 best = lane;
             }
         }
@@ -176,13 +176,13 @@
             requests.removeFirst();
             size--;
         }
-        while (!requests.isEmpty() && isOver(requests.peekLast(), now)) {
+        while (!requests.isEmpty() && isDone(requests.peekLast(), now)) {
             requests.removeLast();
             size--;
         }
     }
 
-    private boolean isOver(Request request, long now) {
+    private boolean isDone(Request request, long now) {
         return request.finished || rejectIfLate.apply(request, now);
     }
 }
--- a/decisions/src/main/java/trailthread/RetryBudget.java
+++ b/decisions/src/main/java/trailthread/RetryBudget.java
@@ -6,16 +6,16 @@
  */
 final class RetryBudget {
     /** Retries earned by each request. */
-    private static final double RETRIES_PER_REQUEST = 0.2;
+    private static final double TOKENS_PER_REQUEST = 0.2;
 
     /** Most retries saved up. */
-    private static final double MOST_SAVED = 20;
+    private static final double MAX_TOKENS = 20;
 
-    private double tokens = MOST_SAVED;
+    private double tokens = MAX_TOKENS;
 
     /** A request has arrived. */
     void deposit() {
-        tokens = Math.min(MOST_SAVED, tokens + RETRIES_PER_REQUEST);
+        tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
     }
 
     boolean permitsRetry() {
--- a/decisions/src/main/java/trailthread/RetryPolicy.java
+++ b/decisions/src/main/java/trailthread/RetryPolicy.java
@@ -16,7 +16,7 @@
     private static final double TIMEOUT_LATENCIES = 5;
 
     /** Latencies that must be left after a time-out, or the attempt is given up for nothing. */
-    private static final double LATENCIES_FOR_RETRY = 2;
+    private static final double RETRY_LATENCIES = 2;
 
     private final ActiveSettings settings;
     private final WorkloadMeans means;
@@ -33,7 +33,7 @@
         Settings s = settings.get();
         return !request.finished
                 && !request.streaming
-                && request.sent() < request.maxAttempts(s)
+                && request.attemptsSent() < request.maxAttempts(s)
                 && now < request.deadline
                 && (request.inFlight() == 0 || s.mayHedge)
                 && now + s.connectTimeoutNs < request.retryableUntil();
@@ -44,7 +44,7 @@
      * budget if they may have run; that is not returned if no endpoint opens in time.
      */
     boolean acquireRetry(Request request, long now) {
-        boolean mayHaveRun = request.firstThatMayHaveRun() != null;
+        boolean mayHaveRun = request.firstAttemptThatMayHaveRun() != null;
         if (!permitsAttempt(request, now) || (mayHaveRun && !budget.permitsRetry())) {
             return false;
         }
@@ -55,7 +55,7 @@
     }
 
     /** Until when the next attempt may be written, by the clock of the events. */
-    long writtenBy(Request request) {
+    long writeDeadline(Request request) {
         return Math.min(request.deadline, request.retryableUntil());
     }
 
@@ -67,7 +67,7 @@
     long timeoutNs(Request request, Endpoint endpoint, long now) {
         boolean canRetry =
                 request.isIdempotent()
-                        && request.sent() < request.maxAttempts(settings.get())
+                        && request.attemptsSent() < request.maxAttempts(settings.get())
                         && budget.permitsRetry();
         double meanNs = means.latencyNs();
         if (!canRetry || meanNs == 0) {
@@ -77,8 +77,8 @@
         double latencyNs = Math.max(endpoint.latency.latencyNs(), usualNs);
         double size = Math.max(1, means.relativeWork(request.workNs));
         double timeoutNs = TIMEOUT_LATENCIES * latencyNs * size;
-        boolean timeIsLeft = now + timeoutNs + LATENCIES_FOR_RETRY * meanNs < request.deadline;
-        return timeIsLeft ? (long) timeoutNs : 0;
+        boolean leavesTimeToRetry = now + timeoutNs + RETRY_LATENCIES * meanNs < request.deadline;
+        return leavesTimeToRetry ? (long) timeoutNs : 0;
     }
 
     /**
@@ -87,7 +87,7 @@
      */
     static boolean mayRefuse(Request request) {
         return request.isIdempotent()
-                || request.firstThatMayHaveRun() == null
+                || request.firstAttemptThatMayHaveRun() == null
                 || (request.idempotency() == Idempotency.IDEMPOTENCY_KEY
                         && request.requestClass.rules.deduplicationScope()
                                 == DeduplicationScope.ALL);
--- a/decisions/src/main/java/trailthread/SlowStart.java
+++ b/decisions/src/main/java/trailthread/SlowStart.java
@@ -15,7 +15,7 @@
  */
 final class SlowStart {
     /** Share of the starting endpoints' spare capacity that is used, as it is a guess. */
-    private static final double CAPACITY_SHARE = 0.5;
+    private static final double USED_CAPACITY_SHARE = 0.5;
 
     private final ActiveSettings settings;
     private final WorkloadMeans means;
@@ -28,7 +28,7 @@
     /** Requests that starting endpoints may be sent. */
     private double tokens;
 
-    private long filledAt;
+    private long refilledAt;
 
     SlowStart(
             ActiveSettings settings,
@@ -67,7 +67,7 @@
      * Takes in that the list announces an endpoint. One that has just started brings part of a
      * token by chance, as it is announced to all nodes at once.
      */
-    void announced(EndpointEntry entry, long now) {
+    void endpointAnnounced(EndpointEntry entry, long now) {
         if (entry.startedAtNs() > Math.max(0, now - settings.get().slowStartNs)) {
             tokens += random.uniform();
         }
@@ -78,20 +78,20 @@
         Settings s = settings.get();
         double allCapacity = 0;
         double startingCapacity = 0;
-        double starting = 0;
+        double startingEndpoints = 0;
         for (Endpoint endpoint : subset.endpoints()) {
             double share = capacityShare(endpoint, now);
             allCapacity += share;
             startingCapacity += share < 1 ? share : 0;
-            starting += share < 1 ? 1 : 0;
+            startingEndpoints += share < 1 ? 1 : 0;
         }
         double servedPerNs = served.value(now) / s.overloadWindowNs / Math.max(1, allCapacity);
         double tokensPerNs =
                 Math.max(
-                        CAPACITY_SHARE * s.overloadMultiple * startingCapacity * servedPerNs,
-                        starting / (subset.sharers() * means.objectiveNs()));
-        tokens = Math.min(starting, tokens + tokensPerNs * (now - filledAt));
-        filledAt = now;
+                        USED_CAPACITY_SHARE * s.overloadMultiple * startingCapacity * servedPerNs,
+                        startingEndpoints / (subset.sharingNodes() * means.objectiveNs()));
+        tokens = Math.min(startingEndpoints, tokens + tokensPerNs * (now - refilledAt));
+        refilledAt = now;
     }
 
     /** Whether an endpoint may be sent one more request. */
@@ -100,7 +100,7 @@
     }
 
     /** Takes a token for a request that is sent to an endpoint, if that is starting. */
-    void spend(Endpoint endpoint, long now) {
+    void takeToken(Endpoint endpoint, long now) {
         tokens -= isWarm(endpoint, now) ? 0 : 1;
     }
 }
--- a/decisions/src/main/java/trailthread/SubsetSelector.java
+++ b/decisions/src/main/java/trailthread/SubsetSelector.java
@@ -22,13 +22,13 @@
     private static final double PRICED_CONNECTIONS = 100;
 
     /** The least subset, in fully warm endpoints: fewer could not stand in for one that fails. */
-    private static final double LEAST_SIZE = 3;
+    private static final double MIN_SIZE = 3;
 
     /** The fractional part of the golden ratio: its multiples spread evenly over a ring. */
     private static final double GOLDEN_RATIO = 0.6180339887498949;
 
     /** A zone's ring ends once less than this is wanted of it, in fully warm endpoints. */
-    private static final double NEGLIGIBLE = 0.5;
+    private static final double NEGLIGIBLE_CAPACITY = 0.5;
 
     private static final Comparator<Endpoint> BY_ZONE_AND_HASH =
             Comparator.comparing(Endpoint::zone).thenComparingLong(endpoint -> endpoint.hash);
@@ -68,11 +68,11 @@
         double price = s.connectionPrice;
         double nodesPerEndpoint =
                 price > 0 ? PRICED_CONNECTIONS * CONNECTION_COST / price : s.nodes;
-        double size = Math.max(LEAST_SIZE, nodesPerEndpoint * listed / s.nodes);
+        double size = Math.max(MIN_SIZE, nodesPerEndpoint * listed / s.nodes);
         List<Endpoint> selected = size >= listed ? list.all() : selectFromRings(size, now);
         selectAgainAt = now + random.jittered(settings.longestDeadlineNs());
-        double sharers = (double) s.nodes * selected.size() / Math.max(1, listed);
-        subset.replace(selected, Math.max(1, sharers));
+        double sharingNodes = (double) s.nodes * selected.size() / Math.max(1, listed);
+        subset.replace(selected, Math.max(1, sharingNodes));
     }
 
     private List<Endpoint> selectFromRings(double size, long now) {
@@ -103,20 +103,20 @@
             List<Endpoint> ring, double wanted, List<Endpoint> selected, long now) {
         int count = ring.size();
         int start = (int) (GOLDEN_RATIO * (settings.get().nodeIndex + 1) % 1 * count);
-        double left = wanted;
-        for (int i = 0; i < count && left > NEGLIGIBLE; i++) {
+        double remaining = wanted;
+        for (int i = 0; i < count && remaining > NEGLIGIBLE_CAPACITY; i++) {
             Endpoint endpoint = ring.get((start + i) % count);
             selected.add(endpoint);
-            left -= isFit(endpoint, now) ? slowStart.capacityShare(endpoint, now) : 0;
+            remaining -= isHealthy(endpoint, now) ? slowStart.capacityShare(endpoint, now) : 0;
         }
     }
 
-    private boolean isFit(Endpoint endpoint, long now) {
+    private boolean isHealthy(Endpoint endpoint, long now) {
         double usualNs = estimator.allEndpoints().latencyNs();
         boolean slow =
-                endpoint.health.isJammed()
+                endpoint.health.isCongested()
                         || estimator.latencyNs(endpoint, now)
-                                > OutlierDetector.JAMMED_LATENCIES * usualNs;
+                                > OutlierDetector.CONGESTED_LATENCIES * usualNs;
         return endpoint.isReady() && !endpoint.health.isFailing() && !slow;
     }
 }
--- a/decisions/src/main/java/trailthread/TenantStats.java
+++ b/decisions/src/main/java/trailthread/TenantStats.java
@@ -9,8 +9,8 @@
     /** Arrivals within the quota. */
     private final DecayingCounter arrivals;
 
-    TenantStats(Tenant tenant, long memoryNs, long quotaSpanNs, long now) {
-        super(memoryNs, now);
+    TenantStats(Tenant tenant, long decayNs, long quotaSpanNs, long now) {
+        super(decayNs, now);
         this.tenant = tenant;
         arrivals = new DecayingCounter(quotaSpanNs, now);
     }
--- a/decisions/src/main/java/trailthread/WorkloadMeans.java
+++ b/decisions/src/main/java/trailthread/WorkloadMeans.java
@@ -9,7 +9,7 @@
     private static final double LATENCY_WEIGHT = LatencyStats.LATENCY_WEIGHT / 4;
 
     /** The least weight of one request in the mean objective, however small its own is. */
-    private static final double LEAST_OBJECTIVE_WEIGHT = 0.001;
+    private static final double MIN_OBJECTIVE_WEIGHT = 0.001;
 
     private double workNs;
     private double latencyNs;
@@ -31,21 +31,21 @@
 
     /** Records the latency of a response, scaled to a request of mean work. */
     void recordLatency(double responseNs) {
-        latencyNs += smoothing(latencyNs) * (responseNs - latencyNs);
+        latencyNs += nextResponseWeight(latencyNs) * (responseNs - latencyNs);
     }
 
     /**
      * Records a request's latency objective.
      *
-     * @param fraction the request's part of all priority weight of late
+     * @param weightShare the request's part of all priority weight of late
      */
-    void recordObjective(long requestObjectiveNs, double fraction) {
+    void recordObjective(long requestObjectiveNs, double weightShare) {
         objectiveNs +=
-                Math.max(LEAST_OBJECTIVE_WEIGHT, fraction) * (requestObjectiveNs - objectiveNs);
+                Math.max(MIN_OBJECTIVE_WEIGHT, weightShare) * (requestObjectiveNs - objectiveNs);
     }
 
     /** The weight of the next response in a mean latency that stands at this; 1 for the first. */
-    static double smoothing(double meanNs) {
+    static double nextResponseWeight(double meanNs) {
         return meanNs == 0 ? 1 : LATENCY_WEIGHT;
     }
 
--- a/decisions/src/main/java/trailthread/api/BalancerActions.java
+++ b/decisions/src/main/java/trailthread/api/BalancerActions.java
@@ -10,11 +10,11 @@
      * Start an attempt. The attempts of a request are numbered from 0.
      *
      * @param timeoutNs how long to wait for its end; 0: until the client gives up
-     * @param writtenBy by the clock of the events: bytes not written by then must never be. A host
-     *     that writes late looks at its clock first, and reports {@link Outcome#NOT_SENT} where it
-     *     is too late
+     * @param writeDeadline by the clock of the events: bytes not written by then must never be. A
+     *     host that writes late looks at its clock first, and reports {@link Outcome#NOT_SENT}
+     *     where it is too late
      */
-    void send(long id, long timeoutNs, long writtenBy, String endpoint);
+    void send(long id, long timeoutNs, long writeDeadline, String endpoint);
 
     /**
      * Final answer: rejected, and harmless to send again.
--- a/decisions/src/test/java/trailthread/AttemptRecorderTest.java
+++ b/decisions/src/test/java/trailthread/AttemptRecorderTest.java
@@ -27,8 +27,8 @@
     }
 
     private void end(Request request, Attempt attempt, Outcome outcome, long latencyNs) {
-        request.end(attempt, outcome);
-        recorder.ended(request, attempt, latencyNs, null, NOW + latencyNs);
+        request.endAttempt(attempt, outcome);
+        recorder.recordEnd(request, attempt, latencyNs, null, NOW + latencyNs);
     }
 
     private void attemptEndsIn(Outcome outcome, long latencyNs) {
@@ -52,7 +52,7 @@
         Request request = modules.request("safe");
         Attempt attempt = modules.attempt(request, a, null, NOW);
         request.streaming = true;
-        recorder.firstByte(request, attempt, NOW + 20 * MS);
+        recorder.recordFirstByte(request, attempt, NOW + 20 * MS);
         end(request, attempt, Outcome.OK, 900 * MS);
         assertEquals(20 * MS, modules.means.latencyNs(), 1);
         assertEquals(1, a.latency.responses());
--- a/decisions/src/test/java/trailthread/AttemptSenderTest.java
+++ b/decisions/src/test/java/trailthread/AttemptSenderTest.java
@@ -32,7 +32,7 @@
         assertTrue(sender.trySend(request, NOW));
         ScriptedBalancer.Send send = modules.actions.sends.get(0);
         assertEquals("a", send.endpoint());
-        assertEquals(request.deadline, send.writtenBy());
+        assertEquals(request.deadline, send.writeDeadline());
         assertEquals(1, modules.inFlight.total());
         assertFalse(sender.trySend(request, NOW), "one attempt at a time");
     }
@@ -44,7 +44,7 @@
         Request request = modules.request("keyed", 0, NOW + 9000 * MS);
         modules.attempt(request, warm, Outcome.ERROR, NOW);
         assertTrue(sender.trySend(request, NOW + 500 * MS));
-        assertEquals(NOW + 2000 * MS, modules.actions.sends.get(0).writtenBy());
+        assertEquals(NOW + 2000 * MS, modules.actions.sends.get(0).writeDeadline());
     }
 
     @Test
--- a/decisions/src/test/java/trailthread/ConcurrencyLimiterTest.java
+++ b/decisions/src/test/java/trailthread/ConcurrencyLimiterTest.java
@@ -16,8 +16,8 @@
     private final ModuleFixture modules = new ModuleFixture();
     private final ConcurrencyLimiter limiter = modules.limiter;
 
-    private List<Endpoint> start(double sharers, String... names) {
-        List<Endpoint> endpoints = modules.shared(sharers, names);
+    private List<Endpoint> start(double sharingNodes, String... names) {
+        List<Endpoint> endpoints = modules.shared(sharingNodes, names);
         limiter.initialise();
         limiter.updateTotal(NOW);
         return endpoints;
@@ -39,8 +39,8 @@
         return fresh.limit(endpoint);
     }
 
-    private double limitAfterRejections(double sharers) {
-        Endpoint endpoint = start(sharers, "a").get(0);
+    private double limitAfterRejections(double sharingNodes) {
+        Endpoint endpoint = start(sharingNodes, "a").get(0);
         for (int i = 0; i < 30; i++) {
             limiter.recordRejection(endpoint);
         }
@@ -83,7 +83,7 @@
         modules.respond(fast.get(0), 1, 40 * MS, NOW);
         limiter.adjust(fast.get(0), NOW);
         assertEquals(4 + 5.6 * 0.5 / 8, limit(fast.get(1)), 1e-9);
-        limiter.cutToStart(fast.get(1));
+        limiter.cutToInitialLimit(fast.get(1));
         assertEquals(4, limit(fast.get(1)));
 
         ConcurrencyLimiterTest other = new ConcurrencyLimiterTest();
--- a/decisions/src/test/java/trailthread/HealthCheckerTest.java
+++ b/decisions/src/test/java/trailthread/HealthCheckerTest.java
@@ -60,7 +60,7 @@
                 entry("warming", EndpointState.READY, NOW - MS),
                 entry("draining", EndpointState.DRAINING, 0),
                 ScriptedBalancer.ready("b"));
-        checker.startIfWanted(NOW);
+        checker.startIfConfigured(NOW);
         for (int turn = 1; turn < 8; turn++) {
             assertDelay(0.8 * 200 * MS, 1.2 * 200 * MS);
             checker.checkNext(NOW);
@@ -72,21 +72,21 @@
     void checksBeginOnceAndOnlyWhereReportsComeWithThem() {
         list(ScriptedBalancer.ready("a"));
         modules.settings.reports = LoadReportSource.NONE;
-        checker.startIfWanted(NOW);
+        checker.startIfConfigured(NOW);
         modules.settings.reports = LoadReportSource.HEALTH_CHECKS;
         modules.settings.mayCheckHealth = false;
-        checker.startIfWanted(NOW);
+        checker.startIfConfigured(NOW);
         assertEquals(0, modules.recorder.timers.size());
         modules.settings.mayCheckHealth = true;
-        checker.startIfWanted(NOW);
-        checker.startIfWanted(NOW);
+        checker.startIfConfigured(NOW);
+        checker.startIfConfigured(NOW);
         assertEquals(1, modules.recorder.timers.size());
         assertEquals(List.of("a"), checked());
     }
 
     @Test
     void timerIsNeverShorterThanATickAndGoesOnWithAnEmptyList() {
-        checker.startIfWanted(NOW);
+        checker.startIfConfigured(NOW);
         assertDelay(0.8 * 800 * MS, 1.2 * 800 * MS);
         List<EndpointEntry> many = new ArrayList<>();
         for (int i = 0; i < 8000; i++) {
--- a/decisions/src/test/java/trailthread/InFlightTrackerTest.java
+++ b/decisions/src/test/java/trailthread/InFlightTrackerTest.java
@@ -20,11 +20,11 @@
         modules.means.recordLatency(20 * MS);
     }
 
-    private void assertCounts(int counted, int unanswered, long now) {
+    private void assertCounts(int counted, int presumedLost, long now) {
         inFlight.releaseLost(now);
         assertEquals(counted, endpoint.inFlight.count());
         assertEquals(counted, inFlight.total());
-        assertEquals(unanswered, endpoint.inFlight.unanswered());
+        assertEquals(presumedLost, endpoint.inFlight.presumedLost());
     }
 
     @Test
@@ -41,7 +41,7 @@
         Attempt answered = modules.begin(endpoint, now);
         answered.outcome = Outcome.OK;
         inFlight.end(answered, now + 20 * MS);
-        inFlight.answered(answered);
+        inFlight.recordResponse(answered);
         assertCounts(0, 0, now + 20 * MS);
     }
 
@@ -51,7 +51,7 @@
         Attempt later = modules.begin(endpoint, NOW + MS);
         later.outcome = Outcome.OK;
         inFlight.end(later, NOW + 20 * MS);
-        inFlight.answered(later);
+        inFlight.recordResponse(later);
         assertCounts(1, 0, NOW + 100 * MS - 1);
         assertCounts(0, 0, NOW + 100 * MS);
     }
--- a/decisions/src/test/java/trailthread/KeyAffinityTest.java
+++ b/decisions/src/test/java/trailthread/KeyAffinityTest.java
@@ -82,13 +82,13 @@
     @Test
     void aPopularKeyCountsAsSeveralAndARareOneAsItself() {
         for (int i = 0; i < 100; i++) {
-            affinity.spread(42, 6);
+            affinity.spreadKey(42, 6);
         }
         Set<Long> parts = new HashSet<>();
         for (int i = 0; i < 40; i++) {
-            parts.add(affinity.spread(42, 6));
+            parts.add(affinity.spreadKey(42, 6));
         }
         assertEquals(4, parts.size());
-        assertEquals(43, affinity.spread(43, 6));
+        assertEquals(43, affinity.spreadKey(43, 6));
     }
 }
--- a/decisions/src/test/java/trailthread/LoadEstimatorTest.java
+++ b/decisions/src/test/java/trailthread/LoadEstimatorTest.java
@@ -29,7 +29,7 @@
     }
 
     private double paceMs(Endpoint endpoint, long now) {
-        return estimator.paceNs(endpoint, now) / MS;
+        return estimator.timePerRequestNs(endpoint, now) / MS;
     }
 
     /**
--- a/decisions/src/test/java/trailthread/ModuleFixture.java
+++ b/decisions/src/test/java/trailthread/ModuleFixture.java
@@ -62,12 +62,12 @@
     }
 
     /** Makes endpoints the subset, each shared with so many nodes. */
-    List<Endpoint> shared(double sharers, String... names) {
+    List<Endpoint> shared(double sharingNodes, String... names) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (String name : names) {
             endpoints.add(endpoint(name));
         }
-        subset.replace(endpoints, sharers);
+        subset.replace(endpoints, sharingNodes);
         return endpoints;
     }
 
--- a/decisions/src/test/java/trailthread/OutlierDetectorTest.java
+++ b/decisions/src/test/java/trailthread/OutlierDetectorTest.java
@@ -65,18 +65,18 @@
     void jammedEndpointRestsLongerForEachSlowTrialAndNotOnceItIsFast() {
         modules.respond(endpoint, 50, 20 * MS, NOW);
         modules.respond(endpoint, 60, 45 * MS, NOW);
-        assertFalse(outliers.restIfJammed(endpoint, NOW));
+        assertFalse(outliers.ejectIfCongested(endpoint, NOW));
         modules.respond(endpoint, 60, 60 * MS, NOW);
         long now = NOW;
         for (long restNs : new long[] {1500 * MS, 3000 * MS, 6000 * MS, 6000 * MS}) {
-            assertTrue(outliers.restIfJammed(endpoint, now));
-            assertFalse(outliers.restIfJammed(endpoint, now)); // it rests already
+            assertTrue(outliers.ejectIfCongested(endpoint, now));
+            assertFalse(outliers.ejectIfCongested(endpoint, now)); // it rests already
             assertClosedFor(restNs, now);
             now += 2 * restNs;
             modules.respond(endpoint, 1, 400 * MS, now);
         }
         modules.respond(endpoint, 40, 20 * MS, now);
-        assertFalse(outliers.restIfJammed(endpoint, now));
+        assertFalse(outliers.ejectIfCongested(endpoint, now));
         assertTrue(outliers.permits(endpoint, unsafe, now));
     }
 
@@ -84,15 +84,15 @@
     void nodeThatIsCutOffEjectsNone() {
         modules.fail(endpoints.get(0), 3, NOW);
         modules.fail(endpoints.get(1), 3, NOW);
-        assertFalse(outliers.isSuspendedLogged(NOW));
+        assertFalse(outliers.logIfEjectionSuspended(NOW));
         assertEquals(2, outliers.countAvoided(endpoints, NOW));
         assertEquals(0, outliers.countAvoided(endpoints, NOW + 241 * MS));
         // A third that is jammed may not rest, as more than half would be avoided.
         modules.respond(endpoints.get(2), 50, 20 * MS, NOW);
         modules.respond(endpoints.get(2), 30, 400 * MS, NOW);
-        assertFalse(outliers.restIfJammed(endpoints.get(2), NOW));
+        assertFalse(outliers.ejectIfCongested(endpoints.get(2), NOW));
         modules.fail(endpoints.get(2), 3, NOW);
-        assertTrue(outliers.isSuspendedLogged(NOW));
+        assertTrue(outliers.logIfEjectionSuspended(NOW));
         assertEquals(
                 "ejecting none: most of 4 backends fail; is this node cut off?",
                 modules.recorder.log.get(1));
--- a/decisions/src/test/java/trailthread/PriorityPolicyTest.java
+++ b/decisions/src/test/java/trailthread/PriorityPolicyTest.java
@@ -68,8 +68,8 @@
         }
         Request unserved = arrive("unsafe", null, 0);
         PriorityPolicy.MarginalGain gain = priorities.marginalGain(NOW);
-        assertEquals(0.75, gain.of(unserved.requestClass, null), 1e-9);
-        assertEquals(0.25, gain.of(fairShare.requestClass("safe"), null), 1e-9);
+        assertEquals(0.75, gain.gainFor(unserved.requestClass, null), 1e-9);
+        assertEquals(0.25, gain.gainFor(fairShare.requestClass("safe"), null), 1e-9);
     }
 
     @Test
--- a/decisions/src/test/java/trailthread/RetryPolicyTest.java
+++ b/decisions/src/test/java/trailthread/RetryPolicyTest.java
@@ -51,7 +51,7 @@
         long lastConnect = NOW + 300 * MS; // the window without the connect time-out
         assertTrue(modules.retries.permitsAttempt(keyed, lastConnect - 1));
         assertFalse(modules.retries.permitsAttempt(keyed, lastConnect));
-        assertEquals(NOW + 400 * MS, modules.retries.writtenBy(keyed));
+        assertEquals(NOW + 400 * MS, modules.retries.writeDeadline(keyed));
     }
 
     @Test
--- a/decisions/src/test/java/trailthread/RetryTest.java
+++ b/decisions/src/test/java/trailthread/RetryTest.java
@@ -102,12 +102,12 @@
                 List<ScriptedBalancer.Send> sends = s.sendsOf(id);
                 assertTrue(name, sends.size() >= 3);
                 boolean isBoundByWindow = mayHaveRun && name.startsWith("keyed");
-                assertEquals(name, deadline, sends.get(0).writtenBy());
-                assertEquals(name, deadline, sends.get(1).writtenBy());
+                assertEquals(name, deadline, sends.get(0).writeDeadline());
+                assertEquals(name, deadline, sends.get(1).writeDeadline());
                 assertEquals(
                         name,
                         isBoundByWindow ? second + 400 * MS : deadline,
-                        sends.get(2).writtenBy());
+                        sends.get(2).writeDeadline());
             }
         }
     }
--- a/decisions/src/test/java/trailthread/ScriptedBalancer.java
+++ b/decisions/src/test/java/trailthread/ScriptedBalancer.java
@@ -22,9 +22,9 @@
      *
      * @param at when, by the clock of the events
      * @param attempt its number in the request, from 0 on
-     * @param writtenBy until when it may be written
+     * @param writeDeadline until when it may be written
      */
-    record Send(long id, String endpoint, long at, int attempt, long writtenBy) {}
+    record Send(long id, String endpoint, long at, int attempt, long writeDeadline) {}
 
     /** One timer that is not due yet. */
     record Timer(long at, long token) {}
@@ -150,8 +150,8 @@
     }
 
     @Override
-    public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
-        sends.add(new Send(id, endpoint, now, sendsOf(id).size(), writtenBy));
+    public void send(long id, long timeoutNs, long writeDeadline, String endpoint) {
+        sends.add(new Send(id, endpoint, now, sendsOf(id).size(), writeDeadline));
         transcript
                 .append("send ")
                 .append(id)
--- a/decisions/src/test/java/trailthread/SlowStartTest.java
+++ b/decisions/src/test/java/trailthread/SlowStartTest.java
@@ -37,14 +37,14 @@
     void nodesTogetherSendAStartingEndpointOneRequestInAnObjective() {
         modules.subset.replace(List.of(warm, starting), 8);
         assertTrue(permits(NOW));
-        modules.slowStart.spend(starting, NOW);
-        modules.slowStart.spend(warm, NOW);
+        modules.slowStart.takeToken(starting, NOW);
+        modules.slowStart.takeToken(warm, NOW);
         assertFalse(permits(NOW + 1599 * MS));
         assertTrue(modules.slowStart.permits(warm, NOW + 1599 * MS));
         assertTrue(permits(NOW + 1601 * MS));
         // However long it waits, the bucket holds one token for the one starting endpoint.
         assertTrue(permits(NOW + 10 * SECOND));
-        modules.slowStart.spend(starting, NOW + 10 * SECOND);
+        modules.slowStart.takeToken(starting, NOW + 10 * SECOND);
         assertFalse(permits(NOW + 10 * SECOND));
     }
 
@@ -57,7 +57,7 @@
     void busyNodeSendsHalfOfTheSpareCapacityInProportionToTheShare() {
         modules.subset.replace(List.of(warm, starting), 100);
         assertTrue(permits(NOW));
-        modules.slowStart.spend(starting, NOW);
+        modules.slowStart.takeToken(starting, NOW);
         for (int i = 0; i < 110; i++) {
             modules.slowStart.recordServed(NOW);
         }
@@ -72,10 +72,10 @@
         for (int node = 0; node < 1000; node++) {
             modules = new ModuleFixture(node);
             modules.slowStart.refill(NOW);
-            modules.slowStart.announced(
+            modules.slowStart.endpointAnnounced(
                     ModuleFixture.entry("starting", EndpointState.READY, NOW), NOW);
             long longAgo = NOW - 30 * SECOND; // warm by now, so it brings nothing
-            modules.slowStart.announced(
+            modules.slowStart.endpointAnnounced(
                     ModuleFixture.entry("warm", EndpointState.READY, longAgo), NOW);
             modules.subset.replace(List.of(starting), 1000);
             assertFalse(permits(NOW));
--- a/decisions/src/test/java/trailthread/SubsetSelectorTest.java
+++ b/decisions/src/test/java/trailthread/SubsetSelectorTest.java
@@ -51,7 +51,7 @@
         list(100, 0);
         selector.select(NOW);
         assertEquals(100, modules.subset.size());
-        assertEquals(50, modules.subset.sharers());
+        assertEquals(50, modules.subset.sharingNodes());
     }
 
     /**
@@ -68,7 +68,7 @@
             modules.settings.nodeIndex = node;
             selector.select(NOW);
             assertEquals(20, modules.subset.size());
-            assertEquals(10, modules.subset.sharers(), 1e-9);
+            assertEquals(10, modules.subset.sharingNodes(), 1e-9);
             modules.subset.endpoints().forEach(e -> nodesOf.merge(e.name, 1, Integer::sum));
         }
         assertEquals(100, nodesOf.size());
--- a/decisions/src/test/java/trailthread/WiredModules.java
+++ b/decisions/src/test/java/trailthread/WiredModules.java
@@ -68,8 +68,8 @@
     }
 
     /** Makes these the endpoints that this node sends to, each shared by so many nodes. */
-    void use(double sharers, Endpoint... endpoints) {
-        subset.replace(List.of(endpoints), sharers);
+    void use(double sharingNodes, Endpoint... endpoints) {
+        subset.replace(List.of(endpoints), sharingNodes);
         limiter.initialise();
         limiter.updateTotal(NOW);
     }
@@ -98,7 +98,7 @@
         inFlight.begin(request, endpoint, now);
         Attempt attempt = request.lastAttempt();
         if (outcome != null) {
-            request.end(attempt, outcome);
+            request.endAttempt(attempt, outcome);
             inFlight.end(attempt, now);
         }
         return attempt;
--- a/decisions/src/test/java/trailthread/degradation/SimulatedNode.java
+++ b/decisions/src/test/java/trailthread/degradation/SimulatedNode.java
@@ -157,7 +157,7 @@
     }
 
     @Override
-    public void send(long id, long timeoutNs, long writtenBy, String endpointName) {
+    public void send(long id, long timeoutNs, long writeDeadline, String endpointName) {
         ClientRequest request = requests.get((int) id);
         long now = clock.now();
         if (request.firstSentAt < 0) {
