--- a/decisions/src/main/java/trailthread/ActiveSettings.java
+++ b/decisions/src/main/java/trailthread/ActiveSettings.java
@@ -3,7 +3,7 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/** The settings in force, with the figures that several modules derive from them. */
+/** The settings in force, and values that several modules derive from them. */
 final class ActiveSettings {
     private Settings settings;
     private long tightestObjectiveNs;
@@ -11,16 +11,18 @@
     private double latencyResolutionNs;
 
     /**
-     * @throws IllegalArgumentException that names the first setting that makes no sense
+     * @throws IllegalArgumentException if a setting is out of range; the message names the first
+     *     one
      */
     ActiveSettings(Settings settings) {
         replace(settings);
     }
 
     /**
-     * Puts other settings in force; if they are bad, the ones before stay.
+     * Replaces the settings; keeps the current ones if the new ones are invalid.
      *
-     * @throws IllegalArgumentException that names the first setting that makes no sense
+     * @throws IllegalArgumentException if a setting is out of range; the message names the first
+     *     one
      */
     void replace(Settings next) {
         next.check();
@@ -39,7 +41,7 @@
         return settings;
     }
 
-    /** The least latency objective of any class, at least one tick. */
+    /** The smallest latency objective of any class, at least one tick. */
     long tightestObjectiveNs() {
         return tightestObjectiveNs;
     }
@@ -48,7 +50,7 @@
         return longestDeadlineNs;
     }
 
-    /** Differences in latency below this are treated as none. */
+    /** Latencies that differ by less than this count as equal. */
     double latencyResolutionNs() {
         return latencyResolutionNs;
     }
--- a/decisions/src/main/java/trailthread/AdmissionController.java
+++ b/decisions/src/main/java/trailthread/AdmissionController.java
@@ -4,23 +4,29 @@
 import trailthread.api.RequestClass;
 
 /**
- * Which requests are accepted, and until when a queued one may still be sent.
+ * Decides which requests are admitted, and until when a queued request may still be sent.
  *
- * <p>A request that can't be served in time is rejected as soon as that is certain: held to its
- * deadline, it would cost its client the time in which to come back.
+ * <p>A request that can no longer be served in time is rejected at once. Holding it until its
+ * deadline would leave its client no time to send it again.
  */
 final class AdmissionController {
-    /** Without a valid endpoint list, requests wait for this share of their time. */
+    /**
+     * While no lease on the endpoint list is held, a request waits for at most this share of the
+     * time from its arrival to its deadline.
+     */
     private static final double WAIT_FOR_LIST_SHARE = 0.25;
 
     private final ActiveSettings settings;
     private final WorkloadMeans means;
     private final RandomSource random;
 
-    /** What the host admits; null: everything. */
+    /** The host's admission rule; null admits every request. */
     private Admission admission;
 
-    /** Nothing is sent by the list then or later, by the clock of the events. */
+    /**
+     * When the lease on the endpoint list ends, by the clock of the events: no attempt is sent then
+     * or later.
+     */
     private long listLeaseUntil = Long.MAX_VALUE;
 
     AdmissionController(ActiveSettings settings, WorkloadMeans means, RandomSource random) {
@@ -48,14 +54,17 @@
                         request.requestClass.rules.name(), request.overQuota, random.uniform());
     }
 
-    /** Whether the request is not to be sent any more. */
+    /** Whether it is too late to send the request. */
     boolean isTooLate(Request request, long now) {
         return now >= sendableUntil(request, now);
     }
 
     /**
-     * Until when a queued request may be sent: after its latency objective it may earn nothing. One
-     * with an attempt in flight has its time.
+     * Until when a queued request may be sent. A request with an attempt in flight may wait until
+     * its deadline. Any other request must be sent half a mean latency before a response stops
+     * earning weight, which is at its latency objective if its class gives late responses no
+     * weight, else at its deadline. A retry must also leave time to connect before {@link
+     * Request#retryableUntil}.
      */
     long sendableUntil(Request request, long now) {
         if (request.inFlight() > 0) {
--- a/decisions/src/main/java/trailthread/Attempt.java
+++ b/decisions/src/main/java/trailthread/Attempt.java
@@ -2,18 +2,18 @@
 
 import trailthread.api.Outcome;
 
-/** One attempt at an endpoint. */
+/** One attempt of a request, sent to one endpoint. */
 final class Attempt {
     final Endpoint endpoint;
     final long sentAt;
 
-    /** This node's attempts at the endpoint when this one was sent. */
+    /** This node's attempts in flight at the endpoint just before this one was sent. */
     final int inFlightAtSend;
 
-    /** How it ended; null: it is still in flight. */
+    /** How the attempt ended; null while it is in flight. */
     Outcome outcome;
 
-    /** Whether it counts as in flight; owned by {@link InFlightTracker}. */
+    /** Whether the attempt counts as in flight; written only by {@link InFlightTracker}. */
     boolean countedInFlight = true;
 
     Attempt(Endpoint endpoint, long sentAt, int inFlightAtSend) {
@@ -22,7 +22,7 @@
         this.inFlightAtSend = inFlightAtSend;
     }
 
-    /** Whether it may have had its effect, or may still have it. */
+    /** Whether the endpoint may have processed the request, or may still process it. */
     boolean mayHaveRun() {
         return outcome == null || outcome.mayHaveRun();
     }
--- a/decisions/src/main/java/trailthread/AttemptRecorder.java
+++ b/decisions/src/main/java/trailthread/AttemptRecorder.java
@@ -3,9 +3,15 @@
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
 
-/** Brings what is learned from an attempt to the modules that keep it, in their order. */
+/**
+ * Passes the results of attempts to the modules that learn from them, in the order in which these
+ * modules depend on each other.
+ */
 final class AttemptRecorder {
-    /** The part of a latency that grows with a request's work; the rest is the same for all. */
+    /**
+     * The share of the mean latency that is proportional to a request's work; the rest is the same
+     * for all requests.
+     */
     private static final double WORK_SHARE = 0.5;
 
     private final WorkloadMeans means;
@@ -30,17 +36,17 @@
         this.limiter = limiter;
     }
 
-    /** The answer to a streamed request has begun. */
+    /** Records the first byte of a streamed response. */
     void recordFirstByte(Request request, Attempt attempt, long now) {
         inFlight.release(attempt);
         recordLatency(request, attempt, now - attempt.sentAt, now);
     }
 
     /**
-     * The attempt has ended, with its outcome set.
+     * Records the end of an attempt whose outcome has been set.
      *
-     * @param latencyNs or -1: not known
-     * @param load what the endpoint reported with it, or null
+     * @param latencyNs the latency, or -1 if it is not known
+     * @param load the load report that came with the response, or null
      */
     void recordEnd(Request request, Attempt attempt, long latencyNs, LoadReport load, long now) {
         Endpoint endpoint = attempt.endpoint;
@@ -63,7 +69,7 @@
         slowStart.recordServed(now);
         inFlight.recordResponse(attempt);
         outliers.recordSuccess(attempt.endpoint);
-        // The length of a stream says nothing; its beginning has been recorded.
+        // The duration of a stream says nothing of the endpoint; its first byte was recorded.
         if (!request.streaming && latencyNs >= 0) {
             recordLatency(request, attempt, latencyNs, now);
         }
@@ -72,7 +78,8 @@
     private void recordFailure(Attempt attempt, long latencyNs, long now) {
         Endpoint endpoint = attempt.endpoint;
         outliers.recordFailure(endpoint);
-        // A jammed endpoint gives no other sign; but the first in a row may be one lost response.
+        // An endpoint that is congested and no longer responds shows it only by time-outs. The
+        // first time-out in a row may be one lost response, so it does not count.
         boolean showsCongestion =
                 attempt.outcome == Outcome.TIMEOUT
                         && endpoint.health.failures() > 1
--- a/decisions/src/main/java/trailthread/AttemptSender.java
+++ b/decisions/src/main/java/trailthread/AttemptSender.java
@@ -30,8 +30,10 @@
     }
 
     /**
-     * Whether an attempt has been sent. Not without a lease on the list, nor if the request may
-     * have no attempt now, nor if no endpoint is open to it or too little time is left.
+     * Tries to send an attempt. Sends none if no lease on the endpoint list is held, the request
+     * may not have another attempt now, no endpoint is open to it or too little time is left.
+     *
+     * @return whether an attempt was sent
      */
     boolean trySend(Request request, long now) {
         if (!admissions.hasListLease(now)) {
@@ -52,7 +54,7 @@
     }
 
     private void send(Request request, Endpoint endpoint, long now) {
-        // Before begin: the new attempt will count as one that may have run.
+        // Computed before begin, which adds the new attempt to those that may have run.
         long writeDeadline = retries.writeDeadline(request);
         inFlight.begin(request, endpoint, now);
         slowStart.takeToken(endpoint, now);
--- a/decisions/src/main/java/trailthread/Balancer.java
+++ b/decisions/src/main/java/trailthread/Balancer.java
@@ -13,15 +13,15 @@
 import trailthread.api.Settings;
 
 /**
- * Coordinates the decisions of one node: events in, actions out, as declared in {@link
- * trailthread.api}. A state machine: time comes with the events, randomness from the seed. Not
+ * The state machine that makes the decisions of one node. It takes events and calls actions, both
+ * declared in {@link trailthread.api}. Time comes with the events, randomness from the seed. Not
  * thread-safe.
  *
  * <p>The life of a request: {@link #request}; {@link AdmissionController}; {@link AttemptSender}
- * with {@link EndpointPicker}, or {@link RequestQueue} if others wait or no endpoint is open;
- * {@link #outcome} with {@link AttemptRecorder}; then done, a retry by {@link RetryPolicy}, or the
- * final answer by {@link FinalResponder}. Modules keep their own state; this class calls them in
- * order.
+ * with {@link EndpointPicker}, or {@link RequestQueue} if other requests wait or no endpoint is
+ * open; {@link #outcome} with {@link AttemptRecorder}; then done, a retry by {@link RetryPolicy},
+ * or the final answer by {@link FinalResponder}. The modules keep their own state, and this class
+ * calls them in order.
  */
 public final class Balancer implements BalancerEvents {
     private final BalancerActions actions;
@@ -46,9 +46,10 @@
     private final Map<Long, Request> requests = new HashMap<>();
 
     /**
-     * Makes a balancer that knows no endpoint yet: a {@link BalancerEvents#list} should follow.
+     * Creates a balancer without endpoints; {@link BalancerEvents#list} adds them.
      *
-     * @throws IllegalArgumentException that names the first setting that makes no sense
+     * @throws IllegalArgumentException if a setting is out of range; the message names the first
+     *     one
      */
     public Balancer(Settings initial, long seed, long now, BalancerActions actions) {
         this.actions = actions;
@@ -88,17 +89,18 @@
     }
 
     /**
-     * Puts other settings in force; what is known stays, requests keep their class.
+     * Replaces the settings. Statistics are kept, and requests keep the class that they arrived
+     * with.
      *
-     * @throws IllegalArgumentException that names the first setting that makes no sense; the
-     *     settings before stay in force then
+     * @throws IllegalArgumentException if a setting is out of range; the message names the first
+     *     one; the current settings stay in force
      */
     public void retune(long now, Settings next) {
         settings.replace(next);
         fairShare.retune(settings, now);
     }
 
-    /** How many of the listed endpoints are not sent to for now: draining, ejected or resting. */
+    /** How many listed endpoints get no requests at present because they drain or are ejected. */
     public int countAvoided(long now) {
         return outliers.countAvoided(endpoints.all(), now);
     }
--- a/decisions/src/main/java/trailthread/Candidates.java
+++ b/decisions/src/main/java/trailthread/Candidates.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * The predicted time of each endpoint of the subset for one request, by its index; reused for every
- * request, so that a draw allocates nothing.
+ * Which endpoints of the subset are open to one request, and the predicted time of each, by the
+ * endpoint's index in the subset. Reused for every request, so that a draw allocates nothing.
  */
 final class Candidates {
     private static final double CLOSED = Double.MAX_VALUE;
@@ -13,7 +13,7 @@
     private double[] predictedNs = new double[INITIAL_SIZE];
     private double bestNs;
 
-    /** Forgets the request before; no endpoint is open then. */
+    /** Prepares for another request, for which no endpoint is open yet. */
     void reset(int endpoints) {
         if (predictedNs.length < endpoints) {
             predictedNs = new double[Math.max(endpoints, 2 * predictedNs.length)];
@@ -39,7 +39,7 @@
         return predictedNs[index];
     }
 
-    /** The least predicted time of any. */
+    /** The smallest predicted time of any open endpoint. */
     double bestNs() {
         return bestNs;
     }
--- a/decisions/src/main/java/trailthread/ConcurrencyLimiter.java
+++ b/decisions/src/main/java/trailthread/ConcurrencyLimiter.java
@@ -3,48 +3,71 @@
 import java.util.List;
 
 /**
- * Limits how many attempts this node may have in flight at an endpoint, and in all.
+ * Limits how many attempts this node may have in flight at each endpoint, and at all endpoints
+ * together.
  *
  * <p>Additive increase, multiplicative decrease on latency, as in TCP Vegas (Brakmo and Peterson,
- * 1995) and in Netflix's concurrency limits: a limit grows while the endpoint's latency is under a
- * target ({@link #targetLatencyNs}) and shrinks by the excess over it. A limit computed from
- * latency alone would let the crowd at an endpoint grow with the root of the number of nodes;
- * stepped up and down, each node ends where the latency is right, however many share the endpoint.
- * Limits below one are shares of time: they are pooled, and bound what the node has in flight in
- * all.
+ * 1995) and in Netflix's concurrency-limits library: a limit grows while the endpoint's latency is
+ * under a target ({@link #targetLatencyNs}) and shrinks by the excess over it. If each node
+ * computed its limit from the latency alone, the number of attempts at an endpoint would grow with
+ * the square root of the number of nodes. With limits that are adjusted in steps, the latency
+ * settles at the target, however many nodes share the endpoint. A limit below one is a share of
+ * time: the node may have an attempt in flight at the endpoint for that share of the time. The sum
+ * of all limits bounds the attempts in flight at all endpoints.
  */
 final class ConcurrencyLimiter {
     /**
-     * Attempts that all nodes together start with at an endpoint, so that its idle latency shows.
+     * The sum of all nodes' limits for an endpoint that is new to them: few enough attempts for its
+     * latency to be the idle latency.
      */
     private static final double INITIAL_TOTAL_LIMIT = 4;
 
-    /** What all nodes' limits at an endpoint grow by together in a latency. */
+    /**
+     * By how much the sum of all nodes' limits for an endpoint grows in the time of one latency.
+     */
     private static final double TOTAL_GROWTH = 0.7;
 
-    /** The same where other endpoints' responses are the evidence, for the whole headroom. */
+    /**
+     * The same growth where the responses of other endpoints are the evidence. It is multiplied by
+     * the headroom, which is the share of the target latency that is not used.
+     */
     private static final double TOTAL_PRIOR_GROWTH = 5.6;
 
-    /** The part of its attempts that a node keeps as its limit when an endpoint rejects one. */
+    /**
+     * When an endpoint rejects an attempt, the limit becomes this share of the node's attempts in
+     * flight there.
+     */
     private static final double REJECTED_SHARE_KEPT = 0.7;
 
-    /** The least limit: an endpoint that rejects is still tried often within an objective. */
+    /**
+     * The smallest limit; with it, an endpoint that rejects is still tried often within a latency
+     * objective.
+     */
     private static final double MIN_LIMIT = 1.0 / 16;
 
-    /** Target latency, as a share of the mean latency objective. */
+    /** The target latency, as a share of the mean latency objective. */
     private static final double TARGET_OBJECTIVE_SHARE = 0.4;
 
-    /** Target latency, at least so many idle latencies: an endpoint far away is slow when idle. */
+    /**
+     * The target latency is at least this multiple of the idle latency, as a distant endpoint is
+     * slow even when idle.
+     */
     private static final double MIN_TARGET_IDLE_LATENCIES = 1.3;
 
-    /** Target latency, at most so many idle latencies, where the endpoint's own is known. */
+    /**
+     * The target latency is at most this multiple of the idle latency, once the endpoint's own idle
+     * latency is known.
+     */
     private static final double MAX_TARGET_IDLE_LATENCIES = 1.8;
 
-    /** The limit of one endpoint. */
+    /** This node's limit for one endpoint. */
     static final class Limit {
         private double attempts;
 
-        /** Redrawn at each outcome, so that the fractions of all nodes' limits add up. */
+        /**
+         * Uniform in [0, 1) and drawn again at each outcome: rounds the limit at random, so that
+         * over all nodes the fractional parts of limits add up.
+         */
         private double roundingOffset;
     }
 
@@ -80,7 +103,7 @@
         this.random = random;
     }
 
-    /** Gives endpoints that are new to this node their first limit. */
+    /** Sets the initial limit of endpoints that are new to this node. */
     void initialise() {
         List<Endpoint> endpoints = subset.endpoints();
         for (Endpoint endpoint : endpoints) {
@@ -88,7 +111,7 @@
                 continue;
             }
             double initial = initialLimit();
-            // Up to twice that, where this node could not have one attempt in flight otherwise.
+            // Up to twice that, if this node's limits would otherwise not add up to one attempt.
             double onePerNode = Math.min(2 * initial, 1.0 / endpoints.size());
             endpoint.limit.attempts = Math.max(initial, onePerNode);
         }
@@ -103,23 +126,24 @@
     }
 
     /**
-     * Cuts the limit of an endpoint that rejected an attempt. One that is full answers at once,
-     * would look fast, and rejecting costs it work.
+     * Cuts the limit of an endpoint that rejected an attempt. An endpoint with a full queue rejects
+     * at once and so would look fast, and rejecting costs it work.
      */
     void recordRejection(Endpoint endpoint) {
         double reached = Math.min(endpoint.limit.attempts, endpoint.inFlight.count() + 1);
         endpoint.limit.attempts = Math.max(minLimit(), REJECTED_SHARE_KEPT * reached);
     }
 
-    /** Cuts the limit of an endpoint that rests to that of a new one. */
+    /** Cuts the limit of an endpoint that was ejected for congestion to the initial limit. */
     void cutToInitialLimit(Endpoint endpoint) {
         endpoint.limit.attempts = Math.min(endpoint.limit.attempts, initialLimit());
     }
 
     /**
-     * Adjusts limits after a response from an endpoint. Where an endpoint's own responses are few,
-     * the responses of all move its limit too, less the noise of their mean: a crowd overloads
-     * endpoints long before each node hears from each.
+     * Adjusts limits after a response from an endpoint. The response also adjusts the limits of
+     * endpoints with few recent responses of their own, as many nodes can overload the endpoints
+     * long before each node has had a response from each endpoint. For these, the latency is
+     * reduced by the noise of its mean.
      */
     void adjust(Endpoint responder, long now) {
         boolean nearCapacity = inFlight.total() + 2 > totalCapacity;
@@ -134,7 +158,9 @@
         adjustByOwnResponses(responder, nearCapacity, now);
     }
 
-    /** How far the responses of all endpoints count for this one, 0 to 1. */
+    /**
+     * The weight of all endpoints' responses in the adjustment of this endpoint's limit, 0 to 1.
+     */
     private double priorWeight(Endpoint endpoint, long now) {
         double own = endpoint.latency.recentResponses(now, means.objectiveNs());
         double share = LatencyStats.PRIOR_RESPONSES / (LatencyStats.PRIOR_RESPONSES + own);
@@ -171,7 +197,7 @@
         }
     }
 
-    /** The latency up to which an endpoint takes more, in nanoseconds. */
+    /** The latency up to which an endpoint's limit grows, in nanoseconds. */
     private double targetLatencyNs(Endpoint endpoint) {
         double ownIdleNs = endpoint.latency.idleNs();
         double idleNs = Math.max(estimator.idleNs(endpoint), settings.latencyResolutionNs());
@@ -183,8 +209,8 @@
     }
 
     /**
-     * How many attempts this node may have in flight at an endpoint; below one: for what share of
-     * the time it may have one.
+     * How many attempts this node may have in flight at an endpoint; a value below one is the share
+     * of the time for which it may have one.
      *
      * @param timePerRequestNs the endpoint's {@link LoadEstimator#timePerRequestNs}
      */
@@ -193,8 +219,9 @@
     }
 
     /**
-     * Computes what this node may have in flight in all. The capacity of endpoints that take
-     * nothing is not lent to the others: all nodes would pour it on the few that look free.
+     * Computes how many attempts this node may have in flight at all endpoints together. Capacity
+     * of endpoints that get no attempts is not given to the others: all nodes would send the freed
+     * load to the same few endpoints.
      */
     void updateTotal(long now) {
         totalCapacity = 0;
@@ -212,10 +239,10 @@
     }
 
     /**
-     * Takes in that an attempt has ended. With many nodes, one attempt from each may be too much
-     * for an endpoint: where a node's total is under one, it pauses between attempts. A total of
-     * none is no reason to pause: no endpoint is ready, and the next one that is may be sent to at
-     * once.
+     * Records the end of an attempt. With many nodes, one attempt from each may overload an
+     * endpoint, so a node whose total capacity is below one pauses between attempts. It does not
+     * pause if the total is 0: then no endpoint is ready, and the next one to become ready may be
+     * sent to at once.
      */
     void attemptEnded(Endpoint endpoint, long now) {
         endpoint.limit.roundingOffset = random.uniform();
@@ -234,9 +261,9 @@
     }
 
     /**
-     * Whether the endpoint takes one more attempt now. Past a point a crowded server only slows,
-     * and what has been sent can no longer be rejected; requests that find none open are queued
-     * here.
+     * Whether the endpoint is open, which means that it may be sent one more attempt now. Requests
+     * that find no open endpoint are queued at this node: more attempts would only slow an
+     * overloaded endpoint further, and an attempt that was sent can no longer be rejected.
      *
      * @param capacity the endpoint's {@link #capacity}
      */
--- a/decisions/src/main/java/trailthread/DecayingCounter.java
+++ b/decisions/src/main/java/trailthread/DecayingCounter.java
@@ -1,8 +1,8 @@
 package trailthread;
 
 /**
- * A count of about the last span, by exponential decay: {@code count(t) = sum of amount * e^-((t -
- * at) / span)}. Pure: time is handed in and never goes back.
+ * A count with exponential decay, about that of the last span: {@code count(t) = sum of amount *
+ * e^-((t - at) / span)}. Reads no clock: the time is passed in and must not decrease.
  */
 final class DecayingCounter {
     private final double spanNs;
--- a/decisions/src/main/java/trailthread/DemandStats.java
+++ b/decisions/src/main/java/trailthread/DemandStats.java
@@ -1,6 +1,8 @@
 package trailthread;
 
-/** What a class or tenant has requested and has been served of late, in priority weight. */
+/**
+ * The recent demand of a class or tenant, and the part of it that was served, in priority weight.
+ */
 abstract class DemandStats {
     final DecayingCounter requested;
     final DecayingCounter served;
--- a/decisions/src/main/java/trailthread/Endpoint.java
+++ b/decisions/src/main/java/trailthread/Endpoint.java
@@ -4,13 +4,12 @@
 import trailthread.api.EndpointState;
 
 /**
- * One endpoint as this node sees it: its list entry, and a part for each module that keeps state by
- * endpoint.
+ * One endpoint as this node sees it: its list entry, and the state that each module keeps for it.
  */
 final class Endpoint {
     final String name;
 
-    /** The same at every node: the base of rings and rendezvous hashing. */
+    /** A hash of the name, the same at every node, for subset rings and rendezvous hashing. */
     final long hash;
 
     final LatencyStats latency = new LatencyStats();
@@ -54,25 +53,28 @@
         return zone;
     }
 
-    /** The cell that shares a deduplication window; negative: none. */
+    /** The cell of endpoints with which this one shares a deduplication window; negative: none. */
     int cell() {
         return cell;
     }
 
-    /** When it last started, in nanoseconds; 0: long ago. */
+    /** When the endpoint last started, in nanoseconds; 0: long ago. */
     long startedAtNs() {
         return startedAtNs;
     }
 
-    /** The largest weight it was ever listed with: its size, where weights fall with load. */
+    /**
+     * The largest weight that the endpoint was ever listed with: its size, where listed weights
+     * fall with load.
+     */
     double largestWeight() {
         return largestWeight;
     }
 
     /**
-     * Its size relative to others.
+     * The size of the endpoint relative to others.
      *
-     * @param byWeight whether listed weights tell the size; else all are alike
+     * @param byWeight whether listed weights give the size; else every endpoint has size 1
      */
     double size(boolean byWeight) {
         return byWeight && largestWeight > 0 ? largestWeight : 1;
--- a/decisions/src/main/java/trailthread/EndpointDirectory.java
+++ b/decisions/src/main/java/trailthread/EndpointDirectory.java
@@ -6,8 +6,8 @@
 import trailthread.api.ListKind;
 
 /**
- * Takes in list events: keeps the list and this node's subset of it, and polls for lists and health
- * checks when they are due.
+ * Handles list events: keeps the endpoint list and this node's subset of it, and starts list polls
+ * and health checks when they are due.
  */
 final class EndpointDirectory {
     private final EndpointList list;
@@ -37,7 +37,7 @@
         healthChecker = new HealthChecker(settings, means, list, slowStart, actions, random);
     }
 
-    /** A poll or a watch has failed; the list stays. */
+    /** Records that a poll or a watch failed; the last list stays in use. */
     void listFailed(long now) {
         polls.failed(now);
         if (log.tryAcquire(RateLimitedLog.Kind.LIST_FAILED, now)) {
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Takes in a list, or what changed of it. */
+    /** Applies a complete list, or the entries that changed. */
     void update(ListKind kind, List<EndpointEntry> entries, long now) {
         slowStart.refill(now);
         list.update(kind, entries, now);
@@ -55,7 +55,7 @@
         limiter.updateTotal(now);
     }
 
-    /** Chooses the subset anew if it is due. */
+    /** Selects the subset again if that is due. */
     void refreshSubset(long now) {
         if (subsetSelector.isDue(now)) {
             selectSubset(now);
--- a/decisions/src/main/java/trailthread/EndpointList.java
+++ b/decisions/src/main/java/trailthread/EndpointList.java
@@ -18,7 +18,9 @@
         this.slowStart = slowStart;
     }
 
-    /** All that are listed, draining ones too, in the order in which they were first listed. */
+    /**
+     * All listed endpoints, including draining ones, in the order in which they were first listed.
+     */
     List<Endpoint> all() {
         return listed;
     }
@@ -32,7 +34,7 @@
         return byName.get(name);
     }
 
-    /** Takes in the entries of a list event: the complete list, or those that changed. */
+    /** Applies the entries of a list event: the complete list, or those that changed. */
     void update(ListKind kind, List<EndpointEntry> entries, long now) {
         if (kind != ListKind.DELTA) {
             listed.forEach(Endpoint::remove);
@@ -48,9 +50,9 @@
     }
 
     /**
-     * Takes in one entry.
+     * Applies one entry.
      *
-     * @return whether it replaces an endpoint that is listed, as that has restarted
+     * @return whether it replaced a listed endpoint, because that endpoint has restarted
      */
     private boolean update(EndpointEntry entry, long now) {
         Endpoint known = byName.get(entry.endpoint());
--- a/decisions/src/main/java/trailthread/EndpointPicker.java
+++ b/decisions/src/main/java/trailthread/EndpointPicker.java
@@ -4,13 +4,13 @@
 import trailthread.api.Settings;
 
 /**
- * Picks the endpoint for a request, in four steps: which endpoints are eligible, how long each
- * would take, which one the request's key belongs to, and the draw.
+ * Picks the endpoint for a request in four steps: finds the eligible endpoints, predicts how long
+ * each would take, finds the home of the request's key, and draws by lottery.
  */
 final class EndpointPicker {
     /**
-     * A request may go to an endpoint again that it was sent to before, once its last attempt was
-     * sent longer ago than this part of the tightest latency objective.
+     * A request may be sent to the same endpoint again once its last attempt was sent longer ago
+     * than the tightest latency objective divided by this.
      */
     private static final int SAME_ENDPOINT_OBJECTIVE_DIVISOR = 8;
 
@@ -47,10 +47,10 @@
     }
 
     /**
-     * The endpoint for the request's next attempt, or null: none is open to it, or the request has
+     * The endpoint for the request's next attempt, or null if none is open to it or the request has
      * too little time left.
      *
-     * @param ejectionSuspended no endpoint is avoided for its failures
+     * @param ejectionSuspended whether ejected endpoints may be picked
      */
     Endpoint pick(Request request, boolean ejectionSuspended, long now) {
         findCandidates(request, ejectionSuspended, now);
--- a/decisions/src/main/java/trailthread/EndpointSubset.java
+++ b/decisions/src/main/java/trailthread/EndpointSubset.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The listed endpoints that this node sends to: all, or its part; see {@link SubsetSelector}. */
+/**
+ * The listed endpoints that this node sends to: all of them, or a subset; see {@link
+ * SubsetSelector}.
+ */
 final class EndpointSubset {
     private final List<Endpoint> endpoints = new ArrayList<>();
     private double sharingNodes = 1;
@@ -16,12 +19,11 @@
         return endpoints.size();
     }
 
-    /** How many nodes send to each endpoint, as far as this node can see; at least 1. */
+    /** How many nodes send to each endpoint on average, by this node's estimate; at least 1. */
     double sharingNodes() {
         return sharingNodes;
     }
 
-    /** Replaces the subset. */
     void replace(List<Endpoint> next, double nextSharingNodes) {
         endpoints.clear();
         endpoints.addAll(next);
--- a/decisions/src/main/java/trailthread/FairShare.java
+++ b/decisions/src/main/java/trailthread/FairShare.java
@@ -9,23 +9,30 @@
 import trailthread.api.Tenant;
 
 /**
- * Demand and service by class and tenant: who is served the smallest part of what it requests.
+ * The demand of each class and tenant and how much of it is served, to find those that are served
+ * the smallest share.
  *
  * <p>Max-min fairness (Bertsekas and Gallager, Data Networks, 6.5.2): the goal gives weight to the
  * worst-served class and tenant, so a gain there counts for more.
  */
 final class FairShare {
-    /** Memory of demand and service, in longest deadlines: long against one request. */
+    /** Decay time of demand and service, in longest deadlines: long compared with one request. */
     private static final double DECAY_DEADLINES = 20;
 
     private final Map<String, RequestClassStats> classes = new LinkedHashMap<>();
 
-    /** Also the classes of earlier settings, whose requests may still be in flight. */
+    /**
+     * All classes of the current and earlier settings: requests of earlier classes may be in
+     * flight.
+     */
     private final Map<String, RequestClassStats> allClasses = new HashMap<>();
 
     private final Map<String, TenantStats> tenants = new LinkedHashMap<>();
 
-    /** Takes over the settings' classes and tenants; those that stay the same keep their counts. */
+    /**
+     * Adopts the classes and tenants of the settings; those that have not changed keep their
+     * counts.
+     */
     void retune(ActiveSettings active, long now) {
         Settings settings = active.get();
         long decayNs = decayNs(active);
@@ -60,17 +67,19 @@
         return found;
     }
 
-    /** The tenant, or null where the settings name none so. */
+    /** The tenant of this name, or null if the settings have none. */
     TenantStats tenant(String name) {
         return tenants.get(name);
     }
 
-    /** The class that is served the smallest part of its demand, or null: none has any. */
+    /** The class that is served the smallest share of its demand, or null if there is no demand. */
     RequestClassStats worstClass(long now) {
         return worst(classes, now);
     }
 
-    /** The tenant that is served the smallest part of its demand, or null: none has any. */
+    /**
+     * The tenant that is served the smallest share of its demand, or null if there is no demand.
+     */
     TenantStats worstTenant(long now) {
         return worst(tenants, now);
     }
--- a/decisions/src/main/java/trailthread/FinalResponder.java
+++ b/decisions/src/main/java/trailthread/FinalResponder.java
@@ -15,7 +15,7 @@
         this.random = random;
     }
 
-    /** Refuses the request, if clients may safely send it again after that; else fails it. */
+    /** Refuses the request if its client may safely send it again, else fails it. */
     void answer(Request request) {
         request.finished = true;
         if (RetryPolicy.mayRefuse(request)) {
@@ -25,7 +25,10 @@
         }
     }
 
-    /** Spreads the clients' return: all at once, they would feed the overload. 0: no advice. */
+    /**
+     * A random Retry-After, or 0 for none. Random, as clients that all came back at the same time
+     * would prolong the overload.
+     */
     private long retryAfterNs() {
         Settings s = settings.get();
         long spreadNs = random.jittered(s.maxRetryAfterNs / (1 + RandomSource.JITTER));
--- a/decisions/src/main/java/trailthread/HealthChecker.java
+++ b/decisions/src/main/java/trailthread/HealthChecker.java
@@ -5,8 +5,8 @@
 import trailthread.api.Settings;
 
 /**
- * Checks warm endpoints for their load in turn, where reports come only with health checks: each
- * once in {@link #PERIOD_OBJECTIVES} mean latency objectives.
+ * Checks the load of endpoints past slow start in turn, each once in {@link #PERIOD_OBJECTIVES}
+ * mean latency objectives. Runs only where load reports come with health checks alone.
  */
 final class HealthChecker {
     /** The time between two health checks of an endpoint, in mean latency objectives. */
@@ -36,7 +36,7 @@
         this.random = random;
     }
 
-    /** Begins, once, where the settings want it. */
+    /** Starts the checks if the settings ask for them and they are not running. */
     void startIfConfigured(long now) {
         Settings s = settings.get();
         if (!running && s.mayCheckHealth && s.reports == LoadReportSource.HEALTH_CHECKS) {
--- a/decisions/src/main/java/trailthread/InFlightTracker.java
+++ b/decisions/src/main/java/trailthread/InFlightTracker.java
@@ -5,30 +5,33 @@
 import java.util.Set;
 
 /**
- * Attempts in flight, in all and by endpoint.
+ * Counts the attempts in flight, at each endpoint and at all together.
  *
- * <p>Responses that are lost would fill concurrency limits, and make their endpoints look frozen,
- * until their clients give up. So an attempt that has been out for long counts no more:
+ * <p>An attempt whose response is lost would use up part of a concurrency limit, and make its
+ * endpoint look unresponsive, until its client gives up. So an attempt that takes too long is
+ * presumed lost and no longer counted:
  *
  * <ul>
- *   <li>one that a later attempt has overtaken, after {@link #OVERTAKEN_LATENCIES} usual latencies
- *       (a long request may be overtaken, too, so it has more time);
- *   <li>one that none has overtaken, after {@link #NOT_OVERTAKEN_LATENCIES} usual latencies,
- *       doubled for each such attempt before it: its capacity is free then for an idempotent trial.
+ *   <li>an attempt that was overtaken, as a later attempt at the endpoint has had its response,
+ *       after {@link #OVERTAKEN_LATENCIES} usual latencies (longer than the other limit, because a
+ *       long request may be overtaken, too);
+ *   <li>any other attempt after {@link #NOT_OVERTAKEN_LATENCIES} usual latencies, doubled for each
+ *       attempt presumed lost before it. That frees capacity for one idempotent request, which
+ *       tries the endpoint again.
  * </ul>
  */
 final class InFlightTracker {
-    /** Usual latencies after which an overtaken attempt counts as lost. */
+    /** Usual latencies after which an overtaken attempt is presumed lost. */
     private static final double OVERTAKEN_LATENCIES = 5;
 
-    /** Usual latencies after which an attempt that none has overtaken counts as lost. */
+    /** Usual latencies after which an attempt that was not overtaken is presumed lost. */
     private static final double NOT_OVERTAKEN_LATENCIES = 2.5;
 
     private static final int MAX_DOUBLINGS = 5;
 
     /** The attempts at one endpoint. */
     static final class EndpointAttempts {
-        /** From the oldest that counts as in flight on. */
+        /** In the order of sending, from the oldest attempt that may still count as in flight. */
         private final ArrayDeque<Attempt> sent = new ArrayDeque<>();
 
         private int count;
@@ -41,22 +44,25 @@
             return count;
         }
 
-        /** Attempts that seem lost, with no response to a later one. */
+        /** Attempts presumed lost, and not overtaken, since the last response. */
         int presumedLost() {
             return presumedLost;
         }
 
-        /** Whether a response is awaited, or seems lost. */
+        /** Whether an attempt is in flight, or is presumed lost with no response since. */
         boolean isAwaitingResponse() {
             return count + presumedLost > 0;
         }
 
-        /** When the newest attempt that was answered had been sent. */
+        /** When the newest attempt that has had a response was sent. */
         long newestAnsweredSentAt() {
             return newestAnsweredSentAt;
         }
 
-        /** When it last ended an attempt in any way, or got one while it had none. */
+        /**
+         * Since when the endpoint has been silent: when its last attempt ended, with any outcome,
+         * or when the first awaited attempt was sent.
+         */
         long silentSince() {
             return silentSince;
         }
@@ -65,7 +71,7 @@
     private final ActiveSettings settings;
     private final WorkloadMeans means;
 
-    /** Endpoints with attempts in flight: of thousands, few. */
+    /** Endpoints with attempts in flight; few, even if thousands are listed. */
     private final Set<Endpoint> awaitedEndpoints = new LinkedHashSet<>();
 
     private int total;
@@ -80,7 +86,7 @@
         return total;
     }
 
-    /** Begins an attempt. */
+    /** Adds a new attempt to the request, and counts it as in flight. */
     void begin(Request request, Endpoint endpoint, long now) {
         EndpointAttempts attempts = endpoint.inFlight;
         if (!attempts.isAwaitingResponse()) {
@@ -95,7 +101,7 @@
         endpoint.load.attemptSent();
     }
 
-    /** An attempt has ended in some way. */
+    /** Records the end of an attempt, with any outcome. */
     void end(Attempt attempt, long now) {
         EndpointAttempts attempts = attempt.endpoint.inFlight;
         boolean wasPresumedLost = !release(attempt);
@@ -105,7 +111,10 @@
         attempts.silentSince = now;
     }
 
-    /** An attempt was answered with success: those sent later and not answered are not lost. */
+    /**
+     * Records a successful response. It shows that the endpoint responds, so the count of attempts
+     * presumed lost starts again from 0.
+     */
     void recordResponse(Attempt attempt) {
         EndpointAttempts attempts = attempt.endpoint.inFlight;
         attempts.newestAnsweredSentAt = Math.max(attempts.newestAnsweredSentAt, attempt.sentAt);
@@ -113,10 +122,10 @@
     }
 
     /**
-     * Stops counting an attempt as in flight: it has ended, seems lost, or streams, which holds up
-     * no request that comes after it.
+     * Stops counting an attempt as in flight: it has ended, is presumed lost, or streams its
+     * response, which delays no later request.
      *
-     * @return whether it had counted until now
+     * @return whether it was counted until now
      */
     boolean release(Attempt attempt) {
         if (!attempt.countedInFlight) {
@@ -129,7 +138,7 @@
         return true;
     }
 
-    /** Stops counting attempts that seem lost. */
+    /** Stops counting attempts that are presumed lost. */
     void releaseLost(long now) {
         awaitedEndpoints.forEach(endpoint -> releaseLost(endpoint, now));
         awaitedEndpoints.removeIf(endpoint -> endpoint.inFlight.sent.isEmpty());
--- a/decisions/src/main/java/trailthread/KeyAffinity.java
+++ b/decisions/src/main/java/trailthread/KeyAffinity.java
@@ -6,31 +6,35 @@
 import trailthread.api.WeightMeaning;
 
 /**
- * Sends requests of one key to one endpoint, where that serves it for less work.
+ * Sends all requests for one key to the same endpoint, where an endpoint that recently served a key
+ * serves it again with less work.
  *
  * <p>Weighted rendezvous hashing (Thaler and Ravishankar, 1998; Schindelhauer and Schomaker, 2005)
- * with bounded loads (Mirrokni et al., 2018): the endpoints form an order that is the key's own at
- * every node; one that is not open, or holds over its fair part of this node's requests, is passed
- * over for the next. Spilled at random, a key would meet every endpoint without its data and drive
- * other keys out; without the bound, popular keys make hot spots.
+ * with bounded loads (Mirrokni et al., 2018): for each key, all nodes rank the endpoints in the
+ * same order. An endpoint that is not open, or that has more than {@link #LOAD_BOUND} times its
+ * fair share of this node's attempts in flight, is passed over for the next in that order. If a key
+ * spilled over to random endpoints instead, each of them would have to load its data and would
+ * evict that of other keys. Without the bound, popular keys would overload their endpoints.
  */
 final class KeyAffinity {
-    /** An endpoint takes at most this multiple of its fair part of this node's requests. */
+    /**
+     * An endpoint takes at most this multiple of its fair share of this node's attempts in flight.
+     */
     private static final double LOAD_BOUND = 1.5;
 
-    /** Requests after which the counts of keys are halved. */
+    /** The counts of keys are halved once they add up to more than this. */
     private static final double HALVING_COUNT = 1000;
 
-    /** No endpoint is open to the key. */
+    /** Instead of an index: the request has no home endpoint. */
     static final int NONE = -1;
 
     private final ActiveSettings settings;
     private final RandomSource random;
 
-    /** How often each key came of late. */
+    /** Recent requests by key. */
     private final Map<Long, Double> countsByKey = new LinkedHashMap<>();
 
-    /** How often all keys came of late, together. */
+    /** Recent requests of all keys together. */
     private double totalCount;
 
     KeyAffinity(ActiveSettings settings, RandomSource random) {
@@ -39,11 +43,11 @@
     }
 
     /**
-     * The key to use for a request: a popular key counts as several, each with its own endpoint.
-     * Where hundreds of nodes send to a key's endpoint, no node can see from its own part that all
-     * together are too many.
+     * The key to use for a request. A popular key is split into several keys, each with its own
+     * endpoint. With hundreds of nodes, no node can see from its own requests that all nodes
+     * together overload the key's endpoint.
      *
-     * @param endpoints how many this node sends to
+     * @param endpoints how many endpoints this node sends to
      */
     long spreadKey(long key, int endpoints) {
         double count = countsByKey.merge(key, 1.0, Double::sum);
@@ -63,9 +67,9 @@
     }
 
     /**
-     * The index of the endpoint for a key, or {@link #NONE}.
+     * The index of the endpoint for a key, or {@link #NONE} if no endpoint is open to it.
      *
-     * @param candidates by the index of an endpoint: whether it is open
+     * @param candidates which of the endpoints are open
      */
     int findHome(long key, List<Endpoint> endpoints, Candidates candidates) {
         WeightMeaning meaning = settings.get().weights;
--- a/decisions/src/main/java/trailthread/LatencyStats.java
+++ b/decisions/src/main/java/trailthread/LatencyStats.java
@@ -1,27 +1,34 @@
 package trailthread;
 
 /**
- * Latency of the responses of one endpoint, or of all together: at present and when idle.
+ * The latency of one endpoint, or of all endpoints together: at present and when idle.
  *
- * <p>The present latency is an exponential mean of the logarithm of single latencies, as one very
- * long response says little about its endpoint. The idle latency is the least value of a slower
- * mean, drifting up slowly, as the minimum round-trip time in TCP Vegas (Brakmo and Peterson,
- * 1995). Pure: times are handed in, in nanoseconds.
+ * <p>The present latency is an exponentially weighted moving average of the logarithms of response
+ * times; of logarithms, because one very long response says little about its endpoint. The idle
+ * latency is the minimum of a slower moving average, like the minimum round-trip time in TCP Vegas
+ * (Brakmo and Peterson, 1995). It drifts up slowly, so that it can also rise. Reads no clock: times
+ * are passed in, in nanoseconds.
  */
 final class LatencyStats {
-    /** Weight of one response in the present latency: about ten responses of memory. */
+    /** Weight of one response in the present latency: an average over about ten responses. */
     static final double LATENCY_WEIGHT = 0.1;
 
-    /** Memory of the present latency where responses are rare, in mean latency objectives. */
+    /** Decay time of the present latency where responses are rare, in mean latency objectives. */
     static final double DECAY_OBJECTIVES = 5;
 
-    /** Weight of all endpoints' responses in the estimate for one, in responses of its own. */
+    /**
+     * Weight of the prior, which is the latency of all endpoints, in the estimate for one endpoint:
+     * that of so many responses of the endpoint.
+     */
     static final double PRIOR_RESPONSES = 2;
 
-    /** Weight of one response in the slow mean: the least of a noisy mean would lie too low. */
+    /**
+     * Weight of one response in the slow average. It is small, as the minimum of a noisy average
+     * would be too low.
+     */
     private static final double SLOW_WEIGHT = 0.02;
 
-    /** Responses before the slow mean is trusted as an idle latency. */
+    /** Responses after which the slow average may be used as the idle latency. */
     private static final double MIN_RESPONSES_FOR_IDLE = 1 / SLOW_WEIGHT / 4;
 
     private double latencyNs;
@@ -37,7 +44,8 @@
     /**
      * Records a response.
      *
-     * @param inFlightAtSend this node's attempts at the endpoint when it was sent
+     * @param inFlightAtSend this node's attempts in flight at the endpoint when the attempt was
+     *     sent
      * @param objectiveNs the mean latency objective
      * @param idleDriftNs the time in which the idle latency drifts up by its own value
      */
@@ -71,7 +79,10 @@
         idleNs = idleNs == 0 ? slowNs : Math.min(slowNs, drifted);
     }
 
-    /** Responses of late, fading over {@link #DECAY_OBJECTIVES} objectives. */
+    /**
+     * The number of recent responses, with exponential decay over {@link #DECAY_OBJECTIVES} mean
+     * latency objectives.
+     */
     double recentResponses(long now, double objectiveNs) {
         if (recentResponses == 0) {
             return 0;
@@ -79,12 +90,15 @@
         return recentResponses * Math.exp(-(now - recordedAt) / (DECAY_OBJECTIVES * objectiveNs));
     }
 
-    /** How much slower it is than all together, as a logarithm, as far as its responses show. */
+    /**
+     * How much slower this endpoint is than all endpoints together: the logarithm of the ratio of
+     * their slow averages, reduced while this endpoint has had few responses.
+     */
     double relativeSlowness(LatencyStats all) {
         return (slowLogLatency - all.slowLogLatency) * responses / (responses + PRIOR_RESPONSES);
     }
 
-    /** The present latency in nanoseconds; 0: no response has come. */
+    /** The present latency in nanoseconds; 0 before the first response. */
     double latencyNs() {
         return latencyNs;
     }
@@ -94,12 +108,14 @@
         return logLatency;
     }
 
-    /** Mean number of this node's attempts that were in flight when one was sent. */
+    /**
+     * The mean number of this node's attempts in flight at the endpoint when another one was sent.
+     */
     double meanInFlight() {
         return meanInFlight;
     }
 
-    /** The latency when idle, in nanoseconds; 0: not known yet. */
+    /** The idle latency in nanoseconds; 0: not known yet. */
     double idleNs() {
         return idleNs;
     }
@@ -109,7 +125,7 @@
         return responses;
     }
 
-    /** Variance of the logarithm of single latencies. */
+    /** Variance of the logarithms of response times. */
     double logVariance() {
         return logVariance;
     }
--- a/decisions/src/main/java/trailthread/ListLease.java
+++ b/decisions/src/main/java/trailthread/ListLease.java
@@ -5,9 +5,9 @@
  *
  * <p>A node counts as notified of a change {@link #NOTIFICATION_DUE_NS} after discovery had it,
  * whether or not the update arrived, unless discovery could not be reached. So the lease is renewed
- * by each sign of life of a watch, and by proof that discovery cannot be reached; it lasts for that
- * time and the grace of draining endpoints. A process that has just started holds no lease: how old
- * its first list is, is not known.
+ * by each message on a watch, and by proof that discovery cannot be reached. It lasts for that time
+ * plus the grace of draining endpoints. A process that has just started holds no lease, as the age
+ * of its first list is not known.
  *
  * <p>No I/O and no clock of its own: times are passed in, in ns of one monotonic clock, which may
  * start anywhere.
@@ -29,8 +29,8 @@
     public static final long QUEUED_POLL_NS = 1_200_000_000L;
 
     /**
-     * Where an agent pushes the list, a node counts as notified of changes by another agent this
-     * time after the switch to it, ns.
+     * Where agents push the list, a node counts as notified by another agent this time after the
+     * switch to that agent, ns.
      */
     public static final long SOURCE_SWITCH_NS = 4_000_000_000L;
 
@@ -44,7 +44,7 @@
 
     private long renewedAt;
 
-    /** Whether a poll has waited and failed since the start. */
+    /** Whether a poll that may have been queued has failed since the start. */
     private boolean queuedPollFailed;
 
     /** Whether another discovery has become the source since the lease was renewed. */
@@ -64,40 +64,43 @@
         retune(drainGraceNs, pushed);
     }
 
-    /** Changes the settings, as in the constructor; what has renewed the lease still counts. */
+    /** Changes the settings, as in the constructor. Earlier renewals of the lease still count. */
     public void retune(long drainGraceNs, boolean isPushed) {
         graceNs = usableGraceNs(drainGraceNs);
         pushed = isPushed;
     }
 
-    /** What is left of a grace, ns, as a node may be suspended before it writes. */
+    /**
+     * A grace less {@link #MAX_WRITE_DELAY_NS}, ns, at least 0: the node may be suspended before it
+     * writes.
+     */
     public static long usableGraceNs(long graceNs) {
         return Math.max(0, graceNs - MAX_WRITE_DELAY_NS);
     }
 
-    /** Discovery has notified the node of all changes made up to a time. */
+    /** Renews the lease: discovery has notified the node of all changes made up to a time. */
     public void confirmed(long asOf) {
         renewedAt = renewed ? Math.max(renewedAt, asOf) : asOf;
         renewed = true;
         sourceSwitched = false;
     }
 
-    /** Another discovery is the source of the list from now on. */
+    /** Records that another discovery is the source of the list from now on. */
     public void recordSourceSwitch(long now) {
         sourceSwitched = true;
         sourceSwitchedAt = now;
     }
 
     /**
-     * A poll of discovery was refused, or its connection broke before there was a response. Changes
-     * made while discovery cannot be reached are notified after its return, so this renews the
-     * lease.
+     * Records that a poll of discovery was refused, or that its connection broke before there was a
+     * response. Changes made while discovery cannot be reached are notified after its return, so
+     * this renews the lease.
      *
      * <p>The exception: the first poll after the start that waited and failed may have been queued
-     * behind those of a fleet that has just started, which proves nothing of discovery. The polls
-     * of a running fleet are spread and meet no queue.
+     * behind those of a fleet that has just started, so it does not prove that discovery cannot be
+     * reached. The polls of a running fleet are spread and meet no queue.
      *
-     * @param waitedSince since when the poll may have waited at discovery
+     * @param waitedSince since when the poll may have been queued at discovery
      */
     public void pollFailed(long waitedSince, long now) {
         boolean queued = now - waitedSince >= QUEUED_POLL_NS;
--- a/decisions/src/main/java/trailthread/ListPollSchedule.java
+++ b/decisions/src/main/java/trailthread/ListPollSchedule.java
@@ -5,14 +5,17 @@
 import trailthread.api.Settings;
 
 /**
- * When this node polls discovery for the endpoint list.
+ * Schedules this node's polls of discovery for the endpoint list.
  *
- * <p>Exponential backoff with jitter. Nodes that poll in step would keep the list from most of
- * them, as polls that wait in vain cost discovery, too. So the polls of all nodes are spread: the
- * more nodes, the later each polls again.
+ * <p>Exponential backoff with jitter. If all nodes polled at the same time, most polls would time
+ * out in the queue of discovery, which spends time on these polls, too. So the polls of all nodes
+ * are spread over a time in proportion to the number of nodes.
  */
 final class ListPollSchedule {
-    /** Polls in a poll interval that all nodes together begin with; halved for each in vain. */
+    /**
+     * Polls per poll interval that all nodes together start with; halved for each queued poll that
+     * fails.
+     */
     private static final double INITIAL_POLLS_PER_INTERVAL = 400;
 
     /** The longest backoff, in poll intervals. */
@@ -23,16 +26,22 @@
     /** The least time before a poll that failed at once is repeated, in nanoseconds. */
     private static final double MIN_RETRY_NS = 1e9;
 
-    /** The longest such time; with jitter within {@link ListLease#NOTIFICATION_DUE_NS}. */
+    /**
+     * The longest such time, in nanoseconds; with jitter, it stays below {@link
+     * ListLease#NOTIFICATION_DUE_NS}.
+     */
     private static final double MAX_RETRY_NS = 5e9;
 
-    /** First polls, of a start or after a broken watch, are spread over this, in nanoseconds. */
+    /**
+     * First polls after a start or a broken watch are spread over at most this time, in
+     * nanoseconds.
+     */
     private static final double MAX_FIRST_POLL_NS = 4.4e9;
 
-    /** A poll that brings nothing is repeated after this share of the poll interval. */
+    /** A poll that has no result yet is repeated after this share of the poll interval. */
     private static final double REPEAT_SHARE = 0.25;
 
-    /** Retries and first polls are spread over this multiple of what all nodes' polls take. */
+    /** Retries and first polls are spread over this multiple of {@link #roundNs}. */
     private static final double SPREAD_MULTIPLE = 4;
 
     private final ActiveSettings settings;
@@ -43,7 +52,7 @@
     private int failedQueuedPolls;
     private long serial;
 
-    /** When the poll under way began; {@link Long#MAX_VALUE}: none is. */
+    /** When the poll in progress was sent; {@link Long#MAX_VALUE}: there is none. */
     private long pollSentAt = Long.MAX_VALUE;
 
     ListPollSchedule(ActiveSettings settings, BalancerActions actions, RandomSource random) {
@@ -52,7 +61,7 @@
         this.random = random;
     }
 
-    /** The poll or the watch under way has failed; sets the next poll. */
+    /** Records that the poll or the watch has failed, and schedules the next poll. */
     void failed(long now) {
         double waitedNs = pollSentAt == Long.MAX_VALUE ? 0 : now - pollSentAt;
         pollSentAt = Long.MAX_VALUE;
@@ -60,8 +69,8 @@
         if (wasQueued && failedQueuedPolls > 0) {
             schedulePoll((0.5 + random.uniform()) * backoffNs());
         } else {
-            // At a fixed pace from poll to poll, the first in vain too: whenever discovery comes
-            // back, the polls of all nodes come evenly spread.
+            // At fixed intervals, also after the first queued poll that fails: whenever discovery
+            // comes back, the polls of all nodes arrive evenly spread.
             double spread = watching ? random.uniform() : 1;
             schedulePoll(Math.max(0, spread * retryNs() - waitedNs));
         }
@@ -79,28 +88,34 @@
         return Math.min(Math.max(SPREAD_MULTIPLE * roundNs(), MIN_RETRY_NS), maxNs);
     }
 
-    /** The time in which all nodes poll once. */
+    /** The time in which all nodes poll once, at the initial rate. */
     private double roundNs() {
         Settings s = settings.get();
         double intervalNs = s.pollIntervalNs;
         return s.nodes / INITIAL_POLLS_PER_INTERVAL * intervalNs;
     }
 
-    /** A list has come; sets the first poll where it must be asked for and none is watched. */
+    /**
+     * Records a list, and schedules the first poll if the list must be polled and there is no
+     * watch.
+     */
     void received(ListKind kind) {
         pollSentAt = Long.MAX_VALUE;
         watching = kind != ListKind.CACHED;
         failedQueuedPolls = watching ? 0 : failedQueuedPolls;
         Settings s = settings.get();
         if (s.listIsPolled && !watching) {
-            // A node alone need not wait for others.
+            // A single node need not wait for others.
             double othersNs = SPREAD_MULTIPLE * (roundNs() - roundNs() / s.nodes);
             double maxNs = Math.min(othersNs, MAX_FIRST_POLL_NS);
             schedulePoll(random.uniform() * maxNs / (1 + RandomSource.JITTER));
         }
     }
 
-    /** A poll's timer is due; an earlier schedule's timer, or one under a watch, does nothing. */
+    /**
+     * Polls when its timer is due. Does nothing if a later poll has been scheduled since, or there
+     * is a watch.
+     */
     void timerDue(long timerSerial, long now) {
         if (timerSerial != serial || watching) {
             return;
--- a/decisions/src/main/java/trailthread/LoadEstimator.java
+++ b/decisions/src/main/java/trailthread/LoadEstimator.java
@@ -6,24 +6,34 @@
 /**
  * Predicts how long one more request would take at an endpoint, in nanoseconds.
  *
- * <p>Prediction after the SNS paper (Fox et al., SOSP 1997, 3.1.2): {@code (1 + requests there) *
- * pace}, where the requests there are the last report corrected by own sends since, and the pace is
- * the time per place in its queue. What one node learns alone of an endpoint comes too late, so an
- * endpoint's latency is a weighted mean, in logarithms, of three sources: its own responses of
- * late, the service time that it reports (which rests on responses to all nodes), and all
- * endpoints' responses, shifted by how much slower this one has been.
+ * <p>The prediction is that of the SNS paper (Fox et al., SOSP 1997, 3.1.2): {@code (1 + requests)
+ * * timePerRequest}. The requests at the endpoint are those of its load reports, corrected by what
+ * this node has sent since. The time per request is the endpoint's latency divided by the requests
+ * there. A single node has too few responses of an endpoint to notice a change of its latency in
+ * time. So the latency is estimated as a weighted mean, in logarithms, of three sources: the
+ * endpoint's recent responses, the service time that it reports (which covers its responses to all
+ * nodes), and the responses of all endpoints, scaled by how much slower this endpoint has been.
  */
 final class LoadEstimator {
-    /** Weight of a fresh report of service time, in responses of the endpoint's own. */
+    /** Weight of a fresh report of service time: that of so many responses of the endpoint. */
     private static final double REPORT_RESPONSES = 5;
 
-    /** Memory of the idle latency, in longest deadlines: minutes, so that no overload moves it. */
+    /**
+     * The idle latency drifts up by its own value in so many longest deadlines: minutes, so that an
+     * overload does not raise it.
+     */
     private static final double IDLE_DRIFT_DEADLINES = 300;
 
-    /** A gap between responses of this many usual gaps shows a slow or frozen endpoint. */
+    /**
+     * While responses are awaited, the time per request is at least the time since the endpoint
+     * fell silent, divided by this: a long silence shows a slow or unresponsive endpoint.
+     */
     private static final double SILENCE_DIVISOR = 3;
 
-    /** What one point of cross-zone price adds to a remote endpoint's predicted time, a factor. */
+    /**
+     * A cross-zone price p multiplies the predicted time of endpoints in other zones by 1 + p times
+     * this.
+     */
     private static final double CROSS_ZONE_FACTOR = 20;
 
     private final ActiveSettings settings;
@@ -32,7 +42,7 @@
     /** The responses of all endpoints together. */
     private final LatencyStats all = new LatencyStats();
 
-    /** What responses take beyond the service time that endpoints report, in nanoseconds. */
+    /** The mean of latency less the service time that the endpoint reports, in nanoseconds. */
     private double queueingDelayNs;
 
     LoadEstimator(ActiveSettings settings, WorkloadMeans means) {
@@ -46,7 +56,7 @@
     }
 
     /**
-     * Records a response that came with a report of service time, if it did.
+     * Updates the mean queueing delay, if the response came with a report of service time.
      *
      * @param latencyNs scaled to a request of mean work
      */
@@ -71,7 +81,9 @@
         all.record(latencyNs, inFlight, objectiveNs, driftNs, now);
     }
 
-    /** The endpoint's present latency in nanoseconds; 0: nothing is known of any. */
+    /**
+     * The endpoint's present latency in nanoseconds; 0 before the first response of any endpoint.
+     */
     double latencyNs(Endpoint endpoint, long now) {
         LatencyStats stats = endpoint.latency;
         if (all.latencyNs() == 0) {
@@ -97,13 +109,19 @@
         return Math.exp(sum / count);
     }
 
-    /** The latency when idle, in nanoseconds: its own if known, else that of all; 0: unknown. */
+    /**
+     * The idle latency in nanoseconds: that of the endpoint if it is known, else that of all
+     * endpoints; 0: not known.
+     */
     double idleNs(Endpoint endpoint) {
         double own = endpoint.latency.idleNs();
         return own > 0 ? own : all.idleNs();
     }
 
-    /** The time per place in the endpoint's queue, longer when responses are overdue. */
+    /**
+     * The time that the endpoint takes per request there, in nanoseconds; longer while responses
+     * are overdue.
+     */
     double timePerRequestNs(Endpoint endpoint, long now) {
         LatencyStats stats = endpoint.latency;
         if (stats.latencyNs() == 0) {
@@ -118,8 +136,8 @@
     }
 
     /**
-     * Forgets in time that an endpoint without attempts was slow: it would be drawn no more, and so
-     * would look slow for ever.
+     * Lets the latency of an endpoint without attempts decay to the idle latency. Otherwise a slow
+     * endpoint would not be drawn again, and so would count as slow for ever.
      */
     private double decayToIdle(Endpoint endpoint, double latencyNs, double silentNs) {
         double idleNs = idleNs(endpoint);
@@ -133,7 +151,8 @@
     }
 
     /**
-     * The time that one more request would take, with the price of another zone as a factor.
+     * The predicted time of one more request, in nanoseconds, increased by the cross-zone price for
+     * an endpoint in another zone.
      *
      * @param timePerRequestNs the endpoint's {@link #timePerRequestNs}
      */
--- a/decisions/src/main/java/trailthread/Lottery.java
+++ b/decisions/src/main/java/trailthread/Lottery.java
@@ -7,13 +7,17 @@
  * Draws an endpoint by lottery.
  *
  * <p>Lottery scheduling (Waldspurger and Weihl, OSDI 1994) as the SNS paper uses it (Fox et al.,
- * SOSP 1997, 3.1.2): an endpoint holds tickets inversely to the time that it is predicted to take.
- * Always sending to the best would make all nodes crowd on one. Tickets are also in proportion to
- * the capacity of an endpoint in slow start, to the square of its success rate (one that fails
- * answers fast and has a short queue), and to its capacity where that is under one request.
+ * SOSP 1997, 3.1.2): an endpoint's tickets are inverse to its predicted time. If each node always
+ * sent to the best endpoint, all nodes would send to the same one. Tickets are also in proportion
+ * to the capacity of an endpoint in slow start, to the square of an endpoint's success rate (an
+ * endpoint that fails responds fast and has a short queue), and to its capacity where that is below
+ * one attempt.
  */
 final class Lottery {
-    /** An endpoint holds tickets while it takes at most this multiple of the best one's time. */
+    /**
+     * An endpoint holds tickets only if its predicted time is at most this multiple of the
+     * smallest.
+     */
     private static final double MAX_BEST_MULTIPLE = 2;
 
     private static final int INITIAL_SIZE = 16;
@@ -41,7 +45,7 @@
     /**
      * Draws one of the open candidates.
      *
-     * @param home the only one to hold tickets, or {@link KeyAffinity#NONE}
+     * @param home the index of the only endpoint to hold tickets, or {@link KeyAffinity#NONE}
      */
     Endpoint draw(List<Endpoint> endpoints, Candidates candidates, int home, long now) {
         if (tickets.length < endpoints.size()) {
--- a/decisions/src/main/java/trailthread/OutlierDetector.java
+++ b/decisions/src/main/java/trailthread/OutlierDetector.java
@@ -3,20 +3,23 @@
 import java.util.List;
 
 /**
- * Ejects endpoints that fail in a row, and rests those that are jammed.
+ * Ejects endpoints that fail several times in a row, and endpoints that are congested.
  *
- * <p>Ejection after Envoy's consecutive-failure outlier detection: {@link #FAILURES_TO_EJECT}
- * failures eject an endpoint for the tightest latency objective, doubled for each further failure;
- * after that it is half-open and gets one idempotent attempt at a time (Nygard's circuit breaker).
+ * <p>Failures: as in Envoy's consecutive-failure outlier detection, {@link #FAILURES_TO_EJECT}
+ * failures in a row eject an endpoint for the tightest latency objective, doubled for each further
+ * failure. After that time the endpoint is half-open and gets one idempotent attempt at a time
+ * (Nygard's circuit breaker).
  *
- * <p>A server that was overcrowded may stay slow until it has been nearly idle for a while. So one
- * that is {@link #CONGESTED_LATENCIES} times as slow as when idle rests for {@link
- * #CONGESTED_DEADLINES} longest deadlines, doubled for each slow trial after that. A node that is
- * itself cut off sees all endpoints fail: past {@link #MAX_EJECTED_SHARE} of them, ejection is
- * suspended.
+ * <p>Congestion: a server that was overloaded may stay slow until it has been nearly idle for a
+ * while. So an endpoint that is more than {@link #CONGESTED_LATENCIES} times as slow as when idle
+ * is ejected for {@link #CONGESTED_DEADLINES} longest deadlines, doubled each time that it is still
+ * slow when it is tried again. Log lines call such an endpoint jammed and resting.
+ *
+ * <p>A node that is itself cut off from the network sees all endpoints fail. So ejection is
+ * suspended while more than {@link #MAX_EJECTED_SHARE} of the ready endpoints would be ejected.
  */
 final class OutlierDetector {
-    /** Failures in a row that eject an endpoint; three by chance are rare. */
+    /** Failures in a row that eject an endpoint; three are rarely a coincidence. */
     private static final int FAILURES_TO_EJECT = 3;
 
     /** Longest ejection, in doublings of the tightest latency objective. */
@@ -25,37 +28,43 @@
     /** The largest share of ready endpoints that may be ejected. */
     private static final double MAX_EJECTED_SHARE = 0.5;
 
-    /** Latency, in multiples of the idle one, from which on an endpoint is jammed. */
+    /** An endpoint is congested if its latency is more than this multiple of its idle latency. */
     static final double CONGESTED_LATENCIES = 2.5;
 
-    /** The first rest, in longest deadlines: what the endpoint holds has ended by then. */
+    /**
+     * The first ejection for congestion, in longest deadlines; by its end, all requests that the
+     * endpoint held are over.
+     */
     private static final double CONGESTED_DEADLINES = 1.5;
 
     private static final int MAX_CONGESTED_DOUBLINGS = 2;
 
-    /** What is known of one endpoint's failures. */
+    /** The failures and congestion of one endpoint. */
     static final class Health {
         private int failures;
         private int congestedEjections;
         private long ejectedUntil;
         private double successRate = 1;
 
-        /** Share of attempts of late that did not fail, 0 to 1. */
+        /** Share of recent attempts that did not fail, 0 to 1. */
         double successRate() {
             return successRate;
         }
 
-        /** Whether it is or was ejected or resting, and has not yet shown that it is well. */
+        /**
+         * Whether the endpoint was ejected and has not recovered since: it is still ejected, or
+         * half-open.
+         */
         boolean isSuspect() {
             return failures >= FAILURES_TO_EJECT || congestedEjections > 0;
         }
 
-        /** Whether it fails in a row. */
+        /** Whether the endpoint has failed often enough in a row to be ejected. */
         boolean isFailing() {
             return failures >= FAILURES_TO_EJECT;
         }
 
-        /** Whether it is jammed. */
+        /** Whether the endpoint was ejected for congestion and is still congested. */
         boolean isCongested() {
             return congestedEjections > 0;
         }
@@ -112,9 +121,9 @@
     }
 
     /**
-     * Rests the endpoint if it is jammed, and ends its rests if it is not.
+     * Ejects the endpoint if it is congested; else clears its record of such ejections.
      *
-     * @return whether a rest begins now
+     * @return whether it was ejected now
      */
     boolean ejectIfCongested(Endpoint endpoint, long now) {
         Health health = endpoint.health;
@@ -147,7 +156,10 @@
         return estimator.latencyNs(endpoint, now) > CONGESTED_LATENCIES * usualNs;
     }
 
-    /** Whether the endpoint may be sent this request: not ejected, or half-open and idempotent. */
+    /**
+     * Whether the endpoint may be sent this request. An ejected endpoint gets no requests. A
+     * half-open endpoint, or one with an attempt presumed lost, gets only idempotent requests.
+     */
     boolean permits(Endpoint endpoint, Request request, long now) {
         Health health = endpoint.health;
         if (!health.isSuspect()) {
@@ -158,12 +170,12 @@
                 && request.isIdempotent();
     }
 
-    /** Whether too many of this node's endpoints are suspect, so that none is avoided. */
+    /** Whether so many of this node's endpoints are suspect that none is avoided. */
     boolean isEjectionSuspended() {
         return isEjectionSuspendedWith(0);
     }
 
-    /** As {@link #isEjectionSuspended}, and logs it. */
+    /** Like {@link #isEjectionSuspended}, and logs a suspension. */
     boolean logIfEjectionSuspended(long now) {
         boolean suspended = isEjectionSuspended();
         if (suspended && log.tryAcquire(RateLimitedLog.Kind.EJECTION_SUSPENDED, now)) {
@@ -187,7 +199,7 @@
         return ejected > MAX_EJECTED_SHARE * ready;
     }
 
-    /** How many of these are not sent to for now: draining, ejected or resting. */
+    /** How many of these endpoints get no requests at present because they drain or are ejected. */
     int countAvoided(List<Endpoint> endpoints, long now) {
         boolean suspended = isEjectionSuspended();
         int avoided = 0;
--- a/decisions/src/main/java/trailthread/PriorityPolicy.java
+++ b/decisions/src/main/java/trailthread/PriorityPolicy.java
@@ -4,19 +4,19 @@
 import trailthread.api.Settings;
 
 /**
- * How much serving a request adds to the goal, for each unit of its work.
+ * Ranks requests by how much serving them adds to the goal per unit of work.
  *
- * <p>The goal is a weighted sum of the share of all weight that is served, of that of the
- * worst-served class and of that of the worst-served tenant. Where not all can be served, the
- * requests with the largest gain for their work go first (the greedy rule for a fractional
- * knapsack: Dantzig, 1957).
+ * <p>The goal is a weighted sum of three shares of priority weight that is served: of all requests,
+ * of the worst-served class and of the worst-served tenant. If not all requests can be served,
+ * those with the largest gain per unit of work go first (the greedy rule for a fractional knapsack:
+ * Dantzig, 1957).
  */
 final class PriorityPolicy {
     private final ActiveSettings settings;
     private final WorkloadMeans means;
     private final FairShare fairShare;
 
-    /** Weight of all requests of late. */
+    /** Priority weight of all recent requests. */
     private final DecayingCounter requested;
 
     PriorityPolicy(ActiveSettings settings, WorkloadMeans means, FairShare fairShare, long now) {
@@ -26,7 +26,7 @@
         requested = new DecayingCounter(FairShare.decayNs(settings), now);
     }
 
-    /** Gives a request that has arrived its weight, and counts it as demand. */
+    /** Sets the priority weight of a request that has arrived, and counts it as demand. */
     void arrived(Request request, long now) {
         Settings s = settings.get();
         RequestClass rules = request.requestClass.rules;
@@ -65,8 +65,9 @@
     }
 
     /**
-     * The weight that a request is expected to earn for each unit of work, given the chance that it
-     * still meets its objective: {@code x^3 / (1 + x^3)} with x the time left in mean latencies.
+     * The weight that a request is expected to earn per unit of work. The probability that it still
+     * meets its objective is estimated as {@code x^3 / (1 + x^3)}, where x is the time left to the
+     * objective in mean latencies.
      */
     double weightPerWork(Request request, long now) {
         double latenciesLeft =
@@ -104,9 +105,9 @@
     /**
      * What one more unit of served weight adds to the goal.
      *
-     * @param base whoever it is served to
-     * @param classGain in addition, if it is served to the worst-served class
-     * @param tenantGain in addition, if it is served to the worst-served tenant
+     * @param base the gain for any request
+     * @param classGain the additional gain for a request of the worst-served class
+     * @param tenantGain the additional gain for a request of the worst-served tenant
      */
     record MarginalGain(
             double base,
@@ -114,7 +115,7 @@
             double classGain,
             TenantStats worstTenant,
             double tenantGain) {
-        /** For a request of this class and tenant, which may be null. */
+        /** The gain for a request of this class and tenant; the tenant may be null. */
         double gainFor(RequestClassStats requestClass, TenantStats tenant) {
             double gain = base + (requestClass == worstClass ? classGain : 0);
             return gain + (tenant != null && tenant == worstTenant ? tenantGain : 0);
--- a/decisions/src/main/java/trailthread/RandomSource.java
+++ b/decisions/src/main/java/trailthread/RandomSource.java
@@ -18,15 +18,15 @@
         return random.nextDouble();
     }
 
-    /** Uniform from 0 to a bound, which is left out. */
+    /** Uniform in [0, bound). */
     int below(int bound) {
         return random.nextInt(bound);
     }
 
     /**
-     * A delay by up to {@link #JITTER} shorter or longer, in its own unit. Without jitter, nodes
-     * that start together act in step for ever (Floyd and Jacobson, "The Synchronization of
-     * Periodic Routing Messages", 1994).
+     * The delay, at random up to a share of {@link #JITTER} shorter or longer, in the same unit.
+     * Without jitter, nodes that start together stay synchronised for ever (Floyd and Jacobson,
+     * "The Synchronization of Periodic Routing Messages", 1994).
      */
     long jittered(double delay) {
         return (long) (delay * (1 + JITTER * (2 * uniform() - 1)));
--- a/decisions/src/main/java/trailthread/RateLimitedLog.java
+++ b/decisions/src/main/java/trailthread/RateLimitedLog.java
@@ -4,7 +4,8 @@
 import trailthread.api.BalancerActions;
 
 /**
- * The log for operators: at most one line of a kind in a longest deadline, so no fault floods it.
+ * The log for operators. Permits at most one line of each kind per longest deadline, so that no
+ * fault floods the log.
  */
 final class RateLimitedLog {
     /** Kinds of lines. */
@@ -26,7 +27,7 @@
         Arrays.fill(writtenAt, now - settings.longestDeadlineNs());
     }
 
-    /** Whether a line of this kind may be written now; it counts as written then. */
+    /** Whether a line of this kind may be written now; if so, it counts as written. */
     boolean tryAcquire(Kind kind, long now) {
         boolean due = now - writtenAt[kind.ordinal()] >= settings.longestDeadlineNs();
         if (due) {
--- a/decisions/src/main/java/trailthread/ReportedLoad.java
+++ b/decisions/src/main/java/trailthread/ReportedLoad.java
@@ -3,14 +3,14 @@
 import trailthread.api.LoadReport;
 
 /**
- * What an endpoint's load reports say, corrected by what this node has sent since.
+ * The load that an endpoint reports, corrected by what this node has sent to it since.
  *
  * <p>The stale-load correction of the SNS paper (Fox et al., "Cluster-Based Scalable Network
- * Services", SOSP 1997, 3.1.2): without it, all nodes send to the endpoint that was idle at the
- * last report.
+ * Services", SOSP 1997, 3.1.2): without it, all nodes would send to the endpoint that was idle at
+ * the last report.
  */
 final class ReportedLoad {
-    /** Weight of a fresh report against the smoothed ones before: two or three of memory. */
+    /** Weight of a new report in the moving average, which covers about two or three reports. */
     private static final double REPORT_WEIGHT = 0.5;
 
     private double smoothed;
@@ -20,7 +20,7 @@
     private long serviceTimeAt;
     private int sentSinceReport;
 
-    /** Takes in a report; a value that is absent or not finite is skipped. */
+    /** Records a report; values that are absent, negative or not finite are ignored. */
     void record(LoadReport report, long now) {
         if (report.latencyMs() > 0 && report.latencyMs() < Double.POSITIVE_INFINITY) {
             serviceTimeNs = 1e6 * report.latencyMs();
@@ -29,7 +29,7 @@
         reportsQueue |= report.queue() >= 0;
         double reported = reportsQueue ? report.queue() : report.inflight();
         boolean usable = reported >= 0 && reported < Double.POSITIVE_INFINITY;
-        // Responses repeat a report until there is a fresher one.
+        // Responses repeat a report until the endpoint has a newer one.
         if (usable && reported != lastReported) {
             lastReported = reported;
             smoothed += REPORT_WEIGHT * (reported - smoothed);
@@ -46,16 +46,18 @@
     }
 
     /**
-     * Requests at the endpoint: the smoothed report and own sends since that are still in flight.
+     * The requests at the endpoint: the smoothed report plus this node's attempts since that are
+     * still in flight.
      *
-     * @param inFlight this node's attempts there; requests in hand, if reported, include them
+     * @param inFlight this node's attempts in flight there. Reported requests in hand include
+     *     these, so these are a lower bound; a reported queue need not include them
      */
     double requests(int inFlight) {
         double corrected = smoothed + sentSinceReport;
         return reportsQueue ? corrected : Math.max(inFlight, corrected);
     }
 
-    /** The smoothed length of the queue; 0 where none is reported. */
+    /** The smoothed length of the queue; 0 if it is not reported. */
     double queue() {
         return reportsQueue ? smoothed : 0;
     }
@@ -65,7 +67,7 @@
         return serviceTimeNs;
     }
 
-    /** When the last report with a service time came; 0: none has. */
+    /** When the last report with a service time came; 0: none has come. */
     long serviceTimeAt() {
         return serviceTimeAt;
     }
--- a/decisions/src/main/java/trailthread/Request.java
+++ b/decisions/src/main/java/trailthread/Request.java
@@ -10,37 +10,40 @@
 final class Request {
     final long id;
 
-    /** What it concerns, for key affinity; 0: none. */
+    /** The key of the data that the request concerns, see {@link KeyAffinity}; 0: none. */
     final long key;
 
-    /** The work that it announces, in nanoseconds on a standard core; 0: not known. */
+    /** The expected work, in nanoseconds on a standard core; 0: not known. */
     final long workNs;
 
     final long arrivedAt;
     final long deadline;
 
-    /** Until when an answer earns the full weight. */
+    /** Until when a response earns the full priority weight. */
     final long objectiveAt;
 
     final RequestClassStats requestClass;
 
-    /** Or null. */
+    /** The tenant, or null. */
     final TenantStats tenant;
 
     private final Attempt[] attempts;
     private int attemptsSent;
     private int inFlight;
 
-    /** What serving it adds to the goal; set by {@link PriorityPolicy}. */
+    /** The priority weight; set by {@link PriorityPolicy}. */
     double weight;
 
-    /** Its tenant has used up this node's part of its quota. */
+    /**
+     * Whether the request arrived after its tenant had used up this node's part of the tenant's
+     * quota.
+     */
     boolean overQuota;
 
-    /** Its answer is on the way to the client. */
+    /** Whether its response has begun to stream to the client. */
     boolean streaming;
 
-    /** It has its final answer, or its client has disconnected. */
+    /** Whether the request has had its final answer, or its client has disconnected. */
     boolean finished;
 
     Request(
@@ -74,7 +77,10 @@
         return idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    /** The attempts that it may have, by the settings in force and those that it came under. */
+    /**
+     * The most attempts that the request may have, by both the current settings and those in force
+     * when it arrived.
+     */
     int maxAttempts(Settings settings) {
         return Math.min(settings.maxAttempts, attempts.length);
     }
@@ -84,7 +90,7 @@
         return attemptsSent;
     }
 
-    /** Attempts whose outcome has not come. */
+    /** Attempts that have no outcome yet. */
     int inFlight() {
         return inFlight;
     }
@@ -116,7 +122,7 @@
         inFlight--;
     }
 
-    /** The first attempt that may have run, or may still run; null: none. */
+    /** The first attempt that may have run, or may still run; null if there is none. */
     Attempt firstAttemptThatMayHaveRun() {
         for (int i = 0; i < attemptsSent; i++) {
             if (attempts[i].mayHaveRun()) {
@@ -127,8 +133,9 @@
     }
 
     /**
-     * Until when one more attempt may be written, given what those before it may have done: at any
-     * time, within the deduplication window, or never.
+     * Until when one more attempt may be written: without end if no earlier attempt may have run or
+     * the request is idempotent; else to the end of the deduplication window, which without an
+     * idempotency key has no length.
      */
     long retryableUntil() {
         Attempt first = firstAttemptThatMayHaveRun();
@@ -140,7 +147,8 @@
     }
 
     /**
-     * Whether the endpoint drops a repeat of what may have run; any will do where none needs to.
+     * Whether a repeat at the endpoint does no harm: the endpoint shares the deduplication window
+     * of the first attempt that may have run, or the request needs no deduplication there.
      */
     boolean isDeduplicatedAt(Endpoint endpoint) {
         if (attemptsSent == 0 || idempotency() != Idempotency.IDEMPOTENCY_KEY) {
--- a/decisions/src/main/java/trailthread/RequestClassStats.java
+++ b/decisions/src/main/java/trailthread/RequestClassStats.java
@@ -16,7 +16,7 @@
         latencyNs += WorkloadMeans.nextResponseWeight(latencyNs) * (responseNs - latencyNs);
     }
 
-    /** The mean latency of the class's responses; 0: none has come. */
+    /** The mean latency of the class's responses; 0 before the first response. */
     double latencyNs() {
         return latencyNs;
     }
--- a/decisions/src/main/java/trailthread/RequestQueue.java
+++ b/decisions/src/main/java/trailthread/RequestQueue.java
@@ -6,29 +6,32 @@
 import trailthread.api.BalancerActions;
 
 /**
- * Requests that wait for an endpoint to open, in a lane for each class and tenant, within its quota
- * or over it.
+ * Requests that wait for an endpoint to open. Each class and tenant has its own lanes: for requests
+ * within the quota or over it, and for first attempts or retries.
  *
- * <p>The lane whose newest request adds most to the goal goes first, and in a lane the newest
- * request: under overload the oldest are the likeliest to come too late (adaptive LIFO; Maurer,
- * "Fail at Scale", 2015).
+ * <p>The lane whose newest request adds most to the goal is served first. Within a lane, the newest
+ * request is sent first: under overload, the oldest requests are the most likely to be too late
+ * (adaptive LIFO; Maurer, "Fail at Scale", 2015).
  */
 final class RequestQueue {
-    /** Queued requests are looked at again after this share of the tightest latency objective. */
+    /** Queued requests are tried again after this share of the tightest latency objective. */
     private static final double RELEASE_OBJECTIVE_SHARE = 0.05;
 
-    /** What is done with a queued request; whether it has been done. */
+    /** An action on a queued request; returns whether it was carried out. */
     interface RequestAction {
         boolean apply(Request request, long now);
     }
 
-    /** Requests of one kind, the oldest first. */
+    /** Requests that the queue treats alike, the oldest first. */
     private static final class Lane {
         private final RequestClassStats requestClass;
         private final TenantStats tenant;
         private final boolean overQuota;
 
-        /** Retries are apart from first attempts: not every endpoint may be open to them. */
+        /**
+         * Whether the lane holds retries. They are kept apart from first attempts, because not
+         * every open endpoint is open to a retry.
+         */
         private final boolean retries;
 
         private final ArrayDeque<Request> requests = new ArrayDeque<>();
@@ -47,7 +50,7 @@
                     && retries == request.attemptsSent() > 0;
         }
 
-        /** Whether any endpoint that is open at all is open to these requests. */
+        /** Whether every open endpoint is open to the requests of this lane. */
         boolean mayUseAnyOpenEndpoint() {
             return !retries && requests.peekLast().isIdempotent();
         }
@@ -86,7 +89,9 @@
         return size == 0;
     }
 
-    /** Requests in all lanes, with those that are over and not yet dropped. */
+    /**
+     * The number of requests in all lanes, including finished ones that have not been removed yet.
+     */
     int size() {
         return size;
     }
@@ -109,7 +114,7 @@
         return lane;
     }
 
-    /** The release timer is due. */
+    /** Handles the release timer when it is due. */
     void timerDue(long now) {
         releaseTimerSet = false;
         release(now);
@@ -124,7 +129,7 @@
         }
     }
 
-    /** Dispatches requests while any endpoint is open to them. */
+    /** Sends queued requests while an endpoint is open to them. */
     void release(long now) {
         if (size == 0) {
             return;
@@ -148,7 +153,10 @@
         }
     }
 
-    /** The lane whose newest request adds most to the goal, or null: none is left. */
+    /**
+     * The lane whose newest request adds most to the goal, or null if all lanes are empty or
+     * blocked.
+     */
     private Lane bestLane(PriorityPolicy.MarginalGain gain, List<Lane> blocked, long now) {
         Lane best = null;
         double bestValue = -1;
@@ -169,7 +177,9 @@
         return best;
     }
 
-    /** Drops finished requests from both ends of a lane, and rejects late ones from the new end. */
+    /**
+     * Removes finished requests from both ends of a lane, and rejects late requests at its new end.
+     */
     private void trim(Lane lane, long now) {
         ArrayDeque<Request> requests = lane.requests;
         while (!requests.isEmpty() && requests.peekFirst().finished) {
--- a/decisions/src/main/java/trailthread/RetryPolicy.java
+++ b/decisions/src/main/java/trailthread/RetryPolicy.java
@@ -5,17 +5,20 @@
 import trailthread.api.Settings;
 
 /**
- * Whether a request may have one more attempt, how long to wait for it, and which final answer a
- * request gets that can't be served.
+ * Decides whether a request may have one more attempt, how long to wait for it, and which final
+ * answer a request gets that can't be served.
  *
  * <p>A request that may have run is retried only if that is harmless: it is idempotent, or has an
  * idempotency key, is still within the deduplication window and goes to an endpoint that shares it.
  */
 final class RetryPolicy {
-    /** An idempotent attempt times out after so many latencies of its endpoint. */
+    /** An idempotent attempt times out after this multiple of the latency of its endpoint. */
     private static final double TIMEOUT_LATENCIES = 5;
 
-    /** Latencies that must be left after a time-out, or the attempt is given up for nothing. */
+    /**
+     * Mean latencies that must be left for a retry after a time-out. With less time left, a
+     * time-out would only give up the attempt.
+     */
     private static final double RETRY_LATENCIES = 2;
 
     private final ActiveSettings settings;
@@ -40,8 +43,9 @@
     }
 
     /**
-     * Whether a request whose attempts have all failed may have another. Pays for it from the
-     * budget if they may have run; that is not returned if no endpoint opens in time.
+     * Whether a request whose attempts have all failed may have another. If an earlier attempt may
+     * have run, the retry is paid for from the budget, which is not refunded if no endpoint opens
+     * in time.
      */
     boolean acquireRetry(Request request, long now) {
         boolean mayHaveRun = request.firstAttemptThatMayHaveRun() != null;
@@ -61,8 +65,9 @@
 
     /**
      * How long to wait for an attempt that has just been sent, in nanoseconds; 0: until the client
-     * gives up. An endpoint that accepts and never answers would hold a request to its end. But
-     * only a request that can be retried then is given up.
+     * gives up. Prevents an endpoint that accepts requests but never responds from holding a
+     * request until its deadline. Only an attempt of a request that can still be retried has a
+     * time-out.
      */
     long timeoutNs(Request request, Endpoint endpoint, long now) {
         boolean canRetry =
--- a/decisions/src/main/java/trailthread/SlowStart.java
+++ b/decisions/src/main/java/trailthread/SlowStart.java
@@ -4,17 +4,22 @@
 import trailthread.api.Settings;
 
 /**
- * Limits what endpoints that have just started are sent, as a token bucket over all of them.
+ * Limits the requests sent to endpoints in slow start, by one token bucket for all of them.
  *
- * <p>An endpoint's capacity grows linearly from the initial share to all over the slow start time
- * (as Envoy's slow start mode). The bucket fills with this node's certain part of what the starting
- * endpoints can bear. One request at a time from each of hundreds of nodes would overload one; with
- * a bucket for each endpoint, most would be full while the lottery is elsewhere. Capacity is taken
- * from what endpoints serve to this node: over all nodes, that adds up to no more than the true
- * one, however traffic is split.
+ * <p>An endpoint's capacity grows linearly from the initial share to the whole during the slow
+ * start time (as in Envoy's slow start mode). The bucket fills at this node's part of the rate that
+ * the starting endpoints can serve. A limit of one attempt at a time per node would not do:
+ * hundreds of nodes would still overload an endpoint. Nor would a bucket for each endpoint: most
+ * buckets would be full, and lose tokens, while the lottery draws other endpoints.
+ *
+ * <p>The rate that endpoints can serve is estimated from what they serve to this node. Added up
+ * over all nodes, that is no more than the true capacity, however traffic is split between nodes.
  */
 final class SlowStart {
-    /** Share of the starting endpoints' spare capacity that is used, as it is a guess. */
+    /**
+     * Share of the starting endpoints' estimated capacity that is used; not all, as the estimate is
+     * rough.
+     */
     private static final double USED_CAPACITY_SHARE = 0.5;
 
     private final ActiveSettings settings;
@@ -25,7 +30,7 @@
     /** Responses of all endpoints to this node, over the overload window. */
     private final DecayingCounter served;
 
-    /** Requests that starting endpoints may be sent. */
+    /** The number of requests that may be sent to starting endpoints now. */
     private double tokens;
 
     private long refilledAt;
@@ -43,7 +48,10 @@
         served = new DecayingCounter(settings.get().overloadWindowNs, now);
     }
 
-    /** The share of its capacity that an endpoint has for certain: 1 when it is warm. */
+    /**
+     * The share of its full capacity that an endpoint has at present; 1 after slow start, when it
+     * is warm.
+     */
     double capacityShare(Endpoint endpoint, long now) {
         Settings s = settings.get();
         long startedAtNs = endpoint.startedAtNs();
@@ -58,14 +66,15 @@
         return capacityShare(endpoint, now) >= 1;
     }
 
-    /** Records a response with success. */
+    /** Records a successful response. */
     void recordServed(long now) {
         served.add(now, 1);
     }
 
     /**
-     * Takes in that the list announces an endpoint. One that has just started brings part of a
-     * token by chance, as it is announced to all nodes at once.
+     * Handles an endpoint that is new in the list. If it is in slow start, adds a random fraction
+     * of a token. All nodes learn of the endpoint at the same time, and if their buckets filled in
+     * step, all would send it their first request at the same time.
      */
     void endpointAnnounced(EndpointEntry entry, long now) {
         if (entry.startedAtNs() > Math.max(0, now - settings.get().slowStartNs)) {
@@ -99,7 +108,7 @@
         return tokens >= 1 || isWarm(endpoint, now);
     }
 
-    /** Takes a token for a request that is sent to an endpoint, if that is starting. */
+    /** Takes a token for a request to an endpoint in slow start. */
     void takeToken(Endpoint endpoint, long now) {
         tokens -= isWarm(endpoint, now) ? 0 : 1;
     }
--- a/decisions/src/main/java/trailthread/SubsetSelector.java
+++ b/decisions/src/main/java/trailthread/SubsetSelector.java
@@ -6,28 +6,34 @@
 import trailthread.api.Settings;
 
 /**
- * Chooses the endpoints that this node sends to.
+ * Selects the endpoints that this node sends to.
  *
- * <p>Deterministic aperture (Finagle; "Deterministic subsetting", Google SRE book, chapter 20):
- * hundreds of nodes connected to every endpoint would fill the endpoints' connection tables, and
- * the responses from any one would be too rare to learn from. The endpoints of each zone form a
- * ring by hash; from its own place on, a node takes as many as hold its part of fully warm, healthy
- * ones.
+ * <p>Deterministic aperture (Finagle; "Deterministic subsetting", Google SRE book, chapter 20): if
+ * hundreds of nodes connected to every endpoint, the endpoints' connection tables would fill up,
+ * and each node would get too few responses from an endpoint to learn its latency. The endpoints of
+ * each zone form a ring in the order of their hashes. Starting at its own position, a node selects
+ * endpoints until their capacity makes up its part of the zone, measured in fully warm endpoints;
+ * endpoints that fail, drain or are slow are selected but not counted.
  */
 final class SubsetSelector {
-    /** What open connections may cost of the goal. */
+    /** The part of the goal that open connections may cost. */
     private static final double CONNECTION_COST = 0.006;
 
-    /** {@link Settings#connectionPrice} is the price of so many connections an endpoint. */
+    /** {@link Settings#connectionPrice} is the price of so many connections to each endpoint. */
     private static final double PRICED_CONNECTIONS = 100;
 
-    /** The least subset, in fully warm endpoints: fewer could not stand in for one that fails. */
+    /**
+     * The smallest subset, in fully warm endpoints: fewer could not take over the load of one that
+     * fails.
+     */
     private static final double MIN_SIZE = 3;
 
     /** The fractional part of the golden ratio: its multiples spread evenly over a ring. */
     private static final double GOLDEN_RATIO = 0.6180339887498949;
 
-    /** A zone's ring ends once less than this is wanted of it, in fully warm endpoints. */
+    /**
+     * Selection from a ring ends once no more than this is still wanted, in fully warm endpoints.
+     */
     private static final double NEGLIGIBLE_CAPACITY = 0.5;
 
     private static final Comparator<Endpoint> BY_ZONE_AND_HASH =
@@ -56,12 +62,15 @@
         this.random = random;
     }
 
-    /** Whether the subset is to be chosen anew, as endpoints may have warmed up or failed since. */
+    /**
+     * Whether the subset is due to be selected again, as endpoints may have warmed up or failed
+     * since.
+     */
     boolean isDue(long now) {
         return now >= selectAgainAt;
     }
 
-    /** Chooses the subset from the listed endpoints. */
+    /** Selects the subset from the listed endpoints. */
     void select(long now) {
         Settings s = settings.get();
         int listed = list.size();
--- a/decisions/src/main/java/trailthread/TenantStats.java
+++ b/decisions/src/main/java/trailthread/TenantStats.java
@@ -15,7 +15,9 @@
         arrivals = new DecayingCounter(quotaSpanNs, now);
     }
 
-    /** Counts an arrival, and says whether it is within this node's part of the tenant's quota. */
+    /**
+     * Counts an arrival, and returns whether it is within this node's part of the tenant's quota.
+     */
     boolean admitWithinQuota(int nodes, long now) {
         double quota = tenant.quotaPerSecond() / nodes * arrivals.spanNs() / 1e9;
         boolean within = arrivals.value(now) < quota;
--- a/decisions/src/main/java/trailthread/TimerKind.java
+++ b/decisions/src/main/java/trailthread/TimerKind.java
@@ -1,12 +1,18 @@
 package trailthread;
 
-/** What a timer is for: kept in the low bits of its token, with an id in the rest. */
+/**
+ * The purpose of a timer. The token of a timer holds the kind in its low bits and an id in the
+ * others.
+ */
 enum TimerKind {
-    /** A request may not be sent any more, see {@link AdmissionController}; the id is its own. */
+    /**
+     * It may be too late to send a request, see {@link AdmissionController#sendableUntil}; the id
+     * is the request's.
+     */
     SENDABLE_UNTIL,
-    /** The endpoint list is to be polled; the id counts the schedules made. */
+    /** The endpoint list is to be polled; the id is the number of the schedule. */
     LIST_POLL,
-    /** Queued requests are looked at again. */
+    /** Queued requests are to be tried again. */
     QUEUE_RELEASE,
     /** The next endpoint is due for a health check. */
     HEALTH_CHECK;
--- a/decisions/src/main/java/trailthread/WorkloadMeans.java
+++ b/decisions/src/main/java/trailthread/WorkloadMeans.java
@@ -2,13 +2,15 @@
 
 /** Exponentially weighted means over all requests of this node. */
 final class WorkloadMeans {
-    /** Weight of one request in the mean work: a hundred requests of memory. */
+    /** Weight of one request in the mean work: an average over about a hundred requests. */
     private static final double WORK_WEIGHT = 0.01;
 
-    /** Weight of one response in the mean latency: forty responses of memory. */
+    /** Weight of one response in the mean latency: an average over about forty responses. */
     private static final double LATENCY_WEIGHT = LatencyStats.LATENCY_WEIGHT / 4;
 
-    /** The least weight of one request in the mean objective, however small its own is. */
+    /**
+     * The smallest weight of one request in the mean objective, however small its priority weight.
+     */
     private static final double MIN_OBJECTIVE_WEIGHT = 0.001;
 
     private double workNs;
@@ -37,14 +39,17 @@
     /**
      * Records a request's latency objective.
      *
-     * @param weightShare the request's part of all priority weight of late
+     * @param weightShare the request's part of all recent priority weight
      */
     void recordObjective(long requestObjectiveNs, double weightShare) {
         objectiveNs +=
                 Math.max(MIN_OBJECTIVE_WEIGHT, weightShare) * (requestObjectiveNs - objectiveNs);
     }
 
-    /** The weight of the next response in a mean latency that stands at this; 1 for the first. */
+    /**
+     * The weight of the next response in a mean latency with this value; 1 for the first response,
+     * when the value is 0.
+     */
     static double nextResponseWeight(double meanNs) {
         return meanNs == 0 ? 1 : LATENCY_WEIGHT;
     }
@@ -59,12 +64,12 @@
         return canCompare(requestWorkNs) ? requestWorkNs / workNs : 1;
     }
 
-    /** The mean latency of responses, scaled to mean work; 0: none has come. */
+    /** The mean latency of responses, scaled to mean work; 0 before the first response. */
     double latencyNs() {
         return latencyNs;
     }
 
-    /** The mean latency objective, by priority weight. */
+    /** The mean latency objective, weighted by priority weight. */
     double objectiveNs() {
         return objectiveNs;
     }
