--- a/adapter/src/main/java/trailthread/adapter/WireCodec.java
+++ b/adapter/src/main/java/trailthread/adapter/WireCodec.java
@@ -18,11 +18,11 @@
     private static final int CLIENT_RETRY_FLAG = 2;
 
     private final WireReader reader;
-    private final LoadReportParser loadReports;
+    private final WireLoadReportParser loadReports;
 
     WireCodec(WireReader reader) {
         this.reader = reader;
-        loadReports = new LoadReportParser(reader);
+        loadReports = new WireLoadReportParser(reader);
     }
 
     /** Whether these flags of a request say that its expected work is valid. */
--- a/adapter/src/main/java/trailthread/adapter/LoadReportParser.java
+++ b/adapter/src/main/java/trailthread/adapter/WireLoadReportParser.java
@@ -7,7 +7,7 @@
  * for an unknown value. Names that no decision reads are skipped. One parser serves one reader: it
  * keeps its working values between reports, so as not to allocate them.
  */
-final class LoadReportParser {
+final class WireLoadReportParser {
     private static final String FIELD = "feedback";
 
     private final WireReader reader;
@@ -19,7 +19,7 @@
     private double errorsPerSecond;
 
     /** Makes a parser whose errors name the current line of a reader. */
-    LoadReportParser(WireReader reader) {
+    WireLoadReportParser(WireReader reader) {
         this.reader = reader;
     }
 
