--- a/adapter/src/main/java/trailthread/adapter/EndpointPages.java
+++ b/adapter/src/main/java/trailthread/adapter/EndpointPages.java
@@ -10,7 +10,7 @@
  * update of the endpoint list that holds these entries.
  */
 final class EndpointPages {
-    private static final int PAGES = 16;
+    private static final int PAGE_COUNT = 16;
     private static final double DEFAULT_WEIGHT = 1;
     private static final int NO_CELL = -1;
 
@@ -18,12 +18,12 @@
     private final WireCodec codec;
 
     /** By page number; null where none has been sent. */
-    private final List<List<EndpointEntry>> pages = new ArrayList<>(PAGES);
+    private final List<List<EndpointEntry>> pages = new ArrayList<>(PAGE_COUNT);
 
     EndpointPages(WireReader reader, WireCodec codec) {
         this.reader = reader;
         this.codec = codec;
-        for (int i = 0; i < PAGES; i++) {
+        for (int i = 0; i < PAGE_COUNT; i++) {
             pages.add(null);
         }
     }
@@ -70,8 +70,8 @@
 
     private int pageNumber() {
         long page = reader.number(1, "page");
-        if (page < 0 || page >= PAGES) {
-            throw reader.invalid("page", "0 to " + (PAGES - 1));
+        if (page < 0 || page >= PAGE_COUNT) {
+            throw reader.invalid("page", "0 to " + (PAGE_COUNT - 1));
         }
         return (int) page;
     }
--- a/adapter/src/main/java/trailthread/adapter/WireReader.java
+++ b/adapter/src/main/java/trailthread/adapter/WireReader.java
@@ -17,7 +17,7 @@
     private static final int INITIAL_FIELDS = 64;
 
     /** Digits, with a sign, that may fit a long; the exact bound is checked digit by digit. */
-    private static final int MAX_LONG_CHARACTERS = 19;
+    private static final int MAX_LONG_DIGITS = 19;
 
     private static final int MAX_HEX_DIGITS = Long.BYTES * 2;
 
@@ -189,7 +189,7 @@
     private long parseLong(int from, int to, String field) {
         boolean negative = buffer[from] == '-';
         int i = negative ? from + 1 : from;
-        if (i == to || to - i > MAX_LONG_CHARACTERS) {
+        if (i == to || to - i > MAX_LONG_DIGITS) {
             throw invalid(field, "a whole number");
         }
         long value = 0;
--- a/decisions/src/main/java/trailthread/Balancer.java
+++ b/decisions/src/main/java/trailthread/Balancer.java
@@ -125,7 +125,7 @@
 
     @Override
     public void healthChecked(
-            long now, String endpoint, Outcome outcome, long latency, LoadReport load) {
+            long now, String endpoint, Outcome outcome, long latencyNs, LoadReport load) {
         Endpoint known = endpoints.get(endpoint);
         if (known != null && load != null) {
             known.load.record(load, now);
@@ -147,7 +147,7 @@
             long workNs,
             long deadline,
             String tenant,
-            boolean repeat,
+            boolean clientRetry,
             long key) {
         Settings s = settings.get();
         RequestClassStats classStats = fairShare.requestClass(requestClass);
@@ -266,8 +266,8 @@
             long id,
             int number,
             Outcome outcome,
-            long latency,
-            boolean closed,
+            long latencyNs,
+            boolean finished,
             LoadReport load) {
         Request request = requests.get(id);
         Attempt attempt = request == null ? null : request.inFlightAttempt(number);
@@ -275,11 +275,11 @@
             return;
         }
         request.endAttempt(attempt, outcome);
-        recorder.recordEnd(request, attempt, latency, load, now);
-        if (outcome == Outcome.OK && closed && !request.finished) {
+        recorder.recordEnd(request, attempt, latencyNs, load, now);
+        if (outcome == Outcome.OK && finished && !request.finished) {
             priorities.served(request, now);
         }
-        request.finished |= closed;
+        request.finished |= finished;
         if (!request.finished && !request.streaming && request.inFlight() == 0) {
             retry(request, now);
         }
--- a/decisions/src/main/java/trailthread/KeyAffinity.java
+++ b/decisions/src/main/java/trailthread/KeyAffinity.java
@@ -55,8 +55,8 @@
         if (totalCount > HALVING_COUNT) {
             halveCounts();
         }
-        double certainShare = Math.max(0, count - Math.sqrt(count)) / totalCount;
-        int parts = (int) Math.ceil(certainShare * endpoints / LOAD_BOUND);
+        double shareLowerBound = Math.max(0, count - Math.sqrt(count)) / totalCount;
+        int parts = (int) Math.ceil(shareLowerBound * endpoints / LOAD_BOUND);
         return parts <= 1 ? key : HashMixer.mix(key + random.below(parts));
     }
 
--- a/decisions/src/main/java/trailthread/ListPollSchedule.java
+++ b/decisions/src/main/java/trailthread/ListPollSchedule.java
@@ -41,7 +41,7 @@
     /** A poll that has no result yet is repeated after this share of the poll interval. */
     private static final double REPEAT_SHARE = 0.25;
 
-    /** Retries and first polls are spread over this multiple of {@link #roundNs}. */
+    /** Retries and first polls are spread over this multiple of {@link #pollRoundNs}. */
     private static final double SPREAD_MULTIPLE = 4;
 
     private final ActiveSettings settings;
@@ -80,16 +80,16 @@
 
     private double backoffNs() {
         double maxNs = MAX_BACKOFF_INTERVALS * settings.get().pollIntervalNs;
-        return Math.min(maxNs, roundNs() * (1 << Math.min(failedQueuedPolls, MAX_DOUBLINGS)));
+        return Math.min(maxNs, pollRoundNs() * (1 << Math.min(failedQueuedPolls, MAX_DOUBLINGS)));
     }
 
     private double retryNs() {
         double maxNs = watching ? MAX_FIRST_POLL_NS : MAX_RETRY_NS;
-        return Math.min(Math.max(SPREAD_MULTIPLE * roundNs(), MIN_RETRY_NS), maxNs);
+        return Math.min(Math.max(SPREAD_MULTIPLE * pollRoundNs(), MIN_RETRY_NS), maxNs);
     }
 
     /** The time in which all nodes poll once, at the initial rate. */
-    private double roundNs() {
+    private double pollRoundNs() {
         Settings s = settings.get();
         double intervalNs = s.pollIntervalNs;
         return s.nodes / INITIAL_POLLS_PER_INTERVAL * intervalNs;
@@ -106,7 +106,7 @@
         Settings s = settings.get();
         if (s.listIsPolled && !watching) {
             // A single node need not wait for others.
-            double othersNs = SPREAD_MULTIPLE * (roundNs() - roundNs() / s.nodes);
+            double othersNs = SPREAD_MULTIPLE * (pollRoundNs() - pollRoundNs() / s.nodes);
             double maxNs = Math.min(othersNs, MAX_FIRST_POLL_NS);
             schedulePoll(random.uniform() * maxNs / (1 + RandomSource.JITTER));
         }
--- a/decisions/src/main/java/trailthread/PriorityPolicy.java
+++ b/decisions/src/main/java/trailthread/PriorityPolicy.java
@@ -92,7 +92,7 @@
     /** What one more unit of served weight adds to the goal at present. */
     MarginalGain marginalGain(long now) {
         Settings s = settings.get();
-        double base = (s.goalWhole + s.goalWorstWindow) / requested.value(now);
+        double base = (s.goalOverall + s.goalWorstWindow) / requested.value(now);
         RequestClassStats worstClass = fairShare.worstClass(now);
         TenantStats worstTenant = fairShare.worstTenant(now);
         double classGain =
--- a/decisions/src/main/java/trailthread/api/BalancerEvents.java
+++ b/decisions/src/main/java/trailthread/api/BalancerEvents.java
@@ -14,7 +14,7 @@
      * @param workNs expected work on a standard core; 0: not known
      * @param deadline when the client gives up, by the clock of the events
      * @param tenant or null
-     * @param repeat the client says that it sent the request before
+     * @param clientRetry the client says that it sent the request before
      * @param key what the request concerns, for key affinity; 0: none
      * @throws IllegalArgumentException if the settings hold no such class
      */
@@ -25,7 +25,7 @@
             long workNs,
             long deadline,
             String tenant,
-            boolean repeat,
+            boolean clientRetry,
             long key);
 
     /** The answer to a streamed request has begun on this attempt. */
@@ -34,8 +34,8 @@
     /**
      * An attempt has ended.
      *
-     * @param latency in nanoseconds; -1 where the host can't tell its own lateness from it
-     * @param closed the client has its answer
+     * @param latencyNs in nanoseconds; -1 where the host can't tell its own lateness from it
+     * @param finished the client has its answer
      * @param load what the endpoint reported with it, or null
      */
     void outcome(
@@ -43,8 +43,8 @@
             long id,
             int attempt,
             Outcome outcome,
-            long latency,
-            boolean closed,
+            long latencyNs,
+            boolean finished,
             LoadReport load);
 
     /** The client has disconnected; no answer is owed. */
@@ -58,7 +58,7 @@
      *
      * @param load what the endpoint reported, or null
      */
-    void healthChecked(long now, String endpoint, Outcome outcome, long latency, LoadReport load);
+    void healthChecked(long now, String endpoint, Outcome outcome, long latencyNs, LoadReport load);
 
     /**
      * The lease on the endpoint list has been renewed or lost: from this time on, by the clock of
--- a/decisions/src/main/java/trailthread/api/Settings.java
+++ b/decisions/src/main/java/trailthread/api/Settings.java
@@ -8,7 +8,7 @@
  * retuned. Prices and weights are shares of the goal, which is at most 1.
  */
 public final class Settings {
-    private static final int OBJECTIVE_PARTS = 50;
+    private static final int RESOLUTION_DIVISOR = 50;
 
     /** The resolution of the host's clock: the least difference between two times of events. */
     public long tickNs = 1_000_000;
@@ -32,7 +32,7 @@
     public boolean weightByWork;
 
     /** Weight in the goal of the share served over all time. */
-    public double goalWhole = 1;
+    public double goalOverall = 1;
 
     /** Weight in the goal of the share served in the worst window of time. */
     public double goalWorstWindow;
@@ -113,7 +113,7 @@
     public long latencyResolutionNs() {
         long tightestNs =
                 classes.stream().mapToLong(RequestClass::latencyObjectiveNs).min().orElse(0);
-        return tightestNs / OBJECTIVE_PARTS;
+        return tightestNs / RESOLUTION_DIVISOR;
     }
 
     /** Throws an IllegalArgumentException that names the first setting that makes no sense. */
@@ -141,9 +141,9 @@
         require(overloadMultiple > 0, "fallMultiple: not above 0");
     }
 
-    static void require(boolean holds, String otherwise) {
-        if (!holds) {
-            throw new IllegalArgumentException(otherwise);
+    static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalArgumentException(message);
         }
     }
 }
--- a/decisions/src/main/java/trailthread/degradation/ConditionTracker.java
+++ b/decisions/src/main/java/trailthread/degradation/ConditionTracker.java
@@ -13,7 +13,7 @@
     private double value;
 
     /** Where the last known value stands. */
-    private Zone zone = Zone.BELOW_LEAVE;
+    private Band band = Band.BELOW_LEAVE;
 
     /** Whether the latest readings held a value. */
     private boolean known;
@@ -28,7 +28,7 @@
     private long atEnterForNs;
 
     /** Where a value stands by the bounds of the condition. */
-    private enum Zone {
+    private enum Band {
         BELOW_LEAVE,
         BETWEEN,
         AT_ENTER
@@ -52,29 +52,29 @@
             updateKnown(latest, now, step);
         } else if (now - knownAt > plan.trustNs) {
             measured = false;
-            zone = Zone.BELOW_LEAVE;
+            band = Band.BELOW_LEAVE;
             atEnterForNs = 0;
         }
     }
 
     private void updateKnown(double latest, long now, long step) {
-        Zone before = zone;
+        Band before = band;
         value = latest;
-        zone = zoneOf(latest);
+        band = bandOf(latest);
         measured = true;
         knownAt = now;
-        if (zone == Zone.BELOW_LEAVE) {
+        if (band == Band.BELOW_LEAVE) {
             atEnterForNs = 0;
-        } else if (zone == Zone.AT_ENTER && before == Zone.AT_ENTER) {
+        } else if (band == Band.AT_ENTER && before == Band.AT_ENTER) {
             atEnterForNs += step;
         }
     }
 
-    private Zone zoneOf(double latest) {
+    private Band bandOf(double latest) {
         if (latest >= condition.enter()) {
-            return Zone.AT_ENTER;
+            return Band.AT_ENTER;
         }
-        return latest < condition.leave() ? Zone.BELOW_LEAVE : Zone.BETWEEN;
+        return latest < condition.leave() ? Band.BELOW_LEAVE : Band.BETWEEN;
     }
 
     /** Whether the reading has been at or over the enter bound for the condition's time. */
@@ -84,12 +84,12 @@
 
     /** Whether the reading is known to be at or over the enter bound now. */
     boolean isAtEnter() {
-        return known && zone == Zone.AT_ENTER;
+        return known && band == Band.AT_ENTER;
     }
 
     /** Whether the reading was last known under the leave bound, or is not measured. */
     boolean isBelowLeave() {
-        return zone == Zone.BELOW_LEAVE;
+        return band == Band.BELOW_LEAVE;
     }
 
     /** Whether the reading is measured, but has no value in the latest readings. */
@@ -98,8 +98,8 @@
     }
 
     /** Whether shedding load lowers the reading. */
-    boolean isRelieved() {
-        return condition.reading().isRelieved();
+    boolean isRelievedByShedding() {
+        return condition.reading().isRelievedByShedding();
     }
 
     /** This condition as the cause of entering its level. */
--- a/decisions/src/main/java/trailthread/degradation/DecayingShare.java
+++ b/decisions/src/main/java/trailthread/degradation/DecayingShare.java
@@ -9,8 +9,8 @@
     private static final double PRIOR_EVENTS = 50;
 
     private final double spanNs;
-    private double all;
-    private double withTrait;
+    private double events;
+    private double withProperty;
     private long updatedAt;
 
     /**
@@ -25,22 +25,22 @@
     }
 
     /** Counts an event at a time, ns. */
-    public void count(long now, boolean hasTrait) {
+    public void count(long now, boolean hasProperty) {
         decay(now);
-        all++;
-        withTrait += hasTrait ? 1 : 0;
+        events++;
+        withProperty += hasProperty ? 1 : 0;
     }
 
     /** The share at a time, ns: 0 to below 1. */
     public double share(long now) {
         decay(now);
-        return withTrait / (all + PRIOR_EVENTS);
+        return withProperty / (events + PRIOR_EVENTS);
     }
 
     private void decay(long now) {
         double remaining = Math.exp(-Math.max(0, now - updatedAt) / spanNs);
-        all *= remaining;
-        withTrait *= remaining;
+        events *= remaining;
+        withProperty *= remaining;
         updatedAt = now;
     }
 }
--- a/decisions/src/main/java/trailthread/degradation/DegradationController.java
+++ b/decisions/src/main/java/trailthread/degradation/DegradationController.java
@@ -52,7 +52,7 @@
         this.plan = plan;
         this.order = order;
         for (DegradationLevel level : plan.levels) {
-            levels.add(new LevelTracker(level, order.count(level.reach()), plan));
+            levels.add(new LevelTracker(level, order.classesIn(level.reach()), plan));
         }
         depth = new SheddingDepth(plan);
         renewSheddingPolicy();
@@ -76,7 +76,7 @@
         }
         depth.update(levels.get(current), maxDepthAbove(), step);
         Optional<Change> change = changeLevel(readings.now());
-        if (depth.classes() != sheddingPolicy.depth() || change.isPresent()) {
+        if (depth.shedClasses() != sheddingPolicy.depth() || change.isPresent()) {
             renewSheddingPolicy();
         }
         return change;
@@ -149,6 +149,6 @@
     }
 
     private void renewSheddingPolicy() {
-        sheddingPolicy = new SheddingPolicy(order, level(), depth.classes(), plan.keep);
+        sheddingPolicy = new SheddingPolicy(order, level(), depth.shedClasses(), plan.keep);
     }
 }
--- a/decisions/src/main/java/trailthread/degradation/DegradationPlan.java
+++ b/decisions/src/main/java/trailthread/degradation/DegradationPlan.java
@@ -120,16 +120,16 @@
         Set<String> names = new HashSet<>();
         for (int i = 0; i < levels.size(); i++) {
             DegradationLevel level = levels.get(i);
-            boolean isFirst = i == 0;
+            boolean isFirstLevel = i == 0;
             String at = "levels." + level.name();
             require(
                     !level.name().isBlank() && names.add(level.name()),
                     "levels: a name is blank or twice there");
             require(
-                    isFirst == level.conditions().isEmpty(),
+                    isFirstLevel == level.conditions().isEmpty(),
                     at + ": conditions are for all levels but the first, at least one for each");
             require(
-                    !isFirst || level.reach() == Reach.NONE,
+                    !isFirstLevel || level.reach() == Reach.NONE,
                     at + ".reach: the first sheds nothing");
             level.check();
             require(level.leastStayNs() <= mostStayNs, at + ".leastStayNs: above mostStayNs");
@@ -144,9 +144,9 @@
     }
 
     /** Throws an IllegalArgumentException with a message unless something holds. */
-    static void require(boolean holds, String otherwise) {
-        if (!holds) {
-            throw new IllegalArgumentException(otherwise);
+    static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalArgumentException(message);
         }
     }
 }
--- a/decisions/src/main/java/trailthread/degradation/FlapDamping.java
+++ b/decisions/src/main/java/trailthread/degradation/FlapDamping.java
@@ -14,7 +14,7 @@
     /** Factor on the penalty each time that the level is entered. */
     private static final double PENALTY_GROWTH = 2;
 
-    private final long ownStayNs;
+    private final long baseStayNs;
     private final DegradationPlan plan;
 
     /** 0: never entered. */
@@ -26,21 +26,21 @@
     /**
      * Makes the damping of a level that has not been entered.
      *
-     * @param ownStayNs the least stay of a level that does not flap, ns
+     * @param baseStayNs the least stay of a level that does not flap, ns
      */
-    FlapDamping(long ownStayNs, DegradationPlan plan) {
-        this.ownStayNs = ownStayNs;
+    FlapDamping(long baseStayNs, DegradationPlan plan) {
+        this.baseStayNs = baseStayNs;
         this.plan = plan;
-        leastStayNs = ownStayNs;
+        leastStayNs = baseStayNs;
     }
 
     /** The level is entered at a time, ns. */
     void enter(long now) {
-        double ceiling = (double) plan.mostStayNs / ownStayNs;
+        double ceiling = (double) plan.mostStayNs / baseStayNs;
         double halfLives = (double) (now - leftAt) / plan.halfLifeNs;
         double grown = PENALTY_GROWTH * penalty * Math.pow(0.5, halfLives);
         penalty = Math.min(ceiling, Math.max(1, grown));
-        leastStayNs = (long) (ownStayNs * penalty);
+        leastStayNs = (long) (baseStayNs * penalty);
     }
 
     /** The level is left at a time, ns. */
--- a/decisions/src/main/java/trailthread/degradation/LevelTracker.java
+++ b/decisions/src/main/java/trailthread/degradation/LevelTracker.java
@@ -16,9 +16,9 @@
     private final FlapDamping damping;
 
     /** The conditions that held the level last. */
-    private List<ConditionTracker> holders = List.of();
+    private List<ConditionTracker> lastHolders = List.of();
 
-    private boolean clear = true;
+    private boolean isClear = true;
     private long clearForNs;
 
     /** What the readings that shedding relieves say of the load. */
@@ -49,20 +49,20 @@
      * @param step counted time since the readings before
      */
     void update(Readings readings, long now, long step) {
-        boolean certain = true;
+        boolean allKnown = true;
         for (ConditionTracker condition : conditions) {
             condition.update(readings, now, step);
-            certain &= !condition.isUncertain();
+            allKnown &= !condition.isUncertain();
         }
         List<ConditionTracker> holding =
                 conditions.stream().filter(c -> !c.isBelowLeave()).toList();
         if (!holding.isEmpty()) {
-            clear = false;
+            isClear = false;
             clearForNs = 0;
-            holders = holding;
-        } else if (certain) {
-            clearForNs += clear ? step : 0;
-            clear = true;
+            lastHolders = holding;
+        } else if (allKnown) {
+            clearForNs += isClear ? step : 0;
+            isClear = true;
         }
     }
 
@@ -73,14 +73,14 @@
 
     /** Whether all conditions have been under their leave bounds for the level's time. */
     boolean isClearLongEnough() {
-        return clear && clearForNs >= level.leaveNs();
+        return isClear && clearForNs >= level.leaveNs();
     }
 
     /** What the readings that shedding relieves say of the load. */
     Pressure pressure() {
         boolean allLow = true;
         for (ConditionTracker condition : conditions) {
-            if (!condition.isRelieved()) {
+            if (!condition.isRelievedByShedding()) {
                 continue;
             }
             if (condition.isAtEnter()) {
@@ -106,7 +106,7 @@
      * level above may, as else it could not be left.
      */
     double minDepth(int maxDepthAbove) {
-        return clear ? Math.min(maxDepthAbove, entryDepth()) : entryDepth();
+        return isClear ? Math.min(maxDepthAbove, entryDepth()) : entryDepth();
     }
 
     /** The level is entered, or passed on the way to a deeper one. */
@@ -134,6 +134,6 @@
 
     /** The conditions that held the level last. */
     List<Change.Cause> leaveCauses() {
-        return holders.stream().map(ConditionTracker::leaveCause).toList();
+        return lastHolders.stream().map(ConditionTracker::leaveCause).toList();
     }
 }
--- a/decisions/src/main/java/trailthread/degradation/Reading.java
+++ b/decisions/src/main/java/trailthread/degradation/Reading.java
@@ -22,11 +22,11 @@
     private static final double NS_PER_SECOND = 1e9;
 
     private final boolean share;
-    private final boolean relieved;
+    private final boolean relievedByShedding;
 
-    Reading(boolean share, boolean relieved) {
+    Reading(boolean share, boolean relievedByShedding) {
         this.share = share;
-        this.relieved = relieved;
+        this.relievedByShedding = relievedByShedding;
     }
 
     /** Whether it is a share, 0 to 1; the others are nanoseconds. */
@@ -35,8 +35,8 @@
     }
 
     /** Whether shedding lowers it; failing endpoints and late reports are not mended by that. */
-    public boolean isRelieved() {
-        return relieved;
+    public boolean isRelievedByShedding() {
+        return relievedByShedding;
     }
 
     /**
--- a/decisions/src/main/java/trailthread/degradation/SheddingDepth.java
+++ b/decisions/src/main/java/trailthread/degradation/SheddingDepth.java
@@ -15,7 +15,7 @@
  */
 final class SheddingDepth {
     private final DegradationPlan plan;
-    private double classes;
+    private double shedClasses;
 
     /** For how long no more has been shed than the level above may shed, ns. */
     private long withinLevelAboveNs;
@@ -25,8 +25,8 @@
     }
 
     /** How many classes are shed. */
-    double classes() {
-        return classes;
+    double shedClasses() {
+        return shedClasses;
     }
 
     /** For how long no more has been shed than the level above may shed, ns. */
@@ -42,24 +42,25 @@
      */
     void update(LevelTracker level, int maxDepthAbove, long step) {
         Pressure pressure = level.pressure();
-        int max = level.maxDepth();
+        int maxDepth = level.maxDepth();
         if (pressure == Pressure.HIGH) {
-            classes = max - (max - classes) * Math.exp(-(double) step / plan.riseNs);
+            shedClasses =
+                    maxDepth - (maxDepth - shedClasses) * Math.exp(-(double) step / plan.riseNs);
         } else if (pressure == Pressure.LOW) {
-            classes -= (double) step / plan.recoveryNs;
+            shedClasses -= (double) step / plan.recoveryNs;
         }
         double min = level.minDepth(maxDepthAbove);
-        classes = Math.min(max, Math.max(min, classes));
-        withinLevelAboveNs = classes <= maxDepthAbove ? withinLevelAboveNs + step : 0;
+        shedClasses = Math.min(maxDepth, Math.max(min, shedClasses));
+        withinLevelAboveNs = shedClasses <= maxDepthAbove ? withinLevelAboveNs + step : 0;
     }
 
     /** Fits the depth to a level that is entered from above. */
     void enter(LevelTracker level) {
-        classes = Math.min(level.maxDepth(), Math.max(classes, level.entryDepth()));
+        shedClasses = Math.min(level.maxDepth(), Math.max(shedClasses, level.entryDepth()));
     }
 
     /** Fits the depth to a level that is returned to from the one below. */
     void returnTo(LevelTracker level) {
-        classes = Math.min(classes, level.maxDepth());
+        shedClasses = Math.min(shedClasses, level.maxDepth());
     }
 }
--- a/decisions/src/main/java/trailthread/degradation/SheddingOrder.java
+++ b/decisions/src/main/java/trailthread/degradation/SheddingOrder.java
@@ -74,7 +74,7 @@
     }
 
     /** How many classes a level of this reach may shed. */
-    int count(Reach reach) {
+    int classesIn(Reach reach) {
         return switch (reach) {
             case NONE -> 0;
             case SAFE -> idempotentReach;
--- a/decisions/src/main/java/trailthread/degradation/SheddingPolicy.java
+++ b/decisions/src/main/java/trailthread/degradation/SheddingPolicy.java
@@ -42,7 +42,7 @@
         if (position < 0) {
             return 1;
         }
-        boolean allShed = overQuota && position < order.count(level.reach());
+        boolean allShed = overQuota && position < order.classesIn(level.reach());
         double shed = allShed ? 1 : Math.min(1, Math.max(0, depth - position));
         return 1 - shed * (1 - keep);
     }
--- a/decisions/src/main/java/trailthread/settings/SettingsParser.java
+++ b/decisions/src/main/java/trailthread/settings/SettingsParser.java
@@ -125,7 +125,7 @@
     private void parseGoal(Settings settings) {
         settings.overQuotaWeight = decimal("over_share_worth", settings.overQuotaWeight);
         settings.weightByWork = "work".equals(values.get("worth_by"));
-        settings.goalWhole = decimal("objective_mix.whole", settings.goalWhole);
+        settings.goalOverall = decimal("objective_mix.whole", settings.goalOverall);
         settings.goalWorstWindow = decimal("objective_mix.worst_window", settings.goalWorstWindow);
         settings.goalWorstClass = decimal("objective_mix.worst_class", settings.goalWorstClass);
         settings.goalWorstTenant = decimal("objective_mix.worst_tenant", settings.goalWorstTenant);
--- a/decisions/src/test/java/trailthread/degradation/SheddingPolicyTest.java
+++ b/decisions/src/test/java/trailthread/degradation/SheddingPolicyTest.java
@@ -25,18 +25,19 @@
     public void theOrderIsByIdempotencyThenPriorityWeightUnlessNamesAreGiven() {
         SheddingOrder order = new SheddingOrder(CLASSES, List.of());
         assertEquals(List.of("s1", "s0", "s2", "k", "u"), order.names());
-        assertEquals(3, order.count(Reach.SAFE));
-        assertEquals(4, order.count(Reach.ALL_BUT_LAST));
+        assertEquals(3, order.classesIn(Reach.SAFE));
+        assertEquals(4, order.classesIn(Reach.ALL_BUT_LAST));
         assertFalse(order.isGuarded("s2"));
         assertTrue(order.isGuarded("k"));
         SheddingOrder named = new SheddingOrder(CLASSES, List.of("k", "s2"));
         assertEquals(List.of("k", "s2", "s1", "s0", "u"), named.names());
-        assertEquals("to the last that is idempotent", 4, named.count(Reach.SAFE));
+        assertEquals("to the last that is idempotent", 4, named.classesIn(Reach.SAFE));
         SheddingOrder safe = new SheddingOrder(CLASSES.subList(2, 5), List.of());
-        assertEquals("the last is in no reach", 2, safe.count(Reach.SAFE));
+        assertEquals("the last is in no reach", 2, safe.classesIn(Reach.SAFE));
         assertTrue(safe.isGuarded("s2"));
         assertEquals(
-                0, new SheddingOrder(CLASSES.subList(0, 1), List.of()).count(Reach.ALL_BUT_LAST));
+                0,
+                new SheddingOrder(CLASSES.subList(0, 1), List.of()).classesIn(Reach.ALL_BUT_LAST));
         assertThrows(
                 IllegalArgumentException.class, () -> new SheddingOrder(CLASSES, List.of("x")));
         assertThrows(
