--- a/adapter/src/main/java/trailthread/adapter/Adapter.java
+++ b/adapter/src/main/java/trailthread/adapter/Adapter.java
@@ -12,8 +12,8 @@
 import trailthread.settings.SettingsParser;
 
 /**
- * Runs balancers under the simulator: reads batches of messages, hands each event to the balancer
- * of its instance, and writes the actions of a batch as one reply. It decides nothing itself.
+ * Runs balancers under the simulator: reads batches of messages, passes each event to the balancer
+ * of its instance, and writes the actions of a batch as one reply. Makes no decisions of its own.
  */
 public final class Adapter {
     private final WireReader reader;
@@ -22,7 +22,7 @@
     private final EventDispatcher events;
     private final Map<String, Balancer> balancers = new HashMap<>();
 
-    /** The instance that messages are for; null before the first selection of a batch. */
+    /** The instance that messages are for; null until a message of the batch selects one. */
     private String instance;
 
     /** The balancer of that instance; null where it has not been started. */
@@ -40,10 +40,10 @@
     }
 
     /**
-     * Answers batches until the input ends or cannot be read; the latter is printed to standard
+     * Answers batches until the input ends. If the input cannot be read, prints why to standard
      * error.
      *
-     * @return the exit status: 0 at the end of the input, 1 where it could not be read
+     * @return the exit status: 0 at the end of the input, 1 if it could not be read
      * @throws IOException if a stream fails
      */
     public static int serve(InputStream in, OutputStream out) throws IOException {
--- a/adapter/src/main/java/trailthread/adapter/EndpointPages.java
+++ b/adapter/src/main/java/trailthread/adapter/EndpointPages.java
@@ -6,8 +6,8 @@
 import trailthread.api.EndpointEntry;
 
 /**
- * Numbered pages of endpoint entries. The simulator sends a page once, and then names it in each
- * update of the endpoint list that holds these entries.
+ * Numbered pages of endpoint entries. The simulator sends a page once, and then refers to its
+ * number in each update of the endpoint list that holds these entries.
  */
 final class EndpointPages {
     private static final int PAGE_COUNT = 16;
@@ -17,7 +17,7 @@
     private final WireReader reader;
     private final WireCodec codec;
 
-    /** By page number; null where none has been sent. */
+    /** The entries by page number; null for a page that has not been sent. */
     private final List<List<EndpointEntry>> pages = new ArrayList<>(PAGE_COUNT);
 
     EndpointPages(WireReader reader, WireCodec codec) {
@@ -59,7 +59,7 @@
                 (int) reader.numberOr(7, "unit_group", NO_CELL));
     }
 
-    /** The entries of the page that the current line names. */
+    /** The entries of the page whose number is on the current line. */
     List<EndpointEntry> namedPage() {
         List<EndpointEntry> entries = pages.get(pageNumber());
         if (entries == null) {
--- a/adapter/src/main/java/trailthread/adapter/EventDispatcher.java
+++ b/adapter/src/main/java/trailthread/adapter/EventDispatcher.java
@@ -22,7 +22,7 @@
     }
 
     /**
-     * Hands the event on.
+     * Passes the event to the balancer.
      *
      * @param message the first word of the line
      * @throws WireException for an unknown message or a field that cannot be read
--- a/adapter/src/main/java/trailthread/adapter/InternedNames.java
+++ b/adapter/src/main/java/trailthread/adapter/InternedNames.java
@@ -4,13 +4,16 @@
 
 /**
  * A bounded table from bytes to strings, so that a name that is read again and again is decoded and
- * allocated once. Only names in ASCII are found again; others are decoded each time.
+ * allocated once. Only names in ASCII are found in the table; others are decoded each time.
  */
 final class InternedNames {
     /** A power of two: slots are found with a bit mask. */
     private static final int SLOTS = 1024;
 
-    /** Names beyond this are decoded anew each time; at a load of one half, probes stay short. */
+    /**
+     * Names beyond this number are decoded each time. With at most half of the slots in use, linear
+     * probing stays short.
+     */
     private static final int MAX_NAMES = SLOTS / 2;
 
     private static final int SLOT_MASK = SLOTS - 1;
--- a/adapter/src/main/java/trailthread/adapter/WireActions.java
+++ b/adapter/src/main/java/trailthread/adapter/WireActions.java
@@ -4,7 +4,7 @@
 
 /** Writes the actions of one instance as messages of the current reply. */
 final class WireActions implements BalancerActions {
-    /** The longest timer that is asked for: 70 minutes, in ns. */
+    /** The longest delay of a timer; longer delays are cut to it: 70 minutes, in ns. */
     private static final long MAX_TIMER_NS = 70L * 60 * 1_000_000_000;
 
     private final String instance;
--- a/adapter/src/main/java/trailthread/adapter/WireLoadReportParser.java
+++ b/adapter/src/main/java/trailthread/adapter/WireLoadReportParser.java
@@ -4,8 +4,8 @@
 
 /**
  * Parses load reports, written as {@code name:value} pairs joined by commas, where a dash stands
- * for an unknown value. Names that no decision reads are skipped. One parser serves one reader: it
- * keeps its working values between reports, so as not to allocate them.
+ * for an unknown value. Names that no decision uses are skipped. A parser is used by one reader,
+ * and reuses its fields for all reports to avoid allocation.
  */
 final class WireLoadReportParser {
     private static final String FIELD = "feedback";
@@ -18,12 +18,12 @@
     private double requestsPerSecond;
     private double errorsPerSecond;
 
-    /** Makes a parser whose errors name the current line of a reader. */
+    /** Creates a parser whose errors name the current line of a reader. */
     WireLoadReportParser(WireReader reader) {
         this.reader = reader;
     }
 
-    /** The report in a text; values that it does not hold are NaN. */
+    /** The report in a text; values that the text does not hold are NaN. */
     LoadReport parse(String text) {
         clear();
         int start = 0;
@@ -60,7 +60,7 @@
             case "qps" -> requestsPerSecond = value;
             case "eps" -> errorsPerSecond = value;
             default -> {
-                // A value that no decision reads.
+                // A value that no decision uses.
             }
         }
     }
--- a/adapter/src/main/java/trailthread/adapter/WireMessages.java
+++ b/adapter/src/main/java/trailthread/adapter/WireMessages.java
@@ -1,6 +1,6 @@
 package trailthread.adapter;
 
-/** The wire's words for messages, named by what they mean. */
+/** The words of the wire for messages; each constant is named by the meaning of its word. */
 final class WireMessages {
     // Framing
     static final String FRAME = "frame";
--- a/adapter/src/main/java/trailthread/adapter/WireReader.java
+++ b/adapter/src/main/java/trailthread/adapter/WireReader.java
@@ -16,7 +16,7 @@
     private static final int MAX_LINE_BYTES = 1 << 26;
     private static final int INITIAL_FIELDS = 64;
 
-    /** Digits, with a sign, that may fit a long; the exact bound is checked digit by digit. */
+    /** The most digits of a long, without its sign; the exact bound is checked digit by digit. */
     private static final int MAX_LONG_DIGITS = 19;
 
     private static final int MAX_HEX_DIGITS = Long.BYTES * 2;
@@ -128,7 +128,7 @@
         return new WireException(Problem.INVALID_VALUE, lineNumber, field, expected);
     }
 
-    /** Requires a number of fields, each bound with the message's word. */
+    /** Requires a number of fields; both bounds count the message's word. */
     void requireFieldCount(int min, int max, String message) {
         if (fieldCount < min || fieldCount > max) {
             String range = min == max ? "" + (min - 1) : (min - 1) + " to " + (max - 1);
@@ -148,7 +148,7 @@
         return fieldEnds[index] - fieldStarts[index] == 1 && buffer[fieldStarts[index]] == '-';
     }
 
-    /** A field as a string, for names that come again: mostly the same object each time. */
+    /** A field as a string, for names that recur: usually the same object each time. */
     String name(int index, String field) {
         if (isAbsent(index)) {
             throw invalid(field, "a name");
--- a/adapter/src/main/java/trailthread/adapter/WireWriter.java
+++ b/adapter/src/main/java/trailthread/adapter/WireWriter.java
@@ -6,8 +6,8 @@
 import java.util.Arrays;
 
 /**
- * Formats messages as lines of tab-separated fields and writes them a reply at a time. A message is
- * begun, given its fields in order, and ended.
+ * Formats messages as lines of tab-separated fields, and writes one reply at a time. A message is
+ * written by {@link #beginMessage}, its fields in order, and {@link #endMessage}.
  */
 final class WireWriter {
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
@@ -16,14 +16,14 @@
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int size;
 
-    /** Whose messages are being written; null at the start of a reply. */
+    /** The instance whose messages are being written; null at the start of a reply. */
     private String currentInstance;
 
     WireWriter(OutputStream out) {
         this.out = out;
     }
 
-    /** Writes the reply out. */
+    /** Ends the reply and writes it to the output. */
     void endReply() throws IOException {
         ascii(WireMessages.END_OF_REPLY);
         endMessage();
--- a/decisions/src/main/java/trailthread/LatencyStats.java
+++ b/decisions/src/main/java/trailthread/LatencyStats.java
@@ -18,7 +18,7 @@
 
     /**
      * Weight of the prior, which is the latency of all endpoints, in the estimate for one endpoint:
-     * that of so many responses of the endpoint.
+     * as much as this many responses of the endpoint.
      */
     static final double PRIOR_RESPONSES = 2;
 
--- a/decisions/src/main/java/trailthread/LoadEstimator.java
+++ b/decisions/src/main/java/trailthread/LoadEstimator.java
@@ -6,21 +6,21 @@
 /**
  * Predicts how long one more request would take at an endpoint, in nanoseconds.
  *
- * <p>The prediction is that of the SNS paper (Fox et al., SOSP 1997, 3.1.2): {@code (1 + requests)
- * * timePerRequest}. The requests at the endpoint are those of its load reports, corrected by what
- * this node has sent since. The time per request is the endpoint's latency divided by the requests
+ * <p>{@code prediction = (1 + requests) * timePerRequest}, as in the SNS paper (Fox et al., SOSP
+ * 1997, 3.1.2). The requests at the endpoint are those of its load reports, corrected by what this
+ * node has sent since. The time per request is the endpoint's latency divided by the requests
  * there. A single node has too few responses of an endpoint to notice a change of its latency in
  * time. So the latency is estimated as a weighted mean, in logarithms, of three sources: the
  * endpoint's recent responses, the service time that it reports (which covers its responses to all
  * nodes), and the responses of all endpoints, scaled by how much slower this endpoint has been.
  */
 final class LoadEstimator {
-    /** Weight of a fresh report of service time: that of so many responses of the endpoint. */
+    /** Weight of a fresh report of service time: as much as this many responses of the endpoint. */
     private static final double REPORT_RESPONSES = 5;
 
     /**
-     * The idle latency drifts up by its own value in so many longest deadlines: minutes, so that an
-     * overload does not raise it.
+     * The idle latency drifts up by its own value in this many longest deadlines: minutes, so that
+     * an overload does not raise it.
      */
     private static final double IDLE_DRIFT_DEADLINES = 300;
 
--- a/decisions/src/main/java/trailthread/SubsetSelector.java
+++ b/decisions/src/main/java/trailthread/SubsetSelector.java
@@ -19,7 +19,7 @@
     /** The part of the goal that open connections may cost. */
     private static final double CONNECTION_COST = 0.006;
 
-    /** {@link Settings#connectionPrice} is the price of so many connections to each endpoint. */
+    /** {@link Settings#connectionPrice} is the price of this many connections to each endpoint. */
     private static final double PRICED_CONNECTIONS = 100;
 
     /**
--- a/decisions/src/main/java/trailthread/api/BalancerActions.java
+++ b/decisions/src/main/java/trailthread/api/BalancerActions.java
@@ -1,32 +1,32 @@
 package trailthread.api;
 
 /**
- * What the balancer asks of its host, in order, within the event that is being handled. {@link
- * trailthread.Balancer} never calls {@link #cancel}, {@link #closeIdle}, {@link #sendToPeer} and
- * {@link #fetch}; other policies behind this interface may.
+ * The actions that the balancer asks its host to take. The balancer calls them in order, while it
+ * handles an event. {@link trailthread.Balancer} never calls {@link #cancel}, {@link #closeIdle},
+ * {@link #sendToPeer} and {@link #fetch}; other policies behind this interface may.
  */
 public interface BalancerActions {
     /**
      * Start an attempt. The attempts of a request are numbered from 0.
      *
-     * @param timeoutNs how long to wait for its end; 0: until the client gives up
-     * @param writeDeadline by the clock of the events: bytes not written by then must never be. A
-     *     host that writes late looks at its clock first, and reports {@link Outcome#NOT_SENT}
-     *     where it is too late
+     * @param timeoutNs how long to wait for the end of the attempt; 0: until the client gives up
+     * @param writeDeadline when, by the clock of the events, the request must have been written; no
+     *     byte of it may be written later. A host that does not write at once checks its clock
+     *     first, and reports {@link Outcome#NOT_SENT} if it is too late
      */
     void send(long id, long timeoutNs, long writeDeadline, String endpoint);
 
     /**
-     * Final answer: rejected, and harmless to send again.
+     * Give the final answer: the request was rejected, and may safely be sent again.
      *
      * @param retryAfterNs advice to the client on when to retry; 0: none
      */
     void refuse(long id, long retryAfterNs);
 
-    /** Final answer: failed; it may have had its effect. */
+    /** Give the final answer: the request failed, and an endpoint may have processed it. */
     void fail(long id);
 
-    /** Stop waiting for an attempt; its outcome still comes. */
+    /** Stop waiting for an attempt; its outcome is still to be reported. */
     void cancel(long id, int attempt);
 
     /** Call {@link BalancerEvents#timer} after this delay. */
--- a/decisions/src/main/java/trailthread/api/BalancerEvents.java
+++ b/decisions/src/main/java/trailthread/api/BalancerEvents.java
@@ -2,19 +2,20 @@
 
 import java.util.List;
 
-/** What the host reports to the balancer. Times never go back. */
+/** The events that the host reports to the balancer. Times must not decrease. */
 public interface BalancerEvents {
-    /** A list event: the endpoint list, or what changed of it. */
+    /** A list event: the complete endpoint list, or the entries that changed. */
     void list(long now, ListKind kind, List<EndpointEntry> entries);
 
     /**
-     * A client's request has arrived. It gets one final answer: an {@link Outcome#OK} outcome that
-     * closes it, {@link BalancerActions#refuse} or {@link BalancerActions#fail}.
+     * A client's request has arrived. It gets exactly one final answer: an {@link Outcome#OK}
+     * outcome that finishes the request, {@link BalancerActions#refuse} or {@link
+     * BalancerActions#fail}.
      *
      * @param workNs expected work on a standard core; 0: not known
      * @param deadline when the client gives up, by the clock of the events
-     * @param tenant or null
-     * @param clientRetry the client says that it sent the request before
+     * @param tenant the tenant, or null
+     * @param clientRetry whether the client says that it sent the request before
      * @param key what the request concerns, for key affinity; 0: none
      * @throws IllegalArgumentException if the settings hold no such class
      */
@@ -28,15 +29,16 @@
             boolean clientRetry,
             long key);
 
-    /** The answer to a streamed request has begun on this attempt. */
+    /** The first byte of a streamed response has come on this attempt. */
     void firstByte(long now, long id, int attempt);
 
     /**
      * An attempt has ended.
      *
-     * @param latencyNs in nanoseconds; -1 where the host can't tell its own lateness from it
-     * @param finished the client has its answer
-     * @param load what the endpoint reported with it, or null
+     * @param latencyNs the latency in nanoseconds; -1 if the host handled the response late and
+     *     cannot tell its own delay from the latency
+     * @param finished whether the client has its final answer
+     * @param load the load report that came with the response, or null
      */
     void outcome(
             long now,
@@ -56,17 +58,19 @@
     /**
      * A health check has ended.
      *
-     * @param load what the endpoint reported, or null
+     * @param load the load report, or null
      */
     void healthChecked(long now, String endpoint, Outcome outcome, long latencyNs, LoadReport load);
 
     /**
-     * The lease on the endpoint list has been renewed or lost: from this time on, by the clock of
-     * the events, nothing is sent. A host that never calls this has a list that is valid for ever.
+     * The lease on the endpoint list has been renewed or lost. A host that never calls this holds a
+     * lease that does not end.
+     *
+     * @param until when the lease ends, by the clock of the events: nothing is sent then or later
      */
     default void listLeaseUntil(long now, long until) {}
 
-    /** Which requests the host admits from now on; null: all. */
+    /** The rule by which the host admits requests from now on; null admits all. */
     default void admit(Admission admission) {}
 
     /** A message from another node; a balancer that decides alone ignores it. */
--- a/decisions/src/main/java/trailthread/api/DeduplicationScope.java
+++ b/decisions/src/main/java/trailthread/api/DeduplicationScope.java
@@ -4,8 +4,8 @@
 public enum DeduplicationScope {
     /** All endpoints. */
     ALL,
-    /** Those in the zone of the endpoint that had the request first. */
+    /** Those in the zone of the endpoint that first received the request. */
     ZONE,
-    /** Those in the cell of the endpoint that had the request first. */
+    /** Those in the cell of the endpoint that first received the request. */
     CELL
 }
--- a/decisions/src/main/java/trailthread/api/EndpointEntry.java
+++ b/decisions/src/main/java/trailthread/api/EndpointEntry.java
@@ -1,12 +1,13 @@
 package trailthread.api;
 
 /**
- * One endpoint as the list names it.
+ * One entry of the endpoint list.
  *
- * @param endpoint its name, the same at every node
+ * @param endpoint the name of the endpoint, the same at every node
  * @param weight see {@link WeightMeaning}
- * @param startedAtNs when it last started, in nanoseconds of the host's clock; 0: long ago
- * @param cell the number of its cell, or -1
+ * @param startedAtNs when the endpoint last started, in nanoseconds of the host's clock; 0: long
+ *     ago
+ * @param cell the number of the cell, or -1 for none
  */
 public record EndpointEntry(
         String endpoint,
--- a/decisions/src/main/java/trailthread/api/EndpointState.java
+++ b/decisions/src/main/java/trailthread/api/EndpointState.java
@@ -1,11 +1,11 @@
 package trailthread.api;
 
-/** What the list says of an endpoint. */
+/** The state of an endpoint in the endpoint list. */
 public enum EndpointState {
-    /** It takes new requests. */
+    /** The endpoint takes new requests. */
     READY,
-    /** It ends the requests that it has, and takes no new ones. */
+    /** The endpoint completes the requests that it has, and takes no new ones. */
     DRAINING,
-    /** It is no longer listed. */
+    /** The endpoint is no longer listed. */
     GONE
 }
--- a/decisions/src/main/java/trailthread/api/Idempotency.java
+++ b/decisions/src/main/java/trailthread/api/Idempotency.java
@@ -4,8 +4,11 @@
 public enum Idempotency {
     /** Repeats are harmless. */
     IDEMPOTENT,
-    /** Repeats are dropped by the endpoints of one {@link DeduplicationScope}, for a time. */
+    /**
+     * Repeats are dropped by the endpoints of one {@link DeduplicationScope}, within the
+     * deduplication window.
+     */
     IDEMPOTENCY_KEY,
-    /** It must never run twice. */
+    /** The request must never run twice. */
     NOT_IDEMPOTENT
 }
--- a/decisions/src/main/java/trailthread/api/ListKind.java
+++ b/decisions/src/main/java/trailthread/api/ListKind.java
@@ -6,7 +6,7 @@
     DELTA,
     /** The complete list. */
     FULL,
-    /** The complete list as this node had it last, of unknown age. */
+    /** The last complete list that this node received, of unknown age. */
     CACHED,
     /** Nothing: a watch or a fetch has failed. */
     FAILED
--- a/decisions/src/main/java/trailthread/api/LoadReport.java
+++ b/decisions/src/main/java/trailthread/api/LoadReport.java
@@ -1,12 +1,12 @@
 package trailthread.api;
 
 /**
- * What an endpoint reports of its load; NaN where a value is absent.
+ * The load that an endpoint reports; a value that is absent is NaN.
  *
- * @param inflight requests that it works on or holds
- * @param queue requests that wait in it
+ * @param inflight requests that the endpoint holds, whether queued or being served
+ * @param queue requests in its queue
  * @param util utilisation, 0 to 1
- * @param latencyMs its service time of late, in milliseconds
+ * @param latencyMs its recent service time, in milliseconds
  * @param qps requests a second
  * @param eps errors a second
  */
--- a/decisions/src/main/java/trailthread/api/Outcome.java
+++ b/decisions/src/main/java/trailthread/api/Outcome.java
@@ -16,7 +16,9 @@
     RESET(true),
     /** Cancelled by this node. */
     CANCELLED(true),
-    /** Not sent, or not to its last byte: the request was over, or out of time or attempts. */
+    /**
+     * Not sent, or not to the last byte: the request was finished, or had no time or attempts left.
+     */
     NOT_SENT(false);
 
     private final boolean mayHaveRun;
@@ -25,7 +27,10 @@
         this.mayHaveRun = mayHaveRun;
     }
 
-    /** Whether an attempt that ended so may have had its effect. Only this method decides that. */
+    /**
+     * Whether the endpoint may have processed an attempt that ended in this way. No other code
+     * decides this.
+     */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
--- a/decisions/src/main/java/trailthread/api/Settings.java
+++ b/decisions/src/main/java/trailthread/api/Settings.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * The settings of a balancer, each with its default. They are read when the balancer is made or
+ * The settings of a balancer, each with its default. They are read when the balancer is created or
  * retuned. Prices and weights are shares of the goal, which is at most 1.
  */
 public final class Settings {
@@ -25,10 +25,10 @@
     public final List<RequestClass> classes = new ArrayList<>();
     public final List<Tenant> tenants = new ArrayList<>();
 
-    /** The share of its weight that a request past its tenant's quota keeps. */
+    /** The share of its weight that a request over its tenant's quota keeps. */
     public double overQuotaWeight = 1;
 
-    /** Priority weight is counted for each unit of work, not for each request. */
+    /** Whether the priority weight is per unit of work, not per request. */
     public boolean weightByWork;
 
     /** Weight in the goal of the share served over all time. */
@@ -43,37 +43,40 @@
     /** Weight in the goal of the share served to the worst-served tenant. */
     public double goalWorstTenant;
 
-    /** Price of one attempt to another zone, as a share of the goal. */
+    /** The price of one attempt to another zone, as a share of the goal. */
     public double crossZonePrice;
 
-    /** Price of a hundred open connections to each endpoint, over all nodes. */
+    /** The price of a hundred open connections to each endpoint, over all nodes. */
     public double connectionPrice;
 
-    /** Attempts may be cancelled. The balancer makes no use of it. */
+    /** Whether attempts may be cancelled. The balancer does not use this. */
     public boolean mayCancel;
 
-    /** Endpoints may be sent health checks. */
+    /** Whether endpoints may be sent health checks. */
     public boolean mayCheckHealth;
 
-    /** Nodes may send each other messages. The balancer makes no use of it. */
+    /** Whether nodes may send each other messages. The balancer does not use this. */
     public boolean mayGossip;
 
-    /** A request may have several attempts in flight. The balancer makes no use of it. */
+    /**
+     * Whether a request may have several attempts in flight. The balancer sends no hedged attempts
+     * of its own.
+     */
     public boolean mayHedge;
 
-    /** Attempts for each request, the first one included. */
+    /** The most attempts of each request, including the first. */
     public int maxAttempts = 3;
 
     /** Whether refusals carry a Retry-After. */
     public boolean retryAfter;
 
-    /** The longest Retry-After that clients heed. */
+    /** The longest Retry-After that clients honour. */
     public long maxRetryAfterNs;
 
-    /** How long a connection may take to come up. */
+    /** The longest time to establish a connection. */
     public long connectTimeoutNs = 200_000_000;
 
-    /** The endpoint list must be polled; else it is pushed. */
+    /** Whether the endpoint list must be polled; else it is pushed. */
     public boolean listIsPolled;
 
     /** What the weights in the endpoint list mean. */
@@ -82,7 +85,7 @@
     /** How load reports reach the node. */
     public LoadReportSource reports = LoadReportSource.NONE;
 
-    /** An endpoint that served a key of late serves it for less work. */
+    /** Whether an endpoint that recently served a key serves it again with less work. */
     public boolean keyAffinity;
 
     /** How long after the client's deadline a final answer still counts. */
@@ -94,7 +97,7 @@
     /** The share of its capacity that an endpoint has when it starts, in (0, 1]. */
     public double slowStartInitialShare = 0.1;
 
-    /** How long after its start an endpoint has all its capacity. */
+    /** How long after its start an endpoint reaches its full capacity. */
     public long slowStartNs = 30_000_000_000L;
 
     /**
@@ -107,7 +110,7 @@
     public long overloadWindowNs = 1_000_000_000;
 
     /**
-     * Differences in latency below this are treated as none: a fiftieth of the tightest latency
+     * Latencies that differ by less than this count as equal: a fiftieth of the tightest latency
      * objective, in nanoseconds.
      */
     public long latencyResolutionNs() {
@@ -116,7 +119,7 @@
         return tightestNs / RESOLUTION_DIVISOR;
     }
 
-    /** Throws an IllegalArgumentException that names the first setting that makes no sense. */
+    /** Throws an IllegalArgumentException that names the first setting out of range. */
     public void check() {
         require(!classes.isEmpty(), "classes: at least one is needed");
         for (RequestClass c : classes) {
--- a/decisions/src/main/java/trailthread/degradation/Change.java
+++ b/decisions/src/main/java/trailthread/degradation/Change.java
@@ -11,8 +11,8 @@
  * @param to name of the level that was entered
  * @param down whether the new level serves less
  * @param at time of the change, on the clock of the readings, ns
- * @param causes going down, the conditions that entered the new level; going up, those that held
- *     the old one last
+ * @param causes going down, the conditions that entered the new level; going up, the conditions
+ *     that were the last to hold the old level
  * @param stayNs how long the new level stays at least, ns
  */
 public record Change(
@@ -28,8 +28,8 @@
     public record Cause(Reading reading, double value, double bound) {}
 
     /**
-     * The change as a line: {@code level normal -> reduced: failing 0.200 >= 0.150, stays 20 s or
-     * longer}.
+     * The change as a log line: {@code level normal -> reduced: failing 0.200 >= 0.150, stays 20 s
+     * or longer}.
      */
     @Override
     public String toString() {
--- a/decisions/src/main/java/trailthread/degradation/Condition.java
+++ b/decisions/src/main/java/trailthread/degradation/Condition.java
@@ -1,17 +1,17 @@
 package trailthread.degradation;
 
 /**
- * When a level is entered by one reading, and when that reading no longer holds it. Bounds are in
- * the reading's unit: a share, or ns.
+ * A condition of a level: when one reading enters the level, and when that reading no longer holds
+ * it. Bounds are in the reading's unit: a share, or ns.
  *
  * @param enter the level is entered once the reading has been at or over this for {@code holdNs}
  * @param leave under this the reading does not hold the level: above 0 and below {@code enter}, so
  *     that noise does not change the level
- * @param holdNs how long the reading must be at or over {@code enter}, ns. Between the bounds that
- *     time does not count, under {@code leave} it begins anew
+ * @param holdNs how long the reading must be at or over {@code enter}, ns. Time between the bounds
+ *     does not count; under {@code leave} the count starts again from 0
  */
 public record Condition(Reading reading, double enter, double leave, long holdNs) {
-    /** Throws an IllegalArgumentException that names the first field out of its range. */
+    /** Throws an IllegalArgumentException that names the first field out of range. */
     void check(String at) {
         double max = reading.isShare() ? 1 : DegradationPlan.LONGEST_NS;
         DegradationPlan.require(
--- a/decisions/src/main/java/trailthread/degradation/ConditionTracker.java
+++ b/decisions/src/main/java/trailthread/degradation/ConditionTracker.java
@@ -1,8 +1,8 @@
 package trailthread.degradation;
 
 /**
- * Tracks one condition of a level: where its reading stands between the two bounds, and for how
- * long it has been at or over the enter bound. Times are counted time, see {@link
+ * Tracks one condition of a level: on which side of its two bounds the reading is, and for how long
+ * it has been at or over the enter bound. Times are counted time, see {@link
  * DegradationController}, in ns.
  */
 final class ConditionTracker {
@@ -12,22 +12,22 @@
     /** The last known value. */
     private double value;
 
-    /** Where the last known value stands. */
+    /** The band of the last known value. */
     private Band band = Band.BELOW_LEAVE;
 
     /** Whether the latest readings held a value. */
     private boolean known;
 
     /**
-     * Whether a value was known within {@link DegradationPlan#trustNs}. A reading that no longer is
-     * must not hold a level for ever.
+     * Whether a value was known within {@link DegradationPlan#trustNs}. A reading that can no
+     * longer be measured must not hold a level for ever.
      */
     private boolean measured;
 
     private long knownAt;
     private long atEnterForNs;
 
-    /** Where a value stands by the bounds of the condition. */
+    /** The position of a value relative to the bounds of the condition. */
     private enum Band {
         BELOW_LEAVE,
         BETWEEN,
@@ -40,10 +40,10 @@
     }
 
     /**
-     * Takes in the latest readings.
+     * Updates the condition with the latest readings.
      *
      * @param now counted time
-     * @param step counted time since the readings before
+     * @param step counted time since the previous readings
      */
     void update(Readings readings, long now, long step) {
         double latest = condition.reading().of(readings);
@@ -77,7 +77,7 @@
         return latest < condition.leave() ? Band.BELOW_LEAVE : Band.BETWEEN;
     }
 
-    /** Whether the reading has been at or over the enter bound for the condition's time. */
+    /** Whether the reading has been at or over the enter bound for {@link Condition#holdNs}. */
     boolean isDue() {
         return isAtEnter() && atEnterForNs >= condition.holdNs();
     }
--- a/decisions/src/main/java/trailthread/degradation/DecayingShare.java
+++ b/decisions/src/main/java/trailthread/degradation/DecayingShare.java
@@ -1,11 +1,11 @@
 package trailthread.degradation;
 
 /**
- * The recent share of events that had some trait; older events weigh less, by exponential decay. A
- * number of events without the trait is assumed, as a share of three events proves nothing.
+ * The share of recent events that have some property, with exponential decay. A number of events
+ * without the property is always added, so that a few events alone do not give a large share.
  */
 public final class DecayingShare {
-    /** Events without the trait that are assumed. */
+    /** Events without the property that are always added. */
     private static final double PRIOR_EVENTS = 50;
 
     private final double spanNs;
@@ -14,7 +14,7 @@
     private long updatedAt;
 
     /**
-     * Makes a share of no events.
+     * Creates a share without events.
      *
      * @param spanNs the weight of an event falls to 1/e in this time, ns, above 0
      * @param now time, ns of the caller's clock
--- a/decisions/src/main/java/trailthread/degradation/DegradationController.java
+++ b/decisions/src/main/java/trailthread/degradation/DegradationController.java
@@ -5,20 +5,20 @@
 import java.util.Optional;
 
 /**
- * The level of service that a node is at: a state machine, fed with readings. Not thread-safe; no
- * I/O.
+ * The state machine that sets a node's level of service by its readings. Not thread-safe; no I/O.
  *
- * <p>Down: to the deepest level of which any condition has held for its time, past several at once.
- * Up: one level at a time, when all conditions of the level have been under their leave bounds for
- * its time, no more has been shed in that time than the level above may shed, and its least stay
- * since the last change is over ({@link FlapDamping}). How much a level sheds is up to {@link
- * SheddingDepth}.
+ * <p>Going down, the node enters the deepest level of which any condition has been met for {@link
+ * Condition#holdNs}, and may skip levels. Going up, it moves by one level at a time: when all
+ * conditions of the level have been under their leave bounds for {@link DegradationLevel#leaveNs},
+ * no more has been shed in that time than the level above may shed, and the level's least stay
+ * since the last change is over ({@link FlapDamping}). {@link SheddingDepth} sets how much a level
+ * sheds.
  *
  * <p>Counted time: the time between two readings counts only if it is no longer than {@link
  * DegradationPlan#gapNs} and does not run backwards, as a process that was stopped has measured
- * nothing. A value that is unknown (see {@link Reading#of}) neither enters nor leaves: that time
- * does not count. After {@link DegradationPlan#trustNs} without a known value, as before the first,
- * a reading takes no part.
+ * nothing. An unknown value (see {@link Reading#of}) neither enters nor leaves a level, and its
+ * time does not count. A reading is ignored before its first known value, and after {@link
+ * DegradationPlan#trustNs} without one.
  */
 public final class DegradationController {
     private final DegradationPlan plan;
@@ -42,9 +42,9 @@
     private SheddingPolicy sheddingPolicy;
 
     /**
-     * Makes a controller at full service.
+     * Creates a controller at full service.
      *
-     * @throws IllegalArgumentException naming the field of the plan that is out of its range, and
+     * @throws IllegalArgumentException that names the field of the plan that is out of range, and
      *     the range
      */
     public DegradationController(DegradationPlan plan, SheddingOrder order) {
@@ -63,12 +63,12 @@
         return levels.get(current).level();
     }
 
-    /** Which requests the node admits at present; a new object after every change of it. */
+    /** Which requests the node admits at present; replaced by a new object at every change. */
     public SheddingPolicy sheddingPolicy() {
         return sheddingPolicy;
     }
 
-    /** Takes in the latest readings; returns the change of level that they make, if any. */
+    /** Handles the latest readings; returns the change of level that they cause, if any. */
     public Optional<Change> read(Readings readings) {
         long step = countTime(readings.now());
         for (LevelTracker level : levels) {
@@ -82,7 +82,10 @@
         return change;
     }
 
-    /** Counts the time since the last readings, and returns what of it counts, ns. */
+    /**
+     * Adds the time since the last readings to the counted time if it counts; returns the time
+     * added, ns.
+     */
     private long countTime(long now) {
         long elapsed = hasReadings ? now - lastReadAt : 0;
         long step = elapsed < 0 || elapsed > plan.gapNs ? 0 : elapsed;
--- a/decisions/src/main/java/trailthread/degradation/DegradationLevel.java
+++ b/decisions/src/main/java/trailthread/degradation/DegradationLevel.java
@@ -8,12 +8,13 @@
  * A level of service: when it is entered and left, and what it does.
  *
  * @param conditions any of them enters the level; all must be under their leave bounds to leave it
- * @param leaveNs for how long they must be, ns
- * @param leastStayNs the level is left no sooner than this after the last change, ns, and later
- *     where it flaps
+ * @param leaveNs for how long all conditions must be under their leave bounds, ns
+ * @param leastStayNs the level is left no sooner than this after the last change, ns, and later if
+ *     the level flaps ({@link FlapDamping})
  * @param reach which classes the level may shed
- * @param leastShed share of its reach that the level sheds at once and while any of its conditions
- *     holds, 0 to 1; more is shed while a reading that shedding relieves stays too high
+ * @param leastShed share of the classes in its reach that the level sheds on entry and while any of
+ *     its conditions holds, 0 to 1; more is shed while a reading that shedding relieves stays too
+ *     high
  * @param probeFactor the periods of health checks are multiplied by this, 1 to 100
  */
 public record DegradationLevel(
@@ -27,7 +28,8 @@
     private static final double MAX_PROBE_FACTOR = 100;
 
     /**
-     * How far along the order of shedding a level goes; the last class of the order is in no reach.
+     * Which classes of the shedding order a level may shed; no reach includes the last class of the
+     * order.
      */
     public enum Reach {
         /** Nothing is shed. */
@@ -38,12 +40,12 @@
         ALL_BUT_LAST
     }
 
-    /** Copies the list. */
+    /** Copies the conditions. */
     public DegradationLevel {
         conditions = List.copyOf(conditions);
     }
 
-    /** Throws an IllegalArgumentException that names the first field out of its range. */
+    /** Throws an IllegalArgumentException that names the first field out of range. */
     void check() {
         String at = "levels." + name;
         Set<Reading> seen = EnumSet.noneOf(Reading.class);
--- a/decisions/src/main/java/trailthread/degradation/DegradationPlan.java
+++ b/decisions/src/main/java/trailthread/degradation/DegradationPlan.java
@@ -7,11 +7,11 @@
 import trailthread.degradation.DegradationLevel.Reach;
 
 /**
- * The levels of service and the parameters that they share, each with its default. Not to be
- * changed once a {@link DegradationController} has been made of it.
+ * The levels of service and the parameters that they share, each with its default. Must not be
+ * changed once a {@link DegradationController} has been created with it.
  */
 public final class DegradationPlan {
-    /** The longest time that any parameter may be, ns: an hour. */
+    /** The largest value of any time among the parameters, ns: an hour. */
     static final long LONGEST_NS = 3_600_000_000_000L;
 
     private static final long S = 1_000_000_000;
@@ -21,7 +21,7 @@
     public final List<DegradationLevel> levels = new ArrayList<>(defaults());
 
     /**
-     * The time between two readings that are further apart does not count, ns: the process was
+     * The time between two readings does not count if it is longer than this, ns: the process was
      * stopped in between.
      */
     public long gapNs = 2 * S;
@@ -35,7 +35,7 @@
      */
     public long halfLifeNs = 120 * S;
 
-    /** The longest that the least stay of a level grows to, ns. */
+    /** The least stay of a level never grows beyond this, ns; see {@link FlapDamping}. */
     public long mostStayNs = 300 * S;
 
     /**
@@ -66,7 +66,10 @@
         return new DegradationLevel("normal", List.of(), 0, 1, Reach.NONE, 0, 1);
     }
 
-    /** Only here are health checks made rarer: no condition of this level is the reports' age. */
+    /**
+     * The only level that makes health checks less frequent. That raises the age of load reports,
+     * which is a condition of {@link #reduced} but not of this level.
+     */
     private static DegradationLevel lean() {
         List<Condition> conditions =
                 List.of(
@@ -103,7 +106,7 @@
                 "essential", conditions, 10 * S, 30 * S, Reach.ALL_BUT_LAST, 0.5, 1);
     }
 
-    /** Throws an IllegalArgumentException that names the first field out of its range. */
+    /** Throws an IllegalArgumentException that names the first field out of range. */
     public void check() {
         checkLevels();
         requireNs(gapNs, 1, "gapNs");
@@ -143,7 +146,7 @@
                 field + ": not in [" + least + ", " + LONGEST_NS + "] ns");
     }
 
-    /** Throws an IllegalArgumentException with a message unless something holds. */
+    /** Throws an IllegalArgumentException with the given message unless the condition holds. */
     static void require(boolean condition, String message) {
         if (!condition) {
             throw new IllegalArgumentException(message);
--- a/decisions/src/main/java/trailthread/degradation/FlapDamping.java
+++ b/decisions/src/main/java/trailthread/degradation/FlapDamping.java
@@ -1,14 +1,15 @@
 package trailthread.degradation;
 
 /**
- * How long a level stays in force at least: longer the more often it is entered again soon after it
- * was left. After RFC 2439, with a penalty, a half-life and a ceiling.
+ * The least stay of a level, which is the shortest time that the level stays in force. It grows
+ * each time that the level is entered again soon after it was left. As in route flap damping (RFC
+ * 2439), there is a penalty with a half-life and a ceiling.
  *
- * <p>Entered for the first time, the penalty is 1. Entered again after a time t for which neither
- * the level nor a deeper one was in force, it is twice what is left of the penalty p: min(mostStay
- * / leastStay, max(1, 2 p 2^(-t / halfLife))). The least stay is the level's own times the penalty:
- * up to twice as long as the time before if it was left just now, as long if a half-life ago, and
- * in the end as at first.
+ * <p>The penalty is 1 when the level is entered for the first time. When it is entered again, after
+ * a time t in which neither the level nor a deeper one was in force, the penalty p becomes {@code
+ * min(mostStay / leastStay, max(1, 2 p 2^(-t / halfLife)))}. The least stay is the level's own
+ * least stay times the penalty: twice as long as before if the level was left just now, the same if
+ * it was left one half-life ago, and back to the level's own after a long time.
  */
 final class FlapDamping {
     /** Factor on the penalty each time that the level is entered. */
@@ -17,14 +18,14 @@
     private final long baseStayNs;
     private final DegradationPlan plan;
 
-    /** 0: never entered. */
+    /** 0: the level was never entered. */
     private double penalty;
 
     private long leftAt;
     private long leastStayNs;
 
     /**
-     * Makes the damping of a level that has not been entered.
+     * Creates the damping of a level that has not been entered.
      *
      * @param baseStayNs the least stay of a level that does not flap, ns
      */
@@ -34,7 +35,7 @@
         leastStayNs = baseStayNs;
     }
 
-    /** The level is entered at a time, ns. */
+    /** Records that the level is entered at a time, ns. */
     void enter(long now) {
         double ceiling = (double) plan.mostStayNs / baseStayNs;
         double halfLives = (double) (now - leftAt) / plan.halfLifeNs;
@@ -43,7 +44,7 @@
         leastStayNs = (long) (baseStayNs * penalty);
     }
 
-    /** The level is left at a time, ns. */
+    /** Records that the level is left at a time, ns. */
     void leave(long now) {
         leftAt = now;
     }
--- a/decisions/src/main/java/trailthread/degradation/LevelTracker.java
+++ b/decisions/src/main/java/trailthread/degradation/LevelTracker.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Tracks one level: its conditions, for how long none has held it, and its least stay. Times are
- * counted time, see {@link DegradationController}, in ns.
+ * Tracks one level: its conditions, for how long none of them has held the level, and its least
+ * stay. Times are counted time, see {@link DegradationController}, in ns.
  */
 final class LevelTracker {
     private final DegradationLevel level;
@@ -15,13 +15,15 @@
     private final List<ConditionTracker> conditions;
     private final FlapDamping damping;
 
-    /** The conditions that held the level last. */
+    /** The conditions that were the last to hold the level. */
     private List<ConditionTracker> lastHolders = List.of();
 
+    /** Whether no condition holds the level. */
     private boolean isClear = true;
+
     private long clearForNs;
 
-    /** What the readings that shedding relieves say of the load. */
+    /** The load, as shown by the readings that shedding relieves. */
     enum Pressure {
         /** One is at or over its enter bound: shed more. */
         HIGH,
@@ -43,10 +45,10 @@
     }
 
     /**
-     * Takes in the latest readings.
+     * Updates the level with the latest readings.
      *
      * @param now counted time
-     * @param step counted time since the readings before
+     * @param step counted time since the previous readings
      */
     void update(Readings readings, long now, long step) {
         boolean allKnown = true;
@@ -71,12 +73,15 @@
         return conditions.stream().anyMatch(ConditionTracker::isDue);
     }
 
-    /** Whether all conditions have been under their leave bounds for the level's time. */
+    /**
+     * Whether all conditions have been under their leave bounds for {@link
+     * DegradationLevel#leaveNs}.
+     */
     boolean isClearLongEnough() {
         return isClear && clearForNs >= level.leaveNs();
     }
 
-    /** What the readings that shedding relieves say of the load. */
+    /** The load, as shown by the readings that shedding relieves. */
     Pressure pressure() {
         boolean allLow = true;
         for (ConditionTracker condition : conditions) {
@@ -102,19 +107,19 @@
     }
 
     /**
-     * How many classes it sheds at least at present: once no condition holds it, no more than the
-     * level above may, as else it could not be left.
+     * The least number of classes that the level sheds at present. Once no condition holds the
+     * level, this is no more than the level above may shed; otherwise, the level could not be left.
      */
     double minDepth(int maxDepthAbove) {
         return isClear ? Math.min(maxDepthAbove, entryDepth()) : entryDepth();
     }
 
-    /** The level is entered, or passed on the way to a deeper one. */
+    /** Records that the level is entered, or skipped on the way to a deeper one. */
     void enter(long now) {
         damping.enter(now);
     }
 
-    /** The level is left for the one above. */
+    /** Records that the level is left for the one above. */
     void leave(long now) {
         damping.leave(now);
     }
@@ -132,7 +137,7 @@
                 .toList();
     }
 
-    /** The conditions that held the level last. */
+    /** The conditions that were the last to hold the level. */
     List<Change.Cause> leaveCauses() {
         return lastHolders.stream().map(ConditionTracker::leaveCause).toList();
     }
--- a/decisions/src/main/java/trailthread/degradation/Reading.java
+++ b/decisions/src/main/java/trailthread/degradation/Reading.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** A quantity that a level can be entered and left by; {@link Readings} defines each. */
+/** A measured quantity that a level can be entered and left by; {@link Readings} defines each. */
 public enum Reading {
     /** Share of ready endpoints that fail. */
     FAILING(true, false),
@@ -29,19 +29,22 @@
         this.relievedByShedding = relievedByShedding;
     }
 
-    /** Whether it is a share, 0 to 1; the others are nanoseconds. */
+    /** Whether the reading is a share, 0 to 1; the others are nanoseconds. */
     public boolean isShare() {
         return share;
     }
 
-    /** Whether shedding lowers it; failing endpoints and late reports are not mended by that. */
+    /**
+     * Whether shedding load lowers the reading; it repairs neither failing endpoints nor late
+     * reports.
+     */
     public boolean isRelievedByShedding() {
         return relievedByShedding;
     }
 
     /**
-     * Its value in these readings, or NaN if that is unusable: not a number, infinite, negative, a
-     * share above 1. Where no reports are expected (age NaN or -1) their age is 0.
+     * The value of this reading, or NaN if the value is unusable: not a number, infinite, negative,
+     * or a share above 1. If no load reports are expected (age NaN or -1), their age is 0.
      */
     public double of(Readings readings) {
         double value =
@@ -64,12 +67,12 @@
         return noneExpected ? 0 : age;
     }
 
-    /** Its name in settings and in the log: {@code report_age}. */
+    /** The name in settings and in the log, such as {@code report_age}. */
     public String word() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** A value of it as text: {@code 0.200}, {@code 5.000 s}, or {@code unknown}. */
+    /** A value of this reading as text: {@code 0.200}, {@code 5.000 s}, or {@code unknown}. */
     String show(double value) {
         if (Double.isNaN(value)) {
             return "unknown";
--- a/decisions/src/main/java/trailthread/degradation/Readings.java
+++ b/decisions/src/main/java/trailthread/degradation/Readings.java
@@ -1,14 +1,14 @@
 package trailthread.degradation;
 
 /**
- * The state of a node and its endpoints at one time. To be taken every 0.1 to 0.5 s; {@link
- * DegradationPlan#gapNs} says what is too rare. Values that are NaN or out of their range count as
- * unknown, see {@link DegradationController}.
+ * The state of a node and its endpoints at one time. To be taken every 0.1 to 0.5 s; the time
+ * between readings that are more than {@link DegradationPlan#gapNs} apart does not count. Values
+ * that are NaN or out of their range count as unknown, see {@link DegradationController}.
  *
  * @param now time, ns of a monotonic clock that may start anywhere
  * @param failing share of ready endpoints that fail at present, 0 to 1; NaN where none is ready
- * @param reportAgeNs how old the load reports are that decisions rest on, ns: the median over the
- *     endpoints that were sent a request recently; NaN or -1 where none are expected
+ * @param reportAgeNs the age of the load reports that decisions are based on, ns: the median over
+ *     the endpoints that were sent a request recently; NaN or -1 where none are expected
  * @param latenessNs the most by which a timer of the I/O thread ran late since the last readings,
  *     ns
  * @param descriptors share of the descriptors that the node may hold, 0 to 1
@@ -17,8 +17,9 @@
  * @param starved recent share of guarded requests ({@link SheddingOrder#isGuarded}) that lacked an
  *     endpoint, 0 to 1 ({@link DecayingShare} over 10 s): rejected, failed, not answered by their
  *     deadline, or first sent to an endpoint later than a tenth of their latency objective after
- *     they arrived. Requests that a {@link SheddingPolicy} sheds must not be counted, or a level
- *     would hold itself; nor late responses, or slow endpoints would look like too many requests
+ *     they arrived. Requests that a {@link SheddingPolicy} sheds must not be counted, as a level
+ *     would then keep itself in force; nor late responses, as slow endpoints would then look like
+ *     too many requests
  * @param cpuWithheld share of the time in which the node wanted CPU and got none, 0 to 1
  */
 public record Readings(
--- a/decisions/src/main/java/trailthread/degradation/SheddingDepth.java
+++ b/decisions/src/main/java/trailthread/degradation/SheddingDepth.java
@@ -3,15 +3,15 @@
 import trailthread.degradation.LevelTracker.Pressure;
 
 /**
- * How many classes of the shedding order are shed, the last of them in part: raised while shedding
- * relieves a reading that is too high, lowered once all such readings are low.
+ * How many classes of the shedding order are shed, the last of them in part. The depth rises while
+ * a reading that shedding relieves is too high, and falls once all such readings are low.
  *
- * <p>Under high pressure, what is not yet shed of the level's reach falls by the factor 1/e in
- * {@link DegradationPlan#riseNs}; under low pressure the depth falls by one class in {@link
- * DegradationPlan#recoveryNs}; in between it stands. So the depth settles at what the endpoints
- * bear, and a level need not be left and entered in search of it. What is admitted grows by
- * addition and is cut by multiplication: nodes that share endpoints then end at like depths, where
- * otherwise one sheds all and another nothing (Chiu and Jain, 1989).
+ * <p>Under high pressure, the part of the level's reach that is not yet shed falls to 1/e in {@link
+ * DegradationPlan#riseNs}; under low pressure, the depth falls by one class in {@link
+ * DegradationPlan#recoveryNs}; in between, it does not change. So the depth settles where the
+ * endpoints can serve what is admitted, without a change of level. What is admitted is increased
+ * additively and decreased multiplicatively: nodes that share endpoints converge to similar depths,
+ * where otherwise one node could shed everything and another nothing (Chiu and Jain, 1989).
  */
 final class SheddingDepth {
     private final DegradationPlan plan;
@@ -35,10 +35,10 @@
     }
 
     /**
-     * Adapts the depth to the pressure in a level.
+     * Updates the depth by the pressure in a level.
      *
      * @param maxDepthAbove how many classes the level above may shed
-     * @param step counted time since the update before, ns
+     * @param step counted time since the previous update, ns
      */
     void update(LevelTracker level, int maxDepthAbove, long step) {
         Pressure pressure = level.pressure();
@@ -54,12 +54,12 @@
         withinLevelAboveNs = shedClasses <= maxDepthAbove ? withinLevelAboveNs + step : 0;
     }
 
-    /** Fits the depth to a level that is entered from above. */
+    /** Bounds the depth for a level that is entered from above. */
     void enter(LevelTracker level) {
         shedClasses = Math.min(level.maxDepth(), Math.max(shedClasses, level.entryDepth()));
     }
 
-    /** Fits the depth to a level that is returned to from the one below. */
+    /** Bounds the depth for a level that is returned to from the one below. */
     void returnTo(LevelTracker level) {
         shedClasses = Math.min(shedClasses, level.maxDepth());
     }
--- a/decisions/src/main/java/trailthread/degradation/SheddingOrder.java
+++ b/decisions/src/main/java/trailthread/degradation/SheddingOrder.java
@@ -19,11 +19,11 @@
     private final List<String> names = new ArrayList<>();
     private final Map<String, Integer> positions = new HashMap<>();
 
-    /** How many classes a level may shed whose reach ends with the last idempotent class. */
+    /** How many classes are in {@link Reach#SAFE}. */
     private final int idempotentReach;
 
     /**
-     * Makes an order.
+     * Creates an order.
      *
      * @param first names of the classes that are shed before all others, in order; may be empty
      * @throws IllegalArgumentException for a name that no class has, or that is given twice
@@ -63,7 +63,10 @@
         return List.copyOf(names);
     }
 
-    /** Whether a class is past {@link Reach#SAFE}: others are shed so that it is served. */
+    /**
+     * Whether a class is not in {@link Reach#SAFE}: the classes in it are shed so that this one is
+     * served.
+     */
     public boolean isGuarded(String name) {
         return position(name) >= idempotentReach;
     }
--- a/decisions/src/main/java/trailthread/degradation/SheddingPolicy.java
+++ b/decisions/src/main/java/trailthread/degradation/SheddingPolicy.java
@@ -4,11 +4,12 @@
  * What a node does at a level of service: which requests it admits before the balancer decides on
  * them, and how often it checks endpoints. Immutable.
  *
- * <p>With a depth d, the class at position k of the order (from 0) is shed by the share min(1,
- * max(0, d - k)) (1 - keep): one class after the other, each by degrees. Of the classes in the
- * level's reach, requests over their tenant's quota are all shed but {@code keep} as soon as the
- * level is entered. In the classes past the reach, and so in the last, they are left to the
- * balancer, which serves them after those within their quota.
+ * <p>At a depth d, the share {@code min(1, max(0, d - k)) * (1 - keep)} of the class at position k
+ * of the order (from 0) is shed. So classes are shed one after the other, each gradually. In
+ * classes within the level's reach, requests over their tenant's quota are shed as soon as the
+ * level is entered, except for the share {@code keep}. In the other classes, and so in the last
+ * one, requests over the quota are left to the balancer, which serves them after those within the
+ * quota.
  */
 public final class SheddingPolicy {
     private final SheddingOrder order;
@@ -34,8 +35,8 @@
     }
 
     /**
-     * The share of such requests that is admitted, 0 to 1. A class that no setting names is
-     * admitted: the balancer reports the error.
+     * The share of requests of this kind that is admitted, 0 to 1. Requests of an unknown class are
+     * admitted, and the balancer reports the error.
      */
     public double share(String requestClass, boolean overQuota) {
         int position = order.position(requestClass);
--- a/decisions/src/main/java/trailthread/settings/SettingsParser.java
+++ b/decisions/src/main/java/trailthread/settings/SettingsParser.java
@@ -22,9 +22,9 @@
     private final String source;
 
     /**
-     * Makes a parser without pairs.
+     * Creates a parser without pairs.
      *
-     * @param source where the pairs are read, for error messages
+     * @param source where the pairs were read, for error messages
      */
     public SettingsParser(String source) {
         this.source = source;
@@ -33,7 +33,7 @@
     /**
      * Adds a pair written as {@code path=value}.
      *
-     * @throws SettingException if it is not written so
+     * @throws SettingException if the pair is not written like this
      */
     public void add(String pair) {
         int separator = pair.indexOf('=');
@@ -49,7 +49,7 @@
     }
 
     /**
-     * The settings that the pairs make. Ranges are checked by {@link Settings#check}.
+     * The settings given by the pairs. {@link Settings#check} checks their ranges.
      *
      * @throws SettingException if a value is missing or cannot be read
      */
@@ -189,8 +189,8 @@
     }
 
     /**
-     * A whole number among the pairs; also for settings that only the host needs. Decimals such as
-     * {@code 5.0} are accepted, as some writers give every number with decimals.
+     * The value of a path as a whole number. Public for settings that only the host needs. Decimals
+     * such as {@code 5.0} are accepted, as some writers give every number with decimals.
      *
      * @throws SettingException if the value is not a whole number
      */
