--- a/adapter/src/main/java/trailthread/adapter/EndpointPages.java
+++ b/adapter/src/main/java/trailthread/adapter/EndpointPages.java
@@ -6,24 +6,24 @@
 import trailthread.api.EndpointEntry;
 
 /**
- * Numbered pages of endpoint entries. The simulator sends a page once, and then names it in each
- * update of the endpoint list that holds these entries.
+ * Numbered pages of endpoint entries. The simulator sends a page once, and then refers to its
+ * number in each update of the endpoint list that holds these entries.
  */
 final class EndpointPages {
-    private static final int PAGES = 16;
+    private static final int PAGE_COUNT = 16;
     private static final double DEFAULT_WEIGHT = 1;
     private static final int NO_CELL = -1;
 
     private final WireReader reader;
     private final WireCodec codec;
 
-    /** By page number; null where none has been sent. */
-    private final List<List<EndpointEntry>> pages = new ArrayList<>(PAGES);
+    /** The entries by page number; null for a page that has not been sent. */
+    private final List<List<EndpointEntry>> pages = new ArrayList<>(PAGE_COUNT);
 
     EndpointPages(WireReader reader, WireCodec codec) {
         this.reader = reader;
         this.codec = codec;
-        for (int i = 0; i < PAGES; i++) {
+        for (int i = 0; i < PAGE_COUNT; i++) {
             pages.add(null);
         }
     }
@@ -59,7 +59,7 @@
                 (int) reader.numberOr(7, "unit_group", NO_CELL));
     }
 
-    /** The entries of the page that the current line names. */
+    /** The entries of the page whose number is on the current line. */
     List<EndpointEntry> namedPage() {
         List<EndpointEntry> entries = pages.get(pageNumber());
         if (entries == null) {
@@ -70,8 +70,8 @@
 
     private int pageNumber() {
         long page = reader.number(1, "page");
-        if (page < 0 || page >= PAGES) {
-            throw reader.invalid("page", "0 to " + (PAGES - 1));
+        if (page < 0 || page >= PAGE_COUNT) {
+            throw reader.invalid("page", "0 to " + (PAGE_COUNT - 1));
         }
         return (int) page;
     }
--- a/decisions/src/main/java/trailthread/Balancer.java
+++ b/decisions/src/main/java/trailthread/Balancer.java
@@ -13,15 +13,15 @@
 import trailthread.api.Settings;
 
 /**
- * Coordinates the decisions of one node: events in, actions out, as declared in {@link
- * trailthread.api}. A state machine: time comes with the events, randomness from the seed. Not
+ * The state machine that makes the decisions of one node. It takes events and calls actions, both
+ * declared in {@link trailthread.api}. Time comes with the events, randomness from the seed. Not
  * thread-safe.
  *
  * <p>The life of a request: {@link #request}; {@link AdmissionController}; {@link AttemptSender}
- * with {@link EndpointPicker}, or {@link RequestQueue} if others wait or no endpoint is open;
- * {@link #outcome} with {@link AttemptRecorder}; then done, a retry by {@link RetryPolicy}, or the
- * final answer by {@link FinalResponder}. Modules keep their own state; this class calls them in
- * order.
+ * with {@link EndpointPicker}, or {@link RequestQueue} if other requests wait or no endpoint is
+ * open; {@link #outcome} with {@link AttemptRecorder}; then done, a retry by {@link RetryPolicy},
+ * or the final answer by {@link FinalResponder}. The modules keep their own state, and this class
+ * calls them in order.
  */
 public final class Balancer implements BalancerEvents {
     private final BalancerActions actions;
@@ -46,9 +46,10 @@
     private final Map<Long, Request> requests = new HashMap<>();
 
     /**
-     * Makes a balancer that knows no endpoint yet: a {@link BalancerEvents#list} should follow.
+     * Creates a balancer without endpoints; {@link BalancerEvents#list} adds them.
      *
-     * @throws IllegalArgumentException that names the first setting that makes no sense
+     * @throws IllegalArgumentException if a setting is out of range; the message names the first
+     *     one
      */
     public Balancer(Settings initial, long seed, long now, BalancerActions actions) {
         this.actions = actions;
@@ -88,18 +89,19 @@
     }
 
     /**
-     * Puts other settings in force; what is known stays, requests keep their class.
+     * Replaces the settings. Statistics are kept, and requests keep the class that they arrived
+     * with.
      *
-     * @throws IllegalArgumentException that names the first setting that makes no sense; the
-     *     settings before stay in force then
+     * @throws IllegalArgumentException if a setting is out of range; the message names the first
+     *     one; the current settings stay in force
      */
     public void retune(long now, Settings next) {
         settings.replace(next);
         fairShare.retune(settings, now);
     }
 
-    /** How many of the listed endpoints are not sent to for now: draining, ejected or resting. */
-    public int avoided(long now) {
+    /** How many listed endpoints get no requests at present because they drain or are ejected. */
+    public int countAvoided(long now) {
         return outliers.countAvoided(endpoints.all(), now);
     }
 
@@ -123,7 +125,7 @@
 
     @Override
     public void healthChecked(
-            long now, String endpoint, Outcome outcome, long latency, LoadReport load) {
+            long now, String endpoint, Outcome outcome, long latencyNs, LoadReport load) {
         Endpoint known = endpoints.get(endpoint);
         if (known != null && load != null) {
             known.load.record(load, now);
@@ -145,7 +147,7 @@
             long workNs,
             long deadline,
             String tenant,
-            boolean repeat,
+            boolean clientRetry,
             long key) {
         Settings s = settings.get();
         RequestClassStats classStats = fairShare.requestClass(requestClass);
@@ -155,7 +157,7 @@
                         id,
                         classStats,
                         fairShare.tenant(tenant),
-                        hasAffinity ? affinity.spread(key, subset.size()) : key,
+                        hasAffinity ? affinity.spreadKey(key, subset.size()) : key,
                         workNs,
                         now,
                         deadline,
@@ -183,7 +185,7 @@
         Request request = requests.get(id);
         if (request != null) {
             request.finished = true;
-            forgetIfOver(request);
+            removeIfComplete(request);
         }
     }
 
@@ -205,8 +207,8 @@
     }
 
     private void sendableTimerDue(Request request, long now) {
-        boolean isOpen = request != null && !request.finished && !request.streaming;
-        if (isOpen && !rejectIfLate(request, now)) {
+        boolean isPending = request != null && !request.finished && !request.streaming;
+        if (isPending && !rejectIfLate(request, now)) {
             setSendableTimer(request, now);
         }
     }
@@ -237,10 +239,10 @@
 
     private void refuseOrFail(Request request) {
         responder.answer(request);
-        forgetIfOver(request);
+        removeIfComplete(request);
     }
 
-    private void forgetIfOver(Request request) {
+    private void removeIfComplete(Request request) {
         if (request.finished && request.inFlight() == 0) {
             requests.remove(request.id);
         }
@@ -254,7 +256,7 @@
         Attempt attempt = request == null ? null : request.attempt(number);
         if (attempt != null && !request.streaming) {
             request.streaming = true;
-            recorder.firstByte(request, attempt, now);
+            recorder.recordFirstByte(request, attempt, now);
         }
     }
 
@@ -264,24 +266,24 @@
             long id,
             int number,
             Outcome outcome,
-            long latency,
-            boolean closed,
+            long latencyNs,
+            boolean finished,
             LoadReport load) {
         Request request = requests.get(id);
         Attempt attempt = request == null ? null : request.inFlightAttempt(number);
         if (attempt == null) {
             return;
         }
-        request.end(attempt, outcome);
-        recorder.ended(request, attempt, latency, load, now);
-        if (outcome == Outcome.OK && closed && !request.finished) {
+        request.endAttempt(attempt, outcome);
+        recorder.recordEnd(request, attempt, latencyNs, load, now);
+        if (outcome == Outcome.OK && finished && !request.finished) {
             priorities.served(request, now);
         }
-        request.finished |= closed;
+        request.finished |= finished;
         if (!request.finished && !request.streaming && request.inFlight() == 0) {
             retry(request, now);
         }
-        forgetIfOver(request);
+        removeIfComplete(request);
         queue.release(now);
     }
 
--- a/decisions/src/main/java/trailthread/DemandStats.java
+++ b/decisions/src/main/java/trailthread/DemandStats.java
@@ -1,12 +1,14 @@
 package trailthread;
 
-/** What a class or tenant has requested and has been served of late, in priority weight. */
+/**
+ * The recent demand of a class or tenant, and the part of it that was served, in priority weight.
+ */
 abstract class DemandStats {
     final DecayingCounter requested;
     final DecayingCounter served;
 
-    DemandStats(long memoryNs, long now) {
-        requested = new DecayingCounter(memoryNs, now);
-        served = new DecayingCounter(memoryNs, now);
+    DemandStats(long decayNs, long now) {
+        requested = new DecayingCounter(decayNs, now);
+        served = new DecayingCounter(decayNs, now);
     }
 }
--- a/decisions/src/main/java/trailthread/EndpointPicker.java
+++ b/decisions/src/main/java/trailthread/EndpointPicker.java
@@ -4,15 +4,15 @@
 import trailthread.api.Settings;
 
 /**
- * Picks the endpoint for a request, in four steps: which endpoints are eligible, how long each
- * would take, which one the request's key belongs to, and the draw.
+ * Picks the endpoint for a request in four steps: finds the eligible endpoints, predicts how long
+ * each would take, finds the home of the request's key, and draws by lottery.
  */
 final class EndpointPicker {
     /**
-     * A request may go to an endpoint again that it was sent to before, once its last attempt was
-     * sent longer ago than this part of the tightest latency objective.
+     * A request may be sent to the same endpoint again once its last attempt was sent longer ago
+     * than the tightest latency objective divided by this.
      */
-    private static final int SAME_ENDPOINT_OBJECTIVE_PARTS = 8;
+    private static final int SAME_ENDPOINT_OBJECTIVE_DIVISOR = 8;
 
     private final ActiveSettings settings;
     private final WorkloadMeans means;
@@ -47,10 +47,10 @@
     }
 
     /**
-     * The endpoint for the request's next attempt, or null: none is open to it, or the request has
+     * The endpoint for the request's next attempt, or null if none is open to it or the request has
      * too little time left.
      *
-     * @param ejectionSuspended no endpoint is avoided for its failures
+     * @param ejectionSuspended whether ejected endpoints may be picked
      */
     Endpoint pick(Request request, boolean ejectionSuspended, long now) {
         findCandidates(request, ejectionSuspended, now);
@@ -77,9 +77,9 @@
                             && (maySendAgain || !request.wasSentTo(endpoint))
                             && (ejectionSuspended || outliers.permits(endpoint, request, now));
             if (eligible) {
-                double paceNs = estimator.paceNs(endpoint, now);
-                if (limiter.isOpen(endpoint, limiter.capacity(endpoint, paceNs), now)) {
-                    candidates.open(i, estimator.predictedNs(endpoint, paceNs));
+                double timePerRequestNs = estimator.timePerRequestNs(endpoint, now);
+                if (limiter.isOpen(endpoint, limiter.capacity(endpoint, timePerRequestNs), now)) {
+                    candidates.open(i, estimator.predictedNs(endpoint, timePerRequestNs));
                 }
             }
         }
@@ -87,8 +87,8 @@
 
     private boolean maySendToSameEndpoint(Request request, long now) {
         Attempt last = request.lastAttempt();
-        long sinceNs = settings.tightestObjectiveNs() / SAME_ENDPOINT_OBJECTIVE_PARTS;
-        return last != null && now - last.sentAt > sinceNs;
+        long minIntervalNs = settings.tightestObjectiveNs() / SAME_ENDPOINT_OBJECTIVE_DIVISOR;
+        return last != null && now - last.sentAt > minIntervalNs;
     }
 
     private boolean isEligible(Request request, Endpoint endpoint, long now) {
--- a/decisions/src/main/java/trailthread/InFlightTracker.java
+++ b/decisions/src/main/java/trailthread/InFlightTracker.java
@@ -5,68 +5,74 @@
 import java.util.Set;
 
 /**
- * Attempts in flight, in all and by endpoint.
+ * Counts the attempts in flight, at each endpoint and at all together.
  *
- * <p>Responses that are lost would fill concurrency limits, and make their endpoints look frozen,
- * until their clients give up. So an attempt that has been out for long counts no more:
+ * <p>An attempt whose response is lost would use up part of a concurrency limit, and make its
+ * endpoint look unresponsive, until its client gives up. So an attempt that takes too long is
+ * presumed lost and no longer counted:
  *
  * <ul>
- *   <li>one that a later attempt has overtaken, after {@link #OVERTAKEN_LATENCIES} usual latencies
- *       (a long request may be overtaken, too, so it has more time);
- *   <li>one that none has overtaken, after {@link #SILENT_LATENCIES} usual latencies, doubled for
- *       each such attempt before it: its capacity is free then for an idempotent trial.
+ *   <li>an attempt that was overtaken, as a later attempt at the endpoint has had its response,
+ *       after {@link #OVERTAKEN_LATENCIES} usual latencies (longer than the other limit, because a
+ *       long request may be overtaken, too);
+ *   <li>any other attempt after {@link #NOT_OVERTAKEN_LATENCIES} usual latencies, doubled for each
+ *       attempt presumed lost before it. That frees capacity for one idempotent request, which
+ *       tries the endpoint again.
  * </ul>
  */
 final class InFlightTracker {
-    /** Usual latencies after which an overtaken attempt counts as lost. */
+    /** Usual latencies after which an overtaken attempt is presumed lost. */
     private static final double OVERTAKEN_LATENCIES = 5;
 
-    /** Usual latencies after which an attempt that none has overtaken counts as lost. */
-    private static final double SILENT_LATENCIES = 2.5;
+    /** Usual latencies after which an attempt that was not overtaken is presumed lost. */
+    private static final double NOT_OVERTAKEN_LATENCIES = 2.5;
 
-    private static final int MOST_DOUBLINGS = 5;
+    private static final int MAX_DOUBLINGS = 5;
 
     /** The attempts at one endpoint. */
-    static final class AtEndpoint {
-        /** From the oldest that counts as in flight on. */
+    static final class EndpointAttempts {
+        /** In the order of sending, from the oldest attempt that may still count as in flight. */
         private final ArrayDeque<Attempt> sent = new ArrayDeque<>();
 
         private int count;
-        private int unanswered;
+        private int presumedLost;
         private long newestAnsweredSentAt;
-        private long lastSignAt;
+        private long silentSince;
 
         /** Attempts in flight. */
         int count() {
             return count;
         }
 
-        /** Attempts that seem lost, with no response to a later one. */
-        int unanswered() {
-            return unanswered;
+        /** Attempts presumed lost, and not overtaken, since the last response. */
+        int presumedLost() {
+            return presumedLost;
         }
 
-        /** Whether a response is awaited, or seems lost. */
-        boolean isAwaited() {
-            return count + unanswered > 0;
+        /** Whether an attempt is in flight, or is presumed lost with no response since. */
+        boolean isAwaitingResponse() {
+            return count + presumedLost > 0;
         }
 
-        /** When the newest attempt that was answered had been sent. */
+        /** When the newest attempt that has had a response was sent. */
         long newestAnsweredSentAt() {
             return newestAnsweredSentAt;
         }
 
-        /** When it last ended an attempt in any way, or got one while it had none. */
-        long lastSignAt() {
-            return lastSignAt;
+        /**
+         * Since when the endpoint has been silent: when its last attempt ended, with any outcome,
+         * or when the first awaited attempt was sent.
+         */
+        long silentSince() {
+            return silentSince;
         }
     }
 
     private final ActiveSettings settings;
     private final WorkloadMeans means;
 
-    /** Endpoints with attempts in flight: of thousands, few. */
-    private final Set<Endpoint> awaited = new LinkedHashSet<>();
+    /** Endpoints with attempts in flight; few, even if thousands are listed. */
+    private final Set<Endpoint> awaitedEndpoints = new LinkedHashSet<>();
 
     private int total;
 
@@ -80,87 +86,90 @@
         return total;
     }
 
-    /** Begins an attempt. */
+    /** Adds a new attempt to the request, and counts it as in flight. */
     void begin(Request request, Endpoint endpoint, long now) {
-        AtEndpoint at = endpoint.inFlight;
-        if (!at.isAwaited()) {
-            at.lastSignAt = now;
+        EndpointAttempts attempts = endpoint.inFlight;
+        if (!attempts.isAwaitingResponse()) {
+            attempts.silentSince = now;
         }
-        Attempt attempt = new Attempt(endpoint, now, at.count);
-        request.add(attempt);
-        at.sent.add(attempt);
-        awaited.add(endpoint);
-        at.count++;
+        Attempt attempt = new Attempt(endpoint, now, attempts.count);
+        request.addAttempt(attempt);
+        attempts.sent.add(attempt);
+        awaitedEndpoints.add(endpoint);
+        attempts.count++;
         total++;
         endpoint.load.attemptSent();
     }
 
-    /** An attempt has ended in some way. */
+    /** Records the end of an attempt, with any outcome. */
     void end(Attempt attempt, long now) {
-        AtEndpoint at = attempt.endpoint.inFlight;
-        boolean seemedLost = !release(attempt);
-        if (seemedLost) {
-            at.unanswered -= Math.min(1, at.unanswered);
+        EndpointAttempts attempts = attempt.endpoint.inFlight;
+        boolean wasPresumedLost = !release(attempt);
+        if (wasPresumedLost) {
+            attempts.presumedLost -= Math.min(1, attempts.presumedLost);
         }
-        at.lastSignAt = now;
+        attempts.silentSince = now;
     }
 
-    /** An attempt was answered with success: those sent later and not answered are not lost. */
-    void answered(Attempt attempt) {
-        AtEndpoint at = attempt.endpoint.inFlight;
-        at.newestAnsweredSentAt = Math.max(at.newestAnsweredSentAt, attempt.sentAt);
-        at.unanswered = 0;
+    /**
+     * Records a successful response. It shows that the endpoint responds, so the count of attempts
+     * presumed lost starts again from 0.
+     */
+    void recordResponse(Attempt attempt) {
+        EndpointAttempts attempts = attempt.endpoint.inFlight;
+        attempts.newestAnsweredSentAt = Math.max(attempts.newestAnsweredSentAt, attempt.sentAt);
+        attempts.presumedLost = 0;
     }
 
     /**
-     * Stops counting an attempt as in flight: it has ended, seems lost, or streams, which holds up
-     * no request that comes after it.
+     * Stops counting an attempt as in flight: it has ended, is presumed lost, or streams its
+     * response, which delays no later request.
      *
-     * @return whether it had counted until now
+     * @return whether it was counted until now
      */
     boolean release(Attempt attempt) {
-        if (!attempt.counted) {
+        if (!attempt.countedInFlight) {
             return false;
         }
-        attempt.counted = false;
+        attempt.countedInFlight = false;
         attempt.endpoint.inFlight.count--;
         attempt.endpoint.load.attemptEnded();
         total--;
         return true;
     }
 
-    /** Stops counting attempts that seem lost. */
+    /** Stops counting attempts that are presumed lost. */
     void releaseLost(long now) {
-        awaited.forEach(endpoint -> releaseLost(endpoint, now));
-        awaited.removeIf(endpoint -> endpoint.inFlight.sent.isEmpty());
+        awaitedEndpoints.forEach(endpoint -> releaseLost(endpoint, now));
+        awaitedEndpoints.removeIf(endpoint -> endpoint.inFlight.sent.isEmpty());
     }
 
     private void releaseLost(Endpoint endpoint, long now) {
-        AtEndpoint at = endpoint.inFlight;
-        for (Attempt oldest = at.sent.peek(); oldest != null; oldest = at.sent.peek()) {
+        EndpointAttempts attempts = endpoint.inFlight;
+        for (Attempt oldest = attempts.sent.peek(); oldest != null; oldest = attempts.sent.peek()) {
             if (oldest.outcome == null) {
-                boolean overtaken = oldest.sentAt < at.newestAnsweredSentAt;
-                if (!seemsLost(oldest, overtaken, now)) {
+                boolean overtaken = oldest.sentAt < attempts.newestAnsweredSentAt;
+                if (!isPresumedLost(oldest, overtaken, now)) {
                     return;
                 }
-                boolean counted = release(oldest);
-                if (counted && !overtaken) {
-                    at.unanswered++;
+                boolean wasCounted = release(oldest);
+                if (wasCounted && !overtaken) {
+                    attempts.presumedLost++;
                 }
             }
-            at.sent.remove();
+            attempts.sent.remove();
         }
     }
 
-    private boolean seemsLost(Attempt attempt, boolean overtaken, long now) {
+    private boolean isPresumedLost(Attempt attempt, boolean overtaken, long now) {
         double knownNs = Math.max(attempt.endpoint.latency.latencyNs(), means.latencyNs());
         if (knownNs == 0) {
             return false;
         }
         double usualNs = Math.max(knownNs, settings.latencyResolutionNs());
-        int unanswered = attempt.endpoint.inFlight.unanswered;
-        int doublings = overtaken ? 0 : Math.min(unanswered, MOST_DOUBLINGS);
-        double latencies = overtaken ? OVERTAKEN_LATENCIES : SILENT_LATENCIES;
+        int presumedLost = attempt.endpoint.inFlight.presumedLost;
+        int doublings = overtaken ? 0 : Math.min(presumedLost, MAX_DOUBLINGS);
+        double latencies = overtaken ? OVERTAKEN_LATENCIES : NOT_OVERTAKEN_LATENCIES;
         return now - attempt.sentAt >= latencies * usualNs * (1 << doublings);
     }
 }
--- a/decisions/src/main/java/trailthread/Lottery.java
+++ b/decisions/src/main/java/trailthread/Lottery.java
@@ -7,14 +7,18 @@
  * Draws an endpoint by lottery.
  *
  * <p>Lottery scheduling (Waldspurger and Weihl, OSDI 1994) as the SNS paper uses it (Fox et al.,
- * SOSP 1997, 3.1.2): an endpoint holds tickets inversely to the time that it is predicted to take.
- * Always sending to the best would make all nodes crowd on one. Tickets are also in proportion to
- * the capacity of an endpoint in slow start, to the square of its success rate (one that fails
- * answers fast and has a short queue), and to its capacity where that is under one request.
+ * SOSP 1997, 3.1.2): an endpoint's tickets are inverse to its predicted time. If each node always
+ * sent to the best endpoint, all nodes would send to the same one. Tickets are also in proportion
+ * to the capacity of an endpoint in slow start, to the square of an endpoint's success rate (an
+ * endpoint that fails responds fast and has a short queue), and to its capacity where that is below
+ * one attempt.
  */
 final class Lottery {
-    /** An endpoint holds tickets while it takes at most this multiple of the best one's time. */
-    private static final double NEAR_BEST = 2;
+    /**
+     * An endpoint holds tickets only if its predicted time is at most this multiple of the
+     * smallest.
+     */
+    private static final double MAX_BEST_MULTIPLE = 2;
 
     private static final int INITIAL_SIZE = 16;
 
@@ -41,7 +45,7 @@
     /**
      * Draws one of the open candidates.
      *
-     * @param home the only one to hold tickets, or {@link KeyAffinity#NONE}
+     * @param home the index of the only endpoint to hold tickets, or {@link KeyAffinity#NONE}
      */
     Endpoint draw(List<Endpoint> endpoints, Candidates candidates, int home, long now) {
         if (tickets.length < endpoints.size()) {
@@ -51,27 +55,27 @@
                 home == KeyAffinity.NONE
                         ? issueToNearBest(endpoints, candidates, now)
                         : issueToHome(endpoints, candidates, home, now);
-        double left = random.uniform() * total;
+        double remaining = random.uniform() * total;
         int winner = -1;
-        for (int i = 0; i < endpoints.size() && left >= 0; i++) {
+        for (int i = 0; i < endpoints.size() && remaining >= 0; i++) {
             winner = tickets[i] > 0 ? i : winner;
-            left -= tickets[i];
+            remaining -= tickets[i];
         }
         return endpoints.get(winner);
     }
 
     private double issueToNearBest(List<Endpoint> endpoints, Candidates candidates, long now) {
         double bestNs = Math.max(candidates.bestNs(), settings.latencyResolutionNs());
-        double mostNs = NEAR_BEST * bestNs;
+        double maxNs = MAX_BEST_MULTIPLE * bestNs;
         double total = 0;
         for (int i = 0; i < endpoints.size(); i++) {
             tickets[i] = 0;
             double predictedNs = candidates.predictedNs(i);
-            if (predictedNs <= mostNs) {
+            if (predictedNs <= maxNs) {
                 Endpoint endpoint = endpoints.get(i);
-                double paceNs = estimator.paceNs(endpoint, now);
-                double fraction = Math.min(1, limiter.capacity(endpoint, paceNs));
-                tickets[i] = fraction * tickets(endpoint, predictedNs, now);
+                double timePerRequestNs = estimator.timePerRequestNs(endpoint, now);
+                double capacityFactor = Math.min(1, limiter.capacity(endpoint, timePerRequestNs));
+                tickets[i] = capacityFactor * tickets(endpoint, predictedNs, now);
                 total += tickets[i];
             }
         }
--- a/decisions/src/main/java/trailthread/PriorityPolicy.java
+++ b/decisions/src/main/java/trailthread/PriorityPolicy.java
@@ -4,38 +4,38 @@
 import trailthread.api.Settings;
 
 /**
- * How much serving a request adds to the goal, for each unit of its work.
+ * Ranks requests by how much serving them adds to the goal per unit of work.
  *
- * <p>The goal is a weighted sum of the share of all weight that is served, of that of the
- * worst-served class and of that of the worst-served tenant. Where not all can be served, the
- * requests with the largest gain for their work go first (the greedy rule for a fractional
- * knapsack: Dantzig, 1957).
+ * <p>The goal is a weighted sum of three shares of priority weight that is served: of all requests,
+ * of the worst-served class and of the worst-served tenant. If not all requests can be served,
+ * those with the largest gain per unit of work go first (the greedy rule for a fractional knapsack:
+ * Dantzig, 1957).
  */
 final class PriorityPolicy {
     private final ActiveSettings settings;
     private final WorkloadMeans means;
     private final FairShare fairShare;
 
-    /** Weight of all requests of late. */
+    /** Priority weight of all recent requests. */
     private final DecayingCounter requested;
 
     PriorityPolicy(ActiveSettings settings, WorkloadMeans means, FairShare fairShare, long now) {
         this.settings = settings;
         this.means = means;
         this.fairShare = fairShare;
-        requested = new DecayingCounter(FairShare.memoryNs(settings), now);
+        requested = new DecayingCounter(FairShare.decayNs(settings), now);
     }
 
-    /** Gives a request that has arrived its weight, and counts it as demand. */
+    /** Sets the priority weight of a request that has arrived, and counts it as demand. */
     void arrived(Request request, long now) {
         Settings s = settings.get();
         RequestClass rules = request.requestClass.rules;
         double work = s.weightByWork ? means.relativeWork(request.workNs) : 1;
         request.weight = rules.priorityWeight() * work;
         chargeTenant(request, now);
-        double others = requested.value(now);
+        double earlierWeight = requested.value(now);
         means.recordObjective(
-                rules.latencyObjectiveNs(), request.weight / (others + request.weight));
+                rules.latencyObjectiveNs(), request.weight / (earlierWeight + request.weight));
         request.requestClass.requested.add(now, request.weight);
         requested.add(now, request.weight);
     }
@@ -65,14 +65,20 @@
     }
 
     /**
-     * The weight that a request is expected to earn for each unit of work, given the chance that it
-     * still meets its objective: {@code x^3 / (1 + x^3)} with x the time left in mean latencies.
+     * The weight that a request is expected to earn per unit of work. The probability that it still
+     * meets its objective is estimated as {@code x^3 / (1 + x^3)}, where x is the time left to the
+     * objective in mean latencies.
      */
     double weightPerWork(Request request, long now) {
-        double left = Math.max(0, request.objectiveAt - now) / Math.max(1, means.latencyNs());
-        double chance = left * left * left / (1 + left * left * left);
-        double late = request.requestClass.rules.lateWeightShare();
-        return request.weight * (late + (1 - late) * chance) / relativeWork(request);
+        double latenciesLeft =
+                Math.max(0, request.objectiveAt - now) / Math.max(1, means.latencyNs());
+        double probability =
+                latenciesLeft
+                        * latenciesLeft
+                        * latenciesLeft
+                        / (1 + latenciesLeft * latenciesLeft * latenciesLeft);
+        double lateShare = request.requestClass.rules.lateWeightShare();
+        return request.weight * (lateShare + (1 - lateShare) * probability) / relativeWork(request);
     }
 
     private double relativeWork(Request request) {
@@ -86,33 +92,33 @@
     /** What one more unit of served weight adds to the goal at present. */
     MarginalGain marginalGain(long now) {
         Settings s = settings.get();
-        double overall = (s.goalWhole + s.goalWorstWindow) / requested.value(now);
+        double base = (s.goalOverall + s.goalWorstWindow) / requested.value(now);
         RequestClassStats worstClass = fairShare.worstClass(now);
         TenantStats worstTenant = fairShare.worstTenant(now);
-        double ofClass =
+        double classGain =
                 worstClass == null ? 0 : s.goalWorstClass / worstClass.requested.value(now);
-        double ofTenant =
+        double tenantGain =
                 worstTenant == null ? 0 : s.goalWorstTenant / worstTenant.requested.value(now);
-        return new MarginalGain(overall, worstClass, ofClass, worstTenant, ofTenant);
+        return new MarginalGain(base, worstClass, classGain, worstTenant, tenantGain);
     }
 
     /**
      * What one more unit of served weight adds to the goal.
      *
-     * @param overall whoever it is served to
-     * @param ofClass in addition, if it is served to the worst-served class
-     * @param ofTenant in addition, if it is served to the worst-served tenant
+     * @param base the gain for any request
+     * @param classGain the additional gain for a request of the worst-served class
+     * @param tenantGain the additional gain for a request of the worst-served tenant
      */
     record MarginalGain(
-            double overall,
+            double base,
             RequestClassStats worstClass,
-            double ofClass,
+            double classGain,
             TenantStats worstTenant,
-            double ofTenant) {
-        /** For a request of this class and tenant, which may be null. */
-        double of(RequestClassStats requestClass, TenantStats tenant) {
-            double gain = overall + (requestClass == worstClass ? ofClass : 0);
-            return gain + (tenant != null && tenant == worstTenant ? ofTenant : 0);
+            double tenantGain) {
+        /** The gain for a request of this class and tenant; the tenant may be null. */
+        double gainFor(RequestClassStats requestClass, TenantStats tenant) {
+            double gain = base + (requestClass == worstClass ? classGain : 0);
+            return gain + (tenant != null && tenant == worstTenant ? tenantGain : 0);
         }
     }
 }
--- a/decisions/src/main/java/trailthread/Request.java
+++ b/decisions/src/main/java/trailthread/Request.java
@@ -10,37 +10,40 @@
 final class Request {
     final long id;
 
-    /** What it concerns, for key affinity; 0: none. */
+    /** The key of the data that the request concerns, see {@link KeyAffinity}; 0: none. */
     final long key;
 
-    /** The work that it announces, in nanoseconds on a standard core; 0: not known. */
+    /** The expected work, in nanoseconds on a standard core; 0: not known. */
     final long workNs;
 
     final long arrivedAt;
     final long deadline;
 
-    /** Until when an answer earns the full weight. */
+    /** Until when a response earns the full priority weight. */
     final long objectiveAt;
 
     final RequestClassStats requestClass;
 
-    /** Or null. */
+    /** The tenant, or null. */
     final TenantStats tenant;
 
     private final Attempt[] attempts;
-    private int sent;
+    private int attemptsSent;
     private int inFlight;
 
-    /** What serving it adds to the goal; set by {@link PriorityPolicy}. */
+    /** The priority weight; set by {@link PriorityPolicy}. */
     double weight;
 
-    /** Its tenant has used up this node's part of its quota. */
+    /**
+     * Whether the request arrived after its tenant had used up this node's part of the tenant's
+     * quota.
+     */
     boolean overQuota;
 
-    /** Its answer is on the way to the client. */
+    /** Whether its response has begun to stream to the client. */
     boolean streaming;
 
-    /** It has its final answer, or its client has disconnected. */
+    /** Whether the request has had its final answer, or its client has disconnected. */
     boolean finished;
 
     Request(
@@ -74,24 +77,27 @@
         return idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    /** The attempts that it may have, by the settings in force and those that it came under. */
+    /**
+     * The most attempts that the request may have, by both the current settings and those in force
+     * when it arrived.
+     */
     int maxAttempts(Settings settings) {
         return Math.min(settings.maxAttempts, attempts.length);
     }
 
     /** Attempts sent so far. */
-    int sent() {
-        return sent;
+    int attemptsSent() {
+        return attemptsSent;
     }
 
-    /** Attempts whose outcome has not come. */
+    /** Attempts that have no outcome yet. */
     int inFlight() {
         return inFlight;
     }
 
-    void add(Attempt attempt) {
-        attempts[sent] = attempt;
-        sent++;
+    void addAttempt(Attempt attempt) {
+        attempts[attemptsSent] = attempt;
+        attemptsSent++;
         inFlight++;
     }
 
@@ -103,22 +109,22 @@
 
     /** The attempt of this number, or null. */
     Attempt attempt(int number) {
-        return number >= 0 && number < sent ? attempts[number] : null;
+        return number >= 0 && number < attemptsSent ? attempts[number] : null;
     }
 
     /** The attempt sent last, or null. */
     Attempt lastAttempt() {
-        return attempt(sent - 1);
+        return attempt(attemptsSent - 1);
     }
 
-    void end(Attempt attempt, Outcome outcome) {
+    void endAttempt(Attempt attempt, Outcome outcome) {
         attempt.outcome = outcome;
         inFlight--;
     }
 
-    /** The first attempt that may have run, or may still run; null: none. */
-    Attempt firstThatMayHaveRun() {
-        for (int i = 0; i < sent; i++) {
+    /** The first attempt that may have run, or may still run; null if there is none. */
+    Attempt firstAttemptThatMayHaveRun() {
+        for (int i = 0; i < attemptsSent; i++) {
             if (attempts[i].mayHaveRun()) {
                 return attempts[i];
             }
@@ -127,11 +133,12 @@
     }
 
     /**
-     * Until when one more attempt may be written, given what those before it may have done: at any
-     * time, within the deduplication window, or never.
+     * Until when one more attempt may be written: without end if no earlier attempt may have run or
+     * the request is idempotent; else to the end of the deduplication window, which without an
+     * idempotency key has no length.
      */
     long retryableUntil() {
-        Attempt first = firstThatMayHaveRun();
+        Attempt first = firstAttemptThatMayHaveRun();
         if (first == null || isIdempotent()) {
             return Long.MAX_VALUE;
         }
@@ -140,13 +147,14 @@
     }
 
     /**
-     * Whether the endpoint drops a repeat of what may have run; any will do where none needs to.
+     * Whether a repeat at the endpoint does no harm: the endpoint shares the deduplication window
+     * of the first attempt that may have run, or the request needs no deduplication there.
      */
     boolean isDeduplicatedAt(Endpoint endpoint) {
-        if (sent == 0 || idempotency() != Idempotency.IDEMPOTENCY_KEY) {
+        if (attemptsSent == 0 || idempotency() != Idempotency.IDEMPOTENCY_KEY) {
             return true;
         }
-        Attempt first = firstThatMayHaveRun();
+        Attempt first = firstAttemptThatMayHaveRun();
         return first == null || sharesWindow(first.endpoint, endpoint);
     }
 
@@ -160,7 +168,7 @@
     }
 
     boolean wasSentTo(Endpoint endpoint) {
-        for (int i = 0; i < sent; i++) {
+        for (int i = 0; i < attemptsSent; i++) {
             if (attempts[i].endpoint == endpoint) {
                 return true;
             }
--- a/decisions/src/main/java/trailthread/RequestQueue.java
+++ b/decisions/src/main/java/trailthread/RequestQueue.java
@@ -6,29 +6,32 @@
 import trailthread.api.BalancerActions;
 
 /**
- * Requests that wait for an endpoint to open, in a lane for each class and tenant, within its quota
- * or over it.
+ * Requests that wait for an endpoint to open. Each class and tenant has its own lanes: for requests
+ * within the quota or over it, and for first attempts or retries.
  *
- * <p>The lane whose newest request adds most to the goal goes first, and in a lane the newest
- * request: under overload the oldest are the likeliest to come too late (adaptive LIFO; Maurer,
- * "Fail at Scale", 2015).
+ * <p>The lane whose newest request adds most to the goal is served first. Within a lane, the newest
+ * request is sent first: under overload, the oldest requests are the most likely to be too late
+ * (adaptive LIFO; Maurer, "Fail at Scale", 2015).
  */
 final class RequestQueue {
-    /** Queued requests are looked at again after this share of the tightest latency objective. */
-    private static final double RELEASE_SHARE = 0.05;
+    /** Queued requests are tried again after this share of the tightest latency objective. */
+    private static final double RELEASE_OBJECTIVE_SHARE = 0.05;
 
-    /** What is done with a queued request; whether it has been done. */
-    interface Step {
+    /** An action on a queued request; returns whether it was carried out. */
+    interface RequestAction {
         boolean apply(Request request, long now);
     }
 
-    /** Requests of one kind, the oldest first. */
+    /** Requests that the queue treats alike, the oldest first. */
     private static final class Lane {
         private final RequestClassStats requestClass;
         private final TenantStats tenant;
         private final boolean overQuota;
 
-        /** Retries are apart from first attempts: not every endpoint may be open to them. */
+        /**
+         * Whether the lane holds retries. They are kept apart from first attempts, because not
+         * every open endpoint is open to a retry.
+         */
         private final boolean retries;
 
         private final ArrayDeque<Request> requests = new ArrayDeque<>();
@@ -37,18 +40,18 @@
             requestClass = first.requestClass;
             tenant = first.tenant;
             overQuota = first.overQuota;
-            retries = first.sent() > 0;
+            retries = first.attemptsSent() > 0;
         }
 
-        boolean takes(Request request) {
+        boolean accepts(Request request) {
             return requestClass == request.requestClass
                     && tenant == request.tenant
                     && overQuota == request.overQuota
-                    && retries == request.sent() > 0;
+                    && retries == request.attemptsSent() > 0;
         }
 
-        /** Whether any endpoint that is open at all is open to these requests. */
-        boolean isLeastBound() {
+        /** Whether every open endpoint is open to the requests of this lane. */
+        boolean mayUseAnyOpenEndpoint() {
             return !retries && requests.peekLast().isIdempotent();
         }
     }
@@ -57,8 +60,8 @@
     private final PriorityPolicy priorities;
     private final BalancerActions actions;
     private final RandomSource random;
-    private final Step sendIfOpen;
-    private final Step rejectIfLate;
+    private final RequestAction sendIfOpen;
+    private final RequestAction rejectIfLate;
     private final List<Lane> lanes = new ArrayList<>();
     private int size;
     private boolean releaseTimerSet;
@@ -72,8 +75,8 @@
             PriorityPolicy priorities,
             BalancerActions actions,
             RandomSource random,
-            Step sendIfOpen,
-            Step rejectIfLate) {
+            RequestAction sendIfOpen,
+            RequestAction rejectIfLate) {
         this.settings = settings;
         this.priorities = priorities;
         this.actions = actions;
@@ -86,7 +89,9 @@
         return size == 0;
     }
 
-    /** Requests in all lanes, with those that are over and not yet dropped. */
+    /**
+     * The number of requests in all lanes, including finished ones that have not been removed yet.
+     */
     int size() {
         return size;
     }
@@ -100,7 +105,7 @@
     private Lane laneOf(Request request) {
         for (int i = 0; i < lanes.size(); i++) {
             Lane lane = lanes.get(i);
-            if (lane.takes(request)) {
+            if (lane.accepts(request)) {
                 return lane;
             }
         }
@@ -109,7 +114,7 @@
         return lane;
     }
 
-    /** The release timer is due. */
+    /** Handles the release timer when it is due. */
     void timerDue(long now) {
         releaseTimerSet = false;
         release(now);
@@ -118,13 +123,13 @@
     private void setReleaseTimer() {
         if (!releaseTimerSet) {
             releaseTimerSet = true;
-            double delayNs = RELEASE_SHARE * settings.tightestObjectiveNs();
-            double leastNs = Math.max(settings.get().tickNs, delayNs);
-            actions.timer(random.jittered(leastNs), TimerKind.QUEUE_RELEASE.token(0));
+            double delayNs = RELEASE_OBJECTIVE_SHARE * settings.tightestObjectiveNs();
+            double timerNs = Math.max(settings.get().tickNs, delayNs);
+            actions.timer(random.jittered(timerNs), TimerKind.QUEUE_RELEASE.token(0));
         }
     }
 
-    /** Dispatches requests while any endpoint is open to them. */
+    /** Sends queued requests while an endpoint is open to them. */
     void release(long now) {
         if (size == 0) {
             return;
@@ -136,7 +141,7 @@
             if (sendIfOpen.apply(best.requests.peekLast(), now)) {
                 best.requests.removeLast();
                 size--;
-            } else if (best.isLeastBound()) {
+            } else if (best.mayUseAnyOpenEndpoint()) {
                 break; // no endpoint is open at all
             } else {
                 blocked.add(best);
@@ -148,10 +153,13 @@
         }
     }
 
-    /** The lane whose newest request adds most to the goal, or null: none is left. */
+    /**
+     * The lane whose newest request adds most to the goal, or null if all lanes are empty or
+     * blocked.
+     */
     private Lane bestLane(PriorityPolicy.MarginalGain gain, List<Lane> blocked, long now) {
         Lane best = null;
-        double most = -1;
+        double bestValue = -1;
         for (int i = 0; i < lanes.size(); i++) {
             Lane lane = lanes.get(i);
             trim(lane, now);
@@ -159,30 +167,32 @@
                 continue;
             }
             double value =
-                    gain.of(lane.requestClass, lane.tenant)
+                    gain.gainFor(lane.requestClass, lane.tenant)
                             * priorities.weightPerWork(lane.requests.peekLast(), now);
-            if (value > most) {
-                most = value;
+            if (value > bestValue) {
+                bestValue = value;
                 best = lane;
             }
         }
         return best;
     }
 
-    /** Drops finished requests from both ends of a lane, and rejects late ones from the new end. */
+    /**
+     * Removes finished requests from both ends of a lane, and rejects late requests at its new end.
+     */
     private void trim(Lane lane, long now) {
         ArrayDeque<Request> requests = lane.requests;
         while (!requests.isEmpty() && requests.peekFirst().finished) {
             requests.removeFirst();
             size--;
         }
-        while (!requests.isEmpty() && isOver(requests.peekLast(), now)) {
+        while (!requests.isEmpty() && isDone(requests.peekLast(), now)) {
             requests.removeLast();
             size--;
         }
     }
 
-    private boolean isOver(Request request, long now) {
+    private boolean isDone(Request request, long now) {
         return request.finished || rejectIfLate.apply(request, now);
     }
 }
--- a/decisions/src/main/java/trailthread/RetryPolicy.java
+++ b/decisions/src/main/java/trailthread/RetryPolicy.java
@@ -5,18 +5,21 @@
 import trailthread.api.Settings;
 
 /**
- * Whether a request may have one more attempt, how long to wait for it, and which final answer a
- * request gets that can't be served.
+ * Decides whether a request may have one more attempt, how long to wait for it, and which final
+ * answer a request gets that can't be served.
  *
  * <p>A request that may have run is retried only if that is harmless: it is idempotent, or has an
  * idempotency key, is still within the deduplication window and goes to an endpoint that shares it.
  */
 final class RetryPolicy {
-    /** An idempotent attempt times out after so many latencies of its endpoint. */
+    /** An idempotent attempt times out after this multiple of the latency of its endpoint. */
     private static final double TIMEOUT_LATENCIES = 5;
 
-    /** Latencies that must be left after a time-out, or the attempt is given up for nothing. */
-    private static final double LATENCIES_FOR_RETRY = 2;
+    /**
+     * Mean latencies that must be left for a retry after a time-out. With less time left, a
+     * time-out would only give up the attempt.
+     */
+    private static final double RETRY_LATENCIES = 2;
 
     private final ActiveSettings settings;
     private final WorkloadMeans means;
@@ -33,18 +36,19 @@
         Settings s = settings.get();
         return !request.finished
                 && !request.streaming
-                && request.sent() < request.maxAttempts(s)
+                && request.attemptsSent() < request.maxAttempts(s)
                 && now < request.deadline
                 && (request.inFlight() == 0 || s.mayHedge)
                 && now + s.connectTimeoutNs < request.retryableUntil();
     }
 
     /**
-     * Whether a request whose attempts have all failed may have another. Pays for it from the
-     * budget if they may have run; that is not returned if no endpoint opens in time.
+     * Whether a request whose attempts have all failed may have another. If an earlier attempt may
+     * have run, the retry is paid for from the budget, which is not refunded if no endpoint opens
+     * in time.
      */
     boolean acquireRetry(Request request, long now) {
-        boolean mayHaveRun = request.firstThatMayHaveRun() != null;
+        boolean mayHaveRun = request.firstAttemptThatMayHaveRun() != null;
         if (!permitsAttempt(request, now) || (mayHaveRun && !budget.permitsRetry())) {
             return false;
         }
@@ -55,19 +59,20 @@
     }
 
     /** Until when the next attempt may be written, by the clock of the events. */
-    long writtenBy(Request request) {
+    long writeDeadline(Request request) {
         return Math.min(request.deadline, request.retryableUntil());
     }
 
     /**
      * How long to wait for an attempt that has just been sent, in nanoseconds; 0: until the client
-     * gives up. An endpoint that accepts and never answers would hold a request to its end. But
-     * only a request that can be retried then is given up.
+     * gives up. Prevents an endpoint that accepts requests but never responds from holding a
+     * request until its deadline. Only an attempt of a request that can still be retried has a
+     * time-out.
      */
     long timeoutNs(Request request, Endpoint endpoint, long now) {
         boolean canRetry =
                 request.isIdempotent()
-                        && request.sent() < request.maxAttempts(settings.get())
+                        && request.attemptsSent() < request.maxAttempts(settings.get())
                         && budget.permitsRetry();
         double meanNs = means.latencyNs();
         if (!canRetry || meanNs == 0) {
@@ -77,8 +82,8 @@
         double latencyNs = Math.max(endpoint.latency.latencyNs(), usualNs);
         double size = Math.max(1, means.relativeWork(request.workNs));
         double timeoutNs = TIMEOUT_LATENCIES * latencyNs * size;
-        boolean timeIsLeft = now + timeoutNs + LATENCIES_FOR_RETRY * meanNs < request.deadline;
-        return timeIsLeft ? (long) timeoutNs : 0;
+        boolean leavesTimeToRetry = now + timeoutNs + RETRY_LATENCIES * meanNs < request.deadline;
+        return leavesTimeToRetry ? (long) timeoutNs : 0;
     }
 
     /**
@@ -87,7 +92,7 @@
      */
     static boolean mayRefuse(Request request) {
         return request.isIdempotent()
-                || request.firstThatMayHaveRun() == null
+                || request.firstAttemptThatMayHaveRun() == null
                 || (request.idempotency() == Idempotency.IDEMPOTENCY_KEY
                         && request.requestClass.rules.deduplicationScope()
                                 == DeduplicationScope.ALL);
--- a/decisions/src/main/java/trailthread/SlowStart.java
+++ b/decisions/src/main/java/trailthread/SlowStart.java
@@ -4,18 +4,23 @@
 import trailthread.api.Settings;
 
 /**
- * Limits what endpoints that have just started are sent, as a token bucket over all of them.
+ * Limits the requests sent to endpoints in slow start, by one token bucket for all of them.
  *
- * <p>An endpoint's capacity grows linearly from the initial share to all over the slow start time
- * (as Envoy's slow start mode). The bucket fills with this node's certain part of what the starting
- * endpoints can bear. One request at a time from each of hundreds of nodes would overload one; with
- * a bucket for each endpoint, most would be full while the lottery is elsewhere. Capacity is taken
- * from what endpoints serve to this node: over all nodes, that adds up to no more than the true
- * one, however traffic is split.
+ * <p>An endpoint's capacity grows linearly from the initial share to the whole during the slow
+ * start time (as in Envoy's slow start mode). The bucket fills at this node's part of the rate that
+ * the starting endpoints can serve. A limit of one attempt at a time per node would not do:
+ * hundreds of nodes would still overload an endpoint. Nor would a bucket for each endpoint: most
+ * buckets would be full, and lose tokens, while the lottery draws other endpoints.
+ *
+ * <p>The rate that endpoints can serve is estimated from what they serve to this node. Added up
+ * over all nodes, that is no more than the true capacity, however traffic is split between nodes.
  */
 final class SlowStart {
-    /** Share of the starting endpoints' spare capacity that is used, as it is a guess. */
-    private static final double CAPACITY_SHARE = 0.5;
+    /**
+     * Share of the starting endpoints' estimated capacity that is used; not all, as the estimate is
+     * rough.
+     */
+    private static final double USED_CAPACITY_SHARE = 0.5;
 
     private final ActiveSettings settings;
     private final WorkloadMeans means;
@@ -25,10 +30,10 @@
     /** Responses of all endpoints to this node, over the overload window. */
     private final DecayingCounter served;
 
-    /** Requests that starting endpoints may be sent. */
+    /** The number of requests that may be sent to starting endpoints now. */
     private double tokens;
 
-    private long filledAt;
+    private long refilledAt;
 
     SlowStart(
             ActiveSettings settings,
@@ -43,14 +48,17 @@
         served = new DecayingCounter(settings.get().overloadWindowNs, now);
     }
 
-    /** The share of its capacity that an endpoint has for certain: 1 when it is warm. */
+    /**
+     * The share of its full capacity that an endpoint has at present; 1 after slow start, when it
+     * is warm.
+     */
     double capacityShare(Endpoint endpoint, long now) {
         Settings s = settings.get();
-        long readyAtNs = endpoint.readyAtNs();
-        if (readyAtNs == 0 || now - readyAtNs >= s.slowStartNs) {
+        long startedAtNs = endpoint.startedAtNs();
+        if (startedAtNs == 0 || now - startedAtNs >= s.slowStartNs) {
             return 1;
         }
-        double ageNs = Math.max(0, now - readyAtNs);
+        double ageNs = Math.max(0, now - startedAtNs);
         return s.slowStartInitialShare + (1 - s.slowStartInitialShare) * ageNs / s.slowStartNs;
     }
 
@@ -58,17 +66,18 @@
         return capacityShare(endpoint, now) >= 1;
     }
 
-    /** Records a response with success. */
+    /** Records a successful response. */
     void recordServed(long now) {
         served.add(now, 1);
     }
 
     /**
-     * Takes in that the list announces an endpoint. One that has just started brings part of a
-     * token by chance, as it is announced to all nodes at once.
+     * Handles an endpoint that is new in the list. If it is in slow start, adds a random fraction
+     * of a token. All nodes learn of the endpoint at the same time, and if their buckets filled in
+     * step, all would send it their first request at the same time.
      */
-    void announced(EndpointEntry entry, long now) {
-        if (entry.readyAtNs() > Math.max(0, now - settings.get().slowStartNs)) {
+    void endpointAnnounced(EndpointEntry entry, long now) {
+        if (entry.startedAtNs() > Math.max(0, now - settings.get().slowStartNs)) {
             tokens += random.uniform();
         }
     }
@@ -78,20 +87,20 @@
         Settings s = settings.get();
         double allCapacity = 0;
         double startingCapacity = 0;
-        double starting = 0;
+        double startingEndpoints = 0;
         for (Endpoint endpoint : subset.endpoints()) {
             double share = capacityShare(endpoint, now);
             allCapacity += share;
             startingCapacity += share < 1 ? share : 0;
-            starting += share < 1 ? 1 : 0;
+            startingEndpoints += share < 1 ? 1 : 0;
         }
         double servedPerNs = served.value(now) / s.overloadWindowNs / Math.max(1, allCapacity);
         double tokensPerNs =
                 Math.max(
-                        CAPACITY_SHARE * s.overloadMultiple * startingCapacity * servedPerNs,
-                        starting / (subset.sharers() * means.objectiveNs()));
-        tokens = Math.min(starting, tokens + tokensPerNs * (now - filledAt));
-        filledAt = now;
+                        USED_CAPACITY_SHARE * s.overloadMultiple * startingCapacity * servedPerNs,
+                        startingEndpoints / (subset.sharingNodes() * means.objectiveNs()));
+        tokens = Math.min(startingEndpoints, tokens + tokensPerNs * (now - refilledAt));
+        refilledAt = now;
     }
 
     /** Whether an endpoint may be sent one more request. */
@@ -99,8 +108,8 @@
         return tokens >= 1 || isWarm(endpoint, now);
     }
 
-    /** Takes a token for a request that is sent to an endpoint, if that is starting. */
-    void spend(Endpoint endpoint, long now) {
+    /** Takes a token for a request to an endpoint in slow start. */
+    void takeToken(Endpoint endpoint, long now) {
         tokens -= isWarm(endpoint, now) ? 0 : 1;
     }
 }
--- a/decisions/src/main/java/trailthread/TenantStats.java
+++ b/decisions/src/main/java/trailthread/TenantStats.java
@@ -9,13 +9,15 @@
     /** Arrivals within the quota. */
     private final DecayingCounter arrivals;
 
-    TenantStats(Tenant tenant, long memoryNs, long quotaSpanNs, long now) {
-        super(memoryNs, now);
+    TenantStats(Tenant tenant, long decayNs, long quotaSpanNs, long now) {
+        super(decayNs, now);
         this.tenant = tenant;
         arrivals = new DecayingCounter(quotaSpanNs, now);
     }
 
-    /** Counts an arrival, and says whether it is within this node's part of the tenant's quota. */
+    /**
+     * Counts an arrival, and returns whether it is within this node's part of the tenant's quota.
+     */
     boolean admitWithinQuota(int nodes, long now) {
         double quota = tenant.quotaPerSecond() / nodes * arrivals.spanNs() / 1e9;
         boolean within = arrivals.value(now) < quota;
--- a/decisions/src/main/java/trailthread/degradation/ConditionTracker.java
+++ b/decisions/src/main/java/trailthread/degradation/ConditionTracker.java
@@ -1,8 +1,8 @@
 package trailthread.degradation;
 
 /**
- * Tracks one condition of a level: where its reading stands between the two bounds, and for how
- * long it has been at or over the enter bound. Times are counted time, see {@link
+ * Tracks one condition of a level: on which side of its two bounds the reading is, and for how long
+ * it has been at or over the enter bound. Times are counted time, see {@link
  * DegradationController}, in ns.
  */
 final class ConditionTracker {
@@ -12,23 +12,23 @@
     /** The last known value. */
     private double value;
 
-    /** Where the last known value stands. */
-    private Zone zone = Zone.BELOW_LEAVE;
+    /** The band of the last known value. */
+    private Band band = Band.BELOW_LEAVE;
 
     /** Whether the latest readings held a value. */
     private boolean known;
 
     /**
-     * Whether a value was known within {@link DegradationPlan#trustNs}. A reading that no longer is
-     * must not hold a level for ever.
+     * Whether a value was known within {@link DegradationPlan#trustNs}. A reading that can no
+     * longer be measured must not hold a level for ever.
      */
     private boolean measured;
 
     private long knownAt;
     private long atEnterForNs;
 
-    /** Where a value stands by the bounds of the condition. */
-    private enum Zone {
+    /** The position of a value relative to the bounds of the condition. */
+    private enum Band {
         BELOW_LEAVE,
         BETWEEN,
         AT_ENTER
@@ -40,10 +40,10 @@
     }
 
     /**
-     * Takes in the latest readings.
+     * Updates the condition with the latest readings.
      *
      * @param now counted time
-     * @param step counted time since the readings before
+     * @param step counted time since the previous readings
      */
     void update(Readings readings, long now, long step) {
         double latest = condition.reading().of(readings);
@@ -52,44 +52,44 @@
             updateKnown(latest, now, step);
         } else if (now - knownAt > plan.trustNs) {
             measured = false;
-            zone = Zone.BELOW_LEAVE;
+            band = Band.BELOW_LEAVE;
             atEnterForNs = 0;
         }
     }
 
     private void updateKnown(double latest, long now, long step) {
-        Zone before = zone;
+        Band before = band;
         value = latest;
-        zone = zoneOf(latest);
+        band = bandOf(latest);
         measured = true;
         knownAt = now;
-        if (zone == Zone.BELOW_LEAVE) {
+        if (band == Band.BELOW_LEAVE) {
             atEnterForNs = 0;
-        } else if (zone == Zone.AT_ENTER && before == Zone.AT_ENTER) {
+        } else if (band == Band.AT_ENTER && before == Band.AT_ENTER) {
             atEnterForNs += step;
         }
     }
 
-    private Zone zoneOf(double latest) {
+    private Band bandOf(double latest) {
         if (latest >= condition.enter()) {
-            return Zone.AT_ENTER;
+            return Band.AT_ENTER;
         }
-        return latest < condition.leave() ? Zone.BELOW_LEAVE : Zone.BETWEEN;
+        return latest < condition.leave() ? Band.BELOW_LEAVE : Band.BETWEEN;
     }
 
-    /** Whether the reading has been at or over the enter bound for the condition's time. */
+    /** Whether the reading has been at or over the enter bound for {@link Condition#holdNs}. */
     boolean isDue() {
         return isAtEnter() && atEnterForNs >= condition.holdNs();
     }
 
     /** Whether the reading is known to be at or over the enter bound now. */
     boolean isAtEnter() {
-        return known && zone == Zone.AT_ENTER;
+        return known && band == Band.AT_ENTER;
     }
 
     /** Whether the reading was last known under the leave bound, or is not measured. */
     boolean isBelowLeave() {
-        return zone == Zone.BELOW_LEAVE;
+        return band == Band.BELOW_LEAVE;
     }
 
     /** Whether the reading is measured, but has no value in the latest readings. */
@@ -98,8 +98,8 @@
     }
 
     /** Whether shedding load lowers the reading. */
-    boolean isRelieved() {
-        return condition.reading().isRelieved();
+    boolean isRelievedByShedding() {
+        return condition.reading().isRelievedByShedding();
     }
 
     /** This condition as the cause of entering its level. */
--- a/decisions/src/test/java/trailthread/degradation/SimulatedNode.java
+++ b/decisions/src/test/java/trailthread/degradation/SimulatedNode.java
@@ -131,7 +131,7 @@
     }
 
     private boolean isAdmitted(RequestClass requestClass) {
-        return controller.allowance().admits(requestClass.name(), false, random.nextDouble());
+        return controller.sheddingPolicy().admits(requestClass.name(), false, random.nextDouble());
     }
 
     private void passDeadline(long id) {
@@ -157,7 +157,7 @@
     }
 
     @Override
-    public void send(long id, long timeoutNs, long writtenBy, String endpointName) {
+    public void send(long id, long timeoutNs, long writeDeadline, String endpointName) {
         ClientRequest request = requests.get((int) id);
         long now = clock.now();
         if (request.firstSentAt < 0) {
--- a/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
@@ -91,7 +91,7 @@
                 entry.weight(),
                 state,
                 entry.zone(),
-                entry.readyAtNs(),
+                entry.startedAtNs(),
                 entry.cell());
     }
 }
