--- a/engine/src/test/java/trailthread/engine/request/GiveUpTest.java
+++ b/engine/src/test/java/trailthread/engine/request/GiveUpTest.java
@@ -44,7 +44,7 @@
     }
 
     private void recordEnd(String method) {
-        if (method.equals("failed") || method.equals("released")) {
+        if (method.equals("fail") || method.equals("onReleased")) {
             ends.add(method);
         }
     }
@@ -78,7 +78,7 @@
         sendRequests();
         loop.execute(() -> endpoint.dispatcher.setAnswerDeadlines(loop.now(), loop.now()));
         assertEquals(
-                List.of("failed", "failed", "failed", "released", "released", "released"),
+                List.of("fail", "fail", "fail", "onReleased", "onReleased", "onReleased"),
                 nextEnds(2 * REQUESTS));
     }
 
@@ -94,6 +94,6 @@
                     endpoint.dispatcher.setAnswerDeadlines(later, later);
                     endpoint.dispatcher.setAnswerDeadlines(loop.now(), loop.now());
                 });
-        assertEquals(List.of("failed", "failed", "failed"), nextEnds(REQUESTS));
+        assertEquals(List.of("fail", "fail", "fail"), nextEnds(REQUESTS));
     }
 }
