--- a/decisions/src/test/java/trailthread/SimulatedDiscovery.java
+++ b/decisions/src/test/java/trailthread/DiscoveryOutageSimulation.java
@@ -10,7 +10,7 @@
  * Discovery after an outage, and nodes that poll it, in virtual time. It serves one poll after
  * another; a poll that waits for too long fails.
  */
-final class SimulatedDiscovery {
+final class DiscoveryOutageSimulation {
     static final int TICK_MS = 10;
 
     /** Time from the start of a process to its first event. */
@@ -72,7 +72,7 @@
      * @param serveMs how long it takes to serve one poll
      * @param servesTimedOutPolls whether it spends that time on polls that have timed out, too
      */
-    SimulatedDiscovery(
+    DiscoveryOutageSimulation(
             double serveMs, long pollTimeoutMs, boolean servesTimedOutPolls, Outage outage) {
         this.serveMs = serveMs;
         this.pollTimeoutMs = pollTimeoutMs;
--- a/decisions/src/test/java/trailthread/ListPollTest.java
+++ b/decisions/src/test/java/trailthread/ListPollTest.java
@@ -97,12 +97,13 @@
     }
 
     /**
-     * As {@link SimulatedDiscovery#receivedAfterMs}, with polls that wait for up to two seconds.
+     * As {@link DiscoveryOutageSimulation#receivedAfterMs}, with polls that wait for up to two
+     * seconds.
      */
     private static int[] listReceivedAfterMs(
             List<ScriptedBalancer> nodes, int downMs, double serveMs, boolean servesTimedOutPolls) {
-        SimulatedDiscovery.Outage outage = new SimulatedDiscovery.Outage(downMs, 0);
-        return new SimulatedDiscovery(serveMs, POLL_TIMEOUT_MS, servesTimedOutPolls, outage)
+        DiscoveryOutageSimulation.Outage outage = new DiscoveryOutageSimulation.Outage(downMs, 0);
+        return new DiscoveryOutageSimulation(serveMs, POLL_TIMEOUT_MS, servesTimedOutPolls, outage)
                 .receivedAfterMs(nodes);
     }
 
@@ -169,9 +170,12 @@
                     nodes.add(node(me, 1_000 * i + me, count, ListKind.FULL, 0));
                 }
                 nodes.forEach(s -> s.balancer.list(s.now, ListKind.FAILED, List.of()));
-                SimulatedDiscovery discovery =
-                        new SimulatedDiscovery(
-                                58, 1_500, true, new SimulatedDiscovery.Outage(8_000, hangsMs));
+                DiscoveryOutageSimulation discovery =
+                        new DiscoveryOutageSimulation(
+                                58,
+                                1_500,
+                                true,
+                                new DiscoveryOutageSimulation.Outage(8_000, hangsMs));
                 discovery.kill(
                         76,
                         killedMs,
@@ -206,9 +210,9 @@
     @Test
     public void aSingleNodeBacksOff() {
         ScriptedBalancer s = fleet(1).get(0);
-        for (int at = 0; at < 60_000; at += SimulatedDiscovery.TICK_MS) {
+        for (int at = 0; at < 60_000; at += DiscoveryOutageSimulation.TICK_MS) {
             int before = s.watches;
-            s.pass(SimulatedDiscovery.TICK_MS * MS);
+            s.pass(DiscoveryOutageSimulation.TICK_MS * MS);
             if (s.watches > before) {
                 s.balancer.list(s.now, ListKind.FAILED, List.of());
             }
--- a/decisions/src/test/java/trailthread/FleetTest.java
+++ b/decisions/src/test/java/trailthread/ManyNodesTest.java
@@ -20,7 +20,7 @@
 import trailthread.api.WeightMeaning;
 
 /** What many nodes, each with few requests, do together without communicating. */
-class FleetTest {
+class ManyNodesTest {
     private static final long MS = ScriptedBalancer.MS;
     private static final int NODES = 200;
 
--- a/decisions/src/test/java/trailthread/LoadReportTest.java
+++ b/decisions/src/test/java/trailthread/StaleLoadCorrectionTest.java
@@ -7,7 +7,7 @@
 import trailthread.api.Outcome;
 
 /** The stale-load correction: own sends since the report that the tickets are computed from. */
-public class LoadReportTest {
+public class StaleLoadCorrectionTest {
     private static final int PAIRS = 4000;
 
     /** How often the second of two requests goes to another endpoint than the first. */
--- a/decisions/src/test/java/trailthread/degradation/AnyReadingsTest.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationControllerPropertyTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Tuple;
 
 /** What holds for any sequence of readings, with unusable values and gaps among them. */
-class AnyReadingsTest {
+class DegradationControllerPropertyTest {
     /** A reading with one value for some time, after a step of the clock. */
     record Spell(Reading reading, double value, double seconds, long stepNs) {}
 
--- a/decisions/src/test/java/trailthread/degradation/Fleet.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationFleet.java
@@ -13,7 +13,7 @@
  * Six nodes, each with the real balancer, ten endpoints and their clients, in virtual time. Of the
  * requests, 70 in a hundred are polls, 10 actions and 20 attempts.
  */
-final class Fleet {
+final class DegradationFleet {
     static final int NODES = 6;
 
     /** Indexes of the classes of requests. */
@@ -29,18 +29,18 @@
     private static final double POLL_AND_ACTION_SHARE = 0.8;
     private static final long MS = VirtualClock.MS;
 
-    private final Scenario scenario;
+    private final FleetScenario scenario;
     private final SplittableRandom random = new SplittableRandom(SEED);
     private final VirtualClock clock = new VirtualClock();
-    private final FleetResults results = new FleetResults(CLASSES, ENDPOINTS);
-    private final List<SimulatedNode> nodes = new ArrayList<>();
+    private final DegradationFleetResults results = new DegradationFleetResults(CLASSES, ENDPOINTS);
+    private final List<DegradationFleetNode> nodes = new ArrayList<>();
 
     /**
      * Makes a fleet.
      *
      * @param withLevels whether nodes have levels of service
      */
-    Fleet(Scenario scenario, boolean withLevels) {
+    DegradationFleet(FleetScenario scenario, boolean withLevels) {
         this.scenario = scenario;
         List<SimulatedEndpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
@@ -54,19 +54,19 @@
         for (int i = 0; i < NODES; i++) {
             settings.nodeIndex = i;
             nodes.add(
-                    new SimulatedNode(
+                    new DegradationFleetNode(
                             scenario, withLevels, settings, clock, random, endpoints, results));
         }
     }
 
     /** Runs the fleet up to a time, ns. */
-    Fleet play(long endNs) {
+    DegradationFleet play(long endNs) {
         scheduleArrival();
         clock.runUntil(endNs);
         return this;
     }
 
-    FleetResults results() {
+    DegradationFleetResults results() {
         return results;
     }
 
--- a/decisions/src/test/java/trailthread/degradation/SimulatedNode.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationFleetNode.java
@@ -14,7 +14,7 @@
 import trailthread.api.Settings;
 
 /** A node with the real balancer and, if wanted, levels of service before it. */
-final class SimulatedNode implements BalancerActions {
+final class DegradationFleetNode implements BalancerActions {
     private static final long MS = VirtualClock.MS;
     private static final long S = VirtualClock.S;
     private static final long NETWORK_DELAY_NS = MS / 2;
@@ -24,13 +24,13 @@
     private static final double FAILING_ERROR_SHARE = 0.3;
     private static final double ERROR_SMOOTHING = 0.1;
 
-    private final Scenario scenario;
+    private final FleetScenario scenario;
     private final boolean withLevels;
     private final Settings settings;
     private final VirtualClock clock;
     private final SplittableRandom random;
     private final List<SimulatedEndpoint> endpoints;
-    private final FleetResults results;
+    private final DegradationFleetResults results;
     private final Balancer balancer;
     private final SheddingOrder order;
     private final DegradationController controller;
@@ -68,14 +68,14 @@
         }
     }
 
-    SimulatedNode(
-            Scenario scenario,
+    DegradationFleetNode(
+            FleetScenario scenario,
             boolean withLevels,
             Settings settings,
             VirtualClock clock,
             SplittableRandom random,
             List<SimulatedEndpoint> endpoints,
-            FleetResults results) {
+            DegradationFleetResults results) {
         this.scenario = scenario;
         this.withLevels = withLevels;
         this.settings = settings;
@@ -87,7 +87,8 @@
         order = new SheddingOrder(settings.classes, List.of());
         controller = new DegradationController(new DegradationPlan(), order);
         balancer = new Balancer(settings, random.nextLong(), 0, this);
-        balancer.list(0, ListKind.FULL, endpoints.stream().map(SimulatedNode::entry).toList());
+        balancer.list(
+                0, ListKind.FULL, endpoints.stream().map(DegradationFleetNode::entry).toList());
         if (withLevels) {
             read();
         }
--- a/decisions/src/test/java/trailthread/degradation/FleetResults.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationFleetResults.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** What became of the requests of a simulated fleet, over all nodes. */
-final class FleetResults {
+final class DegradationFleetResults {
     /** Requests that arrived, by class. */
     final int[] arrived;
 
@@ -17,7 +17,7 @@
     /** Changes of level. */
     final List<Change> changes = new ArrayList<>();
 
-    FleetResults(int classes, int endpoints) {
+    DegradationFleetResults(int classes, int endpoints) {
         arrived = new int[classes];
         served = new int[classes];
         sent = new int[endpoints];
--- a/decisions/src/test/java/trailthread/degradation/Scenario.java
+++ b/decisions/src/test/java/trailthread/degradation/FleetScenario.java
@@ -12,7 +12,7 @@
  * @param foreignRequests how many requests of others endpoint 0 always holds
  * @param reporter what endpoints report of their load
  */
-record Scenario(
+record FleetScenario(
         LongToDoubleFunction load,
         double failing,
         long reportAgeNs,
@@ -23,7 +23,7 @@
         LoadReport report(int endpoint, long now, LoadReport truth);
     }
 
-    Scenario(LongToDoubleFunction load, double failing, long reportAgeNs) {
+    FleetScenario(LongToDoubleFunction load, double failing, long reportAgeNs) {
         this(load, failing, reportAgeNs, 0, (endpoint, now, truth) -> truth);
     }
 }
--- a/decisions/src/test/java/trailthread/degradation/SimulatedEndpoint.java
+++ b/decisions/src/test/java/trailthread/degradation/SimulatedEndpoint.java
@@ -19,7 +19,7 @@
     private static final double DOUBLING_QUEUE = 20;
 
     private final int number;
-    private final Scenario scenario;
+    private final FleetScenario scenario;
     private final VirtualClock clock;
     private final SplittableRandom random;
     private final boolean failing;
@@ -40,7 +40,7 @@
     SimulatedEndpoint(
             int number,
             boolean failing,
-            Scenario scenario,
+            FleetScenario scenario,
             VirtualClock clock,
             SplittableRandom random) {
         this.number = number;
--- a/decisions/src/test/java/trailthread/degradation/ReportsTest.java
+++ b/decisions/src/test/java/trailthread/degradation/UnreliableReportsTest.java
@@ -5,22 +5,23 @@
 
 import org.junit.Test;
 import trailthread.api.LoadReport;
-import trailthread.degradation.Scenario.Reporter;
+import trailthread.degradation.FleetScenario.Reporter;
 
 /**
  * A balancer must trust its own outcomes more than load reports that are missing or false; in
  * virtual time.
  */
-public class ReportsTest {
+public class UnreliableReportsTest {
     private static final double UNKNOWN = Double.NaN;
     private static final LoadReport NO_LOAD =
             new LoadReport(0, 0, UNKNOWN, UNKNOWN, UNKNOWN, UNKNOWN);
     private static final int FALSE_REPORTER = 0;
 
-    private static FleetResults play(int foreignRequests, Reporter reporter) {
-        Scenario scenario = new Scenario(now -> 0.7, 0, 0, foreignRequests, reporter);
-        FleetResults results = new Fleet(scenario, false).play(120 * S).results();
-        for (int requestClass = 0; requestClass < Fleet.CLASSES; requestClass++) {
+    private static DegradationFleetResults play(int foreignRequests, Reporter reporter) {
+        FleetScenario scenario = new FleetScenario(now -> 0.7, 0, 0, foreignRequests, reporter);
+        DegradationFleetResults results =
+                new DegradationFleet(scenario, false).play(120 * S).results();
+        for (int requestClass = 0; requestClass < DegradationFleet.CLASSES; requestClass++) {
             double share = results.servedShare(requestClass);
             // 0.991 to 0.999 in five minutes
             assertTrue("class " + requestClass + ": " + share, share > 0.97);
@@ -43,14 +44,14 @@
      */
     @Test
     public void aFullEndpointThatReportsNoLoadIsNotBelieved() {
-        double share = play(15, ReportsTest::alwaysIdle).sentShare(FALSE_REPORTER);
+        double share = play(15, UnreliableReportsTest::alwaysIdle).sentShare(FALSE_REPORTER);
         assertTrue("sent to the false reporter: " + share, share < 0.03);
     }
 
     /** 0.12 of all attempts went there. */
     @Test
     public void anEndpointThatAlwaysReportsNoLoadIsNotOverloaded() {
-        double share = play(0, ReportsTest::alwaysIdle).sentShare(FALSE_REPORTER);
+        double share = play(0, UnreliableReportsTest::alwaysIdle).sentShare(FALSE_REPORTER);
         assertTrue("sent to the false reporter: " + share, share < 0.2);
     }
 }
