--- a/adapter/src/test/java/trailthread/adapter/WireActionsTest.java
+++ b/adapter/src/test/java/trailthread/adapter/WireActionsTest.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Each action as the wire writes it. */
+/** The message that each action writes to the wire. */
 class WireActionsTest {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final WireWriter writer = new WireWriter(out);
--- a/adapter/src/test/java/trailthread/adapter/WireReaderTest.java
+++ b/adapter/src/test/java/trailthread/adapter/WireReaderTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import trailthread.adapter.WireException.Problem;
 
-/** Lines and fields, however the input is cut into reads. */
+/** Lines and fields, whatever the sizes of the reads from the input. */
 class WireReaderTest {
     private static InputStream stream(String text) {
         return new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8));
@@ -29,7 +29,7 @@
         return reader;
     }
 
-    /** Gives one byte for each read. */
+    /** Returns one byte for each read. */
     private static final class ByteByByte extends InputStream {
         private final InputStream in;
 
--- a/decisions/src/test/java/trailthread/ActiveSettingsTest.java
+++ b/decisions/src/test/java/trailthread/ActiveSettingsTest.java
@@ -11,9 +11,9 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/** What is derived from the settings, and which stay in force. */
+/** The values derived from the settings, and the settings in force after an invalid change. */
 class ActiveSettingsTest {
-    private static Settings with(long objectiveNs, long deadlineNs) {
+    private static Settings settingsWithClass(long objectiveNs, long deadlineNs) {
         Settings settings =
                 ScriptedBalancer.settings(); // objectives of 200 ms, deadlines of 1,000 ms
         settings.classes.add(
@@ -32,26 +32,30 @@
 
     @Test
     void objectivesAndDeadlinesAreThoseOfAllClasses() {
-        ActiveSettings active = new ActiveSettings(with(50 * MS, 300 * MS));
+        ActiveSettings active = new ActiveSettings(settingsWithClass(50 * MS, 300 * MS));
         assertEquals(50 * MS, active.tightestObjectiveNs());
         assertEquals(1000 * MS, active.longestDeadlineNs());
         assertEquals(MS, active.latencyResolutionNs()); // a fiftieth of the objective
-        active.replace(with(400 * MS, 3000 * MS));
+        active.replace(settingsWithClass(400 * MS, 3000 * MS));
         assertEquals(200 * MS, active.tightestObjectiveNs());
         assertEquals(3000 * MS, active.longestDeadlineNs());
     }
 
-    /** Times that are derived from an objective of 0 would be 0, and timers would spin. */
+    /**
+     * With an objective of 0, derived delays would be 0, and timers would fire in an endless loop.
+     */
     @Test
     void theTightestObjectiveIsAtLeastATick() {
-        assertEquals(MS, new ActiveSettings(with(0, 300 * MS)).tightestObjectiveNs());
+        assertEquals(MS, new ActiveSettings(settingsWithClass(0, 300 * MS)).tightestObjectiveNs());
     }
 
     @Test
-    void settingsThatMakeNoSenseLeaveTheOnesBeforeInForce() {
-        Settings good = with(50 * MS, 300 * MS);
+    void invalidSettingsLeaveTheCurrentOnesInForce() {
+        Settings good = settingsWithClass(50 * MS, 300 * MS);
         ActiveSettings active = new ActiveSettings(good);
-        assertThrows(IllegalArgumentException.class, () -> active.replace(with(10 * MS, 0)));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> active.replace(settingsWithClass(10 * MS, 0)));
         assertSame(good, active.get());
         assertEquals(50 * MS, active.tightestObjectiveNs());
     }
--- a/decisions/src/test/java/trailthread/AdmissionControllerTest.java
+++ b/decisions/src/test/java/trailthread/AdmissionControllerTest.java
@@ -22,7 +22,7 @@
         modules.means.recordLatency(100 * MS);
     }
 
-    /** With a class of which late answers earn nothing. */
+    /** Adds a class whose late responses earn no weight. */
     private static Settings settings() {
         Settings settings = ScriptedBalancer.settings();
         settings.classes.add(
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aRequestIsSendableWhileHalfALatencyIsLeftToWhatItEarnsBy() {
+    void aRequestIsSendableUntilHalfALatencyBeforeItsResponseEarnsNothing() {
         assertEquals(NOW + 950 * MS, admissions.sendableUntil(modules.request("safe"), NOW));
         Request prompt = modules.request("prompt");
         assertFalse(admissions.isTooLate(prompt, NOW + 150 * MS - 1));
@@ -54,7 +54,7 @@
         assertEquals(NOW + 1000 * MS, admissions.sendableUntil(prompt, NOW));
     }
 
-    /** The window of 300 ms without the connect time-out of 200 ms. */
+    /** The deduplication window of 300 ms less the connect time-out of 200 ms. */
     @Test
     void aRequestThatMayHaveRunIsSendableWithinItsDeduplicationWindow() {
         Request prompt = modules.request("prompt");
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void withoutAListLeaseRequestsWaitForAQuarterOfTheirTime() {
+    void withoutAListLeaseRequestsWaitForAQuarterOfTheTimeToTheirDeadline() {
         admissions.setListLease(NOW);
         assertFalse(admissions.hasListLease(NOW));
         assertEquals(NOW + 250 * MS, admissions.sendableUntil(modules.request("safe"), NOW));
--- a/decisions/src/test/java/trailthread/AttemptRecorderTest.java
+++ b/decisions/src/test/java/trailthread/AttemptRecorderTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import trailthread.api.Outcome;
 
-/** What is learned from each outcome. */
+/** Which statistics each outcome changes. */
 class AttemptRecorderTest {
     private final WiredModules modules = new WiredModules();
     private final Endpoint a = WiredModules.endpoint("a", 0);
@@ -58,7 +58,7 @@
         assertEquals(1, a.latency.responses());
     }
 
-    /** One time-out may be a lost response; a second in a row shows a jam. */
+    /** One time-out may be a lost response; a second one in a row shows congestion. */
     @Test
     void onlyTimeoutsAfterTheFirstInARowCountAsLatency() {
         attemptEndsIn(Outcome.TIMEOUT, 500 * MS);
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void cancelledAndUnsentAttemptsShowNothingOfTheEndpoint() {
+    void cancelledAndUnsentAttemptsChangeNoStatisticsOfTheEndpoint() {
         attemptEndsIn(Outcome.CANCELLED, 500 * MS);
         attemptEndsIn(Outcome.NOT_SENT, 500 * MS);
         assertEquals(0, a.health.failures());
--- a/decisions/src/test/java/trailthread/AttemptSenderTest.java
+++ b/decisions/src/test/java/trailthread/AttemptSenderTest.java
@@ -11,7 +11,7 @@
 import trailthread.api.EndpointState;
 import trailthread.api.Outcome;
 
-/** Sending an attempt: what must hold before it, and what is counted with it. */
+/** The conditions for sending an attempt, and what each attempt counts against. */
 class AttemptSenderTest {
     private final WiredModules modules = new WiredModules();
     private final Endpoint warm = WiredModules.endpoint("a", 0);
--- a/decisions/src/test/java/trailthread/BalancerRulesTest.java
+++ b/decisions/src/test/java/trailthread/BalancerRulesTest.java
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void retriesOfWhatMayHaveRunStayWithinTheBudget() {
+    void retriesOfRequestsThatMayHaveRunStayWithinTheBudget() {
         s.endpoints("a", "b", "c");
         int sends = 0;
         for (int i = 0; i < 200; i++) {
--- a/decisions/src/test/java/trailthread/CandidatesTest.java
+++ b/decisions/src/test/java/trailthread/CandidatesTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void aResetForgetsTheRequestBeforeAlsoWhenTheSubsetHasGrown() {
+    void aResetClosesAllEndpointsAlsoWhenTheSubsetHasGrown() {
         candidates.reset(2);
         candidates.open(1, 30);
         for (int endpoints : new int[] {2, 100}) {
--- a/decisions/src/test/java/trailthread/ConcurrencyLimiterTest.java
+++ b/decisions/src/test/java/trailthread/ConcurrencyLimiterTest.java
@@ -23,7 +23,9 @@
         return endpoints;
     }
 
-    /** The limit in attempts: the capacity of an endpoint without any delay. */
+    /**
+     * The limit in attempts, which is the capacity of an endpoint that takes no time per request.
+     */
     private double limit(Endpoint endpoint) {
         return limiter.capacity(endpoint, 1);
     }
@@ -48,10 +50,10 @@
     }
 
     @Test
-    void nodesStartWithFourAttemptsTogether() {
+    void initialLimitsOfAllNodesAddUpToFour() {
         assertEquals(4, limit(start(1, "a").get(0)));
         assertEquals(0.25, limit(start(16, "a", "b", "c", "d").get(0)));
-        // Up to twice that, so that the node may have one in flight.
+        // Up to twice that, so that the limits add up to one attempt.
         assertEquals(0.5, limit(start(16, "a").get(0)));
         assertEquals(1, limit(start(6, "a").get(0)));
     }
@@ -59,10 +61,10 @@
     @Test
     void limitGrowsAdditivelyUnderTheTargetAndIsCutByTheExcessOrARejection() {
         assertEquals(4 + 0.7 / 4, limitAfter(40, 3), 1e-9);
-        assertEquals(4, limitAfter(40, 0), 1e-9); // not used, so not raised
+        assertEquals(4, limitAfter(40, 0), 1e-9); // the limit is not in use, so it is not raised
         assertEquals(4 * (1 - 0.1 * 0.5), limitAfter(120, 3), 1e-9);
         assertEquals(4 * (1 - 0.1), limitAfter(800, 3), 1e-9);
-        assertEquals(1 * (1 - 0.1), limitAfter(800, 0), 1e-9); // it had reached only 1 of its 4
+        assertEquals(1 * (1 - 0.1), limitAfter(800, 0), 1e-9); // only 1 of 4 attempts was in flight
         Endpoint endpoint = start(1, "a").get(0);
         limiter.recordRejection(endpoint);
         assertEquals(0.7, limit(endpoint), 1e-9);
@@ -71,11 +73,11 @@
     }
 
     /**
-     * A crowd overloads endpoints long before each node hears from each. At 40 ms, half of the
-     * target is headroom, and both limits together are 8.
+     * Many nodes can overload the endpoints long before each node has had a response from each
+     * endpoint. At 40 ms, half of the target latency is headroom, and both limits together are 8.
      */
     @Test
-    void responsesOfOneEndpointMoveTheLimitOfAnotherThatNothingIsKnownOf() {
+    void responsesOfOneEndpointAdjustTheLimitOfAnotherWithoutResponses() {
         List<Endpoint> fast = start(1, "a", "b");
         for (int i = 0; i < 7; i++) {
             modules.begin(fast.get(0), NOW);
@@ -95,7 +97,7 @@
 
     /** 20 ms idle allows 1.8 * 20 = 36 ms; 100 ms idle is far away and allows 130 ms. */
     @Test
-    void capacityIsTheTargetLatencyOverThePaceAndAQueueTakesPartOfIt() {
+    void capacityIsTheTargetLatencyOverTheTimePerRequestAndAQueueUsesPartOfIt() {
         List<Endpoint> endpoints = start(1, "near", "far");
         Endpoint near = endpoints.get(0);
         modules.respond(near, 13, 20 * MS, NOW);
@@ -109,9 +111,12 @@
         assertTrue(limiter.isOpen(near, 3.1, NOW));
     }
 
-    /** Else all nodes would pour it on the few that look free. Each endpoint's limit is 1 here. */
+    /**
+     * Otherwise, all nodes would send the freed load to the same few endpoints. Each endpoint's
+     * limit is 1 here.
+     */
     @Test
-    void capacityOfEjectedEndpointsIsNotLentAndANodeWithLessThanOnePauses() {
+    void capacityOfEjectedEndpointsIsNotGivenToOthersAndANodeWithATotalBelowOnePauses() {
         List<Endpoint> endpoints = start(4, "a", "b", "c", "d");
         modules.begin(endpoints.get(0), NOW);
         modules.begin(endpoints.get(1), NOW);
@@ -120,7 +125,7 @@
         modules.fail(endpoints.get(3), 3, NOW);
         limiter.updateTotal(NOW);
         assertFalse(limiter.isOpen(endpoints.get(2), 1, NOW));
-        modules.fail(endpoints.get(1), 3, NOW); // most fail: ejection is suspended
+        modules.fail(endpoints.get(1), 3, NOW); // most endpoints fail, so ejection is suspended
         limiter.updateTotal(NOW);
         assertTrue(limiter.isOpen(endpoints.get(2), 1, NOW));
 
@@ -130,10 +135,15 @@
         other.limiter.attemptEnded(alone, NOW);
         assertFalse(other.limiter.isOpen(alone, 1, NOW + 63 * MS));
         assertTrue(other.limiter.isOpen(alone, 1, NOW + 97 * MS));
-        alone.update(entry("a", EndpointState.DRAINING, 0)); // no endpoint is no reason to pause
+        alone.update(
+                entry(
+                        "a",
+                        EndpointState.DRAINING,
+                        0)); // without a ready endpoint, there is no pause
         other.limiter.attemptEnded(alone, NOW + 200 * MS);
         assertTrue(other.limiter.isOpen(alone, 1, NOW + 200 * MS));
-        // Just started, it counts for a tenth of 1/2: at the floor of 1/16, 15 * 80 ms of pause.
+        // In slow start, the endpoint counts for a tenth of 1/2. At the minimum of 1/16, the pause
+        // is 15 * 80 ms.
         alone.update(entry("a", EndpointState.READY, NOW + 200 * MS));
         other.limiter.attemptEnded(alone, NOW + 200 * MS);
         assertFalse(other.limiter.isOpen(alone, 1, NOW + 1100 * MS));
--- a/decisions/src/test/java/trailthread/DiscoveryOutageSimulation.java
+++ b/decisions/src/test/java/trailthread/DiscoveryOutageSimulation.java
@@ -7,8 +7,8 @@
 import trailthread.api.ListKind;
 
 /**
- * Discovery after an outage, and nodes that poll it, in virtual time. It serves one poll after
- * another; a poll that waits for too long fails.
+ * Simulates discovery after an outage, and nodes that poll it, in virtual time. Discovery serves
+ * one poll after another, and a poll that waits for too long fails.
  */
 final class DiscoveryOutageSimulation {
     static final int TICK_MS = 10;
@@ -16,7 +16,7 @@
     /** Time from the start of a process to its first event. */
     private static final int START_UP_MS = 1_400;
 
-    /** The simulation ends so long after the outage, also if a node has no list by then. */
+    /** The simulation ends this long after the outage, even if a node has no list by then. */
     private static final int LIMIT_MS = 120_000;
 
     /** Starts a node again. */
@@ -30,10 +30,11 @@
     }
 
     /**
-     * An outage from the beginning on; polls fail at once, and time out towards its end.
+     * An outage from the beginning of the simulation. Polls fail at once, and time out towards the
+     * end of the outage.
      *
-     * @param downMs how long it lasts
-     * @param hangsMs how long before its end polls start to time out
+     * @param downMs how long the outage lasts
+     * @param hangsMs how long before the end of the outage polls start to time out
      */
     record Outage(int downMs, int hangsMs) {}
 
@@ -41,10 +42,10 @@
     private static final class Node {
         ScriptedBalancer balancer;
 
-        /** 0: it has not received the list. */
+        /** When the node received the list; 0: it has not. */
         int receivedAtMs;
 
-        /** 0: it has no poll. */
+        /** When the poll of the node ends; 0: it has none. */
         int pollEndsAtMs;
 
         boolean pollFails;
@@ -59,18 +60,19 @@
     private final boolean servesTimedOutPolls;
     private final Outage outage;
     private final List<Node> nodes = new ArrayList<>();
-    private int killed;
+    private int killedCount;
     private int killedAtMs;
     private Starter starter;
 
-    /** When it will have served all polls so far. */
+    /** When discovery will have served all polls received so far. */
     private double servedByMs;
 
     /**
-     * Makes a discovery that is down.
+     * Creates a discovery that is down.
      *
      * @param serveMs how long it takes to serve one poll
-     * @param servesTimedOutPolls whether it spends that time on polls that have timed out, too
+     * @param servesTimedOutPolls whether discovery spends that time on polls that have timed out,
+     *     too
      */
     DiscoveryOutageSimulation(
             double serveMs, long pollTimeoutMs, boolean servesTimedOutPolls, Outage outage) {
@@ -82,28 +84,29 @@
     }
 
     /**
-     * Kills the first nodes at a time after the outage, and starts them again.
+     * Schedules the kill and restart of the first nodes at a time after the outage.
      *
      * @param afterMs when, in milliseconds from the end of the outage
      */
     void kill(int first, int afterMs, Starter next) {
-        killed = first;
+        killedCount = first;
         killedAtMs = outage.downMs + afterMs;
         starter = next;
     }
 
     /**
      * When each node receives the list, in milliseconds from the end of the outage, sorted; {@link
-     * Integer#MAX_VALUE}: it does not.
+     * Integer#MAX_VALUE}: the node does not receive it.
      */
     int[] receivedAfterMs(List<ScriptedBalancer> balancers) {
         balancers.forEach(balancer -> nodes.add(new Node(balancer)));
         for (int at = 0; isAnyWithoutList() && at < outage.downMs + LIMIT_MS; at += TICK_MS) {
             for (int i = 0; i < nodes.size(); i++) {
-                if (i < killed) {
+                if (i < killedCount) {
                     restart(i, at);
                 }
-                boolean isUp = i >= killed || at < killedAtMs || at >= killedAtMs + START_UP_MS;
+                boolean isUp =
+                        i >= killedCount || at < killedAtMs || at >= killedAtMs + START_UP_MS;
                 if (isUp && nodes.get(i).receivedAtMs == 0) {
                     advance(nodes.get(i), at);
                 }
@@ -147,7 +150,7 @@
         }
     }
 
-    /** Takes in a node's poll; returns how long it lasts, in milliseconds. */
+    /** Handles a node's poll; returns how long the poll lasts, in milliseconds. */
     private double poll(Node node, int at) {
         if (at < outage.downMs) {
             node.pollFails = true;
--- a/decisions/src/test/java/trailthread/EndpointChoiceTest.java
+++ b/decisions/src/test/java/trailthread/EndpointChoiceTest.java
@@ -23,8 +23,8 @@
     private static final long MS = ScriptedBalancer.MS;
 
     /**
-     * Serves one request after another, each in {@code latencies} by endpoint, and counts the
-     * sends.
+     * Serves one request after another, each with the latency of its endpoint, and counts the sends
+     * by endpoint.
      */
     static Map<String, Integer> serve(
             ScriptedBalancer s, int requests, long aLatency, long bLatency) {
@@ -84,8 +84,9 @@
             s.end(first, Outcome.OK, ScriptedBalancer.queue(0));
             s.end(second, Outcome.OK, ScriptedBalancer.queue(0));
         }
-        // one outstanding against none: tickets 1/2 against 1, so two in three go to the other
-        assertTrue(other > 400 * 0.58, "to the other: " + other);
+        // one attempt in flight against none: tickets 1/2 against 1, so two in three go to the
+        // other endpoint
+        assertTrue(other > 400 * 0.58, "to the other endpoint: " + other);
     }
 
     @Test
@@ -93,12 +94,12 @@
         ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         Map<String, Integer> counts = serve(s, 600, 15 * MS, 90 * MS);
-        assertTrue(counts.get("b") < 60, "to the slow one: " + counts);
+        assertTrue(counts.get("b") < 60, "to the slow endpoint: " + counts);
     }
 
     /**
-     * Prevents an endpoint that was draining while the others became slightly faster from never
-     * being drawn again.
+     * Prevents the lottery from never drawing an endpoint again that was draining while the others
+     * became slightly faster.
      */
     @Test
     void latencyDifferencesBelowTheResolutionExcludeNoEndpoint() {
@@ -110,7 +111,8 @@
         s.delta(ScriptedBalancer.ready("b"));
         s.pass(10_000 * MS);
         Map<String, Integer> counts = serve(s, 2000, MS / 15, MS / 15);
-        assertTrue(counts.getOrDefault("b", 0) > 500, "to the one that was away: " + counts);
+        assertTrue(
+                counts.getOrDefault("b", 0) > 500, "to the endpoint that was draining: " + counts);
     }
 
     @Test
@@ -194,9 +196,9 @@
         ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints("a", "b", "c");
         s.pass(5000 * MS);
-        String asked = s.transcript.toString();
+        String transcript = s.transcript.toString();
         for (String name : List.of("a", "b", "c")) {
-            assertTrue(asked.contains("probe " + name), asked);
+            assertTrue(transcript.contains("probe " + name), transcript);
         }
         settings.mayCheckHealth = false;
         ScriptedBalancer withoutPermission = new ScriptedBalancer(settings, 5);
@@ -260,7 +262,7 @@
                 s.end(id, Outcome.OK);
             }
         }
-        assertTrue(sent >= 1 && sent <= 5, "of 10 requests on end, sent at once: " + sent);
+        assertTrue(sent >= 1 && sent <= 5, "of 10 requests in a row, sent at once: " + sent);
     }
 
     @Test
@@ -302,11 +304,11 @@
         assertEquals(1, s.watches);
         s.balancer.list(s.now, ListKind.FAILED, List.of());
         s.pass(settings.pollIntervalNs / 2);
-        assertTrue(s.watches >= 2, "asked " + s.watches);
+        assertTrue(s.watches >= 2, "polls: " + s.watches);
         s.balancer.list(s.now, ListKind.DELTA, List.of());
-        int asked = s.watches;
+        int polls = s.watches;
         s.pass(10 * settings.pollIntervalNs);
-        assertEquals(asked, s.watches, "a watch that stands is left alone");
+        assertEquals(polls, s.watches, "no poll while there is a watch");
     }
 
     @Test
--- a/decisions/src/test/java/trailthread/EndpointDirectoryTest.java
+++ b/decisions/src/test/java/trailthread/EndpointDirectoryTest.java
@@ -15,7 +15,7 @@
 import trailthread.api.ListKind;
 import trailthread.api.LoadReportSource;
 
-/** What a list event brings about: subset, limits, polls and log lines. */
+/** The effects of a list event on the subset, the limits, polls and log lines. */
 final class EndpointDirectoryTest {
     private final ModuleFixture modules = new ModuleFixture();
     private final EndpointDirectory directory =
@@ -62,7 +62,7 @@
                 NOW);
         assertEquals(
                 List.of(directory.get("e1"), directory.get("new")), modules.subset.endpoints());
-        // Four attempts of all nodes together, and this node is the only one.
+        // The initial limits of all nodes add up to four, and this node is the only one.
         assertEquals(4, modules.limiter.capacity(directory.get("new"), 1));
         modules.begin(directory.get("e1"), NOW);
         assertTrue(modules.limiter.isOpen(directory.get("new"), 4, NOW));
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void subsetIsChosenAnewOnlyOnceDue() {
+    void subsetIsSelectedAgainOnlyOnceDue() {
         modules.settings.nodes = 1000;
         modules.settings.connectionPrice = 0.6;
         list(100);
--- a/decisions/src/test/java/trailthread/EndpointListTest.java
+++ b/decisions/src/test/java/trailthread/EndpointListTest.java
@@ -14,7 +14,7 @@
 import trailthread.api.EndpointState;
 import trailthread.api.ListKind;
 
-/** How list events change what is listed. */
+/** How list events change the endpoint list. */
 final class EndpointListTest {
     private final EndpointList list = new EndpointList(new ModuleFixture().slowStart);
 
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void completeListRemovesWhatItLeavesOutAndDeltaDoesNot() {
+    void completeListRemovesMissingEndpointsAndDeltaDoesNot() {
         update(ListKind.FULL, "a", "b", "c");
         Endpoint kept = list.get("a");
         update(ListKind.FULL, "c", "a");
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void restartedEndpointKeepsItsPlaceButNothingThatWasKnownOfIt() {
+    void restartedEndpointKeepsItsPlaceButNotItsStatistics() {
         update(ListKind.FULL, "a", "b");
         Endpoint before = list.get("a");
         before.latency.record(50 * MS, 0, 200 * MS, 300e9, NOW);
--- a/decisions/src/test/java/trailthread/FairShareTest.java
+++ b/decisions/src/test/java/trailthread/FairShareTest.java
@@ -11,7 +11,7 @@
 import trailthread.api.Settings;
 import trailthread.api.Tenant;
 
-/** Which class and tenant is the worst-served, across changes of the settings. */
+/** Which class and tenant is the worst served, also after changes of the settings. */
 class FairShareTest {
     private final Settings settings = ScriptedBalancer.settings();
     private final FairShare fairShare = new FairShare();
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aRetuneKeepsTheCountsOfWhatStaysTheSame() {
+    void aRetuneKeepsTheCountsOfUnchangedClassesAndTenants() {
         RequestClassStats safe = fairShare.requestClass("safe");
         TenantStats acme = fairShare.tenant("acme");
         TenantStats zenith = fairShare.tenant("zenith");
--- a/decisions/src/test/java/trailthread/FaultHandlingTest.java
+++ b/decisions/src/test/java/trailthread/FaultHandlingTest.java
@@ -15,7 +15,7 @@
 import trailthread.api.Settings;
 import trailthread.api.Tenant;
 
-/** Faults and overload: one test for each protection that no other test covers. */
+/** Faults and overload: one test for each protection that no other test class covers. */
 final class FaultHandlingTest {
     private static String endpointOf(ScriptedBalancer s, long id) {
         return s.sendsOf(id).get(0).endpoint();
@@ -43,7 +43,7 @@
     @Test
     void theNewestQueuedRequestGoesFirst() {
         Settings settings = ScriptedBalancer.settings();
-        settings.nodes = 4; // this node begins with one at a time
+        settings.nodes = 4; // the initial limit of this node is one attempt
         ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints();
         long oldest = s.request("safe");
@@ -68,8 +68,8 @@
         s.pass(50 * MS);
         s.balancer.request(s.now, 1002, "safe", 0, s.now + 1000 * MS, "t", false, 0);
         s.delta(ScriptedBalancer.ready("a"));
-        assertEquals(1, s.sendsOf(1001).size(), "within");
-        assertEquals(0, s.sendsOf(1002).size(), "past it");
+        assertEquals(1, s.sendsOf(1001).size(), "within the quota");
+        assertEquals(0, s.sendsOf(1002).size(), "over the quota");
     }
 
     @Test
@@ -78,9 +78,9 @@
         s.endpoints("a", "b", "c");
         for (int i = 0; i < 100; i++) {
             long id = s.request("unsafe");
-            boolean bad = endpointOf(s, id).equals("a");
-            s.pass(bad ? MS : 20 * MS);
-            s.end(id, bad ? Outcome.ERROR : Outcome.OK);
+            boolean fails = endpointOf(s, id).equals("a");
+            s.pass(fails ? MS : 20 * MS);
+            s.end(id, fails ? Outcome.ERROR : Outcome.OK);
         }
         s.delta(new EndpointEntry("a", 1, EndpointState.READY, "here", s.now - 60_000 * MS, 0));
         int toA = 0;
@@ -121,7 +121,7 @@
             s.pass(20 * MS);
             s.end(id, a && toA % 2 == 0 ? Outcome.ERROR : Outcome.OK);
         }
-        assertTrue(toA > 20 && toA < 140, "of 400 to the erring one: " + toA);
+        assertTrue(toA > 20 && toA < 140, "of 400 to the endpoint that fails sometimes: " + toA);
     }
 
     @Test
@@ -139,7 +139,7 @@
             s.pass(10 * MS);
             inFlight.addAll(s.sends.subList(before, s.sends.size()));
             for (ScriptedBalancer.Send x : List.copyOf(inFlight)) {
-                if (x.at() + 44 * MS <= s.now) { // 2.2 idle latencies, whatever this node does
+                if (x.at() + 44 * MS <= s.now) { // 2.2 idle latencies, whatever this node sends
                     int sent = s.sends.size();
                     s.balancer.outcome(s.now, x.id(), x.attempt(), Outcome.OK, 44 * MS, true, null);
                     inFlight.remove(x);
@@ -160,7 +160,7 @@
         serve(s, 100, 20 * MS);
         s.delta(new EndpointEntry("a", 1, EndpointState.READY, "here", s.now - 30_000 * MS, 0));
         int toA = serve(s, 300, 20 * MS);
-        assertTrue(toA > 10 && toA < 90, "of 300 to the one in slow start: " + toA);
+        assertTrue(toA > 10 && toA < 90, "of 300 to the endpoint in slow start: " + toA);
     }
 
     @Test
@@ -193,7 +193,7 @@
                 s.end(id, Outcome.OK);
             }
         }
-        assertTrue(toA <= 3, "unsafe sends to the failing one: " + toA);
+        assertTrue(toA <= 3, "unsafe sends to the failing endpoint: " + toA);
         s.pass(20_000 * MS);
         boolean tried = false;
         for (int i = 0; i < 50 && !tried; i++) {
@@ -230,7 +230,7 @@
             }
             s.pass(MS);
         }
-        assertTrue(sends < 20, "sends to a full backend in 100 ms: " + sends);
+        assertTrue(sends < 20, "sends to a full endpoint in 100 ms: " + sends);
     }
 
     @Test
@@ -250,7 +250,7 @@
     }
 
     @Test
-    void aJammedEndpointRestsAndIsTriedAgain() {
+    void aCongestedEndpointIsEjectedAndTriedAgain() {
         ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         EndpointChoiceTest.serve(s, 300, 20 * MS, 20 * MS);
@@ -264,7 +264,8 @@
         EndpointChoiceTest.serve(s, 100, 150 * MS, 20 * MS);
         int during = (int) s.sends.stream().filter(x -> x.endpoint().equals("a")).count() - before;
         assertTrue(
-                during <= 3, "sends to a jammed one in " + (s.now - from) / MS + " ms: " + during);
+                during <= 3,
+                "sends to a congested endpoint in " + (s.now - from) / MS + " ms: " + during);
         s.pass(20_000 * MS);
         Map<String, Integer> after = EndpointChoiceTest.serve(s, 400, 20 * MS, 20 * MS);
         assertTrue(after.getOrDefault("a", 0) > 50, "after it recovered: " + after);
--- a/decisions/src/test/java/trailthread/HashMixerTest.java
+++ b/decisions/src/test/java/trailthread/HashMixerTest.java
@@ -23,7 +23,7 @@
 
     /** The least value is that of a mixed 0; its logarithm must be finite. */
     @Test
-    void unitIsUniformAndNeverNoughtOrOne() {
+    void unitIsUniformAndNeverZeroOrOne() {
         assertTrue(HashMixer.unit(0) > 0);
         double sum = 0;
         for (int i = 0; i < 10_000; i++) {
--- a/decisions/src/test/java/trailthread/HealthCheckerTest.java
+++ b/decisions/src/test/java/trailthread/HealthCheckerTest.java
@@ -15,7 +15,7 @@
 import trailthread.api.ListKind;
 import trailthread.api.LoadReportSource;
 
-/** The turns of health checks: who is checked, and how often. */
+/** Which endpoints are checked in turn, and how often. */
 final class HealthCheckerTest {
     private final ModuleFixture modules = new ModuleFixture();
     private final EndpointList list = new EndpointList(modules.slowStart);
@@ -29,7 +29,7 @@
                     modules.random);
 
     @BeforeEach
-    void wantChecks() {
+    void configureChecks() {
         modules.settings.mayCheckHealth = true;
         modules.settings.reports = LoadReportSource.HEALTH_CHECKS;
     }
--- a/decisions/src/test/java/trailthread/InFlightTrackerTest.java
+++ b/decisions/src/test/java/trailthread/InFlightTrackerTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.api.Test;
 import trailthread.api.Outcome;
 
-/** The usual latency is 20 ms: silent attempts are lost after 50 ms, overtaken ones after 100. */
+/**
+ * The usual latency is 20 ms: an attempt is presumed lost after 50 ms, or after 100 ms if it was
+ * overtaken.
+ */
 final class InFlightTrackerTest {
     private final ModuleFixture modules = new ModuleFixture();
     private final InFlightTracker inFlight = modules.inFlight;
@@ -28,7 +31,7 @@
     }
 
     @Test
-    void silentAttemptIsLostAfterATimeThatDoublesForEachBeforeIt() {
+    void attemptIsPresumedLostAfterATimeThatDoublesForEachOneBeforeIt() {
         long now = NOW;
         int lost = 0;
         for (long multiple : new long[] {1, 2, 4, 8, 16, 32, 32}) {
@@ -46,7 +49,7 @@
     }
 
     @Test
-    void overtakenAttemptHasMoreTimeAndLeavesNoDoubt() {
+    void overtakenAttemptHasMoreTimeAndIsNotCountedAsPresumedLost() {
         modules.begin(endpoint, NOW);
         Attempt later = modules.begin(endpoint, NOW + MS);
         later.outcome = Outcome.OK;
@@ -57,7 +60,7 @@
     }
 
     @Test
-    void attemptThatEndsAfterItSeemedLostIsNotTakenOffTwice() {
+    void attemptThatEndsAfterItWasPresumedLostIsSubtractedOnce() {
         endpoint.load.record(ScriptedBalancer.queue(0), NOW);
         Attempt lost = modules.begin(endpoint, NOW);
         Attempt streaming = modules.begin(endpoint, NOW + 49 * MS);
@@ -71,7 +74,7 @@
     }
 
     @Test
-    void nothingIsLostWhileNoLatencyIsKnown() {
+    void noAttemptIsPresumedLostWhileNoLatencyIsKnown() {
         InFlightTracker fresh = new InFlightTracker(modules.active, new WorkloadMeans(200 * MS));
         fresh.begin(modules.request(0), endpoint, NOW);
         fresh.releaseLost(NOW + 1000 * SECOND);
--- a/decisions/src/test/java/trailthread/KeyAffinityTest.java
+++ b/decisions/src/test/java/trailthread/KeyAffinityTest.java
@@ -78,7 +78,10 @@
         assertEquals(0.75, toLarge / 4_000.0, 0.0274); // four standard deviations
     }
 
-    /** Of n requests all n: (1 - 1 / sqrt(n)) * 6 / 1.5, rounded up, is 4 from n = 101 to 140. */
+    /**
+     * If all n requests are for one key, (1 - 1 / sqrt(n)) * 6 / 1.5, rounded up, is 4 from n = 101
+     * to 140.
+     */
     @Test
     void aPopularKeyCountsAsSeveralAndARareOneAsItself() {
         for (int i = 0; i < 100; i++) {
--- a/decisions/src/test/java/trailthread/KeyHomeTest.java
+++ b/decisions/src/test/java/trailthread/KeyHomeTest.java
@@ -38,10 +38,13 @@
         EndpointChoiceTest.serve(s, 300, 20 * MS, 20 * MS);
         Map<String, Integer> counts = endpointsOfOneKey(s, 1);
         int most = counts.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
-        assertTrue(counts.size() >= 3 && most < 120, "half of the traffic in: " + counts);
+        assertTrue(counts.size() >= 3 && most < 120, "endpoints of half of the traffic: " + counts);
     }
 
-    /** How often each endpoint gets one key, for 200 requests amid so many others for each. */
+    /**
+     * How often each endpoint gets one key, for 200 requests of that key, each followed by {@code
+     * others} requests of other keys.
+     */
     private static Map<String, Integer> endpointsOfOneKey(ScriptedBalancer s, int others) {
         Map<String, Integer> counts = new TreeMap<>();
         for (int i = 0; i < 200 * (1 + others); i++) {
--- a/decisions/src/test/java/trailthread/LatencyStatsTest.java
+++ b/decisions/src/test/java/trailthread/LatencyStatsTest.java
@@ -8,7 +8,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** With a mean objective of 200 ms, the memory is 5 * 200 ms = 1 s. */
+/** With a mean objective of 200 ms, the decay time is 5 * 200 ms = 1 s. */
 final class LatencyStatsTest {
     private final LatencyStats stats = new LatencyStats();
 
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void responseAfterAGapOutweighsWhatIsStale() {
+    void responseAfterALongGapOutweighsOlderOnes() {
         record(100 * MS, NOW);
         record(10_000 * MS, NOW + SECOND);
         double weight = 1 - 1 / Math.E;
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void idleLatencyIsUnknownAtFirstAndNotTheLeastOfANoisyMean() {
+    void idleLatencyIsUnknownAtFirstAndNotTheMinimumOfANoisyMean() {
         for (int i = 0; i < 12; i++) {
             record((i % 2 == 0 ? 10 : 40) * MS, NOW);
         }
@@ -45,9 +45,12 @@
         assertEquals(20 * MS, stats.idleNs(), 2 * MS);
     }
 
-    /** In 60 s of a drift of its own value in 300 s, the idle latency grows by e^0.2 at most. */
+    /**
+     * The idle latency drifts up by its own value in 300 s, so in 60 s it grows by a factor of at
+     * most e^0.2.
+     */
     @Test
-    void overloadMovesTheIdleLatencyOnlyByItsDrift() {
+    void overloadRaisesTheIdleLatencyOnlyByItsDrift() {
         long now = NOW;
         for (int i = 0; i < 13; i++) {
             record(20 * MS, now);
@@ -60,9 +63,12 @@
         assertEquals(20 * MS * Math.exp(0.2), stats.idleNs(), 0.1 * MS);
     }
 
-    /** A slow mean one doubling above that of all counts for a third after one response. */
+    /**
+     * An endpoint twice as slow as all together counts with a third of that, in logarithms, after
+     * one response.
+     */
     @Test
-    void relativeSlownessIsTrustedAsResponsesCome() {
+    void relativeSlownessCountsMoreWithMoreResponses() {
         LatencyStats all = new LatencyStats();
         all.record(100 * MS, 0, 200 * MS, 300 * SECOND, NOW);
         record(200 * MS, NOW);
--- a/decisions/src/test/java/trailthread/ListLeaseTest.java
+++ b/decisions/src/test/java/trailthread/ListLeaseTest.java
@@ -77,7 +77,7 @@
     }
 
     @Test
-    public void anotherAgentCountsAsHeardFourSecondsAfterTheSwitch() {
+    public void changesByAnotherAgentCountAsNotifiedFourSecondsAfterTheSwitch() {
         lease.retune(GRACE_NS, true);
         lease.confirmed(NOW);
         lease.recordSourceSwitch(NOW + 10_000 * MS);
--- a/decisions/src/test/java/trailthread/ListPollScheduleTest.java
+++ b/decisions/src/test/java/trailthread/ListPollScheduleTest.java
@@ -27,8 +27,8 @@
         assertTrue(delay >= leastSeconds && delay <= mostSeconds, "" + delay);
     }
 
-    /** Polls, and hears after so long that it was in vain. */
-    private void pollInVain(long waitedNs) {
+    /** Polls, and lets the poll fail after a wait that counts as queued. */
+    private void failQueuedPoll(long waitedNs) {
         schedule.timerDue(modules.lastTimerId(), NOW);
         schedule.failed(NOW + waitedNs);
     }
@@ -53,12 +53,12 @@
     }
 
     @Test
-    void pollsThatFailAtOnceAreRepeatedAtAFixedPace() {
+    void pollsThatFailAtOnceAreRepeatedAtFixedIntervals() {
         for (int i = 0; i < 20; i++) {
             schedule.failed(NOW);
             assertDelay(0.8 * 4, 1.2 * 4);
         }
-        pollInVain(2 * SECOND); // the first in vain: no backoff yet
+        failQueuedPoll(2 * SECOND); // the first queued poll that fails: no backoff yet
         assertDelay(0.8 * 2, 1.2 * 2);
         modules.settings.nodes = 1;
         schedule.failed(NOW);
@@ -69,10 +69,11 @@
     }
 
     /**
-     * The first at the fixed pace, 4 s from poll to poll; then 2 s, doubled up to two intervals.
+     * The first poll after a fixed interval of 4 s from poll to poll; then after 2 s, doubled up to
+     * two poll intervals.
      */
     @Test
-    void pollsInVainBackOffExponentially() {
+    void queuedPollsThatFailBackOffExponentially() {
         double[] meanSeconds = {4 - 2, 2, 4, 8, 16, 20, 20};
         double[] sums = new double[meanSeconds.length];
         int seeds = 400;
@@ -80,7 +81,7 @@
             schedule = schedule(seed);
             schedule.received(ListKind.CACHED);
             for (int i = 0; i < sums.length; i++) {
-                pollInVain(2 * SECOND);
+                failQueuedPoll(2 * SECOND);
                 sums[i] += modules.lastDelayNs() / 1e9;
             }
         }
@@ -92,20 +93,20 @@
 
     /** Watches break for all nodes at once: the next polls are spread evenly over 4 s. */
     @Test
-    void brokenWatchIsFollowedByASpreadPollAndTheListHasEndedTheBackoff() {
+    void pollsAfterABrokenWatchAreSpreadAndStartWithoutBackoff() {
         double afterWatch = 0;
         double afterPoll = 0;
         int seeds = 400;
         for (int seed = 0; seed < seeds; seed++) {
             schedule = schedule(seed);
             schedule.received(ListKind.CACHED);
-            pollInVain(2 * SECOND);
-            pollInVain(2 * SECOND);
+            failQueuedPoll(2 * SECOND);
+            failQueuedPoll(2 * SECOND);
             schedule.received(ListKind.FULL);
             schedule.failed(NOW);
             assertDelay(0, 1.2 * 4);
             afterWatch += modules.lastDelayNs() / 1e9 / seeds;
-            pollInVain(2 * SECOND);
+            failQueuedPoll(2 * SECOND);
             afterPoll += modules.lastDelayNs() / 1e9 / seeds;
         }
         // 3 percent standard error of the mean
@@ -114,7 +115,7 @@
     }
 
     @Test
-    void pollWithoutAnAnswerIsRepeatedAndAnOldTimerDoesNothing() {
+    void pollWithoutAResponseIsRepeatedAndAnOldTimerDoesNothing() {
         schedule.received(ListKind.CACHED);
         long first = modules.lastTimerId();
         schedule.timerDue(first, NOW);
--- a/decisions/src/test/java/trailthread/ListPollTest.java
+++ b/decisions/src/test/java/trailthread/ListPollTest.java
@@ -12,8 +12,8 @@
 import trailthread.api.Settings;
 
 /**
- * Polls of the endpoint list that fail at all nodes at once, in virtual time: discovery serves them
- * one after another, also those that have timed out while they waited.
+ * Polls of the endpoint list that fail at all nodes at the same time, in virtual time. Discovery
+ * serves polls one after another, in some cases also those that timed out while they waited.
  */
 public class ListPollTest {
     private static final int POLL_INTERVAL_S = 10;
@@ -77,8 +77,8 @@
     }
 
     /**
-     * Prevents a fleet from polling in step, so that the polls of each wave time out behind those
-     * of the one before.
+     * Prevents all nodes from polling at the same times, so that the polls of each wave time out
+     * behind those of the wave before.
      */
     @Test
     public void pollsAfterABrokenWatchAreSpreadAndBackOff() {
@@ -139,8 +139,8 @@
     }
 
     /**
-     * Most of a fleet is killed and starts again at once. Prevents all from polling in the same
-     * moment, so that most polls time out while discovery serves the first.
+     * Most nodes are killed and start again at the same time. Prevents them from polling at the
+     * same moment, so that most polls time out while discovery serves the first.
      */
     @Test
     public void nodesThatStartTogetherReceiveTheListInTime() {
@@ -154,8 +154,8 @@
     }
 
     /**
-     * Discovery returns, and soon after that most nodes are killed. Prevents the polls of those
-     * that start again from timing out behind the ones before.
+     * Discovery returns, and soon after that most nodes are killed and restarted. Prevents the
+     * polls of restarted nodes from timing out behind earlier polls.
      */
     @Test
     public void nodesKilledAfterAnOutageReceiveTheListInTime() {
@@ -220,7 +220,10 @@
         assertTrue(s.watches + " polls in a minute", s.watches > 10 && s.watches < 180);
     }
 
-    /** Discovery needs longer for all polls than the list is due in; no node waits for ever. */
+    /**
+     * Discovery takes longer to serve all polls than the time in which the list is due; still,
+     * every node receives the list in the end.
+     */
     @Test
     public void aFleetLargerThanDiscoveryCanServeReceivesTheListInTheEnd() {
         for (int downMs : new int[] {0, 8_000}) {
--- a/decisions/src/test/java/trailthread/ListWithoutLeaseTest.java
+++ b/decisions/src/test/java/trailthread/ListWithoutLeaseTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    public void requestsWaitForAQuarterOfTheirTimeAndAreRejected() {
+    public void requestsWaitForAQuarterOfTheTimeToTheirDeadlineAndAreRejected() {
         script.balancer.listLeaseUntil(script.now, Long.MIN_VALUE);
         long id = script.request("unsafe");
         script.pass(249 * MS); // of 1,000
--- a/decisions/src/test/java/trailthread/LoadEstimatorTest.java
+++ b/decisions/src/test/java/trailthread/LoadEstimatorTest.java
@@ -28,16 +28,17 @@
         return estimator.latencyNs(endpoint, now) / MS;
     }
 
-    private double paceMs(Endpoint endpoint, long now) {
+    private double timePerRequestMs(Endpoint endpoint, long now) {
         return estimator.timePerRequestNs(endpoint, now) / MS;
     }
 
     /**
-     * In doublings of 100 ms: all endpoints are at 0 + 0.1 * 2 = 0.2, and b's only response, 2, is
-     * 1 above the slow mean of the two; a third of that counts. So (2 + 2 * (0.2 + 1/3)) / 3.
+     * As doublings of 100 ms: the latency of all endpoints is 0 + 0.1 * 2 = 0.2, and b's only
+     * response, 2, is 1 above the slow average of both responses, of which a third counts. So b is
+     * at (2 + 2 * (0.2 + 1/3)) / 3.
      */
     @Test
-    void fewResponsesOfItsOwnAreWeighedAgainstThoseOfAll() {
+    void fewResponsesOfAnEndpointAreWeighedAgainstThoseOfAllEndpoints() {
         assertEquals(0, latencyMs(a, NOW));
         modules.respond(a, 1, 100 * MS, NOW);
         assertEquals(100, latencyMs(b, NOW), 1e-6);
@@ -48,38 +49,42 @@
 
     /** Weights of own, all and report: 2, 2 and 5 * 2 / (2 + 2) = 2.5; 4^(2.5 / 6.5) = 1.704. */
     @Test
-    void freshReportOfServiceTimeCountsAndAnOldOneDoesNot() {
+    void newReportOfServiceTimeCountsAndAnOldOneDoesNot() {
         modules.respond(a, 2, 100 * MS, NOW);
         a.load.record(serviceTime(400), NOW);
         assertEquals(170.4, latencyMs(a, NOW), 0.1);
         assertEquals(100, latencyMs(a, NOW + 20 * SECOND), 0.1);
-        // Responses that take 100 ms less than reported show that the report overstates by that.
+        // Responses that take 100 ms less than the reported service time show that the report is
+        // 100 ms too high.
         estimator.recordQueueingDelay(a, 300 * MS, NOW);
         assertEquals(100 * Math.pow(3, 2.5 / 6.5), latencyMs(a, NOW), 0.1);
     }
 
     @Test
-    void overdueResponseStretchesThePaceAndDepthDividesIt() {
+    void overdueResponseRaisesTheTimePerRequestAndAttemptsInFlightDivideIt() {
         estimator.record(new Attempt(a, NOW, 3), 100 * MS, NOW);
         modules.begin(a, NOW);
-        assertEquals(25, paceMs(a, NOW), 1e-6);
-        assertEquals(200, paceMs(a, NOW + 600 * MS), 1e-6);
+        assertEquals(25, timePerRequestMs(a, NOW), 1e-6);
+        assertEquals(200, timePerRequestMs(a, NOW + 600 * MS), 1e-6);
     }
 
-    /** It would be drawn no more, and look slow for ever. */
+    /** Otherwise the endpoint would not be drawn again, and would count as slow for ever. */
     @Test
-    void endpointWithoutAttemptsIsForgottenToBeSlow() {
+    void latencyOfASlowEndpointWithoutAttemptsDecaysToIdle() {
         modules.respond(a, 50, 20 * MS, NOW);
         modules.respond(a, 30, 500 * MS, NOW);
         modules.inFlight.end(modules.begin(a, NOW), NOW);
         assertTrue(latencyMs(a, NOW) > 400, "" + latencyMs(a, NOW));
-        assertEquals(latencyMs(a, NOW), paceMs(a, NOW + 500 * MS), 0.1); // half a deadline
-        assertEquals(20, paceMs(a, NOW + 10 * SECOND), 1);
+        assertEquals(
+                latencyMs(a, NOW), timePerRequestMs(a, NOW + 500 * MS), 0.1); // half a deadline
+        assertEquals(20, timePerRequestMs(a, NOW + 10 * SECOND), 1);
     }
 
-    /** A queue of 3 is smoothed to 1.5, so one more request waits for 2.5 places. */
+    /**
+     * A queue of 3 is smoothed to 1.5, so one more request takes 2.5 times the time per request.
+     */
     @Test
-    void predictionIsThePlaceInTheQueueTimesThePaceAndThePriceOfAnotherZone() {
+    void predictionIsTheRequestsTimesTheTimePerRequestAndTheCrossZonePrice() {
         a.load.record(ScriptedBalancer.queue(3), NOW);
         assertEquals(25 * MS, estimator.predictedNs(a, 10 * MS), 1);
         modules.settings.crossZonePrice = 0.05;
--- a/decisions/src/test/java/trailthread/LostResponseTest.java
+++ b/decisions/src/test/java/trailthread/LostResponseTest.java
@@ -8,7 +8,7 @@
 import org.junit.Test;
 import trailthread.api.Outcome;
 
-/** What a time-out and a lost response show of an endpoint. */
+/** How a time-out and a lost response change the treatment of an endpoint. */
 public class LostResponseTest {
     private final ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 7);
 
@@ -20,7 +20,7 @@
         }
     }
 
-    private boolean isResting() {
+    private boolean isCongestionLogged() {
         return s.log.stream().anyMatch(line -> line.startsWith("resting"));
     }
 
@@ -30,39 +30,46 @@
         s.end(id, Outcome.TIMEOUT);
     }
 
-    /** Prevents a network that loses responses from closing all endpoints, one after the other. */
+    /**
+     * Prevents a network that loses responses from getting all endpoints ejected, one after the
+     * other.
+     */
     @Test
-    public void oneLostResponseDoesNotShowAJam() {
+    public void oneLostResponseIsNotTakenForCongestion() {
         s.endpoints("a", "b", "c", "d");
         serve(200);
         timeOut();
-        assertTrue(s.log.toString(), !isResting());
+        assertTrue(s.log.toString(), !isCongestionLogged());
     }
 
-    /** A jammed endpoint gives no other sign, so time-outs after the first must count. */
+    /**
+     * A congested endpoint that no longer responds shows it only by time-outs, so those after the
+     * first must count.
+     */
     @Test
-    public void timeoutsInARowShowAJam() {
+    public void timeoutsInARowAreTakenForCongestion() {
         s.endpoints("a", "b", "c", "d");
         serve(200);
-        for (int i = 0; i < 12 && !isResting(); i++) {
+        for (int i = 0; i < 12 && !isCongestionLogged(); i++) {
             timeOut();
         }
-        assertTrue(s.log.toString(), isResting());
+        assertTrue(s.log.toString(), isCongestionLogged());
     }
 
-    /** Prevents one lost response from closing its endpoint until the client gives up. */
+    /** Prevents one lost response from blocking its endpoint until the client gives up. */
     @Test
     public void anEndpointThatDoesNotRespondGetsAnIdempotentTrial() {
         s.endpoints("a");
         serve(200);
         s.request("unsafe");
         s.pass(70 * MS);
-        assertEquals("an unsafe one waits for the trial", 0, s.sendsOf(s.request("unsafe")).size());
+        assertEquals(
+                "an unsafe request waits for the trial", 0, s.sendsOf(s.request("unsafe")).size());
         long trial = s.request("safe");
         assertEquals(1, s.sendsOf(trial).size());
         s.pass(20 * MS);
         s.end(trial, Outcome.OK);
-        assertEquals("the one that waited is sent", 1, s.sendsOf(trial - 1).size());
+        assertEquals("the request that waited is sent", 1, s.sendsOf(trial - 1).size());
         assertEquals(1, s.sendsOf(s.request("unsafe")).size());
     }
 
--- a/decisions/src/test/java/trailthread/LotteryTest.java
+++ b/decisions/src/test/java/trailthread/LotteryTest.java
@@ -12,7 +12,7 @@
 /** Shares of 10,000 draws: 0.02 is four standard deviations. */
 class LotteryTest {
     private static final int DRAWS = 10_000;
-    private static final double CHANCE = 0.02;
+    private static final double TOLERANCE = 0.02;
     private final WiredModules modules = new WiredModules();
     private final Endpoint a = WiredModules.endpoint("a", 0);
     private final Endpoint b = WiredModules.endpoint("b", 0);
@@ -43,8 +43,8 @@
     @Test
     void ticketsAreInverseToThePredictedTimeUpToTwiceTheBest() {
         modules.use(1, a, b);
-        assertEquals(0.4, shareOfSecond(b, 20 * MS, 30 * MS), CHANCE);
-        assertEquals(1 / 3.0, shareOfSecond(b, 20 * MS, 40 * MS), CHANCE);
+        assertEquals(0.4, shareOfSecond(b, 20 * MS, 30 * MS), TOLERANCE);
+        assertEquals(1 / 3.0, shareOfSecond(b, 20 * MS, 40 * MS), TOLERANCE);
         assertEquals(0, shareOfSecond(b, 20 * MS, 41 * MS));
     }
 
@@ -52,7 +52,7 @@
     @Test
     void timesBelowTheLatencyResolutionExcludeNoEndpoint() {
         modules.use(1, a, b);
-        assertEquals(1 / 8.0, shareOfSecond(b, MS, 7 * MS), CHANCE);
+        assertEquals(1 / 8.0, shareOfSecond(b, MS, 7 * MS), TOLERANCE);
     }
 
     @Test
@@ -63,7 +63,7 @@
         }
         double rate = 0.59049; // 0.9 to the power of 5
         double expected = rate * rate / (1 + rate * rate);
-        assertEquals(expected, shareOfSecond(b, 20 * MS, 20 * MS), CHANCE);
+        assertEquals(expected, shareOfSecond(b, 20 * MS, 20 * MS), TOLERANCE);
     }
 
     /** Half-way through slow start from 0.1 on, the capacity is 0.55. */
@@ -74,7 +74,7 @@
                 WiredModules.endpoint(
                         new EndpointEntry("b", 1, EndpointState.READY, "here", readyAt, 0));
         modules.use(1, a, starting);
-        assertEquals(0.55 / 1.55, shareOfSecond(starting, 20 * MS, 20 * MS), CHANCE);
+        assertEquals(0.55 / 1.55, shareOfSecond(starting, 20 * MS, 20 * MS), TOLERANCE);
     }
 
     /** Limits start at 4 / 8 nodes; a rejection leaves 0.7 of that. */
@@ -82,7 +82,7 @@
     void ticketsAreInProportionToACapacityUnderOneRequest() {
         modules.use(8, a, b);
         modules.limiter.recordRejection(b);
-        assertEquals(0.35 / 0.85, shareOfSecond(b, 20 * MS, 20 * MS), CHANCE);
+        assertEquals(0.35 / 0.85, shareOfSecond(b, 20 * MS, 20 * MS), TOLERANCE);
     }
 
     @Test
--- a/decisions/src/test/java/trailthread/ManyNodesTest.java
+++ b/decisions/src/test/java/trailthread/ManyNodesTest.java
@@ -19,7 +19,7 @@
 import trailthread.api.Settings;
 import trailthread.api.WeightMeaning;
 
-/** What many nodes, each with few requests, do together without communicating. */
+/** The combined behaviour of many nodes that each have few requests and do not communicate. */
 class ManyNodesTest {
     private static final long MS = ScriptedBalancer.MS;
     private static final int NODES = 200;
@@ -43,7 +43,7 @@
         return entries;
     }
 
-    /** The endpoints that a node uses for so many requests, one after another. */
+    /** The endpoints that a node uses for a number of requests, one after another. */
     private static Set<String> used(ScriptedBalancer s, int requests) {
         Set<String> used = new HashSet<>();
         for (int i = 0; i < requests; i++) {
@@ -67,10 +67,10 @@
             assertTrue(used.size() >= 2 && used.size() <= 6, "node " + me + " uses " + used.size());
             used.forEach(b -> users.merge(b, 1, Integer::sum));
         }
-        assertEquals(40, users.size(), "every backend has users");
+        assertEquals(40, users.size(), "every endpoint has users");
         int most = users.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
         int least = users.values().stream().mapToInt(Integer::intValue).min().orElseThrow();
-        assertTrue(most <= 2 * least, "users of a backend: " + least + " to " + most);
+        assertTrue(most <= 2 * least, "users of an endpoint: " + least + " to " + most);
     }
 
     @Test
@@ -82,7 +82,7 @@
 
     @Test
     void aNewEndpointChangesTheSubsetOfFewNodes() {
-        int moved = 0;
+        int added = 0;
         for (int me = 0; me < NODES; me++) {
             ScriptedBalancer s = new ScriptedBalancer(settings(me, 0.05), me);
             s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
@@ -90,9 +90,9 @@
             s.balancer.list(s.now, ListKind.FULL, entries(0, 41));
             Set<String> after = used(s, 80);
             after.removeAll(before);
-            moved += after.size();
+            added += after.size();
         }
-        assertTrue(moved <= NODES, "backends new to " + NODES + " nodes: " + moved);
+        assertTrue(added <= NODES, "endpoints new to " + NODES + " nodes: " + added);
     }
 
     @Test
@@ -112,10 +112,13 @@
                 }
             }
         }
-        assertTrue(others.size() >= 2, "others found: " + others);
+        assertTrue(others.size() >= 2, "endpoints added: " + others);
     }
 
-    /** Responses of some endpoints show an overload long before each has responded to this node. */
+    /**
+     * Responses of some endpoints show an overload long before every endpoint has responded to this
+     * node.
+     */
     @Test
     void slowResponsesOfSomeEndpointsCutAllInFlight() {
         assertTrue(
@@ -126,7 +129,8 @@
     }
 
     /**
-     * Limits of endpoints without responses are cut too, so one quick response opens few of them.
+     * The limits of endpoints without responses are cut, too, so one fast response opens only a few
+     * of them.
      */
     @Test
     void overloadOfOtherEndpointsIsNotForgottenAtOnce() {
@@ -137,7 +141,7 @@
             serve(s, 12, s == calm ? 20 * MS : 400 * MS);
             serve(s, 12, 20 * MS);
         }
-        assertTrue(burst(after) < burst(calm), "sent at once after a crowd, and without");
+        assertTrue(burst(after) < burst(calm), "sent at once after an overload, and without one");
     }
 
     private static void serve(ScriptedBalancer s, int requests, long latency) {
@@ -179,10 +183,13 @@
                         0)); // all nodes receive this at the same time
         serve(s, 300, 20 * MS);
         long big = s.sends.stream().filter(x -> x.endpoint().equals("big")).count();
-        assertTrue(big > 180 && big < 240, "of 300 to one twice as large: " + big);
+        assertTrue(big > 180 && big < 240, "of 300 to the endpoint of twice the size: " + big);
     }
 
-    /** How many of thirty simultaneous requests are sent, after forty that took this long. */
+    /**
+     * How many of thirty simultaneous requests are sent at once, after forty requests with this
+     * latency and outcome.
+     */
     private static int burstAfter(long latency, Outcome outcome) {
         ScriptedBalancer s = new ScriptedBalancer(settings(3, 0), 3);
         s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
@@ -257,7 +264,7 @@
             assertEquals(honoursRetryAfter, s.lastRetryAfterNs > 0);
             assertTrue(
                     s.lastRetryAfterNs <= 500 * MS,
-                    "at most what they heed: " + s.lastRetryAfterNs);
+                    "at most what clients honour: " + s.lastRetryAfterNs);
         }
     }
 
--- a/decisions/src/test/java/trailthread/ModuleFixture.java
+++ b/decisions/src/test/java/trailthread/ModuleFixture.java
@@ -46,7 +46,7 @@
                         active, means, estimator, inFlight, slowStart, outliers, subset, random);
     }
 
-    /** An endpoint that has been ready for long. */
+    /** An endpoint that started long ago. */
     static Endpoint endpoint(String name) {
         return startedAt(name, 0);
     }
@@ -61,7 +61,7 @@
         return new EndpointEntry(name, 1, state, "here", startedAtNs, 0);
     }
 
-    /** Makes endpoints the subset, each shared with so many nodes. */
+    /** Makes new endpoints the subset, each shared by {@code sharingNodes} nodes. */
     List<Endpoint> shared(double sharingNodes, String... names) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (String name : names) {
@@ -71,21 +71,21 @@
         return endpoints;
     }
 
-    /** A request of the class of this index. */
+    /** A request of the class with this index in the settings. */
     Request request(int requestClass) {
         RequestClassStats stats =
                 new RequestClassStats(settings.classes.get(requestClass), SECOND, NOW);
         return new Request(1, stats, null, 0, 0, NOW, NOW + SECOND, 100);
     }
 
-    /** Begins an attempt of an idempotent request of its own. */
+    /** Begins an attempt of a new idempotent request. */
     Attempt begin(Endpoint endpoint, long now) {
         Request request = request(0);
         inFlight.begin(request, endpoint, now);
         return request.lastAttempt();
     }
 
-    /** Records responses that each took so long, and were alone at the endpoint. */
+    /** Records responses of this latency to attempts that were sent with none in flight. */
     void respond(Endpoint endpoint, int responses, double latencyNs, long now) {
         for (int i = 0; i < responses; i++) {
             estimator.record(new Attempt(endpoint, now, 0), latencyNs, now);
--- a/decisions/src/test/java/trailthread/OperatorLogTest.java
+++ b/decisions/src/test/java/trailthread/OperatorLogTest.java
@@ -9,7 +9,7 @@
 import trailthread.api.ListKind;
 import trailthread.api.Outcome;
 
-/** The log lines for operators that on-call.md names, at a limited rate. */
+/** The log lines for operators that on-call.md names, and their limited rate. */
 final class OperatorLogTest {
     private static long lines(ScriptedBalancer s, String start) {
         return s.log.stream().filter(line -> line.startsWith(start)).count();
@@ -33,9 +33,9 @@
         s.endpoints("a", "b", "c");
         for (int i = 0; i < 100; i++) {
             long id = s.request("unsafe");
-            boolean bad = s.sendsOf(id).get(0).endpoint().equals("a");
-            s.pass(bad ? MS : 20 * MS);
-            s.end(id, bad ? Outcome.ERROR : Outcome.OK);
+            boolean fails = s.sendsOf(id).get(0).endpoint().equals("a");
+            s.pass(fails ? MS : 20 * MS);
+            s.end(id, fails ? Outcome.ERROR : Outcome.OK);
         }
         assertEquals(1, lines(s, "ejected a after failures in a row: 3"), s.log.toString());
     }
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aJammedEndpointIsLogged() {
+    void aCongestedEndpointIsLogged() {
         ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         for (int i = 0; i < 500; i++) {
--- a/decisions/src/test/java/trailthread/OutlierDetectorTest.java
+++ b/decisions/src/test/java/trailthread/OutlierDetectorTest.java
@@ -20,7 +20,7 @@
     private final Request idempotent = modules.request(0);
     private final Request unsafe = modules.request(2);
 
-    private void assertClosedFor(long ns, long now) {
+    private void assertEjectedFor(long ns, long now) {
         assertFalse(outliers.permits(endpoint, idempotent, now + (long) (0.79 * ns)));
         assertTrue(outliers.permits(endpoint, idempotent, now + (long) (1.21 * ns)));
     }
@@ -32,11 +32,11 @@
         modules.fail(endpoint, 2, NOW);
         assertTrue(outliers.permits(endpoint, unsafe, NOW));
         modules.fail(endpoint, 1, NOW);
-        assertClosedFor(200 * MS, NOW);
+        assertEjectedFor(200 * MS, NOW);
         modules.fail(endpoint, 1, NOW);
-        assertClosedFor(400 * MS, NOW);
+        assertEjectedFor(400 * MS, NOW);
         modules.fail(endpoint, 10, NOW);
-        assertClosedFor(32 * 200 * MS, NOW);
+        assertEjectedFor(32 * 200 * MS, NOW);
     }
 
     @Test
@@ -60,19 +60,19 @@
         assertTrue(outliers.permits(endpoint, idempotent, NOW + 50 * MS));
     }
 
-    /** Idle, it takes 20 ms, so it is jammed from 50 ms on. */
+    /** The idle latency is 20 ms, so the endpoint is congested above 50 ms. */
     @Test
-    void jammedEndpointRestsLongerForEachSlowTrialAndNotOnceItIsFast() {
+    void congestedEndpointIsEjectedLongerForEachSlowTrialAndNotOnceItIsFast() {
         modules.respond(endpoint, 50, 20 * MS, NOW);
         modules.respond(endpoint, 60, 45 * MS, NOW);
         assertFalse(outliers.ejectIfCongested(endpoint, NOW));
         modules.respond(endpoint, 60, 60 * MS, NOW);
         long now = NOW;
-        for (long restNs : new long[] {1500 * MS, 3000 * MS, 6000 * MS, 6000 * MS}) {
+        for (long ejectedNs : new long[] {1500 * MS, 3000 * MS, 6000 * MS, 6000 * MS}) {
             assertTrue(outliers.ejectIfCongested(endpoint, now));
-            assertFalse(outliers.ejectIfCongested(endpoint, now)); // it rests already
-            assertClosedFor(restNs, now);
-            now += 2 * restNs;
+            assertFalse(outliers.ejectIfCongested(endpoint, now)); // already ejected
+            assertEjectedFor(ejectedNs, now);
+            now += 2 * ejectedNs;
             modules.respond(endpoint, 1, 400 * MS, now);
         }
         modules.respond(endpoint, 40, 20 * MS, now);
@@ -87,7 +87,8 @@
         assertFalse(outliers.logIfEjectionSuspended(NOW));
         assertEquals(2, outliers.countAvoided(endpoints, NOW));
         assertEquals(0, outliers.countAvoided(endpoints, NOW + 241 * MS));
-        // A third that is jammed may not rest, as more than half would be avoided.
+        // A third endpoint, which is congested, is not ejected, as more than half would be ejected
+        // then.
         modules.respond(endpoints.get(2), 50, 20 * MS, NOW);
         modules.respond(endpoints.get(2), 30, 400 * MS, NOW);
         assertFalse(outliers.ejectIfCongested(endpoints.get(2), NOW));
--- a/decisions/src/test/java/trailthread/PriorityPolicyTest.java
+++ b/decisions/src/test/java/trailthread/PriorityPolicyTest.java
@@ -9,7 +9,7 @@
 import trailthread.api.Settings;
 import trailthread.api.Tenant;
 
-/** Objectives are 200 ms; a late answer earns 0.2 of the weight of 1. */
+/** Objectives are 200 ms; a late response earns 0.2 of the weight of 1. */
 class PriorityPolicyTest {
     private final Settings settings = ScriptedBalancer.settings();
     private final WiredModules modules = new WiredModules(settings);
@@ -51,7 +51,8 @@
     @Test
     void aRequestOverItsQuotaLosesItsWeightAndIsNoDemandOfItsTenant() {
         settings.overQuotaWeight = 0.25;
-        settings.tenants.add(new Tenant("acme", 1, 1)); // one in the overload window of a second
+        settings.tenants.add(
+                new Tenant("acme", 1, 1)); // one request in the overload window of a second
         assertEquals(1, arrive("safe", "acme", 0).weight);
         Request over = arrive("safe", "acme", 0);
         assertEquals(0.25, over.weight);
@@ -59,7 +60,10 @@
         assertEquals(1, over.tenant.requested.value(NOW), 1e-9);
     }
 
-    /** Four requests, of which one is of the worst-served class: 1 / 4, and 0.5 / 1 for that. */
+    /**
+     * Of four requests, one is of the worst-served class: the gain is 1 / 4, plus 0.5 / 1 for that
+     * class.
+     */
     @Test
     void theWorstServedClassAddsMoreToTheGoal() {
         settings.goalWorstClass = 0.5;
--- a/decisions/src/test/java/trailthread/QueueingTest.java
+++ b/decisions/src/test/java/trailthread/QueueingTest.java
@@ -13,8 +13,8 @@
 import trailthread.api.Settings;
 
 /**
- * Queued requests are answered as soon as they can no longer be sent usefully, not at their
- * deadline.
+ * A queued request gets its final answer as soon as sending it can no longer earn weight, not at
+ * its deadline.
  */
 public class QueueingTest {
     private final ScriptedBalancer s;
@@ -54,7 +54,7 @@
         s.endpoints();
         long id = s.request("unsafe");
         s.pass(199 * MS);
-        assertTrue("it may yet earn", s.refused.isEmpty());
+        assertTrue("a response may still earn weight", s.refused.isEmpty());
         s.pass(MS);
         assertEquals(List.of(id), s.refused);
         assertTrue(s.lastRetryAfterNs > 0);
@@ -89,12 +89,14 @@
         s.endpoints();
         s.end(id, Outcome.ERROR);
         s.pass(199 * MS);
-        assertTrue("a backend of its cell may yet come", s.failed.isEmpty());
+        assertTrue("an endpoint of its cell may still come", s.failed.isEmpty());
         s.pass(MS);
         assertEquals("it may have run, so it is not refused", List.of(id), s.failed);
     }
 
-    /** Idle latencies of 95 ms exceed the target of 0.4 objectives (80 ms) without any overload. */
+    /**
+     * An idle latency of 95 ms exceeds the target of 0.4 objectives (80 ms) without any overload.
+     */
     @Test
     public void requestsToDistantEndpointsAreNotQueued() {
         ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 7);
--- a/decisions/src/test/java/trailthread/RandomSourceTest.java
+++ b/decisions/src/test/java/trailthread/RandomSourceTest.java
@@ -8,10 +8,10 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** The one source of chance: repeatable from its seed, and apart at every node. */
+/** Random numbers are reproducible from their seed, and differ between seeds. */
 class RandomSourceTest {
     @Test
-    void aSeedGivesTheSameNumbersAndAnotherGivesOthers() {
+    void equalSeedsGiveEqualNumbersAndOtherSeedsOthers() {
         RandomSource first = new RandomSource(7);
         RandomSource same = new RandomSource(7);
         RandomSource other = new RandomSource(8);
--- a/decisions/src/test/java/trailthread/RandomizedRulesTest.java
+++ b/decisions/src/test/java/trailthread/RandomizedRulesTest.java
@@ -21,7 +21,10 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/** Random legal events; the rules are checked from outside after each step. */
+/**
+ * Sends random legal events to a balancer, and checks its actions against the rules after each
+ * event.
+ */
 class RandomizedRulesTest {
     private static final long MS = ScriptedBalancer.MS;
     private static final Outcome[] OUTCOMES = {
--- a/decisions/src/test/java/trailthread/RateLimitedLogTest.java
+++ b/decisions/src/test/java/trailthread/RateLimitedLogTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import trailthread.RateLimitedLog.Kind;
 
-/** One line of a kind in a longest deadline, here a second. */
+/** One line of each kind per longest deadline, here a second. */
 class RateLimitedLogTest {
     private final WiredModules modules = new WiredModules();
     private final RateLimitedLog log = new RateLimitedLog(modules.actions, modules.settings, NOW);
--- a/decisions/src/test/java/trailthread/ReportedLoadTest.java
+++ b/decisions/src/test/java/trailthread/ReportedLoadTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import trailthread.api.LoadReport;
 
-/** A fresh report weighs as much as the smoothed ones before it, which begin at 0. */
+/** A new report weighs as much as the smoothed earlier ones, which start at 0. */
 final class ReportedLoadTest {
     private final ReportedLoad load = new ReportedLoad();
 
@@ -21,7 +21,7 @@
         }
     }
 
-    /** Without it, all nodes send to the endpoint that was idle at the last report. */
+    /** Otherwise, all nodes would send to the endpoint that was idle at the last report. */
     @Test
     void attemptsSentSinceTheReportAreAdded() {
         report(Double.NaN, 0, Double.NaN);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void repeatedReportIsNotTakenForAFresherOne() {
+    void repeatedReportIsNotTakenForANewOne() {
         report(Double.NaN, 4, Double.NaN);
         send(1);
         report(Double.NaN, 4, Double.NaN);
@@ -46,19 +46,19 @@
     }
 
     @Test
-    void valuesThatAreAbsentOrMakeNoSenseAreSkipped() {
+    void absentOrInvalidValuesAreIgnored() {
         report(Double.NaN, 4, 30);
         send(1);
         double infinite = Double.POSITIVE_INFINITY;
-        for (double bad : new double[] {Double.NaN, -1, infinite}) {
-            report(bad, bad, bad);
+        for (double invalid : new double[] {Double.NaN, -1, infinite}) {
+            report(invalid, invalid, invalid);
         }
         assertEquals(3, load.requests(1));
         assertEquals(30e6, load.serviceTimeNs());
     }
 
     @Test
-    void requestsInHandIncludeThisNodesAndGiveWayToAQueue() {
+    void requestsInHandIncludeThisNodesAttemptsAndAreReplacedByAReportedQueue() {
         report(10, Double.NaN, Double.NaN);
         assertEquals(5, load.requests(2));
         assertEquals(7, load.requests(7));
--- a/decisions/src/test/java/trailthread/RequestQueueTest.java
+++ b/decisions/src/test/java/trailthread/RequestQueueTest.java
@@ -16,7 +16,7 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/** In which order queued requests are sent, and which leave the queue unsent. */
+/** The order in which queued requests are sent, and which are removed unsent. */
 class RequestQueueTest {
     private final WiredModules modules = new WiredModules(settings());
     private final FairShare fairShare = new FairShare();
@@ -26,7 +26,7 @@
     private final List<Request> sent = new ArrayList<>();
     private final Set<Request> blocked = new HashSet<>();
     private final Set<Request> late = new HashSet<>();
-    private int most = Integer.MAX_VALUE;
+    private int maxSends = Integer.MAX_VALUE;
     private final RequestQueue queue =
             new RequestQueue(
                     modules.settings,
@@ -40,7 +40,7 @@
         fairShare.retune(modules.settings, NOW);
     }
 
-    /** With a class of ten times the priority weight of the others. */
+    /** Adds a class with ten times the priority weight of the others. */
     private static Settings settings() {
         Settings settings = ScriptedBalancer.settings();
         settings.classes.add(
@@ -59,7 +59,7 @@
 
     private boolean send(Request request, long now) {
         tried.add(request);
-        return !blocked.contains(request) && sent.size() < most && sent.add(request);
+        return !blocked.contains(request) && sent.size() < maxSends && sent.add(request);
     }
 
     private Request add(String requestClass, Outcome firstAttempt) {
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void theLaneThatAddsMostGoesFirstAndInALaneTheNewest() {
+    void theLaneThatAddsMostIsServedFirstAndItsNewestRequestFirst() {
         Request oldHeavy = add("heavy", null);
         Request newHeavy = add("heavy", null);
         Request oldSafe = add("safe", null);
@@ -84,7 +84,10 @@
         assertTrue(queue.isEmpty());
     }
 
-    /** A retry may be bound to endpoints that are closed; a first attempt is not. */
+    /**
+     * All endpoints that share a deduplication window with a retry may be closed while others are
+     * open to first attempts.
+     */
     @Test
     void aRetryThatNoEndpointIsOpenToDoesNotBlockFirstAttempts() {
         Request retry = add("heavy", Outcome.ERROR);
@@ -99,7 +102,7 @@
     void theReleaseEndsAtAnIdempotentFirstAttemptThatNoEndpointIsOpenTo() {
         add("safe", null);
         Request heavy = add("heavy", null);
-        most = 0;
+        maxSends = 0;
         queue.release(NOW);
         assertEquals(List.of(heavy), tried);
         assertEquals(2, queue.size());
@@ -116,18 +119,18 @@
         assertTrue(queue.isEmpty());
     }
 
-    /** A twentieth of the objective of 200 ms, by up to a fifth shorter or longer. */
+    /** The delay is a twentieth of the objective of 200 ms, up to a fifth shorter or longer. */
     @Test
-    void oneTimerAtATimeReleasesWhatIsQueued() {
+    void oneTimerAtATimeReleasesQueuedRequests() {
         add("safe", null);
         add("safe", null);
         List<ScriptedBalancer.Timer> timers = modules.actions.timers;
         assertEquals(1, timers.size());
         long delayNs = timers.get(0).at() - modules.actions.now;
         assertTrue(delayNs >= 8 * MS && delayNs <= 12 * MS, "delay " + delayNs);
-        most = 1;
+        maxSends = 1;
         queue.timerDue(NOW + delayNs);
         assertEquals(1, sent.size());
-        assertEquals(2, timers.size(), "a timer for the one that is left");
+        assertEquals(2, timers.size(), "a timer for the remaining request");
     }
 }
--- a/decisions/src/test/java/trailthread/RequestTest.java
+++ b/decisions/src/test/java/trailthread/RequestTest.java
@@ -19,7 +19,7 @@
     private final WiredModules modules = new WiredModules(settings());
     private final Endpoint a = WiredModules.endpoint("a", 1);
 
-    /** With a class whose objective grows by twice the work. */
+    /** Adds a class whose objective grows by twice the work. */
     private static Settings settings() {
         Settings settings = ScriptedBalancer.settings();
         settings.classes.add(
--- a/decisions/src/test/java/trailthread/RetryBudgetTest.java
+++ b/decisions/src/test/java/trailthread/RetryBudgetTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A fifth of a retry earned by each request, at most twenty saved up. */
+/** Each request earns a fifth of a retry; at most twenty retries are saved up. */
 class RetryBudgetTest {
     private final RetryBudget budget = new RetryBudget();
 
@@ -40,7 +40,7 @@
 
     /** If all requests fail, retries add a fifth to the load, not twice or three times. */
     @Test
-    void retriesOfRequestsThatAllFailAreAFifthOfThem() {
+    void retriesOfRequestsThatAllFailAddAFifthToTheLoad() {
         int retries = 0;
         for (int i = 0; i < 1_000; i++) {
             budget.deposit();
--- a/decisions/src/test/java/trailthread/RetryPolicyTest.java
+++ b/decisions/src/test/java/trailthread/RetryPolicyTest.java
@@ -18,7 +18,7 @@
     private final WiredModules modules = new WiredModules(settings());
     private final Endpoint a = WiredModules.endpoint("a", 0);
 
-    /** With a class of a deduplication window of 400 ms that all endpoints share. */
+    /** Adds a class whose deduplication window of 400 ms is shared by all endpoints. */
     private static Settings settings() {
         Settings settings = ScriptedBalancer.settings();
         settings.connectTimeoutNs = 100 * MS;
@@ -36,27 +36,27 @@
         return settings;
     }
 
-    private Request after(String requestClass, Outcome outcome) {
+    private Request requestAfter(String requestClass, Outcome outcome) {
         Request request = modules.request(requestClass);
         modules.attempt(request, a, outcome, NOW);
         return request;
     }
 
     @Test
-    void whatMayHaveRunIsRetriedOnlyIfThatIsHarmless() {
-        assertTrue(modules.retries.permitsAttempt(after("safe", Outcome.RESET), NOW));
-        assertTrue(modules.retries.permitsAttempt(after("unsafe", Outcome.REJECTED), NOW));
-        assertFalse(modules.retries.permitsAttempt(after("unsafe", Outcome.RESET), NOW));
-        Request keyed = after("shared", Outcome.RESET);
-        long lastConnect = NOW + 300 * MS; // the window without the connect time-out
+    void aRequestThatMayHaveRunIsRetriedOnlyIfThatIsHarmless() {
+        assertTrue(modules.retries.permitsAttempt(requestAfter("safe", Outcome.RESET), NOW));
+        assertTrue(modules.retries.permitsAttempt(requestAfter("unsafe", Outcome.REJECTED), NOW));
+        assertFalse(modules.retries.permitsAttempt(requestAfter("unsafe", Outcome.RESET), NOW));
+        Request keyed = requestAfter("shared", Outcome.RESET);
+        long lastConnect = NOW + 300 * MS; // the window less the connect time-out
         assertTrue(modules.retries.permitsAttempt(keyed, lastConnect - 1));
         assertFalse(modules.retries.permitsAttempt(keyed, lastConnect));
         assertEquals(NOW + 400 * MS, modules.retries.writeDeadline(keyed));
     }
 
     @Test
-    void attemptsEndAtTheirNumberAndAtTheDeadline() {
-        Request request = after("safe", Outcome.REJECTED);
+    void attemptsAreLimitedInNumberAndByTheDeadline() {
+        Request request = requestAfter("safe", Outcome.REJECTED);
         modules.attempt(request, a, Outcome.REJECTED, NOW);
         assertTrue(modules.retries.permitsAttempt(request, NOW + 1000 * MS - 1));
         assertFalse(modules.retries.permitsAttempt(request, NOW + 1000 * MS));
@@ -65,16 +65,16 @@
     }
 
     @Test
-    void onlyRetriesOfWhatMayHaveRunArePaidFromTheBudget() {
+    void onlyRetriesOfRequestsThatMayHaveRunArePaidFromTheBudget() {
         for (int i = 0; i < 20; i++) {
-            assertTrue(modules.retries.acquireRetry(after("safe", Outcome.REJECTED), NOW));
-            assertTrue(modules.retries.acquireRetry(after("safe", Outcome.ERROR), NOW));
+            assertTrue(modules.retries.acquireRetry(requestAfter("safe", Outcome.REJECTED), NOW));
+            assertTrue(modules.retries.acquireRetry(requestAfter("safe", Outcome.ERROR), NOW));
         }
-        assertFalse(modules.retries.acquireRetry(after("safe", Outcome.ERROR), NOW));
-        assertTrue(modules.retries.acquireRetry(after("safe", Outcome.REJECTED), NOW));
+        assertFalse(modules.retries.acquireRetry(requestAfter("safe", Outcome.ERROR), NOW));
+        assertTrue(modules.retries.acquireRetry(requestAfter("safe", Outcome.REJECTED), NOW));
     }
 
-    /** Five latencies of 20 ms, if two more are left after that; else a retry would be in vain. */
+    /** The time-out is five latencies of 20 ms, if two more are left for a retry. */
     @Test
     void anIdempotentAttemptTimesOutInTimeForARetry() {
         modules.means.recordLatency(20 * MS);
@@ -90,11 +90,11 @@
 
     /** After a refusal the client may send the request again, to any endpoint. */
     @Test
-    void whatMayHaveRunIsRefusedOnlyIfClientsMaySendItAgain() {
-        assertTrue(RetryPolicy.mayRefuse(after("safe", Outcome.ERROR)));
-        assertTrue(RetryPolicy.mayRefuse(after("shared", Outcome.ERROR)));
-        assertFalse(RetryPolicy.mayRefuse(after("keyed", Outcome.ERROR)));
-        assertFalse(RetryPolicy.mayRefuse(after("unsafe", Outcome.ERROR)));
-        assertTrue(RetryPolicy.mayRefuse(after("unsafe", Outcome.CONNECT_FAILED)));
+    void aRequestThatMayHaveRunIsRefusedOnlyIfItsClientMaySendItAgain() {
+        assertTrue(RetryPolicy.mayRefuse(requestAfter("safe", Outcome.ERROR)));
+        assertTrue(RetryPolicy.mayRefuse(requestAfter("shared", Outcome.ERROR)));
+        assertFalse(RetryPolicy.mayRefuse(requestAfter("keyed", Outcome.ERROR)));
+        assertFalse(RetryPolicy.mayRefuse(requestAfter("unsafe", Outcome.ERROR)));
+        assertTrue(RetryPolicy.mayRefuse(requestAfter("unsafe", Outcome.CONNECT_FAILED)));
     }
 }
--- a/decisions/src/test/java/trailthread/RetryTest.java
+++ b/decisions/src/test/java/trailthread/RetryTest.java
@@ -12,8 +12,8 @@
 import trailthread.api.Settings;
 
 /**
- * What follows the end of an attempt, by outcome and class: a retry and until when it may be
- * written, a rejection, or a failure.
+ * What follows the end of an attempt, by outcome and class: a retry with its write deadline, a
+ * rejection, or a failure.
  */
 public class RetryTest {
     private static final long MS = ScriptedBalancer.MS;
@@ -80,7 +80,7 @@
         return s.sendsOf(id).size() > 1 ? "retried" : s.refused.contains(id) ? "refused" : "failed";
     }
 
-    /** Prevents a retry from being written after the window, though it was decided within it. */
+    /** Prevents a retry that was decided within the window from being written after its end. */
     @Test
     public void aRetryIsWrittenWithinTheDeduplicationWindowOfTheFirstThatMayHaveRun() {
         for (String name : CLASSES) {
--- a/decisions/src/test/java/trailthread/ScriptedBalancer.java
+++ b/decisions/src/test/java/trailthread/ScriptedBalancer.java
@@ -22,7 +22,7 @@
      *
      * @param at when, by the clock of the events
      * @param attempt its number in the request, from 0 on
-     * @param writeDeadline until when it may be written
+     * @param writeDeadline until when the request may be written
      */
     record Send(long id, String endpoint, long at, int attempt, long writeDeadline) {}
 
--- a/decisions/src/test/java/trailthread/SlowStartBudgetTest.java
+++ b/decisions/src/test/java/trailthread/SlowStartBudgetTest.java
@@ -13,7 +13,7 @@
 import trailthread.api.Settings;
 
 /**
- * What endpoints in slow start are sent: no more than they can serve, and all of that while the
+ * Endpoints in slow start are sent no more than they can serve, and close to that much while the
  * lottery draws them.
  */
 public class SlowStartBudgetTest {
--- a/decisions/src/test/java/trailthread/SlowStartFleetTest.java
+++ b/decisions/src/test/java/trailthread/SlowStartFleetTest.java
@@ -19,8 +19,9 @@
 import trailthread.api.Settings;
 
 /**
- * Half of the endpoints restart during a burst, and nodes do not communicate: checks, in virtual
- * time, what all nodes together send to one of these against the capacity that the settings give.
+ * Half of the endpoints restart while the load rises, and nodes do not communicate. Checks, in
+ * virtual time, that all nodes together send each restarted endpoint no more than its capacity in
+ * slow start.
  */
 public class SlowStartFleetTest {
     private static final int ENDPOINTS = 24;
@@ -34,7 +35,7 @@
     private static final long OVERLOAD_WINDOW_MS = 3_000;
     private static final double OVERLOAD_MULTIPLE = 1;
 
-    /** Requests as a share of what all endpoints can serve when warm, before and after. */
+    /** Load before and after the restart, as a share of what all endpoints can serve when warm. */
     private static final double LOAD_BEFORE = 0.5;
 
     private static final double LOAD_AFTER = 0.8;
@@ -107,7 +108,8 @@
     }
 
     /**
-     * The bound is the capacity plus chance: two standard deviations of a Poisson count, and two.
+     * The bound is the capacity, plus two standard deviations of a Poisson count, plus two
+     * requests.
      */
     @Test
     public void noStartingEndpointIsOverloadedByAllNodesTogether() {
--- a/decisions/src/test/java/trailthread/SlowStartTest.java
+++ b/decisions/src/test/java/trailthread/SlowStartTest.java
@@ -28,7 +28,7 @@
         assertEquals(0.55, modules.slowStart.capacityShare(starting, NOW + 15 * SECOND), 1e-9);
         assertEquals(1, modules.slowStart.capacityShare(starting, NOW + 30 * SECOND));
         assertEquals(1, modules.slowStart.capacityShare(warm, NOW));
-        // Clocks differ: the endpoint may seem to start in the future.
+        // As clocks differ, the endpoint may seem to start in the future.
         assertEquals(0.1, modules.slowStart.capacityShare(starting, NOW - SECOND));
     }
 
@@ -42,19 +42,20 @@
         assertFalse(permits(NOW + 1599 * MS));
         assertTrue(modules.slowStart.permits(warm, NOW + 1599 * MS));
         assertTrue(permits(NOW + 1601 * MS));
-        // However long it waits, the bucket holds one token for the one starting endpoint.
+        // However long it fills, the bucket holds one token for the one starting endpoint.
         assertTrue(permits(NOW + 10 * SECOND));
         modules.slowStart.takeToken(starting, NOW + 10 * SECOND);
         assertFalse(permits(NOW + 10 * SECOND));
     }
 
     /**
-     * 110 responses in 1 s from a capacity of 1.1: 100 a second from a warm endpoint, 10 from one
-     * with a tenth of it, of which half is used, twice over. A count that decays by e^-0.1 in 100
-     * ms, and a share that grows by 3 percent, make 0.93 tokens of that; 20 ms later, 1.1.
+     * 110 responses in 1 s from a capacity of 1.1: 100 a second from a warm endpoint and 10 from
+     * one with a tenth of its capacity. Of these 10, half is used, multiplied by the overload
+     * multiple of 2. In 100 ms, that makes 0.93 tokens, as the count of responses decays by e^-0.1
+     * and the capacity share grows by 3 percent; 20 ms later, 1.1 tokens.
      */
     @Test
-    void busyNodeSendsHalfOfTheSpareCapacityInProportionToTheShare() {
+    void busyNodeSendsStartingEndpointsHalfOfTheirEstimatedCapacity() {
         modules.subset.replace(List.of(warm, starting), 100);
         assertTrue(permits(NOW));
         modules.slowStart.takeToken(starting, NOW);
@@ -67,14 +68,14 @@
 
     /** After a hundred objectives, 100 of 1000 nodes may have sent one request (sd 9.5). */
     @Test
-    void nodesToWhichAnEndpointIsAnnouncedAtOnceDoNotSendAtOnce() {
+    void nodesThatLearnOfAnEndpointTogetherDoNotSendTogether() {
         int permitted = 0;
         for (int node = 0; node < 1000; node++) {
             modules = new ModuleFixture(node);
             modules.slowStart.refill(NOW);
             modules.slowStart.endpointAnnounced(
                     ModuleFixture.entry("starting", EndpointState.READY, NOW), NOW);
-            long longAgo = NOW - 30 * SECOND; // warm by now, so it brings nothing
+            long longAgo = NOW - 30 * SECOND; // the endpoint is warm by now, so it adds no token
             modules.slowStart.endpointAnnounced(
                     ModuleFixture.entry("warm", EndpointState.READY, longAgo), NOW);
             modules.subset.replace(List.of(starting), 1000);
--- a/decisions/src/test/java/trailthread/SourceTest.java
+++ b/decisions/src/test/java/trailthread/SourceTest.java
@@ -10,10 +10,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Limits that the source itself must keep. */
+/** Limits on the length of lines and source files. */
 class SourceTest {
-    private static final int LONGEST_LINE = 110;
-    private static final int MOST_LINES = 300;
+    private static final int MAX_LINE_LENGTH = 110;
+    private static final int MAX_LINES = 300;
 
     private static List<Path> sources(String folder) throws IOException {
         try (Stream<Path> files = Files.walk(Path.of(folder))) {
@@ -28,16 +28,16 @@
         for (Path source : sources) {
             List<String> lines = Files.readAllLines(source);
             for (int i = 0; i < lines.size(); i++) {
-                assertTrue(lines.get(i).length() <= LONGEST_LINE, source + ":" + (i + 1));
+                assertTrue(lines.get(i).length() <= MAX_LINE_LENGTH, source + ":" + (i + 1));
             }
         }
     }
 
     @Test
-    void theModuleStaysReadable() throws IOException {
+    void mainFilesAreShortAndTheBalancerSaysWhereItsApiIsDeclared() throws IOException {
         for (Path source : sources("src/main")) {
             int lines = Files.readAllLines(source).size();
-            assertTrue(lines <= MOST_LINES, source + ": " + lines + " lines");
+            assertTrue(lines <= MAX_LINES, source + ": " + lines + " lines");
         }
         List<String> balancer =
                 Files.readAllLines(Path.of("src/main/java/trailthread/Balancer.java"));
--- a/decisions/src/test/java/trailthread/StaleLoadCorrectionTest.java
+++ b/decisions/src/test/java/trailthread/StaleLoadCorrectionTest.java
@@ -6,7 +6,9 @@
 import org.junit.Test;
 import trailthread.api.Outcome;
 
-/** The stale-load correction: own sends since the report that the tickets are computed from. */
+/**
+ * The stale-load correction: tickets also count this node's attempts since the last load report.
+ */
 public class StaleLoadCorrectionTest {
     private static final int PAIRS = 4000;
 
--- a/decisions/src/test/java/trailthread/SubsetSelectorTest.java
+++ b/decisions/src/test/java/trailthread/SubsetSelectorTest.java
@@ -29,7 +29,7 @@
                     modules.slowStart,
                     modules.random);
 
-    /** Lists endpoints, the last of them in another zone. */
+    /** Lists endpoints of this zone, then of another zone. */
     private void list(int here, int there) {
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < here + there; i++) {
@@ -39,7 +39,10 @@
         list.update(ListKind.FULL, entries, NOW);
     }
 
-    /** So many nodes, and the price at which each endpoint has connections from so many. */
+    /**
+     * Sets the number of nodes, and the price at which each endpoint has connections from {@code
+     * perEndpoint} nodes.
+     */
     private void nodes(int nodes, double perEndpoint) {
         modules.settings.nodes = nodes;
         modules.settings.connectionPrice = 100 * 0.006 / perEndpoint;
@@ -110,14 +113,15 @@
     }
 
     @Test
-    void warmingEndpointCountsForItsShareAndTheChoiceIsMadeAgainWithinADeadline() {
+    void warmingEndpointCountsForItsCapacityShareAndSelectionIsDueAgainWithinADeadline() {
         nodes(1000, 1);
         list(100, 0);
         for (Endpoint endpoint : list.all()) {
             endpoint.update(entry(endpoint.name, EndpointState.READY, NOW - 15_000 * MS));
         }
         selector.select(NOW);
-        // 0.55 each after half of the slow start; 5 leave 0.25, under half an endpoint.
+        // Each endpoint counts for 0.55 after half of the slow start. With 5, 0.25 of 3 is still
+        // wanted: under half an endpoint.
         assertEquals(5, modules.subset.size());
         assertFalse(selector.isDue(NOW + 799 * MS));
         assertTrue(selector.isDue(NOW + 1200 * MS));
--- a/decisions/src/test/java/trailthread/TimerKindTest.java
+++ b/decisions/src/test/java/trailthread/TimerKindTest.java
@@ -7,10 +7,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Kind and id of a timer in one token. */
+/** The token of a timer holds its kind and id. */
 class TimerKindTest {
     @Test
-    void aTokenGivesBackItsKindAndIdAndIsLikeNoOther() {
+    void everyTokenIsUniqueAndGivesBackItsKindAndId() {
         Set<Long> tokens = new HashSet<>();
         for (TimerKind kind : TimerKind.values()) {
             for (long id : new long[] {0, 1, 2, 3, 4, (1L << 62) - 1}) {
--- a/decisions/src/test/java/trailthread/WiredModules.java
+++ b/decisions/src/test/java/trailthread/WiredModules.java
@@ -7,11 +7,14 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/** The modules that most others need, wired as in {@link Balancer}; actions are recorded. */
+/**
+ * The modules that most other modules depend on, wired as in {@link Balancer}; actions are
+ * recorded.
+ */
 final class WiredModules {
     static final long MS = ScriptedBalancer.MS;
 
-    /** When the modules are made, by the clock of the events. */
+    /** When the modules are created, by the clock of the events. */
     static final long NOW = 1_000_000_000_000L;
 
     final ScriptedBalancer actions;
@@ -56,7 +59,7 @@
                         lottery);
     }
 
-    /** An endpoint that has long been ready. */
+    /** An endpoint that started long ago. */
     static Endpoint endpoint(String name, int cell) {
         return endpoint(new EndpointEntry(name, 1, EndpointState.READY, "here", 0, cell));
     }
@@ -67,7 +70,7 @@
         return endpoint;
     }
 
-    /** Makes these the endpoints that this node sends to, each shared by so many nodes. */
+    /** Makes these endpoints the subset, each shared by {@code sharingNodes} nodes. */
     void use(double sharingNodes, Endpoint... endpoints) {
         subset.replace(List.of(endpoints), sharingNodes);
         limiter.initialise();
--- a/decisions/src/test/java/trailthread/WorkloadMeansTest.java
+++ b/decisions/src/test/java/trailthread/WorkloadMeansTest.java
@@ -9,7 +9,7 @@
 class WorkloadMeansTest {
     private final WorkloadMeans means = new WorkloadMeans(200);
 
-    /** Forty responses of memory: 100 + (500 - 100) / 40. */
+    /** An average over forty responses: 100 + (500 - 100) / 40. */
     @Test
     void aResponseMovesTheMeanLatencyByAFortieth() {
         means.recordLatency(100);
@@ -17,7 +17,7 @@
         assertEquals(110, means.latencyNs(), 1e-9);
     }
 
-    /** A hundred requests of memory: 10 + (110 - 10) / 100 = 11. */
+    /** An average over a hundred requests: 10 + (110 - 10) / 100 = 11. */
     @Test
     void aRequestMovesTheMeanWorkByAHundredthIfItAnnouncesAny() {
         means.recordWork(10);
--- a/decisions/src/test/java/trailthread/degradation/ControllerDriver.java
+++ b/decisions/src/test/java/trailthread/degradation/ControllerDriver.java
@@ -8,7 +8,7 @@
 import trailthread.api.Idempotency;
 import trailthread.api.RequestClass;
 
-/** Gives a controller readings four times a second, and keeps the changes of level. */
+/** Passes readings to a controller four times a second, and records the changes of level. */
 final class ControllerDriver {
     static final long STEP_NS = 250_000_000;
     static final List<RequestClass> CLASSES =
@@ -35,13 +35,13 @@
                 name, 1, 0, 1, idempotency, DeduplicationScope.ALL, 0, priorityWeight, 0);
     }
 
-    /** The value of a reading from now on. */
+    /** Sets the value of a reading from now on. */
     ControllerDriver set(Reading reading, double value) {
         values.put(reading, value);
         return this;
     }
 
-    /** Gives readings for a time. */
+    /** Passes readings for a time. */
     ControllerDriver run(double seconds) {
         for (int i = 0; i < seconds * 1e9 / STEP_NS; i++) {
             step(STEP_NS);
@@ -49,7 +49,7 @@
         return this;
     }
 
-    /** Gives one set of readings after a time, ns; negative: the clock runs backwards. */
+    /** Passes one set of readings after a time, ns; if it is negative, the clock runs backwards. */
     ControllerDriver step(long ns) {
         now += ns;
         controller
--- a/decisions/src/test/java/trailthread/degradation/DegradationControllerPropertyTest.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationControllerPropertyTest.java
@@ -12,13 +12,13 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.Tuple;
 
-/** What holds for any sequence of readings, with unusable values and gaps among them. */
+/** Properties that hold for any sequence of readings, including unusable values and gaps. */
 class DegradationControllerPropertyTest {
     /** A reading with one value for some time, after a step of the clock. */
-    record Spell(Reading reading, double value, double seconds, long stepNs) {}
+    record ReadingPeriod(Reading reading, double value, double seconds, long stepNs) {}
 
     @Provide
-    Arbitrary<List<Spell>> spells() {
+    Arbitrary<List<ReadingPeriod>> periods() {
         Arbitrary<Double> values =
                 Arbitraries.frequencyOf(
                         Tuple.of(3, Arbitraries.just(0.0)),
@@ -31,20 +31,21 @@
                 Arbitraries.of(1L, ControllerDriver.STEP_NS, 20_000_000_000L, -5_000_000_000L);
         Arbitrary<Double> seconds = Arbitraries.doubles().between(0, 45);
         return Combinators.combine(Arbitraries.of(Reading.class), values, seconds, steps)
-                .as(Spell::new)
+                .as(ReadingPeriod::new)
                 .list()
                 .ofMaxSize(40);
     }
 
     @Property(tries = 300, seed = "42")
-    void changesKeepTheirDistanceAndTheLastClassIsNeverShed(@ForAll("spells") List<Spell> spells) {
+    void changesKeepTheLeastStayAndTheLastClassIsNeverShed(
+            @ForAll("periods") List<ReadingPeriod> periods) {
         ControllerDriver driver = new ControllerDriver();
         ChangeChecker checker = new ChangeChecker();
-        for (Spell spell : spells) {
-            driver.set(spell.reading(), spell.value()).step(spell.stepNs());
-            boolean counts = spell.stepNs() > 0 && spell.stepNs() <= ControllerDriver.STEP_NS;
-            checker.countedNs += counts ? spell.stepNs() : 0;
-            for (double t = 0; t < spell.seconds(); t += 0.25) {
+        for (ReadingPeriod period : periods) {
+            driver.set(period.reading(), period.value()).step(period.stepNs());
+            boolean counts = period.stepNs() > 0 && period.stepNs() <= ControllerDriver.STEP_NS;
+            checker.countedNs += counts ? period.stepNs() : 0;
+            for (double t = 0; t < period.seconds(); t += 0.25) {
                 if (t > 0) {
                     driver.step(ControllerDriver.STEP_NS);
                     checker.countedNs += ControllerDriver.STEP_NS;
@@ -63,7 +64,7 @@
         assertTrue("one after the other", actions == 1 || polls < 0.05 + 1e-9);
     }
 
-    /** Checks each change of level once, against the time that counted until then. */
+    /** Checks each change of level once, against the time that has counted so far. */
     private static final class ChangeChecker {
         private final List<DegradationLevel> levels = DegradationPlan.defaults();
         private long countedNs;
@@ -90,10 +91,12 @@
     }
 
     @Property(tries = 300, seed = "43")
-    void everyLevelIsLeftOnceAllReadingsAreLow(@ForAll("spells") List<Spell> spells) {
+    void everyLevelIsLeftOnceAllReadingsAreLow(@ForAll("periods") List<ReadingPeriod> periods) {
         ControllerDriver driver = new ControllerDriver();
-        for (Spell spell : spells) {
-            driver.set(spell.reading(), spell.value()).step(spell.stepNs()).run(spell.seconds());
+        for (ReadingPeriod period : periods) {
+            driver.set(period.reading(), period.value())
+                    .step(period.stepNs())
+                    .run(period.seconds());
         }
         for (Reading reading : Reading.values()) {
             driver.set(reading, 0);
--- a/decisions/src/test/java/trailthread/degradation/DegradationControllerTest.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationControllerTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** When levels change, and when they must not. */
+/** When the level changes, and when it must not. */
 public class DegradationControllerTest {
     private static final List<DegradationLevel> LEVELS = DegradationPlan.defaults();
     private static final double LATE_NS = 0.5e9;
@@ -35,7 +35,7 @@
                 assertEquals(what, l.name(), driver.set(c.reading(), c.leave()).run(600).level());
                 driver.set(c.reading(), Math.nextDown(c.leave())).run(l.leaveNs() / 1e9);
                 assertEquals(what, l.name(), driver.level());
-                driver.run(61); // what is shed comes back first
+                driver.run(61); // the shed classes are admitted again first
                 assertEquals(
                         what, LEVELS.indexOf(l) - 1, LEVELS.indexOf(driver.controller.level()), 1);
                 assertEquals(what, "normal", driver.set(c.reading(), 0).run(180).level());
@@ -44,7 +44,7 @@
     }
 
     @Test
-    public void downSeveralAtOnceAndUpOneAtATime() {
+    public void goesDownSeveralLevelsAtOnceAndUpOneAtATime() {
         ControllerDriver driver =
                 new ControllerDriver().set(FAILING, 0.6).run(3).set(FAILING, 0).run(300);
         assertEquals(
@@ -58,7 +58,7 @@
     }
 
     @Test
-    public void swingsEverySecondChangeNothingAndTheWorstSwingsLittle() {
+    public void swingsEverySecondCauseNoChangeAndTheWorstSwingsFew() {
         assertEquals(0, swing(1, 1).changes.size());
         int most = 0;
         for (double bad : new double[] {1.25, 1.5, 2, 5, 15, 30, 60}) {
@@ -96,7 +96,7 @@
     }
 
     @Test
-    public void aFaultThatEndsWhileItsLevelIsBeingEnteredEntersNothing() {
+    public void aFaultThatEndsBeforeItsHoldTimeEntersNoLevel() {
         ControllerDriver driver = new ControllerDriver();
         for (int i = 0; i < 100; i++) {
             driver.set(LATENESS, LATE_NS).run(2).set(LATENESS, 0).run(0.25);
@@ -105,7 +105,7 @@
         driver.set(LATENESS, LATE_NS)
                 .run(2)
                 .set(LATENESS, 100e6)
-                .run(1); // in between the time stands still
+                .run(1); // between the bounds, time does not count
         assertEquals("reduced", driver.set(LATENESS, LATE_NS).run(0.5).level());
     }
 
@@ -140,7 +140,7 @@
         assertEquals("none expected", "lean", driver.set(REPORT_AGE, -1).run(11).level());
     }
 
-    /** NaN as the age of reports means that none are expected; 1.5 ns is a time. */
+    /** NaN as the age of reports means that no reports are expected; 1.5 is a valid time in ns. */
     private static boolean isUsable(Reading reading, double value) {
         return (reading == REPORT_AGE && Double.isNaN(value))
                 || (!reading.isShare() && value == 1.5);
@@ -162,7 +162,7 @@
         assertEquals(what + ", not measured", "normal", driver.run(120).level());
 
         driver = new ControllerDriver();
-        for (int i = 0; i < 100; i++) { // every other value unusable
+        for (int i = 0; i < 100; i++) { // every other value is unusable
             driver.set(reading, enter).run(0.25).set(reading, unusable).run(0.25);
         }
         assertEquals(what, "reduced", driver.level());
@@ -177,7 +177,7 @@
     }
 
     @Test
-    public void aLevelThatFlapsStaysLongerUpToACeilingAndAfterACalmTimeNoLonger() {
+    public void aLevelThatFlapsStaysLongerUpToACeilingAndAsLongAsAtFirstAfterACalmTime() {
         ControllerDriver driver = new ControllerDriver();
         double stay = 20;
         for (int i = 0; i < 8; i++) {
@@ -188,7 +188,13 @@
                     0.01e9 * stay);
             assertEquals("reduced", driver.run(stay - 0.25).level());
             assertEquals("lean", driver.run(9.25).level());
-            stay = Math.min(300, stay * 2 * Math.pow(0.5, 10.25 / 120)); // so long out of it
+            stay =
+                    Math.min(
+                            300,
+                            stay
+                                    * 2
+                                    * Math.pow(
+                                            0.5, 10.25 / 120)); // the time since the level was left
         }
         assertEquals(300, stay, 0);
         driver.run(1200).set(FAILING, 0.2).run(1.25);
@@ -196,7 +202,7 @@
     }
 
     @Test
-    public void theShareThatIsShedFollowsTheReadingsThatSheddingRelieves() {
+    public void theShareShedFollowsTheReadingsThatSheddingRelieves() {
         ControllerDriver driver = new ControllerDriver().set(FAILING, 0.2).run(60);
         assertEquals("reduced", driver.level());
         assertEquals("shedding does not mend endpoints", 1, driver.share("bench-state"), 0);
--- a/decisions/src/test/java/trailthread/degradation/DegradationFleet.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationFleet.java
@@ -10,8 +10,8 @@
 import trailthread.api.Settings;
 
 /**
- * Six nodes, each with the real balancer, ten endpoints and their clients, in virtual time. Of the
- * requests, 70 in a hundred are polls, 10 actions and 20 attempts.
+ * Simulates six nodes, each with the real balancer, ten endpoints and their clients, in virtual
+ * time. Of the requests, 70 percent are polls, 10 percent actions and 20 percent attempts.
  */
 final class DegradationFleet {
     static final int NODES = 6;
@@ -36,7 +36,7 @@
     private final List<DegradationFleetNode> nodes = new ArrayList<>();
 
     /**
-     * Makes a fleet.
+     * Creates a fleet.
      *
      * @param withLevels whether nodes have levels of service
      */
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Runs the fleet up to a time, ns. */
+    /** Runs the fleet until a time, ns. */
     DegradationFleet play(long endNs) {
         scheduleArrival();
         clock.runUntil(endNs);
@@ -75,7 +75,7 @@
                 ENDPOINTS * SimulatedEndpoint.SLOTS * 1000 / SimulatedEndpoint.SERVICE_MS;
         double perSecond = scenario.load().applyAsDouble(clock.now()) * capacityPerSecond;
         double seconds = SimulatedEndpoint.exponential(random) / perSecond;
-        clock.after((long) (seconds * VirtualClock.S), this::arrive);
+        clock.schedule((long) (seconds * VirtualClock.S), this::arrive);
     }
 
     private void arrive() {
--- a/decisions/src/test/java/trailthread/degradation/DegradationFleetNode.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationFleetNode.java
@@ -13,7 +13,10 @@
 import trailthread.api.RequestClass;
 import trailthread.api.Settings;
 
-/** A node with the real balancer and, if wanted, levels of service before it. */
+/**
+ * A node with the real balancer and, optionally, levels of service that shed requests before the
+ * balancer.
+ */
 final class DegradationFleetNode implements BalancerActions {
     private static final long MS = VirtualClock.MS;
     private static final long S = VirtualClock.S;
@@ -37,7 +40,7 @@
     private final List<ClientRequest> requests = new ArrayList<>();
     private final DecayingShare starved = new DecayingShare(STARVED_SPAN_NS, 0);
 
-    /** Of each endpoint, the smoothed share of errors among its outcomes. */
+    /** The smoothed share of errors among the outcomes of each endpoint. */
     private final double[] errorShares;
 
     private static final class ClientRequest {
@@ -45,7 +48,7 @@
         final long arrivedAt;
         long firstSentAt = -1;
         int attempts;
-        boolean over;
+        boolean finished;
 
         ClientRequest(int requestClass, long arrivedAt) {
             this.requestClass = requestClass;
@@ -58,7 +61,7 @@
         final int number;
         final SimulatedEndpoint endpoint;
         final long sentAt;
-        boolean over;
+        boolean finished;
 
         Attempt(long requestId, int number, SimulatedEndpoint endpoint, long sentAt) {
             this.requestId = requestId;
@@ -90,7 +93,7 @@
         balancer.list(
                 0, ListKind.FULL, endpoints.stream().map(DegradationFleetNode::entry).toList());
         if (withLevels) {
-            read();
+            readAndSchedule();
         }
     }
 
@@ -98,7 +101,7 @@
         return new EndpointEntry(endpoint.name(), 1, EndpointState.READY, "", 0, 0);
     }
 
-    private void read() {
+    private void readAndSchedule() {
         long failing = Arrays.stream(errorShares).filter(e -> e > FAILING_ERROR_SHARE).count();
         double failingShare = failing / (double) endpoints.size();
         double starvedShare = starved.share(clock.now());
@@ -113,7 +116,7 @@
                         starvedShare,
                         0);
         controller.read(readings).ifPresent(results.changes::add);
-        clock.after(READING_INTERVAL_NS, this::read);
+        clock.schedule(READING_INTERVAL_NS, this::readAndSchedule);
     }
 
     /** A client's request of a class, by its index, arrives. */
@@ -126,7 +129,7 @@
         long now = clock.now();
         long id = requests.size();
         requests.add(new ClientRequest(classIndex, now));
-        clock.after(requestClass.deadlineNs(), () -> passDeadline(id));
+        clock.schedule(requestClass.deadlineNs(), () -> deadlinePassed(id));
         long deadline = now + requestClass.deadlineNs();
         balancer.request(now, id, requestClass.name(), 0, deadline, null, false, 0);
     }
@@ -135,17 +138,17 @@
         return controller.sheddingPolicy().admits(requestClass.name(), false, random.nextDouble());
     }
 
-    private void passDeadline(long id) {
+    private void deadlinePassed(long id) {
         end(id, false);
         balancer.clientDisconnected(clock.now(), id);
     }
 
     private void end(long id, boolean answered) {
         ClientRequest request = requests.get((int) id);
-        if (request.over) {
+        if (request.finished) {
             return;
         }
-        request.over = true;
+        request.finished = true;
         RequestClass requestClass = settings.classes.get(request.requestClass);
         long objectiveNs = requestClass.latencyObjectiveNs();
         if (answered && clock.now() - request.arrivedAt <= objectiveNs) {
@@ -169,8 +172,9 @@
         Attempt attempt = new Attempt(id, request.attempts++, endpoint, now);
         long deadlineNs = settings.classes.get(request.requestClass).deadlineNs();
         long leftNs = request.arrivedAt + deadlineNs + settings.responseSlackNs - now;
-        clock.after(timeoutNs > 0 ? timeoutNs : leftNs, () -> endAttempt(attempt, Outcome.TIMEOUT));
-        clock.after(NETWORK_DELAY_NS, () -> arriveAtEndpoint(attempt));
+        clock.schedule(
+                timeoutNs > 0 ? timeoutNs : leftNs, () -> endAttempt(attempt, Outcome.TIMEOUT));
+        clock.schedule(NETWORK_DELAY_NS, () -> arriveAtEndpoint(attempt));
     }
 
     private void arriveAtEndpoint(Attempt attempt) {
@@ -185,14 +189,14 @@
     }
 
     private void endAttemptAfter(long ns, Attempt attempt, Outcome outcome) {
-        clock.after(ns, () -> endAttempt(attempt, outcome));
+        clock.schedule(ns, () -> endAttempt(attempt, outcome));
     }
 
     private void endAttempt(Attempt attempt, Outcome outcome) {
-        if (attempt.over) {
+        if (attempt.finished) {
             return;
         }
-        attempt.over = true;
+        attempt.finished = true;
         SimulatedEndpoint endpoint = attempt.endpoint;
         if (outcome != Outcome.REJECTED) {
             double error = outcome == Outcome.OK ? 0 : 1;
@@ -200,7 +204,7 @@
             errorShares[number] += ERROR_SMOOTHING * (error - errorShares[number]);
         }
         long id = attempt.requestId;
-        boolean answersClient = outcome == Outcome.OK && !requests.get((int) id).over;
+        boolean answersClient = outcome == Outcome.OK && !requests.get((int) id).finished;
         if (answersClient) {
             end(id, true);
         }
@@ -222,7 +226,7 @@
 
     @Override
     public void timer(long delayNs, long token) {
-        clock.after(delayNs, () -> balancer.timer(clock.now(), token));
+        clock.schedule(delayNs, () -> balancer.timer(clock.now(), token));
     }
 
     @Override
--- a/decisions/src/test/java/trailthread/degradation/DegradationFleetResults.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationFleetResults.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What became of the requests of a simulated fleet, over all nodes. */
+/** The outcomes of the requests of a simulated fleet, over all nodes. */
 final class DegradationFleetResults {
     /** Requests that arrived, by class. */
     final int[] arrived;
--- a/decisions/src/test/java/trailthread/degradation/DegradationFleetTest.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationFleetTest.java
@@ -6,8 +6,9 @@
 import org.junit.Test;
 
 /**
- * Levels of service before the real balancer, ten virtual minutes, with and without. The shares are
- * of requests answered within their latency objective; docs/design/levels.md has the measured ones.
+ * Ten virtual minutes of a fleet with the real balancer, with and without levels of service. The
+ * shares are of requests answered within their latency objective; docs/design/levels.md has the
+ * measured ones.
  */
 public class DegradationFleetTest {
     private static final long TEN_MINUTES = 600 * S;
@@ -48,7 +49,7 @@
     }
 
     @Test
-    public void bothAtOnce() {
+    public void aFifthFailsWithLateReportsWhileLoadSwingsEverySecond() {
         compare(
                 "both",
                 new FleetScenario(DegradationFleetTest::swingEverySecond, 0.2, 5 * S),
--- a/decisions/src/test/java/trailthread/degradation/DegradationPlanTest.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationPlanTest.java
@@ -14,7 +14,7 @@
 import org.junit.Test;
 import trailthread.degradation.DegradationLevel.Reach;
 
-/** Errors name the field that is out of its range; the defaults are those of docs/levels.md. */
+/** Errors name the field that is out of range, and docs/levels.md lists the defaults. */
 public class DegradationPlanTest {
     private static final double NS_PER_SECOND = 1e9;
 
--- a/decisions/src/test/java/trailthread/degradation/FleetScenario.java
+++ b/decisions/src/test/java/trailthread/degradation/FleetScenario.java
@@ -4,12 +4,12 @@
 import trailthread.api.LoadReport;
 
 /**
- * What a simulated fleet has to bear.
+ * The load and the faults of a simulated fleet.
  *
  * @param load the load offered at a time, ns, as a share of the capacity of all endpoints
  * @param failing share of the endpoints that fail every request at once
  * @param reportAgeNs how old the load reports are, ns
- * @param foreignRequests how many requests of others endpoint 0 always holds
+ * @param foreignRequests how many requests of other clients endpoint 0 always holds
  * @param reporter what endpoints report of their load
  */
 record FleetScenario(
@@ -18,7 +18,7 @@
         long reportAgeNs,
         int foreignRequests,
         Reporter reporter) {
-    /** What an endpoint reports when its load is in truth this; null: nothing. */
+    /** What an endpoint reports, given its true load; null: nothing. */
     interface Reporter {
         LoadReport report(int endpoint, long now, LoadReport truth);
     }
--- a/decisions/src/test/java/trailthread/degradation/SimulatedEndpoint.java
+++ b/decisions/src/test/java/trailthread/degradation/SimulatedEndpoint.java
@@ -8,7 +8,7 @@
 
 /**
  * An endpoint that serves two requests at a time in 40 ms on the mean, more slowly the longer its
- * queue, and rejects requests while 16 wait. Its load reports are of a past time.
+ * queue, and rejects requests while 16 are queued. Its load reports are delayed.
  */
 final class SimulatedEndpoint {
     static final int SLOTS = 2;
@@ -66,7 +66,7 @@
         return queue.size() >= MAX_QUEUE;
     }
 
-    /** Its load report, or null where it gives none. */
+    /** The load report of the endpoint, or null if it gives none. */
     LoadReport report() {
         Load past = history.getFirst();
         while (history.size() > 1
@@ -76,7 +76,7 @@
         return scenario.reporter().report(number, clock.now(), past.report());
     }
 
-    /** Holds a request of others at all times. */
+    /** Holds a request of another client at all times. */
     void serveForeignRequests() {
         serve(this::serveForeignRequests);
     }
@@ -93,7 +93,7 @@
             busySlots++;
             double slowdown = 1 + queue.size() / DOUBLING_QUEUE;
             double ms = SERVICE_MS * slowdown * (0.3 + 0.7 * exponential(random));
-            clock.after((long) (ms * VirtualClock.MS), () -> finish(whenDone));
+            clock.schedule((long) (ms * VirtualClock.MS), () -> finish(whenDone));
         }
         history.add(new Load(clock.now(), busySlots + queue.size(), queue.size()));
     }
--- a/decisions/src/test/java/trailthread/degradation/UnreliableReportsTest.java
+++ b/decisions/src/test/java/trailthread/degradation/UnreliableReportsTest.java
@@ -8,8 +8,8 @@
 import trailthread.degradation.FleetScenario.Reporter;
 
 /**
- * A balancer must trust its own outcomes more than load reports that are missing or false; in
- * virtual time.
+ * A balancer must trust the outcomes of its own attempts more than load reports that are missing or
+ * false. Runs in virtual time.
  */
 public class UnreliableReportsTest {
     private static final double UNKNOWN = Double.NaN;
@@ -34,13 +34,13 @@
     }
 
     @Test
-    public void aFleetWhoseReportsStopIsServedOn() {
+    public void aFleetWhoseReportsStopKeepsServing() {
         play(0, (endpoint, now, truth) -> now < 30 * S ? truth : null);
     }
 
     /**
-     * Its queue is always full of others' requests: 0.004 of all attempts went there, where an
-     * equal share is 0.1.
+     * The queue of the endpoint is always full of other clients' requests: 0.004 of all attempts
+     * went there, where an equal share is 0.1.
      */
     @Test
     public void aFullEndpointThatReportsNoLoadIsNotBelieved() {
@@ -48,7 +48,7 @@
         assertTrue("sent to the false reporter: " + share, share < 0.03);
     }
 
-    /** 0.12 of all attempts went there. */
+    /** 0.12 of all attempts went to the endpoint. */
     @Test
     public void anEndpointThatAlwaysReportsNoLoadIsNotOverloaded() {
         double share = play(0, UnreliableReportsTest::alwaysIdle).sentShare(FALSE_REPORTER);
--- a/decisions/src/test/java/trailthread/degradation/VirtualClock.java
+++ b/decisions/src/test/java/trailthread/degradation/VirtualClock.java
@@ -3,7 +3,10 @@
 import java.util.PriorityQueue;
 import java.util.Queue;
 
-/** Virtual time in ns, and the actions that are due in it; those due at one time run in order. */
+/**
+ * Virtual time in ns, with scheduled actions. Actions that are due at the same time run in the
+ * order in which they were scheduled.
+ */
 final class VirtualClock {
     static final long MS = 1_000_000;
     static final long S = 1000 * MS;
@@ -24,11 +27,11 @@
         return now;
     }
 
-    void after(long ns, Runnable action) {
+    void schedule(long ns, Runnable action) {
         queue.add(new Scheduled(now + ns, scheduledCount++, action));
     }
 
-    /** Runs what is due up to this time; something must remain for later. */
+    /** Runs the actions that are due up to this time; at least one later action must remain. */
     void runUntil(long end) {
         while (queue.element().at() <= end) {
             Scheduled due = queue.remove();
--- a/decisions/src/test/java/trailthread/settings/SettingsParserTest.java
+++ b/decisions/src/test/java/trailthread/settings/SettingsParserTest.java
@@ -16,7 +16,7 @@
 import trailthread.api.Tenant;
 import trailthread.api.WeightMeaning;
 
-/** Settings out of pairs, and what is said of pairs that cannot be read. */
+/** Settings parsed from pairs, and the errors for pairs that cannot be read. */
 class SettingsParserTest {
     private static SettingsParser parser(String... pairs) {
         SettingsParser parser = new SettingsParser("here");
