--- a/decisions/src/main/java/trailthread/Balancer.java
+++ b/decisions/src/main/java/trailthread/Balancer.java
@@ -166,7 +166,7 @@
         retryBudget.deposit();
         means.recordWork(workNs);
         endpoints.refreshSubset(now);
-        priorities.arrived(request, now);
+        priorities.recordArrival(request, now);
         if (!admissions.admits(request)) {
             refuseOrFail(request);
             return;
@@ -277,7 +277,7 @@
         request.endAttempt(attempt, outcome);
         recorder.recordEnd(request, attempt, latencyNs, load, now);
         if (outcome == Outcome.OK && finished && !request.finished) {
-            priorities.served(request, now);
+            priorities.recordServed(request, now);
         }
         request.finished |= finished;
         if (!request.finished && !request.streaming && request.inFlight() == 0) {
--- a/decisions/src/main/java/trailthread/Candidates.java
+++ b/decisions/src/main/java/trailthread/Candidates.java
@@ -22,9 +22,9 @@
         bestNs = CLOSED;
     }
 
-    void open(int index, double endpointNs) {
-        predictedNs[index] = endpointNs;
-        bestNs = Math.min(bestNs, endpointNs);
+    void open(int index, double endpointPredictedNs) {
+        predictedNs[index] = endpointPredictedNs;
+        bestNs = Math.min(bestNs, endpointPredictedNs);
     }
 
     boolean isOpen(int index) {
--- a/decisions/src/main/java/trailthread/EndpointDirectory.java
+++ b/decisions/src/main/java/trailthread/EndpointDirectory.java
@@ -39,7 +39,7 @@
 
     /** Records that a poll or a watch failed; the last list stays in use. */
     void listFailed(long now) {
-        polls.failed(now);
+        polls.pollOrWatchFailed(now);
         if (log.tryAcquire(RateLimitedLog.Kind.LIST_FAILED, now)) {
             log.write("list call failed: going on with the last list of " + list.size());
         }
@@ -50,7 +50,7 @@
         slowStart.refill(now);
         list.update(kind, entries, now);
         selectSubset(now);
-        polls.received(kind);
+        polls.listReceived(kind);
         healthChecker.startIfConfigured(now);
         limiter.updateTotal(now);
     }
--- a/decisions/src/main/java/trailthread/HashMixer.java
+++ b/decisions/src/main/java/trailthread/HashMixer.java
@@ -20,8 +20,8 @@
         return hash;
     }
 
-    /** A number in (0, 1) from the upper 53 bits of a mixed value. */
-    static double unit(long value) {
+    /** A hash of the value, uniform in (0, 1): the upper 53 bits of the mixed value. */
+    static double uniform(long value) {
         return ((mix(value) >>> 11) + 0.5) * 0x1p-53;
     }
 }
--- a/decisions/src/main/java/trailthread/KeyAffinity.java
+++ b/decisions/src/main/java/trailthread/KeyAffinity.java
@@ -90,7 +90,7 @@
             boolean withinBound =
                     endpoint.inFlight.count() < LOAD_BOUND * inFlight * size / totalSize;
             if (candidates.isOpen(i) && withinBound) {
-                double score = size / -Math.log(HashMixer.unit(key ^ endpoint.hash));
+                double score = size / -Math.log(HashMixer.uniform(key ^ endpoint.hash));
                 home = score > highest ? i : home;
                 highest = Math.max(highest, score);
             }
--- a/decisions/src/main/java/trailthread/ListLease.java
+++ b/decisions/src/main/java/trailthread/ListLease.java
@@ -53,7 +53,7 @@
     private long sourceSwitchedAt;
 
     /**
-     * Makes a lease that is not held.
+     * Creates a lease that is not held.
      *
      * @param drainGraceNs how long after the notice of an endpoint's draining a request may still
      *     be sent to it, ns
--- a/decisions/src/main/java/trailthread/ListPollSchedule.java
+++ b/decisions/src/main/java/trailthread/ListPollSchedule.java
@@ -62,7 +62,7 @@
     }
 
     /** Records that the poll or the watch has failed, and schedules the next poll. */
-    void failed(long now) {
+    void pollOrWatchFailed(long now) {
         double waitedNs = pollSentAt == Long.MAX_VALUE ? 0 : now - pollSentAt;
         pollSentAt = Long.MAX_VALUE;
         boolean wasQueued = waitedNs > ListLease.QUEUED_POLL_NS;
@@ -99,7 +99,7 @@
      * Records a list, and schedules the first poll if the list must be polled and there is no
      * watch.
      */
-    void received(ListKind kind) {
+    void listReceived(ListKind kind) {
         pollSentAt = Long.MAX_VALUE;
         watching = kind != ListKind.CACHED;
         failedQueuedPolls = watching ? 0 : failedQueuedPolls;
--- a/decisions/src/main/java/trailthread/PriorityPolicy.java
+++ b/decisions/src/main/java/trailthread/PriorityPolicy.java
@@ -27,7 +27,7 @@
     }
 
     /** Sets the priority weight of a request that has arrived, and counts it as demand. */
-    void arrived(Request request, long now) {
+    void recordArrival(Request request, long now) {
         Settings s = settings.get();
         RequestClass rules = request.requestClass.rules;
         double work = s.weightByWork ? means.relativeWork(request.workNs) : 1;
@@ -54,7 +54,7 @@
     }
 
     /** Counts a request as served. */
-    void served(Request request, long now) {
+    void recordServed(Request request, long now) {
         double lateShare = request.requestClass.rules.lateWeightShare();
         boolean inTime = now <= request.objectiveAt;
         double earned = inTime ? request.weight : request.weight * lateShare;
--- a/decisions/src/test/java/trailthread/AdmissionTest.java
+++ b/decisions/src/test/java/trailthread/AdmissionTest.java
@@ -59,7 +59,7 @@
             s.endpoints("a", "b", "c");
             for (int i = 0; i < 20; i++) {
                 s.request("safe");
-                s.pass(MS);
+                s.advance(MS);
             }
         }
         assertEquals(without.transcript.toString(), with.transcript.toString());
--- a/decisions/src/test/java/trailthread/AttemptRecorderTest.java
+++ b/decisions/src/test/java/trailthread/AttemptRecorderTest.java
@@ -23,7 +23,7 @@
 
     @BeforeEach
     void useOneEndpoint() {
-        modules.use(1, a);
+        modules.useSubset(1, a);
     }
 
     private void end(Request request, Attempt attempt, Outcome outcome, long latencyNs) {
--- a/decisions/src/test/java/trailthread/AttemptSenderTest.java
+++ b/decisions/src/test/java/trailthread/AttemptSenderTest.java
@@ -27,7 +27,7 @@
 
     @Test
     void anAttemptIsSentAndCountsAsInFlight() {
-        modules.use(1, warm);
+        modules.useSubset(1, warm);
         Request request = modules.request("unsafe");
         assertTrue(sender.trySend(request, NOW));
         ScriptedBalancer.Send send = modules.actions.sends.get(0);
@@ -40,7 +40,7 @@
     /** The window is that of the first attempt, not of the one that is about to be sent. */
     @Test
     void aRetryMustBeWrittenWithinTheDeduplicationWindow() {
-        modules.use(1, warm);
+        modules.useSubset(1, warm);
         Request request = modules.request("keyed", 0, NOW + 9000 * MS);
         modules.attempt(request, warm, Outcome.ERROR, NOW);
         assertTrue(sender.trySend(request, NOW + 500 * MS));
@@ -49,7 +49,7 @@
 
     @Test
     void nothingIsSentWithoutALeaseOnTheEndpointList() {
-        modules.use(1, warm);
+        modules.useSubset(1, warm);
         modules.admissions.setListLease(NOW);
         assertFalse(sender.trySend(modules.request("safe"), NOW));
         assertTrue(modules.actions.sends.isEmpty());
@@ -62,10 +62,10 @@
         Endpoint starting =
                 WiredModules.endpoint(
                         new EndpointEntry("b", 1, EndpointState.READY, "here", readyAt, 0));
-        modules.use(1, starting);
+        modules.useSubset(1, starting);
         assertTrue(sender.trySend(modules.request("safe"), NOW));
         assertFalse(sender.trySend(modules.request("safe"), NOW));
-        modules.use(1, warm);
+        modules.useSubset(1, warm);
         assertTrue(sender.trySend(modules.request("safe"), NOW));
         assertTrue(sender.trySend(modules.request("safe"), NOW));
     }
--- a/decisions/src/test/java/trailthread/BalancerRulesTest.java
+++ b/decisions/src/test/java/trailthread/BalancerRulesTest.java
@@ -29,11 +29,11 @@
     void aRequestWithoutAnEndpointIsQueuedThenRejectedInTime() {
         s.endpoints();
         long id = s.request("safe");
-        s.pass(900 * MS);
+        s.advance(900 * MS);
         assertTrue(s.sends.isEmpty());
-        s.pass(100 * MS);
+        s.advance(100 * MS);
         assertEquals(List.of(id), s.refused);
-        s.pass(2000 * MS);
+        s.advance(2000 * MS);
         assertEquals(1, s.refused.size() + s.failed.size());
     }
 
@@ -41,7 +41,7 @@
     void aQueuedRequestIsSentWhenAnEndpointAppears() {
         s.endpoints();
         long id = s.request("unsafe");
-        s.pass(50 * MS);
+        s.advance(50 * MS);
         s.endpoints("a");
         assertEquals("a", s.sendsOf(id).get(0).endpoint());
     }
@@ -52,7 +52,7 @@
         for (Outcome o : List.of(Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)) {
             long id = s.request("unsafe");
             s.end(id, o);
-            s.pass(1500 * MS);
+            s.advance(1500 * MS);
             assertEquals(1, s.sendsOf(id).size());
             assertTrue(s.failed.contains(id));
         }
@@ -72,7 +72,7 @@
     void aNonIdempotentRequestInFlightAtItsDeadlineFails() {
         s.endpoints("a");
         long id = s.request("unsafe");
-        s.pass(1100 * MS);
+        s.advance(1100 * MS);
         assertEquals(List.of(id), s.failed);
     }
 
@@ -110,14 +110,14 @@
         ScriptedBalancer t = new ScriptedBalancer(settings, 1);
         t.endpoints("a", "b");
         long early = t.request("brief");
-        t.pass(50 * MS);
+        t.advance(50 * MS);
         t.end(early, Outcome.ERROR);
         assertEquals(2, t.sendsOf(early).size());
         t.end(early, Outcome.OK);
         long late = t.request("brief");
-        t.pass(290 * MS);
+        t.advance(290 * MS);
         t.end(late, Outcome.ERROR);
-        t.pass(1000 * MS);
+        t.advance(1000 * MS);
         assertEquals(1, t.sendsOf(late).size());
     }
 
@@ -131,7 +131,7 @@
                 s.end(id, Outcome.ERROR);
             }
             sends += s.sendsOf(id).size();
-            s.pass(1100 * MS);
+            s.advance(1100 * MS);
         }
         assertTrue(sends <= 200 * 1.2 + 25, "sends of 200 failing requests: " + sends);
     }
@@ -142,7 +142,7 @@
         long id = s.request("safe");
         for (int k = 0; k < 6 && s.sendsOf(id).size() > k; k++) {
             s.end(id, Outcome.REJECTED);
-            s.pass(100 * MS);
+            s.advance(100 * MS);
         }
         assertEquals(3, s.sendsOf(id).size());
         assertEquals(1, s.refused.size() + s.failed.size());
@@ -154,7 +154,7 @@
         long id = s.request("safe");
         s.balancer.clientDisconnected(s.now, id);
         s.end(id, Outcome.ERROR);
-        s.pass(2000 * MS);
+        s.advance(2000 * MS);
         assertEquals(1, s.sendsOf(id).size());
         assertTrue(s.refused.isEmpty() && s.failed.isEmpty());
     }
@@ -164,7 +164,7 @@
         s.endpoints("a", "b");
         long id = s.request("safe");
         s.balancer.firstByte(s.now, id, 0);
-        s.pass(3000 * MS);
+        s.advance(3000 * MS);
         assertTrue(s.refused.isEmpty() && s.failed.isEmpty());
         s.balancer.outcome(s.now, id, 0, Outcome.RESET, 3000 * MS, true, null);
         assertEquals(1, s.sendsOf(id).size());
@@ -175,8 +175,8 @@
         s.endpoints("a", "b");
         for (double queue : new double[] {Double.NaN, -5, Double.POSITIVE_INFINITY}) {
             long id = s.request("safe");
-            s.pass(20 * MS);
-            s.end(id, Outcome.OK, ScriptedBalancer.queue(queue));
+            s.advance(20 * MS);
+            s.end(id, Outcome.OK, ScriptedBalancer.queueReport(queue));
         }
         long id = s.request("safe");
         assertEquals(1, s.sendsOf(id).size());
@@ -216,7 +216,7 @@
             n.delta(new EndpointEntry("a", 1, EndpointState.READY, "here", n.now, 0));
             for (int i = 0; i < 20; i++) { // each node has more than enough to send
                 n.request("safe");
-                n.pass(100 * MS);
+                n.advance(100 * MS);
                 for (ScriptedBalancer.Send send : List.copyOf(n.sends)) {
                     if (n.sendsOf(send.id()).size() == 1 && send.at() + 100 * MS >= n.now) {
                         n.end(send.id(), Outcome.OK);
--- a/decisions/src/test/java/trailthread/ConcurrencyLimiterTest.java
+++ b/decisions/src/test/java/trailthread/ConcurrencyLimiterTest.java
@@ -17,7 +17,7 @@
     private final ConcurrencyLimiter limiter = modules.limiter;
 
     private List<Endpoint> start(double sharingNodes, String... names) {
-        List<Endpoint> endpoints = modules.shared(sharingNodes, names);
+        List<Endpoint> endpoints = modules.useSubset(sharingNodes, names);
         limiter.initialise();
         limiter.updateTotal(NOW);
         return endpoints;
@@ -36,7 +36,7 @@
         for (int i = 0; i < inFlight; i++) {
             fresh.modules.begin(endpoint, NOW);
         }
-        fresh.modules.respond(endpoint, 1, latencyMs * MS, NOW);
+        fresh.modules.recordResponses(endpoint, 1, latencyMs * MS, NOW);
         fresh.limiter.adjust(endpoint, NOW);
         return fresh.limit(endpoint);
     }
@@ -82,7 +82,7 @@
         for (int i = 0; i < 7; i++) {
             modules.begin(fast.get(0), NOW);
         }
-        modules.respond(fast.get(0), 1, 40 * MS, NOW);
+        modules.recordResponses(fast.get(0), 1, 40 * MS, NOW);
         limiter.adjust(fast.get(0), NOW);
         assertEquals(4 + 5.6 * 0.5 / 8, limit(fast.get(1)), 1e-9);
         limiter.cutToInitialLimit(fast.get(1));
@@ -90,7 +90,7 @@
 
         ConcurrencyLimiterTest other = new ConcurrencyLimiterTest();
         List<Endpoint> slow = other.start(1, "a", "b");
-        other.modules.respond(slow.get(0), 1, 100 * MS, NOW);
+        other.modules.recordResponses(slow.get(0), 1, 100 * MS, NOW);
         other.limiter.adjust(slow.get(0), NOW);
         assertEquals(4 * (1 - 0.25), other.limit(slow.get(1)), 1e-9);
     }
@@ -100,11 +100,11 @@
     void capacityIsTheTargetLatencyOverTheTimePerRequestAndAQueueUsesPartOfIt() {
         List<Endpoint> endpoints = start(1, "near", "far");
         Endpoint near = endpoints.get(0);
-        modules.respond(near, 13, 20 * MS, NOW);
-        modules.respond(endpoints.get(1), 13, 100 * MS, NOW);
+        modules.recordResponses(near, 13, 20 * MS, NOW);
+        modules.recordResponses(endpoints.get(1), 13, 100 * MS, NOW);
         assertEquals(2, limiter.capacity(near, 18 * MS), 1e-6);
         assertEquals(2, limiter.capacity(endpoints.get(1), 65 * MS), 1e-6);
-        near.load.record(ScriptedBalancer.queue(4), NOW); // smoothed to 2
+        near.load.record(ScriptedBalancer.queueReport(4), NOW); // smoothed to 2
         assertTrue(limiter.isOpen(near, 0.1, NOW)); // one attempt is always possible
         modules.begin(near, NOW);
         assertFalse(limiter.isOpen(near, 3, NOW));
@@ -121,11 +121,12 @@
         modules.begin(endpoints.get(0), NOW);
         modules.begin(endpoints.get(1), NOW);
         assertTrue(limiter.isOpen(endpoints.get(2), 1, NOW));
-        modules.fail(endpoints.get(2), 3, NOW);
-        modules.fail(endpoints.get(3), 3, NOW);
+        modules.recordFailures(endpoints.get(2), 3, NOW);
+        modules.recordFailures(endpoints.get(3), 3, NOW);
         limiter.updateTotal(NOW);
         assertFalse(limiter.isOpen(endpoints.get(2), 1, NOW));
-        modules.fail(endpoints.get(1), 3, NOW); // most endpoints fail, so ejection is suspended
+        modules.recordFailures(
+                endpoints.get(1), 3, NOW); // most endpoints fail, so ejection is suspended
         limiter.updateTotal(NOW);
         assertTrue(limiter.isOpen(endpoints.get(2), 1, NOW));
 
--- a/decisions/src/test/java/trailthread/DiscoveryOutageSimulation.java
+++ b/decisions/src/test/java/trailthread/DiscoveryOutageSimulation.java
@@ -144,7 +144,7 @@
             node.balancer.balancer.list(node.balancer.now, ListKind.FAILED, List.of());
         }
         int before = node.balancer.watches;
-        node.balancer.pass(TICK_MS * MS);
+        node.balancer.advance(TICK_MS * MS);
         if (node.balancer.watches > before && node.pollEndsAtMs == 0) {
             node.pollEndsAtMs = at + TICK_MS + (int) poll(node, at);
         }
--- a/decisions/src/test/java/trailthread/EndpointChoiceTest.java
+++ b/decisions/src/test/java/trailthread/EndpointChoiceTest.java
@@ -32,12 +32,12 @@
         for (int i = 0; i < requests; i++) {
             long id = s.request("safe");
             if (s.sendsOf(id).isEmpty()) {
-                s.pass(500 * MS);
+                s.advance(500 * MS);
             }
             String endpoint = s.sendsOf(id).get(0).endpoint();
             counts.merge(endpoint, 1, Integer::sum);
-            s.pass(endpoint.equals("a") ? aLatency : bLatency);
-            s.end(id, Outcome.OK, ScriptedBalancer.queue(0));
+            s.advance(endpoint.equals("a") ? aLatency : bLatency);
+            s.end(id, Outcome.OK, ScriptedBalancer.queueReport(0));
         }
         return counts;
     }
@@ -60,8 +60,8 @@
             long id = s.request("safe");
             String endpoint = s.sendsOf(id).get(0).endpoint();
             toA += endpoint.equals("a") ? 1 : 0;
-            s.pass(20 * MS);
-            s.end(id, Outcome.OK, ScriptedBalancer.queue(endpoint.equals("a") ? 0.8 : 0));
+            s.advance(20 * MS);
+            s.end(id, Outcome.OK, ScriptedBalancer.queueReport(endpoint.equals("a") ? 0.8 : 0));
         }
         // tickets 1/1.8 against 1/1: 36 in 100
         assertEquals(0.36, toA / 1500.0, 0.06);
@@ -80,9 +80,9 @@
                     s.sendsOf(first).get(0).endpoint().equals(s.sendsOf(second).get(0).endpoint())
                             ? 0
                             : 1;
-            s.pass(20 * MS);
-            s.end(first, Outcome.OK, ScriptedBalancer.queue(0));
-            s.end(second, Outcome.OK, ScriptedBalancer.queue(0));
+            s.advance(20 * MS);
+            s.end(first, Outcome.OK, ScriptedBalancer.queueReport(0));
+            s.end(second, Outcome.OK, ScriptedBalancer.queueReport(0));
         }
         // one attempt in flight against none: tickets 1/2 against 1, so two in three go to the
         // other endpoint
@@ -109,7 +109,7 @@
         s.delta(new EndpointEntry("b", 1, EndpointState.DRAINING, "here", 0, 0));
         serve(s, 2000, MS / 15, MS / 15);
         s.delta(ScriptedBalancer.ready("b"));
-        s.pass(10_000 * MS);
+        s.advance(10_000 * MS);
         Map<String, Integer> counts = serve(s, 2000, MS / 15, MS / 15);
         assertTrue(
                 counts.getOrDefault("b", 0) > 500, "to the endpoint that was draining: " + counts);
@@ -123,7 +123,7 @@
             for (int k = 0; k < 12; k++) {
                 s.request("safe");
             }
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             for (ScriptedBalancer.Send x : List.copyOf(s.sends)) {
                 s.balancer.outcome(
                         s.now,
@@ -132,7 +132,7 @@
                         Outcome.OK,
                         20 * MS,
                         true,
-                        ScriptedBalancer.queue(0));
+                        ScriptedBalancer.queueReport(0));
             }
         }
         int sent = s.sends.size();
@@ -166,7 +166,7 @@
         for (int i = 0; i < 100; i++) {
             long id = s.request("safe");
             assertEquals(1, s.sendsOf(id).size(), "request " + i);
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             double none = Double.NaN;
             s.end(id, Outcome.OK, new LoadReport(10 + i % 3, none, none, none, none, none));
         }
@@ -179,9 +179,9 @@
         serve(s, 100, 20 * MS, 20 * MS);
         for (int i = 0; i < 20; i++) {
             long id = s.request("safe");
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             s.balancer.firstByte(s.now, id, 0);
-            s.pass(3000 * MS);
+            s.advance(3000 * MS);
             s.end(id, Outcome.OK);
         }
         Map<String, Integer> counts = serve(s, 400, 20 * MS, 20 * MS);
@@ -195,7 +195,7 @@
         settings.mayCheckHealth = true;
         ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints("a", "b", "c");
-        s.pass(5000 * MS);
+        s.advance(5000 * MS);
         String transcript = s.transcript.toString();
         for (String name : List.of("a", "b", "c")) {
             assertTrue(transcript.contains("probe " + name), transcript);
@@ -203,7 +203,7 @@
         settings.mayCheckHealth = false;
         ScriptedBalancer withoutPermission = new ScriptedBalancer(settings, 5);
         withoutPermission.endpoints("a");
-        withoutPermission.pass(5000 * MS);
+        withoutPermission.advance(5000 * MS);
         assertTrue(
                 !withoutPermission.transcript.toString().contains("probe"),
                 "probes need permission");
@@ -219,7 +219,7 @@
         }
         long sentAtOnce = s.sends.size() - 100L;
         assertTrue(sentAtOnce >= 1 && sentAtOnce <= 4, "sent at once: " + sentAtOnce);
-        s.pass(1500 * MS);
+        s.advance(1500 * MS);
         assertEquals(50 - sentAtOnce, s.refused.size(), "queued requests are rejected, not failed");
     }
 
@@ -242,7 +242,7 @@
         long light = s.request("safe");
         long heavy = s.request("dear");
         s.delta(new EndpointEntry("a", 1, EndpointState.READY, "here", s.now, 0));
-        s.pass(250 * MS); // an endpoint in slow start gets its first request within an objective
+        s.advance(250 * MS); // an endpoint in slow start gets its first request within an objective
         assertEquals(1, s.sendsOf(heavy).size());
         assertEquals(0, s.sendsOf(light).size());
     }
@@ -256,7 +256,7 @@
         int sent = 0;
         for (int i = 0; i < 10; i++) {
             long id = s.request("safe");
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             if (!s.sendsOf(id).isEmpty()) {
                 sent++;
                 s.end(id, Outcome.OK);
@@ -272,7 +272,7 @@
         serve(s, 50, 60 * MS, 60 * MS);
         s.balancer.request(s.now, 9999, "safe", 0, s.now + 10 * MS, null, false, 0);
         assertTrue(s.sendsOf(9999).isEmpty());
-        s.pass(50 * MS);
+        s.advance(50 * MS);
         assertTrue(s.refused.contains(9999L));
     }
 
@@ -298,16 +298,16 @@
         settings.listIsPolled = true;
         ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.balancer.list(s.now, ListKind.CACHED, List.of(ScriptedBalancer.ready("a")));
-        s.pass(
+        s.advance(
                 settings.pollIntervalNs
                         / 300); // the first polls of all nodes are spread: see ListPollTest
         assertEquals(1, s.watches);
         s.balancer.list(s.now, ListKind.FAILED, List.of());
-        s.pass(settings.pollIntervalNs / 2);
+        s.advance(settings.pollIntervalNs / 2);
         assertTrue(s.watches >= 2, "polls: " + s.watches);
         s.balancer.list(s.now, ListKind.DELTA, List.of());
         int polls = s.watches;
-        s.pass(10 * settings.pollIntervalNs);
+        s.advance(10 * settings.pollIntervalNs);
         assertEquals(polls, s.watches, "no poll while there is a watch");
     }
 
--- a/decisions/src/test/java/trailthread/EndpointDirectoryTest.java
+++ b/decisions/src/test/java/trailthread/EndpointDirectoryTest.java
@@ -84,7 +84,7 @@
         modules.settings.nodes = 1000;
         modules.settings.connectionPrice = 0.6;
         list(100);
-        modules.fail(modules.subset.endpoints().get(0), 3, NOW);
+        modules.recordFailures(modules.subset.endpoints().get(0), 3, NOW);
         directory.refreshSubset(NOW + 799 * MS);
         assertEquals(3, modules.subset.size());
         directory.refreshSubset(NOW + 1200 * MS);
--- a/decisions/src/test/java/trailthread/EndpointPickerTest.java
+++ b/decisions/src/test/java/trailthread/EndpointPickerTest.java
@@ -23,7 +23,7 @@
 
     @Test
     void noneIsPickedWithLessThanHalfAMeanLatencyLeft() {
-        modules.use(1, a);
+        modules.useSubset(1, a);
         modules.means.recordLatency(100 * MS);
         assertNull(pick(modules.request("safe", 0, NOW + 49 * MS), NOW));
         assertEquals(a, pick(modules.request("safe", 0, NOW + 50 * MS), NOW));
@@ -32,7 +32,7 @@
     @Test
     void aDrainingEndpointIsNotPicked() {
         a.update(new EndpointEntry("a", 1, EndpointState.DRAINING, "here", 0, 1));
-        modules.use(1, a, b);
+        modules.useSubset(1, a, b);
         for (int i = 0; i < 20; i++) {
             assertEquals(b, pick(modules.request("safe"), NOW));
         }
@@ -41,7 +41,7 @@
     /** An eighth of the tightest objective of 200 ms. */
     @Test
     void theSameEndpointIsPickedAgainOnlyAfterAnEighthOfTheObjective() {
-        modules.use(1, a);
+        modules.useSubset(1, a);
         Request request = modules.request("safe");
         modules.attempt(request, a, Outcome.REJECTED, NOW);
         assertNull(pick(request, NOW + 25 * MS));
@@ -50,7 +50,7 @@
 
     @Test
     void anEjectedEndpointIsPickedOnlyWhileEjectionIsSuspended() {
-        modules.use(1, a);
+        modules.useSubset(1, a);
         for (int i = 0; i < 3; i++) {
             modules.outliers.recordFailure(a);
         }
@@ -62,7 +62,7 @@
 
     @Test
     void aKeyedRequestThatMayHaveRunStaysInItsDeduplicationCell() {
-        modules.use(1, a, b, c);
+        modules.useSubset(1, a, b, c);
         for (int i = 0; i < 20; i++) {
             Request request = modules.request("keyed");
             modules.attempt(request, a, Outcome.ERROR, NOW);
--- a/decisions/src/test/java/trailthread/FaultHandlingTest.java
+++ b/decisions/src/test/java/trailthread/FaultHandlingTest.java
@@ -27,14 +27,14 @@
         for (int i = 0; i < requests; i++) {
             long id = s.request("safe");
             for (int k = 0; k < 900 && s.sendsOf(id).isEmpty(); k++) {
-                s.pass(MS);
+                s.advance(MS);
             }
             if (s.sendsOf(id).isEmpty()) {
-                s.pass(200 * MS);
+                s.advance(200 * MS);
                 continue;
             }
             toA += endpointOf(s, id).equals("a") ? 1 : 0;
-            s.pass(latency);
+            s.advance(latency);
             s.end(id, Outcome.OK);
         }
         return toA;
@@ -47,7 +47,7 @@
         ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints();
         long oldest = s.request("safe");
-        s.pass(50 * MS);
+        s.advance(50 * MS);
         long newest = s.request("safe");
         s.delta(ScriptedBalancer.ready("a"));
         assertEquals(1, s.sendsOf(newest).size());
@@ -65,7 +65,7 @@
         serve(s, 20, 20 * MS);
         s.delta(new EndpointEntry("a", 1, EndpointState.GONE, "here", 0, 0));
         s.balancer.request(s.now, 1001, "safe", 0, s.now + 1000 * MS, "t", false, 0);
-        s.pass(50 * MS);
+        s.advance(50 * MS);
         s.balancer.request(s.now, 1002, "safe", 0, s.now + 1000 * MS, "t", false, 0);
         s.delta(ScriptedBalancer.ready("a"));
         assertEquals(1, s.sendsOf(1001).size(), "within the quota");
@@ -79,7 +79,7 @@
         for (int i = 0; i < 100; i++) {
             long id = s.request("unsafe");
             boolean fails = endpointOf(s, id).equals("a");
-            s.pass(fails ? MS : 20 * MS);
+            s.advance(fails ? MS : 20 * MS);
             s.end(id, fails ? Outcome.ERROR : Outcome.OK);
         }
         s.delta(new EndpointEntry("a", 1, EndpointState.READY, "here", s.now - 60_000 * MS, 0));
@@ -87,7 +87,7 @@
         for (int i = 0; i < 30; i++) {
             long id = s.request("unsafe");
             toA += endpointOf(s, id).equals("a") ? 1 : 0;
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             s.end(id, Outcome.OK);
         }
         assertTrue(toA > 3, "unsafe sends after its restart: " + toA);
@@ -99,11 +99,11 @@
         s.endpoints("a", "b");
         for (int i = 0; i < 20; i++) {
             long id = s.request("safe");
-            s.pass(MS);
+            s.advance(MS);
             s.end(id, Outcome.ERROR);
             assertEquals(2, s.sendsOf(id).size());
             assertNotEquals(endpointOf(s, id), s.sendsOf(id).get(1).endpoint());
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             s.end(id, Outcome.OK);
             serve(s, 20, 20 * MS);
         }
@@ -118,7 +118,7 @@
             long id = s.request("unsafe");
             boolean a = endpointOf(s, id).equals("a");
             toA += a ? 1 : 0;
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             s.end(id, a && toA % 2 == 0 ? Outcome.ERROR : Outcome.OK);
         }
         assertTrue(toA > 20 && toA < 140, "of 400 to the endpoint that fails sometimes: " + toA);
@@ -136,7 +136,7 @@
         for (int tick = 0; tick < 600; tick++) {
             int before = s.sends.size();
             s.request("safe");
-            s.pass(10 * MS);
+            s.advance(10 * MS);
             inFlight.addAll(s.sends.subList(before, s.sends.size()));
             for (ScriptedBalancer.Send x : List.copyOf(inFlight)) {
                 if (x.at() + 44 * MS <= s.now) { // 2.2 idle latencies, whatever this node sends
@@ -186,20 +186,20 @@
             long id = s.request("unsafe");
             if (s.sendsOf(id).get(0).endpoint().equals("a")) {
                 toA++;
-                s.pass(MS);
+                s.advance(MS);
                 s.end(id, Outcome.ERROR);
             } else {
-                s.pass(20 * MS);
+                s.advance(20 * MS);
                 s.end(id, Outcome.OK);
             }
         }
         assertTrue(toA <= 3, "unsafe sends to the failing endpoint: " + toA);
-        s.pass(20_000 * MS);
+        s.advance(20_000 * MS);
         boolean tried = false;
         for (int i = 0; i < 50 && !tried; i++) {
             long id = s.request("safe");
             tried = s.sendsOf(id).get(0).endpoint().equals("a");
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             s.end(id, Outcome.OK);
         }
         assertTrue(tried, "half-open trial");
@@ -211,7 +211,7 @@
         s.endpoints("a", "b");
         for (int i = 0; i < 30; i++) {
             long id = s.request("unsafe");
-            s.pass(300 * MS);
+            s.advance(300 * MS);
             assertEquals(1, s.sendsOf(id).size(), "request " + i);
             s.end(id, Outcome.ERROR);
         }
@@ -228,7 +228,7 @@
                 s.end(id, Outcome.REJECTED);
                 sends++;
             }
-            s.pass(MS);
+            s.advance(MS);
         }
         assertTrue(sends < 20, "sends to a full endpoint in 100 ms: " + sends);
     }
@@ -240,11 +240,11 @@
         EndpointChoiceTest.serve(s, 200, 20 * MS, 20 * MS);
         long stuck = s.request("safe");
         String unresponsive = s.sendsOf(stuck).get(0).endpoint();
-        s.pass(300 * MS);
+        s.advance(300 * MS);
         for (int i = 0; i < 20; i++) {
             long id = s.request("safe");
             assertNotEquals(unresponsive, s.sendsOf(id).get(0).endpoint());
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             s.end(id, Outcome.OK);
         }
     }
@@ -256,7 +256,7 @@
         EndpointChoiceTest.serve(s, 300, 20 * MS, 20 * MS);
         for (int i = 0; i < 200; i++) {
             long id = s.request("safe");
-            s.pass(s.sendsOf(id).get(0).endpoint().equals("a") ? 150 * MS : 20 * MS);
+            s.advance(s.sendsOf(id).get(0).endpoint().equals("a") ? 150 * MS : 20 * MS);
             s.end(id, Outcome.OK);
         }
         int before = (int) s.sends.stream().filter(x -> x.endpoint().equals("a")).count();
@@ -266,7 +266,7 @@
         assertTrue(
                 during <= 3,
                 "sends to a congested endpoint in " + (s.now - from) / MS + " ms: " + during);
-        s.pass(20_000 * MS);
+        s.advance(20_000 * MS);
         Map<String, Integer> after = EndpointChoiceTest.serve(s, 400, 20 * MS, 20 * MS);
         assertTrue(after.getOrDefault("a", 0) > 50, "after it recovered: " + after);
     }
--- a/decisions/src/test/java/trailthread/HashMixerTest.java
+++ b/decisions/src/test/java/trailthread/HashMixerTest.java
@@ -8,7 +8,7 @@
 
 /** Against the published outputs of splitmix64. */
 class HashMixerTest {
-    /** What the generator adds to its state for each output; from the seed 0 on. */
+    /** The generator adds this to its state for each output; the seed is 0. */
     private static final long GOLDEN_GAMMA = 0x9e3779b97f4a7c15L;
 
     @Test
@@ -23,11 +23,11 @@
 
     /** The least value is that of a mixed 0; its logarithm must be finite. */
     @Test
-    void unitIsUniformAndNeverZeroOrOne() {
-        assertTrue(HashMixer.unit(0) > 0);
+    void uniformHashesAreUniformAndNeverZeroOrOne() {
+        assertTrue(HashMixer.uniform(0) > 0);
         double sum = 0;
         for (int i = 0; i < 10_000; i++) {
-            double unit = HashMixer.unit(i);
+            double unit = HashMixer.uniform(i);
             assertTrue(unit > 0 && unit < 1);
             sum += unit;
         }
--- a/decisions/src/test/java/trailthread/InFlightTrackerTest.java
+++ b/decisions/src/test/java/trailthread/InFlightTrackerTest.java
@@ -61,7 +61,7 @@
 
     @Test
     void attemptThatEndsAfterItWasPresumedLostIsSubtractedOnce() {
-        endpoint.load.record(ScriptedBalancer.queue(0), NOW);
+        endpoint.load.record(ScriptedBalancer.queueReport(0), NOW);
         Attempt lost = modules.begin(endpoint, NOW);
         Attempt streaming = modules.begin(endpoint, NOW + 49 * MS);
         assertCounts(1, 1, NOW + 50 * MS);
--- a/decisions/src/test/java/trailthread/KeyHomeTest.java
+++ b/decisions/src/test/java/trailthread/KeyHomeTest.java
@@ -55,7 +55,7 @@
             if (watched) {
                 counts.merge(s.sendsOf(id).get(0).endpoint(), 1, Integer::sum);
             }
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             s.end(id, Outcome.OK);
         }
         return counts;
@@ -102,7 +102,7 @@
                 long id = firstId + 1000 * key + i;
                 s.balancer.request(s.now, id, "safe", 0, s.now + 1000 * MS, null, false, key);
                 counts.merge(s.sendsOf(id).get(0).endpoint(), 1, Integer::sum);
-                s.pass(20 * MS);
+                s.advance(20 * MS);
                 s.end(id, Outcome.OK);
             }
             String home = counts.firstKey();
--- a/decisions/src/test/java/trailthread/ListPollScheduleTest.java
+++ b/decisions/src/test/java/trailthread/ListPollScheduleTest.java
@@ -30,7 +30,7 @@
     /** Polls, and lets the poll fail after a wait that counts as queued. */
     private void failQueuedPoll(long waitedNs) {
         schedule.timerDue(modules.lastTimerId(), NOW);
-        schedule.failed(NOW + waitedNs);
+        schedule.pollOrWatchFailed(NOW + waitedNs);
     }
 
     @Test
@@ -38,33 +38,33 @@
         int early = 0;
         for (int node = 0; node < 400; node++) {
             schedule = schedule(node);
-            schedule.received(ListKind.CACHED);
+            schedule.listReceived(ListKind.CACHED);
             assertDelay(0, 3.9); // 4 * (1 s - 1 s / 40)
             early += modules.lastDelayNs() < 1.3 * SECOND ? 1 : 0;
         }
         // The longest undithered delay is 3.25 s, so 1.3 s is 0.4 of the range.
         assertTrue(early > 120 && early < 200, "" + early);
         modules.settings.nodes = 1;
-        schedule.received(ListKind.CACHED);
+        schedule.listReceived(ListKind.CACHED);
         assertDelay(0, 0);
         modules.settings.listIsPolled = false;
-        schedule.received(ListKind.CACHED);
+        schedule.listReceived(ListKind.CACHED);
         assertEquals(2, modules.recorder.timers.size());
     }
 
     @Test
     void pollsThatFailAtOnceAreRepeatedAtFixedIntervals() {
         for (int i = 0; i < 20; i++) {
-            schedule.failed(NOW);
+            schedule.pollOrWatchFailed(NOW);
             assertDelay(0.8 * 4, 1.2 * 4);
         }
         failQueuedPoll(2 * SECOND); // the first queued poll that fails: no backoff yet
         assertDelay(0.8 * 2, 1.2 * 2);
         modules.settings.nodes = 1;
-        schedule.failed(NOW);
+        schedule.pollOrWatchFailed(NOW);
         assertDelay(0.8, 1.2);
         modules.settings.nodes = 1000;
-        schedule.failed(NOW);
+        schedule.pollOrWatchFailed(NOW);
         assertDelay(0.8 * 5, ListLease.NOTIFICATION_DUE_NS / 1e9);
     }
 
@@ -79,7 +79,7 @@
         int seeds = 400;
         for (int seed = 0; seed < seeds; seed++) {
             schedule = schedule(seed);
-            schedule.received(ListKind.CACHED);
+            schedule.listReceived(ListKind.CACHED);
             for (int i = 0; i < sums.length; i++) {
                 failQueuedPoll(2 * SECOND);
                 sums[i] += modules.lastDelayNs() / 1e9;
@@ -99,11 +99,11 @@
         int seeds = 400;
         for (int seed = 0; seed < seeds; seed++) {
             schedule = schedule(seed);
-            schedule.received(ListKind.CACHED);
+            schedule.listReceived(ListKind.CACHED);
             failQueuedPoll(2 * SECOND);
             failQueuedPoll(2 * SECOND);
-            schedule.received(ListKind.FULL);
-            schedule.failed(NOW);
+            schedule.listReceived(ListKind.FULL);
+            schedule.pollOrWatchFailed(NOW);
             assertDelay(0, 1.2 * 4);
             afterWatch += modules.lastDelayNs() / 1e9 / seeds;
             failQueuedPoll(2 * SECOND);
@@ -116,14 +116,14 @@
 
     @Test
     void pollWithoutAResponseIsRepeatedAndAnOldTimerDoesNothing() {
-        schedule.received(ListKind.CACHED);
+        schedule.listReceived(ListKind.CACHED);
         long first = modules.lastTimerId();
         schedule.timerDue(first, NOW);
         assertEquals(1, modules.recorder.watches);
         assertDelay(0.8 * 2.5, 1.2 * 2.5);
         schedule.timerDue(first, NOW);
         assertEquals(1, modules.recorder.watches);
-        schedule.received(ListKind.FULL);
+        schedule.listReceived(ListKind.FULL);
         schedule.timerDue(modules.lastTimerId(), NOW);
         assertEquals(1, modules.recorder.watches);
     }
--- a/decisions/src/test/java/trailthread/ListPollTest.java
+++ b/decisions/src/test/java/trailthread/ListPollTest.java
@@ -61,14 +61,14 @@
             int last = 0;
             for (int tick = 0; tick < 600; tick++) {
                 int before = s.watches;
-                s.pass(100 * MS);
+                s.advance(100 * MS);
                 if (s.watches > before) {
                     polls[tick / 10]++;
                     assertTrue(
                             "polls within four intervals", tick - last < 4 * 10 * POLL_INTERVAL_S);
                     last = tick;
                     tick += (int) pollTimeoutMs / 100;
-                    s.pass(pollTimeoutMs * MS);
+                    s.advance(pollTimeoutMs * MS);
                     s.balancer.list(s.now, ListKind.FAILED, List.of());
                 }
             }
@@ -201,7 +201,7 @@
         for (int seed = 0; seed < 100; seed++) {
             ScriptedBalancer s = new ScriptedBalancer(settings, seed);
             s.balancer.list(s.now, ListKind.CACHED, List.of(ScriptedBalancer.ready("a")));
-            s.pass(LIST_DUE_MS * MS);
+            s.advance(LIST_DUE_MS * MS);
             assertTrue("seed " + seed, s.watches > 0);
         }
     }
@@ -212,7 +212,7 @@
         ScriptedBalancer s = fleet(1).get(0);
         for (int at = 0; at < 60_000; at += DiscoveryOutageSimulation.TICK_MS) {
             int before = s.watches;
-            s.pass(DiscoveryOutageSimulation.TICK_MS * MS);
+            s.advance(DiscoveryOutageSimulation.TICK_MS * MS);
             if (s.watches > before) {
                 s.balancer.list(s.now, ListKind.FAILED, List.of());
             }
--- a/decisions/src/test/java/trailthread/ListWithoutLeaseTest.java
+++ b/decisions/src/test/java/trailthread/ListWithoutLeaseTest.java
@@ -19,9 +19,9 @@
     public void requestsWaitForAQuarterOfTheTimeToTheirDeadlineAndAreRejected() {
         script.balancer.listLeaseUntil(script.now, Long.MIN_VALUE);
         long id = script.request("unsafe");
-        script.pass(249 * MS); // of 1,000
+        script.advance(249 * MS); // of 1,000
         assertEquals(List.of(), script.refused);
-        script.pass(1 * MS);
+        script.advance(1 * MS);
         assertEquals(List.of(id), script.refused);
         assertEquals(List.of(), script.sends);
     }
@@ -30,7 +30,7 @@
     public void queuedRequestsAreSentOnceTheListIsConfirmed() {
         script.balancer.listLeaseUntil(script.now, Long.MIN_VALUE);
         long id = script.request("unsafe");
-        script.pass(100 * MS);
+        script.advance(100 * MS);
         script.balancer.listLeaseUntil(script.now, script.now + 6_000 * MS);
         assertEquals(1, script.sendsOf(id).size());
     }
@@ -39,9 +39,9 @@
     public void nothingIsRetriedAfterTheLeaseHasExpired() {
         script.balancer.listLeaseUntil(script.now, script.now + 50 * MS);
         long id = script.request("safe");
-        script.pass(50 * MS);
+        script.advance(50 * MS);
         script.end(id, Outcome.RESET);
-        script.pass(1_000 * MS);
+        script.advance(1_000 * MS);
         assertEquals(1, script.sendsOf(id).size());
         assertEquals(List.of(id), script.refused);
     }
--- a/decisions/src/test/java/trailthread/LoadEstimatorTest.java
+++ b/decisions/src/test/java/trailthread/LoadEstimatorTest.java
@@ -40,9 +40,9 @@
     @Test
     void fewResponsesOfAnEndpointAreWeighedAgainstThoseOfAllEndpoints() {
         assertEquals(0, latencyMs(a, NOW));
-        modules.respond(a, 1, 100 * MS, NOW);
+        modules.recordResponses(a, 1, 100 * MS, NOW);
         assertEquals(100, latencyMs(b, NOW), 1e-6);
-        modules.respond(b, 1, 400 * MS, NOW);
+        modules.recordResponses(b, 1, 400 * MS, NOW);
         double doublings = (2 + 2 * (0.2 + 1.0 / 3)) / 3;
         assertEquals(100 * Math.pow(2, doublings), latencyMs(b, NOW), 1e-6);
     }
@@ -50,7 +50,7 @@
     /** Weights of own, all and report: 2, 2 and 5 * 2 / (2 + 2) = 2.5; 4^(2.5 / 6.5) = 1.704. */
     @Test
     void newReportOfServiceTimeCountsAndAnOldOneDoesNot() {
-        modules.respond(a, 2, 100 * MS, NOW);
+        modules.recordResponses(a, 2, 100 * MS, NOW);
         a.load.record(serviceTime(400), NOW);
         assertEquals(170.4, latencyMs(a, NOW), 0.1);
         assertEquals(100, latencyMs(a, NOW + 20 * SECOND), 0.1);
@@ -71,8 +71,8 @@
     /** Otherwise the endpoint would not be drawn again, and would count as slow for ever. */
     @Test
     void latencyOfASlowEndpointWithoutAttemptsDecaysToIdle() {
-        modules.respond(a, 50, 20 * MS, NOW);
-        modules.respond(a, 30, 500 * MS, NOW);
+        modules.recordResponses(a, 50, 20 * MS, NOW);
+        modules.recordResponses(a, 30, 500 * MS, NOW);
         modules.inFlight.end(modules.begin(a, NOW), NOW);
         assertTrue(latencyMs(a, NOW) > 400, "" + latencyMs(a, NOW));
         assertEquals(
@@ -85,7 +85,7 @@
      */
     @Test
     void predictionIsTheRequestsTimesTheTimePerRequestAndTheCrossZonePrice() {
-        a.load.record(ScriptedBalancer.queue(3), NOW);
+        a.load.record(ScriptedBalancer.queueReport(3), NOW);
         assertEquals(25 * MS, estimator.predictedNs(a, 10 * MS), 1);
         modules.settings.crossZonePrice = 0.05;
         assertEquals(25 * MS, estimator.predictedNs(a, 10 * MS), 1);
--- a/decisions/src/test/java/trailthread/LostResponseTest.java
+++ b/decisions/src/test/java/trailthread/LostResponseTest.java
@@ -15,7 +15,7 @@
     private void serve(int requests) {
         for (int i = 0; i < requests; i++) {
             long id = s.request("unsafe");
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             s.end(id, Outcome.OK);
         }
     }
@@ -26,7 +26,7 @@
 
     private void timeOut() {
         long id = s.request("unsafe");
-        s.pass(1000 * MS);
+        s.advance(1000 * MS);
         s.end(id, Outcome.TIMEOUT);
     }
 
@@ -62,12 +62,12 @@
         s.endpoints("a");
         serve(200);
         s.request("unsafe");
-        s.pass(70 * MS);
+        s.advance(70 * MS);
         assertEquals(
                 "an unsafe request waits for the trial", 0, s.sendsOf(s.request("unsafe")).size());
         long trial = s.request("safe");
         assertEquals(1, s.sendsOf(trial).size());
-        s.pass(20 * MS);
+        s.advance(20 * MS);
         s.end(trial, Outcome.OK);
         assertEquals("the request that waited is sent", 1, s.sendsOf(trial - 1).size());
         assertEquals(1, s.sendsOf(s.request("unsafe")).size());
@@ -79,11 +79,11 @@
         s.endpoints("a");
         for (int i = 0; i < 200; i++) {
             long id = s.request("unsafe");
-            s.pass(MS);
+            s.advance(MS);
             s.end(id, Outcome.OK);
         }
         s.request("safe");
-        s.pass(5 * MS);
+        s.advance(5 * MS);
         assertEquals(1, s.sendsOf(s.request("unsafe")).size());
     }
 
@@ -95,7 +95,7 @@
         int before = s.sends.size();
         for (int i = 0; i < 100; i++) {
             s.request("safe");
-            s.pass(10 * MS);
+            s.advance(10 * MS);
         }
         int trials = s.sends.size() - before;
         assertTrue("sent in a second: " + trials, trials >= 3 && trials <= 8);
@@ -111,7 +111,7 @@
         int seen = s.sends.size();
         for (int i = 0; i < 600; i++) {
             s.request("unsafe");
-            s.pass(10 * MS);
+            s.advance(10 * MS);
             for (; seen < s.sends.size(); seen++) {
                 if (s.sends.get(seen).id() % 5 != 0) {
                     inFlight.add(s.sends.get(seen));
--- a/decisions/src/test/java/trailthread/LotteryTest.java
+++ b/decisions/src/test/java/trailthread/LotteryTest.java
@@ -42,7 +42,7 @@
 
     @Test
     void ticketsAreInverseToThePredictedTimeUpToTwiceTheBest() {
-        modules.use(1, a, b);
+        modules.useSubset(1, a, b);
         assertEquals(0.4, shareOfSecond(b, 20 * MS, 30 * MS), TOLERANCE);
         assertEquals(1 / 3.0, shareOfSecond(b, 20 * MS, 40 * MS), TOLERANCE);
         assertEquals(0, shareOfSecond(b, 20 * MS, 41 * MS));
@@ -51,13 +51,13 @@
     /** The resolution is a fiftieth of 200 ms; times up to twice that are near the best. */
     @Test
     void timesBelowTheLatencyResolutionExcludeNoEndpoint() {
-        modules.use(1, a, b);
+        modules.useSubset(1, a, b);
         assertEquals(1 / 8.0, shareOfSecond(b, MS, 7 * MS), TOLERANCE);
     }
 
     @Test
     void ticketsAreInProportionToTheSquareOfTheSuccessRate() {
-        modules.use(1, a, b);
+        modules.useSubset(1, a, b);
         for (int i = 0; i < 5; i++) {
             modules.outliers.recordFailure(b);
         }
@@ -73,21 +73,21 @@
         Endpoint starting =
                 WiredModules.endpoint(
                         new EndpointEntry("b", 1, EndpointState.READY, "here", readyAt, 0));
-        modules.use(1, a, starting);
+        modules.useSubset(1, a, starting);
         assertEquals(0.55 / 1.55, shareOfSecond(starting, 20 * MS, 20 * MS), TOLERANCE);
     }
 
     /** Limits start at 4 / 8 nodes; a rejection leaves 0.7 of that. */
     @Test
     void ticketsAreInProportionToACapacityUnderOneRequest() {
-        modules.use(8, a, b);
+        modules.useSubset(8, a, b);
         modules.limiter.recordRejection(b);
         assertEquals(0.35 / 0.85, shareOfSecond(b, 20 * MS, 20 * MS), TOLERANCE);
     }
 
     @Test
     void onlyTheHomeHoldsTickets() {
-        modules.use(1, a, b);
+        modules.useSubset(1, a, b);
         assertEquals(1, shareOfSecond(b, 20 * MS, 90 * MS, 1));
     }
 }
--- a/decisions/src/test/java/trailthread/ManyNodesTest.java
+++ b/decisions/src/test/java/trailthread/ManyNodesTest.java
@@ -48,7 +48,7 @@
         Set<String> used = new HashSet<>();
         for (int i = 0; i < requests; i++) {
             long id = s.request("safe");
-            s.pass(100 * MS);
+            s.advance(100 * MS);
             for (ScriptedBalancer.Send send : s.sendsOf(id)) {
                 used.add(send.endpoint());
                 s.end(id, Outcome.OK);
@@ -103,7 +103,7 @@
         Set<String> others = new HashSet<>();
         for (int i = 0; i < 400; i++) { // every endpoint of the first subset fails
             long id = s.request("unsafe");
-            s.pass(100 * MS);
+            s.advance(100 * MS);
             for (ScriptedBalancer.Send send : List.copyOf(s.sendsOf(id))) {
                 boolean fails = failing.contains(send.endpoint());
                 s.end(id, fails ? Outcome.ERROR : Outcome.OK);
@@ -147,7 +147,7 @@
     private static void serve(ScriptedBalancer s, int requests, long latency) {
         for (int i = 0; i < requests; i++) {
             long id = s.request("unsafe");
-            s.pass(latency);
+            s.advance(latency);
             if (!s.sendsOf(id).isEmpty()) {
                 s.end(id, Outcome.OK);
             }
@@ -195,12 +195,12 @@
         s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
         for (int i = 0; i < 40; i++) {
             long id = s.request("unsafe");
-            s.pass(latency);
+            s.advance(latency);
             if (!s.sendsOf(id).isEmpty()) {
                 s.end(id, outcome);
             }
         }
-        s.pass(1100 * MS);
+        s.advance(1100 * MS);
         return burst(s);
     }
 
@@ -212,7 +212,7 @@
         Map<String, Integer> sends = new HashMap<>();
         for (int i = 0; i < 400; i++) {
             long id = s.request("safe");
-            s.pass(50 * MS); // the latency seen here is the same for all endpoints
+            s.advance(50 * MS); // the latency seen here is the same for all endpoints
             if (!s.sendsOf(id).isEmpty()) {
                 String b = s.sendsOf(id).get(0).endpoint();
                 sends.merge(b, 1, Integer::sum);
@@ -235,13 +235,13 @@
         String full = "10.0.0.0:80";
         for (int i = 0; i < 300; i++) {
             long id = s.request("unsafe");
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             if (!s.sendsOf(id).isEmpty()) {
                 String b = s.sendsOf(id).get(s.sendsOf(id).size() - 1).endpoint();
                 sends.merge(b, 1, Integer::sum);
                 s.end(id, b.equals(full) ? Outcome.REJECTED : Outcome.OK);
                 if (b.equals(full) && s.sendsOf(id).size() == 2) {
-                    s.pass(20 * MS);
+                    s.advance(20 * MS);
                     s.end(id, Outcome.OK);
                 }
             }
@@ -259,7 +259,7 @@
             ScriptedBalancer s = new ScriptedBalancer(settings, 5);
             s.endpoints();
             s.request("safe");
-            s.pass(1000 * MS);
+            s.advance(1000 * MS);
             assertEquals(1, s.refused.size());
             assertEquals(honoursRetryAfter, s.lastRetryAfterNs > 0);
             assertTrue(
--- a/decisions/src/test/java/trailthread/ModuleFixture.java
+++ b/decisions/src/test/java/trailthread/ModuleFixture.java
@@ -62,7 +62,7 @@
     }
 
     /** Makes new endpoints the subset, each shared by {@code sharingNodes} nodes. */
-    List<Endpoint> shared(double sharingNodes, String... names) {
+    List<Endpoint> useSubset(double sharingNodes, String... names) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (String name : names) {
             endpoints.add(endpoint(name));
@@ -86,13 +86,13 @@
     }
 
     /** Records responses of this latency to attempts that were sent with none in flight. */
-    void respond(Endpoint endpoint, int responses, double latencyNs, long now) {
+    void recordResponses(Endpoint endpoint, int responses, double latencyNs, long now) {
         for (int i = 0; i < responses; i++) {
             estimator.record(new Attempt(endpoint, now, 0), latencyNs, now);
         }
     }
 
-    void fail(Endpoint endpoint, int times, long now) {
+    void recordFailures(Endpoint endpoint, int times, long now) {
         for (int i = 0; i < times; i++) {
             outliers.recordFailure(endpoint);
             outliers.ejectIfFailing(endpoint, now);
--- a/decisions/src/test/java/trailthread/OperatorLogTest.java
+++ b/decisions/src/test/java/trailthread/OperatorLogTest.java
@@ -21,7 +21,7 @@
         s.endpoints("a", "b");
         for (int i = 0; i < 200; i++) {
             long id = s.request("safe");
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             s.end(id, Outcome.OK);
         }
         assertEquals(List.of(), s.log);
@@ -34,7 +34,7 @@
         for (int i = 0; i < 100; i++) {
             long id = s.request("unsafe");
             boolean fails = s.sendsOf(id).get(0).endpoint().equals("a");
-            s.pass(fails ? MS : 20 * MS);
+            s.advance(fails ? MS : 20 * MS);
             s.end(id, fails ? Outcome.ERROR : Outcome.OK);
         }
         assertEquals(1, lines(s, "ejected a after failures in a row: 3"), s.log.toString());
@@ -47,7 +47,7 @@
         long from = s.now;
         for (int i = 0; i < 300; i++) {
             long id = s.request("unsafe");
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             s.end(id, Outcome.ERROR);
         }
         long seconds = (s.now - from) / (1000 * MS);
@@ -63,7 +63,7 @@
         for (int i = 0; i < 500; i++) {
             long id = s.request("safe");
             boolean slow = i > 300 && s.sendsOf(id).get(0).endpoint().equals("a");
-            s.pass(slow ? 150 * MS : 20 * MS);
+            s.advance(slow ? 150 * MS : 20 * MS);
             s.end(id, Outcome.OK);
         }
         assertTrue(lines(s, "resting a: jammed") >= 1, s.log.toString());
@@ -76,9 +76,9 @@
         s.endpoints();
         for (int i = 0; i < 50; i++) {
             s.request("safe");
-            s.pass(10 * MS);
+            s.advance(10 * MS);
         }
-        s.pass(3000 * MS);
+        s.advance(3000 * MS);
         assertEquals(50, s.refused.size());
         long logged = lines(s, "turning requests away: no backend is open, held ");
         assertTrue(logged >= 1 && logged <= 2, s.log.toString());
--- a/decisions/src/test/java/trailthread/OutlierDetectorTest.java
+++ b/decisions/src/test/java/trailthread/OutlierDetectorTest.java
@@ -15,7 +15,7 @@
 final class OutlierDetectorTest {
     private final ModuleFixture modules = new ModuleFixture();
     private final OutlierDetector outliers = modules.outliers;
-    private final List<Endpoint> endpoints = modules.shared(1, "a", "b", "c", "d");
+    private final List<Endpoint> endpoints = modules.useSubset(1, "a", "b", "c", "d");
     private final Endpoint endpoint = endpoints.get(0);
     private final Request idempotent = modules.request(0);
     private final Request unsafe = modules.request(2);
@@ -27,21 +27,21 @@
 
     @Test
     void threeFailuresInARowEjectForAnObjectiveAndEachFurtherOneDoublesIt() {
-        modules.fail(endpoint, 2, NOW);
+        modules.recordFailures(endpoint, 2, NOW);
         outliers.recordSuccess(endpoint);
-        modules.fail(endpoint, 2, NOW);
+        modules.recordFailures(endpoint, 2, NOW);
         assertTrue(outliers.permits(endpoint, unsafe, NOW));
-        modules.fail(endpoint, 1, NOW);
+        modules.recordFailures(endpoint, 1, NOW);
         assertEjectedFor(200 * MS, NOW);
-        modules.fail(endpoint, 1, NOW);
+        modules.recordFailures(endpoint, 1, NOW);
         assertEjectedFor(400 * MS, NOW);
-        modules.fail(endpoint, 10, NOW);
+        modules.recordFailures(endpoint, 10, NOW);
         assertEjectedFor(32 * 200 * MS, NOW);
     }
 
     @Test
     void halfOpenEndpointGetsOneIdempotentAttemptAtATime() {
-        modules.fail(endpoint, 3, NOW);
+        modules.recordFailures(endpoint, 3, NOW);
         long halfOpen = NOW + 241 * MS;
         assertFalse(outliers.permits(endpoint, unsafe, halfOpen));
         Attempt trial = modules.begin(endpoint, halfOpen);
@@ -63,36 +63,36 @@
     /** The idle latency is 20 ms, so the endpoint is congested above 50 ms. */
     @Test
     void congestedEndpointIsEjectedLongerForEachSlowTrialAndNotOnceItIsFast() {
-        modules.respond(endpoint, 50, 20 * MS, NOW);
-        modules.respond(endpoint, 60, 45 * MS, NOW);
+        modules.recordResponses(endpoint, 50, 20 * MS, NOW);
+        modules.recordResponses(endpoint, 60, 45 * MS, NOW);
         assertFalse(outliers.ejectIfCongested(endpoint, NOW));
-        modules.respond(endpoint, 60, 60 * MS, NOW);
+        modules.recordResponses(endpoint, 60, 60 * MS, NOW);
         long now = NOW;
         for (long ejectedNs : new long[] {1500 * MS, 3000 * MS, 6000 * MS, 6000 * MS}) {
             assertTrue(outliers.ejectIfCongested(endpoint, now));
             assertFalse(outliers.ejectIfCongested(endpoint, now)); // already ejected
             assertEjectedFor(ejectedNs, now);
             now += 2 * ejectedNs;
-            modules.respond(endpoint, 1, 400 * MS, now);
+            modules.recordResponses(endpoint, 1, 400 * MS, now);
         }
-        modules.respond(endpoint, 40, 20 * MS, now);
+        modules.recordResponses(endpoint, 40, 20 * MS, now);
         assertFalse(outliers.ejectIfCongested(endpoint, now));
         assertTrue(outliers.permits(endpoint, unsafe, now));
     }
 
     @Test
     void nodeThatIsCutOffEjectsNone() {
-        modules.fail(endpoints.get(0), 3, NOW);
-        modules.fail(endpoints.get(1), 3, NOW);
+        modules.recordFailures(endpoints.get(0), 3, NOW);
+        modules.recordFailures(endpoints.get(1), 3, NOW);
         assertFalse(outliers.logIfEjectionSuspended(NOW));
         assertEquals(2, outliers.countAvoided(endpoints, NOW));
         assertEquals(0, outliers.countAvoided(endpoints, NOW + 241 * MS));
         // A third endpoint, which is congested, is not ejected, as more than half would be ejected
         // then.
-        modules.respond(endpoints.get(2), 50, 20 * MS, NOW);
-        modules.respond(endpoints.get(2), 30, 400 * MS, NOW);
+        modules.recordResponses(endpoints.get(2), 50, 20 * MS, NOW);
+        modules.recordResponses(endpoints.get(2), 30, 400 * MS, NOW);
         assertFalse(outliers.ejectIfCongested(endpoints.get(2), NOW));
-        modules.fail(endpoints.get(2), 3, NOW);
+        modules.recordFailures(endpoints.get(2), 3, NOW);
         assertTrue(outliers.logIfEjectionSuspended(NOW));
         assertEquals(
                 "ejecting none: most of 4 backends fail; is this node cut off?",
--- a/decisions/src/test/java/trailthread/PriorityPolicyTest.java
+++ b/decisions/src/test/java/trailthread/PriorityPolicyTest.java
@@ -25,7 +25,7 @@
                         fairShare.tenant(tenant),
                         workNs,
                         NOW + 1000 * MS);
-        priorities.arrived(request, NOW);
+        priorities.recordArrival(request, NOW);
         return request;
     }
 
@@ -68,7 +68,7 @@
     void theWorstServedClassAddsMoreToTheGoal() {
         settings.goalWorstClass = 0.5;
         for (int i = 0; i < 3; i++) {
-            priorities.served(arrive("safe", null, 0), NOW);
+            priorities.recordServed(arrive("safe", null, 0), NOW);
         }
         Request unserved = arrive("unsafe", null, 0);
         PriorityPolicy.MarginalGain gain = priorities.marginalGain(NOW);
@@ -80,8 +80,8 @@
     void anAnswerAfterTheObjectiveEarnsTheLateShare() {
         Request inTime = arrive("safe", null, 0);
         Request late = arrive("keyed", null, 0);
-        priorities.served(inTime, NOW + 200 * MS);
-        priorities.served(late, NOW + 200 * MS + 1);
+        priorities.recordServed(inTime, NOW + 200 * MS);
+        priorities.recordServed(late, NOW + 200 * MS + 1);
         assertEquals(1, inTime.requestClass.served.value(NOW + 200 * MS), 1e-9);
         assertEquals(0.2, late.requestClass.served.value(NOW + 200 * MS + 1), 1e-9);
     }
--- a/decisions/src/test/java/trailthread/QueueingTest.java
+++ b/decisions/src/test/java/trailthread/QueueingTest.java
@@ -53,9 +53,9 @@
     public void aQueuedRequestIsRejectedWithRetryAfterAtItsLatencyObjective() {
         s.endpoints();
         long id = s.request("unsafe");
-        s.pass(199 * MS);
+        s.advance(199 * MS);
         assertTrue("a response may still earn weight", s.refused.isEmpty());
-        s.pass(MS);
+        s.advance(MS);
         assertEquals(List.of(id), s.refused);
         assertTrue(s.lastRetryAfterNs > 0);
     }
@@ -64,7 +64,7 @@
     public void aRequestRejectedByItsEndpointAfterTheObjectiveIsAnsweredAtOnce() {
         s.endpoints("a");
         long id = s.request("unsafe");
-        s.pass(250 * MS);
+        s.advance(250 * MS);
         s.endpoints();
         s.end(id, Outcome.REJECTED);
         assertEquals(List.of(id), s.refused);
@@ -77,7 +77,7 @@
         long id = s.request("keyed");
         s.endpoints();
         s.end(id, Outcome.REJECTED);
-        s.pass(10 * MS);
+        s.advance(10 * MS);
         s.endpoints("b");
         assertEquals("b", s.sendsOf(id).get(1).endpoint());
     }
@@ -88,9 +88,9 @@
         long id = s.request("keyed");
         s.endpoints();
         s.end(id, Outcome.ERROR);
-        s.pass(199 * MS);
+        s.advance(199 * MS);
         assertTrue("an endpoint of its cell may still come", s.failed.isEmpty());
-        s.pass(MS);
+        s.advance(MS);
         assertEquals("it may have run, so it is not refused", List.of(id), s.failed);
     }
 
@@ -106,7 +106,7 @@
             if (step % 8 == 0) {
                 s.request("safe");
             }
-            s.pass(5 * MS);
+            s.advance(5 * MS);
             while (ended < s.sends.size() && s.sends.get(ended).at() <= s.now - 95 * MS) {
                 s.end(s.sends.get(ended++).id(), Outcome.OK);
             }
--- a/decisions/src/test/java/trailthread/RandomizedRulesTest.java
+++ b/decisions/src/test/java/trailthread/RandomizedRulesTest.java
@@ -74,7 +74,7 @@
             step(random);
             check();
         }
-        s.pass(5000 * MS);
+        s.advance(5000 * MS);
         check();
         requests.forEach((id, request) -> assertTrue(request.ended, "no final answer for " + id));
     }
@@ -120,7 +120,7 @@
                                 s.balancer.clientDisconnected(s.now, id);
                             });
         } else {
-            s.pass((1 + random.nextInt(20)) * MS);
+            s.advance((1 + random.nextInt(20)) * MS);
         }
     }
 
@@ -140,7 +140,7 @@
                             o,
                             s.now - request.sends.get(k).at(),
                             closes,
-                            ScriptedBalancer.queue(0));
+                            ScriptedBalancer.queueReport(0));
                     return;
                 }
             }
--- a/decisions/src/test/java/trailthread/RequestQueueTest.java
+++ b/decisions/src/test/java/trailthread/RequestQueueTest.java
@@ -65,7 +65,7 @@
     private Request add(String requestClass, Outcome firstAttempt) {
         RequestClassStats stats = fairShare.requestClass(requestClass);
         Request request = modules.request(stats, null, 0, NOW + 1000 * MS);
-        priorities.arrived(request, NOW);
+        priorities.recordArrival(request, NOW);
         if (firstAttempt != null) {
             modules.attempt(request, WiredModules.endpoint("a", 0), firstAttempt, NOW);
         }
--- a/decisions/src/test/java/trailthread/RetryTest.java
+++ b/decisions/src/test/java/trailthread/RetryTest.java
@@ -94,10 +94,10 @@
                 s.endpoints("a", "b", "c", "d");
                 long id = s.request(name);
                 long deadline = s.now + 1000 * MS;
-                s.pass(10 * MS);
+                s.advance(10 * MS);
                 s.end(id, Outcome.REJECTED);
                 long second = s.now;
-                s.pass(20 * MS);
+                s.advance(20 * MS);
                 s.end(id, mayHaveRun && !name.equals("unsafe") ? Outcome.ERROR : Outcome.REJECTED);
                 List<ScriptedBalancer.Send> sends = s.sendsOf(id);
                 assertTrue(name, sends.size() >= 3);
--- a/decisions/src/test/java/trailthread/ScriptedBalancer.java
+++ b/decisions/src/test/java/trailthread/ScriptedBalancer.java
@@ -125,12 +125,12 @@
                 now, id, last.attempt(), outcome, now - last.at(), outcome == Outcome.OK, load);
     }
 
-    static LoadReport queue(double queue) {
+    static LoadReport queueReport(double queue) {
         return new LoadReport(Double.NaN, queue, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
     /** Advances the clock, and delivers timers as they become due. */
-    void pass(long ns) {
+    void advance(long ns) {
         long until = now + ns;
         while (true) {
             Timer next = null;
--- a/decisions/src/test/java/trailthread/SlowStartBudgetTest.java
+++ b/decisions/src/test/java/trailthread/SlowStartBudgetTest.java
@@ -53,9 +53,9 @@
     private static void serve(ScriptedBalancer s, int requests) {
         for (int i = 0; i < requests; i++) {
             long id = s.request("safe");
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             s.end(id, Outcome.OK);
-            s.pass(80 * MS);
+            s.advance(80 * MS);
         }
     }
 
--- a/decisions/src/test/java/trailthread/SlowStartFleetTest.java
+++ b/decisions/src/test/java/trailthread/SlowStartFleetTest.java
@@ -71,7 +71,7 @@
         int sendsSeen = 0;
         boolean restarted = false;
         for (long at = 0; at < END_AT_MS; at += STEP_MS) {
-            s.pass(start + at * MS - s.now);
+            s.advance(start + at * MS - s.now);
             if (!restarted && at >= RESTART_AT_MS) {
                 restarted = true;
                 announceEndpoints(s, start + RESTART_AT_MS * MS);
--- a/decisions/src/test/java/trailthread/StaleLoadCorrectionTest.java
+++ b/decisions/src/test/java/trailthread/StaleLoadCorrectionTest.java
@@ -26,11 +26,11 @@
                         firstEndpoint,
                         Outcome.OK,
                         MS,
-                        ScriptedBalancer.queue(0.001 * (i % 2)));
+                        ScriptedBalancer.queueReport(0.001 * (i % 2)));
             }
             long second = s.request("safe");
             toOtherEndpoint += s.sendsOf(second).get(0).endpoint().equals(firstEndpoint) ? 0 : 1;
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             s.end(first, Outcome.OK);
             s.end(second, Outcome.OK);
         }
--- a/decisions/src/test/java/trailthread/SubsetSelectorTest.java
+++ b/decisions/src/test/java/trailthread/SubsetSelectorTest.java
@@ -99,13 +99,13 @@
         list(100, 0);
         selector.select(NOW);
         List<Endpoint> before = List.copyOf(modules.subset.endpoints());
-        modules.fail(before.get(0), 3, NOW);
+        modules.recordFailures(before.get(0), 3, NOW);
         before.get(1).update(entry(before.get(1).name, EndpointState.DRAINING, 0));
         for (Endpoint endpoint : list.all()) {
-            modules.respond(endpoint, 1, 20 * MS, NOW);
+            modules.recordResponses(endpoint, 1, 20 * MS, NOW);
         }
-        modules.respond(before.get(2), 40, 500 * MS, NOW - MS);
-        modules.respond(list.get("e0"), 30, 20 * MS, NOW);
+        modules.recordResponses(before.get(2), 40, 500 * MS, NOW - MS);
+        modules.recordResponses(list.get("e0"), 30, 20 * MS, NOW);
         selector.select(NOW);
         List<Endpoint> after = modules.subset.endpoints();
         assertEquals(before, after.subList(0, 3));
--- a/decisions/src/test/java/trailthread/WiredModules.java
+++ b/decisions/src/test/java/trailthread/WiredModules.java
@@ -71,7 +71,7 @@
     }
 
     /** Makes these endpoints the subset, each shared by {@code sharingNodes} nodes. */
-    void use(double sharingNodes, Endpoint... endpoints) {
+    void useSubset(double sharingNodes, Endpoint... endpoints) {
         subset.replace(List.of(endpoints), sharingNodes);
         limiter.initialise();
         limiter.updateTotal(NOW);
--- a/decisions/src/test/java/trailthread/degradation/SimulatedEndpoint.java
+++ b/decisions/src/test/java/trailthread/degradation/SimulatedEndpoint.java
@@ -25,7 +25,7 @@
     private final boolean failing;
     private final Queue<Runnable> queue = new ArrayDeque<>();
 
-    /** Its load at past times, the oldest first. */
+    /** The load of the endpoint at past times, the oldest first. */
     private final ArrayDeque<Load> history = new ArrayDeque<>(List.of(new Load(0, 0, 0)));
 
     private int busySlots;
