--- a/decisions/src/test/java/trailthread/EndpointChoiceTest.java
+++ b/decisions/src/test/java/trailthread/EndpointChoiceTest.java
@@ -23,8 +23,8 @@
     private static final long MS = ScriptedBalancer.MS;
 
     /**
-     * Serves one request after another, each in {@code latencies} by endpoint, and counts the
-     * sends.
+     * Serves one request after another, each with the latency of its endpoint, and counts the sends
+     * by endpoint.
      */
     static Map<String, Integer> serve(
             ScriptedBalancer s, int requests, long aLatency, long bLatency) {
@@ -32,12 +32,12 @@
         for (int i = 0; i < requests; i++) {
             long id = s.request("safe");
             if (s.sendsOf(id).isEmpty()) {
-                s.pass(500 * MS);
+                s.advance(500 * MS);
             }
             String endpoint = s.sendsOf(id).get(0).endpoint();
             counts.merge(endpoint, 1, Integer::sum);
-            s.pass(endpoint.equals("a") ? aLatency : bLatency);
-            s.end(id, Outcome.OK, ScriptedBalancer.queue(0));
+            s.advance(endpoint.equals("a") ? aLatency : bLatency);
+            s.end(id, Outcome.OK, ScriptedBalancer.queueReport(0));
         }
         return counts;
     }
@@ -60,8 +60,8 @@
             long id = s.request("safe");
             String endpoint = s.sendsOf(id).get(0).endpoint();
             toA += endpoint.equals("a") ? 1 : 0;
-            s.pass(20 * MS);
-            s.end(id, Outcome.OK, ScriptedBalancer.queue(endpoint.equals("a") ? 0.8 : 0));
+            s.advance(20 * MS);
+            s.end(id, Outcome.OK, ScriptedBalancer.queueReport(endpoint.equals("a") ? 0.8 : 0));
         }
         // tickets 1/1.8 against 1/1: 36 in 100
         assertEquals(0.36, toA / 1500.0, 0.06);
@@ -80,12 +80,13 @@
                     s.sendsOf(first).get(0).endpoint().equals(s.sendsOf(second).get(0).endpoint())
                             ? 0
                             : 1;
-            s.pass(20 * MS);
-            s.end(first, Outcome.OK, ScriptedBalancer.queue(0));
-            s.end(second, Outcome.OK, ScriptedBalancer.queue(0));
+            s.advance(20 * MS);
+            s.end(first, Outcome.OK, ScriptedBalancer.queueReport(0));
+            s.end(second, Outcome.OK, ScriptedBalancer.queueReport(0));
         }
-        // one outstanding against none: tickets 1/2 against 1, so two in three go to the other
-        assertTrue(other > 400 * 0.58, "to the other: " + other);
+        // one attempt in flight against none: tickets 1/2 against 1, so two in three go to the
+        // other endpoint
+        assertTrue(other > 400 * 0.58, "to the other endpoint: " + other);
     }
 
     @Test
@@ -93,12 +94,12 @@
         ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
         Map<String, Integer> counts = serve(s, 600, 15 * MS, 90 * MS);
-        assertTrue(counts.get("b") < 60, "to the slow one: " + counts);
+        assertTrue(counts.get("b") < 60, "to the slow endpoint: " + counts);
     }
 
     /**
-     * Prevents an endpoint that was draining while the others became slightly faster from never
-     * being drawn again.
+     * Prevents the lottery from never drawing an endpoint again that was draining while the others
+     * became slightly faster.
      */
     @Test
     void latencyDifferencesBelowTheResolutionExcludeNoEndpoint() {
@@ -108,9 +109,10 @@
         s.delta(new EndpointEntry("b", 1, EndpointState.DRAINING, "here", 0, 0));
         serve(s, 2000, MS / 15, MS / 15);
         s.delta(ScriptedBalancer.ready("b"));
-        s.pass(10_000 * MS);
+        s.advance(10_000 * MS);
         Map<String, Integer> counts = serve(s, 2000, MS / 15, MS / 15);
-        assertTrue(counts.getOrDefault("b", 0) > 500, "to the one that was away: " + counts);
+        assertTrue(
+                counts.getOrDefault("b", 0) > 500, "to the endpoint that was draining: " + counts);
     }
 
     @Test
@@ -121,7 +123,7 @@
             for (int k = 0; k < 12; k++) {
                 s.request("safe");
             }
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             for (ScriptedBalancer.Send x : List.copyOf(s.sends)) {
                 s.balancer.outcome(
                         s.now,
@@ -130,7 +132,7 @@
                         Outcome.OK,
                         20 * MS,
                         true,
-                        ScriptedBalancer.queue(0));
+                        ScriptedBalancer.queueReport(0));
             }
         }
         int sent = s.sends.size();
@@ -164,7 +166,7 @@
         for (int i = 0; i < 100; i++) {
             long id = s.request("safe");
             assertEquals(1, s.sendsOf(id).size(), "request " + i);
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             double none = Double.NaN;
             s.end(id, Outcome.OK, new LoadReport(10 + i % 3, none, none, none, none, none));
         }
@@ -177,9 +179,9 @@
         serve(s, 100, 20 * MS, 20 * MS);
         for (int i = 0; i < 20; i++) {
             long id = s.request("safe");
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             s.balancer.firstByte(s.now, id, 0);
-            s.pass(3000 * MS);
+            s.advance(3000 * MS);
             s.end(id, Outcome.OK);
         }
         Map<String, Integer> counts = serve(s, 400, 20 * MS, 20 * MS);
@@ -193,15 +195,15 @@
         settings.mayCheckHealth = true;
         ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.endpoints("a", "b", "c");
-        s.pass(5000 * MS);
-        String asked = s.transcript.toString();
+        s.advance(5000 * MS);
+        String transcript = s.transcript.toString();
         for (String name : List.of("a", "b", "c")) {
-            assertTrue(asked.contains("probe " + name), asked);
+            assertTrue(transcript.contains("probe " + name), transcript);
         }
         settings.mayCheckHealth = false;
         ScriptedBalancer withoutPermission = new ScriptedBalancer(settings, 5);
         withoutPermission.endpoints("a");
-        withoutPermission.pass(5000 * MS);
+        withoutPermission.advance(5000 * MS);
         assertTrue(
                 !withoutPermission.transcript.toString().contains("probe"),
                 "probes need permission");
@@ -217,7 +219,7 @@
         }
         long sentAtOnce = s.sends.size() - 100L;
         assertTrue(sentAtOnce >= 1 && sentAtOnce <= 4, "sent at once: " + sentAtOnce);
-        s.pass(1500 * MS);
+        s.advance(1500 * MS);
         assertEquals(50 - sentAtOnce, s.refused.size(), "queued requests are rejected, not failed");
     }
 
@@ -240,7 +242,7 @@
         long light = s.request("safe");
         long heavy = s.request("dear");
         s.delta(new EndpointEntry("a", 1, EndpointState.READY, "here", s.now, 0));
-        s.pass(250 * MS); // an endpoint in slow start gets its first request within an objective
+        s.advance(250 * MS); // an endpoint in slow start gets its first request within an objective
         assertEquals(1, s.sendsOf(heavy).size());
         assertEquals(0, s.sendsOf(light).size());
     }
@@ -254,13 +256,13 @@
         int sent = 0;
         for (int i = 0; i < 10; i++) {
             long id = s.request("safe");
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             if (!s.sendsOf(id).isEmpty()) {
                 sent++;
                 s.end(id, Outcome.OK);
             }
         }
-        assertTrue(sent >= 1 && sent <= 5, "of 10 requests on end, sent at once: " + sent);
+        assertTrue(sent >= 1 && sent <= 5, "of 10 requests in a row, sent at once: " + sent);
     }
 
     @Test
@@ -270,7 +272,7 @@
         serve(s, 50, 60 * MS, 60 * MS);
         s.balancer.request(s.now, 9999, "safe", 0, s.now + 10 * MS, null, false, 0);
         assertTrue(s.sendsOf(9999).isEmpty());
-        s.pass(50 * MS);
+        s.advance(50 * MS);
         assertTrue(s.refused.contains(9999L));
     }
 
@@ -296,17 +298,17 @@
         settings.listIsPolled = true;
         ScriptedBalancer s = new ScriptedBalancer(settings, 5);
         s.balancer.list(s.now, ListKind.CACHED, List.of(ScriptedBalancer.ready("a")));
-        s.pass(
+        s.advance(
                 settings.pollIntervalNs
                         / 300); // the first polls of all nodes are spread: see ListPollTest
         assertEquals(1, s.watches);
         s.balancer.list(s.now, ListKind.FAILED, List.of());
-        s.pass(settings.pollIntervalNs / 2);
-        assertTrue(s.watches >= 2, "asked " + s.watches);
+        s.advance(settings.pollIntervalNs / 2);
+        assertTrue(s.watches >= 2, "polls: " + s.watches);
         s.balancer.list(s.now, ListKind.DELTA, List.of());
-        int asked = s.watches;
-        s.pass(10 * settings.pollIntervalNs);
-        assertEquals(asked, s.watches, "a watch that stands is left alone");
+        int polls = s.watches;
+        s.advance(10 * settings.pollIntervalNs);
+        assertEquals(polls, s.watches, "no poll while there is a watch");
     }
 
     @Test
--- a/decisions/src/test/java/trailthread/ListPollTest.java
+++ b/decisions/src/test/java/trailthread/ListPollTest.java
@@ -12,8 +12,8 @@
 import trailthread.api.Settings;
 
 /**
- * Polls of the endpoint list that fail at all nodes at once, in virtual time: discovery serves them
- * one after another, also those that have timed out while they waited.
+ * Polls of the endpoint list that fail at all nodes at the same time, in virtual time. Discovery
+ * serves polls one after another, in some cases also those that timed out while they waited.
  */
 public class ListPollTest {
     private static final int POLL_INTERVAL_S = 10;
@@ -61,14 +61,14 @@
             int last = 0;
             for (int tick = 0; tick < 600; tick++) {
                 int before = s.watches;
-                s.pass(100 * MS);
+                s.advance(100 * MS);
                 if (s.watches > before) {
                     polls[tick / 10]++;
                     assertTrue(
                             "polls within four intervals", tick - last < 4 * 10 * POLL_INTERVAL_S);
                     last = tick;
                     tick += (int) pollTimeoutMs / 100;
-                    s.pass(pollTimeoutMs * MS);
+                    s.advance(pollTimeoutMs * MS);
                     s.balancer.list(s.now, ListKind.FAILED, List.of());
                 }
             }
@@ -77,8 +77,8 @@
     }
 
     /**
-     * Prevents a fleet from polling in step, so that the polls of each wave time out behind those
-     * of the one before.
+     * Prevents all nodes from polling at the same times, so that the polls of each wave time out
+     * behind those of the wave before.
      */
     @Test
     public void pollsAfterABrokenWatchAreSpreadAndBackOff() {
@@ -97,12 +97,13 @@
     }
 
     /**
-     * As {@link SimulatedDiscovery#receivedAfterMs}, with polls that wait for up to two seconds.
+     * As {@link DiscoveryOutageSimulation#receivedAfterMs}, with polls that wait for up to two
+     * seconds.
      */
     private static int[] listReceivedAfterMs(
             List<ScriptedBalancer> nodes, int downMs, double serveMs, boolean servesTimedOutPolls) {
-        SimulatedDiscovery.Outage outage = new SimulatedDiscovery.Outage(downMs, 0);
-        return new SimulatedDiscovery(serveMs, POLL_TIMEOUT_MS, servesTimedOutPolls, outage)
+        DiscoveryOutageSimulation.Outage outage = new DiscoveryOutageSimulation.Outage(downMs, 0);
+        return new DiscoveryOutageSimulation(serveMs, POLL_TIMEOUT_MS, servesTimedOutPolls, outage)
                 .receivedAfterMs(nodes);
     }
 
@@ -138,8 +139,8 @@
     }
 
     /**
-     * Most of a fleet is killed and starts again at once. Prevents all from polling in the same
-     * moment, so that most polls time out while discovery serves the first.
+     * Most nodes are killed and start again at the same time. Prevents them from polling at the
+     * same moment, so that most polls time out while discovery serves the first.
      */
     @Test
     public void nodesThatStartTogetherReceiveTheListInTime() {
@@ -153,8 +154,8 @@
     }
 
     /**
-     * Discovery returns, and soon after that most nodes are killed. Prevents the polls of those
-     * that start again from timing out behind the ones before.
+     * Discovery returns, and soon after that most nodes are killed and restarted. Prevents the
+     * polls of restarted nodes from timing out behind earlier polls.
      */
     @Test
     public void nodesKilledAfterAnOutageReceiveTheListInTime() {
@@ -169,9 +170,12 @@
                     nodes.add(node(me, 1_000 * i + me, count, ListKind.FULL, 0));
                 }
                 nodes.forEach(s -> s.balancer.list(s.now, ListKind.FAILED, List.of()));
-                SimulatedDiscovery discovery =
-                        new SimulatedDiscovery(
-                                58, 1_500, true, new SimulatedDiscovery.Outage(8_000, hangsMs));
+                DiscoveryOutageSimulation discovery =
+                        new DiscoveryOutageSimulation(
+                                58,
+                                1_500,
+                                true,
+                                new DiscoveryOutageSimulation.Outage(8_000, hangsMs));
                 discovery.kill(
                         76,
                         killedMs,
@@ -197,7 +201,7 @@
         for (int seed = 0; seed < 100; seed++) {
             ScriptedBalancer s = new ScriptedBalancer(settings, seed);
             s.balancer.list(s.now, ListKind.CACHED, List.of(ScriptedBalancer.ready("a")));
-            s.pass(LIST_DUE_MS * MS);
+            s.advance(LIST_DUE_MS * MS);
             assertTrue("seed " + seed, s.watches > 0);
         }
     }
@@ -206,9 +210,9 @@
     @Test
     public void aSingleNodeBacksOff() {
         ScriptedBalancer s = fleet(1).get(0);
-        for (int at = 0; at < 60_000; at += SimulatedDiscovery.TICK_MS) {
+        for (int at = 0; at < 60_000; at += DiscoveryOutageSimulation.TICK_MS) {
             int before = s.watches;
-            s.pass(SimulatedDiscovery.TICK_MS * MS);
+            s.advance(DiscoveryOutageSimulation.TICK_MS * MS);
             if (s.watches > before) {
                 s.balancer.list(s.now, ListKind.FAILED, List.of());
             }
@@ -216,7 +220,10 @@
         assertTrue(s.watches + " polls in a minute", s.watches > 10 && s.watches < 180);
     }
 
-    /** Discovery needs longer for all polls than the list is due in; no node waits for ever. */
+    /**
+     * Discovery takes longer to serve all polls than the time in which the list is due; still,
+     * every node receives the list in the end.
+     */
     @Test
     public void aFleetLargerThanDiscoveryCanServeReceivesTheListInTheEnd() {
         for (int downMs : new int[] {0, 8_000}) {
--- a/decisions/src/test/java/trailthread/LostResponseTest.java
+++ b/decisions/src/test/java/trailthread/LostResponseTest.java
@@ -8,61 +8,68 @@
 import org.junit.Test;
 import trailthread.api.Outcome;
 
-/** What a time-out and a lost response show of an endpoint. */
+/** How a time-out and a lost response change the treatment of an endpoint. */
 public class LostResponseTest {
     private final ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 7);
 
     private void serve(int requests) {
         for (int i = 0; i < requests; i++) {
             long id = s.request("unsafe");
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             s.end(id, Outcome.OK);
         }
     }
 
-    private boolean isResting() {
+    private boolean isCongestionLogged() {
         return s.log.stream().anyMatch(line -> line.startsWith("resting"));
     }
 
     private void timeOut() {
         long id = s.request("unsafe");
-        s.pass(1000 * MS);
+        s.advance(1000 * MS);
         s.end(id, Outcome.TIMEOUT);
     }
 
-    /** Prevents a network that loses responses from closing all endpoints, one after the other. */
+    /**
+     * Prevents a network that loses responses from getting all endpoints ejected, one after the
+     * other.
+     */
     @Test
-    public void oneLostResponseDoesNotShowAJam() {
+    public void oneLostResponseIsNotTakenForCongestion() {
         s.endpoints("a", "b", "c", "d");
         serve(200);
         timeOut();
-        assertTrue(s.log.toString(), !isResting());
+        assertTrue(s.log.toString(), !isCongestionLogged());
     }
 
-    /** A jammed endpoint gives no other sign, so time-outs after the first must count. */
+    /**
+     * A congested endpoint that no longer responds shows it only by time-outs, so those after the
+     * first must count.
+     */
     @Test
-    public void timeoutsInARowShowAJam() {
+    public void timeoutsInARowAreTakenForCongestion() {
         s.endpoints("a", "b", "c", "d");
         serve(200);
-        for (int i = 0; i < 12 && !isResting(); i++) {
+        for (int i = 0; i < 12 && !isCongestionLogged(); i++) {
             timeOut();
         }
-        assertTrue(s.log.toString(), isResting());
+        assertTrue(s.log.toString(), isCongestionLogged());
     }
 
-    /** Prevents one lost response from closing its endpoint until the client gives up. */
+    /** Prevents one lost response from blocking its endpoint until the client gives up. */
     @Test
     public void anEndpointThatDoesNotRespondGetsAnIdempotentTrial() {
         s.endpoints("a");
         serve(200);
         s.request("unsafe");
-        s.pass(70 * MS);
-        assertEquals("an unsafe one waits for the trial", 0, s.sendsOf(s.request("unsafe")).size());
+        s.advance(70 * MS);
+        assertEquals(
+                "an unsafe request waits for the trial", 0, s.sendsOf(s.request("unsafe")).size());
         long trial = s.request("safe");
         assertEquals(1, s.sendsOf(trial).size());
-        s.pass(20 * MS);
+        s.advance(20 * MS);
         s.end(trial, Outcome.OK);
-        assertEquals("the one that waited is sent", 1, s.sendsOf(trial - 1).size());
+        assertEquals("the request that waited is sent", 1, s.sendsOf(trial - 1).size());
         assertEquals(1, s.sendsOf(s.request("unsafe")).size());
     }
 
@@ -72,11 +79,11 @@
         s.endpoints("a");
         for (int i = 0; i < 200; i++) {
             long id = s.request("unsafe");
-            s.pass(MS);
+            s.advance(MS);
             s.end(id, Outcome.OK);
         }
         s.request("safe");
-        s.pass(5 * MS);
+        s.advance(5 * MS);
         assertEquals(1, s.sendsOf(s.request("unsafe")).size());
     }
 
@@ -88,7 +95,7 @@
         int before = s.sends.size();
         for (int i = 0; i < 100; i++) {
             s.request("safe");
-            s.pass(10 * MS);
+            s.advance(10 * MS);
         }
         int trials = s.sends.size() - before;
         assertTrue("sent in a second: " + trials, trials >= 3 && trials <= 8);
@@ -104,7 +111,7 @@
         int seen = s.sends.size();
         for (int i = 0; i < 600; i++) {
             s.request("unsafe");
-            s.pass(10 * MS);
+            s.advance(10 * MS);
             for (; seen < s.sends.size(); seen++) {
                 if (s.sends.get(seen).id() % 5 != 0) {
                     inFlight.add(s.sends.get(seen));
--- a/decisions/src/test/java/trailthread/FleetTest.java
+++ b/decisions/src/test/java/trailthread/ManyNodesTest.java
@@ -19,8 +19,8 @@
 import trailthread.api.Settings;
 import trailthread.api.WeightMeaning;
 
-/** What many nodes, each with few requests, do together without communicating. */
-class FleetTest {
+/** The combined behaviour of many nodes that each have few requests and do not communicate. */
+class ManyNodesTest {
     private static final long MS = ScriptedBalancer.MS;
     private static final int NODES = 200;
 
@@ -43,12 +43,12 @@
         return entries;
     }
 
-    /** The endpoints that a node uses for so many requests, one after another. */
+    /** The endpoints that a node uses for a number of requests, one after another. */
     private static Set<String> used(ScriptedBalancer s, int requests) {
         Set<String> used = new HashSet<>();
         for (int i = 0; i < requests; i++) {
             long id = s.request("safe");
-            s.pass(100 * MS);
+            s.advance(100 * MS);
             for (ScriptedBalancer.Send send : s.sendsOf(id)) {
                 used.add(send.endpoint());
                 s.end(id, Outcome.OK);
@@ -67,10 +67,10 @@
             assertTrue(used.size() >= 2 && used.size() <= 6, "node " + me + " uses " + used.size());
             used.forEach(b -> users.merge(b, 1, Integer::sum));
         }
-        assertEquals(40, users.size(), "every backend has users");
+        assertEquals(40, users.size(), "every endpoint has users");
         int most = users.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
         int least = users.values().stream().mapToInt(Integer::intValue).min().orElseThrow();
-        assertTrue(most <= 2 * least, "users of a backend: " + least + " to " + most);
+        assertTrue(most <= 2 * least, "users of an endpoint: " + least + " to " + most);
     }
 
     @Test
@@ -82,7 +82,7 @@
 
     @Test
     void aNewEndpointChangesTheSubsetOfFewNodes() {
-        int moved = 0;
+        int added = 0;
         for (int me = 0; me < NODES; me++) {
             ScriptedBalancer s = new ScriptedBalancer(settings(me, 0.05), me);
             s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
@@ -90,9 +90,9 @@
             s.balancer.list(s.now, ListKind.FULL, entries(0, 41));
             Set<String> after = used(s, 80);
             after.removeAll(before);
-            moved += after.size();
+            added += after.size();
         }
-        assertTrue(moved <= NODES, "backends new to " + NODES + " nodes: " + moved);
+        assertTrue(added <= NODES, "endpoints new to " + NODES + " nodes: " + added);
     }
 
     @Test
@@ -103,7 +103,7 @@
         Set<String> others = new HashSet<>();
         for (int i = 0; i < 400; i++) { // every endpoint of the first subset fails
             long id = s.request("unsafe");
-            s.pass(100 * MS);
+            s.advance(100 * MS);
             for (ScriptedBalancer.Send send : List.copyOf(s.sendsOf(id))) {
                 boolean fails = failing.contains(send.endpoint());
                 s.end(id, fails ? Outcome.ERROR : Outcome.OK);
@@ -112,10 +112,13 @@
                 }
             }
         }
-        assertTrue(others.size() >= 2, "others found: " + others);
+        assertTrue(others.size() >= 2, "endpoints added: " + others);
     }
 
-    /** Responses of some endpoints show an overload long before each has responded to this node. */
+    /**
+     * Responses of some endpoints show an overload long before every endpoint has responded to this
+     * node.
+     */
     @Test
     void slowResponsesOfSomeEndpointsCutAllInFlight() {
         assertTrue(
@@ -126,7 +129,8 @@
     }
 
     /**
-     * Limits of endpoints without responses are cut too, so one quick response opens few of them.
+     * The limits of endpoints without responses are cut, too, so one fast response opens only a few
+     * of them.
      */
     @Test
     void overloadOfOtherEndpointsIsNotForgottenAtOnce() {
@@ -137,13 +141,13 @@
             serve(s, 12, s == calm ? 20 * MS : 400 * MS);
             serve(s, 12, 20 * MS);
         }
-        assertTrue(burst(after) < burst(calm), "sent at once after a crowd, and without");
+        assertTrue(burst(after) < burst(calm), "sent at once after an overload, and without one");
     }
 
     private static void serve(ScriptedBalancer s, int requests, long latency) {
         for (int i = 0; i < requests; i++) {
             long id = s.request("unsafe");
-            s.pass(latency);
+            s.advance(latency);
             if (!s.sendsOf(id).isEmpty()) {
                 s.end(id, Outcome.OK);
             }
@@ -179,21 +183,24 @@
                         0)); // all nodes receive this at the same time
         serve(s, 300, 20 * MS);
         long big = s.sends.stream().filter(x -> x.endpoint().equals("big")).count();
-        assertTrue(big > 180 && big < 240, "of 300 to one twice as large: " + big);
+        assertTrue(big > 180 && big < 240, "of 300 to the endpoint of twice the size: " + big);
     }
 
-    /** How many of thirty simultaneous requests are sent, after forty that took this long. */
+    /**
+     * How many of thirty simultaneous requests are sent at once, after forty requests with this
+     * latency and outcome.
+     */
     private static int burstAfter(long latency, Outcome outcome) {
         ScriptedBalancer s = new ScriptedBalancer(settings(3, 0), 3);
         s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
         for (int i = 0; i < 40; i++) {
             long id = s.request("unsafe");
-            s.pass(latency);
+            s.advance(latency);
             if (!s.sendsOf(id).isEmpty()) {
                 s.end(id, outcome);
             }
         }
-        s.pass(1100 * MS);
+        s.advance(1100 * MS);
         return burst(s);
     }
 
@@ -205,7 +212,7 @@
         Map<String, Integer> sends = new HashMap<>();
         for (int i = 0; i < 400; i++) {
             long id = s.request("safe");
-            s.pass(50 * MS); // the latency seen here is the same for all endpoints
+            s.advance(50 * MS); // the latency seen here is the same for all endpoints
             if (!s.sendsOf(id).isEmpty()) {
                 String b = s.sendsOf(id).get(0).endpoint();
                 sends.merge(b, 1, Integer::sum);
@@ -228,13 +235,13 @@
         String full = "10.0.0.0:80";
         for (int i = 0; i < 300; i++) {
             long id = s.request("unsafe");
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             if (!s.sendsOf(id).isEmpty()) {
                 String b = s.sendsOf(id).get(s.sendsOf(id).size() - 1).endpoint();
                 sends.merge(b, 1, Integer::sum);
                 s.end(id, b.equals(full) ? Outcome.REJECTED : Outcome.OK);
                 if (b.equals(full) && s.sendsOf(id).size() == 2) {
-                    s.pass(20 * MS);
+                    s.advance(20 * MS);
                     s.end(id, Outcome.OK);
                 }
             }
@@ -252,12 +259,12 @@
             ScriptedBalancer s = new ScriptedBalancer(settings, 5);
             s.endpoints();
             s.request("safe");
-            s.pass(1000 * MS);
+            s.advance(1000 * MS);
             assertEquals(1, s.refused.size());
             assertEquals(honoursRetryAfter, s.lastRetryAfterNs > 0);
             assertTrue(
                     s.lastRetryAfterNs <= 500 * MS,
-                    "at most what they heed: " + s.lastRetryAfterNs);
+                    "at most what clients honour: " + s.lastRetryAfterNs);
         }
     }
 
--- a/decisions/src/test/java/trailthread/ScriptedBalancer.java
+++ b/decisions/src/test/java/trailthread/ScriptedBalancer.java
@@ -22,7 +22,7 @@
      *
      * @param at when, by the clock of the events
      * @param attempt its number in the request, from 0 on
-     * @param writeDeadline until when it may be written
+     * @param writeDeadline until when the request may be written
      */
     record Send(long id, String endpoint, long at, int attempt, long writeDeadline) {}
 
@@ -125,12 +125,12 @@
                 now, id, last.attempt(), outcome, now - last.at(), outcome == Outcome.OK, load);
     }
 
-    static LoadReport queue(double queue) {
+    static LoadReport queueReport(double queue) {
         return new LoadReport(Double.NaN, queue, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
     /** Advances the clock, and delivers timers as they become due. */
-    void pass(long ns) {
+    void advance(long ns) {
         long until = now + ns;
         while (true) {
             Timer next = null;
--- a/decisions/src/test/java/trailthread/SlowStartBudgetTest.java
+++ b/decisions/src/test/java/trailthread/SlowStartBudgetTest.java
@@ -13,7 +13,7 @@
 import trailthread.api.Settings;
 
 /**
- * What endpoints in slow start are sent: no more than they can serve, and all of that while the
+ * Endpoints in slow start are sent no more than they can serve, and close to that much while the
  * lottery draws them.
  */
 public class SlowStartBudgetTest {
@@ -53,9 +53,9 @@
     private static void serve(ScriptedBalancer s, int requests) {
         for (int i = 0; i < requests; i++) {
             long id = s.request("safe");
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             s.end(id, Outcome.OK);
-            s.pass(80 * MS);
+            s.advance(80 * MS);
         }
     }
 
--- a/decisions/src/test/java/trailthread/LoadReportTest.java
+++ b/decisions/src/test/java/trailthread/StaleLoadCorrectionTest.java
@@ -6,8 +6,10 @@
 import org.junit.Test;
 import trailthread.api.Outcome;
 
-/** The stale-load correction: own sends since the report that the tickets are computed from. */
-public class LoadReportTest {
+/**
+ * The stale-load correction: tickets also count this node's attempts since the last load report.
+ */
+public class StaleLoadCorrectionTest {
     private static final int PAIRS = 4000;
 
     /** How often the second of two requests goes to another endpoint than the first. */
@@ -24,11 +26,11 @@
                         firstEndpoint,
                         Outcome.OK,
                         MS,
-                        ScriptedBalancer.queue(0.001 * (i % 2)));
+                        ScriptedBalancer.queueReport(0.001 * (i % 2)));
             }
             long second = s.request("safe");
             toOtherEndpoint += s.sendsOf(second).get(0).endpoint().equals(firstEndpoint) ? 0 : 1;
-            s.pass(20 * MS);
+            s.advance(20 * MS);
             s.end(first, Outcome.OK);
             s.end(second, Outcome.OK);
         }
--- a/decisions/src/test/java/trailthread/degradation/Fleet.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationFleet.java
@@ -10,10 +10,10 @@
 import trailthread.api.Settings;
 
 /**
- * Six nodes, each with the real balancer, ten endpoints and their clients, in virtual time. Of the
- * requests, 70 in a hundred are polls, 10 actions and 20 attempts.
+ * Simulates six nodes, each with the real balancer, ten endpoints and their clients, in virtual
+ * time. Of the requests, 70 percent are polls, 10 percent actions and 20 percent attempts.
  */
-final class Fleet {
+final class DegradationFleet {
     static final int NODES = 6;
 
     /** Indexes of the classes of requests. */
@@ -29,18 +29,18 @@
     private static final double POLL_AND_ACTION_SHARE = 0.8;
     private static final long MS = VirtualClock.MS;
 
-    private final Scenario scenario;
+    private final FleetScenario scenario;
     private final SplittableRandom random = new SplittableRandom(SEED);
     private final VirtualClock clock = new VirtualClock();
-    private final FleetResults results = new FleetResults(CLASSES, ENDPOINTS);
-    private final List<SimulatedNode> nodes = new ArrayList<>();
+    private final DegradationFleetResults results = new DegradationFleetResults(CLASSES, ENDPOINTS);
+    private final List<DegradationFleetNode> nodes = new ArrayList<>();
 
     /**
-     * Makes a fleet.
+     * Creates a fleet.
      *
      * @param withLevels whether nodes have levels of service
      */
-    Fleet(Scenario scenario, boolean withLevels) {
+    DegradationFleet(FleetScenario scenario, boolean withLevels) {
         this.scenario = scenario;
         List<SimulatedEndpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
@@ -54,19 +54,19 @@
         for (int i = 0; i < NODES; i++) {
             settings.nodeIndex = i;
             nodes.add(
-                    new SimulatedNode(
+                    new DegradationFleetNode(
                             scenario, withLevels, settings, clock, random, endpoints, results));
         }
     }
 
-    /** Runs the fleet up to a time, ns. */
-    Fleet play(long endNs) {
+    /** Runs the fleet until a time, ns. */
+    DegradationFleet play(long endNs) {
         scheduleArrival();
         clock.runUntil(endNs);
         return this;
     }
 
-    FleetResults results() {
+    DegradationFleetResults results() {
         return results;
     }
 
@@ -75,7 +75,7 @@
                 ENDPOINTS * SimulatedEndpoint.SLOTS * 1000 / SimulatedEndpoint.SERVICE_MS;
         double perSecond = scenario.load().applyAsDouble(clock.now()) * capacityPerSecond;
         double seconds = SimulatedEndpoint.exponential(random) / perSecond;
-        clock.after((long) (seconds * VirtualClock.S), this::arrive);
+        clock.schedule((long) (seconds * VirtualClock.S), this::arrive);
     }
 
     private void arrive() {
