--- a/lab/src/main/java/trailthread/lab/command/Lab.java
+++ b/lab/src/main/java/trailthread/lab/command/Lab.java
@@ -59,7 +59,8 @@
                                     || e instanceof IllegalArgumentException
                                     || e
                                             instanceof
-                                            trailthread.lab.scenario.ScenarioReader.BadScenario)) {
+                                            trailthread.lab.scenario.ScenarioReader
+                                                    .InvalidScenarioException)) {
                                 e.printStackTrace(line.getErr());
                             }
                             return BAD_USE;
--- a/lab/src/main/java/trailthread/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/trailthread/lab/scenario/ScenarioReader.java
@@ -30,11 +30,11 @@
     private static final String LONGEST = "1000h";
 
     /** A scenario that can't be used. */
-    public static final class BadScenario extends Exception {
+    public static final class InvalidScenarioException extends Exception {
         private static final long serialVersionUID = 1;
         private final transient List<Fault> faults;
 
-        BadScenario(List<Fault> faults) {
+        InvalidScenarioException(List<Fault> faults) {
             super(String.join("\n", faults.stream().map(Fault::toString).toList()));
             this.faults = List.copyOf(faults);
         }
@@ -52,9 +52,9 @@
     /**
      * Reads a file.
      *
-     * @throws BadScenario with all its faults
+     * @throws InvalidScenarioException with all its faults
      */
-    public static Scenario read(Path file) throws IOException, BadScenario {
+    public static Scenario read(Path file) throws IOException, InvalidScenarioException {
         return parse(file.toString(), Files.readString(file, StandardCharsets.UTF_8));
     }
 
@@ -62,9 +62,9 @@
      * Reads a text; pure.
      *
      * @param name stands in faults
-     * @throws BadScenario with all its faults
+     * @throws InvalidScenarioException with all its faults
      */
-    public static Scenario parse(String name, String text) throws BadScenario {
+    public static Scenario parse(String name, String text) throws InvalidScenarioException {
         ScenarioReader reader = new ScenarioReader();
         TomlParseResult toml = Toml.parse(text);
         toml.errors()
@@ -83,7 +83,7 @@
                         ? reader.scenario(new ScenarioTable(name, reader.faults, toml, null, ""))
                         : null;
         if (!reader.faults.isEmpty()) {
-            throw new BadScenario(reader.faults);
+            throw new InvalidScenarioException(reader.faults);
         }
         return scenario;
     }
--- a/lab/src/test/java/trailthread/lab/scenario/ScenarioReaderTest.java
+++ b/lab/src/test/java/trailthread/lab/scenario/ScenarioReaderTest.java
@@ -35,9 +35,10 @@
     }
 
     private static void faulty(String text, String... told) {
-        ScenarioReader.BadScenario e =
+        ScenarioReader.InvalidScenarioException e =
                 assertThrows(
-                        ScenarioReader.BadScenario.class, () -> ScenarioReader.parse("f", text));
+                        ScenarioReader.InvalidScenarioException.class,
+                        () -> ScenarioReader.parse("f", text));
         assertEquals(List.of(told), e.faults().stream().map(Object::toString).toList());
     }
 
@@ -68,9 +69,9 @@
 
     @Test
     public void whatIsNoTomlIsToldOf() {
-        ScenarioReader.BadScenario e =
+        ScenarioReader.InvalidScenarioException e =
                 assertThrows(
-                        ScenarioReader.BadScenario.class,
+                        ScenarioReader.InvalidScenarioException.class,
                         () -> ScenarioReader.parse("f", "name = \n"));
         assertTrue(e.getMessage(), e.getMessage().startsWith("f:1:"));
     }
--- a/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
@@ -34,7 +34,7 @@
 
     /** A short form of a scenario of the repository. */
     private static Scenario shortened(String name, double seconds)
-            throws IOException, ScenarioReader.BadScenario {
+            throws IOException, ScenarioReader.InvalidScenarioException {
         Scenario s = ScenarioReader.read(SCENARIOS.resolve(name + ".toml"));
         long length = Math.min(s.durationNs(), (long) (seconds * 1e9));
         return new Scenario(
