--- a/lab/src/main/java/trailthread/lab/scenario/Scenario.java
+++ b/lab/src/main/java/trailthread/lab/scenario/Scenario.java
@@ -6,12 +6,12 @@
 import trailthread.lab.model.ServerLimits;
 
 /**
- * A day: who asks for what, who serves, what lies between, and what goes wrong when. Times in ns
- * from its beginning.
+ * A scenario: the clients and their requests, the servers, the network, discovery and the scheduled
+ * faults. Times are in ns from the start of the run.
  *
- * @param description one line for people
- * @param warmUpNs what happens before this does not count
- * @param zones at least one; nodes, clients and servers are spread over them evenly
+ * @param description one line, shown to users
+ * @param warmUpNs client operations that start before this time are left out of the totals
+ * @param zones at least one; nodes, clients and servers are spread evenly over them
  */
 public record Scenario(
         String name,
@@ -29,7 +29,7 @@
         NodeRules rules,
         List<ScheduledFault> faults) {
 
-    /** How a request's work is drawn. */
+    /** The distribution that a request's work is drawn from. */
     public enum WorkDistribution {
         FIXED,
         UNIFORM,
@@ -39,9 +39,10 @@
     /**
      * A class of requests.
      *
-     * @param share of all first tries
-     * @param lowWorkNs the least work on a standard core; of an exponential draw the mean
-     * @param highWorkNs the most work of a uniform draw
+     * @param share this class's share of all operations, relative to the shares of the other
+     *     classes
+     * @param lowWorkNs the least work on a standard core; the mean of an exponential distribution
+     * @param highWorkNs the most work of a uniform distribution
      */
     public record ClassModel(
             RequestClass requestClass,
@@ -58,24 +59,25 @@
     }
 
     /**
-     * A time of more requests, or fewer: the rate is {@code rateFactor} the usual one. A section
-     * that presses start together is a short one of a large factor.
+     * A period in which the request rate is {@code rateFactor} times the usual rate. Many clients
+     * that start at the same moment are modelled as a short surge with a large factor.
      */
     public record Surge(long startNs, long durationNs, double rateFactor) {}
 
     /**
-     * Clients: an open loop, with Poisson arrivals.
+     * Clients: an open loop with Poisson arrivals.
      *
-     * @param perSecond first tries a second, over all nodes
-     * @param swingPeriodNs the period of an even swing of the rate; 0: none
-     * @param swingDepth its depth, 0 to 1
-     * @param retries most tries of a client's own after the first
-     * @param backoffNs the wait before one, doubled with each, drawn uniformly from a half to the
-     *     whole of it
-     * @param honorsRetryAfter whether a client stays away as long as a refusal advises
-     * @param timeoutShareLow a try is given up after at least this share of the class's deadline
-     * @param timeoutShareHigh and at most this share
-     * @param keyCount how many things requests concern; 0: none
+     * @param perSecond operations started per second, over all nodes
+     * @param swingPeriodNs the period of a sinusoidal variation of the rate; 0 for a constant rate
+     * @param swingDepth the amplitude of that variation as a share of the rate, 0 to 1
+     * @param retries the most retries that a client sends after its first attempt
+     * @param backoffNs the wait before the first retry, doubled for each further retry; the actual
+     *     wait is drawn uniformly from half of this to all of it
+     * @param honorsRetryAfter whether a client waits as long as the Retry-After of a rejection says
+     * @param timeoutShareLow the least client timeout of an attempt, as a share of the class's
+     *     deadline
+     * @param timeoutShareHigh the greatest client timeout, as a share of the class's deadline
+     * @param keyCount the number of distinct keys that requests carry; 0 for requests without keys
      */
     public record ClientModel(
             double perSecond,
@@ -90,16 +92,16 @@
             int keyCount) {}
 
     /**
-     * What lies between nodes and servers.
+     * The network between nodes and servers.
      *
-     * @param sameZoneDelayNs one way within a zone
-     * @param crossZoneDelayNs one way between zones
-     * @param jitter each delay is drawn from itself to (1 + jitter) times itself
-     * @param connectionWorkNs work of the server for a new connection; opening it also takes a way
-     *     there and back
-     * @param connectTimeoutNs when a connect that does not come up is given up
-     * @param idleCloseNs after so long without use a server closes a connection
-     * @param maxConnections most that a server holds
+     * @param sameZoneDelayNs one-way delay within a zone
+     * @param crossZoneDelayNs one-way delay between zones
+     * @param jitter each delay is drawn uniformly from 1 to (1 + jitter) times its base value
+     * @param connectionWorkNs work that a new connection costs its server, in addition to the round
+     *     trip that opening it takes
+     * @param connectTimeoutNs time after which a pending connect is abandoned
+     * @param idleCloseNs time after which a server closes an idle connection
+     * @param maxConnections the most connections that a server accepts at once
      */
     public record NetworkModel(
             long sameZoneDelayNs,
@@ -113,17 +115,19 @@
     /**
      * The servers.
      *
-     * @param limits of one of speed 1
-     * @param speedLow the slowest one's speed, drawn uniformly
-     * @param speedHigh the fastest one's
-     * @param cells servers share what keys they have seen in so many groups; 0: no groups
-     * @param reportsLoad whether answers carry load reports
-     * @param reportEveryLowNs a report is refreshed after at least this time
-     * @param reportEveryHighNs and at most this
-     * @param reportNoise a report's figures are off by up to this share
-     * @param healthCheckWorkNs a probe's work
-     * @param queuedHealthChecks whether a probe waits and is served like a request; else it is
-     *     answered at once, beside the queue
+     * @param limits the limits of a server of speed 1
+     * @param speedLow the lowest speed; each server's speed is drawn uniformly from {@code
+     *     speedLow} to {@code speedHigh}
+     * @param speedHigh the highest speed
+     * @param cells number of cells; the servers of a cell deduplicate idempotency keys together; 0
+     *     for no cells
+     * @param reportsLoad whether responses carry load reports
+     * @param reportEveryLowNs the least time between updates of a load report
+     * @param reportEveryHighNs the longest time between updates of a load report
+     * @param reportNoise the largest relative error of the values in a load report
+     * @param healthCheckWorkNs the work of a health check
+     * @param queuedHealthChecks whether a health check is queued and served like a request;
+     *     otherwise it is answered at once and bypasses the queue
      */
     public record FleetModel(
             int servers,
@@ -139,15 +143,15 @@
             boolean queuedHealthChecks) {}
 
     /**
-     * Discovery: news take between these times to each node; a call for the list takes the lesser
-     * one.
+     * Discovery: a change reaches each node after a delay drawn from this range; a poll of the
+     * endpoint list takes the lower bound.
      */
     public record DiscoveryModel(long minDelayNs, long maxDelayNs) {}
 
     /**
-     * What nodes are told of the rules.
+     * Limits that the nodes are configured with.
      *
-     * @param maxRetryAfterNs the longest advice that clients heed; 0: none is given
+     * @param maxRetryAfterNs the longest Retry-After that a node sends; 0 to send none
      */
     public record NodeRules(
             int maxAttempts,
@@ -157,74 +161,87 @@
             boolean healthChecks,
             double crossZonePrice) {}
 
-    /** What can go wrong. */
+    /** The kinds of fault; scenario files name them in lower case. */
     public enum FaultKind {
         /**
-         * {@code affectedShare} of the servers fail {@code magnitude} of their requests at once.
+         * {@code affectedShare} of the servers fail a share {@code magnitude} of their requests
+         * immediately.
          */
         FAST_ERRORS,
-        /** They do the work of {@code magnitude} of their requests, and the answers are lost. */
+        /**
+         * {@code affectedShare} of the servers execute a share {@code magnitude} of their requests
+         * and lose the responses.
+         */
         LOST_ANSWERS,
         /**
-         * They do the work of {@code magnitude} of their requests, and the connections are reset.
+         * {@code affectedShare} of the servers execute a share {@code magnitude} of their requests
+         * and reset the connections.
          */
         RESETS,
         /**
-         * They do the work of {@code magnitude} of their requests, and what comes can't be read.
+         * {@code affectedShare} of the servers execute a share {@code magnitude} of their requests
+         * and send responses that can't be parsed.
          */
         GARBAGE,
-        /** Their answers take {@code magnitude} seconds to come, byte by byte. */
+        /**
+         * {@code affectedShare} of the servers trickle each response over {@code magnitude}
+         * seconds.
+         */
         DRIPS,
-        /** They work {@code magnitude} times slower. */
+        /** {@code affectedShare} of the servers work {@code magnitude} times slower. */
         SLOW,
-        /** All reports arrive {@code magnitude} seconds later than usual. */
+        /** All load reports arrive {@code magnitude} seconds later than usual. */
         LATE_REPORTS,
         /** {@code requestShare} of the requests cost {@code magnitude} times the usual work. */
         HEAVY_TAIL,
         /**
-         * {@code affectedShare} of the servers are cut off: nothing comes or goes, and nothing is
-         * said.
+         * {@code affectedShare} of the servers are isolated from the network: they neither receive
+         * nor send anything, and no connection is closed.
          */
         CUT,
-        /** All in {@code zone} are cut off from all other zones. */
+        /** {@code zone} is isolated from all other zones. */
         ZONE_CUT,
         /**
-         * {@code affectedShare} of the servers drain one after the other, restart under their ids
-         * and come back cold.
+         * {@code affectedShare} of the servers drain one after the other, then restart cold under
+         * the same ids.
          */
         RESTART,
-        /** The same, but under new ids. */
+        /** Like {@link #RESTART}, but the servers come back under new ids. */
         REPLACE,
         /**
-         * {@code affectedShare} of the servers start anew at once, cold, as after a loss of power.
+         * {@code affectedShare} of the servers restart cold at the same moment, as after a power
+         * failure.
          */
         COLD_FLEET,
-        /** Discovery answers nothing, and watches break. */
+        /** Discovery answers no requests, and its watches are closed. */
         ROSTER_DOWN,
         /**
-         * {@code affectedShare} of the nodes are killed, and come back after the time with nothing
-         * known.
+         * {@code affectedShare} of the nodes are killed and start again after {@code durationNs},
+         * without any earlier state.
          */
         NODE_KILL,
         /**
-         * {@code affectedShare} of the nodes are ended in order, one after the other, and started
-         * anew when they have ended.
+         * {@code affectedShare} of the nodes are shut down gracefully, one after the other, and
+         * started again once they have exited.
          */
         NODE_RESTART,
         /**
-         * {@code affectedShare} of the nodes are told to read their configuration again, which has
-         * not changed.
+         * {@code affectedShare} of the nodes are told to reload their configuration, which has not
+         * changed.
          */
         NODE_RELOAD,
-        /** {@code affectedShare} of the nodes stop for the time and go on as if nothing were. */
+        /** {@code affectedShare} of the nodes are paused for {@code durationNs}, then resumed. */
         NODE_PAUSE
     }
 
     /**
-     * Something that goes wrong.
+     * A fault and when it occurs.
      *
-     * @param affectedShare the share of servers or nodes that it strikes, 0 to 1
-     * @param zone whose, or null
+     * @param affectedShare the share of servers or nodes affected, 0 to 1
+     * @param magnitude as {@link FaultKind} says
+     * @param requestShare the share of requests affected; only for {@link FaultKind#HEAVY_TAIL}
+     * @param zone the zone that is isolated, or whose servers alone are affected; null for all
+     *     zones
      */
     public record ScheduledFault(
             FaultKind kind,
@@ -242,9 +259,11 @@
         faults = List.copyOf(faults);
     }
 
-    /** The same with as few servers as there can be: others have their own. */
+    /**
+     * This scenario with a single server and no faults, for load on nodes that have other servers.
+     */
     public Scenario withSingleServer() {
-        FleetModel one =
+        FleetModel singleServer =
                 new FleetModel(
                         1,
                         fleet.limits(),
@@ -268,7 +287,7 @@
                 tenants,
                 clients,
                 network,
-                one,
+                singleServer,
                 discovery,
                 rules,
                 List.of());
@@ -280,7 +299,10 @@
         return classes.stream().mapToDouble(c -> c.share() / shares * c.meanWorkNs()).sum();
     }
 
-    /** Work that clients ask for on a usual second over what the warm fleet can do in one. */
+    /**
+     * The work that clients request per second, without surges, over the capacity of the warm
+     * fleet.
+     */
     public double offeredLoad() {
         double speed = (fleet.speedLow() + fleet.speedHigh()) / 2;
         return clients.perSecond()
--- a/lab/src/main/java/trailthread/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/trailthread/lab/scenario/ScenarioReader.java
@@ -25,11 +25,12 @@
 import trailthread.lab.scenario.Scenario.Surge;
 import trailthread.lab.scenario.Scenario.WorkDistribution;
 
-/** Reads scenarios; docs/lab-scenarios.md lists the keys. */
+/** Reads scenario files; docs/lab-scenarios.md lists their keys. */
 public final class ScenarioReader {
-    private static final String LONGEST = "1000h";
+    /** A duration longer than any run, for states that are not entered by default. */
+    private static final String NEVER = "1000h";
 
-    /** A scenario that can't be used. */
+    /** Thrown for a scenario that has faults. */
     public static final class InvalidScenarioException extends Exception {
         private static final long serialVersionUID = 1;
         private final transient List<Fault> faults;
@@ -39,7 +40,7 @@
             this.faults = List.copyOf(faults);
         }
 
-        /** One at least. */
+        /** The faults found, at least one. */
         public List<Fault> faults() {
             return faults;
         }
@@ -50,19 +51,19 @@
     private ScenarioReader() {}
 
     /**
-     * Reads a file.
+     * Reads a scenario file.
      *
-     * @throws InvalidScenarioException with all its faults
+     * @throws InvalidScenarioException with all faults of the file
      */
     public static Scenario read(Path file) throws IOException, InvalidScenarioException {
         return parse(file.toString(), Files.readString(file, StandardCharsets.UTF_8));
     }
 
     /**
-     * Reads a text; pure.
+     * Parses the text of a scenario file; without side effects.
      *
-     * @param name stands in faults
-     * @throws InvalidScenarioException with all its faults
+     * @param name the file name that faults report
+     * @throws InvalidScenarioException with all faults of the text
      */
     public static Scenario parse(String name, String text) throws InvalidScenarioException {
         ScenarioReader reader = new ScenarioReader();
@@ -80,7 +81,8 @@
                                                 e.getMessage())));
         Scenario scenario =
                 reader.faults.isEmpty()
-                        ? reader.scenario(new ScenarioTable(name, reader.faults, toml, null, ""))
+                        ? reader.readScenario(
+                                new ScenarioTable(name, reader.faults, toml, null, ""))
                         : null;
         if (!reader.faults.isEmpty()) {
             throw new InvalidScenarioException(reader.faults);
@@ -88,37 +90,37 @@
         return scenario;
     }
 
-    private Scenario scenario(ScenarioTable top) {
-        String name = top.text("name", null);
-        String description = top.text("about", "");
-        long duration = top.time("length", null);
-        long warmUp = top.time("warm_up", "0s");
-        int nodes = top.whole("nodes", 1, 1, 10_000);
-        List<String> zones = top.texts("zones", List.of("a"));
+    private Scenario readScenario(ScenarioTable root) {
+        String name = root.text("name", null);
+        String description = root.text("about", "");
+        long duration = root.durationNs("length", null);
+        long warmUp = root.durationNs("warm_up", "0s");
+        int nodes = root.integer("nodes", 1, 1, 10_000);
+        List<String> zones = root.texts("zones", List.of("a"));
         List<ClassModel> classes = new ArrayList<>();
-        top.parts("classes").forEach(part -> classes.add(requestClass(part)));
+        root.tables("classes").forEach(table -> classes.add(requestClass(table)));
         if (classes.isEmpty()) {
-            top.fault("classes", "at least one, begun with [[classes]]");
+            root.addFault("classes", "at least one [[classes]] table");
         }
         List<Tenant> tenants = new ArrayList<>();
-        for (ScenarioTable part : top.parts("tenants")) {
+        for (ScenarioTable table : root.tables("tenants")) {
             tenants.add(
                     new Tenant(
-                            part.text("name", null),
-                            part.number("per_second", 1e9, 0, 1e9),
-                            part.number("share", null, 0, 1)));
-            part.end();
+                            table.text("name", null),
+                            table.number("per_second", 1e9, 0, 1e9),
+                            table.number("share", null, 0, 1)));
+            table.reportUnknownKeys();
         }
-        ClientModel clients = clients(top.part("clients"));
-        NetworkModel network = network(top.part("network"));
-        FleetModel fleet = fleet(top.part("fleet"));
-        ScenarioTable list = top.part("list");
-        long[] delay = list.times("delay", "500ms");
-        list.end();
-        NodeRules rules = rules(top.part("rules"));
+        ClientModel clients = clients(root.table("clients"));
+        NetworkModel network = network(root.table("network"));
+        FleetModel fleet = fleet(root.table("fleet"));
+        ScenarioTable discovery = root.table("list");
+        long[] delay = discovery.durationRangeNs("delay", "500ms");
+        discovery.reportUnknownKeys();
+        NodeRules rules = rules(root.table("rules"));
         List<ScheduledFault> scheduledFaults = new ArrayList<>();
-        top.parts("faults").forEach(part -> scheduledFaults.add(scheduledFault(part, zones)));
-        top.end();
+        root.tables("faults").forEach(table -> scheduledFaults.add(scheduledFault(table, zones)));
+        root.reportUnknownKeys();
         return faults.isEmpty()
                 ? new Scenario(
                         name,
@@ -138,7 +140,7 @@
                 : null;
     }
 
-    /** The words of the scenario file for {@link Idempotency}. */
+    /** The values of the key {@code repeats}. */
     private enum Repeats {
         SAFE(Idempotency.IDEMPOTENT),
         KEYED(Idempotency.IDEMPOTENCY_KEY),
@@ -151,73 +153,78 @@
         }
     }
 
-    private static ClassModel requestClass(ScenarioTable part) {
-        long[] work = part.times("work", null);
-        WorkDistribution draw =
-                part.word(
+    private static ClassModel requestClass(ScenarioTable table) {
+        long[] work = table.durationRangeNs("work", null);
+        WorkDistribution distribution =
+                table.enumValue(
                         "draw",
                         work[0] == work[1] ? WorkDistribution.FIXED : WorkDistribution.UNIFORM,
                         WorkDistribution.class);
-        RequestClass rules =
+        RequestClass requestClass =
                 new RequestClass(
-                        part.text("name", null),
-                        part.time("aim", null),
+                        table.text("name", null),
+                        table.durationNs("aim", null),
                         0,
-                        part.time("deadline", null),
-                        part.word("repeats", Repeats.SAFE, Repeats.class).idempotency,
-                        part.word("group", DeduplicationScope.ALL, DeduplicationScope.class),
-                        part.time("window", "0s"),
-                        part.number("worth", 1.0, 0, 1e6),
-                        part.number("late_worth", 0.0, 0, 1));
+                        table.durationNs("deadline", null),
+                        table.enumValue("repeats", Repeats.SAFE, Repeats.class).idempotency,
+                        table.enumValue("group", DeduplicationScope.ALL, DeduplicationScope.class),
+                        table.durationNs("window", "0s"),
+                        table.number("worth", 1.0, 0, 1e6),
+                        table.number("late_worth", 0.0, 0, 1));
         ClassModel model =
-                new ClassModel(rules, part.number("share", 1.0, 0, 1e6), draw, work[0], work[1]);
-        part.end();
+                new ClassModel(
+                        requestClass,
+                        table.number("share", 1.0, 0, 1e6),
+                        distribution,
+                        work[0],
+                        work[1]);
+        table.reportUnknownKeys();
         return model;
     }
 
-    private static ClientModel clients(ScenarioTable part) {
+    private static ClientModel clients(ScenarioTable table) {
         List<Surge> surges = new ArrayList<>();
-        for (ScenarioTable surge : part.parts("surges")) {
+        for (ScenarioTable surge : table.tables("surges")) {
             surges.add(
                     new Surge(
-                            surge.time("at", null),
-                            surge.time("for", null),
+                            surge.durationNs("at", null),
+                            surge.durationNs("for", null),
                             surge.number("times", null, 0, 1000)));
-            surge.end();
+            surge.reportUnknownKeys();
         }
-        double[] patience = part.numbers("patience", 1, 0.01, 1);
+        double[] timeoutShare = table.numberRange("patience", 1, 0.01, 1);
         ClientModel model =
                 new ClientModel(
-                        part.number("per_second", null, 0.001, 1e7),
+                        table.number("per_second", null, 0.001, 1e7),
                         surges,
-                        part.time("swing_period", "0s"),
-                        part.number("swing", 0.0, 0, 1),
-                        part.whole("retries", 0, 0, 20),
-                        part.time("backoff", "100ms"),
-                        part.flag("heeds", true),
-                        patience[0],
-                        patience[1],
-                        part.whole("keys", 0, 0, 1_000_000_000));
-        part.end();
+                        table.durationNs("swing_period", "0s"),
+                        table.number("swing", 0.0, 0, 1),
+                        table.integer("retries", 0, 0, 20),
+                        table.durationNs("backoff", "100ms"),
+                        table.flag("heeds", true),
+                        timeoutShare[0],
+                        timeoutShare[1],
+                        table.integer("keys", 0, 0, 1_000_000_000));
+        table.reportUnknownKeys();
         return model;
     }
 
-    private static NetworkModel network(ScenarioTable part) {
+    private static NetworkModel network(ScenarioTable table) {
         NetworkModel model =
                 new NetworkModel(
-                        part.time("near", "200us"),
-                        part.time("far", "4ms"),
-                        part.number("jitter", 0.2, 0, 10),
-                        part.time("open_work", "0s"),
-                        part.time("dial", "100ms"),
-                        part.time("idle_close", "5s"),
-                        part.whole("connections", 1000, 1, 1_000_000));
-        part.end();
+                        table.durationNs("near", "200us"),
+                        table.durationNs("far", "4ms"),
+                        table.number("jitter", 0.2, 0, 10),
+                        table.durationNs("open_work", "0s"),
+                        table.durationNs("dial", "100ms"),
+                        table.durationNs("idle_close", "5s"),
+                        table.integer("connections", 1000, 1, 1_000_000));
+        table.reportUnknownKeys();
         return model;
     }
 
-    private static FleetModel fleet(ScenarioTable part) {
-        ScenarioTable jam = part.part("jam");
+    private static FleetModel fleet(ScenarioTable table) {
+        ScenarioTable jam = table.table("jam");
         ServerLimits.Jam jamModel =
                 new ServerLimits.Jam(
                         jam.number(
@@ -225,83 +232,83 @@
                                 Double.POSITIVE_INFINITY,
                                 0,
                                 Double.POSITIVE_INFINITY),
-                        jam.time("after", LONGEST),
+                        jam.durationNs("after", NEVER),
                         jam.number("slower", 1.0, 1, 1000),
                         jam.number("idle", 0.5, 0, 1000),
-                        jam.time("calm", "1s"));
-        jam.end();
-        ScenarioTable cold = part.part("cold");
+                        jam.durationNs("calm", "1s"));
+        jam.reportUnknownKeys();
+        ScenarioTable cold = table.table("cold");
         ServerLimits.Cold coldModel =
                 new ServerLimits.Cold(
                         cold.number("share", 1.0, 0.001, 1),
-                        cold.time("warm", "0s"),
+                        cold.durationNs("warm", "0s"),
                         cold.number(
                                 "multiple", Double.POSITIVE_INFINITY, 1, Double.POSITIVE_INFINITY),
-                        cold.time("window", "1s"));
-        cold.end();
-        int cores = part.whole("cores", 1, 1, 10_000);
-        int slots = part.whole("slots", 1_000_000, 1, 1_000_000);
+                        cold.durationNs("window", "1s"));
+        cold.reportUnknownKeys();
+        int cores = table.integer("cores", 1, 1, 10_000);
+        int slots = table.integer("slots", 1_000_000, 1, 1_000_000);
         ServerLimits limits =
                 new ServerLimits(
                         1,
                         cores,
                         slots,
-                        part.whole("room", 1_000_000, 0, 1_000_000),
-                        part.number("crowding", 0.0, 0, 10),
+                        table.integer("room", 1_000_000, 0, 1_000_000),
+                        table.number("crowding", 0.0, 0, 10),
                         jamModel,
                         coldModel,
-                        part.flag("cancel_stops", false));
-        double[] speed = part.numbers("speed", 1, 0.001, 1000);
-        long[] every = part.times("report_every", "500ms");
+                        table.flag("cancel_stops", false));
+        double[] speed = table.numberRange("speed", 1, 0.001, 1000);
+        long[] reportEvery = table.durationRangeNs("report_every", "500ms");
         FleetModel fleet =
                 new FleetModel(
-                        part.whole("workers", null, 1, 100_000),
+                        table.integer("workers", null, 1, 100_000),
                         limits,
                         speed[0],
                         speed[1],
-                        part.whole("cells", 0, 0, 100_000),
-                        part.flag("reports", true),
-                        every[0],
-                        every[1],
-                        part.number("noise", 0.0, 0, 1),
-                        part.time("probe_work", "100us"),
-                        part.flag("deep_probes", false));
-        part.end();
+                        table.integer("cells", 0, 0, 100_000),
+                        table.flag("reports", true),
+                        reportEvery[0],
+                        reportEvery[1],
+                        table.number("noise", 0.0, 0, 1),
+                        table.durationNs("probe_work", "100us"),
+                        table.flag("deep_probes", false));
+        table.reportUnknownKeys();
         return fleet;
     }
 
-    private static NodeRules rules(ScenarioTable part) {
+    private static NodeRules rules(ScenarioTable table) {
         NodeRules rules =
                 new NodeRules(
-                        part.whole("attempts", 3, 1, 100),
-                        part.time("answer_slack", "20ms"),
-                        part.time("drain_grace", "1s"),
-                        part.time("retry_after", "0s"),
-                        part.flag("probes", true),
-                        part.number("cross_zone_price", 0.0, 0, 1));
-        part.end();
+                        table.integer("attempts", 3, 1, 100),
+                        table.durationNs("answer_slack", "20ms"),
+                        table.durationNs("drain_grace", "1s"),
+                        table.durationNs("retry_after", "0s"),
+                        table.flag("probes", true),
+                        table.number("cross_zone_price", 0.0, 0, 1));
+        table.reportUnknownKeys();
         return rules;
     }
 
-    private static ScheduledFault scheduledFault(ScenarioTable part, List<String> zones) {
-        FaultKind kind = part.word("trouble", null, FaultKind.class);
-        String zone = part.text("zone", "");
+    private static ScheduledFault scheduledFault(ScenarioTable table, List<String> zones) {
+        FaultKind kind = table.enumValue("trouble", null, FaultKind.class);
+        String zone = table.text("zone", "");
         if (!zone.isEmpty() && !zones.contains(zone)) {
-            part.fault("zone", "one of " + String.join(", ", zones));
+            table.addFault("zone", "one of " + String.join(", ", zones));
         }
         if (kind == FaultKind.ZONE_CUT && zone.isEmpty()) {
-            part.fault("zone", "the zone that is cut off");
+            table.addFault("zone", "the zone to isolate");
         }
         ScheduledFault fault =
                 new ScheduledFault(
                         kind,
-                        part.time("at", null),
-                        part.time("for", "1s"),
-                        part.number("part", 1.0, 0, 1),
-                        part.number("size", 1.0, 0, 1e6),
-                        part.number("extra", 0.0, 0, 1),
+                        table.durationNs("at", null),
+                        table.durationNs("for", "1s"),
+                        table.number("part", 1.0, 0, 1),
+                        table.number("size", 1.0, 0, 1e6),
+                        table.number("extra", 0.0, 0, 1),
                         zone.isEmpty() ? null : zone);
-        part.end();
+        table.reportUnknownKeys();
         return fault;
     }
 }
--- a/lab/src/main/java/trailthread/lab/scenario/ScenarioTable.java
+++ b/lab/src/main/java/trailthread/lab/scenario/ScenarioTable.java
@@ -13,9 +13,9 @@
 import trailthread.configuration.Units;
 
 /**
- * One table of a scenario: hands out values by their keys, and notes as a fault what is not as it
- * must be, and at its end what nobody asked for. A value with a fault is handed out as if it were
- * not given.
+ * One table of a scenario file. Its methods return the values of keys and record a fault for each
+ * invalid value, for which they return the default. The keys that were read are the known ones;
+ * {@link #reportUnknownKeys} records a fault for every other key of the table.
  */
 final class ScenarioTable {
     private final String file;
@@ -23,9 +23,12 @@
     private final TomlTable table;
     private final TomlPosition position;
     private final String path;
-    private final TreeSet<String> asked = new TreeSet<>();
+    private final TreeSet<String> knownKeys = new TreeSet<>();
 
-    /** With no table, all values are as if they were not given. */
+    /**
+     * @param table null for a table that the file lacks; all its values are the defaults
+     * @param position where faults of absent keys are reported
+     */
     ScenarioTable(
             String file, List<Fault> faults, TomlTable table, TomlPosition position, String path) {
         this.file = file;
@@ -35,7 +38,8 @@
         this.path = path;
     }
 
-    void fault(String key, String expected) {
+    /** Records that the value of a key is not what is expected. */
+    void addFault(String key, String expected) {
         TomlPosition at =
                 table != null && table.contains(List.of(key))
                         ? table.inputPositionOf(List.of(key))
@@ -57,73 +61,73 @@
                         found));
     }
 
-    private <T> T read(String key, T otherwise, String expected, Function<Object, T> function) {
-        asked.add(key);
+    private <T> T read(String key, T defaultValue, String expected, Function<Object, T> convert) {
+        knownKeys.add(key);
         Object value = table == null ? null : table.get(List.of(key));
         if (value == null) {
-            if (otherwise == null) {
-                fault(key, expected);
+            if (defaultValue == null) {
+                addFault(key, expected);
             }
-            return otherwise;
+            return defaultValue;
         }
         try {
-            return function.apply(value);
+            return convert.apply(value);
         } catch (IllegalArgumentException | ClassCastException e) {
-            fault(key, expected);
-            return otherwise;
+            addFault(key, expected);
+            return defaultValue;
         }
     }
 
-    private static IllegalArgumentException unfit() {
-        return new IllegalArgumentException("unfit");
+    private static IllegalArgumentException invalidValue() {
+        return new IllegalArgumentException("invalid value");
     }
 
-    String text(String key, String otherwise) {
-        return read(key, otherwise, "a text", value -> (String) value);
+    String text(String key, String defaultValue) {
+        return read(key, defaultValue, "a text", value -> (String) value);
     }
 
-    boolean flag(String key, boolean otherwise) {
-        return read(key, otherwise, "true or false", value -> (Boolean) value);
+    boolean flag(String key, boolean defaultValue) {
+        return read(key, defaultValue, "true or false", value -> (Boolean) value);
     }
 
-    private static double number(Object value, double least, double most) {
-        double number = value instanceof Long whole ? whole : (Double) value;
-        if (!(number >= least && number <= most)) {
-            throw unfit();
+    private static double number(Object value, double min, double max) {
+        double number = value instanceof Long integer ? integer : (Double) value;
+        if (!(number >= min && number <= max)) {
+            throw invalidValue();
         }
         return number;
     }
 
-    /** {@code otherwise} null: it must be given. */
-    double number(String key, Double otherwise, double least, double most) {
+    /** A number; {@code defaultValue} is null for a required key. */
+    double number(String key, Double defaultValue, double min, double max) {
         Double number =
                 read(
                         key,
-                        otherwise,
-                        "a number from " + least + " to " + most,
-                        value -> number(value, least, most));
-        return number == null ? least : number;
+                        defaultValue,
+                        "a number from " + min + " to " + max,
+                        value -> number(value, min, max));
+        return number == null ? min : number;
     }
 
-    int whole(String key, Integer otherwise, int least, int most) {
-        Integer whole =
+    int integer(String key, Integer defaultValue, int min, int max) {
+        Integer integer =
                 read(
                         key,
-                        otherwise,
-                        "a whole number from " + least + " to " + most,
+                        defaultValue,
+                        "a whole number from " + min + " to " + max,
                         value -> {
                             long given = (Long) value;
-                            if (given < least || given > most) {
-                                throw unfit();
+                            if (given < min || given > max) {
+                                throw invalidValue();
                             }
                             return (int) given;
                         });
-        return whole == null ? least : whole;
+        return integer == null ? min : integer;
     }
 
-    /** In ns; {@code otherwise} null: it must be given. */
-    long time(String key, String otherwise) {
-        String text = otherwise == null ? null : otherwise;
+    /** A duration in ns; {@code defaultValue} is null for a required key. */
+    long durationNs(String key, String defaultValue) {
+        String text = defaultValue == null ? null : defaultValue;
         Long time =
                 read(
                         key,
@@ -134,80 +138,85 @@
     }
 
     private <T> List<T> pair(
-            String key, List<T> otherwise, String expected, Function<Object, T> one) {
+            String key, List<T> defaultValue, String expected, Function<Object, T> element) {
         List<T> pair =
                 read(
                         key,
-                        otherwise,
+                        defaultValue,
                         expected,
                         value -> {
                             if (!(value instanceof TomlArray array)) {
-                                T single = one.apply(value);
+                                T single = element.apply(value);
                                 return List.of(single, single);
                             }
                             if (array.size() != 2) {
-                                throw unfit();
+                                throw invalidValue();
                             }
-                            return List.of(one.apply(array.get(0)), one.apply(array.get(1)));
+                            return List.of(
+                                    element.apply(array.get(0)), element.apply(array.get(1)));
                         });
         return pair;
     }
 
-    /** Two durations, or one for both, in ns. */
-    long[] times(String key, String otherwise) {
-        long usual = otherwise == null ? 1 : Units.nanoseconds(otherwise);
+    /** A range of durations in ns, given as two durations or as one that is both bounds. */
+    long[] durationRangeNs(String key, String defaultValue) {
+        long bound = defaultValue == null ? 1 : Units.nanoseconds(defaultValue);
         List<Long> pair =
                 pair(
                         key,
-                        otherwise == null ? null : List.of(usual, usual),
-                        "a duration, or the least and the most in brackets",
+                        defaultValue == null ? null : List.of(bound, bound),
+                        "a duration, or a list of the least and the greatest",
                         value -> Units.nanoseconds((String) value));
         if (pair == null) {
-            return new long[] {usual, usual};
+            return new long[] {bound, bound};
         }
         if (pair.get(0) > pair.get(1)) {
-            fault(key, "the lesser one first");
+            addFault(key, "the lesser one first");
         }
         return new long[] {pair.get(0), pair.get(1)};
     }
 
-    /** Two numbers, or one for both. */
-    double[] numbers(String key, double otherwise, double least, double most) {
+    /** A range, given as two numbers or as one that is both bounds. */
+    double[] numberRange(String key, double defaultValue, double min, double max) {
         List<Double> pair =
                 pair(
                         key,
-                        List.of(otherwise, otherwise),
-                        "a number from " + least + " to " + most + ", or two in brackets",
-                        value -> number(value, least, most));
+                        List.of(defaultValue, defaultValue),
+                        "a number from "
+                                + min
+                                + " to "
+                                + max
+                                + ", or a list of the least and the greatest",
+                        value -> number(value, min, max));
         if (pair.get(0) > pair.get(1)) {
-            fault(key, "the lesser one first");
+            addFault(key, "the lesser one first");
         }
         return new double[] {pair.get(0), pair.get(1)};
     }
 
-    /** One of the words of an enum, as they are written in lower case. */
-    <E extends Enum<E>> E word(String key, E otherwise, Class<E> type) {
+    /** A constant of an enum, written in lower case. */
+    <E extends Enum<E>> E enumValue(String key, E defaultValue, Class<E> type) {
         List<String> words = new ArrayList<>();
         for (E e : type.getEnumConstants()) {
             words.add(e.name().toLowerCase(Locale.ROOT));
         }
         return read(
                 key,
-                otherwise,
+                defaultValue,
                 "one of " + String.join(", ", words),
                 value -> {
                     if (!words.contains((String) value)) {
-                        throw unfit();
+                        throw invalidValue();
                     }
                     return Enum.valueOf(type, ((String) value).toUpperCase(Locale.ROOT));
                 });
     }
 
-    List<String> texts(String key, List<String> otherwise) {
+    List<String> texts(String key, List<String> defaultValue) {
         return read(
                 key,
-                otherwise,
-                "texts in brackets, at least one",
+                defaultValue,
+                "a list of at least one text",
                 value -> {
                     TomlArray array = (TomlArray) value;
                     List<String> texts = new ArrayList<>();
@@ -215,39 +224,39 @@
                         texts.add((String) array.get(i));
                     }
                     if (texts.isEmpty()) {
-                        throw unfit();
+                        throw invalidValue();
                     }
                     return texts;
                 });
     }
 
-    /** A table within; without one, all its values are as if they were not given. */
-    ScenarioTable part(String key) {
-        asked.add(key);
+    /** A nested table; if it is absent, all its values are the defaults. */
+    ScenarioTable table(String key) {
+        knownKeys.add(key);
         Object value = table == null ? null : table.get(List.of(key));
         if (value != null && !(value instanceof TomlTable)) {
-            fault(key, "a table");
+            addFault(key, "a table");
         }
-        boolean there = value instanceof TomlTable;
+        boolean present = value instanceof TomlTable;
         return new ScenarioTable(
                 file,
                 faults,
-                there ? (TomlTable) value : null,
-                there ? table.inputPositionOf(List.of(key)) : position,
+                present ? (TomlTable) value : null,
+                present ? table.inputPositionOf(List.of(key)) : position,
                 path.isEmpty() ? key : path + "." + key);
     }
 
-    /** A list of tables. */
-    List<ScenarioTable> parts(String key) {
-        asked.add(key);
+    /** An array of tables; empty if absent. */
+    List<ScenarioTable> tables(String key) {
+        knownKeys.add(key);
         Object value = table == null ? null : table.get(List.of(key));
-        List<ScenarioTable> parts = new ArrayList<>();
-        boolean fit = value == null || value instanceof TomlArray;
-        for (int i = 0; fit && value != null && i < ((TomlArray) value).size(); i++) {
+        List<ScenarioTable> tables = new ArrayList<>();
+        boolean valid = value == null || value instanceof TomlArray;
+        for (int i = 0; valid && value != null && i < ((TomlArray) value).size(); i++) {
             TomlArray array = (TomlArray) value;
-            fit = array.get(i) instanceof TomlTable;
-            if (fit) {
-                parts.add(
+            valid = array.get(i) instanceof TomlTable;
+            if (valid) {
+                tables.add(
                         new ScenarioTable(
                                 file,
                                 faults,
@@ -256,25 +265,25 @@
                                 (path.isEmpty() ? key : path + "." + key) + "[" + i + "]"));
             }
         }
-        if (!fit) {
-            fault(key, "tables, each begun with [[" + key + "]]");
+        if (!valid) {
+            addFault(key, "an array of tables, [[" + key + "]]");
         }
-        return parts;
+        return tables;
     }
 
-    /** Notes what stands here and nobody asked for. */
-    void end() {
+    /** Records a fault for each key that no method of this table was called with. */
+    void reportUnknownKeys() {
         if (table == null) {
             return;
         }
         for (String key : table.keySet()) {
-            if (!asked.contains(key)) {
-                String meant = Nearest.of(key, asked);
-                fault(
+            if (!knownKeys.contains(key)) {
+                String nearest = Nearest.of(key, knownKeys);
+                addFault(
                         key,
-                        meant != null
-                                ? "a key that is known, such as " + meant
-                                : "one of " + String.join(", ", asked));
+                        nearest != null
+                                ? "a key that is known, such as " + nearest
+                                : "one of " + String.join(", ", knownKeys));
             }
         }
     }
