--- a/lab/src/main/java/trailthread/lab/command/LoadCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/LoadCommand.java
@@ -68,8 +68,8 @@
                             emulation.checker(),
                             0,
                             System.nanoTime() - begun);
-            print.println(Result.head());
-            print.println(result.row());
+            print.println(Result.tableHeader());
+            print.println(result.tableRow());
             print.println("most connections at once " + emulation.mostConnections());
             emulation.checker().violations().stream()
                     .limit(3)
--- a/lab/src/main/java/trailthread/lab/command/RunCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/RunCommand.java
@@ -91,8 +91,8 @@
                             emulation.checker(),
                             0,
                             System.nanoTime() - begun);
-            print.println(Result.head());
-            print.println(result.row());
+            print.println(Result.tableHeader());
+            print.println(result.tableRow());
             emulation.checker().violations().stream()
                     .limit(3)
                     .map(Violation::describe)
--- a/lab/src/main/java/trailthread/lab/command/SimulateCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/SimulateCommand.java
@@ -61,12 +61,12 @@
                 }
             }
         }
-        print.println(Result.head());
+        print.println(Result.tableHeader());
         List<Result> results = RunExecutor.runAll(specs, options.threads, result -> {});
         int status = Lab.DONE;
         for (int i = 0; i < results.size(); i++) {
             Result result = results.get(i);
-            print.println(result.row());
+            print.println(result.tableRow());
             if (out != null) {
                 Files.writeString(
                         out,
--- a/lab/src/main/java/trailthread/lab/experiment/Comparison.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Comparison.java
@@ -5,48 +5,53 @@
 import java.util.Locale;
 import java.util.function.ToDoubleFunction;
 
-/** One policy against each other one, over the same seeds of one scenario. */
+/** Compares one policy with each other policy, over the same seeds of one scenario. */
 public final class Comparison {
     private final List<Result> results;
     private final String first;
 
-    /** Of these results, all of one scenario, each policy with the same seeds. */
+    /**
+     * @param results of one scenario, each policy with the same seeds
+     * @param first the policy that is compared with each other one
+     */
     public Comparison(List<Result> results, String first) {
         this.results = List.copyOf(results);
         this.first = first;
     }
 
-    private List<Result> of(String policy) {
+    private List<Result> resultsOf(String policy) {
         return results.stream().filter(r -> r.policy().equals(policy)).toList();
     }
 
     /**
-     * By how much the first policy is past another, seed by seed.
+     * The difference of a metric, the first policy minus another, paired by seed.
      *
-     * @throws IllegalArgumentException if the two were not run with the same seeds
+     * @throws IllegalArgumentException if the two policies were not run with the same seeds
      */
-    public Bootstrap against(String other, ToDoubleFunction<Result> figure) {
-        List<Result> ours = of(first);
-        List<Result> theirs = of(other);
+    public Bootstrap difference(String other, ToDoubleFunction<Result> metric) {
+        List<Result> ours = resultsOf(first);
+        List<Result> theirs = resultsOf(other);
         if (ours.size() != theirs.size()) {
-            throw new IllegalArgumentException(first + " and " + other + " have other seeds");
+            throw new IllegalArgumentException(
+                    first + " and " + other + " were run with different seeds");
         }
         double[] differences = new double[ours.size()];
         for (int i = 0; i < differences.length; i++) {
             if (ours.get(i).seed() != theirs.get(i).seed()) {
-                throw new IllegalArgumentException(first + " and " + other + " have other seeds");
+                throw new IllegalArgumentException(
+                        first + " and " + other + " were run with different seeds");
             }
             differences[i] =
-                    figure.applyAsDouble(ours.get(i)) - figure.applyAsDouble(theirs.get(i));
+                    metric.applyAsDouble(ours.get(i)) - metric.applyAsDouble(theirs.get(i));
         }
         return Bootstrap.of(differences);
     }
 
-    private static double mean(List<Result> results, ToDoubleFunction<Result> figure) {
-        return results.stream().mapToDouble(figure).average().orElse(0);
+    private static double mean(List<Result> results, ToDoubleFunction<Result> metric) {
+        return results.stream().mapToDouble(metric).average().orElse(0);
     }
 
-    /** The table, for people. */
+    /** A printable table with a row for each policy. */
     public String table() {
         List<String> policies = new ArrayList<>();
         results.forEach(
@@ -69,31 +74,31 @@
                                 "broken",
                                 first + " is"));
         for (String policy : policies) {
-            List<Result> its = of(policy);
+            List<Result> policyResults = resultsOf(policy);
             String verdict = "";
             if (!policy.equals(first)) {
-                Bootstrap b = against(policy, Result::goodput);
+                Bootstrap difference = difference(policy, Result::goodput);
                 verdict =
                         String.format(
                                 Locale.ROOT,
-                                "%s by %+.4f [%+.4f, %+.4f]",
-                                b.verdict().words(),
-                                b.mean(),
-                                b.low(),
-                                b.high());
+                                "%s (%+.4f [%+.4f, %+.4f])",
+                                difference.verdict().words(),
+                                difference.mean(),
+                                difference.low(),
+                                difference.high());
             }
-            long broken = its.stream().filter(r -> !r.broken().isEmpty()).count();
+            long broken = policyResults.stream().filter(r -> !r.broken().isEmpty()).count();
             text.append(
                     String.format(
                             Locale.ROOT,
                             "%-17s %8.4f %9.2f %9.2f %9.3f %8.1f %7s   %s%n",
                             policy,
-                            mean(its, Result::goodput),
-                            mean(its, Result::p50Ms),
-                            mean(its, Result::p99Ms),
-                            mean(its, Result::attempts),
-                            mean(its, Result::probes),
-                            broken == 0 ? "none" : broken + " of " + its.size(),
+                            mean(policyResults, Result::goodput),
+                            mean(policyResults, Result::p50Ms),
+                            mean(policyResults, Result::p99Ms),
+                            mean(policyResults, Result::attempts),
+                            mean(policyResults, Result::probes),
+                            broken == 0 ? "none" : broken + " of " + policyResults.size(),
                             verdict));
         }
         return text.toString();
--- a/lab/src/main/java/trailthread/lab/experiment/Result.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Result.java
@@ -12,19 +12,22 @@
 import trailthread.lab.simulation.Simulation;
 
 /**
- * What came of one run, as one line of JSON tells it.
+ * The result of one run. Its JSON keys are the names of these components.
  *
- * @param goodput worth answered in time over worth asked for
- * @param classes by class: asked, within the aim, after it, refused, failed
- * @param p50Ms latency of what was served, from the client's first try on
- * @param attempts sent to servers, for each request of a client
- * @param probes a second
- * @param opened connections to servers opened, a second
- * @param unevenness the most that a server was sent over the mean
- * @param broken how often each rule was broken; empty: none was
- * @param events done in virtual time
- * @param wallMs of this machine; not the same in another run
- * @param decisionMs of these, in the decisions; not the same in another run
+ * @param goodput the priority weight of operations served within their latency objective, plus the
+ *     reduced weight of those served late, over the priority weight of all operations
+ * @param classes for each class the number of operations: all, served within the latency objective,
+ *     served late, rejected, failed
+ * @param p50Ms latency of served operations, from the client's first attempt to the response
+ * @param attempts attempts sent to servers, per client operation
+ * @param probes health checks per second
+ * @param opened connections opened to servers, per second
+ * @param unevenness the attempts at the busiest server over the mean of all servers
+ * @param broken the number of violations of each invariant; empty if there were none
+ * @param events events executed in virtual time; 0 for a run in real time
+ * @param wallMs duration of the run on this machine; varies between runs
+ * @param decisionMs the part of {@code wallMs} spent in load balancing decisions; varies between
+ *     runs
  */
 public record Result(
         String scenario,
@@ -45,12 +48,12 @@
         double decisionMs) {
     private static final Gson GSON = new GsonBuilder().disableHtmlEscaping().create();
 
-    /** Of a day in virtual time. */
+    /** The result of a run in virtual time. */
     public static Result of(Scenario scenario, String policy, long seed, Simulation.RunResult run) {
         return of(scenario, policy, seed, run.metrics(), run.checker(), run.events(), run.wallNs());
     }
 
-    /** Of what was counted and judged. */
+    /** The result of a run with these metrics and this state of its invariant checker. */
     public static Result of(
             Scenario scenario,
             String policy,
@@ -60,16 +63,16 @@
             long events,
             long wallNs) {
         Map<String, long[]> classes = new LinkedHashMap<>();
-        metrics.classes().forEach((name, of) -> classes.put(name, of.counts()));
+        metrics.classes().forEach((name, counted) -> classes.put(name, counted.counts()));
         Map<String, Integer> broken = new LinkedHashMap<>();
         checker.violationCounts()
-                .forEach((rule, times) -> broken.put(rule.name().toLowerCase(Locale.ROOT), times));
+                .forEach((rule, count) -> broken.put(rule.name().toLowerCase(Locale.ROOT), count));
         long[] totals = metrics.totals();
         double seconds = (scenario.durationNs() - scenario.warmUpNs()) / 1e9;
         Histogram latency = metrics.latencyUs();
-        double mean =
+        double meanAttempts =
                 metrics.attemptsByServer().stream().mapToLong(Long::longValue).average().orElse(0);
-        double most =
+        double maxAttempts =
                 metrics.attemptsByServer().stream().mapToLong(Long::longValue).max().orElse(0);
         return new Result(
                 scenario.name(),
@@ -83,30 +86,28 @@
                 totals[0] == 0 ? 0 : (double) totals[2] / totals[0],
                 totals[3] / seconds,
                 totals[4] / seconds,
-                mean == 0 ? 0 : most / mean,
+                meanAttempts == 0 ? 0 : maxAttempts / meanAttempts,
                 broken,
                 events,
                 wallNs / 1e6,
                 metrics.decisionNs() / 1e6);
     }
 
-    /** One line, without an end. */
+    /** One line of JSON, without a line terminator. */
     public String json() {
         return GSON.toJson(this);
     }
 
     /**
-     * From one line.
+     * Parses a line that {@link #json} returned.
      *
-     * @throws com.google.gson.JsonParseException if it is none
+     * @throws com.google.gson.JsonParseException if the line is not a result
      */
     public static Result fromJson(String line) {
         return GSON.fromJson(line, Result.class);
     }
 
-    /**
-     * The same run without what depends on the machine, so that two can be compared to the byte.
-     */
+    /** This result with both durations set to 0, so that runs with the same seed compare equal. */
     public Result withoutTimes() {
         return new Result(
                 scenario,
@@ -127,8 +128,8 @@
                 0);
     }
 
-    /** The head of a table of these. */
-    public static String head() {
+    /** The header line of a table of results. */
+    public static String tableHeader() {
         return String.format(
                 Locale.ROOT,
                 "%-20s %-17s %5s %8s %9s %9s %9s %8s %8s %6s  %s",
@@ -145,8 +146,8 @@
                 "broken rules");
     }
 
-    /** One line of it. */
-    public String row() {
+    /** This result as a line of the table. */
+    public String tableRow() {
         return String.format(
                 Locale.ROOT,
                 "%-20s %-17s %5d %8.4f %9.2f %9.2f %9.3f %8.1f %8.1f %6.2f  %s",
--- a/lab/src/main/java/trailthread/lab/experiment/RunExecutor.java
+++ b/lab/src/main/java/trailthread/lab/experiment/RunExecutor.java
@@ -12,18 +12,18 @@
 import trailthread.lab.simulation.BalancerFailureException;
 import trailthread.lab.simulation.Simulation;
 
-/** Runs in virtual time, many at once; what they come to does not depend on how many. */
+/** Runs simulations in parallel; their results do not depend on the number of threads. */
 public final class RunExecutor {
-    /** One run that is to be made. */
+    /** A run to execute. */
     public record RunSpec(Scenario scenario, Policy policy, long seed) {}
 
     private RunExecutor() {}
 
     /**
-     * Makes these runs on so many threads; their results in the order of the orders.
+     * Executes runs and returns their results in the order of {@code specs}.
      *
-     * @param finished hears of each as it comes, from whichever thread
-     * @throws BalancerFailureException if the decisions of one have asked for what nobody can do
+     * @param finished receives each result as its run ends, on the thread that executed the run
+     * @throws BalancerFailureException if the load balancer of a run requested an impossible action
      */
     public static List<Result> runAll(List<RunSpec> specs, int threads, Consumer<Result> finished)
             throws InterruptedException {
--- a/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
@@ -116,8 +116,8 @@
         }
         assertTrue("twelve at least", specs.size() >= 12);
         for (Result result : RunExecutor.runAll(specs, 4, r -> {})) {
-            assertTrue(result.row(), result.broken().isEmpty());
-            assertTrue(result.row(), result.goodput() > 0.3);
+            assertTrue(result.tableRow(), result.broken().isEmpty());
+            assertTrue(result.tableRow(), result.goodput() > 0.3);
         }
     }
 
