--- a/lab/src/main/java/trailthread/lab/command/CompareCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/CompareCommand.java
@@ -22,11 +22,11 @@
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
 
-/** Compares policies over the same seeds. */
+/** Runs policies on the same scenarios and seeds, and compares their results. */
 @Command(
         name = "compare",
         description =
-                "Plays scenarios with each policy over the same seeds, and says who is better.",
+                "Simulates scenarios with each policy over the same seeds and compares the results.",
         mixinStandardHelpOptions = true)
 final class CompareCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SCENARIO", arity = "1..*", description = "Scenario files.")
@@ -37,7 +37,7 @@
             paramLabel = "NAME",
             split = ",",
             description =
-                    "Which; all if not given. The first is " + "compared with each other one.")
+                    "Policies to run; all by default. The first is compared with each other one.")
     private List<String> policies = Policies.all().stream().map(Policy::name).toList();
 
     @Mixin private RunOptions options;
@@ -45,7 +45,7 @@
     @Option(
             names = "--out",
             paramLabel = "FILE",
-            description = "Adds each result as a line of JSON.")
+            description = "Appends each result as a line of JSON.")
     private Path out;
 
     @Spec private CommandSpec spec;
@@ -57,7 +57,7 @@
             Scenario scenario = ScenarioReader.read(file);
             List<RunExecutor.RunSpec> specs = new ArrayList<>();
             for (String policy : policies) {
-                for (long seed : options.all()) {
+                for (long seed : options.allSeeds()) {
                     specs.add(new RunExecutor.RunSpec(scenario, Policies.byName(policy), seed));
                 }
             }
@@ -75,6 +75,6 @@
                 }
             }
         }
-        return Lab.DONE;
+        return Lab.SUCCESS;
     }
 }
--- a/lab/src/main/java/trailthread/lab/command/EmulateCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/EmulateCommand.java
@@ -12,21 +12,22 @@
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
 
-/** Stand-in servers and discovery on loopback. */
+/** Emulates servers and discovery on loopback. */
 @Command(
         name = "emulate",
-        description = "Starts a scenario's workers and roster on loopback, and plays its faults.",
+        description =
+                "Emulates the servers and discovery of a scenario on loopback, with its faults.",
         mixinStandardHelpOptions = true)
 final class EmulateCommand implements Callable<Integer> {
     @Parameters(
             paramLabel = "SCENARIO",
-            description = "A scenario file; its length is how long it goes on.")
+            description = "A scenario file; its length is the duration of the emulation.")
     private Path file;
 
     @Option(
             names = "--seed",
             paramLabel = "N",
-            description = "Of all that is drawn; 1 if not given.")
+            description = "Seed of the random streams; 1 by default.")
     private long seed = 1;
 
     @Spec private CommandSpec spec;
@@ -36,11 +37,11 @@
         PrintWriter print = spec.commandLine().getOut();
         Scenario scenario = ScenarioReader.read(file);
         try (Emulation emulation = new Emulation(scenario, seed, 1)) {
-            print.println("roster " + emulation.discoveryAt(0));
-            print.println("workers " + String.join(" ", emulation.serversAt(0)));
+            print.println("roster " + emulation.discoveryAddress(0));
+            print.println("workers " + String.join(" ", emulation.serverAddresses(0)));
             print.flush();
-            emulation.run(true, d -> {});
+            emulation.run(true, current -> {});
         }
-        return Lab.DONE;
+        return Lab.SUCCESS;
     }
 }
--- a/lab/src/main/java/trailthread/lab/command/Lab.java
+++ b/lab/src/main/java/trailthread/lab/command/Lab.java
@@ -9,7 +9,8 @@
 /** The lab's command line. */
 @Command(
         name = "trailthread lab",
-        description = "Fleets in virtual time and on loopback, load, experiments, reports.",
+        description =
+                "Simulates server fleets in virtual time, emulates them on loopback and generates load.",
         mixinStandardHelpOptions = true,
         subcommands = {
             SimulateCommand.class,
@@ -20,28 +21,30 @@
             PoliciesCommand.class
         })
 public final class Lab implements Callable<Integer> {
-    /** Done. */
-    static final int DONE = 0;
+    /** Exit code: success. */
+    static final int SUCCESS = 0;
 
-    /** A rule was broken, or the decisions ran wild. */
-    static final int BROKEN = 1;
+    /**
+     * Exit code: an invariant was violated, or the load balancer requested an impossible action.
+     */
+    static final int VIOLATION = 1;
 
-    /** Bad use, or a scenario with faults. */
-    static final int BAD_USE = 2;
+    /** Exit code: invalid arguments or an invalid scenario. */
+    static final int USAGE_ERROR = 2;
 
-    /** The run came late on this machine, and is no result. */
+    /** Exit code: this machine ran the emulation too late for valid results. */
     static final int LATE = 3;
 
     @Spec private CommandSpec spec;
 
     private Lab() {}
 
-    /** Runs it. */
+    /** Executes a command and exits with its exit code. */
     public static void main(String[] args) {
         System.exit(commandLine().execute(args));
     }
 
-    /** As {@link #main} runs it. */
+    /** The command line that {@link #main} executes. */
     static CommandLine commandLine() {
         return new CommandLine(new Lab())
                 .setExecutionExceptionHandler(
@@ -53,7 +56,7 @@
                                                             ? e
                                                             : e.getMessage()));
                             if (e instanceof trailthread.lab.simulation.BalancerFailureException) {
-                                return BROKEN;
+                                return VIOLATION;
                             }
                             if (!(e instanceof java.io.IOException
                                     || e instanceof IllegalArgumentException
@@ -63,13 +66,13 @@
                                                     .InvalidScenarioException)) {
                                 e.printStackTrace(line.getErr());
                             }
-                            return BAD_USE;
+                            return USAGE_ERROR;
                         });
     }
 
     @Override
     public Integer call() {
         spec.commandLine().usage(spec.commandLine().getOut());
-        return BAD_USE;
+        return USAGE_ERROR;
     }
 }
--- a/lab/src/main/java/trailthread/lab/command/LoadCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/LoadCommand.java
@@ -15,14 +15,17 @@
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
 
-/** Load on nodes that run already. */
+/** Generates load on running nodes. */
 @Command(
         name = "load",
         description =
-                "Sends a scenario's clients to nodes on loopback: an open loop, from intended times.",
+                "Sends the requests of a scenario's clients to nodes on loopback, in an open loop; "
+                        + "latency counts from the intended start of each request.",
         mixinStandardHelpOptions = true)
 final class LoadCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "SCENARIO", description = "A scenario file: its clients and classes.")
+    @Parameters(
+            paramLabel = "SCENARIO",
+            description = "A scenario file; only its clients and classes are used.")
     private Path file;
 
     @Option(
@@ -31,19 +34,19 @@
             split = ",",
             required = true,
             description =
-                    "Ports of the nodes on 127.0.0.1, the first one's in the first zone, and so on.")
+                    "Ports of the nodes on 127.0.0.1; the first node is in the first zone, and so on.")
     private List<Integer> ports;
 
     @Option(
             names = "--connections",
             paramLabel = "N",
-            description = "Opened to each node ahead of need.")
+            description = "Connections opened to each node before the run.")
     private int connections;
 
     @Option(
             names = "--seed",
             paramLabel = "N",
-            description = "Of all that is drawn; 1 if not given.")
+            description = "Seed of the random streams; 1 by default.")
     private long seed = 1;
 
     @Spec private CommandSpec spec;
@@ -53,12 +56,12 @@
         PrintWriter print = spec.commandLine().getOut();
         Scenario scenario = ScenarioReader.read(file).withSingleServer();
         try (Emulation emulation = new Emulation(scenario, seed, 1)) {
-            emulation.sendTo(ports);
+            emulation.targetNodes(ports);
             if (connections > 0) {
-                emulation.openAhead(connections);
+                emulation.preconnect(connections);
             }
-            long begun = System.nanoTime();
-            emulation.run(false, d -> EmulationRun.progress(d, print));
+            long startedAt = System.nanoTime();
+            emulation.run(false, current -> EmulationOutput.printProgress(current, print));
             Result result =
                     Result.of(
                             scenario,
@@ -67,17 +70,17 @@
                             emulation.metrics(),
                             emulation.checker(),
                             0,
-                            System.nanoTime() - begun);
+                            System.nanoTime() - startedAt);
             print.println(Result.tableHeader());
             print.println(result.tableRow());
-            print.println("most connections at once " + emulation.mostConnections());
+            print.println("most connections at once: " + emulation.maxClientConnections());
             emulation.checker().violations().stream()
                     .limit(3)
                     .map(Violation::describe)
                     .forEach(print::println);
-            return !EmulationRun.counts(emulation, print)
+            return !EmulationOutput.printTimeliness(emulation, print)
                     ? Lab.LATE
-                    : result.broken().isEmpty() ? Lab.DONE : Lab.BROKEN;
+                    : result.broken().isEmpty() ? Lab.SUCCESS : Lab.VIOLATION;
         }
     }
 }
--- a/lab/src/main/java/trailthread/lab/command/PoliciesCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/PoliciesCommand.java
@@ -6,10 +6,10 @@
 import picocli.CommandLine.Spec;
 import trailthread.lab.baseline.Policies;
 
-/** Lists the policies. */
+/** Lists the load balancing policies. */
 @Command(
         name = "policies",
-        description = "Lists the policies that runs can have.",
+        description = "Lists the load balancing policies that can be simulated.",
         mixinStandardHelpOptions = true)
 final class PoliciesCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
@@ -22,6 +22,6 @@
                                 spec.commandLine()
                                         .getOut()
                                         .printf("%-18s %s%n", p.name(), p.description()));
-        return Lab.DONE;
+        return Lab.SUCCESS;
     }
 }
--- a/lab/src/main/java/trailthread/lab/command/RunCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/RunCommand.java
@@ -17,11 +17,12 @@
 import trailthread.lab.scenario.Scenario;
 import trailthread.lab.scenario.ScenarioReader;
 
-/** A day with real nodes. */
+/** Runs a scenario in real time with real nodes. */
 @Command(
         name = "run",
         description =
-                "Plays a scenario in real time with real nodes between stand-ins, and judges it.",
+                "Runs a scenario in real time, with real nodes between emulated clients and servers, "
+                        + "and checks its invariants.",
         mixinStandardHelpOptions = true)
 final class RunCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SCENARIO", description = "A scenario file.")
@@ -30,30 +31,31 @@
     @Option(
             names = "--seed",
             paramLabel = "N",
-            description = "Of all that is drawn; 1 if not given.")
+            description = "Seed of the random streams; 1 by default.")
     private long seed = 1;
 
     @Option(
             names = "--root",
             paramLabel = "DIR",
             description =
-                    "A built checkout, whose deploy file names the nodes' "
-                            + "command; this one if not given.")
+                    "A built checkout, whose deploy file contains the command that starts a node; "
+                            + "this checkout by default.")
     private Path root = Path.of(System.getProperty("trailthread.root", "."));
 
     @Option(
             names = "--logs",
             paramLabel = "DIR",
-            description = "Where the nodes' configurations and logs go.")
+            description =
+                    "Directory for the configurations and logs of the nodes; temporary by default.")
     private Path logs;
 
     @Option(
             names = "--out",
             paramLabel = "FILE",
-            description = "Adds the result as a line of JSON.")
+            description = "Appends the result as a line of JSON.")
     private Path out;
 
-    @Option(names = "--quiet", description = "No line each second.")
+    @Option(names = "--quiet", description = "Prints no progress line each second.")
     private boolean quiet;
 
     @Spec private CommandSpec spec;
@@ -64,22 +66,22 @@
         Scenario scenario = ScenarioReader.read(file);
         Path directory = logs != null ? logs : Files.createTempDirectory("trailthread-lab");
         try (Emulation emulation = new Emulation(scenario, seed, scenario.nodes())) {
-            emulation.startNodes(Emulation.Program.ofCheckout(root.toAbsolutePath()), directory);
+            emulation.startNodes(Emulation.Program.fromCheckout(root.toAbsolutePath()), directory);
             print.println(
                     scenario.name()
                             + ": "
                             + scenario.nodes()
-                            + " nodes are ready, before "
+                            + " nodes are ready, with "
                             + scenario.fleet().servers()
-                            + " workers; logs in "
+                            + " servers; logs in "
                             + directory);
             print.flush();
-            long begun = System.nanoTime();
+            long startedAt = System.nanoTime();
             emulation.run(
                     true,
-                    d -> {
+                    current -> {
                         if (!quiet) {
-                            EmulationRun.progress(d, print);
+                            EmulationOutput.printProgress(current, print);
                         }
                     });
             Result result =
@@ -90,15 +92,15 @@
                             emulation.metrics(),
                             emulation.checker(),
                             0,
-                            System.nanoTime() - begun);
+                            System.nanoTime() - startedAt);
             print.println(Result.tableHeader());
             print.println(result.tableRow());
             emulation.checker().violations().stream()
                     .limit(3)
                     .map(Violation::describe)
                     .forEach(print::println);
-            boolean counts = EmulationRun.counts(emulation, print);
-            if (counts && out != null) {
+            boolean valid = EmulationOutput.printTimeliness(emulation, print);
+            if (valid && out != null) {
                 Files.writeString(
                         out,
                         result.json() + "\n",
@@ -106,7 +108,7 @@
                         StandardOpenOption.CREATE,
                         StandardOpenOption.APPEND);
             }
-            return !counts ? Lab.LATE : result.broken().isEmpty() ? Lab.DONE : Lab.BROKEN;
+            return !valid ? Lab.LATE : result.broken().isEmpty() ? Lab.SUCCESS : Lab.VIOLATION;
         }
     }
 }
--- a/lab/src/main/java/trailthread/lab/command/RunOptions.java
+++ b/lab/src/main/java/trailthread/lab/command/RunOptions.java
@@ -3,26 +3,26 @@
 import java.util.stream.LongStream;
 import picocli.CommandLine.Option;
 
-/** What all runs in virtual time have in common. */
+/** Options of the commands that run simulations. */
 final class RunOptions {
-    @Option(names = "--seed", paramLabel = "N", description = "The first seed; 1 if not given.")
+    @Option(names = "--seed", paramLabel = "N", description = "The first seed; 1 by default.")
     long seed = 1;
 
     @Option(
             names = "--seeds",
             paramLabel = "N",
-            description = "How many seeds, one after the other.")
+            description = "Number of consecutive seeds; 1 by default.")
     int seeds = 1;
 
     @Option(
             names = "--threads",
             paramLabel = "N",
-            description = "How many runs at once; half of the processors if not given.")
+            description = "Number of parallel runs; half the number of processors by default.")
     int threads = Math.max(1, Runtime.getRuntime().availableProcessors() / 2);
 
-    long[] all() {
+    long[] allSeeds() {
         if (seeds < 1 || threads < 1) {
-            throw new IllegalArgumentException("--seeds and --threads take a number above 0");
+            throw new IllegalArgumentException("--seeds and --threads must be at least 1");
         }
         return LongStream.range(seed, seed + seeds).toArray();
     }
--- a/lab/src/main/java/trailthread/lab/command/SimulateCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/SimulateCommand.java
@@ -23,10 +23,10 @@
 import trailthread.lab.scenario.ScenarioReader;
 import trailthread.lab.simulation.Simulation;
 
-/** Plays scenarios in virtual time. */
+/** Simulates scenarios in virtual time. */
 @Command(
         name = "simulate",
-        description = "Plays scenarios in virtual time, and judges them.",
+        description = "Simulates scenarios in virtual time and checks their invariants.",
         mixinStandardHelpOptions = true)
 final class SimulateCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SCENARIO", arity = "1..*", description = "Scenario files.")
@@ -36,7 +36,7 @@
             names = "--policy",
             paramLabel = "NAME",
             split = ",",
-            description = "Whose decisions; see: lab policies.")
+            description = "Policies to run; see: lab policies.")
     private List<String> policies = List.of(Policies.TRAILTHREAD.name());
 
     @Mixin private RunOptions options;
@@ -44,7 +44,7 @@
     @Option(
             names = "--out",
             paramLabel = "FILE",
-            description = "Adds each result as a line of JSON.")
+            description = "Appends each result as a line of JSON.")
     private Path out;
 
     @Spec private CommandSpec spec;
@@ -56,14 +56,14 @@
         for (Path file : files) {
             Scenario scenario = ScenarioReader.read(file);
             for (String policy : policies) {
-                for (long seed : options.all()) {
+                for (long seed : options.allSeeds()) {
                     specs.add(new RunExecutor.RunSpec(scenario, Policies.byName(policy), seed));
                 }
             }
         }
         print.println(Result.tableHeader());
         List<Result> results = RunExecutor.runAll(specs, options.threads, result -> {});
-        int status = Lab.DONE;
+        int status = Lab.SUCCESS;
         for (int i = 0; i < results.size(); i++) {
             Result result = results.get(i);
             print.println(result.tableRow());
@@ -76,27 +76,27 @@
                         StandardOpenOption.APPEND);
             }
             if (!result.broken().isEmpty()) {
-                status = Lab.BROKEN;
-                tell(specs.get(i), print);
+                status = Lab.VIOLATION;
+                printViolations(specs.get(i), print);
             }
         }
         double events = results.stream().mapToLong(Result::events).sum();
-        double ms = results.stream().mapToDouble(Result::wallMs).sum();
-        double decisions = results.stream().mapToDouble(Result::decisionMs).sum();
+        double totalMs = results.stream().mapToDouble(Result::wallMs).sum();
+        double decisionMs = results.stream().mapToDouble(Result::decisionMs).sum();
         print.printf(
                 Locale.ROOT,
-                "%.0f events, %.2f million a second on each thread; %.0f%% of the time in the decisions%n",
+                "%.0f events, %.2f million per second and thread; %.0f%% of the time in decisions%n",
                 events,
-                events / ms / 1e3,
-                100 * decisions / ms);
+                events / totalMs / 1e3,
+                100 * decisionMs / totalMs);
         return status;
     }
 
     /**
-     * The same run once more, which is the same to the last event, for the histories of what was
-     * broken.
+     * Repeats a run, which is deterministic, and prints the first violations with their histories.
+     * Results don't contain the histories.
      */
-    private static void tell(RunExecutor.RunSpec spec, PrintWriter print) {
+    private static void printViolations(RunExecutor.RunSpec spec, PrintWriter print) {
         Simulation.RunResult run = Simulation.run(spec.scenario(), spec.policy(), spec.seed());
         run.checker().violations().stream()
                 .limit(3)
--- a/lab/src/main/java/trailthread/lab/emulation/EmulatedDiscovery.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulatedDiscovery.java
@@ -15,19 +15,19 @@
 import trailthread.lab.random.RandomStreams;
 
 /**
- * Discovery on sockets, in the platform's protocol: a list, and watches on its changes; late, in
- * order, or down.
+ * Discovery on sockets, in the platform's protocol: it serves the endpoint list and watches of its
+ * changes. Changes reach each node after a random delay and in order; a fault can stop it.
  */
 final class EmulatedDiscovery {
     private static final Pattern INDEX = Pattern.compile("[?&]index=([0-9]{1,18})\\b");
-    private static final long IDLE_NS = 2_000_000_000L;
+    private static final long KEEPALIVE_INTERVAL_NS = 2_000_000_000L;
 
     private final Emulation emulation;
     private final UniformRandomProvider random;
-    private final List<EmulatedServer> listed = new ArrayList<>();
+    private final List<EmulatedServer> servers = new ArrayList<>();
     private final List<RestartableListener> listeners = new ArrayList<>();
-    private final Set<Watch> watches = new HashSet<>();
-    private final Set<Watch> lines = new HashSet<>();
+    private final Set<NodeConnection> watches = new HashSet<>();
+    private final Set<NodeConnection> connections = new HashSet<>();
     private long generation = 1;
     private boolean down;
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Where a node, by its number, finds it. */
+    /** The address at which the node of this number reaches discovery. */
     String hostPort(int node) {
         return listeners.get(Math.min(node, listeners.size() - 1)).hostPort();
     }
@@ -52,46 +52,48 @@
                 channel.close();
                 return;
             }
-            Watch line = new Watch(node);
-            line.wire = HttpMessageConnection.accepted(emulation.loop(), channel, line);
-            lines.add(line);
+            NodeConnection connection = new NodeConnection(node);
+            connection.transport =
+                    HttpMessageConnection.accepted(emulation.loop(), channel, connection);
+            connections.add(connection);
         } catch (IOException e) {
-            // the client has gone already
+            // the client has disconnected already
         }
     }
 
     void add(EmulatedServer server) {
-        listed.add(server);
-        changed(server, server.state);
+        servers.add(server);
+        setState(server, server.state);
     }
 
-    /** A server's state is this now. */
-    void changed(EmulatedServer server, EndpointState state) {
+    /** Changes the state of a server and notifies all watches. */
+    void setState(EmulatedServer server, EndpointState state) {
         server.state = state;
         generation++;
         if (state == EndpointState.GONE) {
-            listed.remove(server);
+            servers.remove(server);
         }
-        long of = generation;
-        for (Watch watch : List.copyOf(watches)) {
+        long changeGeneration = generation;
+        for (NodeConnection watch : List.copyOf(watches)) {
             var model = emulation.scenario().discovery();
             long at =
                     emulation.now()
                             + (long)
                                     RandomStreams.uniform(
                                             random, model.minDelayNs(), model.maxDelayNs());
-            watch.toldAt = Math.max(at, watch.toldAt);
-            String line = object(of, false, entry(server, watch.node, state));
+            watch.lastSendAt = Math.max(at, watch.lastSendAt);
+            String update =
+                    updateJson(changeGeneration, false, entryJson(server, watch.node, state));
             emulation
                     .eventQueue()
                     .scheduleAt(
-                            watch.toldAt,
+                            watch.lastSendAt,
                             () -> {
                                 if (watches.contains(watch)) {
-                                    watch.line(line);
+                                    watch.sendLine(update);
                                     emulation.check(
-                                            r ->
-                                                    r.endpointStateReceived(
+                                            checker ->
+                                                    checker.endpointStateReceived(
                                                             emulation.now(),
                                                             "n" + watch.node,
                                                             server.name,
@@ -101,27 +103,27 @@
         }
     }
 
-    /** The whole list, as a node hears it. */
-    String whole(int node) {
+    /** The complete endpoint list, with the addresses that this node uses. */
+    String fullListJson(int node) {
         List<String> entries = new ArrayList<>();
-        listed.forEach(server -> entries.add(entry(server, node, server.state)));
-        return object(generation, true, String.join(",", entries));
+        servers.forEach(server -> entries.add(entryJson(server, node, server.state)));
+        return updateJson(generation, true, String.join(",", entries));
     }
 
-    /** A node starts, and knows the whole list. */
-    void known(int node) {
-        listed.forEach(
-                w ->
+    /** Tells the checker that a node has received the complete endpoint list. */
+    void recordListReceived(int node) {
+        servers.forEach(
+                server ->
                         emulation.check(
-                                r ->
-                                        r.endpointStateReceived(
+                                checker ->
+                                        checker.endpointStateReceived(
                                                 emulation.now(),
                                                 "n" + node,
-                                                w.name,
-                                                w.state == EndpointState.READY)));
+                                                server.name,
+                                                server.state == EndpointState.READY)));
     }
 
-    private static String object(long generation, boolean reset, String entries) {
+    private static String updateJson(long generation, boolean reset, String entries) {
         return "{\"generation\":"
                 + generation
                 + ",\"reset\":"
@@ -131,7 +133,7 @@
                 + "]}";
     }
 
-    private String entry(EmulatedServer server, int node, EndpointState state) {
+    private String entryJson(EmulatedServer server, int node, EndpointState state) {
         String lifecycle =
                 state == EndpointState.READY
                         ? "active"
@@ -148,95 +150,98 @@
                 emulation.unixMs(server.process().startedAt()));
     }
 
-    /** It answers nothing, and watches end; or it is back. */
-    void down(boolean on) {
-        down = on;
-        if (on) {
-            for (Watch line : List.copyOf(lines)) {
-                line.wire.reset();
-                line.closed("down");
+    /** Stops discovery, which also resets its connections, or brings it back. */
+    void setDown(boolean down) {
+        this.down = down;
+        if (down) {
+            for (NodeConnection connection : List.copyOf(connections)) {
+                connection.transport.reset();
+                connection.closed("down");
             }
         }
     }
 
-    /** A connection of a node's. */
-    private final class Watch implements HttpMessageConnection.Listener {
+    /** A connection from a node, on which it may open a watch. */
+    private final class NodeConnection implements HttpMessageConnection.Listener {
         private final int node;
-        private HttpMessageConnection wire;
-        private long toldAt;
-        private EventQueue.Entry idle;
+        private HttpMessageConnection transport;
 
-        Watch(int node) {
+        /** When the last message was or will be sent, so that a later one is not sent before it. */
+        private long lastSendAt;
+
+        private EventQueue.Entry keepalive;
+
+        NodeConnection(int node) {
             this.node = node;
         }
 
         @Override
         public void message(HttpMessage message) {
             if (!message.target().startsWith("/v1/endpoints")) {
-                wire.send("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+                transport.send("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
                 return;
             }
             long at = emulation.now() + emulation.scenario().discovery().minDelayNs();
-            toldAt = Math.max(at, toldAt);
+            lastSendAt = Math.max(at, lastSendAt);
             if (message.target().contains("stream=1")) {
                 Matcher index = INDEX.matcher(message.target());
-                long has = index.find() ? Long.parseLong(index.group(1)) : -1;
-                wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                long knownGeneration = index.find() ? Long.parseLong(index.group(1)) : -1;
+                transport.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 watches.add(this);
                 emulation
                         .eventQueue()
                         .scheduleAt(
-                                toldAt,
+                                lastSendAt,
                                 () -> {
-                                    if (watches.contains(this) && has != generation) {
-                                        line(whole(node));
-                                        known(node);
+                                    if (watches.contains(this) && knownGeneration != generation) {
+                                        sendLine(fullListJson(node));
+                                        recordListReceived(node);
                                     }
                                 });
-                idles();
+                scheduleKeepalive();
             } else {
                 emulation
                         .eventQueue()
                         .scheduleAt(
-                                toldAt,
+                                lastSendAt,
                                 () -> {
-                                    String list = whole(node);
-                                    wire.send(
+                                    String list = fullListJson(node);
+                                    transport.send(
                                             "HTTP/1.1 200 OK\r\nContent-Length: "
                                                     + list.length()
                                                     + "\r\n\r\n"
                                                     + list);
-                                    known(node);
+                                    recordListReceived(node);
                                 });
             }
         }
 
-        /** Sends a line, and an empty one whenever none was sent for a while. */
-        void line(String text) {
-            wire.send(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
-            idles();
+        /** Sends a line of the watch; an empty line follows whenever none was sent for a while. */
+        void sendLine(String text) {
+            transport.send(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
+            scheduleKeepalive();
         }
 
-        private void idles() {
-            if (idle != null) {
-                idle.cancel();
+        private void scheduleKeepalive() {
+            if (keepalive != null) {
+                keepalive.cancel();
             }
-            idle =
+            keepalive =
                     emulation
                             .eventQueue()
                             .scheduleAfter(
-                                    IDLE_NS,
+                                    KEEPALIVE_INTERVAL_NS,
                                     () -> {
                                         if (watches.contains(this)) {
-                                            line("");
+                                            sendLine("");
                                         }
                                     });
         }
 
         @Override
-        public void closed(String how) {
+        public void closed(String reason) {
             watches.remove(this);
-            lines.remove(this);
+            connections.remove(this);
         }
     }
 }
--- a/lab/src/main/java/trailthread/lab/emulation/EmulatedServer.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulatedServer.java
@@ -19,15 +19,15 @@
 import trailthread.lab.server.ServerProcess;
 
 /**
- * A server on sockets: the model of virtual time, driven by the real clock, behind the servers'
- * side of the platform's protocol. Each node has an address of its own for it, so that the checker
- * knows who sends.
+ * A server on sockets: the server model of the simulation, driven by the real clock, that speaks
+ * the server's side of the platform's protocol. It listens at a separate address for each node, so
+ * that the invariant checker knows which node sends a request.
  */
 final class EmulatedServer implements FaultTarget.Server {
     private static final Pattern WORK = Pattern.compile("[?&]work=([0-9]{1,15})\\b");
     private static final String GARBAGE =
             "HTTP/9 \u0001\u0002 wor\u00ffk\r\n\u0000\u0003: ;;\r\n\r\n\u00fe";
-    private static final int DRIPS = 10;
+    private static final int TRICKLE_PIECES = 10;
 
     final String name;
     final String zone;
@@ -35,9 +35,11 @@
     private final Emulation emulation;
     private final ServerProcess process;
     private final List<RestartableListener> listeners = new ArrayList<>();
-    private final Set<Line> lines = new HashSet<>();
+    private final Set<NodeConnection> connections = new HashSet<>();
     EndpointState state = EndpointState.READY;
-    private boolean wasCut;
+
+    /** Whether the connections are isolated; follows the isolation fault of the process. */
+    private boolean connectionsIsolated;
 
     EmulatedServer(
             Emulation emulation,
@@ -60,7 +62,8 @@
                         limits,
                         cold,
                         () -> {
-                            emulation.check(r -> r.coldServerOverloaded(emulation.now(), name));
+                            emulation.check(
+                                    checker -> checker.coldServerOverloaded(emulation.now(), name));
                             stop();
                         });
         for (int i = 0; i < Math.max(1, emulation.nodeCount()); i++) {
@@ -70,52 +73,56 @@
         }
     }
 
-    /** Where a node, by its number, finds it. */
+    /** The address at which the node of this number reaches this server. */
     String hostPort(int node) {
         return listeners.get(Math.min(node, listeners.size() - 1)).hostPort();
     }
 
     private void accept(String node, SocketChannel channel) {
         try {
-            if (lines.size() >= emulation.scenario().network().maxConnections()) {
+            if (connections.size() >= emulation.scenario().network().maxConnections()) {
                 channel.close();
                 return;
             }
             process.addBackgroundWork(emulation.scenario().network().connectionWorkNs());
-            Line line = new Line(node);
-            line.wire = HttpMessageConnection.accepted(emulation.loop(), channel, line);
-            line.wire.mute(process.faults.isolated);
-            lines.add(line);
+            NodeConnection connection = new NodeConnection(node);
+            connection.transport =
+                    HttpMessageConnection.accepted(emulation.loop(), channel, connection);
+            connection.transport.setIsolated(process.faults.isolated);
+            connections.add(connection);
         } catch (IOException e) {
-            // the client has gone already
+            // the client has disconnected already
         }
     }
 
     /**
-     * Cuts it off or joins it again, as its ills say. Connections of before are reset once it is
-     * back: what was written to them meanwhile lies in this machine's buffers, and was lost on the
-     * way to another one.
+     * Applies the isolation fault of the process to its connections. When the isolation ends, older
+     * connections are reset: bytes written to them meanwhile are still in the buffers of this
+     * machine, while a real network would have lost them.
      */
-    void arrangeCut() {
-        if (process.faults.isolated == wasCut) {
+    void applyIsolation() {
+        if (process.faults.isolated == connectionsIsolated) {
             return;
         }
-        wasCut = process.faults.isolated;
-        for (Line line : List.copyOf(lines)) {
-            if (wasCut) {
-                line.wire.mute(true);
+        connectionsIsolated = process.faults.isolated;
+        for (NodeConnection connection : List.copyOf(connections)) {
+            if (connectionsIsolated) {
+                connection.transport.setIsolated(true);
             } else {
-                line.wire.reset();
-                line.ends();
+                connection.transport.reset();
+                connection.ended();
             }
         }
     }
 
-    /** Looks whether the connection of an attempt has ended by now. */
-    void look(String requestId) {
-        List.copyOf(lines).stream()
-                .filter(line -> line.served != null && line.served.requestId.equals(requestId))
-                .forEach(line -> line.wire.read());
+    /** Reads the connection of a request, to notice whether the node has closed it. */
+    void readConnectionOf(String requestId) {
+        List.copyOf(connections).stream()
+                .filter(
+                        connection ->
+                                connection.currentRequest != null
+                                        && connection.currentRequest.requestId.equals(requestId))
+                .forEach(connection -> connection.transport.read());
     }
 
     @Override
@@ -135,7 +142,7 @@
 
     @Override
     public void startDraining() {
-        emulation.discovery().changed(this, EndpointState.DRAINING);
+        emulation.discovery().setState(this, EndpointState.DRAINING);
     }
 
     @Override
@@ -148,9 +155,9 @@
             }
         }
         process.stop();
-        for (Line line : List.copyOf(lines)) {
-            line.wire.reset();
-            line.ends();
+        for (NodeConnection connection : List.copyOf(connections)) {
+            connection.transport.reset();
+            connection.ended();
         }
     }
 
@@ -158,128 +165,143 @@
     public void restart() {
         try {
             for (RestartableListener listener : listeners) {
-                listener.again();
+                listener.reopen();
             }
         } catch (IOException e) {
-            throw new IllegalStateException(name + " can't listen again", e);
+            throw new IllegalStateException(name + " can't listen on its port again", e);
         }
         process.start();
-        emulation.discovery().changed(this, EndpointState.READY);
+        emulation.discovery().setState(this, EndpointState.READY);
     }
 
     @Override
     public void replace() {
-        emulation.discovery().changed(this, EndpointState.GONE);
+        emulation.discovery().setState(this, EndpointState.GONE);
         emulation.addServer(zone, Math.max(0, cell), true);
     }
 
-    private static String load(LoadReport load) {
+    private static String loadJson(LoadReport load) {
         return String.format(
                 Locale.ROOT, "{\"inflight\":%.2f,\"queue\":%.2f}", load.inflight(), load.queue());
     }
 
-    private String answer(String status, LoadReport load, String extra, String body) {
+    private String response(String status, LoadReport load, String extraHeaders, String body) {
         return "HTTP/1.1 "
                 + status
                 + "\r\nContent-Length: "
                 + body.length()
                 + "\r\n"
-                + extra
-                + (load == null ? "" : "X-Backend-Load: " + load(load) + "\r\n")
+                + extraHeaders
+                + (load == null ? "" : "X-Backend-Load: " + loadJson(load) + "\r\n")
                 + "\r\n"
                 + body;
     }
 
     /** A connection from a node. */
-    private final class Line implements HttpMessageConnection.Listener {
+    private final class NodeConnection implements HttpMessageConnection.Listener {
         private final String node;
-        private HttpMessageConnection wire;
-        private Served served;
+        private HttpMessageConnection transport;
+
+        /** The request in progress, or null. */
+        private ReceivedRequest currentRequest;
 
-        Line(String node) {
+        NodeConnection(String node) {
             this.node = node;
         }
 
         @Override
         public void message(HttpMessage message) {
-            if (served != null) {
-                wire.reset(); // two requests at once on one connection
-                ends();
+            if (currentRequest != null) {
+                transport.reset(); // pipelined requests are not supported
+                ended();
                 return;
             }
             if (message.target().equals("/health") || message.target().equals("/status/load")) {
                 emulation.metrics().recordHealthCheck();
                 process.checkHealth(
-                        () -> wire.send(answer("200 OK", null, "", load(process.healthReport()))));
+                        () ->
+                                transport.send(
+                                        response(
+                                                "200 OK",
+                                                null,
+                                                "",
+                                                loadJson(process.healthReport()))));
                 return;
             }
             String id = message.header("x-correlation-id");
             Matcher work = WORK.matcher(message.target());
             if (id == null || !work.find()) {
-                wire.send(answer("404 Not Found", null, "", ""));
+                transport.send(response("404 Not Found", null, "", ""));
                 return;
             }
             int attempt = emulation.nextAttempt(id, EmulatedServer.this);
-            served = new Served(this, id, attempt, Math.max(1, Double.parseDouble(work.group(1))));
+            currentRequest =
+                    new ReceivedRequest(
+                            this, id, attempt, Math.max(1, Double.parseDouble(work.group(1))));
             emulation.check(
-                    r ->
-                            r.attemptSent(
-                                    wire.beganAt(),
+                    checker ->
+                            checker.attemptSent(
+                                    transport.messageStartedAt(),
                                     id,
                                     attempt,
                                     node,
                                     new InvariantChecker.ServerLocation(name, zone, cell)));
             emulation.metrics().recordAttempt(emulation.servers().indexOf(EmulatedServer.this));
-            process.receive(served);
+            process.receive(currentRequest);
         }
 
         @Override
-        public void closed(String how) {
-            ends();
+        public void closed(String reason) {
+            ended();
         }
 
-        /** Nothing more goes over it. */
-        void ends() {
-            lines.remove(this);
-            if (served != null) {
-                Served was = served;
-                served = null;
-                process.cancelRequest(was);
+        /** Removes this connection and cancels its request. */
+        void ended() {
+            connections.remove(this);
+            if (currentRequest != null) {
+                ReceivedRequest cancelled = currentRequest;
+                currentRequest = null;
+                process.cancelRequest(cancelled);
                 emulation.check(
-                        r ->
-                                r.attemptEnded(
+                        checker ->
+                                checker.attemptEnded(
                                         emulation.now(),
-                                        was.requestId,
-                                        was.attempt,
+                                        cancelled.requestId,
+                                        cancelled.attempt,
                                         Outcome.CANCELLED));
             }
         }
 
-        private void answered(Served of, Outcome outcome, String text, long trickleNs) {
-            served = null;
+        private void sendResponse(
+                ReceivedRequest request, Outcome outcome, String text, long trickleNs) {
+            currentRequest = null;
             emulation.check(
-                    r -> r.attemptEnded(emulation.now(), of.requestId, of.attempt, outcome));
+                    checker ->
+                            checker.attemptEnded(
+                                    emulation.now(), request.requestId, request.attempt, outcome));
             if (trickleNs == 0) {
-                wire.send(text);
+                transport.send(text);
                 return;
             }
-            int piece = Math.max(1, text.length() / DRIPS);
-            for (int from = 0, i = 0; from < text.length(); from += piece, i++) {
-                String part = text.substring(from, Math.min(text.length(), from + piece));
-                emulation.eventQueue().scheduleAfter(trickleNs * i / DRIPS, () -> wire.send(part));
+            int pieceLength = Math.max(1, text.length() / TRICKLE_PIECES);
+            for (int from = 0, i = 0; from < text.length(); from += pieceLength, i++) {
+                String part = text.substring(from, Math.min(text.length(), from + pieceLength));
+                emulation
+                        .eventQueue()
+                        .scheduleAfter(trickleNs * i / TRICKLE_PIECES, () -> transport.send(part));
             }
         }
     }
 
-    /** A request that is here. */
-    private final class Served implements IncomingRequest {
-        private final Line line;
+    /** A request that this server has received. */
+    private final class ReceivedRequest implements IncomingRequest {
+        private final NodeConnection connection;
         private final String requestId;
         private final int attempt;
         private final double work;
 
-        Served(Line line, String requestId, int attempt, double work) {
-            this.line = line;
+        ReceivedRequest(NodeConnection connection, String requestId, int attempt, double work) {
+            this.connection = connection;
             this.requestId = requestId;
             this.attempt = attempt;
             this.work = work;
@@ -292,47 +314,51 @@
 
         @Override
         public void executionStarted() {
-            emulation.check(r -> r.executionStarted(emulation.now(), requestId, attempt));
+            emulation.check(
+                    checker -> checker.executionStarted(emulation.now(), requestId, attempt));
         }
 
         @Override
-        public void respond(Response answer, long trickleNs) {
-            if (line.served != this) {
+        public void respond(Response response, long trickleNs) {
+            if (connection.currentRequest != this) {
                 return;
             }
             LoadReport load = process.report();
-            switch (answer) {
+            switch (response) {
                 case OK ->
-                        line.answered(
+                        connection.sendResponse(
                                 this,
                                 Outcome.OK,
-                                answer(
+                                response(
                                         "200 OK",
                                         load,
                                         "",
                                         requestId + " " + name + " " + (long) work + "\n"),
                                 trickleNs);
                 case ERROR ->
-                        line.answered(
-                                this, Outcome.ERROR, answer("500 Failed", load, "", ""), trickleNs);
+                        connection.sendResponse(
+                                this,
+                                Outcome.ERROR,
+                                response("500 Failed", load, "", ""),
+                                trickleNs);
                 case FULL ->
-                        line.answered(
+                        connection.sendResponse(
                                 this,
                                 Outcome.REJECTED,
-                                answer("503 Full", load, "X-Unprocessed: 1\r\n", ""),
+                                response("503 Full", load, "X-Unprocessed: 1\r\n", ""),
                                 trickleNs);
-                case GARBAGE -> line.answered(this, Outcome.RESET, GARBAGE, 0);
+                case GARBAGE -> connection.sendResponse(this, Outcome.RESET, GARBAGE, 0);
                 case RESET -> {
-                    line.wire.reset();
-                    line.ends();
+                    connection.transport.reset();
+                    connection.ended();
                 }
-                default -> throw new IllegalStateException(answer.name());
+                default -> throw new IllegalStateException(response.name());
             }
         }
 
         @Override
         public void connectionBroken() {
-            // its connection is reset with all others
+            // stop() resets all connections
         }
     }
 }
--- a/lab/src/main/java/trailthread/lab/emulation/Emulation.java
+++ b/lab/src/main/java/trailthread/lab/emulation/Emulation.java
@@ -24,76 +24,78 @@
 import trailthread.lab.scenario.Scenario;
 
 /**
- * A day on sockets: the scenario's servers and discovery as stand-ins on loopback, and, where asked
- * for, its clients and real nodes. All but the nodes runs on one thread. Only loopback is spoken
- * to.
+ * Runs a scenario in real time on sockets: emulated servers and discovery on loopback and, where
+ * the caller starts them, emulated clients and real node processes. Everything except the nodes
+ * runs on one thread. It connects to loopback addresses only.
  */
 public final class Emulation implements FaultTarget, Closeable {
     private static final long SECOND = 1_000_000_000L;
-    private static final long STARTS_WITHIN_NS = 30 * SECOND;
+    private static final long START_TIMEOUT_NS = 30 * SECOND;
     private static final int MAX_REMEMBERED_REQUESTS = 200_000;
 
-    /** Attempts of one call so far, and where the last one went. */
-    private static final class Attempts {
+    /** The number of attempts of a request so far, and the server that received the last one. */
+    private static final class RequestAttempts {
         private int count;
-        private EmulatedServer last;
+        private EmulatedServer lastServer;
     }
 
     /**
-     * What a node is started with.
+     * The command that starts a node.
      *
-     * @param root where
+     * @param root the working directory
      */
     public record Program(List<String> command, Path root) {
         /**
-         * As the platform starts it, by the deploy file of a checkout.
+         * The command that the platform uses, from the deploy file of a checkout.
          *
-         * @throws IOException if there is none, or it names no such command
+         * @throws IOException if the deploy file is missing or has no run command
          */
-        public static Program ofCheckout(Path root) throws IOException {
+        public static Program fromCheckout(Path root) throws IOException {
             String run =
                     Toml.parse(root.resolve("deploy").resolve("balancer.toml")).getString("run");
             if (run == null) {
                 throw new IOException("no run command in deploy/balancer.toml of " + root);
             }
-            List<String> words = new ArrayList<>(List.of(run.strip().split(" +")));
-            words.remove("exec");
-            return new Program(words, root);
+            List<String> command = new ArrayList<>(List.of(run.strip().split(" +")));
+            command.remove("exec");
+            return new Program(command, root);
         }
     }
 
-    /** What each node held at the end of a second. */
-    public record NodeSecond(double[] rssMb, int[] descriptors, double[] cpuSeconds) {}
+    /**
+     * The resource usage of each node at the end of a second; {@code cpuSeconds} since its start.
+     */
+    public record NodeUsage(double[] rssMb, int[] descriptors, double[] cpuSeconds) {}
 
     private final Scenario scenario;
     private final EmulationLoop loop = new EmulationLoop();
     private final RandomStreams streams;
     private final List<EmulatedServer> servers = new ArrayList<>();
     private final List<NodeProcess> nodes = new ArrayList<>();
-    private final List<NodeSecond> nodeSeconds = new ArrayList<>();
+    private final List<NodeUsage> nodeUsageBySecond = new ArrayList<>();
     private final EmulatedDiscovery discovery;
     private final UniformRandomProvider speeds;
     private final int nodeCount;
     private final long unixOffsetNs = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
-    private final Map<String, Attempts> attempts =
+    private final Map<String, RequestAttempts> attempts =
             new LinkedHashMap<>(1024, 0.75f, true) {
                 private static final long serialVersionUID = 1;
 
                 @Override
-                protected boolean removeEldestEntry(Map.Entry<String, Attempts> eldest) {
+                protected boolean removeEldestEntry(Map.Entry<String, RequestAttempts> eldest) {
                     return size() > MAX_REMEMBERED_REQUESTS;
                 }
             };
     private InvariantChecker checker;
     private RunMetrics metrics;
-    private HttpClients front;
+    private HttpClients httpClients;
     private ClientPopulation clients;
     private long lastId = System.nanoTime() << 8 & 0xfffffffffffffL;
 
     /**
      * Starts servers and discovery.
      *
-     * @param nodeCount how many nodes there will be; each has addresses of its own
+     * @param nodeCount the number of nodes; servers and discovery have separate addresses for each
      */
     public Emulation(Scenario scenario, long seed, int nodeCount) throws IOException {
         this.scenario = scenario;
@@ -107,73 +109,77 @@
         }
     }
 
-    /** Where a node, by its number, finds discovery. */
-    public String discoveryAt(int node) {
+    /** The address at which the node of this number reaches discovery. */
+    public String discoveryAddress(int node) {
         return discovery.hostPort(node);
     }
 
-    /** Where a node finds the servers. */
-    public List<String> serversAt(int node) {
-        return servers.stream().map(w -> w.hostPort(node)).toList();
+    /** The addresses at which the node of this number reaches the servers. */
+    public List<String> serverAddresses(int node) {
+        return servers.stream().map(server -> server.hostPort(node)).toList();
     }
 
-    /** How late this machine did what was due. */
+    /** The event loop, which measures how late events ran on this machine. */
     public EmulationLoop loop() {
         return loop;
     }
 
-    /** What came of it. */
+    /** The metrics of the run so far. */
     public RunMetrics metrics() {
         metrics.setClock(now());
         return metrics;
     }
 
-    /** How it was judged. */
+    /** The invariant checker; null if neither nodes nor target ports were given. */
     public InvariantChecker checker() {
         return checker;
     }
 
-    /** By seconds, what the nodes held. */
-    public List<NodeSecond> nodeSeconds() {
-        return nodeSeconds;
+    /** The resource usage of the nodes, by second of the run. */
+    public List<NodeUsage> nodeUsageBySecond() {
+        return nodeUsageBySecond;
     }
 
-    /** Most connections of clients at once. */
-    public int mostConnections() {
-        return front == null ? 0 : front.mostOpen();
+    /** The most client connections that were open at once. */
+    public int maxClientConnections() {
+        return httpClients == null ? 0 : httpClients.maxOpenConnections();
     }
 
-    /** Starts real nodes with this command; what they say goes to files in the directory. */
+    /**
+     * Starts real nodes and waits until they are ready; their logs go to files in the directory.
+     */
     public void startNodes(Program program, Path directory) throws IOException {
         checker =
                 new InvariantChecker(
                         scenario.rules().responseSlackNs() + 50_000_000L,
                         scenario.rules().drainGraceNs() + 50_000_000L);
         Files.createDirectories(directory);
-        front();
+        createHttpClients();
         for (int i = 0; i < nodeCount; i++) {
             int port;
             try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
                 port = free.getLocalPort();
             }
-            HttpClients.Target target =
-                    front.add(scenario.zones().get(i % scenario.zones().size()), port);
+            HttpClients.TargetNode target =
+                    httpClients.add(scenario.zones().get(i % scenario.zones().size()), port);
             target.admitted = false;
             NodeProcess node = new NodeProcess(this, i, target.zone, directory, program, target);
             nodes.add(node);
             node.start();
         }
-        long until = System.nanoTime() + STARTS_WITHIN_NS;
-        while (!front.allAdmitted()) {
-            if (System.nanoTime() > until || nodes.stream().anyMatch(n -> !n.isRunning())) {
-                throw new IOException("a node does not become ready; see " + directory);
+        long startDeadline = System.nanoTime() + START_TIMEOUT_NS;
+        while (!httpClients.allAdmitted()) {
+            if (System.nanoTime() > startDeadline || nodes.stream().anyMatch(n -> !n.isRunning())) {
+                throw new IOException(
+                        "a node has exited or is not ready after 30 s; see its log in "
+                                + directory);
             }
             loop.runUntil(System.nanoTime() + SECOND / 20);
         }
     }
 
-    private void front() {
-        front =
+    private void createHttpClients() {
+        httpClients =
                 new HttpClients(
                         loop,
                         checker,
@@ -183,52 +189,52 @@
     }
 
     /**
-     * Sends to these nodes, which others have started; without servers of its own nothing but
-     * answers is judged.
+     * Makes running nodes the targets of the clients. Their servers are not part of this emulation,
+     * so the checker sees only the responses.
      */
-    public void sendTo(List<Integer> ports) {
+    public void targetNodes(List<Integer> ports) {
         checker =
                 new InvariantChecker(
                         scenario.rules().responseSlackNs() + 50_000_000L, Long.MAX_VALUE / 4);
-        front();
+        createHttpClients();
         for (int i = 0; i < ports.size(); i++) {
-            front.add(scenario.zones().get(i % scenario.zones().size()), ports.get(i));
+            httpClients.add(scenario.zones().get(i % scenario.zones().size()), ports.get(i));
         }
     }
 
-    /** Opens so many clients' connections to each node, ahead of need. */
-    public void openAhead(int each) throws IOException {
-        front.openAhead(each);
+    /** Opens this many client connections to each node before the run. */
+    public void preconnect(int connectionsPerNode) throws IOException {
+        httpClients.preconnect(connectionsPerNode);
         loop.runUntil(System.nanoTime() + SECOND / 2);
     }
 
     /**
-     * Plays the day, from now on.
+     * Runs the scenario, starting now.
      *
-     * @param withFaults whether its faults happen
-     * @param everySecond hears of its progress
+     * @param withFaults whether the faults of the scenario occur
+     * @param everySecond called at the end of each second, to report progress
      */
     public void run(boolean withFaults, Consumer<Emulation> everySecond) throws IOException {
         long begin = now();
         metrics = new RunMetrics(begin, begin + scenario.warmUpNs());
-        loop.lateUs().reset();
-        if (front != null) {
-            clients = new ClientPopulation(eventQueue(), streams, scenario, metrics, front);
+        loop.latenessUs().reset();
+        if (httpClients != null) {
+            clients = new ClientPopulation(eventQueue(), streams, scenario, metrics, httpClients);
             clients.begin(begin + scenario.durationNs());
         }
         if (withFaults) {
             FaultInjector.schedule(eventQueue(), streams, scenario.faults(), this);
         }
-        sample(begin, begin + scenario.durationNs(), everySecond);
-        cuts(begin + scenario.durationNs());
-        long longest =
+        sampleEachSecond(begin, begin + scenario.durationNs(), everySecond);
+        applyIsolation(begin + scenario.durationNs());
+        long longestDeadline =
                 scenario.classes().stream()
                         .mapToLong(c -> c.requestClass().deadlineNs())
                         .max()
                         .orElse(0);
         long end = begin + scenario.durationNs();
         loop.runUntil(end);
-        while (System.nanoTime() < end + 2 * longest
+        while (System.nanoTime() < end + 2 * longestDeadline
                 && clients != null
                 && clients.openOperations() > 0) {
             loop.runUntil(System.nanoTime() + SECOND / 20);
@@ -238,7 +244,7 @@
         }
     }
 
-    private void sample(long begin, long end, Consumer<Emulation> everySecond) {
+    private void sampleEachSecond(long begin, long end, Consumer<Emulation> everySecond) {
         eventQueue()
                 .scheduleAfter(
                         SECOND,
@@ -246,42 +252,44 @@
                             metrics.recordInflight(
                                     now() - 1,
                                     servers.stream()
-                                            .mapToInt(w -> w.process().inflight())
+                                            .mapToInt(server -> server.process().inflight())
                                             .toArray());
-                            List<NodeProcess.Sample> samples =
-                                    nodes.stream().map(NodeProcess::sample).toList();
-                            nodeSeconds.add(
-                                    new NodeSecond(
-                                            samples.stream()
-                                                    .mapToDouble(NodeProcess.Sample::rssMb)
+                            List<NodeProcess.ResourceUsage> usage =
+                                    nodes.stream().map(NodeProcess::resourceUsage).toList();
+                            nodeUsageBySecond.add(
+                                    new NodeUsage(
+                                            usage.stream()
+                                                    .mapToDouble(NodeProcess.ResourceUsage::rssMb)
                                                     .toArray(),
-                                            samples.stream()
-                                                    .mapToInt(NodeProcess.Sample::descriptors)
+                                            usage.stream()
+                                                    .mapToInt(
+                                                            NodeProcess.ResourceUsage::descriptors)
                                                     .toArray(),
-                                            samples.stream()
-                                                    .mapToDouble(NodeProcess.Sample::cpuSeconds)
+                                            usage.stream()
+                                                    .mapToDouble(
+                                                            NodeProcess.ResourceUsage::cpuSeconds)
                                                     .toArray()));
                             everySecond.accept(this);
                             if (now() + SECOND <= end) {
-                                sample(begin, end, everySecond);
+                                sampleEachSecond(begin, end, everySecond);
                             }
                         });
     }
 
-    /** Machines that are cut off fall silent within a moment. */
-    private void cuts(long end) {
-        servers.forEach(EmulatedServer::arrangeCut);
+    /**
+     * Applies isolation faults to the connections of the servers, every 10 ms until {@code end}.
+     */
+    private void applyIsolation(long end) {
+        servers.forEach(EmulatedServer::applyIsolation);
         if (now() < end) {
-            eventQueue().scheduleAfter(SECOND / 100, () -> cuts(end));
+            eventQueue().scheduleAfter(SECOND / 100, () -> applyIsolation(end));
         }
     }
 
-    // ---- what the parts need
-    // -----------------------------------------------------------------------
-
-    void check(Consumer<InvariantChecker> told) {
+    /** Passes an event to the invariant checker, if there is one. */
+    void check(Consumer<InvariantChecker> event) {
         if (checker != null) {
-            told.accept(checker);
+            event.accept(checker);
         }
     }
 
@@ -289,6 +297,7 @@
         return eventQueue().now();
     }
 
+    /** The Unix time of a time of the event queue, in ms; 0 stays 0. */
     long unixMs(long at) {
         return at == 0 ? 0 : (at + unixOffsetNs) / 1_000_000;
     }
@@ -314,22 +323,23 @@
     }
 
     /**
-     * The number of an attempt that has come; an earlier one's connection that has ended by now is
-     * looked at first.
+     * Returns the number of an attempt that has arrived. First reads the connection of the previous
+     * attempt, so that the checker learns of its end before the new attempt.
      */
     int nextAttempt(String requestId, EmulatedServer server) {
-        Attempts of = attempts.computeIfAbsent(requestId, c -> new Attempts());
-        if (of.last != null) {
-            of.last.look(requestId);
+        RequestAttempts requestAttempts =
+                attempts.computeIfAbsent(requestId, id -> new RequestAttempts());
+        if (requestAttempts.lastServer != null) {
+            requestAttempts.lastServer.readConnectionOf(requestId);
         }
-        of.last = server;
-        return of.count++;
+        requestAttempts.lastServer = server;
+        return requestAttempts.count++;
     }
 
-    /** A server under a new name. */
-    void addServer(String zone, int place, boolean cold) {
+    /** Adds a server with a new name. */
+    void addServer(String zone, int index, boolean cold) {
         var fleet = scenario.fleet();
-        ServerLimits own =
+        ServerLimits limits =
                 fleet.limits()
                         .withSpeedFactor(
                                 RandomStreams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
@@ -339,13 +349,13 @@
                             this,
                             "w" + servers.size(),
                             zone,
-                            fleet.cells() > 0 ? place % fleet.cells() : -1,
-                            own,
+                            fleet.cells() > 0 ? index % fleet.cells() : -1,
+                            limits,
                             cold);
             servers.add(server);
             discovery.add(server);
         } catch (IOException e) {
-            throw new IllegalStateException("no worker can be added", e);
+            throw new IllegalStateException("can't add a server", e);
         }
     }
 
@@ -361,27 +371,27 @@
 
     @Override
     public void setDiscoveryDown(boolean down) {
-        discovery.down(down);
+        discovery.setDown(down);
     }
 
     @Override
     public void isolateZone(String zone) {
-        for (EmulatedServer server :
-                servers) { // nodes of the zone still reach it: they are on this machine
+        // A simplification: the servers are isolated from the nodes of their own zone as well.
+        for (EmulatedServer server : servers) {
             server.process().faults.isolated = zone != null && server.zone.equals(zone);
         }
     }
 
     @Override
-    public void setHeavyTail(double share, double times) {
+    public void setHeavyTail(double share, double workFactor) {
         if (clients != null) {
-            clients.setHeavyTail(share, times);
+            clients.setHeavyTail(share, workFactor);
         }
     }
 
     @Override
     public void close() throws IOException {
-        nodes.forEach(NodeProcess::end);
+        nodes.forEach(NodeProcess::destroy);
         loop.close();
     }
 }
--- a/lab/src/main/java/trailthread/lab/emulation/EmulationLoop.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulationLoop.java
@@ -10,90 +10,99 @@
 import trailthread.lab.event.EventQueue;
 
 /**
- * One thread that drives an event queue by the real clock, and sockets. All of a day on sockets but
- * the nodes runs on it, so that the checker is told of things in one order. It knows how late it
- * did what was due.
+ * An event loop that runs the events of an {@link EventQueue} at their times on the real clock, and
+ * serves sockets. Everything in an emulation except the nodes runs on its single thread, so that
+ * the invariant checker receives events in one order. It measures how late it runs its events.
  *
- * <p>Hand-made on NIO's selector: the stand-ins must reset, drip, spoil and fall silent byte by
- * byte, which no server's library lets them do.
+ * <p>It uses an NIO selector directly: emulated servers must reset connections, trickle or corrupt
+ * responses and stop responding after any byte, which HTTP server libraries don't support.
  */
 public final class EmulationLoop implements Closeable {
-    /** What is due sooner is waited for awake: a selector knows milliseconds. */
-    private static final long AWAKE_NS = 1_500_000L;
-
-    private static final long NAP_NS = 50_000L;
-    private static final long LONGEST_WAIT_MS = 20;
-
-    /** A loop that did so much of what was due so late was too slow for its results to count. */
+    /**
+     * The selector is polled, with short sleeps, for events due sooner than this: its timeouts have
+     * a resolution of a millisecond.
+     */
+    private static final long POLL_THRESHOLD_NS = 1_500_000L;
+
+    private static final long POLL_SLEEP_NS = 50_000L;
+    private static final long MAX_SELECT_MS = 20;
+
+    /**
+     * If more than {@link #LATE_SHARE} of the events run later than this, the machine was too busy
+     * for the results to be valid.
+     */
     private static final long LATE_US = 20_000;
 
     private static final double LATE_SHARE = 0.01;
 
-    /** Whom a key belongs to. */
-    interface Ready {
-        /** Its channel can do something of what it waits for. */
+    /** Handles the events of a channel; the attachment of its selection key. */
+    interface ChannelHandler {
+        /** The channel is ready for an operation that it is registered for. */
         void ready() throws IOException;
     }
 
     private final Selector selector = Selector.open();
     private final EventQueue eventQueue = new EventQueue(System.nanoTime());
-    private final Histogram lateUs = new Histogram(600_000_000L, 2);
+    private final Histogram latenessUs = new Histogram(600_000_000L, 2);
 
-    /** Begins now. */
+    /** Opens the selector. */
     public EmulationLoop() throws IOException {
-        // the selector is open by now
+        // the selector is opened by its initializer
     }
 
-    /** Its event queue; times are those of {@link System#nanoTime}. */
+    /** The event queue, in the time of {@link System#nanoTime}. */
     public EventQueue eventQueue() {
         return eventQueue;
     }
 
-    /** How late it did what was due, in us. */
-    public Histogram lateUs() {
-        return lateUs;
+    /** How late events ran, in microseconds. */
+    public Histogram latenessUs() {
+        return latenessUs;
     }
 
-    /** Whether it ran too late, as a whole, for what was measured to count. */
+    /** Whether too many events ran late for the results to be valid. */
     public boolean wasLate() {
-        return lateUs.getTotalCount() > 0
-                && lateUs.getValueAtPercentile(100 * (1 - LATE_SHARE)) > LATE_US;
+        return latenessUs.getTotalCount() > 0
+                && latenessUs.getValueAtPercentile(100 * (1 - LATE_SHARE)) > LATE_US;
     }
 
-    SelectionKey register(SelectableChannel channel, int interest, Ready ready) throws IOException {
+    SelectionKey register(SelectableChannel channel, int interestOps, ChannelHandler handler)
+            throws IOException {
         channel.configureBlocking(false);
-        return channel.register(selector, interest, ready);
+        return channel.register(selector, interestOps, handler);
     }
 
-    /** Goes on until this time, by {@link System#nanoTime}. */
+    /** Runs until this time of {@link System#nanoTime}. */
     public void runUntil(long end) throws IOException {
         while (System.nanoTime() < end) {
-            turn(end);
+            runOnce(end);
         }
     }
 
-    private void turn(long end) throws IOException {
-        catchUp();
+    private void runOnce(long end) throws IOException {
+        runDueEvents();
         long wait = Math.min(end, eventQueue.nextTime()) - System.nanoTime();
-        if (wait > AWAKE_NS) {
+        if (wait > POLL_THRESHOLD_NS) {
             selector.select(
-                    Math.min(LONGEST_WAIT_MS, Math.max(1, (wait - AWAKE_NS / 2) / 1_000_000)));
+                    Math.min(
+                            MAX_SELECT_MS,
+                            Math.max(1, (wait - POLL_THRESHOLD_NS / 2) / 1_000_000)));
         } else if (selector.selectNow() == 0 && wait > 0) {
-            LockSupport.parkNanos(Math.min(NAP_NS, wait));
+            LockSupport.parkNanos(Math.min(POLL_SLEEP_NS, wait));
         }
         for (SelectionKey key : selector.selectedKeys()) {
-            catchUp();
+            runDueEvents();
             if (key.isValid()) {
-                ((Ready) key.attachment()).ready();
+                ((ChannelHandler) key.attachment()).ready();
             }
         }
         selector.selectedKeys().clear();
     }
 
-    private void catchUp() {
+    private void runDueEvents() {
         long now = System.nanoTime();
         while (eventQueue.nextTime() <= now) {
-            lateUs.recordValue(Math.max(0, (System.nanoTime() - eventQueue.nextTime()) / 1000));
+            latenessUs.recordValue(Math.max(0, (System.nanoTime() - eventQueue.nextTime()) / 1000));
             eventQueue.runNext();
         }
         eventQueue.runUntil(now);
--- a/lab/src/main/java/trailthread/lab/emulation/HttpClients.java
+++ b/lab/src/main/java/trailthread/lab/emulation/HttpClients.java
@@ -18,12 +18,13 @@
 import trailthread.lab.invariant.RequestTerms;
 
 /**
- * Clients on sockets, in the platform's protocol: connections are kept, carry one request at a
- * time, and further ones are opened when all are busy. The nodes of a zone share its clients.
+ * Clients on sockets, in the platform's protocol. Connections are kept alive and carry one request
+ * at a time; a new one is opened when all are busy. The clients of a zone send to the nodes of
+ * their zone, or to any node if their zone has none that accepts connections.
  */
 final class HttpClients implements RequestSink {
     /** A node that clients send to. */
-    static final class Target {
+    static final class TargetNode {
         final String name;
         final String zone;
         final InetSocketAddress address;
@@ -31,63 +32,66 @@
         /** Whether new connections go there. */
         boolean admitted = true;
 
-        /** Its process was killed or stopped from outside: what it had is owed nothing. */
-        boolean excused;
+        /**
+         * The process was killed or paused by a fault, so the requests that it had received may
+         * stay without a response.
+         */
+        boolean interrupted;
 
-        private final ArrayDeque<Client> idle = new ArrayDeque<>();
-        private final Set<Client> all = new HashSet<>();
+        private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
+        private final Set<ClientConnection> connections = new HashSet<>();
 
-        Target(String name, String zone, int port) {
+        TargetNode(String name, String zone, int port) {
             this.name = name;
             this.zone = zone;
             this.address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         }
 
-        /** All its connections are closed by the system. */
-        void died() {
-            excused = true;
+        /** The process was killed; the system closes all its connections. */
+        void killed() {
+            interrupted = true;
             admitted = false;
         }
     }
 
     /**
-     * What the clients' answers may be late by, so that the last bytes of one in time are still
-     * read.
+     * How much later than its deadline a response may be read, so that the last bytes of a response
+     * that was sent in time still count.
      */
-    private static final long GRACE_NS = 50_000_000L;
+    private static final long READ_GRACE_NS = 50_000_000L;
 
     private final EmulationLoop loop;
     private final EventQueue eventQueue;
     private final InvariantChecker checker;
-    private final long slackNs;
+    private final long responseSlackNs;
     private final List<String> zones;
-    private final List<Target> targets = new ArrayList<>();
-    private final LongSupplier ids;
-    private int open;
-    private int mostOpen;
+    private final List<TargetNode> targets = new ArrayList<>();
+    private final LongSupplier requestIds;
+    private int openConnections;
+    private int maxOpenConnections;
 
     /**
-     * @param slackNs how far past its deadline an answer still counts
-     * @param zones of clients, by number
-     * @param ids new at each call
+     * @param responseSlackNs how far past its deadline a response is still in time
+     * @param zones the zones of clients, by number
+     * @param requestIds supplies a new request id at each call
      */
     HttpClients(
             EmulationLoop loop,
             InvariantChecker checker,
-            long slackNs,
+            long responseSlackNs,
             List<String> zones,
-            LongSupplier ids) {
+            LongSupplier requestIds) {
         this.loop = loop;
         this.eventQueue = loop.eventQueue();
         this.checker = checker;
-        this.slackNs = slackNs;
+        this.responseSlackNs = responseSlackNs;
         this.zones = List.copyOf(zones);
-        this.ids = ids;
+        this.requestIds = requestIds;
     }
 
-    /** Adds a node. */
-    Target add(String zone, int port) {
-        Target target = new Target("n" + targets.size(), zone, port);
+    /** Adds a node that clients send to. */
+    TargetNode add(String zone, int port) {
+        TargetNode target = new TargetNode("n" + targets.size(), zone, port);
         targets.add(target);
         return target;
     }
@@ -97,57 +101,70 @@
     }
 
     /** The most connections that were open at once. */
-    int mostOpen() {
-        return mostOpen;
+    int maxOpenConnections() {
+        return maxOpenConnections;
     }
 
-    /** Opens so many connections to each node, ahead of need. */
-    void openAhead(int each) {
-        for (Target target : targets) {
-            for (int i = 0; i < each; i++) {
-                Client client = new Client(target);
-                client.begin(null);
+    /** Opens this many idle connections to each node. */
+    void preconnect(int connectionsPerNode) {
+        for (TargetNode target : targets) {
+            for (int i = 0; i < connectionsPerNode; i++) {
+                ClientConnection connection = new ClientConnection(target);
+                connection.open(null);
             }
         }
     }
 
-    private Target chosen(String zone, double draw) {
-        List<Target> near =
+    private TargetNode chooseTarget(String zone, double draw) {
+        List<TargetNode> sameZone =
                 targets.stream().filter(t -> t.admitted && t.zone.equals(zone)).toList();
-        List<Target> some =
-                near.isEmpty() ? targets.stream().filter(t -> t.admitted).toList() : near;
-        return some.isEmpty() ? null : some.get((int) (draw * some.size()));
+        List<TargetNode> candidates =
+                sameZone.isEmpty() ? targets.stream().filter(t -> t.admitted).toList() : sameZone;
+        return candidates.isEmpty() ? null : candidates.get((int) (draw * candidates.size()));
     }
 
     @Override
-    public void startAttempt(ClientOperation operation, int zone, double draw, long until) {
-        Target target = chosen(zones.get(zone), draw);
+    public void startAttempt(
+            ClientOperation operation, int zone, double draw, long clientTimeoutAt) {
+        TargetNode target = chooseTarget(zones.get(zone), draw);
         if (target == null) {
             operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
             return;
         }
-        send(target, new ClientAttempt(operation, Long.toHexString(ids.getAsLong()), until, false));
+        send(
+                target,
+                new ClientAttempt(
+                        operation,
+                        Long.toHexString(requestIds.getAsLong()),
+                        clientTimeoutAt,
+                        false));
     }
 
-    private void send(Target target, ClientAttempt attempt) {
-        Client client = target.idle.pollLast();
-        while (client != null && !client.wire.isOpen()) {
-            client = target.idle.pollLast();
+    private void send(TargetNode target, ClientAttempt attempt) {
+        ClientConnection connection = target.idle.pollLast();
+        while (connection != null && !connection.transport.isOpen()) {
+            connection = target.idle.pollLast();
         }
-        if (client == null) {
-            client = new Client(target);
-            client.begin(attempt);
+        if (connection == null) {
+            connection = new ClientConnection(target);
+            connection.open(attempt);
         } else {
-            client.send(attempt);
+            connection.send(attempt);
         }
     }
 
-    /** One attempt of a client's. */
-    private record ClientAttempt(ClientOperation operation, String id, long until, boolean again) {
+    /**
+     * An attempt of a client.
+     *
+     * @param resent whether it is sent for the second time, because the node had closed the idle
+     *     connection that it was sent on first
+     */
+    private record ClientAttempt(
+            ClientOperation operation, String id, long clientTimeoutAt, boolean resent) {
         String request(long now) {
             var rules = operation.classModel().requestClass();
-            boolean safe = rules.idempotency() == Idempotency.IDEMPOTENT;
-            return (safe ? "GET /" : "POST /")
+            boolean idempotent = rules.idempotency() == Idempotency.IDEMPOTENT;
+            return (idempotent ? "GET /" : "POST /")
                     + rules.name()
                     + "?work="
                     + (long) operation.work()
@@ -156,44 +173,47 @@
                     + "\r\nX-Service-Class: "
                     + rules.name()
                     + "\r\nX-Time-Left: "
-                    + String.format(Locale.ROOT, "%.4f", Math.max(0, until - now) / 1e9)
+                    + String.format(Locale.ROOT, "%.4f", Math.max(0, clientTimeoutAt - now) / 1e9)
                     + (operation.tenant() == null ? "" : "\r\nX-Account: " + operation.tenant())
                     + (rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
                             ? "\r\nIdempotency-Key: " + id
                             : "")
-                    + (safe ? "\r\n\r\n" : "\r\nContent-Length: 4\r\n\r\npour");
+                    + (idempotent ? "\r\n\r\n" : "\r\nContent-Length: 4\r\n\r\npour");
         }
     }
 
-    /** A client's connection. */
-    private final class Client implements HttpMessageConnection.Listener {
-        private final Target target;
-        private HttpMessageConnection wire;
+    /** A connection of a client to a node. */
+    private final class ClientConnection implements HttpMessageConnection.Listener {
+        private final TargetNode target;
+        private HttpMessageConnection transport;
         private ClientAttempt attempt;
         private boolean reused;
         private boolean received;
 
-        /** It came while the node was stopped, which learns too late when. */
-        private boolean excused;
+        /**
+         * The request arrived while the node was paused; the node counts its deadline only from the
+         * moment at which it resumes.
+         */
+        private boolean receivedWhileInterrupted;
 
-        private EventQueue.Entry overdue;
+        private EventQueue.Entry timeout;
 
-        Client(Target target) {
+        ClientConnection(TargetNode target) {
             this.target = target;
         }
 
-        void begin(ClientAttempt first) {
+        void open(ClientAttempt first) {
             try {
-                wire = HttpMessageConnection.open(loop, target.address, this);
+                transport = HttpMessageConnection.open(loop, target.address, this);
             } catch (IOException e) {
                 if (first != null) {
                     first.operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
                 }
                 return;
             }
-            open++;
-            mostOpen = Math.max(mostOpen, open);
-            target.all.add(this);
+            openConnections++;
+            maxOpenConnections = Math.max(maxOpenConnections, openConnections);
+            target.connections.add(this);
             if (first != null) {
                 send(first);
             }
@@ -203,22 +223,24 @@
             attempt = next;
             received = false;
             long now = eventQueue.now();
-            overdue = eventQueue.scheduleAt(next.until + slackNs + GRACE_NS, this::overdue);
-            if (wire.isConnected()) {
+            timeout =
+                    eventQueue.scheduleAt(
+                            next.clientTimeoutAt + responseSlackNs + READ_GRACE_NS, this::timedOut);
+            if (transport.isConnected()) {
                 requestReceived();
             }
-            if (wire.isOpen()) {
-                wire.send(next.request(now));
+            if (transport.isOpen()) {
+                transport.send(next.request(now));
             }
         }
 
         /**
-         * The node's machine has the connection, so with the request's last byte the node has the
-         * call.
+         * Tells the checker that the node has the request: the connection is established, so the
+         * node's host receives every byte sent.
          */
         private void requestReceived() {
             received = true;
-            excused = target.excused;
+            receivedWhileInterrupted = target.interrupted;
             var rules = attempt.operation.classModel().requestClass();
             checker.requestReceived(
                     eventQueue.now(),
@@ -229,7 +251,7 @@
                             rules.idempotency(),
                             rules.deduplicationScope(),
                             rules.deduplicationWindowNs(),
-                            attempt.until + GRACE_NS));
+                            attempt.clientTimeoutAt + READ_GRACE_NS));
         }
 
         @Override
@@ -244,37 +266,37 @@
         @Override
         public void message(HttpMessage message) {
             if (attempt == null) {
-                wire.close();
-                forget();
+                transport.close();
+                removeConnection();
                 return;
             }
-            ClientAttempt of = end();
+            ClientAttempt answered = takeAttempt();
             int status = message.status();
             boolean refused = status == 429 || status == 503;
-            if (status == 200 && !message.text().startsWith(of.id + " ")) {
-                checker.wrongResponse(eventQueue.now(), of.id, message.text());
+            if (status == 200 && !message.bodyText().startsWith(answered.id + " ")) {
+                checker.wrongResponse(eventQueue.now(), answered.id, message.bodyText());
             }
             checker.responded(
                     eventQueue.now(),
-                    of.id,
+                    answered.id,
                     status == 200 ? "served" : refused ? "refused" : "failed " + status);
-            if (message.lasts()) {
+            if (message.keepsConnectionOpen()) {
                 reused = true;
                 target.idle.addLast(this);
             } else {
-                wire.close();
-                forget();
+                transport.close();
+                removeConnection();
             }
-            of.operation.attemptEnded(
+            answered.operation.attemptEnded(
                     status == 200
                             ? ClientOperation.AttemptResult.SERVED
                             : refused
                                     ? ClientOperation.AttemptResult.REFUSED
                                     : ClientOperation.AttemptResult.FAILED,
-                    advice(message.header("retry-after")));
+                    retryAfterNs(message.header("retry-after")));
         }
 
-        private static long advice(String retryAfter) {
+        private static long retryAfterNs(String retryAfter) {
             try {
                 return retryAfter == null ? 0 : (long) (Double.parseDouble(retryAfter) * 1e9);
             } catch (NumberFormatException e) {
@@ -282,58 +304,70 @@
             }
         }
 
-        private ClientAttempt end() {
-            ClientAttempt of = attempt;
+        /** Returns the current attempt, which has ended, and cancels its timeout. */
+        private ClientAttempt takeAttempt() {
+            ClientAttempt ended = attempt;
             attempt = null;
-            overdue.cancel();
-            return of;
+            timeout.cancel();
+            return ended;
         }
 
-        private void forget() {
-            open--;
-            target.all.remove(this);
+        private void removeConnection() {
+            openConnections--;
+            target.connections.remove(this);
             target.idle.remove(this);
         }
 
         @Override
-        public void closed(String how) {
-            forget();
+        public void closed(String reason) {
+            removeConnection();
             if (attempt == null) {
                 return;
             }
-            ClientAttempt of = end();
+            ClientAttempt unanswered = takeAttempt();
             if (!received) {
-                of.operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
-            } else if (excused || target.excused) {
-                checker.clientDisconnected(eventQueue.now(), of.id);
-                of.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
-            } else if (reused && !of.again && (how.equals("ended") || how.equals("reset"))) {
-                // The close has crossed the request, which is sent once more, on a new connection.
-                checker.forget(of.id);
-                new Client(target).begin(new ClientAttempt(of.operation, of.id, of.until, true));
+                unanswered.operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
+            } else if (receivedWhileInterrupted || target.interrupted) {
+                checker.clientDisconnected(eventQueue.now(), unanswered.id);
+                unanswered.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
+            } else if (reused
+                    && !unanswered.resent
+                    && (reason.equals("closed") || reason.equals("reset"))) {
+                // The node closed the idle connection while the request was on its way, so the
+                // request is sent once more, on a new connection.
+                checker.forget(unanswered.id);
+                new ClientConnection(target)
+                        .open(
+                                new ClientAttempt(
+                                        unanswered.operation,
+                                        unanswered.id,
+                                        unanswered.clientTimeoutAt,
+                                        true));
             } else {
                 checker.connectionLost(
-                        eventQueue.now(), of.id, "the connection " + how + " without an answer");
-                of.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
+                        eventQueue.now(),
+                        unanswered.id,
+                        "connection lost before the response: " + reason);
+                unanswered.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
             }
         }
 
-        /** The client leaves. */
-        private void overdue() {
-            ClientAttempt of = attempt;
+        /** The client gives up its attempt and closes the connection. */
+        private void timedOut() {
+            ClientAttempt abandoned = attempt;
             attempt = null;
-            wire.close();
-            forget();
+            transport.close();
+            removeConnection();
             if (!received) {
-                of.operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
+                abandoned.operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
                 return;
             }
-            if (excused || target.excused) {
-                checker.clientDisconnected(eventQueue.now(), of.id);
+            if (receivedWhileInterrupted || target.interrupted) {
+                checker.clientDisconnected(eventQueue.now(), abandoned.id);
             } else {
-                checker.deadlineMissed(eventQueue.now(), of.id);
+                checker.deadlineMissed(eventQueue.now(), abandoned.id);
             }
-            of.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
+            abandoned.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
         }
     }
 }
--- a/lab/src/main/java/trailthread/lab/emulation/HttpMessage.java
+++ b/lab/src/main/java/trailthread/lab/emulation/HttpMessage.java
@@ -4,28 +4,28 @@
 import java.util.Map;
 
 /**
- * One HTTP/1.1 message, a request or an answer.
+ * An HTTP/1.1 request or response.
  *
- * @param start its first line
- * @param headers by their names in small letters; of several of one name the last
- * @param body whole
+ * @param startLine the request line or status line
+ * @param headers values by header name in lower case; of repeated headers only the last
+ * @param body the whole body, decoded if it was chunked
  */
-record HttpMessage(String start, Map<String, String> headers, byte[] body) {
+record HttpMessage(String startLine, Map<String, String> headers, byte[] body) {
     /** The method of a request. */
     String method() {
-        return start.substring(0, Math.max(0, start.indexOf(' ')));
+        return startLine.substring(0, Math.max(0, startLine.indexOf(' ')));
     }
 
     /** The target of a request. */
     String target() {
-        String[] words = start.split(" ");
-        return words.length == 3 ? words[1] : "";
+        String[] parts = startLine.split(" ");
+        return parts.length == 3 ? parts[1] : "";
     }
 
-    /** The status of an answer; 0: it is none. */
+    /** The status code; 0 if this is not a response. */
     int status() {
-        return start.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?")
-                ? Integer.parseInt(start.substring(9, 12))
+        return startLine.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?")
+                ? Integer.parseInt(startLine.substring(9, 12))
                 : 0;
     }
 
@@ -33,12 +33,13 @@
         return headers.get(name);
     }
 
-    String text() {
+    String bodyText() {
         return new String(body, StandardCharsets.ISO_8859_1);
     }
 
-    /** Whether the connection may carry another one after it. */
-    boolean lasts() {
-        return !"close".equalsIgnoreCase(headers.get("connection")) && start.contains("HTTP/1.1");
+    /** Whether the connection stays open for another message. */
+    boolean keepsConnectionOpen() {
+        return !"close".equalsIgnoreCase(headers.get("connection"))
+                && startLine.contains("HTTP/1.1");
     }
 }
--- a/lab/src/main/java/trailthread/lab/emulation/HttpMessageConnection.java
+++ b/lab/src/main/java/trailthread/lab/emulation/HttpMessageConnection.java
@@ -9,39 +9,39 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 
-/** A connection with HTTP messages on it. */
-final class HttpMessageConnection implements EmulationLoop.Ready {
-    /** Hears what comes. */
+/** A non-blocking connection that carries HTTP messages. */
+final class HttpMessageConnection implements EmulationLoop.ChannelHandler {
+    /** Receives the events of a connection. */
     interface Listener {
-        /** It has come up. */
+        /** The connection is established. */
         default void opened() {}
 
-        /** A message is whole. */
+        /** A complete message has arrived. */
         void message(HttpMessage message);
 
         /**
-         * It has ended, by the other side or by what can't be read; not after {@link
-         * HttpMessageConnection#close}.
+         * The peer has closed or reset the connection, or has sent a malformed message. Not called
+         * after {@link HttpMessageConnection#close}.
          */
-        void closed(String how);
+        void closed(String reason);
     }
 
-    /** All wires of a loop are read on its thread, one after the other. */
-    private static final ByteBuffer IN = ByteBuffer.allocateDirect(64 * 1024);
+    /** Shared by all connections: they are read on one thread, one after the other. */
+    private static final ByteBuffer READ_BUFFER = ByteBuffer.allocateDirect(64 * 1024);
 
     private final SocketChannel channel;
     private final Listener listener;
     private final MessageDecoder decoder = new MessageDecoder();
-    private final ArrayDeque<ByteBuffer> out = new ArrayDeque<>();
+    private final ArrayDeque<ByteBuffer> pendingWrites = new ArrayDeque<>();
     private final SelectionKey key;
     private boolean connected;
     private boolean open = true;
 
-    /** It is neither read nor written: its machine is cut off. */
-    private boolean mute;
+    /** Whether the host is isolated: the connection is then neither read nor written. */
+    private boolean isolated;
 
-    /** When the first byte of the message came that is being read. */
-    private long beganAt;
+    /** When the first byte of the current message arrived. */
+    private long messageStartedAt;
 
     private final EmulationLoop loop;
 
@@ -58,18 +58,18 @@
                         channel, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
     }
 
-    /** One that was accepted. */
+    /** Wraps an accepted channel. */
     static HttpMessageConnection accepted(
             EmulationLoop loop, SocketChannel channel, Listener listener) throws IOException {
         return new HttpMessageConnection(loop, channel, true, listener);
     }
 
-    /** One that is being opened; the listener hears whether it comes up. */
-    static HttpMessageConnection open(EmulationLoop loop, InetSocketAddress to, Listener listener)
-            throws IOException {
+    /** Starts to connect; the listener is told the outcome. */
+    static HttpMessageConnection open(
+            EmulationLoop loop, InetSocketAddress address, Listener listener) throws IOException {
         SocketChannel channel = SocketChannel.open();
         channel.configureBlocking(false);
-        channel.connect(to);
+        channel.connect(address);
         return new HttpMessageConnection(loop, channel, false, listener);
     }
 
@@ -81,13 +81,13 @@
         return connected;
     }
 
-    long beganAt() {
-        return beganAt;
+    long messageStartedAt() {
+        return messageStartedAt;
     }
 
-    void mute(boolean on) {
-        mute = on;
-        arrange();
+    void setIsolated(boolean isolated) {
+        this.isolated = isolated;
+        updateInterestOps();
     }
 
     void send(String text) {
@@ -96,21 +96,21 @@
 
     void send(ByteBuffer bytes) {
         if (open) {
-            out.add(bytes);
-            if (connected && !mute) {
+            pendingWrites.add(bytes);
+            if (connected && !isolated) {
                 write();
             }
         }
     }
 
-    /** Whether all that was sent is written. */
+    /** Whether everything sent has been written to the socket. */
     boolean isFlushed() {
-        return out.isEmpty();
+        return pendingWrites.isEmpty();
     }
 
     @Override
     public void ready() {
-        if (!open || mute) {
+        if (!open || isolated) {
             return;
         }
         if (!connected) {
@@ -127,7 +127,7 @@
         try {
             connected = channel.finishConnect();
         } catch (IOException e) {
-            fail("can't be opened");
+            fail("connect failed");
             return;
         }
         if (connected) {
@@ -136,34 +136,35 @@
         }
     }
 
-    /** Reads what has come by now. */
+    /** Reads and decodes the bytes that have arrived. */
     void read() {
-        while (open && connected && !mute) {
+        while (open && connected && !isolated) {
             int count;
-            IN.clear();
+            READ_BUFFER.clear();
             try {
-                count = channel.read(IN);
+                count = channel.read(READ_BUFFER);
             } catch (IOException e) {
                 fail("reset");
                 return;
             }
             if (count <= 0) {
                 if (count < 0) {
-                    fail(decoder.isWithin() ? "ended within a message" : "ended");
+                    fail(decoder.isMidMessage() ? "closed within a message" : "closed");
                 }
                 return;
             }
-            IN.flip();
-            // A listener may read other wires, and with the same buffer.
-            ByteBuffer mine = ByteBuffer.allocate(count).put(IN).flip();
-            take(mine);
+            READ_BUFFER.flip();
+            // A copy: the listener may read other connections into the shared buffer.
+            ByteBuffer received = ByteBuffer.allocate(count).put(READ_BUFFER).flip();
+            decode(received);
         }
     }
 
-    private void take(ByteBuffer bytes) {
+    private void decode(ByteBuffer bytes) {
         try {
             while (open && bytes.hasRemaining()) {
-                beganAt = decoder.isWithin() ? beganAt : loop.eventQueue().now();
+                messageStartedAt =
+                        decoder.isMidMessage() ? messageStartedAt : loop.eventQueue().now();
                 HttpMessage message = decoder.decode(bytes);
                 if (message != null) {
                     listener.message(message);
@@ -176,39 +177,41 @@
 
     private void write() {
         try {
-            while (!out.isEmpty()) {
-                channel.write(out.peek());
-                if (out.peek().hasRemaining()) {
+            while (!pendingWrites.isEmpty()) {
+                channel.write(pendingWrites.peek());
+                if (pendingWrites.peek().hasRemaining()) {
                     break;
                 }
-                out.poll();
+                pendingWrites.poll();
             }
         } catch (IOException e) {
             fail("reset");
         }
-        arrange();
+        updateInterestOps();
     }
 
-    private void arrange() {
+    private void updateInterestOps() {
         if (open && key.isValid()) {
             key.interestOps(
-                    mute
+                    isolated
                             ? 0
                             : !connected
                                     ? SelectionKey.OP_CONNECT
                                     : SelectionKey.OP_READ
-                                            | (out.isEmpty() ? 0 : SelectionKey.OP_WRITE));
+                                            | (pendingWrites.isEmpty()
+                                                    ? 0
+                                                    : SelectionKey.OP_WRITE));
         }
     }
 
-    private void fail(String how) {
+    private void fail(String reason) {
         if (open) {
             close();
-            listener.closed(how);
+            listener.closed(reason);
         }
     }
 
-    /** Ends it; nothing more is heard. */
+    /** Closes the connection; the listener receives no further events. */
     void close() {
         if (open) {
             open = false;
@@ -216,17 +219,17 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                // it is gone either way
+                // the channel is closed in any case
             }
         }
     }
 
-    /** Ends it by a reset. */
+    /** Closes the connection with a TCP reset. */
     void reset() {
         try {
             channel.setOption(StandardSocketOptions.SO_LINGER, 0);
         } catch (IOException e) {
-            // it is gone already
+            // the socket is closed already
         }
         close();
     }
--- a/lab/src/main/java/trailthread/lab/emulation/MessageDecoder.java
+++ b/lab/src/main/java/trailthread/lab/emulation/MessageDecoder.java
@@ -9,20 +9,20 @@
 import java.util.Map;
 
 /**
- * Reads HTTP/1.1 messages however they come in pieces; pure. A reader of the lab's own, so that
- * what the node's readers and writers have in common by mistake shows (RFC 9112, 6 and 7.1;
- * trailers are dropped).
+ * Decodes HTTP/1.1 messages that arrive in pieces of any size; performs no I/O. It shares no code
+ * with the node's parser, so that it exposes mistakes that the node's parser and serializer have in
+ * common (RFC 9112, sections 6 and 7.1; trailers are dropped).
  */
 final class MessageDecoder {
-    private static final int MOST_LINE = 16 * 1024;
-    private static final int MOST_BODY = 1 << 20;
+    private static final int MAX_LINE_BYTES = 16 * 1024;
+    private static final int MAX_BODY_BYTES = 1 << 20;
 
     private enum State {
         START,
         HEADERS,
         BODY,
-        SIZE,
-        CHUNK,
+        CHUNK_SIZE,
+        CHUNK_DATA,
         CHUNK_END,
         TRAILERS
     }
@@ -30,37 +30,37 @@
     private State state = State.START;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private String start;
+    private String startLine;
     private Map<String, String> headers = new LinkedHashMap<>();
-    private int left;
+    private int remaining;
 
-    /** Whether a message has begun and is not whole. */
-    boolean isWithin() {
+    /** Whether a message has been decoded in part. */
+    boolean isMidMessage() {
         return state != State.START || line.size() > 0;
     }
 
     /**
-     * Takes in what has come, up to the end of one message.
+     * Consumes bytes up to the end of one message.
      *
-     * @return the message, once it is whole; else null
-     * @throws ProtocolException if it is none that can be read; nothing more can be read then
+     * @return the message if these bytes complete it, else null
+     * @throws ProtocolException if the message is malformed; this decoder can't be used any more
      */
     HttpMessage decode(ByteBuffer in) throws ProtocolException {
         while (in.hasRemaining()) {
-            if (state == State.BODY || state == State.CHUNK) {
-                int count = Math.min(left, in.remaining());
+            if (state == State.BODY || state == State.CHUNK_DATA) {
+                int count = Math.min(remaining, in.remaining());
                 byte[] piece = new byte[count];
                 in.get(piece);
                 body.writeBytes(piece);
-                left -= count;
-                if (left == 0 && state == State.BODY) {
-                    return whole();
+                remaining -= count;
+                if (remaining == 0 && state == State.BODY) {
+                    return completeMessage();
                 }
-                state = left == 0 ? State.CHUNK_END : state;
+                state = remaining == 0 ? State.CHUNK_END : state;
             } else if (completesLine(in)) {
                 String text = line.toString(StandardCharsets.ISO_8859_1);
                 line.reset();
-                HttpMessage message = take(text);
+                HttpMessage message = acceptLine(text);
                 if (message != null) {
                     return message;
                 }
@@ -75,8 +75,8 @@
             if (b == '\n') {
                 return true;
             }
-            if (line.size() == MOST_LINE) {
-                throw new ProtocolException("a line without end");
+            if (line.size() == MAX_LINE_BYTES) {
+                throw new ProtocolException("line longer than " + MAX_LINE_BYTES + " bytes");
             }
             if (b != '\r') {
                 line.write(b);
@@ -85,73 +85,73 @@
         return false;
     }
 
-    private HttpMessage take(String text) throws ProtocolException {
+    private HttpMessage acceptLine(String text) throws ProtocolException {
         switch (state) {
             case START -> {
                 if (!text.contains("HTTP/1.")) {
-                    throw new ProtocolException("no first line: " + text);
+                    throw new ProtocolException("malformed start line: " + text);
                 }
-                start = text;
+                startLine = text;
                 state = State.HEADERS;
             }
             case HEADERS -> {
                 if (text.isEmpty()) {
-                    return headEnds();
+                    return endHeaders();
                 }
                 int colon = text.indexOf(':');
                 if (colon < 1) {
-                    throw new ProtocolException("no header: " + text);
+                    throw new ProtocolException("malformed header: " + text);
                 }
                 headers.put(
                         text.substring(0, colon).toLowerCase(Locale.ROOT),
                         text.substring(colon + 1).strip());
             }
-            case SIZE -> {
-                left = number(text.split(";")[0].strip(), 16);
-                state = left == 0 ? State.TRAILERS : State.CHUNK;
+            case CHUNK_SIZE -> {
+                remaining = parseLength(text.split(";")[0].strip(), 16);
+                state = remaining == 0 ? State.TRAILERS : State.CHUNK_DATA;
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new ProtocolException("a chunk past its size");
+                    throw new ProtocolException("chunk longer than its size");
                 }
-                state = State.SIZE;
+                state = State.CHUNK_SIZE;
             }
             case TRAILERS -> {
-                return text.isEmpty() ? whole() : null;
+                return text.isEmpty() ? completeMessage() : null;
             }
             default -> throw new IllegalStateException(state.name());
         }
         return null;
     }
 
-    private HttpMessage headEnds() throws ProtocolException {
-        String length = headers.get("content-length");
-        String coding = headers.get("transfer-encoding");
-        if (length != null && coding != null) {
-            throw new ProtocolException("two lengths");
+    private HttpMessage endHeaders() throws ProtocolException {
+        String contentLength = headers.get("content-length");
+        String transferCoding = headers.get("transfer-encoding");
+        if (contentLength != null && transferCoding != null) {
+            throw new ProtocolException("both Content-Length and Transfer-Encoding");
         }
-        if (coding != null && !coding.equalsIgnoreCase("chunked")) {
-            throw new ProtocolException("a coding that is not known: " + coding);
+        if (transferCoding != null && !transferCoding.equalsIgnoreCase("chunked")) {
+            throw new ProtocolException("unsupported transfer coding: " + transferCoding);
         }
-        left = length == null ? 0 : number(length, 10);
-        state = coding != null ? State.SIZE : State.BODY;
-        return state == State.BODY && left == 0 ? whole() : null;
+        remaining = contentLength == null ? 0 : parseLength(contentLength, 10);
+        state = transferCoding != null ? State.CHUNK_SIZE : State.BODY;
+        return state == State.BODY && remaining == 0 ? completeMessage() : null;
     }
 
-    private int number(String text, int radix) throws ProtocolException {
+    private int parseLength(String text, int radix) throws ProtocolException {
         try {
-            int number = Integer.parseUnsignedInt(text, radix);
-            if (number >= 0 && body.size() + (long) number <= MOST_BODY) {
-                return number;
+            int length = Integer.parseUnsignedInt(text, radix);
+            if (length >= 0 && body.size() + (long) length <= MAX_BODY_BYTES) {
+                return length;
             }
         } catch (NumberFormatException e) {
-            // told below
+            // reported below
         }
-        throw new ProtocolException("no length that can be: " + text);
+        throw new ProtocolException("invalid length: " + text);
     }
 
-    private HttpMessage whole() {
-        HttpMessage message = new HttpMessage(start, headers, body.toByteArray());
+    private HttpMessage completeMessage() {
+        HttpMessage message = new HttpMessage(startLine, headers, body.toByteArray());
         state = State.START;
         headers = new LinkedHashMap<>();
         body = new ByteArrayOutputStream();
--- a/lab/src/main/java/trailthread/lab/emulation/NodeProcess.java
+++ b/lab/src/main/java/trailthread/lab/emulation/NodeProcess.java
@@ -16,14 +16,18 @@
 import trailthread.lab.scenario.Scenario;
 
 /**
- * A real node: a child process by the platform's own command, its configuration, and signals to it.
+ * A real node: a child process started with the platform's command, with its configuration file and
+ * the signals sent to it.
  */
 final class NodeProcess implements FaultTarget.Node {
-    private static final long LOOK_NS = 50_000_000L;
-    private static final long SOON_NS = 200_000_000L;
+    /** How often the node is polled until it is ready, or until it has exited. */
+    private static final long POLL_INTERVAL_NS = 50_000_000L;
 
-    /** What the system tells of a node: resident memory, descriptors, processor time. */
-    record Sample(double rssMb, int descriptors, double cpuSeconds) {}
+    /** Time that the node has to react to a signal. */
+    private static final long SIGNAL_GRACE_NS = 200_000_000L;
+
+    /** Resident memory, open file descriptors and processor time since the start of a node. */
+    record ResourceUsage(double rssMb, int descriptors, double cpuSeconds) {}
 
     private final Emulation emulation;
     private final int number;
@@ -32,7 +36,7 @@
     private final File log;
     private final List<String> command;
     private final File root;
-    private final HttpClients.Target target;
+    private final HttpClients.TargetNode target;
     private Process process;
     private boolean serving;
 
@@ -42,7 +46,7 @@
             String zone,
             Path directory,
             Emulation.Program program,
-            HttpClients.Target target)
+            HttpClients.TargetNode target)
             throws IOException {
         this.emulation = emulation;
         this.number = number;
@@ -52,14 +56,14 @@
         this.target = target;
         config = directory.resolve("n" + number + ".json");
         log = directory.resolve("n" + number + ".log").toFile();
-        Files.writeString(config, json(), StandardCharsets.UTF_8);
+        Files.writeString(config, configurationJson(), StandardCharsets.UTF_8);
     }
 
-    /** Its configuration, as the platform writes it, under the simulator's names. */
-    private String json() {
-        Scenario s = emulation.scenario();
+    /** The configuration in the platform's JSON format, with the simulator's setting names. */
+    private String configurationJson() {
+        Scenario scenario = emulation.scenario();
         List<Object> categories = new ArrayList<>();
-        for (var classModel : s.classes()) {
+        for (var classModel : scenario.classes()) {
             var c = classModel.requestClass();
             categories.add(
                     Map.of(
@@ -81,7 +85,7 @@
                             c.lateWeightShare()));
         }
         List<Object> tenants = new ArrayList<>();
-        s.tenants()
+        scenario.tenants()
                 .forEach(
                         t ->
                                 tenants.add(
@@ -92,19 +96,19 @@
                                                 t.quotaPerSecond(),
                                                 "fraction",
                                                 t.share())));
-        var rules = s.rules();
-        var cold = s.fleet().limits().cold();
+        var rules = scenario.rules();
+        var cold = scenario.fleet().limits().cold();
         Map<String, Object> settings = new LinkedHashMap<>();
         settings.put("categories", categories);
         settings.put("tenants", tenants);
         settings.put("me", number);
-        settings.put("replicas_of_me", s.nodes());
+        settings.put("replicas_of_me", scenario.nodes());
         settings.put("zone", zone);
-        settings.put("zones", s.zones());
+        settings.put("zones", scenario.zones());
         settings.put("discovery", "on_request");
         settings.put(
                 "report",
-                s.fleet().reportsLoad()
+                scenario.fleet().reportsLoad()
                         ? Map.of("how", "piggyback", "fields", List.of("inflight", "queue"))
                         : Map.of("how", "silent"));
         settings.put("deductions", Map.of("cross_zone", rules.crossZonePrice()));
@@ -118,9 +122,9 @@
                         "max_retry_after_ns",
                         rules.maxRetryAfterNs(),
                         "dial_timeout_ns",
-                        s.network().connectTimeoutNs(),
+                        scenario.network().connectTimeoutNs(),
                         "idle_close_ns",
-                        s.network().idleCloseNs(),
+                        scenario.network().idleCloseNs(),
                         "may_cancel",
                         true,
                         "probes",
@@ -140,19 +144,19 @@
                         Math.min(1e6, cold.overloadMultiple()),
                         "fall_ns",
                         cold.windowNs()));
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("name", "n" + number);
-        all.put("listen", "127.0.0.1:" + target.address.getPort());
-        all.put("discovery", emulation.discovery().hostPort(number));
-        all.put("seed", Long.toHexString(emulation.streams().seedOf("n" + number)));
-        all.put("limits", Map.of("sockets", 1024));
-        all.put("settings", settings);
+        Map<String, Object> configuration = new LinkedHashMap<>();
+        configuration.put("name", "n" + number);
+        configuration.put("listen", "127.0.0.1:" + target.address.getPort());
+        configuration.put("discovery", emulation.discovery().hostPort(number));
+        configuration.put("seed", Long.toHexString(emulation.streams().seedOf("n" + number)));
+        configuration.put("limits", Map.of("sockets", 1024));
+        configuration.put("settings", settings);
         Gson gson = new Gson();
-        // The list as a node that starts now would have had it: discovery's own words.
-        String text = gson.toJson(all);
+        // The endpoint list that a node starting now would have received, as discovery writes it.
+        String text = gson.toJson(configuration);
         return text.substring(0, text.length() - 1)
                 + ",\"known\":"
-                + emulation.discovery().whole(number)
+                + emulation.discovery().fullListJson(number)
                 + "}";
     }
 
@@ -171,8 +175,8 @@
     @Override
     public void start() {
         try {
-            Files.writeString(config, json(), StandardCharsets.UTF_8);
-            emulation.discovery().known(number);
+            Files.writeString(config, configurationJson(), StandardCharsets.UTF_8);
+            emulation.discovery().recordListReceived(number);
             ProcessBuilder builder =
                     new ProcessBuilder(command)
                             .directory(root)
@@ -182,49 +186,51 @@
             process = builder.start();
         } catch (IOException e) {
             throw new IllegalStateException(
-                    "node " + number + " can't be started: " + e.getMessage(), e);
+                    "can't start node " + number + ": " + e.getMessage(), e);
         }
-        look();
+        pollReadiness();
     }
 
-    /** Asks whether it is ready, again and again; the front admits it once it is. */
-    private void look() {
-        Process of = process;
+    /** Requests {@code /ready} until the node is ready; clients may send to it from then on. */
+    private void pollReadiness() {
+        Process polled = process;
         try {
-            HttpMessageConnection[] wire = new HttpMessageConnection[1];
-            wire[0] =
+            HttpMessageConnection[] connection = new HttpMessageConnection[1];
+            connection[0] =
                     HttpMessageConnection.open(
                             emulation.loop(),
                             target.address,
                             new HttpMessageConnection.Listener() {
                                 @Override
                                 public void opened() {
-                                    wire[0].send(
+                                    connection[0].send(
                                             "GET /ready HTTP/1.1\r\nHost: api.internal\r\n\r\n");
                                 }
 
                                 @Override
                                 public void message(HttpMessage message) {
-                                    wire[0].close();
-                                    if (of == process && message.status() == 200) {
+                                    connection[0].close();
+                                    if (polled == process && message.status() == 200) {
                                         serving = true;
                                         target.admitted = true;
-                                        target.excused = false;
+                                        target.interrupted = false;
                                     } else {
-                                        again();
+                                        pollLater();
                                     }
                                 }
 
                                 @Override
-                                public void closed(String how) {
-                                    again();
+                                public void closed(String reason) {
+                                    pollLater();
                                 }
 
-                                private void again() {
-                                    if (of == process && of.isAlive()) {
+                                private void pollLater() {
+                                    if (polled == process && polled.isAlive()) {
                                         emulation
                                                 .eventQueue()
-                                                .scheduleAfter(LOOK_NS, NodeProcess.this::look);
+                                                .scheduleAfter(
+                                                        POLL_INTERVAL_NS,
+                                                        NodeProcess.this::pollReadiness);
                                     }
                                 }
                             });
@@ -241,7 +247,7 @@
     @Override
     public void kill() {
         serving = false;
-        target.died();
+        target.killed();
         process.destroyForcibly();
     }
 
@@ -249,14 +255,14 @@
     public void restart() {
         serving = false;
         process.destroy();
-        emulation.eventQueue().scheduleAfter(SOON_NS, () -> target.admitted = false);
-        startWhenEnded(process);
+        emulation.eventQueue().scheduleAfter(SIGNAL_GRACE_NS, () -> target.admitted = false);
+        startAfterExit(process);
     }
 
-    private void startWhenEnded(Process of) {
-        if (of.isAlive()) {
-            emulation.eventQueue().scheduleAfter(LOOK_NS, () -> startWhenEnded(of));
-        } else if (of == process) {
+    private void startAfterExit(Process exiting) {
+        if (exiting.isAlive()) {
+            emulation.eventQueue().scheduleAfter(POLL_INTERVAL_NS, () -> startAfterExit(exiting));
+        } else if (exiting == process) {
             start();
         }
     }
@@ -267,18 +273,19 @@
     }
 
     @Override
-    public void pause(long forNs) {
-        target.excused = true;
+    public void pause(long durationNs) {
+        target.interrupted = true;
         signal("STOP");
         emulation
                 .eventQueue()
                 .scheduleAfter(
-                        forNs,
+                        durationNs,
                         () -> {
                             signal("CONT");
                             emulation
                                     .eventQueue()
-                                    .scheduleAfter(SOON_NS, () -> target.excused = false);
+                                    .scheduleAfter(
+                                            SIGNAL_GRACE_NS, () -> target.interrupted = false);
                         });
     }
 
@@ -290,32 +297,33 @@
         }
     }
 
-    /** Ends it for good. */
-    void end() {
+    /** Kills the process for good. */
+    void destroy() {
         if (process != null) {
             process.destroyForcibly();
         }
     }
 
-    Sample sample() {
+    ResourceUsage resourceUsage() {
         try {
             Path proc = Path.of("/proc", Long.toString(process.pid()));
             String status = Files.readString(proc.resolve("status"));
-            double rss =
+            double rssMb =
                     status.lines()
                             .filter(l -> l.startsWith("VmRSS:"))
                             .mapToDouble(l -> Double.parseDouble(l.replaceAll("[^0-9]", "")) / 1024)
                             .findFirst()
                             .orElse(0);
-            String[] held = proc.resolve("fd").toFile().list();
+            String[] descriptors = proc.resolve("fd").toFile().list();
             String stat = Files.readString(proc.resolve("stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            double cpu =
+            double cpuSeconds =
                     (Long.parseLong(fields[11]) + Long.parseLong(fields[12]))
-                            / 100.0; // proc_pid_stat(5)
-            return new Sample(rss, held == null ? 0 : held.length, cpu);
+                            / 100.0; // clock ticks, see proc_pid_stat(5)
+            return new ResourceUsage(
+                    rssMb, descriptors == null ? 0 : descriptors.length, cpuSeconds);
         } catch (IOException e) {
-            return new Sample(0, 0, 0); // it has ended
+            return new ResourceUsage(0, 0, 0); // the process has exited
         }
     }
 }
--- a/lab/src/main/java/trailthread/lab/emulation/RestartableListener.java
+++ b/lab/src/main/java/trailthread/lab/emulation/RestartableListener.java
@@ -10,29 +10,31 @@
 import java.nio.channels.SocketChannel;
 import java.util.function.Consumer;
 
-/** A listener on loopback that can be closed and come back at its port. */
-final class RestartableListener implements EmulationLoop.Ready, Closeable {
+/** A listener on loopback that can be closed and reopened on the same port. */
+final class RestartableListener implements EmulationLoop.ChannelHandler, Closeable {
     private static final int BACKLOG = 1024;
-    private static final int MOST_AT_ONCE = 64;
+    private static final int MAX_ACCEPTS_PER_EVENT = 64;
 
     private final EmulationLoop loop;
-    private final Consumer<SocketChannel> accepted;
+    private final Consumer<SocketChannel> onAccepted;
     private final int port;
     private ServerSocketChannel channel;
 
-    /** With port 0, at a free one. */
-    RestartableListener(EmulationLoop loop, int port, Consumer<SocketChannel> accepted)
+    /**
+     * @param port 0 for any free port
+     */
+    RestartableListener(EmulationLoop loop, int port, Consumer<SocketChannel> onAccepted)
             throws IOException {
         this.loop = loop;
-        this.accepted = accepted;
+        this.onAccepted = onAccepted;
         listen(port);
         this.port = ((InetSocketAddress) channel.getLocalAddress()).getPort();
     }
 
-    private void listen(int at) throws IOException {
+    private void listen(int localPort) throws IOException {
         channel = ServerSocketChannel.open();
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), at), BACKLOG);
+        channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), localPort), BACKLOG);
         loop.register(channel, SelectionKey.OP_ACCEPT, this);
     }
 
@@ -46,17 +48,17 @@
 
     @Override
     public void ready() throws IOException {
-        for (int i = 0; i < MOST_AT_ONCE; i++) {
+        for (int i = 0; i < MAX_ACCEPTS_PER_EVENT; i++) {
             SocketChannel client = channel.accept();
             if (client == null) {
                 return;
             }
-            accepted.accept(client);
+            onAccepted.accept(client);
         }
     }
 
-    /** Listens again after a close. */
-    void again() throws IOException {
+    /** Listens again on the same port if this listener was closed. */
+    void reopen() throws IOException {
         if (!channel.isOpen()) {
             listen(port);
         }
--- a/lab/src/test/java/trailthread/lab/LabArchitectureTest.java
+++ b/lab/src/test/java/trailthread/lab/LabArchitectureTest.java
@@ -9,7 +9,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.Test;
 
-/** What depends on what in the lab. */
+/** Dependencies between the packages of the lab. */
 public class LabArchitectureTest {
     private static final JavaClasses LAB =
             new ClassFileImporter()
@@ -17,13 +17,13 @@
                     .importPackages("trailthread.lab");
 
     @Test
-    public void packagesFormNoCircles() {
+    public void packagesHaveNoCyclicDependencies() {
         slices().matching("trailthread.lab.(*)..").should().beFreeOfCycles().check(LAB);
     }
 
     /**
-     * They are driven by virtual and by real time: neither knows a clock, and neither knows the
-     * other.
+     * The model and the checker run in virtual and in real time, so they must not read a clock.
+     * They don't depend on each other either.
      */
     @Test
     public void modelAndCheckerUseNoClock() {
--- a/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
@@ -21,7 +21,7 @@
 import trailthread.testkit.Message;
 import trailthread.testkit.ScriptedServer;
 
-/** The stand-ins do on sockets what the scenario says. */
+/** The emulated servers and discovery behave on sockets as their scenario says. */
 public class EmulatedServerTest {
     private static final String SCENARIO =
             """
@@ -47,19 +47,19 @@
     private volatile boolean ending;
 
     /**
-     * Plays on a thread of its own, as the emulator does; faults are under way from the first
-     * moment on.
+     * Starts the emulation on a thread and waits until its first events have run, so that faults
+     * scheduled at 0 s are active.
      */
     private void start(String faults) throws Exception {
         emulation = new Emulation(ScenarioReader.parse("test", SCENARIO + faults), 1, 1);
-        CountDownLatch begun = new CountDownLatch(1);
+        CountDownLatch started = new CountDownLatch(1);
         loop =
                 new Thread(
                         () -> {
                             try {
-                                emulation.eventQueue().scheduleAfter(1_000_000, begun::countDown);
-                                emulation.eventQueue().scheduleAfter(0, this::watchEnd);
-                                emulation.run(true, d -> {});
+                                emulation.eventQueue().scheduleAfter(1_000_000, started::countDown);
+                                emulation.eventQueue().scheduleAfter(0, this::stopWhenTestEnds);
+                                emulation.run(true, current -> {});
                             } catch (IOException | IllegalStateException e) {
                                 if (!ending) {
                                     throw new AssertionError(e);
@@ -67,14 +67,14 @@
                             }
                         });
         loop.start();
-        assertTrue(begun.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertTrue(started.await(ScriptedServer.LONGEST_WAIT_S, TimeUnit.SECONDS));
     }
 
-    private void watchEnd() {
+    private void stopWhenTestEnds() {
         if (ending) {
-            throw new IllegalStateException("the test is over");
+            throw new IllegalStateException("the test has ended");
         }
-        emulation.eventQueue().scheduleAfter(5_000_000, this::watchEnd);
+        emulation.eventQueue().scheduleAfter(5_000_000, this::stopWhenTestEnds);
     }
 
     @After
@@ -98,7 +98,7 @@
     }
 
     private Socket get(String target, String headers) throws IOException {
-        Socket socket = connect(emulation.serversAt(0).get(0));
+        Socket socket = connect(emulation.serverAddresses(0).get(0));
         Message.send(socket, "GET " + target + " HTTP/1.1\r\nHost: w\r\n" + headers + "\r\n");
         return socket;
     }
@@ -107,66 +107,62 @@
         return get("/c?work=" + work, "X-Correlation-Id: " + id + "\r\n");
     }
 
-    private static String fault(String trouble, String keys) {
-        return "[[faults]]\ntrouble = \""
-                + trouble
-                + "\"\nat = \"0s\"\nfor = \"50s\"\n"
-                + keys
-                + "\n";
+    private static String fault(String kind, String keys) {
+        return "[[faults]]\ntrouble = \"" + kind + "\"\nat = \"0s\"\nfor = \"50s\"\n" + keys + "\n";
     }
 
     @Test
     public void serves() throws Exception {
         start("");
-        Message answer = Message.read(request("7a", 2_000_000));
-        assertEquals(200, answer.status());
-        assertEquals("7a w0 2000000\n", answer.body());
-        assertEquals("{\"inflight\":0.00,\"queue\":0.00}", answer.header("X-Backend-Load"));
+        Message response = Message.read(request("7a", 2_000_000));
+        assertEquals(200, response.status());
+        assertEquals("7a w0 2000000\n", response.body());
+        assertEquals("{\"inflight\":0.00,\"queue\":0.00}", response.header("X-Backend-Load"));
         assertEquals(200, Message.read(get("/status/load", "")).status());
-        assertEquals("no id", 404, Message.read(get("/c?work=1", "")).status());
+        assertEquals("without a request id", 404, Message.read(get("/c?work=1", "")).status());
     }
 
     @Test
-    public void turnsAwayWhatHasNoRoom() throws Exception {
+    public void rejectsRequestsWhenTheQueueIsFull() throws Exception {
         start("");
-        Socket works = request("1", 300_000_000);
-        Message.read(get("/status/load", "")); // so that the first one is there before the second
-        Socket waits = request("2", 1_000_000);
+        Socket executing = request("1", 300_000_000);
+        Message.read(get("/status/load", "")); // ensures that the first request arrives first
+        Socket queued = request("2", 1_000_000);
         Message.read(get("/status/load", ""));
-        Message turned = Message.read(request("3", 1_000_000));
-        assertEquals(503, turned.status());
-        assertEquals("1", turned.header("X-Unprocessed"));
-        assertEquals(200, Message.read(works).status());
-        assertEquals(200, Message.read(waits).status());
+        Message rejection = Message.read(request("3", 1_000_000));
+        assertEquals(503, rejection.status());
+        assertEquals("1", rejection.header("X-Unprocessed"));
+        assertEquals(200, Message.read(executing).status());
+        assertEquals(200, Message.read(queued).status());
     }
 
     @Test
-    public void failsAtOnce() throws Exception {
+    public void failsRequestsImmediately() throws Exception {
         start(fault("fast_errors", "size = 1"));
         assertEquals(500, Message.read(request("1", 1)).status());
     }
 
     @Test
-    public void losesAnswers() throws Exception {
+    public void losesResponses() throws Exception {
         start(fault("lost_answers", "size = 1"));
         Socket silent = request("1", 1);
         silent.setSoTimeout(400);
         assertThrows(SocketTimeoutException.class, () -> Message.read(silent));
         assertEquals(
-                "others are told of their load",
+                "load requests are still answered",
                 200,
                 Message.read(get("/status/load", "")).status());
     }
 
     @Test
-    public void resets() throws Exception {
+    public void resetsConnections() throws Exception {
         start(fault("resets", "size = 1"));
         Socket reset = request("1", 1);
         assertThrows(SocketException.class, () -> Message.read(reset));
     }
 
     @Test
-    public void bringsWhatCantBeRead() throws Exception {
+    public void sendsMalformedResponses() throws Exception {
         start(fault("garbage", "size = 1"));
         byte[] first = request("1", 1).getInputStream().readNBytes(8);
         assertEquals("HTTP/9 \u0001", new String(first, StandardCharsets.ISO_8859_1));
@@ -176,28 +172,28 @@
     public void sendsResponsesSlowly() throws Exception {
         start(fault("drips", "size = 0.5"));
         Socket slow = request("1", 1);
-        slow.setSoTimeout(30); // an answer that comes in one piece is there after the first wait
-        int waits = 0;
-        byte[] part = new byte[1024];
-        StringBuilder all = new StringBuilder();
-        while (!all.toString().endsWith("w0 1\n")) {
+        slow.setSoTimeout(30); // a response sent in one piece causes at most one timeout
+        int timeouts = 0;
+        byte[] buffer = new byte[1024];
+        StringBuilder response = new StringBuilder();
+        while (!response.toString().endsWith("w0 1\n")) {
             try {
-                all.append(
+                response.append(
                         new String(
-                                part,
+                                buffer,
                                 0,
-                                slow.getInputStream().read(part),
+                                slow.getInputStream().read(buffer),
                                 StandardCharsets.ISO_8859_1));
             } catch (SocketTimeoutException e) {
-                waits++;
+                timeouts++;
             }
         }
-        assertTrue("waits " + waits, waits >= 3);
-        assertTrue(all.toString(), all.toString().startsWith("HTTP/1.1 200 OK\r\n"));
+        assertTrue("timeouts " + timeouts, timeouts >= 3);
+        assertTrue(response.toString(), response.toString().startsWith("HTTP/1.1 200 OK\r\n"));
     }
 
     @Test
-    public void isCutOff() throws Exception {
+    public void isolatedServerDoesNotRespond() throws Exception {
         start(fault("cut", ""));
         Socket silent = request("1", 1);
         silent.setSoTimeout(400);
@@ -205,25 +201,27 @@
     }
 
     @Test
-    public void drainsEndsAndComesBackUnderItsAddress() throws Exception {
+    public void drainsAndRestartsAtTheSameAddress() throws Exception {
         start("[[faults]]\ntrouble = \"restart\"\nat = \"100ms\"\nfor = \"1s\"\n");
-        Socket watch = connect(emulation.discoveryAt(0));
+        Socket watch = connect(emulation.discoveryAddress(0));
         Message.send(watch, "GET /v1/endpoints?stream=1&index=0 HTTP/1.1\r\nHost: r\r\n\r\n");
-        String server = emulation.serversAt(0).get(0);
-        String told = "";
-        while (!told.contains("leaving")) {
-            told = line(watch);
+        String server = emulation.serverAddresses(0).get(0);
+        String update = "";
+        while (!update.contains("leaving")) {
+            update = line(watch);
         }
         assertEquals(200, Message.read(request("1", 1)).status());
-        while (told.contains("leaving") || told.isBlank()) {
-            told = line(watch);
+        while (update.contains("leaving") || update.isBlank()) {
+            update = line(watch);
         }
-        assertTrue(told, told.contains("\"active\"") && !told.contains("\"startedAtMs\":0}"));
-        assertEquals("the same address", server, emulation.serversAt(0).get(0));
+        assertTrue(update, update.contains("\"active\"") && !update.contains("\"startedAtMs\":0}"));
+        assertEquals("the same address", server, emulation.serverAddresses(0).get(0));
         assertEquals(200, Message.read(request("2", 1)).status());
     }
 
-    /** One line of a watch: past the head, and without the chunk's size. */
+    /**
+     * The next line of a watch if it is an update, else an empty text for header and size lines.
+     */
     private static String line(Socket watch) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int b = watch.getInputStream().read(); b != '\n'; b = watch.getInputStream().read()) {
@@ -234,9 +232,9 @@
     }
 
     @Test
-    public void discoveryFailsAndItsWatchesBreak() throws Exception {
+    public void stoppedDiscoveryAnswersNothingAndResetsWatches() throws Exception {
         start("[[faults]]\ntrouble = \"roster_down\"\nat = \"300ms\"\nfor = \"50s\"\n");
-        Socket watch = connect(emulation.discoveryAt(0));
+        Socket watch = connect(emulation.discoveryAddress(0));
         Message.send(watch, "GET /v1/endpoints?stream=1&index=0 HTTP/1.1\r\nHost: r\r\n\r\n");
         assertThrows(
                 SocketException.class,
@@ -245,14 +243,14 @@
                         line(watch);
                     }
                 });
-        Socket again = connect(emulation.discoveryAt(0));
-        Message.send(again, "GET /v1/endpoints HTTP/1.1\r\nHost: r\r\n\r\n");
-        Message answer;
+        Socket polling = connect(emulation.discoveryAddress(0));
+        Message.send(polling, "GET /v1/endpoints HTTP/1.1\r\nHost: r\r\n\r\n");
+        Message response;
         try {
-            answer = Message.read(again);
+            response = Message.read(polling);
         } catch (SocketException e) {
-            answer = null;
+            response = null;
         }
-        assertNull(answer);
+        assertNull(response);
     }
 }
--- a/lab/src/test/java/trailthread/lab/emulation/EmulationLoopTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulationLoopTest.java
@@ -6,9 +6,9 @@
 import java.io.IOException;
 import org.junit.Test;
 
-/** A run on a machine that was too busy is no result. */
+/** The loop reports when a busy machine made it run its events too late. */
 public class EmulationLoopTest {
-    private static boolean late(long eachBlocksMs) throws IOException {
+    private static boolean isLateWithEventsOf(long eventDurationMs) throws IOException {
         try (EmulationLoop loop = new EmulationLoop()) {
             for (int i = 0; i < 50; i++) {
                 loop.eventQueue()
@@ -16,7 +16,7 @@
                                 i * 1_000_000L,
                                 () -> {
                                     try {
-                                        Thread.sleep(eachBlocksMs);
+                                        Thread.sleep(eventDurationMs);
                                     } catch (InterruptedException e) {
                                         throw new AssertionError(e);
                                     }
@@ -28,12 +28,12 @@
     }
 
     @Test
-    public void aLateRunIsMarked() throws IOException {
-        assertTrue(late(5));
+    public void loopIsLateWhenEventsBlockIt() throws IOException {
+        assertTrue(isLateWithEventsOf(5));
     }
 
     @Test
-    public void oneWithoutAnythingToDoIsNot() throws IOException {
+    public void loopWithoutEventsIsNotLate() throws IOException {
         try (EmulationLoop loop = new EmulationLoop()) {
             loop.runUntil(System.nanoTime() + 5_000_000L);
             assertFalse(loop.wasLate());
--- a/lab/src/test/java/trailthread/lab/emulation/EmulationTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulationTest.java
@@ -12,8 +12,9 @@
 import trailthread.lab.scenario.ScenarioReader;
 
 /**
- * Real nodes between the stand-ins, through troubles of every kind that sockets know; all times are
- * generous.
+ * Real nodes between emulated clients and servers, while servers send malformed responses, reset
+ * connections and restart, and nodes are killed, restarted, reloaded and paused. All timeouts are
+ * long, so that a busy machine does not break an invariant.
  */
 public class EmulationTest {
     private static final String SCENARIO =
@@ -86,7 +87,7 @@
             """;
 
     @Test
-    public void noRuleIsBrokenAndMostIsServed() throws Exception {
+    public void faultsBreakNoInvariantAndMostRequestsAreServed() throws Exception {
         Scenario scenario = ScenarioReader.parse("test", SCENARIO);
         Path logs = Files.createTempDirectory("lab");
         List<String> command =
@@ -100,19 +101,20 @@
         try (Emulation emulation = new Emulation(scenario, 7, scenario.nodes())) {
             emulation.startNodes(
                     new Emulation.Program(command, Path.of("").toAbsolutePath()), logs);
-            emulation.run(true, d -> {});
+            emulation.run(true, current -> {});
             assertEquals(
                     emulation.checker().violations().toString(),
                     Map.of(),
                     emulation.checker().violationCounts());
             assertTrue(
-                    "judged " + emulation.checker().checkedRequests(),
+                    "checked requests " + emulation.checker().checkedRequests(),
                     emulation.checker().checkedRequests() > 500);
             assertTrue(
                     "goodput " + emulation.metrics().goodput(),
                     emulation.metrics().goodput() > 0.8);
             assertTrue(
-                    "what nodes hold is looked at", emulation.nodeSeconds().get(1).rssMb()[0] > 1);
+                    "the memory of the nodes is sampled",
+                    emulation.nodeUsageBySecond().get(1).rssMb()[0] > 1);
         }
     }
 }
--- a/lab/src/test/java/trailthread/lab/emulation/MessageDecoderTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/MessageDecoderTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** Messages however they come in pieces, and what is none. */
+/** The decoder accepts messages split at any byte and rejects malformed ones. */
 public class MessageDecoderTest {
     private static final String TWO =
             "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -35,7 +35,7 @@
     }
 
     @Test
-    public void everySplitGivesTheSame() throws ProtocolException {
+    public void messagesDecodeTheSameAtEverySplit() throws ProtocolException {
         for (String text : List.of(TWO, CHUNKED)) {
             List<HttpMessage> whole = decode(new MessageDecoder(), text);
             assertEquals(2, whole.size());
@@ -45,30 +45,30 @@
                 pieces.addAll(decode(decoder, text.substring(at)));
                 assertEquals("split at " + at, 2, pieces.size());
                 for (int i = 0; i < 2; i++) {
-                    assertEquals(whole.get(i).start(), pieces.get(i).start());
+                    assertEquals(whole.get(i).startLine(), pieces.get(i).startLine());
                     assertEquals(whole.get(i).headers(), pieces.get(i).headers());
-                    assertEquals(whole.get(i).text(), pieces.get(i).text());
+                    assertEquals(whole.get(i).bodyText(), pieces.get(i).bodyText());
                 }
-                assertFalse(decoder.isWithin());
+                assertFalse(decoder.isMidMessage());
             }
         }
     }
 
     @Test
-    public void whatIsInThem() throws ProtocolException {
+    public void decodesStartLineHeadersAndBody() throws ProtocolException {
         List<HttpMessage> two = decode(new MessageDecoder(), TWO);
         assertEquals("/a", two.get(0).target());
         assertEquals("POST", two.get(1).method());
         assertEquals("1", two.get(1).header("x-a"));
-        assertEquals("abc", two.get(1).text());
+        assertEquals("abc", two.get(1).bodyText());
         List<HttpMessage> chunked = decode(new MessageDecoder(), CHUNKED);
-        assertEquals("abc0123456789", chunked.get(0).text());
+        assertEquals("abc0123456789", chunked.get(0).bodyText());
         assertEquals(503, chunked.get(1).status());
-        assertFalse(chunked.get(1).lasts());
+        assertFalse(chunked.get(1).keepsConnectionOpen());
     }
 
     @Test
-    public void whatIsNone() {
+    public void rejectsMalformedMessages() {
         for (String text :
                 List.of(
                         "hello\r\n",
