--- a/lab/src/main/java/trailthread/lab/command/LoadCommand.java
+++ b/lab/src/main/java/trailthread/lab/command/LoadCommand.java
@@ -25,7 +25,7 @@
 final class LoadCommand implements Callable<Integer> {
     @Parameters(
             paramLabel = "SCENARIO",
-            description = "A scenario file; only its clients and classes are used.")
+            description = "A scenario file; its servers and faults are ignored.")
     private Path file;
 
     @Option(
--- a/lab/src/main/java/trailthread/lab/emulation/Emulation.java
+++ b/lab/src/main/java/trailthread/lab/emulation/Emulation.java
@@ -74,7 +74,7 @@
     private final List<NodeProcess> nodes = new ArrayList<>();
     private final List<NodeUsage> nodeUsageBySecond = new ArrayList<>();
     private final EmulatedDiscovery discovery;
-    private final UniformRandomProvider speeds;
+    private final UniformRandomProvider speedRandom;
     private final int nodeCount;
     private final long unixOffsetNs = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
     private final Map<String, RequestAttempts> attempts =
@@ -90,7 +90,7 @@
     private RunMetrics metrics;
     private HttpClients httpClients;
     private ClientPopulation clients;
-    private long lastId = System.nanoTime() << 8 & 0xfffffffffffffL;
+    private long lastRequestId = System.nanoTime() << 8 & 0xfffffffffffffL;
 
     /**
      * Starts servers and discovery.
@@ -101,7 +101,7 @@
         this.scenario = scenario;
         this.nodeCount = nodeCount;
         streams = new RandomStreams(seed);
-        speeds = streams.stream("speeds");
+        speedRandom = streams.stream("speeds");
         metrics = new RunMetrics(loop.eventQueue().now(), Long.MAX_VALUE);
         discovery = new EmulatedDiscovery(this, nodeCount);
         for (int i = 0; i < scenario.fleet().servers(); i++) {
@@ -185,7 +185,7 @@
                         checker,
                         scenario.rules().responseSlackNs(),
                         scenario.zones(),
-                        () -> ++lastId);
+                        () -> ++lastRequestId);
     }
 
     /**
@@ -342,7 +342,8 @@
         ServerLimits limits =
                 fleet.limits()
                         .withSpeedFactor(
-                                RandomStreams.uniform(speeds, fleet.speedLow(), fleet.speedHigh()));
+                                RandomStreams.uniform(
+                                        speedRandom, fleet.speedLow(), fleet.speedHigh()));
         try {
             EmulatedServer server =
                     new EmulatedServer(
--- a/lab/src/main/java/trailthread/lab/emulation/NodeProcess.java
+++ b/lab/src/main/java/trailthread/lab/emulation/NodeProcess.java
@@ -153,8 +153,8 @@
         configuration.put("settings", settings);
         Gson gson = new Gson();
         // The endpoint list that a node starting now would have received, as discovery writes it.
-        String text = gson.toJson(configuration);
-        return text.substring(0, text.length() - 1)
+        String json = gson.toJson(configuration);
+        return json.substring(0, json.length() - 1)
                 + ",\"known\":"
                 + emulation.discovery().fullListJson(number)
                 + "}";
