--- a/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
@@ -34,7 +34,7 @@
 
     /** A scenario of the repository, shortened. */
     private static Scenario shortened(String name, double seconds)
-            throws IOException, ScenarioReader.BadScenario {
+            throws IOException, ScenarioReader.InvalidScenarioException {
         Scenario s = ScenarioReader.read(SCENARIOS.resolve(name + ".toml"));
         long length = Math.min(s.durationNs(), (long) (seconds * 1e9));
         return new Scenario(
@@ -117,8 +117,8 @@
         }
         assertTrue("at least twelve scenarios", specs.size() >= 12);
         for (Result result : RunExecutor.runAll(specs, 4, r -> {})) {
-            assertTrue(result.row(), result.broken().isEmpty());
-            assertTrue(result.row(), result.goodput() > 0.3);
+            assertTrue(result.tableRow(), result.broken().isEmpty());
+            assertTrue(result.tableRow(), result.goodput() > 0.3);
         }
     }
 
