--- a/configuration/src/main/java/trailthread/configuration/ClassesReader.java
+++ b/configuration/src/main/java/trailthread/configuration/ClassesReader.java
@@ -21,30 +21,31 @@
     private static final double MAX_PRIORITY_WEIGHT = 1e9;
     private static final double DEFAULT_LATE_WEIGHT_SHARE = 0.5;
 
-    private static final List<Choice<RetrySafety>> RETRY_SAFETY_CHOICES =
+    private static final List<AcceptedWord<RetrySafety>> RETRY_SAFETY_WORDS =
             List.of(
-                    new Choice<>("safe", RetrySafety.SAFE),
-                    new Choice<>("idempotent", RetrySafety.IDEMPOTENT),
-                    new Choice<>("keyed", RetrySafety.KEYED),
-                    new Choice<>("unsafe", RetrySafety.UNSAFE));
+                    new AcceptedWord<>("safe", RetrySafety.SAFE),
+                    new AcceptedWord<>("idempotent", RetrySafety.IDEMPOTENT),
+                    new AcceptedWord<>("keyed", RetrySafety.KEYED),
+                    new AcceptedWord<>("unsafe", RetrySafety.UNSAFE));
 
-    private static final List<Choice<DeduplicationScope>> DEDUPLICATION_SCOPES =
+    private static final List<AcceptedWord<DeduplicationScope>> DEDUPLICATION_SCOPES =
             List.of(
-                    new Choice<>("all", DeduplicationScope.ALL),
-                    new Choice<>("zone", DeduplicationScope.ZONE),
-                    new Choice<>("cell", DeduplicationScope.CELL));
+                    new AcceptedWord<>("all", DeduplicationScope.ALL),
+                    new AcceptedWord<>("zone", DeduplicationScope.ZONE),
+                    new AcceptedWord<>("cell", DeduplicationScope.CELL));
 
     private final Section pool;
     private final Profile profile;
     private final Set<String> names = new HashSet<>();
     private final List<ClassConfig> classes = new ArrayList<>();
 
-    /** The pool's defaults for its classes, in nanoseconds. */
+    /** The pool's latency objective, the default of its classes. */
     private long defaultObjectiveNs;
 
+    /** The pool's deadline, the default of its classes. */
     private long defaultDeadlineNs;
 
-    /** Makes a reader of a pool's section. */
+    /** Creates a reader of a pool's section. */
     ClassesReader(Section pool, Profile profile) {
         this.pool = pool;
         this.profile = profile;
@@ -54,35 +55,35 @@
     List<ClassConfig> read() {
         defaultObjectiveNs = pool.duration(Key.POOL_LATENCY_OBJECTIVE, 500 * MS, MS, HOUR);
         defaultDeadlineNs = pool.duration(Key.POOL_DEADLINE, 5 * SECOND, MS, HOUR);
-        for (Section section : pool.sections("classes", Key.Part.CLASS)) {
-            classes.add(read(section));
+        for (Section section : pool.sections("classes", Key.SectionType.CLASS)) {
+            classes.add(readClass(section));
         }
         if (profile == Profile.PLAIN) {
-            addDefaults();
+            addDefaultClasses();
         } else if (classes.isEmpty()) {
-            pool.fault("classes", "at least one class, begun with [[...classes]]", "none");
+            pool.reportFault("classes", "at least one class, begun with [[...classes]]", "none");
         }
         return classes;
     }
 
-    private ClassConfig read(Section section) {
-        String name = section.text(Key.CLASS_NAME, Names.UNNAMED);
+    private ClassConfig readClass(Section section) {
+        String name = section.text(Key.CLASS_NAME, NameSyntax.PLACEHOLDER);
         RetrySafety retrySafety =
-                section.choice(Key.CLASS_REPEATS, RetrySafety.UNSAFE, RETRY_SAFETY_CHOICES);
+                section.oneOf(Key.CLASS_REPEATS, RetrySafety.UNSAFE, RETRY_SAFETY_WORDS);
         long deadlineNs = section.duration(Key.CLASS_DEADLINE, defaultDeadlineNs, MS, HOUR);
         DeduplicationScope scope =
-                section.choice(
+                section.oneOf(
                         Key.CLASS_DEDUPLICATION_SCOPE,
                         DeduplicationScope.ALL,
                         DEDUPLICATION_SCOPES);
-        if (!Names.isName(name)) {
-            section.fault(Key.CLASS_NAME, Names.EXPECTED);
+        if (!NameSyntax.isName(name)) {
+            section.reportFault(Key.CLASS_NAME, NameSyntax.NAME_FORMAT);
         }
         if (!names.add(name)) {
-            section.fault(Key.CLASS_NAME, "a name that no other class of the pool has");
+            section.reportFault(Key.CLASS_NAME, "a name that no other class of the pool has");
         }
         if (profile == Profile.PLATFORM && retrySafety == RetrySafety.IDEMPOTENT) {
-            section.fault(
+            section.reportFault(
                     Key.CLASS_REPEATS, "safe, keyed or unsafe, as the platform knows no others");
         }
         long objectiveNs =
@@ -106,8 +107,8 @@
         return new ClassConfig(requestClass, retrySafety);
     }
 
-    /** Adds classes so that each request of a plain client has one, whatever its method is. */
-    private void addDefaults() {
+    /** Adds classes so that each request of a plain client has a class, whatever its method is. */
+    private void addDefaultClasses() {
         int configured = classes.size();
         for (RetrySafety retrySafety : RetrySafety.values()) {
             String name = retrySafety.name().toLowerCase(Locale.ROOT);
@@ -116,7 +117,7 @@
             }
         }
         if (!hasClassFor(RetrySafety.UNSAFE)) {
-            pool.fault(
+            pool.reportFault(
                     "classes",
                     "a class for calls that may not be repeated: the name unsafe is taken by another",
                     configured + " classes");
--- a/configuration/src/main/java/trailthread/configuration/FaultCollector.java
+++ b/configuration/src/main/java/trailthread/configuration/FaultCollector.java
@@ -11,7 +11,7 @@
     private final String file;
     private final List<Fault> faults = new ArrayList<>();
 
-    /** Makes an empty collector for the file of this name. */
+    /** Creates an empty collector for the file of this name. */
     FaultCollector(String file) {
         this.file = file;
     }
@@ -19,9 +19,9 @@
     /**
      * Adds a fault.
      *
-     * @param position where it stands, or null for the beginning of the file
-     * @param key with its section
-     * @param found what stands there, or empty
+     * @param position of the fault, or null for the beginning of the file
+     * @param key the path of the key, with its section
+     * @param found the actual value, or empty
      */
     void add(TomlPosition position, String key, String expected, String found) {
         int line = position == null ? 1 : position.line();
--- a/configuration/src/main/java/trailthread/configuration/Key.java
+++ b/configuration/src/main/java/trailthread/configuration/Key.java
@@ -1,65 +1,67 @@
 package trailthread.configuration;
 
 /**
- * The keys of the operator's file. docs/configuration.md has a row for each; a test compares the
- * two.
+ * The keys of the operator's file. docs/configuration.md has a row for each key; a test compares
+ * the rows with these constants.
  */
 public enum Key {
-    NODE_NAME(Part.NODE, "name", "text", "node"),
-    NODE_LISTEN(Part.NODE, "listen", "address:port", "required"),
-    NODE_SEED(Part.NODE, "seed", "hex digits", "by chance"),
-    NODE_DESCRIPTORS(Part.NODE, "descriptors", "whole number", "1024"),
-    NODE_BODY_MEMORY(Part.NODE, "body_memory", "size", "16MiB"),
-    OPERATOR_LISTEN(Part.OPERATOR, "listen", "address:port", "off"),
-    POOL_PROFILE(Part.POOL, "profile", "plain or platform", "plain"),
-    POOL_ENDPOINTS(Part.POOL, "workers", "list of address:port", "one of three"),
-    POOL_FILE(Part.POOL, "file", "path", "one of three"),
-    POOL_DISCOVERY(Part.POOL, "roster", "address:port", "one of three"),
-    POOL_ZONE(Part.POOL, "zone", "text", "none"),
-    POOL_NODES(Part.POOL, "nodes", "whole number", "1"),
-    POOL_NUMBER(Part.POOL, "number", "whole number", "0"),
-    POOL_LATENCY_OBJECTIVE(Part.POOL, "aim", "duration", "500ms"),
-    POOL_DEADLINE(Part.POOL, "deadline", "duration", "5s"),
-    POOL_ATTEMPTS(Part.POOL, "attempts", "whole number", "3"),
-    POOL_CONNECT_WITHIN(Part.POOL, "connect_within", "duration", "200ms"),
-    POOL_IDLE_CLOSE(Part.POOL, "idle_close", "duration", "5s"),
-    POOL_DRAIN_GRACE(Part.POOL, "drain_grace", "duration", "1s"),
-    POOL_RESPONSE_SLACK(Part.POOL, "answer_slack", "duration", "10ms"),
-    POOL_RETRY_AFTER(Part.POOL, "retry_after", "duration", "2s"),
-    POOL_REPORTS(Part.POOL, "reports", "none, answers or probes", "none"),
-    POOL_HEALTH_CHECKS(Part.POOL, "probes", "true or false", "false"),
-    POOL_CROSS_ZONE_PRICE(Part.POOL, "cross_zone_price", "number", "0"),
-    POOL_SLOW_START_SHARE(Part.POOL, "cold_share", "number", "0.1"),
-    POOL_SLOW_START(Part.POOL, "cold_for", "duration", "30s"),
-    LIMITS_REQUESTS_GUARANTEED(Part.LIMITS, "calls_guaranteed", "whole number", "a sixteenth"),
-    LIMITS_REQUESTS_MOST(Part.LIMITS, "calls_most", "whole number", "all"),
+    NODE_NAME(SectionType.NODE, "name", "text", "node"),
+    NODE_LISTEN(SectionType.NODE, "listen", "address:port", "required"),
+    NODE_SEED(SectionType.NODE, "seed", "hex digits", "by chance"),
+    NODE_DESCRIPTORS(SectionType.NODE, "descriptors", "whole number", "1024"),
+    NODE_BODY_MEMORY(SectionType.NODE, "body_memory", "size", "16MiB"),
+    OPERATOR_LISTEN(SectionType.OPERATOR, "listen", "address:port", "off"),
+    POOL_PROFILE(SectionType.POOL, "profile", "plain or platform", "plain"),
+    POOL_ENDPOINTS(SectionType.POOL, "workers", "list of address:port", "one of three"),
+    POOL_FILE(SectionType.POOL, "file", "path", "one of three"),
+    POOL_DISCOVERY(SectionType.POOL, "roster", "address:port", "one of three"),
+    POOL_ZONE(SectionType.POOL, "zone", "text", "none"),
+    POOL_NODES(SectionType.POOL, "nodes", "whole number", "1"),
+    POOL_NUMBER(SectionType.POOL, "number", "whole number", "0"),
+    POOL_LATENCY_OBJECTIVE(SectionType.POOL, "aim", "duration", "500ms"),
+    POOL_DEADLINE(SectionType.POOL, "deadline", "duration", "5s"),
+    POOL_ATTEMPTS(SectionType.POOL, "attempts", "whole number", "3"),
+    POOL_CONNECT_WITHIN(SectionType.POOL, "connect_within", "duration", "200ms"),
+    POOL_IDLE_CLOSE(SectionType.POOL, "idle_close", "duration", "5s"),
+    POOL_DRAIN_GRACE(SectionType.POOL, "drain_grace", "duration", "1s"),
+    POOL_RESPONSE_SLACK(SectionType.POOL, "answer_slack", "duration", "10ms"),
+    POOL_RETRY_AFTER(SectionType.POOL, "retry_after", "duration", "2s"),
+    POOL_REPORTS(SectionType.POOL, "reports", "none, answers or probes", "none"),
+    POOL_HEALTH_CHECKS(SectionType.POOL, "probes", "true or false", "false"),
+    POOL_CROSS_ZONE_PRICE(SectionType.POOL, "cross_zone_price", "number", "0"),
+    POOL_SLOW_START_SHARE(SectionType.POOL, "cold_share", "number", "0.1"),
+    POOL_SLOW_START(SectionType.POOL, "cold_for", "duration", "30s"),
+    LIMITS_REQUESTS_GUARANTEED(
+            SectionType.LIMITS, "calls_guaranteed", "whole number", "a sixteenth"),
+    LIMITS_REQUESTS_MOST(SectionType.LIMITS, "calls_most", "whole number", "all"),
     LIMITS_CONNECTIONS_GUARANTEED(
-            Part.LIMITS, "connections_guaranteed", "whole number", "a sixteenth"),
-    LIMITS_CONNECTIONS_MOST(Part.LIMITS, "connections_most", "whole number", "all"),
-    LIMITS_BODY_MEMORY_GUARANTEED(Part.LIMITS, "body_memory_guaranteed", "size", "a sixteenth"),
-    LIMITS_BODY_MEMORY_MOST(Part.LIMITS, "body_memory_most", "size", "all"),
-    LIMITS_LOOP_WEIGHT(Part.LIMITS, "loop_weight", "number", "1"),
-    CLASS_NAME(Part.CLASS, "name", "text", "required"),
-    CLASS_REPEATS(Part.CLASS, "repeats", "safe, idempotent, keyed or unsafe", "unsafe"),
-    CLASS_LATENCY_OBJECTIVE(Part.CLASS, "aim", "duration", "the pool's"),
-    CLASS_DEADLINE(Part.CLASS, "deadline", "duration", "the pool's"),
-    CLASS_DEDUPLICATION_SCOPE(Part.CLASS, "group", "all, zone or cell", "all"),
-    CLASS_DEDUPLICATION_WINDOW(Part.CLASS, "window", "duration", "the deadline"),
-    CLASS_PRIORITY_WEIGHT(Part.CLASS, "worth", "number", "1"),
-    CLASS_LATE_WEIGHT_SHARE(Part.CLASS, "late_worth", "number", "0.5"),
-    TENANT_NAME(Part.TENANT, "name", "text", "required"),
-    TENANT_PER_SECOND(Part.TENANT, "per_second", "number", "required"),
-    ROUTE_NAME(Part.ROUTE, "name", "text", "required"),
-    ROUTE_HOST(Part.ROUTE, "host", "a host, *.domain or *", "*"),
-    ROUTE_PATH(Part.ROUTE, "path", "a path, {name} for a segment, ** at the end", "/**"),
-    ROUTE_METHODS(Part.ROUTE, "methods", "list of methods", "any"),
-    ROUTE_HEADERS(Part.ROUTE, "headers", "table of texts", "none"),
-    ROUTE_CLASS(Part.ROUTE, "class", "text", "any"),
-    ROUTE_POOL(Part.ROUTE, "pool", "the name of a pool", "required"),
-    ROUTE_ASSIGNS(Part.ROUTE, "assigns", "a class of the pool", "none");
+            SectionType.LIMITS, "connections_guaranteed", "whole number", "a sixteenth"),
+    LIMITS_CONNECTIONS_MOST(SectionType.LIMITS, "connections_most", "whole number", "all"),
+    LIMITS_BODY_MEMORY_GUARANTEED(
+            SectionType.LIMITS, "body_memory_guaranteed", "size", "a sixteenth"),
+    LIMITS_BODY_MEMORY_MOST(SectionType.LIMITS, "body_memory_most", "size", "all"),
+    LIMITS_LOOP_WEIGHT(SectionType.LIMITS, "loop_weight", "number", "1"),
+    CLASS_NAME(SectionType.CLASS, "name", "text", "required"),
+    CLASS_REPEATS(SectionType.CLASS, "repeats", "safe, idempotent, keyed or unsafe", "unsafe"),
+    CLASS_LATENCY_OBJECTIVE(SectionType.CLASS, "aim", "duration", "the pool's"),
+    CLASS_DEADLINE(SectionType.CLASS, "deadline", "duration", "the pool's"),
+    CLASS_DEDUPLICATION_SCOPE(SectionType.CLASS, "group", "all, zone or cell", "all"),
+    CLASS_DEDUPLICATION_WINDOW(SectionType.CLASS, "window", "duration", "the deadline"),
+    CLASS_PRIORITY_WEIGHT(SectionType.CLASS, "worth", "number", "1"),
+    CLASS_LATE_WEIGHT_SHARE(SectionType.CLASS, "late_worth", "number", "0.5"),
+    TENANT_NAME(SectionType.TENANT, "name", "text", "required"),
+    TENANT_PER_SECOND(SectionType.TENANT, "per_second", "number", "required"),
+    ROUTE_NAME(SectionType.ROUTE, "name", "text", "required"),
+    ROUTE_HOST(SectionType.ROUTE, "host", "a host, *.domain or *", "*"),
+    ROUTE_PATH(SectionType.ROUTE, "path", "a path, {name} for a segment, ** at the end", "/**"),
+    ROUTE_METHODS(SectionType.ROUTE, "methods", "list of methods", "any"),
+    ROUTE_HEADERS(SectionType.ROUTE, "headers", "table of texts", "none"),
+    ROUTE_CLASS(SectionType.ROUTE, "class", "text", "any"),
+    ROUTE_POOL(SectionType.ROUTE, "pool", "the name of a pool", "required"),
+    ROUTE_ASSIGNS(SectionType.ROUTE, "assigns", "a class of the pool", "none");
 
-    /** The section that a key belongs to. */
-    public enum Part {
+    /** The kinds of sections of the file. */
+    public enum SectionType {
         NODE("node"),
         OPERATOR("operator"),
         POOL("pools.NAME"),
@@ -70,7 +72,7 @@
 
         private final String path;
 
-        Part(String path) {
+        SectionType(String path) {
             this.path = path;
         }
 
@@ -82,40 +84,40 @@
 
     private static final String REQUIRED = "required";
 
-    private final Part part;
-    private final String word;
-    private final String type;
-    private final String otherwise;
+    private final SectionType sectionType;
+    private final String keyName;
+    private final String valueType;
+    private final String documentedDefault;
 
-    Key(Part part, String word, String type, String otherwise) {
-        this.part = part;
-        this.word = word;
-        this.type = type;
-        this.otherwise = otherwise;
+    Key(SectionType sectionType, String keyName, String valueType, String documentedDefault) {
+        this.sectionType = sectionType;
+        this.keyName = keyName;
+        this.valueType = valueType;
+        this.documentedDefault = documentedDefault;
     }
 
-    /** The section it belongs to. */
-    public Part part() {
-        return part;
+    /** The kind of section that the key belongs to. */
+    public SectionType sectionType() {
+        return sectionType;
     }
 
     /** The key as it is written in the file. */
-    public String word() {
-        return word;
+    public String keyName() {
+        return keyName;
     }
 
-    /** What values it takes, for messages and documentation. */
-    public String type() {
-        return type;
+    /** The values that the key accepts, for messages and documentation. */
+    public String valueType() {
+        return valueType;
     }
 
-    /** Its default, for documentation. */
-    public String otherwise() {
-        return otherwise;
+    /** The default value, as the documentation describes it. */
+    public String documentedDefault() {
+        return documentedDefault;
     }
 
-    /** Whether it must be given. */
+    /** Whether the key has no default and must be given. */
     public boolean isRequired() {
-        return otherwise.equals(REQUIRED);
+        return documentedDefault.equals(REQUIRED);
     }
 }
--- a/configuration/src/main/java/trailthread/configuration/LimitsReader.java
+++ b/configuration/src/main/java/trailthread/configuration/LimitsReader.java
@@ -20,25 +20,25 @@
     private static final double MAX_LOOP_WEIGHT = 1000;
 
     /**
-     * Something that pools share.
+     * A resource that the pools share.
      *
      * @param name for messages
-     * @param total what there is of it
-     * @param part a pool's part of it
+     * @param total the amount that all pools have together
+     * @param range the guaranteed and the maximum amount of a pool
      */
-    private record Resource(String name, long total, Function<Limits, QuotaRange> part) {}
+    private record Resource(String name, long total, Function<Limits, QuotaRange> range) {}
 
-    private final Totals totals;
+    private final ResourceTotals totals;
 
-    /** Makes a reader of limits within the totals. */
-    LimitsReader(Totals totals) {
+    /** Creates a reader of limits that may not exceed the totals. */
+    LimitsReader(ResourceTotals totals) {
         this.totals = totals;
     }
 
     /** Reads the limits of one pool. */
     Limits read(Section section) {
-        long maxRequests = max(section, Key.LIMITS_REQUESTS_MOST, totals.requests());
-        long maxConnections = max(section, Key.LIMITS_CONNECTIONS_MOST, totals.connections());
+        long maxRequests = readMax(section, Key.LIMITS_REQUESTS_MOST, totals.requests());
+        long maxConnections = readMax(section, Key.LIMITS_CONNECTIONS_MOST, totals.connections());
         long maxBodyBytes =
                 section.size(
                         Key.LIMITS_BODY_MEMORY_MOST, totals.bodyBytes(), 0, totals.bodyBytes());
@@ -67,7 +67,7 @@
                 section.number(Key.LIMITS_LOOP_WEIGHT, 1, MIN_LOOP_WEIGHT, MAX_LOOP_WEIGHT));
     }
 
-    private static long max(Section section, Key key, long total) {
+    private static long readMax(Section section, Key key, long total) {
         return section.integer(key, total, 1, total);
     }
 
@@ -76,7 +76,8 @@
     }
 
     /**
-     * Reports the pool, in the order of the file, with which the guarantees exceed a total.
+     * Reports, for each resource, the first pool in the order of the file with which the sum of the
+     * guarantees exceeds the total.
      *
      * @param sections of the pools, by their names
      */
@@ -93,14 +94,14 @@
             Resource resource, Collection<PoolConfig> pools, Map<String, Section> sections) {
         long sum = 0;
         for (PoolConfig pool : pools) {
-            sum += resource.part.apply(pool.limits()).guaranteed();
+            sum += resource.range.apply(pool.limits()).guaranteed();
             if (sum > resource.total) {
                 String expected =
                         "guaranteed "
                                 + resource.name
                                 + " of all pools of no more than "
                                 + resource.total;
-                sections.get(pool.name()).fault("limits", expected, sum + " with this one");
+                sections.get(pool.name()).reportFault("limits", expected, sum + " with this one");
                 return;
             }
         }
--- a/configuration/src/main/java/trailthread/configuration/OperatorFile.java
+++ b/configuration/src/main/java/trailthread/configuration/OperatorFile.java
@@ -6,9 +6,9 @@
 /**
  * The contents of an operator's file.
  *
- * @param name the node's
+ * @param name the name of the node
  * @param listen the address for clients, {@code address:port}
- * @param seed of the random number generator, or null for a random one
+ * @param seed of the random number generator, or null for a random seed
  * @param descriptors how many file descriptors the process may hold
  * @param operatorListen the address of the admin server, {@code address:port}, or null if there is
  *     none
--- a/configuration/src/main/java/trailthread/configuration/OperatorFileReader.java
+++ b/configuration/src/main/java/trailthread/configuration/OperatorFileReader.java
@@ -40,7 +40,7 @@
         faults = new FaultCollector(file);
     }
 
-    /** Reads a file. A file that can't be read has that as its only fault. */
+    /** Reads a file. If it can't be read, this is the only fault of the result. */
     public static OperatorFile.Result read(Path path) {
         try {
             return read(path.toString(), Files.readString(path));
@@ -54,7 +54,7 @@
     /**
      * Reads the text of a file.
      *
-     * @param name the file's, for faults
+     * @param name the name of the file, for faults
      */
     public static OperatorFile.Result read(String name, String text) {
         return new OperatorFileReader(name).read(text);
@@ -73,8 +73,8 @@
     }
 
     private OperatorFile readSections(Section root) {
-        Section node = root.innerSection("node", Key.Part.NODE);
-        Section operator = root.innerSection("operator", Key.Part.OPERATOR);
+        Section node = root.innerSection("node", Key.SectionType.NODE);
+        Section operator = root.innerSection("operator", Key.SectionType.OPERATOR);
         int descriptors =
                 (int)
                         node.integer(
@@ -82,13 +82,13 @@
                                 DEFAULT_DESCRIPTORS,
                                 MIN_DESCRIPTORS,
                                 MAX_DESCRIPTORS);
-        Totals totals = totals(node, descriptors);
+        ResourceTotals totals = readTotals(node, descriptors);
         Map<String, PoolConfig> pools = new PoolsReader(faults, totals).read(root);
         List<Route> routes = new RoutesReader(faults, pools).read(root);
         return new OperatorFile(
                 node.text(Key.NODE_NAME, "node"),
                 node.address(Key.NODE_LISTEN, 0),
-                seed(node),
+                readSeed(node),
                 descriptors,
                 operator.address(Key.OPERATOR_LISTEN, 0),
                 new ServicesConfig(
@@ -99,16 +99,16 @@
                         routes));
     }
 
-    private static Totals totals(Section node, int descriptors) {
+    private static ResourceTotals readTotals(Section node, int descriptors) {
         int forClients = (int) (CLIENTS_SHARE * (descriptors - OWN_DESCRIPTORS));
         long requests = Math.max(1, (long) (ACTIVE_SHARE * forClients));
         long connections = (long) descriptors - OWN_DESCRIPTORS - forClients;
         long bodyBytes =
                 node.size(Key.NODE_BODY_MEMORY, DEFAULT_BODY_BYTES, MIN_BODY_BYTES, MAX_BODY_BYTES);
-        return new Totals(requests, connections, bodyBytes);
+        return new ResourceTotals(requests, connections, bodyBytes);
     }
 
-    private static Long seed(Section node) {
+    private static Long readSeed(Section node) {
         String text = node.text(Key.NODE_SEED, null);
         if (text == null) {
             return null;
@@ -116,7 +116,7 @@
         try {
             return Long.parseUnsignedLong(text, SEED_RADIX);
         } catch (NumberFormatException e) {
-            node.fault(Key.NODE_SEED, "1 to 16 hex digits");
+            node.reportFault(Key.NODE_SEED, "1 to 16 hex digits");
             return null;
         }
     }
--- a/configuration/src/main/java/trailthread/configuration/PoolsReader.java
+++ b/configuration/src/main/java/trailthread/configuration/PoolsReader.java
@@ -25,26 +25,26 @@
     private static final double MIN_TENANT_RATE = 0.001;
     private static final double MAX_TENANT_RATE = 1e9;
 
-    private static final List<Choice<Profile>> PROFILES =
+    private static final List<AcceptedWord<Profile>> PROFILES =
             List.of(
-                    new Choice<>("plain", Profile.PLAIN),
-                    new Choice<>("platform", Profile.PLATFORM));
+                    new AcceptedWord<>("plain", Profile.PLAIN),
+                    new AcceptedWord<>("platform", Profile.PLATFORM));
 
-    private static final List<Choice<LoadReportSource>> REPORT_SOURCES =
+    private static final List<AcceptedWord<LoadReportSource>> REPORT_SOURCES =
             List.of(
-                    new Choice<>("none", LoadReportSource.NONE),
-                    new Choice<>("answers", LoadReportSource.RESPONSES),
-                    new Choice<>("probes", LoadReportSource.HEALTH_CHECKS));
+                    new AcceptedWord<>("none", LoadReportSource.NONE),
+                    new AcceptedWord<>("answers", LoadReportSource.RESPONSES),
+                    new AcceptedWord<>("probes", LoadReportSource.HEALTH_CHECKS));
 
     private final FaultCollector faults;
     private final LimitsReader limits;
 
     /**
-     * Makes a reader.
+     * Creates a reader.
      *
-     * @param totals what the pools share
+     * @param totals of the resources that the pools share
      */
-    PoolsReader(FaultCollector faults, Totals totals) {
+    PoolsReader(FaultCollector faults, ResourceTotals totals) {
         this.faults = faults;
         limits = new LimitsReader(totals);
     }
@@ -53,29 +53,32 @@
     Map<String, PoolConfig> read(Section root) {
         TomlTable table = root.innerTable("pools");
         if (table == null || table.isEmpty()) {
-            root.fault("pools", "at least one pool, begun with [pools.NAME]", "none");
-            return new LinkedHashMap<>(); // looked up by null, which Map.of() rejects
+            root.reportFault("pools", "at least one pool, begun with [pools.NAME]", "none");
+            return new LinkedHashMap<>(); // routes look up null in it, which Map.of() rejects
         }
-        Map<String, Section> sections = sections(table);
+        Map<String, Section> sections = poolSections(table);
         Map<String, Section> limitSections = new LinkedHashMap<>();
         sections.forEach(
                 (name, section) ->
-                        limitSections.put(name, section.innerSection("limits", Key.Part.LIMITS)));
+                        limitSections.put(
+                                name, section.innerSection("limits", Key.SectionType.LIMITS)));
         Map<String, PoolConfig> pools = new LinkedHashMap<>();
         sections.forEach(
                 (name, section) ->
-                        pools.put(name, pool(name, section, limits.read(limitSections.get(name)))));
+                        pools.put(
+                                name,
+                                readPool(name, section, limits.read(limitSections.get(name)))));
         limits.checkGuarantees(pools.values(), sections);
         return pools;
     }
 
-    private Map<String, Section> sections(TomlTable table) {
+    private Map<String, Section> poolSections(TomlTable table) {
         Map<String, Section> sections = new LinkedHashMap<>();
         for (String name : table.keySet()) {
             Object value = table.get(List.of(name));
             var position = table.inputPositionOf(List.of(name));
             String path = "pools." + name;
-            if (value instanceof TomlTable inner && Names.isName(name)) {
+            if (value instanceof TomlTable inner && NameSyntax.isName(name)) {
                 sections.put(
                         name,
                         new Section(
@@ -83,7 +86,7 @@
                                 inner,
                                 position,
                                 path,
-                                Key.Part.POOL,
+                                Key.SectionType.POOL,
                                 "limits",
                                 "classes",
                                 "tenants"));
@@ -93,33 +96,33 @@
                         path,
                         "a pool, begun with [pools.NAME], its name of letters, digits, dots and"
                                 + " dashes",
-                        Section.shown(value));
+                        Section.describe(value));
             }
         }
         return sections;
     }
 
-    private static PoolConfig pool(String name, Section pool, PoolConfig.Limits limits) {
-        Profile profile = pool.choice(Key.POOL_PROFILE, Profile.PLAIN, PROFILES);
+    private static PoolConfig readPool(String name, Section pool, PoolConfig.Limits limits) {
+        Profile profile = pool.oneOf(Key.POOL_PROFILE, Profile.PLAIN, PROFILES);
         int nodes = (int) pool.integer(Key.POOL_NODES, 1, 1, MAX_NODES);
-        AttemptPolicy attemptPolicy = attemptPolicy(pool);
+        AttemptPolicy attemptPolicy = readAttemptPolicy(pool);
         return new PoolConfig(
                 name,
                 profile,
-                source(pool),
+                readSource(pool),
                 new NodePlacement(
                         pool.text(Key.POOL_ZONE, ""),
                         (int) pool.integer(Key.POOL_NUMBER, 0, 0, nodes - 1),
                         nodes),
                 new ClassesReader(pool, profile).read(),
-                tenants(pool),
+                readTenants(pool),
                 attemptPolicy,
                 limits);
     }
 
-    private static AttemptPolicy attemptPolicy(Section pool) {
+    private static AttemptPolicy readAttemptPolicy(Section pool) {
         LoadReportSource reports =
-                pool.choice(Key.POOL_REPORTS, LoadReportSource.NONE, REPORT_SOURCES);
+                pool.oneOf(Key.POOL_REPORTS, LoadReportSource.NONE, REPORT_SOURCES);
         return new AttemptPolicy(
                 (int) pool.integer(Key.POOL_ATTEMPTS, 3, 1, MAX_ATTEMPTS),
                 pool.duration(Key.POOL_CONNECT_WITHIN, 200 * MS, MS, 60 * SECOND),
@@ -128,44 +131,44 @@
                 pool.duration(Key.POOL_RESPONSE_SLACK, 10 * MS, 0, 10 * SECOND),
                 pool.duration(Key.POOL_RETRY_AFTER, 2 * SECOND, 0, HOUR),
                 reports,
-                pool.flag(Key.POOL_HEALTH_CHECKS, false),
+                pool.bool(Key.POOL_HEALTH_CHECKS, false),
                 pool.number(Key.POOL_CROSS_ZONE_PRICE, 0, 0, 1),
                 pool.number(Key.POOL_SLOW_START_SHARE, 0.1, 0.001, 1),
                 pool.duration(Key.POOL_SLOW_START, 30 * SECOND, 0, HOUR));
     }
 
-    private static Source source(Section pool) {
+    private static Source readSource(Section pool) {
         List<Key> keys = List.of(Key.POOL_ENDPOINTS, Key.POOL_FILE, Key.POOL_DISCOVERY);
-        long given = keys.stream().filter(pool::has).count();
+        long given = keys.stream().filter(pool::isGiven).count();
         if (given != 1) {
             String found = given == 0 ? "none" : given + " of them";
-            pool.fault(null, "one of workers, file and roster", found);
+            pool.reportFault(null, "one of workers, file and roster", found);
         }
-        if (pool.has(Key.POOL_DISCOVERY)) {
+        if (pool.isGiven(Key.POOL_DISCOVERY)) {
             return new Source.Discovery(pool.address(Key.POOL_DISCOVERY, 1));
         }
-        if (pool.has(Key.POOL_FILE)) {
+        if (pool.isGiven(Key.POOL_FILE)) {
             return new Source.ListFile(pool.text(Key.POOL_FILE, ""));
         }
         List<String> endpoints =
-                pool.list(Key.POOL_ENDPOINTS, text -> Section.checkedAddress(text, 1));
+                pool.textList(Key.POOL_ENDPOINTS, text -> Section.requireAddress(text, 1));
         if (new HashSet<>(endpoints).size() < endpoints.size()) {
-            pool.fault(Key.POOL_ENDPOINTS, "each worker once");
+            pool.reportFault(Key.POOL_ENDPOINTS, "each worker once");
         }
         return new Source.Fixed(endpoints);
     }
 
-    private static List<Tenant> tenants(Section pool) {
+    private static List<Tenant> readTenants(Section pool) {
         Set<String> names = new HashSet<>();
-        return pool.sections("tenants", Key.Part.TENANT).stream()
-                .map(section -> tenant(section, names))
+        return pool.sections("tenants", Key.SectionType.TENANT).stream()
+                .map(section -> readTenant(section, names))
                 .toList();
     }
 
-    private static Tenant tenant(Section section, Set<String> names) {
-        String name = section.text(Key.TENANT_NAME, Names.UNNAMED);
+    private static Tenant readTenant(Section section, Set<String> names) {
+        String name = section.text(Key.TENANT_NAME, NameSyntax.PLACEHOLDER);
         if (!names.add(name)) {
-            section.fault(Key.TENANT_NAME, "a name that no other tenant of the pool has");
+            section.reportFault(Key.TENANT_NAME, "a name that no other tenant of the pool has");
         }
         double perSecond =
                 section.number(Key.TENANT_PER_SECOND, 1, MIN_TENANT_RATE, MAX_TENANT_RATE);
--- a/configuration/src/main/java/trailthread/configuration/Totals.java
+++ b/configuration/src/main/java/trailthread/configuration/ResourceTotals.java
@@ -1,10 +1,10 @@
 package trailthread.configuration;
 
 /**
- * What all pools of a process share.
+ * The totals of the resources that all pools of a process share.
  *
  * @param requests in flight
  * @param connections to endpoints
  * @param bodyBytes of request bodies that are buffered
  */
-record Totals(long requests, long connections, long bodyBytes) {}
+record ResourceTotals(long requests, long connections, long bodyBytes) {}
--- a/configuration/src/main/java/trailthread/configuration/RoutesReader.java
+++ b/configuration/src/main/java/trailthread/configuration/RoutesReader.java
@@ -22,7 +22,7 @@
     private final Map<String, PoolConfig> pools;
 
     /**
-     * Makes a reader.
+     * Creates a reader.
      *
      * @param pools that routes may lead to, by their names
      */
@@ -31,19 +31,19 @@
         this.pools = pools;
     }
 
-    /** Reads all routes without faults, in the order of the file. */
+    /** Returns the routes that have no faults, in the order of the file, and reports the others. */
     List<Route> read(Section root) {
-        List<Section> sections = root.sections("routes", Key.Part.ROUTE);
+        List<Section> sections = root.sections("routes", Key.SectionType.ROUTE);
         if (sections.isEmpty()) {
-            root.fault("routes", "at least one route, begun with [[routes]]", "none");
+            root.reportFault("routes", "at least one route, begun with [[routes]]", "none");
         }
         Map<String, Section> byName = new HashMap<>();
         List<Route> routes = new ArrayList<>();
         for (Section section : sections) {
             int faultsBefore = faults.size();
-            Route route = route(section);
+            Route route = readRoute(section);
             if (byName.putIfAbsent(route.name(), section) != null) {
-                section.fault(Key.ROUTE_NAME, "a name that no other route has");
+                section.reportFault(Key.ROUTE_NAME, "a name that no other route has");
             }
             if (faults.size() == faultsBefore) {
                 routes.add(route);
@@ -51,59 +51,59 @@
         }
         for (RouteConflict conflict : new RouteTable(routes).conflicts()) {
             byName.get(conflict.second().name())
-                    .fault(null, "no two routes that tie", conflict.toString());
+                    .reportFault(null, "no two routes that tie", conflict.toString());
         }
         return routes;
     }
 
-    private Route route(Section section) {
-        String name = section.text(Key.ROUTE_NAME, Names.UNNAMED);
-        if (!Names.isName(name)) {
-            section.fault(Key.ROUTE_NAME, Names.EXPECTED);
+    private Route readRoute(Section section) {
+        String name = section.text(Key.ROUTE_NAME, NameSyntax.PLACEHOLDER);
+        if (!NameSyntax.isName(name)) {
+            section.reportFault(Key.ROUTE_NAME, NameSyntax.NAME_FORMAT);
         }
-        Map<String, String> headers = headers(section);
-        PoolConfig pool = pool(section);
+        Map<String, String> headers = readHeaders(section);
+        PoolConfig pool = readPool(section);
         return new Route(
                 name,
-                parsed(section, Key.ROUTE_HOST, "*", HostPattern::parse),
-                parsed(section, Key.ROUTE_PATH, "/**", PathPattern::parse),
-                new TreeSet<>(section.list(Key.ROUTE_METHODS, RoutesReader::method)),
+                readPattern(section, Key.ROUTE_HOST, "*", HostPattern::parse),
+                readPattern(section, Key.ROUTE_PATH, "/**", PathPattern::parse),
+                new TreeSet<>(section.textList(Key.ROUTE_METHODS, RoutesReader::requireMethod)),
                 headers,
-                requestClass(section, Key.ROUTE_CLASS, pool),
+                readRequestClass(section, Key.ROUTE_CLASS, pool),
                 pool == null ? "" : pool.name(),
-                requestClass(section, Key.ROUTE_ASSIGNS, pool));
+                readRequestClass(section, Key.ROUTE_ASSIGNS, pool));
     }
 
-    private static Map<String, String> headers(Section section) {
+    private static Map<String, String> readHeaders(Section section) {
         Map<String, String> headers = new LinkedHashMap<>();
-        section.texts(Key.ROUTE_HEADERS)
+        section.textTable(Key.ROUTE_HEADERS)
                 .forEach(
                         (name, value) -> {
-                            if (!Names.isHttpToken(name)) {
-                                section.fault(Key.ROUTE_HEADERS, "names of headers");
+                            if (!NameSyntax.isHttpToken(name)) {
+                                section.reportFault(Key.ROUTE_HEADERS, "names of headers");
                             }
                             headers.put(name.toLowerCase(Locale.ROOT), value);
                         });
         return headers;
     }
 
-    /** The pool that a route leads to, or null. */
-    private PoolConfig pool(Section section) {
+    /** The pool that a route leads to, or null if there is none of this name. */
+    private PoolConfig readPool(Section section) {
         String name = section.text(Key.ROUTE_POOL, null);
         PoolConfig pool = pools.get(name);
         if (name != null && pool == null) {
-            String nearest = Nearest.of(name, pools.keySet());
+            String suggestion = SpellingSuggestion.find(name, pools.keySet());
             String expected =
-                    nearest == null
+                    suggestion == null
                             ? "one of " + String.join(", ", pools.keySet())
-                            : "the name of a pool, such as " + nearest;
-            section.fault(Key.ROUTE_POOL, expected);
+                            : "the name of a pool, such as " + suggestion;
+            section.reportFault(Key.ROUTE_POOL, expected);
         }
         return pool;
     }
 
-    /** The name of a class of the pool, or null. */
-    private static String requestClass(Section section, Key key, PoolConfig pool) {
+    /** The request class that the key names, or null if the key is not given. */
+    private static String readRequestClass(Section section, Key key, PoolConfig pool) {
         String name = section.text(key, null);
         if (name == null || pool == null) {
             return name;
@@ -111,27 +111,28 @@
         List<String> known =
                 pool.classes().stream().map(config -> config.requestClass().name()).toList();
         if (!known.contains(name)) {
-            section.fault(key, "a class of pool " + pool.name() + ": " + String.join(", ", known));
+            section.reportFault(
+                    key, "a class of pool " + pool.name() + ": " + String.join(", ", known));
         }
         if (key == Key.ROUTE_ASSIGNS && pool.profile() == Profile.PLATFORM) {
-            section.fault(key, "nothing, as the platform's clients name their classes");
+            section.reportFault(key, "nothing, as the platform's clients name their classes");
         }
         return name;
     }
 
-    private static String method(String text) {
-        if (!Names.isHttpToken(text)) {
+    private static String requireMethod(String text) {
+        if (!NameSyntax.isHttpToken(text)) {
             throw new IllegalArgumentException("no method");
         }
         return text;
     }
 
-    private static <T> T parsed(
+    private static <T> T readPattern(
             Section section, Key key, String otherwise, Function<String, T> parser) {
         try {
             return parser.apply(section.text(key, otherwise));
         } catch (IllegalArgumentException e) {
-            section.fault(key, e.getMessage());
+            section.reportFault(key, e.getMessage());
             return parser.apply(otherwise);
         }
     }
--- a/configuration/src/main/java/trailthread/configuration/Section.java
+++ b/configuration/src/main/java/trailthread/configuration/Section.java
@@ -13,8 +13,8 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of the file. Its typed getters return the values of keys, and report each value that is
- * missing or wrong as a fault. In place of such a value they return the default.
+ * One table of the file. Its typed getters return the values of keys. They report each missing
+ * required key and each invalid value as a fault, and return the default instead of the value.
  */
 final class Section {
     private static final int MAX_SHOWN_CHARS = 40;
@@ -23,48 +23,48 @@
     private final FaultCollector faults;
     private final TomlTable table;
 
-    /** Where the table stands, or null if it is the file or is not given. */
+    /** The position of the table, or null if it is the whole file or is not given. */
     private final TomlPosition position;
 
     private final String path;
 
     /**
-     * Makes a section, and reports the keys in it that are not known.
+     * Creates a section, and reports its unknown keys.
      *
-     * @param path as the file has it
-     * @param position where the table stands, or null at the beginning of the file
-     * @param part whose keys the table may have, or null if it has none
-     * @param innerTables the tables that it may have besides
+     * @param path of the table, such as {@code pools.sim.limits}; empty for the whole file
+     * @param position of the table, or null for the beginning of the file
+     * @param sectionType whose keys the table may have, or null if it may have none
+     * @param innerTables names of the tables that the table may contain
      */
     Section(
             FaultCollector faults,
             TomlTable table,
             TomlPosition position,
             String path,
-            Key.Part part,
+            Key.SectionType sectionType,
             String... innerTables) {
         this.faults = faults;
         this.table = table;
         this.position = position;
         this.path = path;
-        reportUnknownKeys(part, innerTables);
+        reportUnknownKeys(sectionType, innerTables);
     }
 
-    private void reportUnknownKeys(Key.Part part, String... innerTables) {
-        TreeSet<String> known = new TreeSet<>(Arrays.asList(innerTables));
+    private void reportUnknownKeys(Key.SectionType sectionType, String... innerTables) {
+        TreeSet<String> knownNames = new TreeSet<>(Arrays.asList(innerTables));
         for (Key key : Key.values()) {
-            if (key.part() == part) {
-                known.add(key.word());
+            if (key.sectionType() == sectionType) {
+                knownNames.add(key.keyName());
             }
         }
-        for (String word : table.keySet()) {
-            if (!known.contains(word)) {
-                String nearest = Nearest.of(word, known);
+        for (String name : table.keySet()) {
+            if (!knownNames.contains(name)) {
+                String suggestion = SpellingSuggestion.find(name, knownNames);
                 String expected =
-                        nearest != null
-                                ? "a key that is known, such as " + nearest
-                                : "one of " + String.join(", ", known);
-                fault(word, expected, "");
+                        suggestion != null
+                                ? "a key that is known, such as " + suggestion
+                                : "one of " + String.join(", ", knownNames);
+                reportFault(name, expected, "");
             }
         }
     }
@@ -72,47 +72,47 @@
     /**
      * Reports a fault.
      *
-     * @param word the key or inner table it is about, or null for this table
-     * @param found what stands there, or empty
+     * @param name of the key or inner table with the fault, or null for this table
+     * @param found the actual value, or empty
      */
-    void fault(String word, String expected, String found) {
-        if (word == null) {
+    void reportFault(String name, String expected, String found) {
+        if (name == null) {
             faults.add(position, path, expected, found);
             return;
         }
-        TomlPosition at = isGiven(word) ? positionOf(word) : position;
-        faults.add(at, pathOf(word), expected, found);
+        TomlPosition faultPosition = isGiven(name) ? positionOf(name) : position;
+        faults.add(faultPosition, pathOf(name), expected, found);
     }
 
-    /** Reports a fault of a key's value, and shows the value. */
-    void fault(Key key, String expected) {
-        fault(key.word(), expected, has(key) ? shown(value(key)) : "nothing");
+    /** Reports a fault of a key, with its actual value. */
+    void reportFault(Key key, String expected) {
+        reportFault(key.keyName(), expected, isGiven(key) ? describe(value(key)) : "nothing");
     }
 
-    private String pathOf(String word) {
-        return path.isEmpty() ? word : path + "." + word;
+    private String pathOf(String name) {
+        return path.isEmpty() ? name : path + "." + name;
     }
 
-    private boolean isGiven(String word) {
-        return table.contains(List.of(word));
+    private boolean isGiven(String name) {
+        return table.contains(List.of(name));
     }
 
-    /** Where a key or an inner table stands. */
-    TomlPosition positionOf(String word) {
-        return table.inputPositionOf(List.of(word));
+    /** The position of a key or an inner table. */
+    TomlPosition positionOf(String name) {
+        return table.inputPositionOf(List.of(name));
     }
 
     /** Whether a key is given. */
-    boolean has(Key key) {
-        return isGiven(key.word());
+    boolean isGiven(Key key) {
+        return isGiven(key.keyName());
     }
 
     private Object value(Key key) {
-        return table.get(List.of(key.word()));
+        return table.get(List.of(key.keyName()));
     }
 
-    /** A value as an error message shows it. */
-    static String shown(Object value) {
+    /** Describes a value for an error message. */
+    static String describe(Object value) {
         if (value instanceof String text) {
             boolean isLong = text.length() > MAX_SHOWN_CHARS;
             String start = isLong ? text.substring(0, MAX_SHOWN_CHARS) + "..." : text;
@@ -127,30 +127,30 @@
     /**
      * Reads a value.
      *
-     * @param otherwise what is returned if the key is not given or its value can't be used
-     * @param reader throws IllegalArgumentException or ClassCastException if it can't use a value
+     * @param defaultValue returned if the key is not given or its value is invalid
+     * @param reader throws IllegalArgumentException or ClassCastException if the value is invalid
      */
-    private <T> T read(Key key, T otherwise, Function<Object, T> reader) {
-        if (!has(key)) {
+    private <T> T read(Key key, T defaultValue, Function<Object, T> reader) {
+        if (!isGiven(key)) {
             if (key.isRequired()) {
-                fault(key, key.type());
+                reportFault(key, key.valueType());
             }
-            return otherwise;
+            return defaultValue;
         }
         try {
             return reader.apply(value(key));
         } catch (IllegalArgumentException | ClassCastException e) {
-            fault(key, key.type());
-            return otherwise;
+            reportFault(key, key.valueType());
+            return defaultValue;
         }
     }
 
     /** A text that is not empty. */
-    String text(Key key, String otherwise) {
-        return read(key, otherwise, Section::notEmpty);
+    String text(Key key, String defaultValue) {
+        return read(key, defaultValue, Section::requireNotEmpty);
     }
 
-    private static String notEmpty(Object value) {
+    private static String requireNotEmpty(Object value) {
         String text = (String) value;
         if (text.isEmpty()) {
             throw new IllegalArgumentException("empty");
@@ -158,121 +158,139 @@
         return text;
     }
 
-    /** An {@code address:port} as it is written, or null. */
+    /** An {@code address:port} as written in the file, or null. */
     String address(Key key, int minPort) {
-        return read(key, null, value -> checkedAddress((String) value, minPort));
+        return read(key, null, value -> requireAddress((String) value, minPort));
     }
 
     /**
      * Checks an {@code address:port}.
      *
      * @return the text
-     * @throws IllegalArgumentException if it is none
+     * @throws IllegalArgumentException if the text is no {@code address:port}
      */
-    static String checkedAddress(String text, int minPort) {
+    static String requireAddress(String text, int minPort) {
         int colon = text.lastIndexOf(':');
         int port = colon < 1 ? -1 : Integer.parseInt(text.substring(colon + 1));
         if (port < minPort || port > MAX_PORT) {
-            throw new IllegalArgumentException("no address:port");
+            throw new IllegalArgumentException("not an address:port");
         }
         return text;
     }
 
     /** An integer; the nearer bound, with a fault, if it is out of range. */
-    long integer(Key key, long otherwise, long min, long max) {
-        return read(key, otherwise, value -> bounded(key, (Long) value, min, max, String::valueOf));
+    long integer(Key key, long defaultValue, long min, long max) {
+        return read(
+                key,
+                defaultValue,
+                value -> clampOrReport(key, (Long) value, min, max, String::valueOf));
     }
 
     /** A number; the default, with a fault, if it is out of range. */
-    double number(Key key, double otherwise, double min, double max) {
+    double number(Key key, double defaultValue, double min, double max) {
         return read(
                 key,
-                otherwise,
+                defaultValue,
                 value -> {
                     double number = value instanceof Long integer ? integer : (Double) value;
                     boolean inRange = number >= min && number <= max; // false for NaN
                     if (!inRange) {
-                        fault(key, "a number from " + min + " to " + max);
-                        return otherwise;
+                        reportFault(key, "a number from " + min + " to " + max);
+                        return defaultValue;
                     }
                     return number;
                 });
     }
 
     /** A boolean. */
-    boolean flag(Key key, boolean otherwise) {
-        return read(key, otherwise, value -> (Boolean) value);
+    boolean bool(Key key, boolean defaultValue) {
+        return read(key, defaultValue, value -> (Boolean) value);
     }
 
     /** A duration in nanoseconds; the nearer bound, with a fault, if it is out of range. */
-    long duration(Key key, long otherwise, long min, long max) {
+    long duration(Key key, long defaultValue, long min, long max) {
         String expected = "a duration with its unit, such as 250ms";
         return read(
                 key,
-                otherwise,
+                defaultValue,
                 value -> {
-                    Long ns = parsed(key, value, Units::nanoseconds, expected);
-                    return ns == null ? otherwise : bounded(key, ns, min, max, Units::duration);
+                    Long ns = parseOrReport(key, value, Units::nanoseconds, expected);
+                    return ns == null
+                            ? defaultValue
+                            : clampOrReport(key, ns, min, max, Units::formatDuration);
                 });
     }
 
     /** A size in bytes; the nearer bound, with a fault, if it is out of range. */
-    long size(Key key, long otherwise, long min, long max) {
+    long size(Key key, long defaultValue, long min, long max) {
         String expected = "a size with its unit, such as 64KiB";
         return read(
                 key,
-                otherwise,
+                defaultValue,
                 value -> {
-                    Long bytes = parsed(key, value, Units::bytes, expected);
-                    return bytes == null ? otherwise : bounded(key, bytes, min, max, Units::size);
+                    Long bytes = parseOrReport(key, value, Units::bytes, expected);
+                    return bytes == null
+                            ? defaultValue
+                            : clampOrReport(key, bytes, min, max, Units::formatSize);
                 });
     }
 
-    /** The value as the parser reads it; null, with a fault, if it can't. */
-    private Long parsed(Key key, Object value, Function<String, Long> parser, String expected) {
+    /** The parsed value; null, with a fault, if the parser rejects it. */
+    private Long parseOrReport(
+            Key key, Object value, Function<String, Long> parser, String expected) {
         try {
             return parser.apply((String) value);
         } catch (IllegalArgumentException | ClassCastException e) {
-            fault(key, expected);
+            reportFault(key, expected);
             return null;
         }
     }
 
-    private long bounded(Key key, long value, long min, long max, Function<Long, String> shown) {
+    private long clampOrReport(
+            Key key, long value, long min, long max, Function<Long, String> format) {
         if (value < min || value > max) {
-            fault(key, key.type() + " from " + shown.apply(min) + " to " + shown.apply(max));
+            reportFault(
+                    key,
+                    key.valueType() + " from " + format.apply(min) + " to " + format.apply(max));
         }
         return Math.min(max, Math.max(min, value));
     }
 
-    /** What one of some words stands for; a fault suggests the word that is nearest. */
-    <T> T choice(Key key, T otherwise, List<Choice<T>> choices) {
+    /** The value of one of the accepted words; a fault suggests the closest word. */
+    <T> T oneOf(Key key, T defaultValue, List<AcceptedWord<T>> acceptedWords) {
         return read(
                 key,
-                otherwise,
+                defaultValue,
                 value -> {
                     String word = (String) value;
-                    for (Choice<T> choice : choices) {
-                        if (choice.word().equals(word)) {
-                            return choice.value();
+                    for (AcceptedWord<T> acceptedWord : acceptedWords) {
+                        if (acceptedWord.word().equals(word)) {
+                            return acceptedWord.value();
                         }
                     }
-                    String nearest = Nearest.of(word, choices.stream().map(Choice::word).toList());
-                    fault(key, nearest == null ? key.type() : nearest + " (" + key.type() + ")");
-                    return otherwise;
+                    String suggestion =
+                            SpellingSuggestion.find(
+                                    word, acceptedWords.stream().map(AcceptedWord::word).toList());
+                    reportFault(
+                            key,
+                            suggestion == null
+                                    ? key.valueType()
+                                    : suggestion + " (" + key.valueType() + ")");
+                    return defaultValue;
                 });
     }
 
     /**
      * A list of texts.
      *
-     * @param reader throws IllegalArgumentException if it can't use an item, which is then left out
+     * @param reader throws IllegalArgumentException for an invalid item, which is reported and left
+     *     out
      */
-    List<String> list(Key key, Function<String, String> reader) {
-        return read(key, List.of(), value -> items(key, (TomlArray) value, reader));
+    List<String> textList(Key key, Function<String, String> reader) {
+        return read(key, List.of(), value -> readItems(key, (TomlArray) value, reader));
     }
 
-    private List<String> items(Key key, TomlArray array, Function<String, String> reader) {
+    private List<String> readItems(Key key, TomlArray array, Function<String, String> reader) {
         List<String> items = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
             try {
@@ -280,20 +298,20 @@
             } catch (IllegalArgumentException | ClassCastException e) {
                 faults.add(
                         array.inputPositionOf(i),
-                        pathOf(key.word()) + "[" + i + "]",
-                        key.type(),
-                        shown(array.get(i)));
+                        pathOf(key.keyName()) + "[" + i + "]",
+                        key.valueType(),
+                        describe(array.get(i)));
             }
         }
         return items;
     }
 
-    /** A table of texts, by their names. */
-    Map<String, String> texts(Key key) {
-        return read(key, Map.of(), value -> textsOf(key, (TomlTable) value));
+    /** A table whose values are texts, by their keys. */
+    Map<String, String> textTable(Key key) {
+        return read(key, Map.of(), value -> readTexts(key, (TomlTable) value));
     }
 
-    private Map<String, String> textsOf(Key key, TomlTable inner) {
+    private Map<String, String> readTexts(Key key, TomlTable inner) {
         Map<String, String> texts = new LinkedHashMap<>();
         for (String name : inner.keySet()) {
             Object value = inner.get(List.of(name));
@@ -302,50 +320,50 @@
             } else {
                 faults.add(
                         inner.inputPositionOf(List.of(name)),
-                        pathOf(key.word()) + "." + name,
+                        pathOf(key.keyName()) + "." + name,
                         "text",
-                        shown(value));
+                        describe(value));
             }
         }
         return texts;
     }
 
     /** The inner table of this name, or null. */
-    TomlTable innerTable(String word) {
-        Object value = table.get(List.of(word));
+    TomlTable innerTable(String name) {
+        Object value = table.get(List.of(name));
         if (value != null && !(value instanceof TomlTable)) {
-            fault(word, "a table", shown(value));
+            reportFault(name, "a table", describe(value));
         }
         return value instanceof TomlTable inner ? inner : null;
     }
 
     /** The inner table of this name as a section; an empty one if it is not given. */
-    Section innerSection(String word, Key.Part part) {
-        TomlTable inner = innerTable(word);
+    Section innerSection(String name, Key.SectionType sectionType) {
+        TomlTable inner = innerTable(name);
         if (inner == null) {
-            return new Section(faults, Toml.parse(""), null, pathOf(word), part);
+            return new Section(faults, Toml.parse(""), null, pathOf(name), sectionType);
         }
-        return new Section(faults, inner, positionOf(word), pathOf(word), part);
+        return new Section(faults, inner, positionOf(name), pathOf(name), sectionType);
     }
 
     /** The sections of an array of tables. */
-    List<Section> sections(String word, Key.Part part) {
-        Object value = table.get(List.of(word));
+    List<Section> sections(String name, Key.SectionType sectionType) {
+        Object value = table.get(List.of(name));
         if (value == null) {
             return List.of();
         }
         if (!(value instanceof TomlArray array)) {
-            fault(word, "tables, each begun with [[" + pathOf(word) + "]]", shown(value));
+            reportFault(name, "tables, each begun with [[" + pathOf(name) + "]]", describe(value));
             return List.of();
         }
         List<Section> sections = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
-            TomlPosition at = array.inputPositionOf(i);
-            String itemPath = pathOf(word) + "[" + i + "]";
+            TomlPosition itemPosition = array.inputPositionOf(i);
+            String itemPath = pathOf(name) + "[" + i + "]";
             if (array.get(i) instanceof TomlTable inner) {
-                sections.add(new Section(faults, inner, at, itemPath, part));
+                sections.add(new Section(faults, inner, itemPosition, itemPath, sectionType));
             } else {
-                faults.add(at, itemPath, "a table", shown(array.get(i)));
+                faults.add(itemPosition, itemPath, "a table", describe(array.get(i)));
             }
         }
         return sections;
--- a/configuration/src/main/java/trailthread/configuration/Units.java
+++ b/configuration/src/main/java/trailthread/configuration/Units.java
@@ -18,20 +18,20 @@
 
     private static final int MAX_NUMBER_CHARS = 18;
     private static final Pattern NUMBER = Pattern.compile("[0-9]+(\\.[0-9]+)?");
-    private static final Map<String, Long> TIMES = new LinkedHashMap<>();
-    private static final Map<String, Long> SIZES = new LinkedHashMap<>();
+    private static final Map<String, Long> DURATION_UNITS = new LinkedHashMap<>();
+    private static final Map<String, Long> SIZE_UNITS = new LinkedHashMap<>();
 
     static {
-        // Units that end in another one come before it: "ms" before "s", "KiB" before "B".
-        TIMES.put("us", 1_000L);
-        TIMES.put("ms", MS);
-        TIMES.put("min", 60 * SECOND);
-        TIMES.put("h", HOUR);
-        TIMES.put("s", SECOND);
-        SIZES.put("KiB", 1L << 10);
-        SIZES.put("MiB", 1L << 20);
-        SIZES.put("GiB", 1L << 30);
-        SIZES.put("B", 1L);
+        // A unit that ends in another unit comes before it: "ms" before "s", "KiB" before "B".
+        DURATION_UNITS.put("us", 1_000L);
+        DURATION_UNITS.put("ms", MS);
+        DURATION_UNITS.put("min", 60 * SECOND);
+        DURATION_UNITS.put("h", HOUR);
+        DURATION_UNITS.put("s", SECOND);
+        SIZE_UNITS.put("KiB", 1L << 10);
+        SIZE_UNITS.put("MiB", 1L << 20);
+        SIZE_UNITS.put("GiB", 1L << 30);
+        SIZE_UNITS.put("B", 1L);
     }
 
     private Units() {}
@@ -40,20 +40,22 @@
      * Parses a duration.
      *
      * @return nanoseconds
-     * @throws IllegalArgumentException if it is no duration, or not a number of nanoseconds
+     * @throws IllegalArgumentException if the text is no duration, or one that is not a whole
+     *     number of nanoseconds
      */
     public static long nanoseconds(String text) {
-        return parse(text, TIMES);
+        return parse(text, DURATION_UNITS);
     }
 
     /**
      * Parses a size.
      *
      * @return bytes
-     * @throws IllegalArgumentException if it is no size, or not a number of bytes
+     * @throws IllegalArgumentException if the text is no size, or one that is not a whole number of
+     *     bytes
      */
     public static long bytes(String text) {
-        return parse(text, SIZES);
+        return parse(text, SIZE_UNITS);
     }
 
     private static long parse(String text, Map<String, Long> units) {
@@ -77,7 +79,7 @@
     }
 
     /** Formats nanoseconds in the largest of s, ms and us that divides them. */
-    static String duration(long ns) {
+    static String formatDuration(long ns) {
         if (ns % SECOND == 0) {
             return ns / SECOND + "s";
         }
@@ -85,7 +87,7 @@
     }
 
     /** Formats bytes in the largest of MiB, KiB and B that divides them. */
-    static String size(long bytes) {
+    static String formatSize(long bytes) {
         if (bytes > 0 && bytes % (1 << 20) == 0) {
             return (bytes >> 20) + "MiB";
         }
--- a/configuration/src/test/java/trailthread/configuration/OperatorFileTest.java
+++ b/configuration/src/test/java/trailthread/configuration/OperatorFileTest.java
@@ -17,7 +17,7 @@
 import trailthread.engine.pool.PoolConfig.RetrySafety;
 import trailthread.engine.pool.PoolConfig.Source;
 
-/** Reading operators' files, and the faults reported. */
+/** Reads operators' files, and checks the values and the reported faults. */
 public class OperatorFileTest {
     private static final String MINIMAL =
             """
@@ -30,15 +30,17 @@
             pool = "sim"
             """;
 
-    private static List<String> faults(String text) {
+    private static List<String> faultLines(String text) {
         OperatorFile.Result result = OperatorFileReader.read("f", text);
         assertEquals(
-                "a file is read, or has faults", result.read() == null, !result.faults().isEmpty());
+                "a result has either contents or faults",
+                result.read() == null,
+                !result.faults().isEmpty());
         return result.faults().stream().map(Fault::toString).toList();
     }
 
     /** The minimal file with a line inserted after another. */
-    private static String with(String after, String line) {
+    private static String minimalWith(String after, String line) {
         assertTrue(MINIMAL.contains(after));
         return MINIMAL.replace(after, after + "\n" + line);
     }
@@ -49,7 +51,7 @@
         PoolConfig pool = file.services().pools().get(0);
         assertEquals(new Source.Fixed(List.of("127.0.0.1:1")), pool.source());
         assertEquals(
-                "whatever a plain client sends has a class",
+                "a plain pool has a class for each kind of request",
                 List.of(RetrySafety.values()),
                 pool.classes().stream().map(PoolConfig.ClassConfig::retrySafety).toList());
         assertEquals(391, file.services().connections());
@@ -57,7 +59,7 @@
         assertEquals("/**", file.services().routes().get(0).path().toString());
         assertNull(file.operatorListen());
         assertEquals(
-                "equal files are equal",
+                "equal files have equal contents",
                 file.services(),
                 OperatorFileReader.read("f", MINIMAL).read().services());
     }
@@ -71,19 +73,19 @@
                         + "expected ', \", ''', \"\"\", a number, a boolean, a date/time, an array, or a table"
             },
             {
-                with("listen = \"127.0.0.1:0\"", "nmae = \"x\""),
+                minimalWith("listen = \"127.0.0.1:0\"", "nmae = \"x\""),
                 "f:3:1: node.nmae: expected a key that is known, such as name"
             },
             {
-                with("listen = \"127.0.0.1:0\"", "descriptors = 20"),
+                minimalWith("listen = \"127.0.0.1:0\"", "descriptors = 20"),
                 "f:3:1: node.descriptors: expected whole number from 96 to 1048576, found 20"
             },
             {
-                with("listen = \"127.0.0.1:0\"", "body_memory = \"16MB\""),
+                minimalWith("listen = \"127.0.0.1:0\"", "body_memory = \"16MB\""),
                 "f:3:1: node.body_memory: expected a size with its unit, such as 64KiB, found \"16MB\""
             },
             {
-                with("listen = \"127.0.0.1:0\"", "seed = \"xyz\""),
+                minimalWith("listen = \"127.0.0.1:0\"", "seed = \"xyz\""),
                 "f:3:1: node.seed: expected 1 to 16 hex digits, found \"xyz\""
             },
             {
@@ -95,19 +97,19 @@
                 "f:1:1: node: expected address:port, found nothing".replace("node:", "node.listen:")
             },
             {
-                with("workers = [\"127.0.0.1:1\"]", "deadline = 5"),
+                minimalWith("workers = [\"127.0.0.1:1\"]", "deadline = 5"),
                 "f:5:1: pools.sim.deadline: expected a duration with its unit, such as 250ms, found 5"
             },
             {
-                with("workers = [\"127.0.0.1:1\"]", "aim = \"5 s\""),
+                minimalWith("workers = [\"127.0.0.1:1\"]", "aim = \"5 s\""),
                 "f:5:1: pools.sim.aim: expected a duration with its unit, such as 250ms, found \"5 s\""
             },
             {
-                with("workers = [\"127.0.0.1:1\"]", "profile = \"plane\""),
+                minimalWith("workers = [\"127.0.0.1:1\"]", "profile = \"plane\""),
                 "f:5:1: pools.sim.profile: expected plain (plain or platform), found \"plane\""
             },
             {
-                with("workers = [\"127.0.0.1:1\"]", "roster = \"127.0.0.1:2\""),
+                minimalWith("workers = [\"127.0.0.1:1\"]", "roster = \"127.0.0.1:2\""),
                 "f:3:1: pools.sim: expected one of workers, file and roster, found 2 of them"
             },
             {
@@ -119,59 +121,63 @@
                 "f:7:1: routes[0].pool: expected the name of a pool, such as sim, found \"sin\""
             },
             {
-                with("pool = \"sim\"", "path = \"/a/../b\""),
+                minimalWith("pool = \"sim\"", "path = \"/a/../b\""),
                 "f:8:1: routes[0].path: expected a path as a request has it: a dot segment: some readers take it "
                         + "out, found \"/a/../b\""
             },
             {
-                with("pool = \"sim\"", "host = \"a:80\""),
+                minimalWith("pool = \"sim\"", "host = \"a:80\""),
                 "f:8:1: routes[0].host: expected a host, *.domain or *, "
                         + "without port or trailing dot, found \"a:80\""
             },
             {
-                with("pool = \"sim\"", "assigns = \"reads\""),
+                minimalWith("pool = \"sim\"", "assigns = \"reads\""),
                 "f:8:1: routes[0].assigns: expected a class of pool sim: "
                         + "safe, idempotent, keyed, unsafe, found \"reads\""
             },
             {
-                with("pool = \"sim\"", "[[routes]]\nname = \"two\"\npool = \"sim\""),
+                minimalWith("pool = \"sim\"", "[[routes]]\nname = \"two\"\npool = \"sim\""),
                 "f:8:1: routes[1]: expected no two "
                         + "routes that tie, found routes all and two both "
                         + "take GET any.example/, and neither is more specific"
             },
             {
-                with("pool = \"sim\"", "[[routes]]\nname = \"all\"\npath = \"/x\"\npool = \"sim\""),
+                minimalWith(
+                        "pool = \"sim\"",
+                        "[[routes]]\nname = \"all\"\npath = \"/x\"\npool = \"sim\""),
                 "f:9:1: routes[1].name: expected a name that no other route has, found \"all\""
             },
             {
-                with("workers = [\"127.0.0.1:1\"]", "[pools.sim.limits]\ncalls_guaranteed = 10000"),
+                minimalWith(
+                        "workers = [\"127.0.0.1:1\"]",
+                        "[pools.sim.limits]\ncalls_guaranteed = 10000"),
                 "f:6:1: pools.sim.limits.calls_guaranteed: expected whole number from 0 to 391, found 10000"
             },
             {
-                with(
+                minimalWith(
                         "workers = [\"127.0.0.1:1\"]",
                         "[[pools.sim.classes]]\nname = \"x\"\nrepeats = \"often\""),
                 "f:7:1: pools.sim.classes[0].repeats: expected safe, idempotent, keyed or unsafe, found \"often\""
             },
             {
-                with("workers = [\"127.0.0.1:1\"]", "[[pools.sim.tenants]]\nname = \"x\""),
+                minimalWith("workers = [\"127.0.0.1:1\"]", "[[pools.sim.tenants]]\nname = \"x\""),
                 "f:5:1: pools.sim.tenants[0].per_second: expected number, found nothing"
             },
             {MINIMAL + "[extra]\n", "f:8:1: extra: expected one of node, operator, pools, routes"}
         };
         List<String> expected = new ArrayList<>();
-        List<String> told = new ArrayList<>();
+        List<String> reported = new ArrayList<>();
         for (Object[] row : table) {
             expected.add((String) row[1]);
-            told.addAll(faults((String) row[0]));
+            reported.addAll(faultLines((String) row[0]));
         }
-        assertEquals(expected, told);
+        assertEquals(expected, reported);
     }
 
     @Test
     public void faultsAreInTheOrderOfTheFile() {
-        List<String> told =
-                faults(
+        List<String> reported =
+                faultLines(
                         """
                 [node]
                 nmae = "x"
@@ -192,7 +198,9 @@
                         "f:7:1: pools.b.attempts",
                         "f:8:1: routes[0].name",
                         "f:9:1: routes[0].pool"),
-                told.stream().map(line -> line.substring(0, line.indexOf(": expected"))).toList());
+                reported.stream()
+                        .map(line -> line.substring(0, line.indexOf(": expected")))
+                        .toList());
     }
 
     @Test
@@ -212,18 +220,18 @@
                 List.of(
                         "f:9:1: pools.marks.limits: expected guaranteed connections of all pools of no more than "
                                 + "391, found 600 with this one"),
-                faults(text));
+                faultLines(text));
     }
 
     @Test
-    public void aFileThatCannotBeReadIsAFault() {
+    public void anUnreadableFileIsAFault() {
         assertEquals(
                 "no/such:1:1: expected a file that can be read, found NoSuchFileException",
                 OperatorFileReader.read(Path.of("no/such")).faults().get(0).toString());
     }
 
     @Test
-    public void units() {
+    public void durationsAndSizes() {
         assertEquals(250_000_000L, Units.nanoseconds("250ms"));
         assertEquals(1_200_000_000L, Units.nanoseconds("1.2s"));
         assertEquals(90_000_000_000L, Units.nanoseconds("1.5min"));
@@ -252,23 +260,23 @@
     }
 
     @Test
-    public void nearest() {
-        assertEquals("listen", Nearest.of("lisent", List.of("name", "listen")));
-        assertEquals("name", Nearest.of("nam", List.of("listen", "name")));
-        assertNull(Nearest.of("quite_other", List.of("listen", "name")));
-        assertEquals(3, Nearest.distance("kitten", "sitting"));
+    public void misspeltWordsGetASuggestion() {
+        assertEquals("listen", SpellingSuggestion.find("lisent", List.of("name", "listen")));
+        assertEquals("name", SpellingSuggestion.find("nam", List.of("listen", "name")));
+        assertNull(SpellingSuggestion.find("quite_other", List.of("listen", "name")));
+        assertEquals(3, SpellingSuggestion.editDistance("kitten", "sitting"));
     }
 
-    /** Guards the page against keys that nobody told of. */
+    /** Prevents a key from being added or changed without its row in the documentation. */
     @Test
     public void theDocumentationHasARowForEachKey() throws Exception {
         List<String> lines = Files.readAllLines(Path.of("..", "docs", "configuration.md"));
-        Key.Part part = null;
-        List<String> seen = new ArrayList<>();
+        Key.SectionType part = null;
+        List<String> documented = new ArrayList<>();
         for (String line : lines) {
             if (line.startsWith("## ")) {
                 part = null;
-                for (Key.Part each : Key.Part.values()) {
+                for (Key.SectionType each : Key.SectionType.values()) {
                     part =
                             line.contains("`[" + each.path() + "]`")
                                             || line.contains("`[[" + each.path() + "]]`")
@@ -278,7 +286,8 @@
             }
             if (part != null && line.startsWith("| `")) {
                 String[] cells = line.split(" \\| ");
-                seen.add(part + " " + cells[0].substring(2) + " " + cells[1] + " " + cells[2]);
+                documented.add(
+                        part + " " + cells[0].substring(2) + " " + cells[1] + " " + cells[2]);
                 assertTrue(line, cells.length == 4 && cells[3].length() > 10);
             }
         }
@@ -286,15 +295,15 @@
                 Arrays.stream(Key.values())
                         .map(
                                 k ->
-                                        k.part()
+                                        k.sectionType()
                                                 + " `"
-                                                + k.word()
+                                                + k.keyName()
                                                 + "` "
-                                                + k.type()
+                                                + k.valueType()
                                                 + " "
-                                                + k.otherwise())
+                                                + k.documentedDefault())
                         .toList();
-        assertEquals(keys, seen);
+        assertEquals(keys, documented);
     }
 
     @Test
--- a/lab/src/main/java/trailthread/lab/scenario/ScenarioTable.java
+++ b/lab/src/main/java/trailthread/lab/scenario/ScenarioTable.java
@@ -9,7 +9,7 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 import trailthread.configuration.Fault;
-import trailthread.configuration.Nearest;
+import trailthread.configuration.SpellingSuggestion;
 import trailthread.configuration.Units;
 
 /**
@@ -269,7 +269,7 @@
         }
         for (String key : table.keySet()) {
             if (!asked.contains(key)) {
-                String meant = Nearest.of(key, asked);
+                String meant = SpellingSuggestion.find(key, asked);
                 fault(
                         key,
                         meant != null
