--- a/command/src/main/java/trailthread/command/CheckCommand.java
+++ b/command/src/main/java/trailthread/command/CheckCommand.java
@@ -19,7 +19,7 @@
         name = "check",
         mixinStandardHelpOptions = true,
         description =
-                "Tells every fault of an operator's file, one a line; or, without any, its pools and routes.")
+                "Prints every fault of an operator's file, one per line; if it has none, its pools and routes.")
 final class CheckCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "The operator's file, in TOML.")
     private Path file;
@@ -35,10 +35,10 @@
     public Integer call() {
         OperatorFile config = readOrReport(file);
         if (config == null) {
-            return Trailthread.BAD;
+            return Trailthread.EXIT_BAD_INPUT;
         }
         print(config, System.out);
-        return Trailthread.OK;
+        return Trailthread.EXIT_OK;
     }
 
     private static void print(OperatorFile config, PrintStream out) {
--- a/command/src/main/java/trailthread/command/RouteCommand.java
+++ b/command/src/main/java/trailthread/command/RouteCommand.java
@@ -19,12 +19,12 @@
 import trailthread.engine.routes.RouteTable;
 import trailthread.engine.routes.Target;
 
-/** Reports which route takes a request, and why the others do not; sends nothing. */
+/** Reports which route takes a request, and why the others do not, without sending the request. */
 @Command(
         name = "route",
         mixinStandardHelpOptions = true,
         description =
-                "Says which route, pool and class a request gets, and why the other routes do not have it.")
+                "Prints which route, pool and class a request gets, and why the other routes do not take it.")
 final class RouteCommand implements Callable<Integer> {
     private static final String CLASS_HEADER = "x-service-class";
 
@@ -34,25 +34,25 @@
     @Option(
             names = "--host",
             defaultValue = "localhost",
-            description = "Its Host header (${DEFAULT-VALUE}).")
+            description = "The Host header of the request (${DEFAULT-VALUE}).")
     private String host;
 
     @Option(
             names = "--path",
             defaultValue = "/",
-            description = "Its target: path and query (${DEFAULT-VALUE}).")
+            description = "The target of the request: path and query (${DEFAULT-VALUE}).")
     private String path;
 
     @Option(
             names = "--method",
             defaultValue = "GET",
-            description = "Its method (${DEFAULT-VALUE}).")
+            description = "The method of the request (${DEFAULT-VALUE}).")
     private String method;
 
     @Option(
             names = "--header",
             paramLabel = "NAME:VALUE",
-            description = "A header; may be given more than once.")
+            description = "A header of the request; may be given more than once.")
     private List<String> headers = List.of();
 
     @Spec private CommandSpec spec;
@@ -61,7 +61,7 @@
     public Integer call() {
         OperatorFile config = CheckCommand.readOrReport(file);
         if (config == null) {
-            return Trailthread.BAD;
+            return Trailthread.EXIT_BAD_INPUT;
         }
         Map<String, String> headerValues = parseHeaders();
         Target target;
@@ -69,7 +69,7 @@
             target = Target.parse(method, path, List.of(host), true);
         } catch (BadTargetException e) {
             System.out.println("400: " + e.getMessage());
-            return Trailthread.BAD;
+            return Trailthread.EXIT_BAD_INPUT;
         }
         RouteTable routes = new RouteTable(config.services().routes());
         RouteQuery query =
@@ -82,7 +82,7 @@
         Route route = routes.match(query);
         System.out.println(route == null ? "404: no route takes it" : describe(route, query));
         routes.explain(query).forEach(line -> System.out.println("  " + line));
-        return route == null ? Trailthread.NO_ROUTE : Trailthread.OK;
+        return route == null ? Trailthread.EXIT_NO_ROUTE : Trailthread.EXIT_OK;
     }
 
     /** The values of the headers, by their names in lower case. */
@@ -92,7 +92,7 @@
             int colon = header.indexOf(':');
             if (colon < 1) {
                 throw new ParameterException(
-                        spec.commandLine(), "--header: NAME:VALUE, got '" + header + "'");
+                        spec.commandLine(), "--header: expected NAME:VALUE, got '" + header + "'");
             }
             values.put(
                     header.substring(0, colon).toLowerCase(Locale.ROOT),
--- a/command/src/main/java/trailthread/command/ServeCommand.java
+++ b/command/src/main/java/trailthread/command/ServeCommand.java
@@ -11,16 +11,16 @@
 import trailthread.daemon.Main;
 import trailthread.daemon.services.ServiceNode;
 
-/** Runs a node: with an operator's file its services, without one a platform node. */
+/** Runs a node that serves an operator's file or, without a file, a node of the platform. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
         description = {
-            "Serves the services of an operator's file; SIGHUP reads it again, SIGTERM ends in order.",
-            "Without a file it is the platform's node, configured by LB_CONFIG and the other variables."
+            "Runs the services of an operator's file; SIGHUP reloads it, SIGTERM shuts down gracefully.",
+            "Without a file, runs a node of the platform, configured by LB_CONFIG and other LB_ variables."
         })
 final class ServeCommand implements Callable<Integer> {
-    /** Returned in place of an exit status, as the process goes on after the command line. */
+    /** Returned instead of an exit status if the process runs on after the command returns. */
     static final int KEEPS_RUNNING = -1;
 
     @Parameters(arity = "0..1", paramLabel = "FILE", description = "The operator's file, in TOML.")
@@ -34,7 +34,7 @@
         }
         OperatorFile config = CheckCommand.readOrReport(file);
         if (config == null) {
-            return Trailthread.BAD;
+            return Trailthread.EXIT_BAD_INPUT;
         }
         Lifecycle.startLean();
         CompletableFuture<Runnable> reload = Lifecycle.onHangup();
@@ -43,7 +43,7 @@
             Lifecycle.start(node::start, node::stop);
         } catch (IOException e) {
             System.err.println("trailthread: listen on " + config.listen() + ": " + e.getMessage());
-            return Trailthread.BAD;
+            return Trailthread.EXIT_BAD_INPUT;
         }
         reload.complete(node::reload);
         return KEEPS_RUNNING;
--- a/command/src/main/java/trailthread/command/Trailthread.java
+++ b/command/src/main/java/trailthread/command/Trailthread.java
@@ -13,7 +13,7 @@
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
         description =
-                "A load balancer for fleets of HTTP servers that are dear to overload and slow to recover.",
+                "A load balancer for fleets of HTTP servers that are costly to overload and slow to recover.",
         subcommands = {
             ServeCommand.class,
             AdapterCommand.class,
@@ -22,19 +22,21 @@
         },
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:done, or ended as asked",
+            "0:success, including a requested shutdown",
             "1:route: no route takes the request",
-            "2:bad use, a file with faults, or an address that can't be listened on"
+            "2:wrong arguments, a file with faults, or an address that can't be listened on"
         })
 public final class Trailthread implements Callable<Integer> {
     /** The exit status of success. */
-    static final int OK = 0;
+    static final int EXIT_OK = 0;
 
     /** The exit status if no route takes the request. */
-    static final int NO_ROUTE = 1;
+    static final int EXIT_NO_ROUTE = 1;
 
-    /** The exit status for wrong arguments, or a file with faults. */
-    static final int BAD = 2;
+    /**
+     * The exit status for wrong arguments, a file with faults, or an address that can't be bound.
+     */
+    static final int EXIT_BAD_INPUT = 2;
 
     @Spec private CommandSpec spec;
 
--- a/command/src/test/java/trailthread/command/CommandLineTest.java
+++ b/command/src/test/java/trailthread/command/CommandLineTest.java
@@ -33,23 +33,24 @@
         System.setErr(systemErr);
     }
 
-    private void runs(int code, String... args) {
-        int got = Trailthread.run(args);
-        assertEquals(out + "\n" + err, code, got);
+    private void assertExitStatus(int expected, String... args) {
+        int actual = Trailthread.run(args);
+        assertEquals(out + "\n" + err, expected, actual);
     }
 
-    private void printed(ByteArrayOutputStream where, String part) {
+    private void assertPrinted(ByteArrayOutputStream stream, String text) {
         assertTrue(
-                "'" + part + "' in: " + where,
-                where.toString(StandardCharsets.UTF_8).contains(part));
+                "'" + text + "' in: " + stream,
+                stream.toString(StandardCharsets.UTF_8).contains(text));
     }
 
     @Test
     public void checkPrintsPoolsAndRoutes() {
-        runs(0, "check", EXAMPLE.toString());
-        printed(out, "pool sim: plain, workers 127.0.0.1:9001; calls 200 to 391");
-        printed(out, "route marks: marks.example.org/hooks/** POST,PUT {x-hook=*} -> pool marks");
-        printed(out, "route attempts: */attempts/{}/use POST -> pool sim, as attempt-use");
+        assertExitStatus(0, "check", EXAMPLE.toString());
+        assertPrinted(out, "pool sim: plain, workers 127.0.0.1:9001; calls 200 to 391");
+        assertPrinted(
+                out, "route marks: marks.example.org/hooks/** POST,PUT {x-hook=*} -> pool marks");
+        assertPrinted(out, "route attempts: */attempts/{}/use POST -> pool sim, as attempt-use");
     }
 
     @Test
@@ -57,9 +58,9 @@
         Path file = Files.createTempFile("operator", ".toml");
         try {
             Files.writeString(file, "[node]\nlisten = 1\n[[routes]]\nname = \"a\"\npool = \"x\"\n");
-            runs(2, "check", file.toString());
-            printed(err, file + ":2:1: node.listen: expected address:port, found 1\n");
-            printed(
+            assertExitStatus(2, "check", file.toString());
+            assertPrinted(err, file + ":2:1: node.listen: expected address:port, found 1\n");
+            assertPrinted(
                     err,
                     "pools: expected at least one pool, begun with [pools.NAME], found none\n");
         } finally {
@@ -69,7 +70,7 @@
 
     @Test
     public void routeExplainsTheMatch() {
-        runs(
+        assertExitStatus(
                 0,
                 "route",
                 EXAMPLE.toString(),
@@ -81,9 +82,9 @@
                 "POST",
                 "--header",
                 "X-Hook: 1");
-        printed(out, "route marks, pool marks, class by the method");
-        printed(out, "  sim: takes it, too, but marks is more specific");
-        printed(out, "  attempts: path is not /attempts/{}/use");
+        assertPrinted(out, "route marks, pool marks, class by the method");
+        assertPrinted(out, "  sim: takes it, too, but marks is more specific");
+        assertPrinted(out, "  attempts: path is not /attempts/{}/use");
     }
 
     @Test
@@ -93,10 +94,10 @@
             Files.writeString(
                     file,
                     Files.readString(EXAMPLE).replace("path = \"/**\"", "path = \"/sim/**\""));
-            runs(1, "route", file.toString(), "--path", "/x");
-            printed(out, "404: no route takes it");
-            runs(2, "route", file.toString(), "--path", "/x/../y");
-            printed(out, "400: a dot segment");
+            assertExitStatus(1, "route", file.toString(), "--path", "/x");
+            assertPrinted(out, "404: no route takes it");
+            assertExitStatus(2, "route", file.toString(), "--path", "/x/../y");
+            assertPrinted(out, "400: a dot segment");
         } finally {
             Files.delete(file);
         }
@@ -104,21 +105,21 @@
 
     @Test
     public void wrongArguments() {
-        runs(2);
-        runs(2, "sreve");
-        printed(err, "serve");
-        runs(2, "check");
-        runs(2, "route", EXAMPLE.toString(), "--header", "none");
-        runs(2, "serve", "no/such/file");
-        printed(err, "no/such/file:1:1: expected a file that can be read");
+        assertExitStatus(2);
+        assertExitStatus(2, "sreve");
+        assertPrinted(err, "serve");
+        assertExitStatus(2, "check");
+        assertExitStatus(2, "route", EXAMPLE.toString(), "--header", "none");
+        assertExitStatus(2, "serve", "no/such/file");
+        assertPrinted(err, "no/such/file:1:1: expected a file that can be read");
     }
 
     @Test
     public void help() {
-        runs(0, "--help");
-        printed(out, "route: no route takes the request");
-        runs(0, "serve", "--help");
-        runs(0, "--version");
-        printed(out, "trailthread ");
+        assertExitStatus(0, "--help");
+        assertPrinted(out, "route: no route takes the request");
+        assertExitStatus(0, "serve", "--help");
+        assertExitStatus(0, "--version");
+        assertPrinted(out, "trailthread ");
     }
 }
--- a/command/src/test/java/trailthread/command/ServicesTest.java
+++ b/command/src/test/java/trailthread/command/ServicesTest.java
@@ -21,80 +21,85 @@
 import trailthread.testkit.TestCluster;
 
 /** Several services behind one address, over real sockets. */
-public class ServicesTest extends WithTwoServices {
+public class ServicesTest extends TwoServicesFixture {
     public ServicesTest() throws Exception {}
 
     @Test
     public void theSamePathOnTwoHostsGoesToTwoPools() throws Exception {
-        serve();
-        assertEquals("sim", ask("GET", "/x", "sim.example.org", "").body());
-        assertEquals("marks", ask("GET", "/x", "marks.example.org", "").body());
+        startBothServices();
+        assertEquals("sim", sendRequest("GET", "/x", "sim.example.org", "").body());
+        assertEquals("marks", sendRequest("GET", "/x", "marks.example.org", "").body());
         assertEquals(
-                "the exact host goes before the wildcard",
+                "an exact host takes precedence over a wildcard",
                 "sim",
-                ask("GET", "/x", "SIM.example.org.:80", "").body());
-        assertEquals("marks", ask("GET", "http://a.b.example.org/x", "a.b.example.org", "").body());
-        assertEquals(400, ask("GET", "http://a.b.example.org/x", "sim.example.org", "").status());
-        Message none = ask("GET", "/x", "example.org", "");
-        assertEquals(404, none.status());
-        assertEquals(400, ask("GET", "/x/../y", "sim.example.org", "").status());
+                sendRequest("GET", "/x", "SIM.example.org.:80", "").body());
         assertEquals(
-                400, ask("GET", "/x", "sim.example.org", "Host: marks.example.org\r\n").status());
-        assertEquals(200, ask("GET", "/-/ready", "anything", "").status());
+                "marks",
+                sendRequest("GET", "http://a.b.example.org/x", "a.b.example.org", "").body());
+        assertEquals(
+                400,
+                sendRequest("GET", "http://a.b.example.org/x", "sim.example.org", "").status());
+        Message unrouted = sendRequest("GET", "/x", "example.org", "");
+        assertEquals(404, unrouted.status());
+        assertEquals(400, sendRequest("GET", "/x/../y", "sim.example.org", "").status());
+        assertEquals(
+                400,
+                sendRequest("GET", "/x", "sim.example.org", "Host: marks.example.org\r\n")
+                        .status());
+        assertEquals(200, sendRequest("GET", "/-/ready", "anything", "").status());
     }
 
     @Test
-    public void aPlainClientsHeadersAndTargetPassAndMissingOnesAreAdded() throws Exception {
-        serve();
+    public void targetAndHeadersAreForwardedAndMissingHeadersAdded() throws Exception {
+        startBothServices();
         sim.setScript(
-                asked ->
-                        asked.respond(
+                request ->
+                        request.respond(
                                 "201 Created",
                                 "Location: /y\r\nX-Hop: 1\r\nConnection: X-Hop\r\n"
                                         + "Set-Cookie: a\r\nset-cookie: b\r\n",
                                 "made"));
-        Message answer =
-                ask(
+        Message response =
+                sendRequest(
                         "POST",
                         "/a%20b?q=%2f",
                         "sim.example.org",
                         "Content-Type: text/x\r\nX-Mine: 1\r\n"
                                 + "X-Gone: 2\r\nConnection: keep-alive, x-gone\r\n"
                                 + "TE: trailers\r\nContent-Length: 0\r\n");
-        assertEquals(201, answer.status());
-        assertEquals("/y", answer.header("Location"));
-        assertEquals(null, answer.header("X-Hop"));
-        assertEquals("1.1 trailthread", answer.header("Via"));
-        Message asked = sim.takeRequest();
-        assertEquals("POST /a%20b?q=%2f HTTP/1.1", asked.startLine());
-        assertEquals("sim.example.org", asked.header("Host"));
-        assertEquals("text/x", asked.header("Content-Type"));
-        assertEquals("1", asked.header("X-Mine"));
-        assertEquals("hop by hop", null, asked.header("X-Gone"));
-        assertEquals("hop by hop", null, asked.header("TE"));
-        assertEquals("1.1 trailthread", asked.header("Via"));
-        assertNotNull("an id is made", asked.header("X-Correlation-Id"));
-        assertTrue(Double.parseDouble(asked.header("X-Time-Left")) <= 20);
+        assertEquals(201, response.status());
+        assertEquals("/y", response.header("Location"));
+        assertEquals(null, response.header("X-Hop"));
+        assertEquals("1.1 trailthread", response.header("Via"));
+        Message request = sim.takeRequest();
+        assertEquals("POST /a%20b?q=%2f HTTP/1.1", request.startLine());
+        assertEquals("sim.example.org", request.header("Host"));
+        assertEquals("text/x", request.header("Content-Type"));
+        assertEquals("1", request.header("X-Mine"));
+        assertEquals("a hop-by-hop header is removed", null, request.header("X-Gone"));
+        assertEquals("a hop-by-hop header is removed", null, request.header("TE"));
+        assertEquals("1.1 trailthread", request.header("Via"));
+        assertNotNull("a correlation id is added", request.header("X-Correlation-Id"));
+        assertTrue(Double.parseDouble(request.header("X-Time-Left")) <= 20);
     }
 
     @Test
     public void responsesWithoutBodies() throws Exception {
-        serve();
+        startBothServices();
         sim.setScript(
-                asked ->
+                request ->
                         Message.send(
-                                asked.connection(),
-                                asked.startLine().startsWith("HEAD")
+                                request.connection(),
+                                request.startLine().startsWith("HEAD")
                                         ? "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"
                                         : "HTTP/1.1 204 No Content\r\n\r\n"));
-        for (int i = 0; i < 3; i++) { // on one connection to the endpoint, as nothing is left on it
-            Message head = ask("HEAD", "/x", "sim.example.org", "");
+        for (int i = 0; i < 3; i++) { // all on one connection, as no unread bytes are left on it
+            Message head = sendRequest("HEAD", "/x", "sim.example.org", "");
             assertEquals(200, head.status());
             assertEquals("7", head.header("Content-Length"));
-            Thread.sleep(
-                    20); // right after an answer its connection is not used, as a second one may
-            // come
-            assertEquals(204, ask("DELETE", "/x", "sim.example.org", "").status());
+            // A connection is not reused right after a response, as a second one may follow.
+            Thread.sleep(20);
+            assertEquals(204, sendRequest("DELETE", "/x", "sim.example.org", "").status());
             Thread.sleep(20);
         }
         Socket first = sim.takeRequest().connection();
@@ -105,30 +110,32 @@
 
     @Test
     public void theMethodDecidesWhatIsRetried() throws Exception {
-        serve();
+        startBothServices();
         int[] times = new int[1];
         sim.setScript(
-                asked -> {
+                request -> {
                     if (times[0]++ % 2 == 0) {
-                        asked.connection().close();
+                        request.connection().close();
                     } else {
-                        asked.respond("200 OK", "", "again");
+                        request.respond("200 OK", "", "again");
                     }
                 });
-        assertEquals("again", ask("GET", "/x", "sim.example.org", "").body());
-        assertEquals("again", ask("PUT", "/x", "sim.example.org", "Content-Length: 0\r\n").body());
+        assertEquals("again", sendRequest("GET", "/x", "sim.example.org", "").body());
+        assertEquals(
+                "again",
+                sendRequest("PUT", "/x", "sim.example.org", "Content-Length: 0\r\n").body());
         assertEquals(
-                "it may have run",
+                "a POST may have been processed, and is not retried",
                 502,
-                ask("POST", "/x", "sim.example.org", "Content-Length: 0\r\n").status());
+                sendRequest("POST", "/x", "sim.example.org", "Content-Length: 0\r\n").status());
         for (int i = 0; i < 5; i++) {
             sim.takeRequest();
         }
         sim.assertNoMoreRequests();
         assertEquals(
-                "laxer than its method",
+                "a class that allows more retries than the method",
                 400,
-                ask(
+                sendRequest(
                                 "POST",
                                 "/x",
                                 "sim.example.org",
@@ -136,84 +143,87 @@
                         .status());
         times[0] = 0;
         assertEquals(
-                "stricter",
+                "a class that allows fewer retries than the method",
                 502,
-                ask("GET", "/x", "sim.example.org", "X-Service-Class: unsafe\r\n").status());
+                sendRequest("GET", "/x", "sim.example.org", "X-Service-Class: unsafe\r\n")
+                        .status());
     }
 
     @Test
     public void anEndpointsFaultIsNotForwarded() throws Exception {
-        serve();
-        sim.setScript(asked -> asked.respond("429 Too Many Requests", "", ""));
+        startBothServices();
+        sim.setScript(request -> request.respond("429 Too Many Requests", "", ""));
         assertEquals(
-                "only the node's own module refuses",
+                "a rejection by an endpoint is not passed on",
                 502,
-                ask("POST", "/x", "sim.example.org", "Content-Length: 0\r\n").status());
-        sim.setScript(asked -> asked.respond("404 Not Found", "", "none such"));
-        assertEquals("none such", ask("GET", "/x", "sim.example.org", "").body());
+                sendRequest("POST", "/x", "sim.example.org", "Content-Length: 0\r\n").status());
+        sim.setScript(request -> request.respond("404 Not Found", "", "none such"));
+        assertEquals("none such", sendRequest("GET", "/x", "sim.example.org", "").body());
     }
 
     @Test
     public void aReloadKeepsUnchangedPools() throws Exception {
-        serve();
-        ask("GET", "/1", "sim.example.org", "");
-        ask("GET", "/1", "marks.example.org", "");
+        startBothServices();
+        sendRequest("GET", "/1", "sim.example.org", "");
+        sendRequest("GET", "/1", "marks.example.org", "");
         Socket toSim = sim.takeRequest().connection();
         Socket toMarks = marks.takeRequest().connection();
-        cluster.reload(file(endpoints(sim), "attempts = 2\n" + endpoints(marks)));
+        cluster.reload(file(endpointsKey(sim), "attempts = 2\n" + endpointsKey(marks)));
         cluster.awaitLogLine("1 pools kept, 1 begun, 1 ending");
-        Thread.sleep(20); // as above
-        ask("GET", "/2", "sim.example.org", "");
-        ask("GET", "/2", "marks.example.org", "");
-        assertSame("the same connection", toSim, sim.takeRequest().connection());
-        assertNotSame("another pool", toMarks, marks.takeRequest().connection());
+        Thread.sleep(20); // a connection is not reused right after a response
+        sendRequest("GET", "/2", "sim.example.org", "");
+        sendRequest("GET", "/2", "marks.example.org", "");
+        assertSame("the connection of a pool that is kept", toSim, sim.takeRequest().connection());
+        assertNotSame(
+                "a new connection of the new pool", toMarks, marks.takeRequest().connection());
         assertSame(
-                "what the old pool held is closed",
+                "the connection of the old pool is closed",
                 toMarks,
                 marks.closedConnections.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     @Test
     public void requestsInFlightEndUnderTheOldFile() throws Exception {
-        serve();
-        CountDownLatch answer = new CountDownLatch(1);
+        startBothServices();
+        CountDownLatch respond = new CountDownLatch(1);
         marks.setScript(
-                asked -> {
+                request -> {
                     try {
-                        answer.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
+                        respond.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         throw new AssertionError(e);
                     }
-                    asked.respond("200 OK", "", "late");
+                    request.respond("200 OK", "", "late");
                 });
         Socket before = cluster.connect();
-        Message.send(before, request("POST", "/x", "marks.example.org", "Content-Length: 0\r\n"));
+        Message.send(
+                before, requestHead("POST", "/x", "marks.example.org", "Content-Length: 0\r\n"));
         marks.takeRequest();
         Socket half = cluster.connect();
         Message.send(
                 half,
-                request("POST", "/half", "marks.example.org", "Content-Length: 4\r\n") + "po");
-        // The pool of its route has been removed meanwhile.
+                requestHead("POST", "/half", "marks.example.org", "Content-Length: 4\r\n") + "po");
+        // Removes the pool of the second request before its body is complete.
         cluster.reload(
                 "[node]\nlisten = \"127.0.0.1:0\"\ndescriptors = 256\n"
-                        + pool("sim", endpoints(sim))
-                        + route("all", "pool = \"sim\""));
+                        + poolSection("sim", endpointsKey(sim))
+                        + routeSection("all", "pool = \"sim\""));
         cluster.awaitLogLine("1 pools kept, 0 begun, 1 ending");
-        assertEquals("sim", ask("GET", "/x", "marks.example.org", "").body());
+        assertEquals("sim", sendRequest("GET", "/x", "marks.example.org", "").body());
         Message.send(half, "ur");
         assertEquals("routed by the new file", "sim", Message.read(half).body());
-        answer.countDown();
+        respond.countDown();
         assertEquals("late", Message.read(before).body());
         cluster.awaitLogLine("pool marks has ended");
     }
 
     @Test
     public void aFileWithFaultsChangesNothing() throws Exception {
-        serve();
-        cluster.reload(file(endpoints(sim), "deadlin = \"1s\"\n" + endpoints(marks)));
+        startBothServices();
+        cluster.reload(file(endpointsKey(sim), "deadlin = \"1s\"\n" + endpointsKey(marks)));
         cluster.awaitLogLine("pools.marks.deadlin: expected a key that is known, such as deadline");
         cluster.awaitLogLine("is not taken over: 1 faults");
-        assertEquals("marks", ask("GET", "/x", "marks.example.org", "").body());
+        assertEquals("marks", sendRequest("GET", "/x", "marks.example.org", "").body());
     }
 
     @Test
@@ -222,17 +232,17 @@
         Path next = Files.createTempFile("workers", ".json");
         try {
             Files.writeString(list, TestCluster.endpointListJson(1, true, "active", sim));
-            cluster.startWithOperatorFile(file("file = \"" + list + "\"", endpoints(marks)));
-            Message answer = ask("GET", "/x", "sim.example.org", "");
-            assertEquals(cluster.log.toString(), "sim", answer.body());
+            cluster.startWithOperatorFile(file("file = \"" + list + "\"", endpointsKey(marks)));
+            Message response = sendRequest("GET", "/x", "sim.example.org", "");
+            assertEquals(cluster.log.toString(), "sim", response.body());
             String complete = TestCluster.endpointListJson(2, true, "active", marks);
             Files.writeString(list, complete.substring(0, complete.length() / 2));
             cluster.awaitLogLine("can't be used");
-            assertEquals("sim", ask("GET", "/x", "sim.example.org", "").body());
+            assertEquals("sim", sendRequest("GET", "/x", "sim.example.org", "").body());
             Files.writeString(next, complete);
             Files.move(next, list, StandardCopyOption.REPLACE_EXISTING);
             cluster.awaitLogLine("can be used again");
-            assertEquals("marks", ask("GET", "/x", "sim.example.org", "").body());
+            assertEquals("marks", sendRequest("GET", "/x", "sim.example.org", "").body());
         } finally {
             Files.deleteIfExists(list);
             Files.deleteIfExists(next);
@@ -240,51 +250,48 @@
     }
 
     @Test
-    public void requestsAreRejectedWithoutEndpointsAndWithADrainingOneOnly() throws Exception {
+    public void requestsAreRejectedWithoutEndpointsOrWithOnlyADrainingOne() throws Exception {
         Path list = Files.createTempFile("workers", ".json");
         try {
             Files.writeString(list, TestCluster.endpointListJson(1, true, "active"));
             String keys = "file = \"" + list + "\"\n";
             cluster.startWithOperatorFile(
-                    file(keys, endpoints(marks))
+                    file(keys, endpointsKey(marks))
                             .replace(
                                     "aim = \"10s\"\ndeadline = \"20s\"",
                                     "aim = \"300ms\"\ndeadline = \"600ms\""));
-            Message refused = ask("GET", "/x", "sim.example.org", "");
-            assertEquals(cluster.log.toString(), 503, refused.status());
-            assertNotNull(refused.header("Retry-After"));
+            Message rejected = sendRequest("GET", "/x", "sim.example.org", "");
+            assertEquals(cluster.log.toString(), 503, rejected.status());
+            assertNotNull(rejected.header("Retry-After"));
             Files.writeString(list, TestCluster.endpointListJson(2, true, "leaving", sim));
-            for (int i = 0;
-                    i < 4;
-                    i++) { // for longer than the interval at which the file is checked
+            // Four requests take longer than the interval at which the file is checked.
+            for (int i = 0; i < 4; i++) {
                 assertEquals(
                         cluster.log.toString(),
                         503,
-                        ask("GET", "/x", "sim.example.org", "").status());
+                        sendRequest("GET", "/x", "sim.example.org", "").status());
             }
             sim.assertNoMoreRequests();
-            assertEquals("marks", ask("GET", "/x", "marks.example.org", "").body());
+            assertEquals("marks", sendRequest("GET", "/x", "marks.example.org", "").body());
         } finally {
             Files.deleteIfExists(list);
         }
     }
 
-    /**
-     * Two hundred reloads, a quarter of them with faults: no request is lost, no pool is leaked.
-     */
+    /** 200 reloads, a quarter of them of a file with faults, lose no request and leak no pool. */
     @Test
     public void manyReloadsUnderLoad() throws Exception {
-        serve();
+        startBothServices();
         String[] files = {
-            file(endpoints(sim), endpoints(marks)),
-            file(endpoints(sim), "attempts = 2\n" + endpoints(marks)),
-            file("attempts = 2\n" + endpoints(sim), endpoints(marks)),
+            file(endpointsKey(sim), endpointsKey(marks)),
+            file(endpointsKey(sim), "attempts = 2\n" + endpointsKey(marks)),
+            file("attempts = 2\n" + endpointsKey(sim), endpointsKey(marks)),
             "[node\n"
         };
-        ask("GET", "/warm", "sim.example.org", "");
-        ask("GET", "/warm-too", "marks.example.org", "");
+        sendRequest("GET", "/warm", "sim.example.org", "");
+        sendRequest("GET", "/warm-too", "marks.example.org", "");
         int before = cluster.openDescriptorCount();
-        Thread reloads =
+        Thread reloader =
                 new Thread(
                         () -> {
                             try {
@@ -297,32 +304,33 @@
                                 throw new AssertionError(e);
                             }
                         });
-        reloads.start();
+        reloader.start();
         int sent = 0;
         try (Socket client = cluster.connect()) {
-            while (reloads.isAlive()) {
+            while (reloader.isAlive()) {
                 String host = sent++ % 2 == 0 ? "sim" : "marks";
                 Message.send(
                         client,
-                        request(
+                        requestHead(
                                 "POST",
                                 "/" + sent,
                                 host + ".example.org",
                                 "Content-Length: 0\r\n"));
-                Message answer = Message.read(client);
-                assertNotNull("a connection was closed during a request", answer);
-                assertEquals("request " + sent + ": " + answer.startLine(), host, answer.body());
+                Message response = Message.read(client);
+                assertNotNull("a connection was closed during a request", response);
+                assertEquals(
+                        "request " + sent + ": " + response.startLine(), host, response.body());
             }
         }
-        reloads.join();
+        reloader.join();
         assertTrue("requests sent: " + sent, sent > 100);
-        List<Message> asked = new ArrayList<>(sim.requests);
-        asked.addAll(marks.requests);
+        List<Message> requests = new ArrayList<>(sim.requests);
+        requests.addAll(marks.requests);
         assertEquals(
                 "every request once",
                 sent + 2,
-                asked.stream().map(Message::startLine).distinct().count());
-        assertEquals("every request once", sent + 2, asked.size());
+                requests.stream().map(Message::startLine).distinct().count());
+        assertEquals("every request once", sent + 2, requests.size());
         int after = cluster.openDescriptorCount();
         for (int i = 0; i < 100 && after > before + 4; i++) {
             Thread.sleep(100);
--- a/command/src/test/java/trailthread/command/WithTwoServices.java
+++ b/command/src/test/java/trailthread/command/TwoServicesFixture.java
@@ -7,25 +7,25 @@
 import trailthread.testkit.ScriptedServer;
 import trailthread.testkit.TestCluster;
 
-/** The program with two services, sim and marks, each with one scripted endpoint. */
-public abstract class WithTwoServices {
+/** Runs the program with two services, sim and marks, each with one scripted endpoint. */
+public abstract class TwoServicesFixture {
     final TestCluster cluster;
     final ScriptedServer sim;
     final ScriptedServer marks;
 
-    WithTwoServices() throws Exception {
+    TwoServicesFixture() throws Exception {
         cluster = new TestCluster();
         sim = cluster.closeAtEnd(ScriptedServer.respondingWith("sim"));
         marks = cluster.closeAtEnd(ScriptedServer.respondingWith("marks"));
     }
 
     @After
-    public void end() throws Exception {
+    public void close() throws Exception {
         cluster.close();
     }
 
     /** A pool's section of the file, with long timeouts. */
-    static String pool(String name, String keys) {
+    static String poolSection(String name, String keys) {
         return "[pools."
                 + name
                 + "]\naim = \"10s\"\ndeadline = \"20s\"\nconnect_within = \"10s\"\n"
@@ -34,42 +34,43 @@
     }
 
     /** A route's section of the file. */
-    static String route(String name, String keys) {
+    static String routeSection(String name, String keys) {
         return "[[routes]]\nname = \"" + name + "\"\n" + keys + "\n";
     }
 
     /** The key that lists a pool's endpoints. */
-    static String endpoints(ScriptedServer... peers) {
-        StringBuilder list = new StringBuilder("workers = [");
-        for (ScriptedServer peer : peers) {
-            list.append('"').append(peer.hostPort()).append("\",");
+    static String endpointsKey(ScriptedServer... servers) {
+        StringBuilder key = new StringBuilder("workers = [");
+        for (ScriptedServer server : servers) {
+            key.append('"').append(server.hostPort()).append("\",");
         }
-        return list.append("]\n").toString();
+        return key.append("]\n").toString();
     }
 
     /** A file with both pools, each with these keys, and a route to each. */
     String file(String simKeys, String marksKeys) {
         return "[node]\nlisten = \"127.0.0.1:0\"\ndescriptors = 256\n"
-                + pool("sim", simKeys)
-                + pool("marks", marksKeys)
-                + route("sim", "host = \"sim.example.org\"\npool = \"sim\"")
-                + route("marks", "host = \"*.example.org\"\npool = \"marks\"");
+                + poolSection("sim", simKeys)
+                + poolSection("marks", marksKeys)
+                + routeSection("sim", "host = \"sim.example.org\"\npool = \"sim\"")
+                + routeSection("marks", "host = \"*.example.org\"\npool = \"marks\"");
     }
 
     /** Starts the program with both services. */
-    void serve() throws Exception {
-        cluster.startWithOperatorFile(file(endpoints(sim), endpoints(marks)));
+    void startBothServices() throws Exception {
+        cluster.startWithOperatorFile(file(endpointsKey(sim), endpointsKey(marks)));
     }
 
     /** The head of a request. */
-    static String request(String method, String path, String host, String headers) {
+    static String requestHead(String method, String path, String host, String headers) {
         return method + " " + path + " HTTP/1.1\r\nHost: " + host + "\r\n" + headers + "\r\n";
     }
 
     /** Sends a request on a new connection and returns the response. */
-    Message ask(String method, String path, String host, String headers) throws IOException {
+    Message sendRequest(String method, String path, String host, String headers)
+            throws IOException {
         try (Socket client = cluster.connect()) {
-            Message.send(client, request(method, path, host, headers));
+            Message.send(client, requestHead(method, path, host, headers));
             return Message.read(client, method.equals("HEAD"));
         }
     }
