--- a/configuration/src/main/java/trailthread/configuration/OperatorFileReader.java
+++ b/configuration/src/main/java/trailthread/configuration/OperatorFileReader.java
@@ -40,7 +40,7 @@
         faults = new FaultCollector(file);
     }
 
-    /** Reads a file. If it can't be read, this is the only fault of the result. */
+    /** Reads a file. If the file can't be read, the result has this as its only fault. */
     public static OperatorFile.Result read(Path path) {
         try {
             return read(path.toString(), Files.readString(path));
--- a/configuration/src/main/java/trailthread/configuration/PoolsReader.java
+++ b/configuration/src/main/java/trailthread/configuration/PoolsReader.java
@@ -139,9 +139,9 @@
 
     private static Source readSource(Section pool) {
         List<Key> keys = List.of(Key.POOL_ENDPOINTS, Key.POOL_FILE, Key.POOL_DISCOVERY);
-        long given = keys.stream().filter(pool::isGiven).count();
-        if (given != 1) {
-            String found = given == 0 ? "none" : given + " of them";
+        long givenCount = keys.stream().filter(pool::isGiven).count();
+        if (givenCount != 1) {
+            String found = givenCount == 0 ? "none" : givenCount + " of them";
             pool.reportFault(null, "one of workers, file and roster", found);
         }
         if (pool.isGiven(Key.POOL_DISCOVERY)) {
--- a/configuration/src/main/java/trailthread/configuration/RoutesReader.java
+++ b/configuration/src/main/java/trailthread/configuration/RoutesReader.java
@@ -108,11 +108,11 @@
         if (name == null || pool == null) {
             return name;
         }
-        List<String> known =
+        List<String> classNames =
                 pool.classes().stream().map(config -> config.requestClass().name()).toList();
-        if (!known.contains(name)) {
+        if (!classNames.contains(name)) {
             section.reportFault(
-                    key, "a class of pool " + pool.name() + ": " + String.join(", ", known));
+                    key, "a class of pool " + pool.name() + ": " + String.join(", ", classNames));
         }
         if (key == Key.ROUTE_ASSIGNS && pool.profile() == Profile.PLATFORM) {
             section.reportFault(key, "nothing, as the platform's clients name their classes");
