--- a/lab/src/main/java/trailthread/lab/scenario/ScenarioTable.java
+++ b/lab/src/main/java/trailthread/lab/scenario/ScenarioTable.java
@@ -9,7 +9,7 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 import trailthread.configuration.Fault;
-import trailthread.configuration.Nearest;
+import trailthread.configuration.SpellingSuggestion;
 import trailthread.configuration.Units;
 
 /**
@@ -278,11 +278,11 @@
         }
         for (String key : table.keySet()) {
             if (!knownKeys.contains(key)) {
-                String nearest = Nearest.of(key, knownKeys);
+                String suggestion = SpellingSuggestion.find(key, knownKeys);
                 addFault(
                         key,
-                        nearest != null
-                                ? "a key that is known, such as " + nearest
+                        suggestion != null
+                                ? "a key that is known, such as " + suggestion
                                 : "one of " + String.join(", ", knownKeys));
             }
         }
