--- a/daemon/src/main/java/trailthread/daemon/services/PoolSet.java
+++ b/daemon/src/main/java/trailthread/daemon/services/PoolSet.java
@@ -8,7 +8,7 @@
 import trailthread.engine.metrics.MetricsRecorder;
 import trailthread.engine.pool.Pool;
 import trailthread.engine.pool.PoolConfig;
-import trailthread.engine.pool.Shares;
+import trailthread.engine.pool.SharedQuotas;
 
 /** The pools in use, by name. Runs on the loop's thread. */
 final class PoolSet {
@@ -22,7 +22,7 @@
     record Change(int kept, int started, int retired) {}
 
     private final EventLoop loop;
-    private final Shares shares;
+    private final SharedQuotas sharedQuotas;
     private final SplittableRandom random;
     private final MetricsRecorder metrics;
     private final Map<String, Pool> pools = new LinkedHashMap<>();
@@ -32,9 +32,9 @@
      *
      * @param random seeds each new pool
      */
-    PoolSet(EventLoop loop, Shares shares, SplittableRandom random, MetricsRecorder metrics) {
+    PoolSet(EventLoop loop, SharedQuotas sharedQuotas, SplittableRandom random, MetricsRecorder metrics) {
         this.loop = loop;
-        this.shares = shares;
+        this.sharedQuotas = sharedQuotas;
         this.random = random;
         this.metrics = metrics;
     }
@@ -63,7 +63,7 @@
 
     /** Starts a pool, with the endpoint list of the one it replaces if that has the same source. */
     private Pool start(PoolConfig config, Pool replaced) {
-        Pool pool = new Pool(loop, config, random.nextLong(), shares, metrics);
+        Pool pool = new Pool(loop, config, random.nextLong(), sharedQuotas, metrics);
         boolean sameSource = replaced != null && replaced.config().source().equals(config.source());
         pool.start(sameSource ? replaced.known() : null);
         return pool;
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -28,7 +28,7 @@
 import trailthread.engine.metrics.NodeStatus;
 import trailthread.engine.pool.PoolConfig;
 import trailthread.engine.pool.ServicesConfig;
-import trailthread.engine.pool.Shares;
+import trailthread.engine.pool.SharedQuotas;
 import trailthread.engine.routes.RouteTable;
 
 /**
@@ -56,7 +56,7 @@
     private final AdminServer admin;
 
     private final MetricsRecorder metrics;
-    private final Shares shares;
+    private final SharedQuotas sharedQuotas;
     private final PoolSet pools;
     private final HttpListener listener;
     private final Drain drain;
@@ -82,8 +82,8 @@
         admin = adminServer(file);
         metrics = admin == null ? MetricsRecorder.OFF : admin.metricsRecorder();
         ServicesConfig services = file.services();
-        shares = new Shares(loop, services.calls(), services.connections(), services.bodyBytes());
-        pools = new PoolSet(loop, shares, random, metrics);
+        sharedQuotas = new SharedQuotas(loop, services.calls(), services.connections(), services.bodyBytes());
+        pools = new PoolSet(loop, sharedQuotas, random, metrics);
         int forClients = DescriptorBudget.of(file.descriptors(), admin != null).forClients();
         listener =
                 new HttpListener(
@@ -244,7 +244,7 @@
     @Override
     public Map<String, Double> readings() {
         Map<String, Double> readings = new LinkedHashMap<>();
-        readings.put("loop_ratio", shares.busy());
+        readings.put("loop_ratio", sharedQuotas.busy());
         pools.byName()
                 .forEach((name, pool) -> readings.put("loop_" + name + "_ratio", pool.loopShare()));
         return readings;
--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -34,7 +34,7 @@
 
     private final EventLoop loop;
     private final PoolConfig config;
-    private final Shares shares;
+    private final SharedQuotas sharedQuotas;
     private final PoolQuotas quotas;
     private final EndpointPool endpoints;
     private final RequestDispatcher dispatcher;
@@ -59,12 +59,12 @@
             EventLoop loop,
             PoolConfig config,
             long seed,
-            Shares shares,
+            SharedQuotas sharedQuotas,
             MetricsRecorder operators) {
         this.loop = loop;
         this.config = config;
-        this.shares = shares;
-        quotas = new PoolQuotas(shares, config.limits());
+        this.sharedQuotas = sharedQuotas;
+        quotas = new PoolQuotas(sharedQuotas, config.limits());
         Settings settings = config.settings();
         endpoints =
                 new EndpointPool(
@@ -72,7 +72,7 @@
                         settings.connectTimeoutNs,
                         config.attemptPolicy().idleCloseNs(),
                         config.attemptPolicy().drainGraceNs(),
-                        new PoolConnectionLimit(loop, shares, quotas.connections),
+                        new PoolConnectionLimit(loop, sharedQuotas, quotas.connections),
                         settings.latencyResolutionNs(),
                         this);
         metrics = new PoolMetrics(config.name(), operators);
@@ -80,7 +80,7 @@
         dispatcher.setAdmission((requestClass, overQuota, random) -> withinQuota);
         discovery = discovery(config.source());
         dispatcher.setDiscovery(discovery);
-        shares.add(this);
+        sharedQuotas.add(this);
     }
 
     private EndpointListSource discovery(PoolConfig.Source source) {
@@ -125,7 +125,7 @@
     private void lastRequestEnded() {
         endpoints.update(NO_ENDPOINTS, loop.now());
         quotas.leave();
-        shares.remove(this);
+        sharedQuotas.remove(this);
         metrics.poolRemoved();
         LOG.info("pool {} has ended", config.name());
     }
--- a/engine/src/main/java/trailthread/engine/pool/PoolConnectionLimit.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolConnectionLimit.java
@@ -7,12 +7,12 @@
 /** Limits a pool's connections to its endpoints by the quota that pools share. */
 final class PoolConnectionLimit implements ConnectionLimit {
     private final EventLoop loop;
-    private final Shares shares;
+    private final SharedQuotas sharedQuotas;
     private final Quota.Member connections;
 
-    PoolConnectionLimit(EventLoop loop, Shares shares, Quota.Member connections) {
+    PoolConnectionLimit(EventLoop loop, SharedQuotas sharedQuotas, Quota.Member connections) {
         this.loop = loop;
-        this.shares = shares;
+        this.sharedQuotas = sharedQuotas;
         this.connections = connections;
     }
 
@@ -21,7 +21,7 @@
         if (connections.acquire(1, loop.now())) {
             return true;
         }
-        shares.reclaimIdleConnections();
+        sharedQuotas.reclaimIdleConnections();
         return connections.acquire(1, loop.now());
     }
 
--- a/engine/src/main/java/trailthread/engine/pool/PoolQuotas.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolQuotas.java
@@ -16,12 +16,12 @@
      *
      * @throws IllegalArgumentException if the pool's guarantees are more than there is
      */
-    PoolQuotas(Shares shares, PoolConfig.Limits limits) {
+    PoolQuotas(SharedQuotas sharedQuotas, PoolConfig.Limits limits) {
         this.limits = limits;
-        requests = join(shares.requests, limits.requests());
-        connections = join(shares.connections, limits.connections());
-        bodyBytes = join(shares.bodyBytes, limits.bodyBytes());
-        loopTime = shares.loopTime.join(limits.loopWeight());
+        requests = join(sharedQuotas.requests, limits.requests());
+        connections = join(sharedQuotas.connections, limits.connections());
+        bodyBytes = join(sharedQuotas.bodyBytes, limits.bodyBytes());
+        loopTime = sharedQuotas.loopTime.join(limits.loopWeight());
     }
 
     private static Quota.Member join(Quota quota, PoolConfig.QuotaRange range) {
--- a/engine/src/main/java/trailthread/engine/pool/Shares.java
+++ b/engine/src/main/java/trailthread/engine/pool/SharedQuotas.java
@@ -7,7 +7,7 @@
 import trailthread.engine.quota.TimeQuota;
 
 /** The quotas that the pools of a process share. */
-public final class Shares {
+public final class SharedQuotas {
     /** How long a pool that asked to borrow counts as wanting some: several of its requests. */
     private static final long DEMAND_NS = 1_000_000_000L;
 
@@ -28,7 +28,7 @@
      * @param connections to endpoints
      * @param bodyBytes of buffered bodies
      */
-    public Shares(EventLoop loop, long requests, long connections, long bodyBytes) {
+    public SharedQuotas(EventLoop loop, long requests, long connections, long bodyBytes) {
         this.loop = loop;
         this.requests = new Quota(requests, DEMAND_NS);
         this.connections = new Quota(connections, DEMAND_NS);
