--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -244,7 +244,7 @@
     @Override
     public Map<String, Double> readings() {
         Map<String, Double> readings = new LinkedHashMap<>();
-        readings.put("loop_ratio", sharedQuotas.busy());
+        readings.put("loop_ratio", sharedQuotas.loopUtilization());
         pools.byName()
                 .forEach((name, pool) -> readings.put("loop_" + name + "_ratio", pool.loopShare()));
         return readings;
--- a/engine/src/main/java/trailthread/engine/pool/SharedQuotas.java
+++ b/engine/src/main/java/trailthread/engine/pool/SharedQuotas.java
@@ -37,8 +37,8 @@
     }
 
     /** The fraction of its time that the thread worked for the pools of late, 0 to about 1. */
-    public double busy() {
-        return loopTime.busy(loop.now());
+    public double loopUtilization() {
+        return loopTime.utilization(loop.now());
     }
 
     void add(Pool pool) {
--- a/engine/src/main/java/trailthread/engine/quota/TimeQuota.java
+++ b/engine/src/main/java/trailthread/engine/quota/TimeQuota.java
@@ -45,7 +45,7 @@
     }
 
     /** The fraction of the thread's time that all members together use, 0 to about 1. */
-    public double busy(long now) {
+    public double utilization(long now) {
         decay(now);
         return usedNs / decayNs;
     }
@@ -79,7 +79,7 @@
 
         /** Whether something new may be started for it. */
         public boolean mayStart(long now) {
-            if (busy(now) < SATURATED) {
+            if (utilization(now) < SATURATED) {
                 return true;
             }
             double weights = 0;
