--- a/daemon/src/main/java/trailthread/daemon/services/PoolSet.java
+++ b/daemon/src/main/java/trailthread/daemon/services/PoolSet.java
@@ -65,7 +65,7 @@
     private Pool start(PoolConfig config, Pool replaced) {
         Pool pool = new Pool(loop, config, random.nextLong(), sharedQuotas, metrics);
         boolean sameSource = replaced != null && replaced.config().source().equals(config.source());
-        pool.start(sameSource ? replaced.known() : null);
+        pool.start(sameSource ? replaced.endpointList() : null);
         return pool;
     }
 
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryUpdate.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryUpdate.java
@@ -18,7 +18,7 @@
      *
      * @param before the complete list before this update
      */
-    public DiscoveryUpdate onto(DiscoveryUpdate before) {
+    public DiscoveryUpdate appliedTo(DiscoveryUpdate before) {
         Map<String, DiscoveredEndpoint> endpoints = new LinkedHashMap<>();
         if (!reset) {
             before.instances.forEach(entry -> endpoints.put(entry.instanceId(), entry));
--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -44,7 +44,7 @@
     /** Whether the request that is delivered to the balancer now is within the pool's quotas. */
     private boolean withinQuota;
 
-    private DiscoveryUpdate known = NO_ENDPOINTS;
+    private DiscoveryUpdate endpointList = NO_ENDPOINTS;
     private boolean retired;
 
     /**
@@ -103,7 +103,7 @@
             discovery.setKnownList(before);
             apply(ListKind.CACHED, before, loop.now());
         } else {
-            apply(ListKind.CACHED, known, loop.now());
+            apply(ListKind.CACHED, endpointList, loop.now());
         }
         discovery.start();
     }
@@ -136,8 +136,8 @@
     }
 
     /** Its endpoints, as discovery last gave them. */
-    public DiscoveryUpdate known() {
-        return known;
+    public DiscoveryUpdate endpointList() {
+        return endpointList;
     }
 
     /** How many connections to its endpoints there are in each state. */
@@ -151,7 +151,7 @@
     }
 
     /** How many requests are open. */
-    public long open() {
+    public long openRequests() {
         return quotas.requests.held();
     }
 
@@ -232,7 +232,7 @@
     }
 
     private void apply(ListKind kind, DiscoveryUpdate update, long knownSince) {
-        known = update.onto(known);
+        endpointList = update.appliedTo(endpointList);
         endpoints.update(update, knownSince);
         List<EndpointEntry> entries = new ArrayList<>();
         update.instances().forEach(endpoint -> entries.add(endpoint.entry()));
