--- a/command/src/main/java/trailthread/command/CheckCommand.java
+++ b/command/src/main/java/trailthread/command/CheckCommand.java
@@ -88,7 +88,7 @@
                 route.headers().isEmpty() ? "" : " " + route.headers(),
                 route.requestClass() == null ? "" : " class " + route.requestClass(),
                 route.pool(),
-                route.assigns() == null ? "" : ", as " + route.assigns());
+                route.assignedClass() == null ? "" : ", as " + route.assignedClass());
     }
 
     private static String lowerCase(Enum<?> value) {
--- a/command/src/main/java/trailthread/command/RouteCommand.java
+++ b/command/src/main/java/trailthread/command/RouteCommand.java
@@ -111,8 +111,8 @@
     }
 
     private static String requestClass(Route route, RouteQuery query) {
-        if (route.assigns() != null) {
-            return route.assigns();
+        if (route.assignedClass() != null) {
+            return route.assignedClass();
         }
         return query.requestClass() != null ? query.requestClass() : "by the method";
     }
--- a/daemon/src/main/java/trailthread/daemon/listener/ServiceFrontend.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ServiceFrontend.java
@@ -121,7 +121,7 @@
             String method = exchange.getRequestMethod().toString();
             HeaderMap headers = exchange.getRequestHeaders();
             if (plainDecoder != null) {
-                return plainDecoder.decode(method, target, headers, route.assigns());
+                return plainDecoder.decode(method, target, headers, route.assignedClass());
             }
             String query = exchange.getQueryString();
             return platformDecoder.decode(method, path(target), query, headers);
--- a/engine/src/main/java/trailthread/engine/routes/Route.java
+++ b/engine/src/main/java/trailthread/engine/routes/Route.java
@@ -12,7 +12,7 @@
  * @param headers lower-case names, and the value that each must have; {@link #PRESENT}: any value
  * @param requestClass the class that the client must have named; null: any or none
  * @param pool the name of a pool
- * @param assigns the class of its requests, whatever the client names; null: the client's or the
+ * @param assignedClass the class of its requests, whatever the client names; null: the client's or the
  *     method's
  */
 public record Route(
@@ -23,7 +23,7 @@
         Map<String, String> headers,
         String requestClass,
         String pool,
-        String assigns) {
+        String assignedClass) {
     /** The value of a header that must be present, with any value. */
     public static final String PRESENT = "*";
 
