--- a/command/src/main/java/trailthread/command/CheckCommand.java
+++ b/command/src/main/java/trailthread/command/CheckCommand.java
@@ -47,7 +47,7 @@
                 config.name(),
                 config.listen(),
                 config.operatorListen() == null ? "none" : config.operatorListen(),
-                config.services().calls(),
+                config.services().requests(),
                 config.services().connections(),
                 config.services().bodyBytes() + " bytes");
         for (PoolConfig pool : config.services().pools()) {
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -82,7 +82,7 @@
         admin = adminServer(file);
         metrics = admin == null ? MetricsRecorder.OFF : admin.metricsRecorder();
         ServicesConfig services = file.services();
-        sharedQuotas = new SharedQuotas(loop, services.calls(), services.connections(), services.bodyBytes());
+        sharedQuotas = new SharedQuotas(loop, services.requests(), services.connections(), services.bodyBytes());
         pools = new PoolSet(loop, sharedQuotas, random, metrics);
         int forClients = DescriptorBudget.of(file.descriptors(), admin != null).forClients();
         listener =
@@ -183,7 +183,7 @@
     }
 
     private static boolean hasSameTotals(ServicesConfig a, ServicesConfig b) {
-        return a.calls() == b.calls()
+        return a.requests() == b.requests()
                 && a.connections() == b.connections()
                 && a.bodyBytes() == b.bodyBytes();
     }
