--- a/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
+++ b/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
@@ -97,17 +97,17 @@
     }
 
     @Override
-    public void updated(DiscoveryUpdate update, long knownSince) {
+    public void listUpdated(DiscoveryUpdate update, long knownSince) {
         update(update.reset() ? ListKind.FULL : ListKind.DELTA, update, knownSince);
     }
 
     @Override
-    public void failed() {
+    public void listRequestFailed() {
         requests.updateEndpointList(ListKind.FAILED, List.of());
     }
 
     @Override
-    public void confirmed(long asOf) {
+    public void listConfirmed(long asOf) {
         lease.confirmed(asOf);
         publishLease();
     }
--- a/daemon/src/main/java/trailthread/daemon/services/PoolSet.java
+++ b/daemon/src/main/java/trailthread/daemon/services/PoolSet.java
@@ -32,7 +32,11 @@
      *
      * @param random seeds each new pool
      */
-    PoolSet(EventLoop loop, SharedQuotas sharedQuotas, SplittableRandom random, MetricsRecorder metrics) {
+    PoolSet(
+            EventLoop loop,
+            SharedQuotas sharedQuotas,
+            SplittableRandom random,
+            MetricsRecorder metrics) {
         this.loop = loop;
         this.sharedQuotas = sharedQuotas;
         this.random = random;
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -82,7 +82,9 @@
         admin = adminServer(file);
         metrics = admin == null ? MetricsRecorder.OFF : admin.metricsRecorder();
         ServicesConfig services = file.services();
-        sharedQuotas = new SharedQuotas(loop, services.requests(), services.connections(), services.bodyBytes());
+        sharedQuotas =
+                new SharedQuotas(
+                        loop, services.requests(), services.connections(), services.bodyBytes());
         pools = new PoolSet(loop, sharedQuotas, random, metrics);
         int forClients = DescriptorBudget.of(file.descriptors(), admin != null).forClients();
         listener =
--- a/daemon/src/test/java/trailthread/daemon/UnreadUpdatesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UnreadUpdatesTest.java
@@ -64,13 +64,13 @@
                     address(peer),
                     new DiscoveryListener() {
                         @Override
-                        public void updated(DiscoveryUpdate update, long knownSince) {
+                        public void listUpdated(DiscoveryUpdate update, long knownSince) {
                             endpoints.update(update, knownSince);
                             updates.add(update);
                         }
 
                         @Override
-                        public void failed() {
+                        public void listRequestFailed() {
                             failures.incrementAndGet();
                         }
                     });
--- a/daemon/src/test/java/trailthread/daemon/UpdateDueTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UpdateDueTest.java
@@ -52,13 +52,13 @@
                                 InetAddress.getLoopbackAddress(), Integer.parseInt(hostPort[1])),
                         new DiscoveryListener() {
                             @Override
-                            public void updated(DiscoveryUpdate update, long since) {
+                            public void listUpdated(DiscoveryUpdate update, long since) {
                                 updates.add(update); // before the time, which the tests await
                                 knownSince.add(since);
                             }
 
                             @Override
-                            public void failed() {
+                            public void listRequestFailed() {
                                 failures.add(loop.now());
                             }
                         });
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
@@ -168,7 +168,7 @@
                 failing = false;
             }
             long dueAt = confirmedAt + ListLease.NOTIFICATION_DUE_NS;
-            listener.updated(update, Math.min(loop.arrivedNotBefore(), dueAt));
+            listener.listUpdated(update, Math.min(loop.arrivedNotBefore(), dueAt));
         }
 
         @Override
@@ -180,7 +180,7 @@
         public void confirmed() {
             // The sign of life may have lain unread; it says nothing of changes made meanwhile.
             confirmedAt = loop.arrivedNotBefore();
-            listener.confirmed(confirmedAt);
+            listener.listConfirmed(confirmedAt);
         }
 
         @Override
@@ -196,7 +196,7 @@
             if (pushed) {
                 loop.schedule(REOPEN_DELAY_NS, () -> watch(watchWanted));
             } else {
-                listener.failed();
+                listener.listRequestFailed();
             }
         }
 
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryListener.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryListener.java
@@ -8,24 +8,24 @@
      * @param knownSince since when it counts as known, by the loop's clock in nanoseconds; may be
      *     earlier than now, as the update may have arrived, or have been due, before it was read
      */
-    void updated(DiscoveryUpdate update, long knownSince);
+    void listUpdated(DiscoveryUpdate update, long knownSince);
 
     /** A watch or a fetch failed; the list received before stays valid. */
-    void failed();
+    void listRequestFailed();
 
     /**
      * Every change up to this time has been received.
      *
      * @param asOf by the loop's clock in nanoseconds
      */
-    default void confirmed(long asOf) {
+    default void listConfirmed(long asOf) {
         // only listeners that hold the list as a lease need this
     }
 
     /**
      * A request to discovery was refused, broke before there was a response, or got no connection.
-     * {@link #failed} follows, unless lists are pushed. A request that this side gave up is
-     * reported only where lists are pushed: otherwise the state of discovery is not known.
+     * {@link #listRequestFailed} follows, unless lists are pushed. A request that this side gave up
+     * is reported only where lists are pushed: otherwise the state of discovery is not known.
      *
      * @param waitedSince since when the request may have waited at discovery, by the loop's clock
      *     in nanoseconds
--- a/engine/src/main/java/trailthread/engine/discovery/EndpointListFile.java
+++ b/engine/src/main/java/trailthread/engine/discovery/EndpointListFile.java
@@ -141,7 +141,7 @@
                 LOG.info("list {} can be used again", path);
             }
             failing = false;
-            listener.updated(result.update(), loop.now());
+            listener.listUpdated(result.update(), loop.now());
         }
     }
 }
--- a/engine/src/main/java/trailthread/engine/discovery/StaticEndpointList.java
+++ b/engine/src/main/java/trailthread/engine/discovery/StaticEndpointList.java
@@ -61,7 +61,7 @@
 
     private void report() {
         if (!closed) {
-            listener.updated(update, loop.now());
+            listener.listUpdated(update, loop.now());
         }
     }
 
--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -218,14 +218,14 @@
     }
 
     @Override
-    public void updated(DiscoveryUpdate update, long knownSince) {
+    public void listUpdated(DiscoveryUpdate update, long knownSince) {
         if (!retired) {
             apply(update.reset() ? ListKind.FULL : ListKind.DELTA, update, knownSince);
         }
     }
 
     @Override
-    public void failed() {
+    public void listRequestFailed() {
         if (!retired) {
             dispatcher.updateEndpointList(ListKind.FAILED, List.of());
         }
--- a/engine/src/main/java/trailthread/engine/pool/ServicesConfig.java
+++ b/engine/src/main/java/trailthread/engine/pool/ServicesConfig.java
@@ -13,7 +13,11 @@
  * @param routes each to one of the pools; no two of them conflict
  */
 public record ServicesConfig(
-        long requests, long connections, long bodyBytes, List<PoolConfig> pools, List<Route> routes) {
+        long requests,
+        long connections,
+        long bodyBytes,
+        List<PoolConfig> pools,
+        List<Route> routes) {
     public ServicesConfig {
         pools = List.copyOf(pools);
         routes = List.copyOf(routes);
--- a/engine/src/main/java/trailthread/engine/routes/Route.java
+++ b/engine/src/main/java/trailthread/engine/routes/Route.java
@@ -12,8 +12,8 @@
  * @param headers lower-case names, and the value that each must have; {@link #PRESENT}: any value
  * @param requestClass the class that the client must have named; null: any or none
  * @param pool the name of a pool
- * @param assignedClass the class of its requests, whatever the client names; null: the client's or the
- *     method's
+ * @param assignedClass the class of its requests, whatever the client names; null: the client's or
+ *     the method's
  */
 public record Route(
         String name,
