--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveredEndpoint.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveredEndpoint.java
@@ -11,8 +11,8 @@
  * @param zone the availability zone, or empty
  * @param cell the cell that the endpoint belongs to; -1: none
  * @param lifecycle whether the endpoint is ready, draining or gone
- * @param weight the share of the load that it takes, relative to the other endpoints
- * @param startedAtMs Unix time in milliseconds; 0: not known, long ago
+ * @param weight the share of the load relative to the other endpoints
+ * @param startedAtMs when the endpoint started, Unix time in milliseconds; 0: unknown, long ago
  */
 public record DiscoveredEndpoint(
         String instanceId,
@@ -24,7 +24,7 @@
         long startedAtMs) {
     private static final long NS_PER_MS = 1_000_000;
 
-    /** Returns the endpoint in the form in which the balancer takes it. */
+    /** Returns the entry of the balancer's endpoint list for this endpoint. */
     public EndpointEntry entry() {
         return new EndpointEntry(
                 instanceId, weight, lifecycle, zone, startedAtMs * NS_PER_MS, cell);
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
@@ -22,8 +22,8 @@
     private static final long NO_GENERATION = -1;
 
     /**
-     * The pause before a broken watch is opened again in the pushed mode. Short, as the agent that
-     * pushes lists has few clients.
+     * The pause before a broken watch is opened again in the pushed mode. May be short, as the
+     * agent that pushes lists has few clients.
      */
     private static final long REOPEN_DELAY_NS = 50_000_000L;
 
@@ -32,13 +32,13 @@
     private final DiscoveryListener listener;
     private final DiscoveryExchange.Listener exchangeListener = new ExchangeListener();
 
-    /** The version of the list held. */
+    /** The generation of the latest known list. */
     private long generation = NO_GENERATION;
 
     /** The watch that is open, or null. */
     private DiscoveryExchange watch;
 
-    /** Whether a watch is to be open, wherever discovery is. */
+    /** Whether a watch is to be open; kept when the address of discovery changes. */
     private boolean watchWanted;
 
     private boolean pushed;
@@ -55,7 +55,10 @@
      */
     private long confirmedAt;
 
-    /** Creates a client that sends nothing before it is asked to. */
+    /**
+     * Creates a client; it sends nothing before {@link #watch}, {@link #fetch} or {@link
+     * #setPushed}.
+     */
     public DiscoveryClient(EventLoop loop, InetSocketAddress address, DiscoveryListener listener) {
         this.loop = loop;
         this.address = address;
@@ -64,7 +67,8 @@
     }
 
     /**
-     * Sets the address of discovery; exchanges in progress at another address are repeated there.
+     * Sets the address of discovery; fetches in progress at the old address are repeated at the new
+     * one.
      *
      * @return whether the address has changed
      */
@@ -84,8 +88,8 @@
             }
         }
         watch = null;
-        // Opened at once: the backoff after failures at the old address may be longer than the
-        // changes at the new one may wait.
+        // Opened at once. Prevents the backoff after failures at the old address from delaying
+        // changes at the new one for longer than they may wait.
         watch(watchWanted);
         return true;
     }
@@ -141,8 +145,9 @@
     }
 
     /**
-     * Reads updates that have arrived on the watch and were not read yet: the rest of a long list,
-     * or any where the loop runs late. To be called before a request is written to an endpoint.
+     * Reads updates that have arrived on the watch but have not been read: the rest of a long list,
+     * or any update if the loop runs late. Must be called before a request is written to an
+     * endpoint.
      */
     public void readArrivedUpdates() {
         if (watch != null) {
@@ -161,7 +166,7 @@
 
     private final class ExchangeListener implements DiscoveryExchange.Listener {
         @Override
-        public void received(DiscoveryExchange exchange, DiscoveryUpdate update) {
+        public void updateReceived(DiscoveryExchange exchange, DiscoveryUpdate update) {
             generation = update.generation();
             if (failing) {
                 LOG.info("discovery is back, at generation {}", generation);
@@ -172,13 +177,14 @@
         }
 
         @Override
-        public DiscoveryUpdate unchanged() {
+        public DiscoveryUpdate unchangedUpdate() {
             return new DiscoveryUpdate(generation, false, List.of());
         }
 
         @Override
-        public void confirmed() {
-            // The sign of life may have lain unread; it says nothing of changes made meanwhile.
+        public void listConfirmed() {
+            // The sign of life may have arrived long before it is read, and says nothing about
+            // changes made after its arrival.
             confirmedAt = loop.arrivedNotBefore();
             listener.listConfirmed(confirmedAt);
         }
@@ -186,7 +192,7 @@
         @Override
         public void failed(DiscoveryExchange exchange, String reason) {
             logFirstFailure(exchange, reason);
-            boolean provesOutage = pushed ? !exchange.hasReceived() : exchange.wasRejected();
+            boolean provesOutage = pushed ? !exchange.hasReceived() : exchange.provesNotServing();
             if (provesOutage) {
                 listener.pollFailed(exchange.waitedSince());
             }
@@ -204,7 +210,7 @@
         private void logFirstFailure(DiscoveryExchange exchange, String reason) {
             if (!failing) {
                 LOG.warn(
-                        "discovery {} {} ms after the call: going on with the list of generation {}",
+                        "discovery {} {} ms after the request: keeping the list of generation {}",
                         reason,
                         (loop.now() - exchange.startedAt()) / NS_PER_MS,
                         generation);
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryExchange.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryExchange.java
@@ -15,20 +15,20 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * One HTTP exchange with discovery, on a connection of its own, with its timeouts. A watch goes on
- * until it breaks; a fetch ends with its first object.
+ * One HTTP exchange with discovery, on a connection of its own, with its timeouts. A watch stays
+ * open until it fails; a fetch ends with its first object.
  */
 final class DiscoveryExchange implements ResponseListener {
     /** Receives the events of an exchange. */
     interface Listener {
-        /** The exchange brought an update; a fetch is closed by now. */
-        void received(DiscoveryExchange exchange, DiscoveryUpdate update);
+        /** An update was received. A fetch is already closed. */
+        void updateReceived(DiscoveryExchange exchange, DiscoveryUpdate update);
 
-        /** Returns an update that says that the list held has not changed. */
-        DiscoveryUpdate unchanged();
+        /** Returns an update without changes to the known list. */
+        DiscoveryUpdate unchangedUpdate();
 
-        /** Discovery gave a sign of life: every change up to now has been received. */
-        void confirmed();
+        /** Discovery sent a sign of life: every change up to now has been received. */
+        void listConfirmed();
 
         /**
          * The exchange failed and is closed.
@@ -38,32 +38,34 @@
         void failed(DiscoveryExchange exchange, String reason);
 
         /**
-         * The exchange is closed, whatever the reason; no other event but the ones above follows.
+         * The exchange was closed, for any reason. Only events of the message that closed it
+         * follow, or {@link #failed}.
          */
         void closed(DiscoveryExchange exchange);
     }
 
-    /** No queue delays a connect, so one that takes longer meets a broken link. */
+    /** No queue delays a connect, so one that takes longer shows a broken link. */
     private static final long CONNECT_TIMEOUT_NS = 1_000_000_000L;
 
     /**
-     * Requests queue at discovery, which fails them before this time; past it discovery is silent.
+     * Discovery queues requests, and rejects them before this time; after it, discovery does not
+     * respond at all.
      */
     private static final long RESPONSE_TIMEOUT_NS = 4_000_000_000L;
 
     /**
-     * A watch brings an empty line every 2 s. Half an interval past a missed one leaves time to
-     * poll instead.
+     * Discovery sends an empty line on a watch every 2 s. A timeout half an interval after a missed
+     * line leaves time to poll instead.
      */
     private static final long HEARTBEAT_TIMEOUT_NS = 3_000_000_000L;
 
     /**
-     * Longer than a list of thousands of endpoints takes on a fraction of a core. By then the
-     * changes that the object holds count as received anyway.
+     * Longer than a list of thousands of endpoints takes to arrive and be read on a fraction of a
+     * core. After this time the changes in the object count as received anyway.
      */
     private static final long OBJECT_TIMEOUT_NS = ListLease.NOTIFICATION_DUE_NS;
 
-    /** A socket that was read within this time is not read again before a request is sent. */
+    /** The socket is not read before a request is sent if it was read within this time. */
     private static final long FRESH_READ_NS = 20_000_000L;
 
     private static final long NEVER_READ = 0;
@@ -73,7 +75,7 @@
     private final boolean isWatch;
     private final String target;
     private final Listener listener;
-    private final JsonObjectSplitter objects = new JsonObjectSplitter();
+    private final JsonObjectSplitter splitter = new JsonObjectSplitter();
     private final long startedAt;
 
     /** Cancels the connect that is in progress, or null. */
@@ -84,22 +86,25 @@
     private boolean closed;
     private long sentAt;
 
-    /** Discovery has begun a response with status 200. */
+    /** Discovery has responded with status 200. */
     private boolean accepted;
 
     /** An update, or a sign of life in its place, has been received. */
     private boolean received;
 
-    /** This side ended the wait for a response on an open connection. */
-    private boolean timedOutAtDiscovery;
+    /**
+     * The exchange timed out on an open connection, so the request may have been queued at
+     * discovery.
+     */
+    private boolean timedOutAfterConnect;
 
     private long lastReadAt = NEVER_READ;
 
     /** When the first bytes of the incomplete object were read. */
     private long objectStartedAt = NEVER_READ;
 
-    /** The number of objects that came before the incomplete one. */
-    private long objectsBefore;
+    /** The number of objects completed before the incomplete one. */
+    private long completedBefore;
 
     DiscoveryExchange(
             EventLoop loop,
@@ -142,19 +147,19 @@
     }
 
     /**
-     * Reads what has arrived, if something may have arrived that was not read: the rest of a list
-     * that is longer than what is read in one turn, or anything, where the loop runs late.
+     * Reads the connection if bytes may have arrived that were not read: the rest of a list that is
+     * longer than what is read in one turn, or any bytes if the loop runs late.
      */
     void readArrived() {
         long now = loop.now();
         boolean isStale = now - Math.max(lastReadAt, loop.arrivedNotBefore()) > FRESH_READ_NS;
-        if (connection != null && (isStale || objects.isWithinObject())) {
+        if (connection != null && (isStale || splitter.isWithinObject())) {
             lastReadAt = now;
             connection.readArrived();
         }
     }
 
-    /** Ends the exchange at once; the listener gets no further event but {@code closed}. */
+    /** Ends the exchange at once; of the listener's events only {@code closed} follows. */
     void close() {
         closed = true;
         listener.closed(this);
@@ -182,16 +187,17 @@
     }
 
     /**
-     * Returns whether a failed exchange shows that discovery was not serving: it never accepted the
-     * request, and the request was not given up while it may have waited in a queue.
+     * Returns whether the failure of the exchange proves that discovery was not serving: it did not
+     * accept the request, and the exchange did not time out while the request may have been queued.
      */
-    boolean wasRejected() {
-        return !accepted && !timedOutAtDiscovery;
+    boolean provesNotServing() {
+        return !accepted && !timedOutAfterConnect;
     }
 
     /**
-     * Returns since when the request may have waited at discovery, by {@link EventLoop#now}. One
-     * without a connection cannot have waited there, however late the failure is noticed.
+     * Returns since when the request may have been queued at discovery, by {@link EventLoop#now}.
+     * Without a connection that is now: the request cannot have been queued, however late the
+     * failure is noticed.
      */
     long waitedSince() {
         return connection == null ? loop.now() : sentAt;
@@ -201,7 +207,7 @@
     public void head(int status, HeaderMap headers) {
         accepted = status == StatusCodes.OK;
         if (accepted) {
-            // the request may have been queued for nearly all of the time that is left
+            // the request may have been queued for nearly the whole response timeout
             restartTimeout(RESPONSE_TIMEOUT_NS);
         } else {
             fail("answers " + status);
@@ -214,48 +220,48 @@
             return;
         }
         try {
-            for (String object : objects.add(piece)) {
+            for (String object : splitter.add(piece)) {
                 if (!closed) {
-                    receive(DiscoveryParser.parse(object));
+                    receiveUpdate(DiscoveryParser.parse(object));
                 }
             }
-            if (objects.hadSignOfLife()) {
+            if (splitter.hadSignOfLife()) {
                 receiveSignOfLife();
             }
-            if (!closed && objects.isWithinObject()) {
-                limitObjectTime();
+            if (!closed && splitter.isWithinObject()) {
+                restartObjectTimeout();
             }
         } catch (IOException e) {
             fail(e.getMessage());
         }
     }
 
-    private void receive(DiscoveryUpdate update) {
+    private void receiveUpdate(DiscoveryUpdate update) {
         received = true;
         if (!isWatch) {
             close();
         }
-        listener.received(this, update);
+        listener.updateReceived(this, update);
     }
 
     private void receiveSignOfLife() {
         if (!closed && isWatch && !received) {
-            receive(listener.unchanged());
+            receiveUpdate(listener.unchangedUpdate());
         }
         if (!closed) {
             restartTimeout(HEARTBEAT_TIMEOUT_NS);
         }
-        listener.confirmed();
+        listener.listConfirmed();
     }
 
     /**
-     * Allows a long object its time as long as bytes of it arrive, up to a limit, so that a list
-     * that trickles is given up.
+     * Restarts the timeout as bytes of an object arrive, up to a limit for the object. Prevents a
+     * list that arrives a few bytes at a time from keeping the exchange open forever.
      */
-    private void limitObjectTime() {
+    private void restartObjectTimeout() {
         long now = loop.now();
-        if (objects.completedCount() != objectsBefore || objectStartedAt == NEVER_READ) {
-            objectsBefore = objects.completedCount();
+        if (splitter.completedCount() != completedBefore || objectStartedAt == NEVER_READ) {
+            completedBefore = splitter.completedCount();
             objectStartedAt = now;
         }
         long objectTimeLeftNs = Math.max(0, objectStartedAt + OBJECT_TIMEOUT_NS - now);
@@ -264,7 +270,7 @@
 
     @Override
     public void completed() {
-        fail(objects.isWithinObject() ? "ends within an object" : "ends the watch");
+        fail(splitter.isWithinObject() ? "ends within an object" : "ends the response");
     }
 
     @Override
@@ -280,7 +286,7 @@
     }
 
     private void timedOut() {
-        timedOutAtDiscovery = connection != null;
+        timedOutAfterConnect = connection != null;
         fail("is silent");
     }
 
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryListener.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryListener.java
@@ -5,8 +5,8 @@
     /**
      * A complete list, or a change to the list, was received.
      *
-     * @param knownSince since when it counts as known, by the loop's clock in nanoseconds; may be
-     *     earlier than now, as the update may have arrived, or have been due, before it was read
+     * @param knownSince since when the update counts as known, by the loop's clock in nanoseconds;
+     *     before now if it arrived, or was due, before it was read
      */
     void listUpdated(DiscoveryUpdate update, long knownSince);
 
@@ -23,12 +23,12 @@
     }
 
     /**
-     * A request to discovery was refused, broke before there was a response, or got no connection.
-     * {@link #listRequestFailed} follows, unless lists are pushed. A request that this side gave up
-     * is reported only where lists are pushed: otherwise the state of discovery is not known.
+     * A request to discovery was rejected, failed before its response, or got no connection. {@link
+     * #listRequestFailed} follows, unless lists are pushed. A request that timed out is reported
+     * only if lists are pushed: otherwise it does not show whether discovery is serving.
      *
-     * @param waitedSince since when the request may have waited at discovery, by the loop's clock
-     *     in nanoseconds
+     * @param waitedSince since when the request may have been queued at discovery, by the loop's
+     *     clock in nanoseconds
      */
     default void pollFailed(long waitedSince) {
         // only listeners that hold the list as a lease need this
--- a/engine/src/main/java/trailthread/engine/discovery/EndpointListFile.java
+++ b/engine/src/main/java/trailthread/engine/discovery/EndpointListFile.java
@@ -14,14 +14,14 @@
  * An endpoint list in a file, in the JSON form of a complete list from discovery.
  *
  * <p>The file is checked for changes twice a second, by modification time, size and inode, on a
- * thread beside the event loop. It may be replaced or rewritten at any time. A file that cannot be
- * read, such as one that is half written, is logged once, and the list read before stays valid.
+ * worker thread. It may be replaced or rewritten at any time. A file that cannot be read, such as
+ * one that is half written, is logged once, and the list that was read last stays valid.
  */
 public final class EndpointListFile implements EndpointListSource {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListFile.class);
     private static final long CHECK_INTERVAL_NS = 500_000_000L;
 
-    /** Far more than ten thousand endpoints need. */
+    /** Far more than a list of ten thousand endpoints has. */
     private static final long MAX_FILE_BYTES = 8 * 1024 * 1024;
 
     /** Identifies one version of the file's contents. */
@@ -45,7 +45,7 @@
     private final Path path;
     private final DiscoveryListener listener;
 
-    /** The version read last, or null: the file is to be read whatever its version. */
+    /** The version that was read last; null: the next check reads the file whatever its version. */
     private FileVersion lastVersion;
 
     private boolean failing;
@@ -87,22 +87,22 @@
         if (closed) {
             return;
         }
-        FileVersion before = lastVersion;
-        loop.xnioWorker().execute(() -> checkBesideLoop(before));
+        FileVersion knownVersion = lastVersion;
+        loop.xnioWorker().execute(() -> checkOnWorkerThread(knownVersion));
         loop.schedule(CHECK_INTERVAL_NS, this::startCheck);
     }
 
-    /** Runs on the worker thread, as reading a file may block. */
-    private void checkBesideLoop(FileVersion before) {
-        CheckResult result = check(before);
-        loop.execute(() -> checked(result));
+    /** Runs on a worker thread, as reading a file may block the loop. */
+    private void checkOnWorkerThread(FileVersion knownVersion) {
+        CheckResult result = check(knownVersion);
+        loop.execute(() -> applyResult(result));
     }
 
-    private CheckResult check(FileVersion before) {
+    private CheckResult check(FileVersion knownVersion) {
         try {
             FileVersion version =
                     FileVersion.of(Files.readAttributes(path, BasicFileAttributes.class));
-            DiscoveryUpdate update = version.equals(before) ? null : read(version.size());
+            DiscoveryUpdate update = version.equals(knownVersion) ? null : read(version.size());
             return new CheckResult(version, update, null);
         } catch (IOException e) {
             return new CheckResult(
@@ -120,25 +120,25 @@
         return new DiscoveryUpdate(update.generation(), true, update.instances());
     }
 
-    private void checked(CheckResult result) {
+    private void applyResult(CheckResult result) {
         if (closed) {
             return;
         }
         if (result.error() != null) {
             if (!failing) {
                 LOG.warn(
-                        "list {} can't be used ({}): going on with the one before",
+                        "endpoint list {} can't be used ({}): keeping the previous list",
                         path,
                         result.error());
             }
             failing = true;
-            lastVersion = null; // read it again at each check until it can be used
+            lastVersion = null; // the file is read at each check until it can be used
             return;
         }
         lastVersion = result.version();
         if (result.update() != null) {
             if (failing) {
-                LOG.info("list {} can be used again", path);
+                LOG.info("endpoint list {} can be used again", path);
             }
             failing = false;
             listener.listUpdated(result.update(), loop.now());
--- a/engine/src/main/java/trailthread/engine/discovery/EndpointListSource.java
+++ b/engine/src/main/java/trailthread/engine/discovery/EndpointListSource.java
@@ -9,15 +9,15 @@
     void start();
 
     /**
-     * Sets the complete list that the listener has already, as after a restart. The listener is not
-     * notified of it again.
+     * Sets the complete list that the listener already has, as after a restart. The listener is not
+     * notified of this list.
      */
     void setKnownList(DiscoveryUpdate update);
 
     /**
      * Starts or stops watching the list for changes.
      *
-     * @param on whether a watch is to be open; no effect if it is already
+     * @param on whether a watch is to be open; no effect if that is so already
      */
     void watch(boolean on);
 
--- a/engine/src/main/java/trailthread/engine/discovery/HostPort.java
+++ b/engine/src/main/java/trailthread/engine/discovery/HostPort.java
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Returns whether the text is an IPv4 address with a port. Checked without a URI, as a list has
-     * thousands of addresses, nearly all of this form.
+     * Returns whether the text is an IPv4 address with a port. Faster than parsing a URI: a list
+     * has thousands of addresses, nearly all of this form.
      */
     private static boolean isIpv4WithPort(String text) {
         int octets = 1;
--- a/engine/src/main/java/trailthread/engine/discovery/JsonObjectSplitter.java
+++ b/engine/src/main/java/trailthread/engine/discovery/JsonObjectSplitter.java
@@ -8,16 +8,16 @@
 import java.util.List;
 
 /**
- * Splits the byte stream of a watch into its JSON objects, wherever the stream is cut into pieces
- * and however the objects are indented. Does no I/O.
+ * Splits the byte stream of a response into its JSON objects, however the stream is cut into pieces
+ * and the objects are indented. Does no I/O.
  */
 final class JsonObjectSplitter {
     private static final int MAX_OBJECT_BYTES = 4 * 1024 * 1024;
 
-    /** The bytes of the incomplete object that earlier pieces brought. */
+    /** The bytes of the incomplete object in earlier pieces. */
     private final ByteArrayOutputStream partialObject = new ByteArrayOutputStream();
 
-    /** The number of brackets that are open. */
+    /** The number of open braces and brackets. */
     private int depth;
 
     private boolean inString;
@@ -46,12 +46,12 @@
                 continue;
             }
             if (depth == 0 && piece[position] != '{') {
-                throw new IOException("sends what is no object");
+                throw new IOException("sends something other than a JSON object");
             }
-            int end = endOfObject(piece, position);
-            append(piece, position, end);
+            int end = findObjectEnd(piece, position);
+            appendToObject(piece, position, end);
             if (depth == 0) {
-                objects.add(takeCompleted());
+                objects.add(takeCompletedObject());
             }
             position = end;
         }
@@ -64,7 +64,7 @@
     }
 
     /** Returns where the current object ends in this piece, or the piece's end. */
-    private int endOfObject(byte[] piece, int from) {
+    private int findObjectEnd(byte[] piece, int from) {
         int position = from;
         do {
             updateNesting(piece[position]);
@@ -88,15 +88,18 @@
         }
     }
 
-    /** Copies a range at once: a list of thousands of endpoints is half a megabyte. */
-    private void append(byte[] piece, int from, int to) throws IOException {
+    /**
+     * Copies a range at once rather than byte by byte: a list of thousands of endpoints is half a
+     * megabyte.
+     */
+    private void appendToObject(byte[] piece, int from, int to) throws IOException {
         if (partialObject.size() + to - from > MAX_OBJECT_BYTES) {
-            throw new IOException("sends an object without end");
+            throw new IOException("sends an object of more than " + MAX_OBJECT_BYTES + " bytes");
         }
         partialObject.write(piece, from, to - from);
     }
 
-    private String takeCompleted() {
+    private String takeCompletedObject() {
         completedCount++;
         String object = partialObject.toString(StandardCharsets.UTF_8);
         partialObject.reset();
@@ -104,8 +107,9 @@
     }
 
     /**
-     * Returns whether the piece added last held the end of an object or an empty line. Single bytes
-     * of either do not count, so that a peer that trickles is found out.
+     * Returns whether the piece added last held the end of an object or an empty line. Bytes of an
+     * incomplete object do not count. Prevents a peer that sends a few bytes at a time from being
+     * taken for alive.
      */
     boolean hadSignOfLife() {
         return signOfLife;
