--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -38,10 +38,10 @@
     private final PoolQuotas quotas;
     private final EndpointPool endpoints;
     private final RequestDispatcher dispatcher;
-    private final EndpointListSource discovery;
+    private final EndpointListSource endpointListSource;
     private final PoolMetrics metrics;
 
-    /** Whether the request that is delivered to the balancer now is within the pool's quotas. */
+    /** Whether the request that is being delivered to the balancer is within the pool's quotas. */
     private boolean withinQuota;
 
     private DiscoveryUpdate endpointList = NO_ENDPOINTS;
@@ -50,17 +50,17 @@
     /**
      * Makes a pool, which serves from {@link #start} on.
      *
-     * @param seed of its balancer's random numbers
-     * @param operators records its metrics, beside those of the other pools
-     * @throws IllegalArgumentException if its guarantees are more than there is, or its settings
-     *     are invalid
+     * @param seed seeds the balancer's random numbers
+     * @param recorder records the metrics of all pools
+     * @throws IllegalArgumentException if the pool's guarantees exceed what is left of a quota, or
+     *     its settings are invalid
      */
     public Pool(
             EventLoop loop,
             PoolConfig config,
             long seed,
             SharedQuotas sharedQuotas,
-            MetricsRecorder operators) {
+            MetricsRecorder recorder) {
         this.loop = loop;
         this.config = config;
         this.sharedQuotas = sharedQuotas;
@@ -75,15 +75,15 @@
                         new PoolConnectionLimit(loop, sharedQuotas, quotas.connections),
                         settings.latencyResolutionNs(),
                         this);
-        metrics = new PoolMetrics(config.name(), operators);
+        metrics = new PoolMetrics(config.name(), recorder);
         dispatcher = new RequestDispatcher(loop, endpoints, settings, seed, metrics);
         dispatcher.setAdmission((requestClass, overQuota, random) -> withinQuota);
-        discovery = discovery(config.source());
-        dispatcher.setDiscovery(discovery);
+        endpointListSource = createListSource(config.source());
+        dispatcher.setDiscovery(endpointListSource);
         sharedQuotas.add(this);
     }
 
-    private EndpointListSource discovery(PoolConfig.Source source) {
+    private EndpointListSource createListSource(PoolConfig.Source source) {
         if (source instanceof PoolConfig.Source.Discovery server) {
             return new DiscoveryClient(loop, EndpointPool.address(server.hostPort()), this);
         }
@@ -94,80 +94,85 @@
     }
 
     /**
-     * Serves from now on.
+     * Starts the pool.
      *
-     * @param before the endpoint list of an earlier pool with this source; null: there was none
+     * @param before the endpoint list of an earlier pool with the same source; null: there was none
      */
     public void start(DiscoveryUpdate before) {
         if (before != null) {
-            discovery.setKnownList(before);
-            apply(ListKind.CACHED, before, loop.now());
+            endpointListSource.setKnownList(before);
+            applyUpdate(ListKind.CACHED, before, loop.now());
         } else {
-            apply(ListKind.CACHED, endpointList, loop.now());
+            applyUpdate(ListKind.CACHED, endpointList, loop.now());
         }
-        discovery.start();
+        endpointListSource.start();
     }
 
     /**
-     * Shuts down gracefully: admits nothing from now on, finishes its open requests, and then
-     * closes its connections and leaves the quotas.
+     * Shuts down gracefully: admits no more requests, finishes the open ones, and then closes the
+     * connections and leaves the quotas.
      */
     public void retire() {
         if (retired) {
             return;
         }
         retired = true;
-        discovery.close();
+        endpointListSource.close();
         quotas.dropGuarantees();
-        dispatcher.retire(this::lastRequestEnded);
+        dispatcher.retire(this::releaseResources);
     }
 
-    private void lastRequestEnded() {
+    private void releaseResources() {
         endpoints.update(NO_ENDPOINTS, loop.now());
         quotas.leave();
         sharedQuotas.remove(this);
-        metrics.poolRemoved();
+        metrics.removeEndpoints();
         LOG.info("pool {} has ended", config.name());
     }
 
-    /** What it was made from. */
+    /** Returns the configuration that the pool was created with. */
     public PoolConfig config() {
         return config;
     }
 
-    /** Its endpoints, as discovery last gave them. */
+    /** Returns the complete endpoint list as of its last update. */
     public DiscoveryUpdate endpointList() {
         return endpointList;
     }
 
-    /** How many connections to its endpoints there are in each state. */
+    /** Returns the number of connections to endpoints in each state. */
     public Map<String, Integer> connections() {
         return endpoints.connections();
     }
 
-    /** How many of its endpoints the balancer avoids now. */
+    /** Returns the number of endpoints that the balancer avoids now. */
     public int avoidedEndpoints() {
         return dispatcher.avoidedEndpoints();
     }
 
-    /** How many requests are open. */
+    /** Returns the number of open requests. */
     public long openRequests() {
         return quotas.requests.held();
     }
 
-    /** The fraction of the thread's time that it has used of late, 0 to about 1. */
+    /** Returns the fraction of the loop's recent time that the pool used, 0 to about 1. */
     public double loopShare() {
-        return quotas.loopTime.fraction(loop.now());
+        return quotas.loopTime.usedFraction(loop.now());
     }
 
-    /** Whether a body of so many bytes may be buffered; {@link #releaseBody} follows if so. */
+    /**
+     * Reserves bytes for the body of a request that is buffered; if they are reserved, {@link
+     * #releaseBody} must follow.
+     *
+     * @return whether the pool's quota allows them
+     */
     public boolean reserveBody(long bytes) {
-        return quotas.acquireBody(bytes, loop.now());
+        return quotas.acquireBodyBytes(bytes, loop.now());
     }
 
-    /** A body is buffered no more. */
+    /** Releases the bytes of a body that is no longer buffered. */
     public void releaseBody(long bytes) {
-        quotas.releaseBody(bytes);
+        quotas.releaseBodyBytes(bytes);
     }
 
     @Override
@@ -176,11 +181,11 @@
     }
 
     /**
-     * Admits a request. One beyond the pool's quotas is delivered to the balancer too, which
+     * Admits a request. A request beyond the pool's quotas is also delivered to the balancer, which
      * rejects it.
      *
-     * @param bodyBytes how many bytes were acquired for its body; they are released with its end.
-     *     -1: they could not be acquired
+     * @param bodyBytes the number of bytes reserved for the request's body, which are released when
+     *     the request ends; -1: the quota did not allow them
      */
     public Runnable handle(
             ClientRequest request, long deadline, ClientResponse response, long bodyBytes) {
@@ -204,7 +209,7 @@
         if (withinQuota) {
             response.countAsOpen();
         }
-        response.setWhenDisconnected(dispatcher.handle(request, deadline, response));
+        response.setDisconnectHandler(dispatcher.handle(request, deadline, response));
     }
 
     @Override
@@ -214,13 +219,13 @@
 
     @Override
     public void spent(long ns) {
-        quotas.loopTime.used(ns, loop.now());
+        quotas.loopTime.addUsage(ns, loop.now());
     }
 
     @Override
     public void listUpdated(DiscoveryUpdate update, long knownSince) {
         if (!retired) {
-            apply(update.reset() ? ListKind.FULL : ListKind.DELTA, update, knownSince);
+            applyUpdate(update.reset() ? ListKind.FULL : ListKind.DELTA, update, knownSince);
         }
     }
 
@@ -231,7 +236,7 @@
         }
     }
 
-    private void apply(ListKind kind, DiscoveryUpdate update, long knownSince) {
+    private void applyUpdate(ListKind kind, DiscoveryUpdate update, long knownSince) {
         endpointList = update.appliedTo(endpointList);
         endpoints.update(update, knownSince);
         List<EndpointEntry> entries = new ArrayList<>();
@@ -240,7 +245,7 @@
         dispatcher.updateEndpointList(kind, entries);
     }
 
-    /** Closes idle connections as far as the pool holds more than its part and others want some. */
+    /** Closes idle connections if the pool holds more than its part and other pools want some. */
     void closeExcessIdleConnections() {
         long excess = quotas.connections.excess(loop.now());
         if (excess > 0) {
--- a/engine/src/main/java/trailthread/engine/pool/PoolConfig.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolConfig.java
@@ -18,9 +18,9 @@
  * @param placement the position of this node among those that share the endpoints
  * @param classes its request classes; for each {@link RetrySafety} the first one is the default of
  *     plain requests
- * @param tenants those with a quota
+ * @param tenants the tenants that have a quota
  * @param attemptPolicy how requests are attempted, retried and rejected
- * @param limits its ranges in the quotas that pools share
+ * @param limits the pool's ranges in the quotas that pools share
  */
 public record PoolConfig(
         String name,
@@ -34,12 +34,13 @@
     /** The protocol of clients and endpoints. */
     public enum Profile {
         /**
-         * Any HTTP/1.1: the method determines idempotency, headers are forwarded, endpoints may
+         * Plain HTTP/1.1: the method determines idempotency, headers are forwarded, endpoints may
          * answer with any status.
          */
         PLAIN,
         /**
-         * The platform's: class and deadline are in its own headers; only status 200 is success.
+         * The platform's protocol: class and deadline are in headers of its own; only status 200 is
+         * success.
          */
         PLATFORM
     }
@@ -56,7 +57,10 @@
             }
         }
 
-        /** A file with what a discovery server would send; it may be replaced at any time. */
+        /**
+         * A file with a list in the form that a discovery server sends; it may be replaced at any
+         * time.
+         */
         record ListFile(String path) implements Source {}
     }
 
@@ -88,7 +92,7 @@
      * @param requestClass the settings of the class for the balancer
      */
     public record ClassConfig(RequestClass requestClass, RetrySafety retrySafety) {
-        /** Converts for the balancer, which does not tell safe from idempotent requests. */
+        /** Returns the balancer's term, which does not tell safe from idempotent requests. */
         public static Idempotency idempotency(RetrySafety retrySafety) {
             return switch (retrySafety) {
                 case SAFE, IDEMPOTENT -> Idempotency.IDEMPOTENT;
@@ -102,12 +106,12 @@
      * How requests are attempted, retried and rejected; times in ns.
      *
      * @param idleCloseNs how long an endpoint leaves an idle connection open
-     * @param drainGraceNs how long new requests may still be sent after an endpoint is known to be
-     *     draining
-     * @param responseSlackNs how far past a client's deadline an answer still counts
+     * @param drainGraceNs how long new requests may still be sent to an endpoint after it is known
+     *     to be draining
+     * @param responseSlackNs how long after a client's deadline an answer still counts
      * @param maxRetryAfterNs the longest Retry-After; 0: none is sent
-     * @param crossZonePrice of an attempt to another zone, as a fraction of the balancer's
-     *     objective
+     * @param crossZonePrice the price of an attempt to another zone, as a fraction of the
+     *     balancer's objective
      * @param slowStartInitialShare the fraction of its capacity that an endpoint has at the start
      *     of its slow start
      * @param slowStartNs how long the slow start lasts
@@ -136,10 +140,10 @@
     /**
      * A pool's ranges in the quotas that pools share.
      *
-     * @param requests open at a time
-     * @param connections to its endpoints
-     * @param bodyBytes of request bodies that are buffered
-     * @param loopWeight its weight in the division of the loop's time, above 0
+     * @param requests the range of open requests
+     * @param connections the range of connections to the pool's endpoints
+     * @param bodyBytes the range of bytes of buffered request bodies
+     * @param loopWeight the pool's weight in the division of the loop's time, above 0
      */
     public record Limits(
             QuotaRange requests, QuotaRange connections, QuotaRange bodyBytes, double loopWeight) {}
@@ -149,7 +153,7 @@
         tenants = List.copyOf(tenants);
     }
 
-    /** The settings of its balancer. */
+    /** Returns the settings of the pool's balancer. */
     Settings settings() {
         Settings s = new Settings();
         s.nodeIndex = placement.index();
--- a/engine/src/main/java/trailthread/engine/pool/PoolConnectionLimit.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolConnectionLimit.java
@@ -4,7 +4,7 @@
 import trailthread.engine.loop.EventLoop;
 import trailthread.engine.quota.Quota;
 
-/** Limits a pool's connections to its endpoints by the quota that pools share. */
+/** Limits a pool's connections to its endpoints by the connection quota that pools share. */
 final class PoolConnectionLimit implements ConnectionLimit {
     private final EventLoop loop;
     private final SharedQuotas sharedQuotas;
--- a/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolMetrics.java
@@ -13,12 +13,15 @@
 import trailthread.engine.metrics.MetricsRecorder;
 import trailthread.engine.metrics.RequestResult;
 
-/** Records one pool's metrics among those of all pools: classes and endpoints are pool/name. */
+/**
+ * Records one pool's metrics in the recorder of all pools, with names of classes and endpoints in
+ * the form pool/name.
+ */
 final class PoolMetrics extends ForwardingMetricsRecorder {
     private final String prefix;
 
-    /** The pool's endpoints, by their names without the prefix. */
-    private final Map<String, EndpointEntry> listed = new HashMap<>();
+    /** The endpoints on the pool's list, by their names without the prefix. */
+    private final Map<String, EndpointEntry> listedEndpoints = new HashMap<>();
 
     PoolMetrics(String pool, MetricsRecorder recorder) {
         super(recorder);
@@ -57,31 +60,31 @@
     }
 
     /**
-     * Records a full list as the changes to the one before: the metrics hold the endpoints of all
-     * pools, and a full list of one would remove the others.
+     * Records a full list as the changes since the previous list. Prevents the full list of one
+     * pool from removing the endpoints of the others, as the metrics hold those of all pools.
      */
     @Override
     public void endpointListUpdated(ListKind kind, List<EndpointEntry> entries) {
         List<EndpointEntry> changes = new ArrayList<>();
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
-            Map<String, EndpointEntry> removed = new HashMap<>(listed);
+            Map<String, EndpointEntry> removed = new HashMap<>(listedEndpoints);
             entries.forEach(entry -> removed.remove(entry.endpoint()));
             removed.values().forEach(entry -> changes.add(withPrefix(entry, EndpointState.GONE)));
-            listed.clear();
+            listedEndpoints.clear();
         }
         for (EndpointEntry entry : entries) {
             changes.add(withPrefix(entry, entry.state()));
             if (entry.state() == EndpointState.GONE) {
-                listed.remove(entry.endpoint());
+                listedEndpoints.remove(entry.endpoint());
             } else {
-                listed.put(entry.endpoint(), entry);
+                listedEndpoints.put(entry.endpoint(), entry);
             }
         }
         super.endpointListUpdated(ListKind.DELTA, changes);
     }
 
     /** Removes the pool's endpoints from the metrics. */
-    void poolRemoved() {
+    void removeEndpoints() {
         endpointListUpdated(ListKind.FULL, List.of());
     }
 
--- a/engine/src/main/java/trailthread/engine/pool/PoolQuotas.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolQuotas.java
@@ -14,7 +14,7 @@
     /**
      * Joins the quotas.
      *
-     * @throws IllegalArgumentException if the pool's guarantees are more than there is
+     * @throws IllegalArgumentException if a guarantee exceeds what is left of its quota
      */
     PoolQuotas(SharedQuotas sharedQuotas, PoolConfig.Limits limits) {
         this.limits = limits;
@@ -28,7 +28,10 @@
         return quota.join(range.guaranteed(), range.max());
     }
 
-    /** Leaves the guarantees to other pools; open requests may still borrow up to the limits. */
+    /**
+     * Gives up the guarantees, for other pools to have; open requests may still borrow up to the
+     * limits.
+     */
     void dropGuarantees() {
         requests.resize(0, limits.requests().max());
         connections.resize(0, limits.connections().max());
@@ -43,13 +46,15 @@
         loopTime.leave();
     }
 
-    /** Whether a body of so many bytes may be buffered; {@link #releaseBody} follows if so. */
-    boolean acquireBody(long bytes, long now) {
+    /**
+     * Returns whether so many bytes were acquired; if so, {@link #releaseBodyBytes} must follow.
+     */
+    boolean acquireBodyBytes(long bytes, long now) {
         return bytes == 0 || bodyBytes.acquire(bytes, now);
     }
 
-    /** A body is buffered no more. */
-    void releaseBody(long bytes) {
+    /** Releases the bytes of a body that is no longer buffered. */
+    void releaseBodyBytes(long bytes) {
         if (bytes > 0) {
             bodyBytes.release(bytes);
         }
--- a/engine/src/main/java/trailthread/engine/pool/QuotaReleasingResponse.java
+++ b/engine/src/main/java/trailthread/engine/pool/QuotaReleasingResponse.java
@@ -6,15 +6,16 @@
 import trailthread.engine.request.ClientResponse;
 
 /**
- * Answers one request, and returns what the request holds of its pool's quotas with the end of its
- * answer or the client's disconnection, whichever comes first. Run when the client disconnects.
+ * The response to one request, which releases what the request holds of its pool's quotas when the
+ * response ends or the client disconnects, whichever comes first. {@link #run} handles the
+ * disconnection.
  */
 final class QuotaReleasingResponse implements ClientResponse, Runnable {
     private final ClientResponse response;
     private final PoolQuotas quotas;
     private final long bufferedBytes;
     private boolean countsAsOpen;
-    private Runnable whenDisconnected;
+    private Runnable disconnectHandler;
     private boolean quotaReleased;
 
     /**
@@ -26,19 +27,19 @@
         this.bufferedBytes = bufferedBytes;
     }
 
-    /** The request holds one of the quota of open requests. */
+    /** Records that the request holds one of the quota of open requests. */
     void countAsOpen() {
         countsAsOpen = true;
     }
 
-    void setWhenDisconnected(Runnable whenDisconnected) {
-        this.whenDisconnected = whenDisconnected;
+    void setDisconnectHandler(Runnable disconnectHandler) {
+        this.disconnectHandler = disconnectHandler;
     }
 
     private void releaseQuota() {
         if (!quotaReleased) {
             quotaReleased = true;
-            quotas.releaseBody(bufferedBytes);
+            quotas.releaseBodyBytes(bufferedBytes);
             if (countsAsOpen) {
                 quotas.requests.release(1);
             }
@@ -75,14 +76,14 @@
         response.onReleased();
     }
 
-    /** The client has disconnected. */
+    /** Handles the disconnection of the client. */
     @Override
     public void run() {
         releaseQuota();
-        whenDisconnected.run();
+        disconnectHandler.run();
     }
 
-    /** Streams the body, and returns the quota at its end. */
+    /** Streams the body, and releases the quotas at its end. */
     private final class QuotaReleasingSink implements ByteSink {
         private final ByteSink sink;
 
--- a/engine/src/main/java/trailthread/engine/pool/ServicesConfig.java
+++ b/engine/src/main/java/trailthread/engine/pool/ServicesConfig.java
@@ -4,13 +4,13 @@
 import trailthread.engine.routes.Route;
 
 /**
- * The services of a process.
+ * The configuration of all pools of a process.
  *
- * @param requests that all pools together may have open
- * @param connections to endpoints
- * @param bodyBytes of request bodies that are buffered
- * @param pools their guarantees add up to no more than these
- * @param routes each to one of the pools; no two of them conflict
+ * @param requests the number of requests that all pools together may have open
+ * @param connections the number of connections to endpoints
+ * @param bodyBytes the number of bytes of buffered request bodies
+ * @param pools the pools, whose guarantees add up to no more than these totals
+ * @param routes the routes, each to one of the pools; no two of them conflict
  */
 public record ServicesConfig(
         long requests,
--- a/engine/src/main/java/trailthread/engine/pool/SharedQuotas.java
+++ b/engine/src/main/java/trailthread/engine/pool/SharedQuotas.java
@@ -8,10 +8,15 @@
 
 /** The quotas that the pools of a process share. */
 public final class SharedQuotas {
-    /** How long a pool that asked to borrow counts as wanting some: several of its requests. */
+    /**
+     * How long a pool counts as wanting to borrow after it tried to: the time of several requests.
+     */
     private static final long DEMAND_NS = 1_000_000_000L;
 
-    /** Decay of the loop time in use: long against one task, short against a deadline. */
+    /**
+     * Time constant by which the use of loop time decays: long compared with a task, short compared
+     * with a deadline.
+     */
     private static final long LOOP_TIME_DECAY_NS = 200_000_000L;
 
     private final EventLoop loop;
@@ -22,11 +27,11 @@
     private final List<Pool> pools = new ArrayList<>();
 
     /**
-     * Makes quotas without members.
+     * Creates the quotas, without members.
      *
-     * @param requests open at a time, over all pools
-     * @param connections to endpoints
-     * @param bodyBytes of buffered bodies
+     * @param requests the number of open requests, over all pools
+     * @param connections the number of connections to endpoints
+     * @param bodyBytes the number of bytes of buffered request bodies
      */
     public SharedQuotas(EventLoop loop, long requests, long connections, long bodyBytes) {
         this.loop = loop;
@@ -36,7 +41,10 @@
         loopTime = new TimeQuota(LOOP_TIME_DECAY_NS, loop.now());
     }
 
-    /** The fraction of its time that the thread worked for the pools of late, 0 to about 1. */
+    /**
+     * Returns the fraction of its recent time that the loop's thread worked for the pools, 0 to
+     * about 1.
+     */
     public double loopUtilization() {
         return loopTime.utilization(loop.now());
     }
@@ -50,7 +58,8 @@
     }
 
     /**
-     * Closes idle connections of the pools that hold more than their part, as another wants one.
+     * Closes idle connections of the pools that hold more than their part, as another pool wants
+     * one.
      */
     void reclaimIdleConnections() {
         for (int i = 0; i < pools.size(); i++) {
--- a/engine/src/main/java/trailthread/engine/pool/package-info.java
+++ b/engine/src/main/java/trailthread/engine/pool/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Pools: each is a service of its own, with its balancer, endpoint list and quotas. A pool knows
- * nothing of the others; {@link trailthread.engine.quota} divides what they share.
+ * Pools: each is a service with a balancer, an endpoint list and quotas of its own. A pool does not
+ * access the others; {@link trailthread.engine.quota} divides what they share.
  */
 package trailthread.engine.pool;
--- a/engine/src/main/java/trailthread/engine/quota/Quota.java
+++ b/engine/src/main/java/trailthread/engine/quota/Quota.java
@@ -5,14 +5,14 @@
 
 /**
  * Divides a limited resource, such as open requests, connections or bytes, between members. Each
- * member has a guaranteed amount, which nobody else ever holds, so it can be acquired at any time.
- * What no guarantee covers is lent: to one member alone as long as no other wants any, else in
- * equal parts. A member that holds more than its equal part when another wants some is to return
- * the excess, and is lent nothing until it has; how soon it can is its own matter (an idle
- * connection at once, a request when it ends).
+ * member has a guaranteed amount, which no other member ever holds, so it can be acquired at any
+ * time. What no guarantee covers is lent: all of it to a single member as long as no other wants
+ * any, else in equal parts. A member that has borrowed more than its equal part when another wants
+ * some is to return the excess, and is lent nothing until it has. How soon that is depends on the
+ * resource (an idle connection at once, a request when it ends).
  *
- * <p>Guaranteed amounts that are never lent stay unused while their members are idle. If they were
- * lent, a member would have to wait for the longest request of another in the worst case; see
+ * <p>Guaranteed amounts are never lent, so they stay unused while their members are idle. Prevents
+ * a member from waiting for its guaranteed amount until another member's longest request ends; see
  * docs/design/pools.md.
  */
 public final class Quota {
@@ -20,22 +20,26 @@
     private final long demandNs;
     private final List<Member> members = new ArrayList<>();
 
-    /** What all members hold, those that have left included. */
+    /** What all members hold, including members that have left. */
     private long used;
 
     /** What members hold beyond their guarantees. */
     private long lent;
 
     /**
-     * Makes a quota without members.
+     * Creates a quota without members.
      *
      * @param total the amount to divide, above 0
-     * @param demandNs how long a member that asked to borrow counts as wanting some, ns, above 0
+     * @param demandNs how long a member counts as wanting to borrow after it tried to, ns, above 0
      * @throws IllegalArgumentException if either is out of range
      */
     public Quota(long total, long demandNs) {
         if (total <= 0 || demandNs <= 0) {
-            throw new IllegalArgumentException("a quota of nothing, or wanted for no time");
+            throw new IllegalArgumentException(
+                    "expected a total and a demand time above 0, got "
+                            + total
+                            + " and "
+                            + demandNs);
         }
         this.total = total;
         this.demandNs = demandNs;
@@ -44,7 +48,7 @@
     /**
      * Adds a member.
      *
-     * @param guaranteed at least 0
+     * @param guaranteed the guaranteed amount, at least 0
      * @param limit the most that it may hold, its guaranteed amount included
      * @throws IllegalArgumentException if the guarantees add up to more than the total, or the
      *     limit is below the guarantee
@@ -54,18 +58,18 @@
             throw new IllegalArgumentException(
                     "guaranteed "
                             + guaranteed
-                            + ", at most "
+                            + ", limit "
                             + limit
-                            + ", of "
+                            + ", where "
                             + unreserved()
-                            + " that are not promised");
+                            + " are not guaranteed to other members");
         }
         Member member = new Member(guaranteed, limit);
         members.add(member);
         return member;
     }
 
-    /** What no guarantee covers. */
+    /** Returns the amount that no guarantee covers. */
     public long unreserved() {
         long unreserved = total;
         for (Member member : members) {
@@ -74,23 +78,23 @@
         return unreserved;
     }
 
-    /** The amount that is divided. */
+    /** Returns the amount that is divided. */
     public long total() {
         return total;
     }
 
-    /** What is held in all. */
+    /** Returns what all members hold, including members that have left. */
     public long used() {
         return used;
     }
 
-    /** One of those that share the quota. */
+    /** A member that shares the quota. */
     public final class Member {
         private long guaranteed;
         private long limit;
         private long held;
 
-        /** Until when it counts as wanting to borrow. */
+        /** Until when the member counts as wanting to borrow. */
         private long demandUntil = Long.MIN_VALUE;
 
         private Member(long guaranteed, long limit) {
@@ -99,10 +103,10 @@
         }
 
         /**
-         * Acquires some, if the member may have it; {@link #release} returns it.
+         * Acquires an amount if the member may have it; {@link #release} returns it.
          *
          * @param amount above 0
-         * @param now in ns, never before an earlier one
+         * @param now in ns, never less than in an earlier call
          * @return whether it was acquired
          */
         public boolean acquire(long amount, long now) {
@@ -110,7 +114,7 @@
             if (toBorrow > 0 && !mayBorrow(amount, toBorrow, now)) {
                 return false;
             }
-            // Exceeded only while members that left, or were resized, still hold what is promised
+            // Only exceeded while members that left or were resized still hold what is guaranteed
             // to others now.
             if (used + amount > total) {
                 return false;
@@ -121,6 +125,10 @@
             return true;
         }
 
+        /**
+         * Returns whether the member may borrow so much. Records that it wants to, unless that
+         * would exceed its limit.
+         */
         private boolean mayBorrow(long amount, long toBorrow, long now) {
             if (held + amount > limit) {
                 return false;
@@ -131,7 +139,7 @@
                     && borrowed() + toBorrow <= Math.max(toBorrow, equalPart(lendable, now));
         }
 
-        /** An equal part for each member that wants to borrow. */
+        /** Returns an equal part for each member that wants to borrow. */
         private long equalPart(long lendable, long now) {
             int wanting = 0;
             for (Member member : members) {
@@ -143,13 +151,13 @@
         }
 
         /**
-         * Returns some.
+         * Returns an acquired amount.
          *
          * @throws IllegalStateException if the member holds less
          */
         public void release(long amount) {
             if (amount > held) {
-                throw new IllegalStateException("gives " + amount + " back and holds " + held);
+                throw new IllegalStateException("releases " + amount + " but holds " + held);
             }
             long before = borrowed();
             held -= amount;
@@ -158,21 +166,21 @@
         }
 
         /**
-         * How much of what it has borrowed the member is to return as soon as it can, because
-         * others want some.
+         * Returns how much of what the member has borrowed it is to return as soon as it can,
+         * because other members want some.
          */
         public long excess(long now) {
-            if (borrowed() == 0 || !othersWantSome(now)) {
+            if (borrowed() == 0 || !othersWantToBorrow(now)) {
                 return 0;
             }
             long savedDemand = demandUntil;
-            demandUntil = Long.MAX_VALUE; // it counts as wanting what it holds
+            demandUntil = Long.MAX_VALUE; // the member counts as wanting what it holds
             long part = equalPart(unreserved(), now);
             demandUntil = savedDemand;
             return Math.max(0, borrowed() - part);
         }
 
-        private boolean othersWantSome(long now) {
+        private boolean othersWantToBorrow(long now) {
             for (Member member : members) {
                 if (member != this && member.demandUntil > now) {
                     return true;
@@ -181,18 +189,19 @@
             return false;
         }
 
-        /** What it holds. */
+        /** Returns what the member holds. */
         public long held() {
             return held;
         }
 
-        /** What it holds beyond its guarantee. */
+        /** Returns what the member holds beyond its guarantee. */
         public long borrowed() {
             return Math.max(0, held - guaranteed);
         }
 
         /**
-         * Changes its bounds. What it holds beyond them it keeps until it releases it.
+         * Changes the member's bounds. What it holds beyond them stays acquired until it releases
+         * it.
          *
          * @throws IllegalArgumentException as {@link Quota#join} does
          */
@@ -200,8 +209,7 @@
             if (guaranteed < 0
                     || limit < guaranteed
                     || guaranteed > unreserved() + this.guaranteed) {
-                throw new IllegalArgumentException(
-                        "guaranteed " + guaranteed + ", at most " + limit);
+                throw new IllegalArgumentException("guaranteed " + guaranteed + ", limit " + limit);
             }
             long before = borrowed();
             this.guaranteed = guaranteed;
@@ -209,7 +217,10 @@
             lent += borrowed() - before;
         }
 
-        /** Acquires nothing more; what it holds it still releases. */
+        /**
+         * Removes the member from the quota. It acquires nothing more, but still releases what it
+         * holds.
+         */
         public void leave() {
             long before = borrowed();
             guaranteed = 0;
--- a/engine/src/main/java/trailthread/engine/quota/TimeQuota.java
+++ b/engine/src/main/java/trailthread/engine/quota/TimeQuota.java
@@ -5,13 +5,13 @@
 
 /**
  * Divides the time of one thread between members by weight. While the thread is not saturated, each
- * member uses what it needs; once it is, a member that has used more than its part of late starts
- * nothing new. Use decays exponentially, as in a leaky bucket (Turner, "New Directions in
+ * member uses what it needs; once it is, a member that has recently used more than its part may not
+ * start anything new. Use decays exponentially, as in a leaky bucket (Turner, "New Directions in
  * Communications", 1986).
  */
 public final class TimeQuota {
-    /** The fraction of the time in use from which on the thread counts as saturated. */
-    private static final double SATURATED = 0.9;
+    /** The utilization from which on the thread counts as saturated. */
+    private static final double SATURATED_UTILIZATION = 0.9;
 
     private final double decayNs;
     private final List<Member> members = new ArrayList<>();
@@ -19,7 +19,7 @@
     private long decayedAt;
 
     /**
-     * Makes a quota without members.
+     * Creates a quota without members.
      *
      * @param decayNs the time constant by which use decays, ns
      * @param now in ns
@@ -32,19 +32,19 @@
     /**
      * Adds a member.
      *
-     * @param weight against the other members' weights, above 0
+     * @param weight the weight relative to those of the other members, above 0
      * @throws IllegalArgumentException if it is not above 0
      */
     public Member join(double weight) {
         if (!(weight > 0)) {
-            throw new IllegalArgumentException("a weight of " + weight);
+            throw new IllegalArgumentException("expected a weight above 0, got " + weight);
         }
         Member member = new Member(weight);
         members.add(member);
         return member;
     }
 
-    /** The fraction of the thread's time that all members together use, 0 to about 1. */
+    /** Returns the fraction of the thread's time that all members together use, 0 to about 1. */
     public double utilization(long now) {
         decay(now);
         return usedNs / decayNs;
@@ -61,7 +61,7 @@
         }
     }
 
-    /** One of those that share the thread. */
+    /** A member that shares the thread. */
     public final class Member {
         private double weight;
         private double ownNs;
@@ -70,16 +70,16 @@
             this.weight = weight;
         }
 
-        /** Adds time that the thread has worked for it, ns. */
-        public void used(long ns, long now) {
+        /** Records time that the thread has worked for the member, ns. */
+        public void addUsage(long ns, long now) {
             decay(now);
             ownNs += ns;
             usedNs += ns;
         }
 
-        /** Whether something new may be started for it. */
+        /** Returns whether something new may be started for the member. */
         public boolean mayStart(long now) {
-            if (utilization(now) < SATURATED) {
+            if (utilization(now) < SATURATED_UTILIZATION) {
                 return true;
             }
             double weights = 0;
@@ -89,18 +89,18 @@
             return ownNs <= usedNs * weight / weights;
         }
 
-        /** The fraction of the thread's time that it uses, 0 to about 1. */
-        public double fraction(long now) {
+        /** Returns the fraction of the thread's time that the member uses, 0 to about 1. */
+        public double usedFraction(long now) {
             decay(now);
             return ownNs / decayNs;
         }
 
-        /** Sets another weight, above 0. */
+        /** Changes the member's weight, above 0. */
         public void setWeight(double weight) {
             this.weight = weight;
         }
 
-        /** Uses no time from now on. */
+        /** Removes the member from the quota. */
         public void leave() {
             members.remove(this);
         }
--- a/engine/src/test/java/trailthread/engine/quota/QuotaTest.java
+++ b/engine/src/test/java/trailthread/engine/quota/QuotaTest.java
@@ -72,10 +72,10 @@
         TimeQuota time = new TimeQuota(200 * MS, 0);
         TimeQuota.Member a = time.join(1);
         TimeQuota.Member b = time.join(3);
-        a.used(100 * MS, 0);
+        a.addUsage(100 * MS, 0);
         assertTrue(a.mayStart(0) && b.mayStart(0));
-        assertEquals(0.5, a.fraction(0), 0.001);
-        assertEquals("it decays", 0.5 / Math.E, a.fraction(200 * MS), 0.001);
+        assertEquals(0.5, a.usedFraction(0), 0.001);
+        assertEquals("it decays", 0.5 / Math.E, a.usedFraction(200 * MS), 0.001);
     }
 
     @Test
@@ -83,8 +83,8 @@
         TimeQuota time = new TimeQuota(200 * MS, 0);
         TimeQuota.Member a = time.join(1);
         TimeQuota.Member b = time.join(3);
-        a.used(100 * MS, 0);
-        b.used(100 * MS, 0);
+        a.addUsage(100 * MS, 0);
+        b.addUsage(100 * MS, 0);
         assertFalse("its part is a quarter", a.mayStart(0));
         assertTrue("its part is three quarters", b.mayStart(0));
         b.leave();
