--- a/engine/src/main/java/trailthread/engine/degradation/CpuThrottling.java
+++ b/engine/src/main/java/trailthread/engine/degradation/CpuThrottling.java
@@ -7,21 +7,21 @@
 import java.nio.file.Path;
 
 /**
- * The fraction of the time in which a thread was runnable and had no CPU, by the second field of
+ * The fraction of time in which a thread was runnable but had no CPU, by the second field of
  * /proc/thread-self/schedstat, in nanoseconds (the kernel's Documentation/scheduler/sched-stats).
- * It is that of the thread that opens the file; /proc/self would be the JVM's first thread, which
- * always waits. The kernel makes the file from memory, so a read does not block.
+ * The file describes the thread that opens it; /proc/self/schedstat would describe the JVM's first
+ * thread, which always waits. The kernel generates the file from memory, so a read does not block.
  */
 final class CpuThrottling {
-    /** The longest content of the file. */
+    /** The maximum size of the file. */
     private static final int MAX_BYTES = 128;
 
-    /** Null if it can't be opened. */
+    /** Null if the file can't be opened. */
     private final FileChannel file;
 
     private final ByteBuffer buffer = ByteBuffer.allocate(MAX_BYTES);
 
-    /** The thread's time on the run queue when it was last read, ns; -1: not known. */
+    /** The thread's time on the run queue as of the last read, ns; -1: unknown. */
     private long lastWaitedNs = -1;
 
     private long lastReadAt;
@@ -30,7 +30,7 @@
         this.file = file;
     }
 
-    /** For the calling thread; keeps a file descriptor open, if there is such a file. */
+    /** Opens the file of the calling thread, if it exists, and keeps its descriptor open. */
     static CpuThrottling open() {
         return open(Path.of("/proc/thread-self/schedstat"));
     }
@@ -43,9 +43,9 @@
         }
     }
 
-    /** The fraction since the last call, 0 to 1; NaN if it is not known. */
-    double fraction(long now) {
-        long waitedNs = waitedNs();
+    /** Returns the fraction since the last call, 0 to 1; NaN if it is unknown. */
+    double fractionSinceLastCall(long now) {
+        long waitedNs = readWaitedNs();
         boolean known = waitedNs >= 0 && lastWaitedNs >= 0 && now > lastReadAt;
         double fraction = Double.NaN;
         if (known) {
@@ -57,8 +57,8 @@
         return fraction;
     }
 
-    /** The thread's time on the run queue, ns; -1: not known. */
-    private long waitedNs() {
+    /** Reads the thread's time on the run queue, ns; -1: unknown. */
+    private long readWaitedNs() {
         if (file == null) {
             return -1;
         }
--- a/engine/src/main/java/trailthread/engine/degradation/DegradationConfig.java
+++ b/engine/src/main/java/trailthread/engine/degradation/DegradationConfig.java
@@ -23,13 +23,13 @@
     private static final String ON = "on";
     private static final String SHED_FIRST = "shed_first";
 
-    /** Comes with the list of {@link #SHED_FIRST}. */
+    /** The length of the list {@link #SHED_FIRST}, which comes with it. */
     private static final String SHED_FIRST_COUNT = SHED_FIRST + ".count";
 
     private static final double NS_PER_SECOND = 1e9;
 
     /**
-     * Parses the settings, by their keys under {@code levels}; the values of a list are joined by
+     * Parses the settings by their keys under {@code levels}. The values of a list are joined by
      * commas.
      *
      * @return null if levels are off
@@ -47,7 +47,9 @@
         return on ? new DegradationConfig(plan, order) : null;
     }
 
-    /** Every key, with the default plan's levels and readings in it. */
+    /**
+     * Returns every key, with the names of the default plan's levels and of the readings filled in.
+     */
     static Set<String> knownKeys() {
         LevelSettings settings = new LevelSettings(Map.of());
         settings.text(ON, "");
@@ -118,7 +120,7 @@
         return conditions;
     }
 
-    /** The condition on one reading; null if there is neither a setting nor a default. */
+    /** Parses the condition on one reading; null if there is neither a setting nor a default. */
     private static Condition parseCondition(
             LevelSettings settings, String key, Reading reading, Condition defaultCondition) {
         Condition defaults =
@@ -149,7 +151,7 @@
     }
 
     /**
-     * The key of one of the plan's fields: {@code lean.leave_s} for {@code levels.lean.leaveNs}.
+     * Returns the key of a field of the plan: {@code lean.leave_s} for {@code levels.lean.leaveNs}.
      */
     private static String keyOf(String field) {
         return field.replaceFirst("^levels\\.", "")
--- a/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
+++ b/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
@@ -28,12 +28,13 @@
 
 /**
  * Runs the node's degradation levels: takes readings four times a second, and sheds requests and
- * thins health checks as the level says. It observes the node's events as a metrics recorder before
- * that of the operators. A node without levels makes none, and then loads no class of this package.
+ * thins health checks as the level requires. It observes the node's events as a metrics recorder
+ * that forwards them to the next one. A node without levels does not create the service, and so
+ * loads no class of this package.
  */
 public final class DegradationService extends ForwardingMetricsRecorder {
     private static final Logger LOG = LoggerFactory.getLogger(DegradationService.class);
-    private static final long PERIOD_NS = 250_000_000L;
+    private static final long READING_PERIOD_NS = 250_000_000L;
     private static final double NS_PER_SECOND = 1e9;
 
     private final EventLoop loop;
@@ -41,7 +42,7 @@
     private final DegradationController levels;
     private final ReadingsCollector collector;
     private final HealthCheckThinning healthChecks = new HealthCheckThinning();
-    private Consumer<Admission> admit;
+    private Consumer<Admission> admissionSetter;
 
     /** The latest readings; null before the first. */
     private Readings readings;
@@ -50,9 +51,9 @@
     private long dueAt;
 
     /**
-     * Makes one at full service; it takes readings from {@link #start} on.
+     * Creates a service at the level of full service; it takes readings from {@link #start} on.
      *
-     * @param next records all events after this one, and the levels
+     * @param next the recorder to which events are forwarded, and which records the levels
      */
     public DegradationService(
             EventLoop loop, DegradationConfig config, Settings settings, MetricsRecorder next) {
@@ -64,81 +65,85 @@
     }
 
     /**
-     * Takes readings from now on; to be called on the loop's thread.
+     * Starts to take readings; must be called on the loop's thread.
      *
      * @param descriptors the fraction of file descriptors in use, 0 to 1
-     * @param admit receives which requests are to be admitted at each new level; null: all
+     * @param admissionSetter receives the admission filter of each new level; null: all requests
+     *     are admitted
      */
-    public void start(DoubleSupplier descriptors, Consumer<Admission> admit) {
-        this.admit = admit;
+    public void start(DoubleSupplier descriptors, Consumer<Admission> admissionSetter) {
+        this.admissionSetter = admissionSetter;
         collector.start(descriptors);
         degradationLevelEntered(loop.now(), levels.level().name());
         dueAt = loop.now();
-        read();
+        takeReadings();
     }
 
-    /** Every level, from full service to the least. */
+    /** Returns the names of all levels, from full service to the most degraded. */
     public List<String> levels() {
         return config.plan().levels.stream().map(DegradationLevel::name).toList();
     }
 
-    /** The latest readings, by names that end in their unit; NaN if one is not known. */
+    /** Returns the latest readings, by names that end in their unit; NaN: unknown. */
     public Map<String, Double> readings() {
         Map<String, Double> named = new LinkedHashMap<>();
         if (readings != null) {
             for (Reading reading : Reading.values()) {
                 named.put(
                         reading.word() + (reading.isShare() ? "_ratio" : "_seconds"),
-                        inUnits(reading, reading.of(readings)));
+                        inOutputUnit(reading, reading.of(readings)));
             }
         }
         return named;
     }
 
-    /** Returns whether a health check that the balancer requests may be made at this level. */
+    /**
+     * Returns whether a health check that the balancer requests may be made at the current level.
+     */
     public boolean permitsHealthCheck(String endpoint) {
         return healthChecks.permits(endpoint, levels.sheddingPolicy().probeFactor());
     }
 
-    private void read() {
+    private void takeReadings() {
         long now = loop.now();
-        readings = collector.read(now, Math.max(0, now - dueAt));
+        readings = collector.collect(now, Math.max(0, now - dueAt));
         levels.read(readings).ifPresent(this::levelChanged);
-        dueAt = loop.now() + PERIOD_NS;
-        loop.schedule(PERIOD_NS, this::read);
+        dueAt = loop.now() + READING_PERIOD_NS;
+        loop.schedule(READING_PERIOD_NS, this::takeReadings);
     }
 
     private void levelChanged(Change change) {
         LOG.atInfo()
                 .addKeyValue("from", change.from())
                 .addKeyValue("to", change.to())
-                .addKeyValue("reading", joined(change, cause -> cause.reading().word()))
-                .addKeyValue("value", joined(change, cause -> text(cause, cause.value())))
-                .addKeyValue("bound", joined(change, cause -> text(cause, cause.bound())))
+                .addKeyValue("reading", joinCauses(change, cause -> cause.reading().word()))
+                .addKeyValue("value", joinCauses(change, cause -> valueText(cause, cause.value())))
+                .addKeyValue("bound", joinCauses(change, cause -> valueText(cause, cause.bound())))
                 .log(change.toString());
         degradationLevelEntered(loop.now(), change.to());
-        // Without a filter, the balancer draws no random number for each request.
+        // Null rather than a filter that admits all: prevents the balancer from drawing a random
+        // number for each request.
         boolean admitsAll = levels.level().reach() == DegradationLevel.Reach.NONE;
-        admit.accept(admitsAll ? null : this::admits);
+        admissionSetter.accept(admitsAll ? null : this::admits);
     }
 
-    private static String joined(Change change, Function<Cause, String> part) {
+    private static String joinCauses(Change change, Function<Cause, String> part) {
         return change.causes().stream().map(part).collect(Collectors.joining(","));
     }
 
-    private static String text(Cause cause, double value) {
-        return Double.toString(inUnits(cause.reading(), value));
+    private static String valueText(Cause cause, double value) {
+        return Double.toString(inOutputUnit(cause.reading(), value));
     }
 
-    /** A fraction as it is, nanoseconds as seconds. */
-    private static double inUnits(Reading reading, double value) {
+    /** Returns fractions unchanged, and durations in seconds. */
+    private static double inOutputUnit(Reading reading, double value) {
         return reading.isShare() ? value : value / NS_PER_SECOND;
     }
 
     private boolean admits(String requestClass, boolean overQuota, double random) {
         boolean admitted = levels.sheddingPolicy().admits(requestClass, overQuota, random);
         if (!admitted) {
-            collector.shed(requestClass);
+            collector.requestShed(requestClass);
         }
         return admitted;
     }
@@ -146,7 +151,7 @@
     @Override
     public void requestAnswered(
             String requestClass, RequestResult result, long latencyNs, long queuedNs) {
-        collector.answered(requestClass, result, queuedNs, loop.now());
+        collector.requestAnswered(requestClass, result, queuedNs, loop.now());
         super.requestAnswered(requestClass, result, latencyNs, queuedNs);
     }
 
--- a/engine/src/main/java/trailthread/engine/degradation/FailingEndpointRate.java
+++ b/engine/src/main/java/trailthread/engine/degradation/FailingEndpointRate.java
@@ -11,10 +11,10 @@
 /**
  * The fraction of ready endpoints that are failing.
  *
- * <p>An endpoint is failing if more than a third of its last nine conclusive attempts failed, and
- * at least two. An attempt failed if it ended in an error, a refused or a broken connection, and
- * quickly: within the tightest latency objective. Timeouts are not conclusive, as a slow endpoint
- * is not a failing one; nor are rejections, as an endpoint at its limit is not either. An endpoint
+ * <p>An endpoint is failing if at least two, and more than a third, of its last nine conclusive
+ * attempts failed. An attempt failed if it ended in an error, or in a refused or broken connection,
+ * within the tightest latency objective. Timeouts are not conclusive, as a slow endpoint is not a
+ * failing one. Nor are rejections, as an endpoint at its limit is not failing either. An endpoint
  * without an attempt for a minute is no longer failing.
  */
 final class FailingEndpointRate {
@@ -22,14 +22,16 @@
     private static final int MIN_FAILED = 2;
     private static final long EXPIRY_NS = 60_000_000_000L;
 
-    private final long maxQuickNs;
+    private final long maxFailureLatencyNs;
     private final Map<String, AttemptHistory> endpoints = new HashMap<>();
 
     /** The last attempts at one endpoint. */
     private static final class AttemptHistory {
         private EndpointState state;
 
-        /** The last attempts, the latest in the lowest bit; 1: it failed. */
+        /**
+         * A bit for each of the last attempts, the latest in the lowest bit; 1: the attempt failed.
+         */
         private int failures;
 
         private int attempts;
@@ -48,10 +50,10 @@
     }
 
     /**
-     * @param maxQuickNs how long an attempt that fails quickly takes at most, ns
+     * @param maxFailureLatencyNs the latency up to which a failure counts, ns
      */
-    FailingEndpointRate(long maxQuickNs) {
-        this.maxQuickNs = maxQuickNs;
+    FailingEndpointRate(long maxFailureLatencyNs) {
+        this.maxFailureLatencyNs = maxFailureLatencyNs;
     }
 
     /** The endpoint list was updated. */
@@ -69,7 +71,7 @@
     /**
      * An attempt has ended.
      *
-     * @param latencyNs -1 if it is not known: it was no timeout then, and counts as quick
+     * @param latencyNs -1: unknown. A failure then counts, as the attempt did not time out
      */
     void attemptEnded(String endpoint, Outcome outcome, long latencyNs, long now) {
         AttemptHistory history = endpoints.get(endpoint);
@@ -78,11 +80,11 @@
                         || outcome == Outcome.CONNECT_FAILED
                         || outcome == Outcome.RESET;
         if (history != null && (failed || outcome == Outcome.OK)) {
-            history.add(failed && latencyNs <= maxQuickNs, now);
+            history.add(failed && latencyNs <= maxFailureLatencyNs, now);
         }
     }
 
-    /** The fraction, 0 to 1; NaN if no endpoint is ready. */
+    /** Returns the fraction, 0 to 1; NaN if no endpoint is ready. */
     double rate(long now) {
         int ready = 0;
         int failing = 0;
--- a/engine/src/main/java/trailthread/engine/degradation/HealthCheckThinning.java
+++ b/engine/src/main/java/trailthread/engine/degradation/HealthCheckThinning.java
@@ -5,16 +5,17 @@
 
 /**
  * Permits one of several health checks of each endpoint. Counts by endpoint: the balancer checks
- * endpoints in turn, so that one in two of all checks would always leave out the same endpoints.
+ * endpoints in turn, so that skipping every other check of all endpoints would always skip the same
+ * ones.
  */
 final class HealthCheckThinning {
-    /** What each endpoint has accumulated towards its next check, below 1. */
+    /** The fraction of its next check that each endpoint has accumulated, below 1. */
     private final Map<String, Double> credits = new HashMap<>();
 
     /**
-     * Whether a health check is made.
+     * Returns whether a health check may be made.
      *
-     * @param factor what the period of health checks is multiplied by, 1 or more
+     * @param factor the factor by which the period of health checks is multiplied, 1 or more
      */
     boolean permits(String endpoint, double factor) {
         if (factor <= 1) {
--- a/engine/src/main/java/trailthread/engine/degradation/LevelSettings.java
+++ b/engine/src/main/java/trailthread/engine/degradation/LevelSettings.java
@@ -19,7 +19,7 @@
         unread = new HashMap<>(values);
     }
 
-    /** A setting's value, or the default if it is not given. */
+    /** Returns a setting's value, or the default if it is not given. */
     String text(String key, String defaultValue) {
         knownKeys.add(key);
         String value = unread.remove(key);
@@ -27,7 +27,7 @@
     }
 
     /**
-     * A number, or the default if it is not given.
+     * Returns a number, or the default if it is not given.
      *
      * @throws IllegalArgumentException naming the key if its value is no number
      */
@@ -40,18 +40,21 @@
         }
     }
 
-    /** Seconds, as nanoseconds; values out of range stay out of range, and NaN is -1. */
+    /**
+     * Returns a duration given in seconds, in nanoseconds; values out of range stay out of range,
+     * and NaN is -1.
+     */
     long durationNs(String key, long defaultNs) {
         double seconds = number(key, defaultNs / NS_PER_SECOND);
         return Double.isNaN(seconds) ? -1 : Math.round(seconds * NS_PER_SECOND);
     }
 
-    /** Counts a key as read that has no meaning of its own. */
+    /** Counts a key as read whose value is not used. */
     void ignore(String key) {
         unread.remove(key);
     }
 
-    /** How many values have not been read yet. */
+    /** Returns the number of values that have not been read yet. */
     int unreadCount() {
         return unread.size();
     }
@@ -59,7 +62,7 @@
     /**
      * Checks that all values have been read.
      *
-     * @throws IllegalArgumentException naming the first one that has not
+     * @throws IllegalArgumentException naming the first key whose value has not been read
      */
     void requireAllRead() {
         if (!unread.isEmpty()) {
@@ -67,17 +70,17 @@
         }
     }
 
-    /** All keys that were asked for. */
+    /** Returns all keys that were read, with or without a value. */
     Set<String> knownKeys() {
         return knownKeys;
     }
 
-    /** The exception for a setting that is invalid. */
+    /** Returns the exception for an invalid setting. */
     static IllegalArgumentException invalid(String key, String reason) {
         return invalid(key, reason, null);
     }
 
-    /** The same, with what has found it invalid. */
+    /** Returns the exception for an invalid setting, with its cause. */
     static IllegalArgumentException invalid(String key, String reason, Exception cause) {
         return new IllegalArgumentException(SECTION + "." + key + ": " + reason, cause);
     }
--- a/engine/src/main/java/trailthread/engine/degradation/LoadReportAge.java
+++ b/engine/src/main/java/trailthread/engine/degradation/LoadReportAge.java
@@ -1,31 +1,31 @@
 package trailthread.engine.degradation;
 
 /**
- * The age of the latest load report of any endpoint, at the time when one was last expected and did
- * not come. Time in which none is expected does not count: prevents reports from growing old on a
- * node without requests.
+ * The age of the latest load report of any endpoint, as of the last time that a report was expected
+ * but did not come. Time in which none is expected does not count: prevents reports from growing
+ * old on a node without requests.
  */
 final class LoadReportAge {
-    private long reportedAt;
-    private long missedAt;
+    private long lastReportAt;
+    private long lastMissedAt;
 
     LoadReportAge(long now) {
-        reportedAt = now;
-        missedAt = now;
+        lastReportAt = now;
+        lastMissedAt = now;
     }
 
-    /** An endpoint has reported its load. */
-    void reported(long now) {
-        reportedAt = now;
+    /** A load report was received. */
+    void reportReceived(long now) {
+        lastReportAt = now;
     }
 
     /** A load report was expected and did not come. */
-    void missed(long now) {
-        missedAt = now;
+    void reportMissed(long now) {
+        lastMissedAt = now;
     }
 
-    /** The age, ns; 0 while reports come. */
+    /** Returns the age, ns; 0 if the last expected report was received. */
     long ageNs() {
-        return Math.max(0, missedAt - reportedAt);
+        return Math.max(0, lastMissedAt - lastReportAt);
     }
 }
--- a/engine/src/main/java/trailthread/engine/degradation/MemoryInUse.java
+++ b/engine/src/main/java/trailthread/engine/degradation/MemoryInUse.java
@@ -1,8 +1,8 @@
 package trailthread.engine.degradation;
 
 /**
- * Estimates from samples how much memory was in use after the last garbage collection: the use
- * falls at no other time. The JVM's management beans know it exactly, but take megabytes.
+ * Estimates from samples how much memory was in use after the last garbage collection: memory in
+ * use falls at no other time. The JVM's management beans have the exact value, but take megabytes.
  */
 final class MemoryInUse {
     private long lastSample = Long.MAX_VALUE;
@@ -14,7 +14,7 @@
      * @param used bytes in use now
      * @return bytes in use after the last collection, by the first sample after it
      */
-    long sample(long used) {
+    long addSample(long used) {
         if (used < lastSample) {
             afterCollection = used;
         }
--- a/engine/src/main/java/trailthread/engine/degradation/ReadingsCollector.java
+++ b/engine/src/main/java/trailthread/engine/degradation/ReadingsCollector.java
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Must be called before {@link #read}, on the thread whose CPU time is read.
+     * Must be called before {@link #collect}, on the thread whose CPU throttling is read.
      *
      * @param descriptors the fraction of file descriptors in use, 0 to 1
      */
@@ -49,13 +49,13 @@
     }
 
     /**
-     * Reads all signals.
+     * Takes all readings.
      *
      * @param latenessNs how late the loop's timer ran
      */
-    Readings read(long now, long latenessNs) {
+    Readings collect(long now, long latenessNs) {
         Runtime runtime = Runtime.getRuntime();
-        long memoryInUse = memory.sample(runtime.totalMemory() - runtime.freeMemory());
+        long memoryInUse = memory.addSample(runtime.totalMemory() - runtime.freeMemory());
         return new Readings(
                 now,
                 failing.rate(now),
@@ -64,12 +64,12 @@
                 descriptors.getAsDouble(),
                 (double) memoryInUse / runtime.maxMemory(),
                 starvation.rate(now),
-                cpu.fraction(now));
+                cpu.fractionSinceLastCall(now));
     }
 
     /** A request was shed by the current level; its rejection follows. */
-    void shed(String requestClass) {
-        starvation.shed(requestClass);
+    void requestShed(String requestClass) {
+        starvation.requestShed(requestClass);
     }
 
     /**
@@ -77,20 +77,20 @@
      *
      * @param queuedNs from its admission to its first attempt; -1: there was none
      */
-    void answered(String requestClass, RequestResult result, long queuedNs, long now) {
-        starvation.answered(requestClass, result, queuedNs, now);
+    void requestAnswered(String requestClass, RequestResult result, long queuedNs, long now) {
+        starvation.requestAnswered(requestClass, result, queuedNs, now);
     }
 
     /**
      * An attempt has ended.
      *
-     * @param latencyNs -1 if it is not known
+     * @param latencyNs -1: unknown
      * @param load the load report that came with the answer, or null
      */
     void attemptEnded(String endpoint, Outcome outcome, long latencyNs, LoadReport load, long now) {
         failing.attemptEnded(endpoint, outcome, latencyNs, now);
         boolean expected = reports == LoadReportSource.RESPONSES && outcome == Outcome.OK;
-        loadReported(load, expected, now);
+        recordLoadReport(load, expected, now);
     }
 
     /**
@@ -99,14 +99,14 @@
      * @param load the endpoint's load report, or null
      */
     void healthChecked(LoadReport load, long now) {
-        loadReported(load, reports == LoadReportSource.HEALTH_CHECKS, now);
+        recordLoadReport(load, reports == LoadReportSource.HEALTH_CHECKS, now);
     }
 
-    private void loadReported(LoadReport load, boolean expected, long now) {
+    private void recordLoadReport(LoadReport load, boolean expected, long now) {
         if (load != null) {
-            reportAge.reported(now);
+            reportAge.reportReceived(now);
         } else if (expected) {
-            reportAge.missed(now);
+            reportAge.reportMissed(now);
         }
     }
 
--- a/engine/src/main/java/trailthread/engine/metrics/ForwardingMetricsRecorder.java
+++ b/engine/src/main/java/trailthread/engine/metrics/ForwardingMetricsRecorder.java
@@ -6,12 +6,15 @@
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
 
-/** Forwards everything to another recorder; for recorders that change or observe some of it. */
+/**
+ * Forwards all events to another recorder; a base class for recorders that change or observe some
+ * of them.
+ */
 public abstract class ForwardingMetricsRecorder implements MetricsRecorder {
     private final MetricsRecorder recorder;
 
     /**
-     * @param recorder records what is not overridden
+     * @param recorder receives the events whose methods are not overridden
      */
     protected ForwardingMetricsRecorder(MetricsRecorder recorder) {
         this.recorder = recorder;
--- a/engine/src/main/java/trailthread/engine/metrics/MetricsRecorder.java
+++ b/engine/src/main/java/trailthread/engine/metrics/MetricsRecorder.java
@@ -7,8 +7,8 @@
 import trailthread.api.Outcome;
 
 /**
- * Records events of the node for its metrics. The methods are called on the event loop's thread,
- * and must not block.
+ * Records the node's events for its metrics. The methods are called on the event loop's thread, and
+ * must not block.
  */
 public interface MetricsRecorder {
     /** Records nothing. */
@@ -17,7 +17,7 @@
     /**
      * A request was admitted: it has been received completely or, if its body is streamed, up to
      * what can be buffered. {@link #requestAnswered} or {@link #clientDisconnected} follows, once.
-     * For a streamed response it follows with the last byte from the endpoint.
+     * For a streamed response it follows once the last byte from the endpoint has arrived.
      */
     void requestAdmitted(String requestClass);
 
@@ -44,8 +44,8 @@
     /**
      * An attempt has ended.
      *
-     * @param latencyNs -1 if the endpoint's part of it can't be separated from the node's own
-     *     lateness
+     * @param latencyNs -1 if the endpoint's latency can't be told from the lateness of the node's
+     *     own loop
      * @param load the load report that came with the answer, or null
      */
     void attemptEnded(String endpoint, Outcome outcome, long latencyNs, LoadReport load);
@@ -57,18 +57,19 @@
      */
     void healthChecked(String endpoint, Outcome outcome, LoadReport load);
 
-    /** The endpoint list was updated; the arguments are those that the balancer gets. */
+    /** The endpoint list was updated; the balancer receives the same arguments. */
     void endpointListUpdated(ListKind kind, List<EndpointEntry> entries);
 
     /**
      * The configuration was read again.
      *
-     * @param applied whether it is in effect now; false: the one before stays in effect
+     * @param applied whether the new configuration is in effect now; false: the previous one stays
+     *     in effect
      */
     void configurationReloaded(boolean applied);
 
     /**
-     * The node entered a degradation level. No change if it was at this level already.
+     * The node entered a degradation level. Has no effect if the node is at this level already.
      *
      * @param now Unix time in nanoseconds
      */
--- a/engine/src/main/java/trailthread/engine/metrics/NodeControl.java
+++ b/engine/src/main/java/trailthread/engine/metrics/NodeControl.java
@@ -1,9 +1,9 @@
 package trailthread.engine.metrics;
 
-/** What operators may do to the node; called on the loop's thread. */
+/** The operations that operators may perform on the node; called on the loop's thread. */
 public interface NodeControl {
     /**
-     * Starts draining: clients are asked to go elsewhere, open requests are finished.
+     * Starts draining: asks clients to use other nodes, and finishes open requests.
      *
      * @return whether the node is draining now
      */
--- a/engine/src/main/java/trailthread/engine/metrics/NodeStatus.java
+++ b/engine/src/main/java/trailthread/engine/metrics/NodeStatus.java
@@ -3,29 +3,31 @@
 import java.util.List;
 import java.util.Map;
 
-/** The node's state on request; called on the loop's thread, it must not block. */
+/**
+ * The current state of the node. The methods are called on the loop's thread, and must not block.
+ */
 public interface NodeStatus {
-    /** Whether clients may be sent here. */
+    /** Returns whether clients may be sent to this node. */
     boolean isReady();
 
-    /** Every degradation level, from full service to the least. */
+    /** Returns the names of all degradation levels, from full service to the most degraded. */
     List<String> levels();
 
     /**
-     * The readings that determine the level, by names that end in their unit, such as {@code
-     * lateness_seconds}.
+     * Returns the readings that determine the level, by names that end in their unit, such as
+     * {@code lateness_seconds}.
      */
     Map<String, Double> readings();
 
-    /** How many connections to clients there are by state; each is in one. */
+    /** Returns the number of connections to clients by state; each connection is in one state. */
     Map<String, Integer> clientConnections();
 
-    /** How many connections to endpoints there are by state; each is in one. */
+    /** Returns the number of connections to endpoints by state; each connection is in one state. */
     Map<String, Integer> endpointConnections();
 
-    /** How many of the listed endpoints the balancer avoids now. */
+    /** Returns the number of listed endpoints that the balancer avoids now. */
     int avoidedEndpoints();
 
-    /** How many file descriptors the node may hold. */
+    /** Returns the maximum number of file descriptors that the node may hold. */
     int descriptorLimit();
 }
--- a/engine/src/main/java/trailthread/engine/metrics/RejectionReason.java
+++ b/engine/src/main/java/trailthread/engine/metrics/RejectionReason.java
@@ -2,12 +2,12 @@
 
 /** Why a client's request was answered without being admitted. */
 public enum RejectionReason {
-    /** It does not conform to the protocol. */
+    /** The request does not conform to the protocol. */
     BAD_REQUEST,
-    /** Its body is larger than is allowed. */
+    /** The body is larger than is allowed. */
     TOO_LARGE,
-    /** A request with its id is open. */
+    /** Another request with the same id is open. */
     CONFLICT,
-    /** No route matches it. */
+    /** No route matches the request. */
     NO_ROUTE
 }
--- a/engine/src/main/java/trailthread/engine/metrics/RequestResult.java
+++ b/engine/src/main/java/trailthread/engine/metrics/RequestResult.java
@@ -4,8 +4,8 @@
 public enum RequestResult {
     /** With an endpoint's response. */
     SERVED,
-    /** Rejected: it had no effect, so a retry is safe. */
+    /** With a rejection: the request had no effect, so a retry is safe. */
     REFUSED,
-    /** With a failure: it may have had its effect. */
+    /** With a failure: the request may have had its effect. */
     FAILED
 }
--- a/engine/src/test/java/trailthread/engine/degradation/ReadingsTest.java
+++ b/engine/src/test/java/trailthread/engine/degradation/ReadingsTest.java
@@ -88,11 +88,11 @@
     public void reportsAgeOnlyWhileTheyAreExpected() {
         LoadReportAge age = new LoadReportAge(5);
         assertEquals(0, age.ageNs());
-        age.missed(9);
+        age.reportMissed(9);
         assertEquals(4, age.ageNs());
-        age.reported(10);
+        age.reportReceived(10);
         assertEquals(0, age.ageNs());
-        age.missed(17);
+        age.reportMissed(17);
         assertEquals(7, age.ageNs());
     }
 
@@ -122,11 +122,11 @@
                                 0));
         StarvationRate starved =
                 new StarvationRate(classes, new SheddingOrder(classes, List.of()), 0);
-        starved.answered("poll", RequestResult.FAILED, 0, 0);
-        starved.answered("other", RequestResult.FAILED, 0, 0);
-        starved.answered("use", RequestResult.SERVED, 10 * MS, 0);
-        starved.shed("use");
-        starved.answered("use", RequestResult.REFUSED, -1, 0);
+        starved.requestAnswered("poll", RequestResult.FAILED, 0, 0);
+        starved.requestAnswered("other", RequestResult.FAILED, 0, 0);
+        starved.requestAnswered("use", RequestResult.SERVED, 10 * MS, 0);
+        starved.requestShed("use");
+        starved.requestAnswered("use", RequestResult.REFUSED, -1, 0);
         assertEquals(0, starved.rate(0), EXACT);
         double before = 0;
         Object[][] cases = {
@@ -135,7 +135,7 @@
             {RequestResult.SERVED, 10 * MS + 1}
         };
         for (Object[] c : cases) {
-            starved.answered("use", (RequestResult) c[0], (long) c[1], 0);
+            starved.requestAnswered("use", (RequestResult) c[0], (long) c[1], 0);
             assertTrue(c[0] + " counts", starved.rate(0) > before);
             before = starved.rate(0);
         }
@@ -146,7 +146,7 @@
         MemoryInUse memory = new MemoryInUse();
         long[][] cases = {{50, 50}, {90, 50}, {60, 60}, {60, 60}, {99, 60}, {20, 20}};
         for (long[] c : cases) {
-            assertEquals(c[1], memory.sample(c[0]));
+            assertEquals(c[1], memory.addSample(c[0]));
         }
     }
 
@@ -169,12 +169,14 @@
             for (String[] c : cases) {
                 Files.writeString(file, c[0]);
                 now += 100;
-                assertEquals(c[0], c[1], Double.toString(cpu.fraction(now)));
+                assertEquals(c[0], c[1], Double.toString(cpu.fractionSinceLastCall(now)));
             }
         } finally {
             Files.delete(file);
         }
-        assertTrue(Double.isNaN(CpuThrottling.open(Path.of("/nowhere/at/all")).fraction(1)));
+        assertTrue(
+                Double.isNaN(
+                        CpuThrottling.open(Path.of("/nowhere/at/all")).fractionSinceLastCall(1)));
     }
 
     @Test
