--- a/command/src/test/java/trailthread/command/CommandLineTest.java
+++ b/command/src/test/java/trailthread/command/CommandLineTest.java
@@ -82,7 +82,7 @@
                 "--header",
                 "X-Hook: 1");
         printed(out, "route marks, pool marks, class by the method");
-        printed(out, "  sim: takes it, too, but marks is more specific");
+        printed(out, "  sim: matches, but marks is more specific");
         printed(out, "  attempts: path is not /attempts/{}/use");
     }
 
--- a/configuration/src/test/java/trailthread/configuration/OperatorFileTest.java
+++ b/configuration/src/test/java/trailthread/configuration/OperatorFileTest.java
@@ -120,8 +120,8 @@
             },
             {
                 with("pool = \"sim\"", "path = \"/a/../b\""),
-                "f:8:1: routes[0].path: expected a path as a request has it: a dot segment: some readers take it "
-                        + "out, found \"/a/../b\""
+                "f:8:1: routes[0].path: expected a path that is valid in a request (this has a dot segment, "
+                        + "which some parsers resolve), found \"/a/../b\""
             },
             {
                 with("pool = \"sim\"", "host = \"a:80\""),
@@ -137,7 +137,7 @@
                 with("pool = \"sim\"", "[[routes]]\nname = \"two\"\npool = \"sim\""),
                 "f:8:1: routes[1]: expected no two "
                         + "routes that tie, found routes all and two both "
-                        + "take GET any.example/, and neither is more specific"
+                        + "match GET any.example/, and neither is more specific"
             },
             {
                 with("pool = \"sim\"", "[[routes]]\nname = \"all\"\npath = \"/x\"\npool = \"sim\""),
--- a/engine/src/main/java/trailthread/engine/routes/BadTargetException.java
+++ b/engine/src/main/java/trailthread/engine/routes/BadTargetException.java
@@ -1,13 +1,13 @@
 package trailthread.engine.routes;
 
 /**
- * A request target or Host header that is invalid, or that two parsers could read differently. Made
- * without a stack trace: clients can cause it at any rate.
+ * A request target or Host header that is invalid, or that two parsers could read differently. Has
+ * no stack trace, as clients can cause it at any rate.
  */
 public final class BadTargetException extends Exception {
     private static final long serialVersionUID = 1;
 
-    BadTargetException(String why) {
-        super(why, null, false, false);
+    BadTargetException(String message) {
+        super(message, null, false, false);
     }
 }
--- a/engine/src/main/java/trailthread/engine/routes/HostSyntax.java
+++ b/engine/src/main/java/trailthread/engine/routes/HostSyntax.java
@@ -1,7 +1,8 @@
 package trailthread.engine.routes;
 
 /**
- * The syntax of hosts: names of RFC 1123 with underscores, which are in use, and IPv6 addresses.
+ * Checks the syntax of hosts: names as in RFC 1123, IPv6 addresses, and names with underscores, as
+ * they are in use.
  */
 final class HostSyntax {
     private static final int MAX_NAME_LENGTH = 253;
@@ -9,7 +10,10 @@
 
     private HostSyntax() {}
 
-    /** Whether it is a name in lower case without a trailing dot; IPv4 addresses are names, too. */
+    /**
+     * Returns whether the text is a name in lower case without a trailing dot; IPv4 addresses count
+     * as names.
+     */
     static boolean isName(String text) {
         if (text.isEmpty() || text.length() > MAX_NAME_LENGTH) {
             return false;
@@ -39,7 +43,7 @@
                 || (c == '-' && isWithinLabel(text, i));
     }
 
-    /** Whether the character is neither the first nor the last one of its label. */
+    /** Returns whether the character is neither the first nor the last of its label. */
     private static boolean isWithinLabel(String text, int i) {
         return i > 0
                 && text.charAt(i - 1) != '.'
@@ -47,8 +51,11 @@
                 && text.charAt(i + 1) != '.';
     }
 
-    /** Whether it is an IPv6 address in brackets (RFC 3986), judged by its characters alone. */
-    static boolean isAddress(String text) {
+    /**
+     * Returns whether the text looks like an IPv6 address in brackets (RFC 3986); only the
+     * characters are checked.
+     */
+    static boolean isBracketedIpv6(String text) {
         if (text.length() < 4 || text.charAt(0) != '[' || text.charAt(text.length() - 1) != ']') {
             return false;
         }
--- a/engine/src/main/java/trailthread/engine/routes/PathPattern.java
+++ b/engine/src/main/java/trailthread/engine/routes/PathPattern.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * The paths that a route matches: {@code /a/b} itself, {@code /a/{id}} with any non-empty segment
- * in its place, or {@code /a/**} with all paths below it. Segments match as a unit: {@code /a/**}
- * matches {@code /a}, {@code /a/} and {@code /a/b}, and not {@code /ab}.
+ * The paths that a route matches: {@code /a/b} matches itself, {@code /a/{id}} any non-empty
+ * segment in place of the parameter, {@code /a/**} all paths below {@code /a}. Segments match as a
+ * unit: {@code /a/**} matches {@code /a}, {@code /a/} and {@code /a/b}, and not {@code /ab}.
  *
  * @param segments the literal segments in the form of {@link Target#segments()}; null: any segment
  * @param prefix whether further segments may follow
@@ -16,7 +16,7 @@
     private static final String REST = "**";
     private static final String PARAMETER_REGEX = "\\{[A-Za-z][A-Za-z0-9_]*}";
 
-    /** What a pattern has in one place, the most specific first. */
+    /** What a pattern has at one segment position, the most specific first. */
     private enum Rank {
         LITERAL,
         PARAMETER,
@@ -27,7 +27,8 @@
     /**
      * Parses a pattern.
      *
-     * @throws IllegalArgumentException that says what was expected
+     * @throws IllegalArgumentException if the pattern is invalid; the message says what was
+     *     expected
      */
     public static PathPattern parse(String text) {
         boolean prefix = text.endsWith("/" + REST);
@@ -38,7 +39,8 @@
         try {
             return new PathPattern(Collections.unmodifiableList(parseSegments(fixed)), prefix);
         } catch (BadTargetException e) {
-            throw new IllegalArgumentException("a path as a request has it: " + e.getMessage(), e);
+            throw new IllegalArgumentException(
+                    "a path that is valid in a request (this has " + e.getMessage() + ")", e);
         }
     }
 
@@ -58,7 +60,7 @@
         return segments;
     }
 
-    /** Whether it matches a path of these segments. */
+    /** Returns whether the pattern matches a path of these segments. */
     public boolean matches(List<String> path) {
         if (path.size() < segments.size() || (!prefix && path.size() > segments.size())) {
             return false;
@@ -76,9 +78,9 @@
     }
 
     /**
-     * Orders patterns that match the same path, the most specific first. The first place in which
-     * they differ decides: a literal goes before a parameter, that before the end, and the end
-     * before {@code **}.
+     * Orders patterns that match the same path, the most specific first. The first position at
+     * which they differ decides: a literal comes before a parameter, a parameter before the end of
+     * the pattern, and the end before {@code **}.
      */
     static int compare(PathPattern a, PathPattern b) {
         for (int i = 0; ; i++) {
@@ -99,8 +101,8 @@
         return segments.get(i) == null ? Rank.PARAMETER : Rank.LITERAL;
     }
 
-    /** A path that it matches. */
-    String example() {
+    /** Returns a path that the pattern matches. */
+    String examplePath() {
         StringBuilder path = new StringBuilder();
         for (String segment : segments) {
             path.append('/').append(segment == null ? "x" : segment);
--- a/engine/src/main/java/trailthread/engine/routes/Route.java
+++ b/engine/src/main/java/trailthread/engine/routes/Route.java
@@ -5,15 +5,16 @@
 import java.util.Set;
 
 /**
- * One route: the requests that it matches, and the pool that they go to.
+ * A route: the requests that it matches, and the pool to which they are sent.
  *
- * @param name unique in its table
- * @param methods those that match; empty: any
- * @param headers lower-case names, and the value that each must have; {@link #PRESENT}: any value
+ * @param name the name, unique in its table
+ * @param methods the methods that match; empty: any
+ * @param headers the value that each header must have, by the lower-case name; {@link #PRESENT}:
+ *     any value
  * @param requestClass the class that the client must have named; null: any or none
  * @param pool the name of a pool
- * @param assignedClass the class of its requests, whatever the client names; null: the client's or
- *     the method's
+ * @param assignedClass the class of the route's requests, whatever class the client names; null:
+ *     the class that the client names, else that of the method
  */
 public record Route(
         String name,
@@ -27,20 +28,22 @@
     /** The value of a header that must be present, with any value. */
     public static final String PRESENT = "*";
 
-    /** More than any number of headers can add to the rank of a route without methods. */
+    /**
+     * More than any number of headers can add to the rank, so that methods decide before headers.
+     */
     private static final int METHOD_RANK = 1 << 16;
 
     private static final int HEADER_RANK = 2;
     private static final int CLASS_RANK = 1;
 
     /**
-     * Of the routes that match a request, the first in this order has it: by host (exact, the
+     * Of the routes that match a request, the first in this order is selected: by host (exact, the
      * longest wildcard, any), path (see {@link PathPattern#compare}), methods, number of headers,
      * class.
      */
     static final Comparator<Route> MOST_SPECIFIC_FIRST =
             Comparator.comparing((Route r) -> r.host.kind())
-                    .thenComparing(r -> -r.host.labels())
+                    .thenComparing(r -> -r.host.labelCount())
                     .thenComparing(Route::path, PathPattern::compare)
                     .thenComparing(Route::compareConditions);
 
@@ -49,7 +52,7 @@
         headers = Map.copyOf(headers);
     }
 
-    /** The order among routes of one host and path. */
+    /** Orders routes with the same host and path, the most specific first. */
     static int compareConditions(Route a, Route b) {
         return Integer.compare(b.rank(), a.rank());
     }
@@ -60,12 +63,12 @@
                 + (requestClass == null ? 0 : CLASS_RANK);
     }
 
-    /** Whether the request matches. */
+    /** Returns whether the route matches the request. */
     boolean matches(RouteQuery query) {
         return host.matches(query.host()) && path.matches(query.path()) && matchesConditions(query);
     }
 
-    /** Whether the request matches, if its host and path do. */
+    /** Returns whether the route matches the request, given that its host and path match. */
     boolean matchesConditions(RouteQuery query) {
         return matchesMethod(query) && matchesClass(query) && mismatchedHeader(query) == null;
     }
@@ -78,7 +81,7 @@
         return requestClass == null || requestClass.equals(query.requestClass());
     }
 
-    /** The first header that does not match, with the value it must have; null: all match. */
+    /** Returns the first header that does not match, with the required value; null: all match. */
     private Map.Entry<String, String> mismatchedHeader(RouteQuery query) {
         for (Map.Entry<String, String> required : headers.entrySet()) {
             String value = query.header().apply(required.getKey());
@@ -91,8 +94,8 @@
         return null;
     }
 
-    /** Why the request does not match, for people; null: it does. */
-    String mismatch(RouteQuery query) {
+    /** Explains to operators why the route does not match the request; null: it does. */
+    String explainMismatch(RouteQuery query) {
         if (!host.matches(query.host())) {
             return "host is not " + host;
         }
@@ -110,7 +113,7 @@
             return null;
         }
         return query.header().apply(header.getKey()) == null
-                ? "header " + header.getKey() + " is not given once"
+                ? "header " + header.getKey() + " is missing or given more than once"
                 : "header " + header.getKey() + " is not " + header.getValue();
     }
 }
--- a/engine/src/main/java/trailthread/engine/routes/RouteConflict.java
+++ b/engine/src/main/java/trailthread/engine/routes/RouteConflict.java
@@ -8,18 +8,18 @@
 import java.util.stream.Collectors;
 
 /**
- * Two routes that match the same request, and neither of them is more specific: which one had it
- * would depend on their order in the file.
+ * Two routes that match the same request, and of which neither is more specific: which one is
+ * selected would depend on their order in the file.
  *
- * @param example such a request, as {@code METHOD host/path} and its headers
+ * @param example a request that both match, as {@code METHOD host/path}, headers and class
  */
 public record RouteConflict(Route first, Route second, String example) {
     private static final String ANY_METHOD_EXAMPLE = "GET";
     private static final String ANY_VALUE_EXAMPLE = "x";
 
     /**
-     * The conflict between two routes of one host and path; empty if no request matches both, or
-     * one of them is more specific.
+     * Returns the conflict between two routes with the same host and path; empty if no request
+     * matches both, or one of them is more specific.
      */
     static Optional<RouteConflict> between(Route a, Route b) {
         if (Route.compareConditions(a, b) != 0 || classesDiffer(a, b)) {
@@ -34,9 +34,9 @@
         String example =
                 method.get()
                         + " "
-                        + a.host().example()
-                        + a.path().example()
-                        + text(headers.get())
+                        + a.host().exampleHost()
+                        + a.path().examplePath()
+                        + formatHeaders(headers.get())
                         + (requestClass == null ? "" : ", class " + requestClass);
         return Optional.of(new RouteConflict(a, b, example));
     }
@@ -47,7 +47,7 @@
                 && !a.requestClass().equals(b.requestClass());
     }
 
-    /** A method that both match, if there is one: the first by name. */
+    /** Returns the first method by name that both match, if there is one. */
     private static Optional<String> commonMethod(Route a, Route b) {
         if (a.methods().isEmpty() && b.methods().isEmpty()) {
             return Optional.of(ANY_METHOD_EXAMPLE);
@@ -59,7 +59,7 @@
         return methods.stream().findFirst();
     }
 
-    /** Headers that both match, if they don't require different values of one. */
+    /** Returns headers that both match, unless they require different values of a header. */
     private static Optional<Map<String, String>> commonHeaders(Route a, Route b) {
         Map<String, String> headers = new LinkedHashMap<>(a.headers());
         for (Map.Entry<String, String> other : b.headers().entrySet()) {
@@ -73,7 +73,7 @@
         return Optional.of(headers);
     }
 
-    private static String text(Map<String, String> headers) {
+    private static String formatHeaders(Map<String, String> headers) {
         return headers.entrySet().stream()
                 .sorted(Map.Entry.comparingByKey())
                 .map(header -> ", " + header.getKey() + ": " + exampleValue(header.getValue()))
@@ -90,7 +90,7 @@
                 + first.name()
                 + " and "
                 + second.name()
-                + " both take "
+                + " both match "
                 + example
                 + ", and neither is more specific";
     }
--- a/engine/src/main/java/trailthread/engine/routes/RouteTable.java
+++ b/engine/src/main/java/trailthread/engine/routes/RouteTable.java
@@ -6,24 +6,27 @@
 import java.util.Map;
 
 /**
- * Finds the most specific route that matches a request. Hosts are looked up by name and paths in a
- * trie of segments, so that the time grows with the depth of the path and not with the number of
- * routes. Immutable.
+ * Finds the most specific route that matches a request. Looks up hosts by name and paths in a trie
+ * of segments, so that the time grows with the depth of the path and not with the number of routes.
+ * Immutable.
  */
 public final class RouteTable {
-    /** A node of the trie of one host's paths. */
+    /** A node in the trie of paths of one host pattern. */
     private static final class Node {
         private Map<String, Node> literals = Map.of();
         private Node parameter;
 
         /** Routes whose path ends here, the most specific first. */
-        private final List<Route> ends = new ArrayList<>(1);
+        private final List<Route> exactRoutes = new ArrayList<>(1);
 
         /** Routes that match all paths from here on, the most specific first. */
-        private final List<Route> prefixes = new ArrayList<>(1);
+        private final List<Route> prefixRoutes = new ArrayList<>(1);
 
-        /** The child for a segment of a pattern, null for a parameter; it is added if missing. */
-        Node childFor(String segment) {
+        /**
+         * Returns the child for a segment of a pattern, where null is a parameter; adds a missing
+         * one.
+         */
+        Node childOrNew(String segment) {
             if (segment == null) {
                 parameter = parameter == null ? new Node() : parameter;
                 return parameter;
@@ -35,12 +38,13 @@
         }
 
         /**
-         * The first route that matches the request, in the order of {@link PathPattern#compare}.
+         * Returns the first route that matches the request, in the order of {@link
+         * PathPattern#compare}.
          */
         Route match(RouteQuery query, int depth) {
             if (depth == query.path().size()) {
-                Route end = first(ends, query);
-                return end != null ? end : first(prefixes, query);
+                Route exact = firstMatch(exactRoutes, query);
+                return exact != null ? exact : firstMatch(prefixRoutes, query);
             }
             String segment = query.path().get(depth);
             Node literal = literals.get(segment);
@@ -48,10 +52,10 @@
             if (found == null && parameter != null && !segment.isEmpty()) {
                 found = parameter.match(query, depth + 1);
             }
-            return found != null ? found : first(prefixes, query);
+            return found != null ? found : firstMatch(prefixRoutes, query);
         }
 
-        private static Route first(List<Route> routes, RouteQuery query) {
+        private static Route firstMatch(List<Route> routes, RouteQuery query) {
             for (int i = 0; i < routes.size(); i++) {
                 if (routes.get(i).matchesConditions(query)) {
                     return routes.get(i);
@@ -67,7 +71,7 @@
     private final Node anyHost = new Node();
     private final List<RouteConflict> conflicts = new ArrayList<>();
 
-    /** Makes a table, which is to be used only if it has no {@link #conflicts}. */
+    /** Creates a table; it must be used only if it has no {@link #conflicts}. */
     public RouteTable(List<Route> routes) {
         List<Route> sorted = new ArrayList<>(routes);
         sorted.sort(Route.MOST_SPECIFIC_FIRST);
@@ -86,29 +90,32 @@
                     case ANY -> anyHost;
                 };
         for (String segment : route.path().segments()) {
-            node = node.childFor(segment);
+            node = node.childOrNew(segment);
         }
-        List<Route> same = route.path().prefix() ? node.prefixes : node.ends;
-        // Routes are added in order: those of the same rank are the last ones.
-        for (int i = same.size() - 1;
-                i >= 0 && Route.compareConditions(same.get(i), route) == 0;
+        List<Route> sameEnd = route.path().prefix() ? node.prefixRoutes : node.exactRoutes;
+        // Routes are added in order, so those of the same rank are the last ones.
+        for (int i = sameEnd.size() - 1;
+                i >= 0 && Route.compareConditions(sameEnd.get(i), route) == 0;
                 i--) {
-            RouteConflict.between(same.get(i), route).ifPresent(conflicts::add);
+            RouteConflict.between(sameEnd.get(i), route).ifPresent(conflicts::add);
         }
-        same.add(route);
+        sameEnd.add(route);
     }
 
-    /** All pairs of routes that match the same request and of which neither is more specific. */
+    /**
+     * Returns all pairs of routes that match the same request and of which neither is more
+     * specific.
+     */
     public List<RouteConflict> conflicts() {
         return List.copyOf(conflicts);
     }
 
-    /** The routes, the most specific first. */
+    /** Returns all routes, the most specific first. */
     public List<Route> routes() {
         return routes;
     }
 
-    /** The most specific route that matches the request, or null. */
+    /** Returns the most specific route that matches the request, or null. */
     public Route match(RouteQuery query) {
         Node node = exact.get(query.host());
         Route found = node == null ? null : node.match(query, 0);
@@ -118,7 +125,7 @@
         return found != null ? found : anyHost.match(query, 0);
     }
 
-    /** Tries the wildcards of the host, from the longest on. */
+    /** Tries the wildcards that match the host, the longest first. */
     private Route matchWildcard(RouteQuery query) {
         String host = query.host();
         for (int dot = host.indexOf('.'); dot >= 0; dot = host.indexOf('.', dot + 1)) {
@@ -131,24 +138,27 @@
         return null;
     }
 
-    /** Why each route has the request or not, for people; the most specific route first. */
+    /**
+     * Explains to operators why each route is selected for the request or not, the most specific
+     * route first.
+     */
     public List<String> explain(RouteQuery query) {
-        Route winner = match(query);
+        Route selected = match(query);
         List<String> lines = new ArrayList<>();
         for (Route route : routes) {
-            lines.add(route.name() + ": " + explain(route, query, winner));
+            lines.add(route.name() + ": " + explain(route, query, selected));
         }
         return lines;
     }
 
     @SuppressWarnings("ReferenceEquality") // routes are compared as entries of this table
-    private static String explain(Route route, RouteQuery query, Route winner) {
-        if (route == winner) {
-            return "takes it, for pool " + route.pool();
+    private static String explain(Route route, RouteQuery query, Route selected) {
+        if (route == selected) {
+            return "selected, for pool " + route.pool();
         }
-        String mismatch = route.mismatch(query);
+        String mismatch = route.explainMismatch(query);
         return mismatch != null
                 ? mismatch
-                : "takes it, too, but " + winner.name() + " is more specific";
+                : "matches, but " + selected.name() + " is more specific";
     }
 }
--- a/engine/src/main/java/trailthread/engine/routes/Target.java
+++ b/engine/src/main/java/trailthread/engine/routes/Target.java
@@ -6,17 +6,17 @@
 
 /**
  * A request's target: the host, and the path and query as they are forwarded to the endpoint,
- * unchanged. Routing must see exactly what the endpoint will read. So everything that two parsers
- * could read differently is rejected: dot segments (also percent-encoded), empty segments but for
- * the last, {@code ;} parameters, percent-encoded {@code /} and {@code \}, control characters.
- * After RFC 9112 (3.2), RFC 9110 (4.2, 7.2) and RFC 3986 (3.3, 6.2.2); docs/routes.md has the
- * table.
+ * unchanged. Routing must read the target exactly as the endpoint will. So everything that two
+ * parsers could read differently is rejected: dot segments (also percent-encoded), empty segments
+ * except the last, {@code ;} parameters, percent-encoded {@code /} and {@code \}, control
+ * characters. After RFC 9112 (3.2), RFC 9110 (4.2, 7.2) and RFC 3986 (3.3, 6.2.2); docs/routes.md
+ * has the table.
  *
  * @param host in lower case, without port and trailing dot; empty if the request has none
  *     (HTTP/1.0)
  * @param origin path and query as they were received, beginning with {@code /}
- * @param segments of the path, normalized for comparison: unreserved characters are decoded, and
- *     the hex digits of all others are in upper case
+ * @param segments the segments of the path, normalized for comparison: unreserved characters are
+ *     decoded, and the hex digits of other encoded characters are in upper case
  */
 public record Target(String host, String origin, List<String> segments) {
     private static final List<String> SCHEMES = List.of("http://", "https://");
@@ -29,28 +29,31 @@
     /** Characters of a path besides letters, digits and {@code %} (RFC 3986, pchar without ";"). */
     private static final String PATH_MARKS = UNRESERVED_MARKS + "!$&'()*+,=:@";
 
-    /** Characters of a query besides letters and digits: those of RFC 3986, and some in use. */
+    /**
+     * Characters of a query besides letters and digits: those of RFC 3986, and others that clients
+     * send.
+     */
     private static final String QUERY_MARKS = PATH_MARKS + ";/?%[]|^`{}\"<>\\";
 
     /**
      * Parses a request line's target and the Host header.
      *
      * @param hosts the values of all Host headers
-     * @param needsHost whether one is required, as in HTTP/1.1
-     * @throws BadTargetException if the target is invalid or ambiguous; such a request is answered
-     *     400
+     * @param needsHost whether a Host header is required, as in HTTP/1.1
+     * @throws BadTargetException if the target is invalid or ambiguous; the response to the request
+     *     is to be 400
      */
     public static Target parse(String method, String target, List<String> hosts, boolean needsHost)
             throws BadTargetException {
         if (hosts.size() > 1) {
-            throw new BadTargetException("more than one Host");
+            throw new BadTargetException("more than one Host header");
         }
         if (hosts.isEmpty() && needsHost) {
-            throw new BadTargetException("no Host");
+            throw new BadTargetException("no Host header");
         }
         String host = hosts.isEmpty() ? "" : parseHost(hosts.get(0));
         if (method.equals("CONNECT")) {
-            throw new BadTargetException("no tunnels here");
+            throw new BadTargetException("CONNECT is not supported");
         }
         return target.startsWith("/")
                 ? parseOrigin(host, target)
@@ -59,7 +62,7 @@
 
     /**
      * Parses a target in absolute form. It must name the same host as the Host header (RFC 9112,
-     * 3.2): prevents a request from being routed by one and served by the other.
+     * 3.2): prevents a request from being routed by one host and served for the other.
      *
      * @param hostHeader the host of the Host header; null: there is none
      */
@@ -72,7 +75,7 @@
             throw new BadTargetException("an absolute target without a host");
         }
         if (hostHeader != null && !host.equals(hostHeader)) {
-            throw new BadTargetException("a target and a Host that differ");
+            throw new BadTargetException("a target and a Host header that differ");
         }
         String origin = target.substring(path);
         return parseOrigin(host, origin.startsWith("/") ? origin : "/" + origin);
@@ -104,24 +107,26 @@
         return i;
     }
 
-    /** Parses host and port as in a Host header; the host alone, in the form that patterns have. */
+    /**
+     * Parses host and port as in a Host header, and returns the host in the form of host patterns.
+     */
     private static String parseHost(String authority) throws BadTargetException {
         if (authority.isEmpty()) {
-            return ""; // RFC 9112, 3.2: empty where the target has no authority
+            return ""; // RFC 9112, 3.2: empty if the target has no authority
         }
         int bracket = authority.lastIndexOf(']');
         int colon = authority.indexOf(':', Math.max(0, bracket));
         String host = colon < 0 ? authority : authority.substring(0, colon);
         String port = colon < 0 ? "" : authority.substring(colon + 1);
         if (port.length() > MAX_PORT_DIGITS || !port.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new BadTargetException("a port that is none");
+            throw new BadTargetException("an invalid port");
         }
         host = host.toLowerCase(Locale.ROOT);
         if (host.endsWith(".")) {
             host = host.substring(0, host.length() - 1);
         }
-        if (!HostSyntax.isName(host) && !HostSyntax.isAddress(host)) {
-            throw new BadTargetException("a host that is none");
+        if (!HostSyntax.isName(host) && !HostSyntax.isBracketedIpv6(host)) {
+            throw new BadTargetException("an invalid host");
         }
         return host;
     }
@@ -129,12 +134,13 @@
     private static void checkQuery(String origin, int from) throws BadTargetException {
         for (int i = from; i < origin.length(); i++) {
             if (!isPlain(origin.charAt(i), QUERY_MARKS)) {
-                throw new BadTargetException("a letter in the query that must be encoded");
+                throw new BadTargetException(
+                        "a character in the query that must be percent-encoded");
             }
         }
     }
 
-    /** The segments of a path, normalized for comparison. */
+    /** Returns the segments of a path, normalized for comparison. */
     static List<String> segments(String path) throws BadTargetException {
         if (!path.startsWith("/")) {
             throw new BadTargetException("a path that does not begin with /");
@@ -146,10 +152,10 @@
             to = path.indexOf('/', from);
             String segment = normalize(path, from, to < 0 ? path.length() : to);
             if (segment.isEmpty() && to >= 0) {
-                throw new BadTargetException("an empty segment: some readers drop it");
+                throw new BadTargetException("an empty segment, which some parsers remove");
             }
             if (segment.equals(".") || segment.equals("..")) {
-                throw new BadTargetException("a dot segment: some readers take it out");
+                throw new BadTargetException("a dot segment, which some parsers resolve");
             }
             segments.add(segment);
             from = to + 1;
@@ -157,7 +163,10 @@
         return segments;
     }
 
-    /** The segment at these places, which is copied only if it has percent-encoded characters. */
+    /**
+     * Returns the normalized segment between two indices; rebuilds it only if it has
+     * percent-encoded characters.
+     */
     private static String normalize(String path, int from, int to) throws BadTargetException {
         StringBuilder normalized = null;
         for (int i = from; i < to; i++) {
@@ -171,8 +180,8 @@
             } else if (!isPlain(c, PATH_MARKS)) {
                 throw new BadTargetException(
                         c == ';'
-                                ? "a path parameter: some readers take it out"
-                                : "a letter in the path that must be encoded");
+                                ? "a path parameter, which some parsers remove"
+                                : "a character in the path that must be percent-encoded");
             } else if (normalized != null) {
                 normalized.append(c);
             }
@@ -182,9 +191,9 @@
 
     /**
      * Normalizes a percent-encoded character (RFC 3986, 6.2.2): an unreserved one is decoded, and
-     * the hex digits of all others are put in upper case.
+     * the hex digits of any other are put in upper case.
      *
-     * @return where its last digit is
+     * @return the index of the last hex digit
      */
     private static int normalizeEncoded(String path, int at, int to, StringBuilder normalized)
             throws BadTargetException {
@@ -195,10 +204,10 @@
         }
         char c = (char) (16 * high + low);
         if (c == '/' || c == '\\') {
-            throw new BadTargetException("an encoded slash: some readers split there");
+            throw new BadTargetException("an encoded slash, at which some parsers split the path");
         }
         if (c < ' ' || c == DELETE) {
-            throw new BadTargetException("an encoded control letter");
+            throw new BadTargetException("an encoded control character");
         }
         if (isPlain(c, UNRESERVED_MARKS)) {
             normalized.append(c);
@@ -211,7 +220,7 @@
         return at + 2;
     }
 
-    /** Whether it is an ASCII letter or digit, or one of the marks. */
+    /** Returns whether the character is an ASCII letter or digit, or one of the marks. */
     private static boolean isPlain(char c, String marks) {
         return (c >= 'a' && c <= 'z')
                 || (c >= 'A' && c <= 'Z')
--- a/engine/src/test/java/trailthread/engine/routes/RouteTableTest.java
+++ b/engine/src/test/java/trailthread/engine/routes/RouteTableTest.java
@@ -151,7 +151,7 @@
         List<RouteConflict> conflicts = new RouteTable(List.of(a, b)).conflicts();
         assertEquals(1, conflicts.size());
         assertEquals(
-                "routes a and b both take PUT a.example/x/x, h: 1, and neither is more specific",
+                "routes a and b both match PUT a.example/x/x, h: 1, and neither is more specific",
                 conflicts.get(0).toString());
         assertTrue(
                 "other methods",
@@ -190,7 +190,7 @@
                         "a: host is not a.example",
                         "c: method is none of POST",
                         "d: path is not /y",
-                        "b: takes it, for pool pool"),
+                        "b: selected, for pool pool"),
                 new RouteTable(routes).explain(get("h", "/x", Map.of())));
     }
 
--- a/engine/src/test/java/trailthread/engine/routes/TargetTest.java
+++ b/engine/src/test/java/trailthread/engine/routes/TargetTest.java
@@ -67,8 +67,8 @@
 
     @Test
     public void acceptsOneHostOnly() throws Exception {
-        rejects("more than one Host", "/", "a", "a");
-        rejects("no Host", "/");
+        rejects("more than one Host header", "/", "a", "a");
+        rejects("no Host header", "/");
         assertEquals("", Target.parse("GET", "/", List.of(), false).host());
     }
 
@@ -83,18 +83,18 @@
         assertEquals(
                 new Target("b.example", "/", List.of("")), parse("https://b.example", "b.example"));
         assertEquals("b", Target.parse("GET", "http://b/", List.of(), false).host());
-        rejects("a target and a Host that differ", "http://b.example/", "a.example");
-        rejects("a target and a Host that differ", "http://b.example/", "");
+        rejects("a target and a Host header that differ", "http://b.example/", "a.example");
+        rejects("a target and a Host header that differ", "http://b.example/", "");
         rejects("an absolute target without a host", "http:///x", "a");
         rejects("a target in neither origin nor absolute form", "ftp://a/x", "a");
         rejects("a target in neither origin nor absolute form", "*", "a");
         rejects("a target in neither origin nor absolute form", "x", "a");
-        rejects("a host that is none", "http://u@b.example/", "a");
+        rejects("an invalid host", "http://u@b.example/", "a");
         BadTargetException e =
                 assertThrows(
                         BadTargetException.class,
                         () -> Target.parse("CONNECT", "a:1", List.of("a"), true));
-        assertEquals("no tunnels here", e.getMessage());
+        assertEquals("CONNECT is not supported", e.getMessage());
     }
 
     @Test
@@ -121,24 +121,24 @@
 
     @Test
     public void rejectsWhatTwoParsersCouldReadDifferently() {
-        rejects("a dot segment: some readers take it out", "/a/../b", "a");
-        rejects("a dot segment: some readers take it out", "/a/%2e%2E/b", "a");
-        rejects("a dot segment: some readers take it out", "/.", "a");
-        rejects("an empty segment: some readers drop it", "//a", "a");
-        rejects("an empty segment: some readers drop it", "/a//b", "a");
-        rejects("a path parameter: some readers take it out", "/a;x=1/b", "a");
-        rejects("an encoded slash: some readers split there", "/a%2fb", "a");
-        rejects("an encoded slash: some readers split there", "/a%5Cb", "a");
-        rejects("an encoded control letter", "/a%00", "a");
-        rejects("an encoded control letter", "/a%0d%0a", "a");
+        rejects("a dot segment, which some parsers resolve", "/a/../b", "a");
+        rejects("a dot segment, which some parsers resolve", "/a/%2e%2E/b", "a");
+        rejects("a dot segment, which some parsers resolve", "/.", "a");
+        rejects("an empty segment, which some parsers remove", "//a", "a");
+        rejects("an empty segment, which some parsers remove", "/a//b", "a");
+        rejects("a path parameter, which some parsers remove", "/a;x=1/b", "a");
+        rejects("an encoded slash, at which some parsers split the path", "/a%2fb", "a");
+        rejects("an encoded slash, at which some parsers split the path", "/a%5Cb", "a");
+        rejects("an encoded control character", "/a%00", "a");
+        rejects("an encoded control character", "/a%0d%0a", "a");
         rejects("a % without two hex digits", "/a%", "a");
         rejects("a % without two hex digits", "/a%4", "a");
         rejects("a % without two hex digits", "/a%4g", "a");
-        rejects("a letter in the path that must be encoded", "/a\\b", "a");
-        rejects("a letter in the path that must be encoded", "/a b", "a");
-        rejects("a letter in the path that must be encoded", "/\u00fc", "a");
-        rejects("a letter in the path that must be encoded", "/a#b", "a");
-        rejects("a letter in the query that must be encoded", "/a?b c", "a");
-        rejects("a letter in the query that must be encoded", "/a?b#c", "a");
+        rejects("a character in the path that must be percent-encoded", "/a\\b", "a");
+        rejects("a character in the path that must be percent-encoded", "/a b", "a");
+        rejects("a character in the path that must be percent-encoded", "/\u00fc", "a");
+        rejects("a character in the path that must be percent-encoded", "/a#b", "a");
+        rejects("a character in the query that must be percent-encoded", "/a?b c", "a");
+        rejects("a character in the query that must be percent-encoded", "/a?b#c", "a");
     }
 }
