--- a/engine/src/test/java/trailthread/engine/degradation/DegradationConfigTest.java
+++ b/engine/src/test/java/trailthread/engine/degradation/DegradationConfigTest.java
@@ -18,7 +18,7 @@
 import trailthread.api.RequestClass;
 import trailthread.degradation.DegradationPlan;
 
-/** The keys of the levels, and the operators' page that documents them. */
+/** Tests the keys of the levels, and that the operators' page documents them all. */
 public class DegradationConfigTest {
     private static final List<RequestClass> CLASSES =
             List.of(
--- a/engine/src/test/java/trailthread/engine/degradation/ReadingsTest.java
+++ b/engine/src/test/java/trailthread/engine/degradation/ReadingsTest.java
@@ -18,7 +18,7 @@
 import trailthread.degradation.SheddingOrder;
 import trailthread.engine.metrics.RequestResult;
 
-/** How each reading is derived from events and samples. */
+/** Tests attempt each reading is derived from events and samples. */
 public class ReadingsTest {
     private static final long MS = 1_000_000L;
     private static final double EXACT = 0;
@@ -33,6 +33,9 @@
 
     @Test
     public void anEndpointIsFailingIfOverAThirdOfItsLastAttemptsFailedQuickly() {
+        // A letter for each attempt: o OK, e error, c connect failed, r reset, t timeout, f
+        // rejected,
+        // m not sent, s slow error, u error of unknown latency.
         Object[][] cases = {
             {"", 0.0},
             {"e", 0.0},
@@ -51,11 +54,11 @@
         };
         for (Object[] c : cases) {
             FailingEndpointRate failing = new FailingEndpointRate(100 * MS);
-            failing.endpointListUpdated(ListKind.FULL, entries(EndpointState.READY, "w0", "w1"));
-            failing.endpointListUpdated(ListKind.DELTA, entries(EndpointState.DRAINING, "w2"));
-            for (char how : ((String) c[0]).toCharArray()) {
+            failing.endpointListUpdated(ListKind.FULL, entries(EndpointState.READY, "e0", "e1"));
+            failing.endpointListUpdated(ListKind.DELTA, entries(EndpointState.DRAINING, "e2"));
+            for (char attempt : ((String) c[0]).toCharArray()) {
                 Outcome outcome =
-                        switch (how) {
+                        switch (attempt) {
                             case 'o' -> Outcome.OK;
                             case 'c' -> Outcome.CONNECT_FAILED;
                             case 'r' -> Outcome.RESET;
@@ -64,13 +67,13 @@
                             case 'm' -> Outcome.NOT_SENT;
                             default -> Outcome.ERROR;
                         };
-                long latency = how == 's' ? 101 * MS : how == 'u' ? -1 : MS;
-                failing.attemptEnded("w0", outcome, latency, 0);
-                failing.attemptEnded("w2", outcome, latency, 0);
+                long latency = attempt == 's' ? 101 * MS : attempt == 'u' ? -1 : MS;
+                failing.attemptEnded("e0", outcome, latency, 0);
+                failing.attemptEnded("e2", outcome, latency, 0);
                 failing.attemptEnded("unknown", outcome, latency, 0);
             }
             assertEquals((String) c[0], (double) c[1], failing.rate(59_000 * MS), EXACT);
-            assertEquals("expired", 0, failing.rate(60_000 * MS), EXACT);
+            assertEquals("the attempts have expired", 0, failing.rate(60_000 * MS), EXACT);
         }
     }
 
@@ -78,9 +81,9 @@
     public void withoutReadyEndpointsTheFailingRateIsUnknown() {
         FailingEndpointRate failing = new FailingEndpointRate(MS);
         assertTrue(Double.isNaN(failing.rate(0)));
-        failing.endpointListUpdated(ListKind.FULL, entries(EndpointState.READY, "w0"));
+        failing.endpointListUpdated(ListKind.FULL, entries(EndpointState.READY, "e0"));
         assertEquals(0, failing.rate(0), EXACT);
-        failing.endpointListUpdated(ListKind.FULL, entries(EndpointState.DRAINING, "w1"));
+        failing.endpointListUpdated(ListKind.FULL, entries(EndpointState.DRAINING, "e1"));
         assertTrue(Double.isNaN(failing.rate(0)));
     }
 
@@ -183,7 +186,7 @@
     public void thinnedHealthChecksReachEveryEndpoint() {
         HealthCheckThinning thinning = new HealthCheckThinning();
         for (double factor : new double[] {1, 2, 4}) {
-            for (String endpoint : List.of("w0", "w1")) {
+            for (String endpoint : List.of("e0", "e1")) {
                 int permitted = 0;
                 for (int i = 0; i < 8; i++) {
                     permitted += thinning.permits(endpoint, factor) ? 1 : 0;
--- a/engine/src/test/java/trailthread/engine/discovery/JsonObjectSplitterTest.java
+++ b/engine/src/test/java/trailthread/engine/discovery/JsonObjectSplitterTest.java
@@ -15,33 +15,38 @@
 /** Tests {@link JsonObjectSplitter}. */
 public class JsonObjectSplitterTest {
     @Test
-    public void aWatchIsSplitIntoObjectsWhereverItIsCut() throws IOException {
-        List<String> three =
+    public void aStreamIsSplitIntoObjectsHoweverItIsCut() throws IOException {
+        List<String> expected =
                 List.of("{\"a\":\"\u00e9}\\\"{\"}", "{\n  \"b\": [\n    {}\n  ]\n}", "{}");
         byte[] text =
-                (three.get(0) + "\n\n" + three.get(1) + "\r\n \n" + three.get(2) + "\n{\"c")
+                (expected.get(0)
+                                + "\n\n"
+                                + expected.get(1)
+                                + "\r\n \n"
+                                + expected.get(2)
+                                + "\n{\"c")
                         .getBytes(StandardCharsets.UTF_8);
         for (int piece = 1; piece <= text.length; piece++) {
             JsonObjectSplitter objects = new JsonObjectSplitter();
-            List<String> all = new ArrayList<>();
+            List<String> parsed = new ArrayList<>();
             for (int at = 0; at < text.length; at += piece) {
-                all.addAll(
+                parsed.addAll(
                         objects.add(ByteBuffer.wrap(text, at, Math.min(piece, text.length - at))));
             }
-            assertEquals(three, all);
+            assertEquals(expected, parsed);
             assertTrue(objects.isWithinObject());
         }
     }
 
-    /** Otherwise a watch that trickles would never be taken for broken. */
+    /** Prevents a watch whose peer sends a few bytes at a time from being taken for alive. */
     @Test
     public void onlyEmptyLinesAndCompleteObjectsAreSignsOfLife() throws IOException {
-        String[] signs = {"\n", " \r\n", "{}", "{}\n{"};
-        String[] others = {"", " ", "{", "{\n\n\"a\":\n"};
-        for (String bytes : signs) {
+        String[] signsOfLife = {"\n", " \r\n", "{}", "{}\n{"};
+        String[] notSignsOfLife = {"", " ", "{", "{\n\n\"a\":\n"};
+        for (String bytes : signsOfLife) {
             assertTrue(bytes, hasSignOfLife(bytes));
         }
-        for (String bytes : others) {
+        for (String bytes : notSignsOfLife) {
             assertFalse(bytes, hasSignOfLife(bytes));
         }
     }
@@ -53,7 +58,7 @@
     }
 
     @Test
-    public void whatIsNotAnObjectIsRejected() {
+    public void inputOtherThanObjectsIsRejected() {
         for (String bytes : new String[] {"x", "[{}]", "{}]", "\"a\"", "\ufeff{}"}) {
             assertThrows(bytes, IOException.class, () -> hasSignOfLife(bytes));
         }
--- a/engine/src/test/java/trailthread/engine/quota/AnyQuotaTest.java
+++ b/engine/src/test/java/trailthread/engine/quota/QuotaPropertyTest.java
@@ -10,8 +10,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Quotas under random sequences of acquire and release. */
-class AnyQuotaTest {
+/** Checks quotas under random sequences of acquire and release. */
+class QuotaPropertyTest {
     private static final long MS = 1_000_000;
 
     @Property(tries = 500)
@@ -36,9 +36,9 @@
             Quota.Member member = members.get(i);
             if (random.nextInt(3) > 0) {
                 long amount = 1L + random.nextInt(3);
-                boolean within = member.held() + amount <= guaranteed[i];
-                boolean taken = member.acquire(amount, now);
-                assertTrue(taken || !within, "a guaranteed amount was not granted");
+                boolean withinGuarantee = member.held() + amount <= guaranteed[i];
+                boolean acquired = member.acquire(amount, now);
+                assertTrue(acquired || !withinGuarantee, "a guaranteed amount was not granted");
             } else if (member.held() > 0) {
                 member.release(1 + random.nextInt((int) member.held()));
             }
@@ -51,7 +51,7 @@
         assertEquals(0, quota.used());
     }
 
-    /** A late member has its part as soon as the others have returned their excess. */
+    /** A late member gets its part as soon as the others have returned their excess. */
     @Property(tries = 300)
     void returnedExcessIsEnoughForTheOthersDemand(
             @ForAll @IntRange(min = 2, max = 5) int n,
@@ -74,13 +74,15 @@
                 long excess = greedy.excess(now);
                 assertTrue(
                         excess > 0,
-                        "wanted, and no member has an excess: has "
+                        "refused, though no other member has an excess: borrowed "
                                 + late.borrowed()
                                 + " of "
                                 + part);
                 greedy.release(excess);
-                assertTrue(!greedy.acquire(greedy.held() + 1, now), "an excess is not lent again");
-                assertTrue(late.acquire(1, now), "returned, and not lent");
+                assertTrue(
+                        !greedy.acquire(greedy.held() + 1, now),
+                        "the excess was lent to the same member again");
+                assertTrue(late.acquire(1, now), "the returned excess was not lent");
             }
         }
         assertTrue(greedy.borrowed() >= part, "returned more than its excess");
--- a/engine/src/test/java/trailthread/engine/quota/QuotaTest.java
+++ b/engine/src/test/java/trailthread/engine/quota/QuotaTest.java
@@ -7,18 +7,18 @@
 
 import org.junit.Test;
 
-/** Quotas of amounts and of time, case by case. */
+/** Tests {@link Quota} and {@link TimeQuota} case by case. */
 public class QuotaTest {
     private static final long MS = 1_000_000;
     private static final long S = 1000 * MS;
 
     @Test
-    public void aloneAMemberBorrowsAllButTheOthersGuarantees() {
+    public void theOnlyBorrowerGetsAllButTheOthersGuarantees() {
         Quota quota = new Quota(10, S);
         Quota.Member a = quota.join(2, 10);
         quota.join(3, 10);
         for (int i = 0; i < 7; i++) {
-            assertTrue("the " + i, a.acquire(1, 0));
+            assertTrue("acquire " + i, a.acquire(1, 0));
         }
         assertFalse("the other's guarantee", a.acquire(1, 0));
     }
@@ -34,8 +34,8 @@
         assertEquals("the demand has ended", 0, a.excess(S));
         a.release(5);
         assertTrue(b.acquire(1, S));
-        assertFalse("both want some, and it has its half", a.acquire(1, S));
-        assertTrue("it alone wants some", a.acquire(1, 3 * S));
+        assertFalse("both want some, and this one has its half", a.acquire(1, S));
+        assertTrue("no other member wants any", a.acquire(1, 3 * S));
     }
 
     @Test
@@ -44,7 +44,7 @@
         Quota.Member a = quota.join(6, 10);
         assertTrue(a.acquire(8, 0));
         a.leave();
-        assertEquals("its guarantee is for others", 10, quota.unreserved());
+        assertEquals("the guarantee is free for others", 10, quota.unreserved());
         Quota.Member b = quota.join(6, 6);
         assertTrue(b.acquire(2, 0));
         assertFalse("the rest is still held", b.acquire(1, 0));
@@ -75,7 +75,7 @@
         a.addUsage(100 * MS, 0);
         assertTrue(a.mayStart(0) && b.mayStart(0));
         assertEquals(0.5, a.usedFraction(0), 0.001);
-        assertEquals("it decays", 0.5 / Math.E, a.usedFraction(200 * MS), 0.001);
+        assertEquals("the use decays", 0.5 / Math.E, a.usedFraction(200 * MS), 0.001);
     }
 
     @Test
--- a/engine/src/test/java/trailthread/engine/routes/AnyRoutesTest.java
+++ b/engine/src/test/java/trailthread/engine/routes/RouteTablePropertyTest.java
@@ -15,11 +15,11 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** The table against a linear matcher: the first route that matches, in the documented order. */
-class AnyRoutesTest {
+/** Compares the table with a linear search for the first match in the documented order. */
+class RouteTablePropertyTest {
     private static final List<String> SEGMENTS = List.of("a", "b", "c", "");
 
-    /** The documented order in another implementation: as text that sorts in this order. */
+    /** The documented order, implemented independently: strings that sort in this order. */
     private static String sortKey(Route r) {
         StringBuilder key = new StringBuilder();
         key.append(
@@ -41,15 +41,15 @@
     }
 
     @Property(tries = 2000)
-    @SuppressWarnings("ReferenceEquality") // which entry of the table, not one equal to it
-    void theTableAgreesWithALinearMatcher(
+    @SuppressWarnings("ReferenceEquality") // the same entry of the table, not an equal one
+    void theTableAgreesWithALinearSearch(
             @ForAll("tables") List<Route> routes, @ForAll("requests") RouteQuery query) {
         RouteTable table = new RouteTable(routes);
         List<Route> sorted = new ArrayList<>(routes);
-        sorted.sort(Comparator.comparing(AnyRoutesTest::sortKey));
+        sorted.sort(Comparator.comparing(RouteTablePropertyTest::sortKey));
         Route first = sorted.stream().filter(r -> r.matches(query)).findFirst().orElse(null);
         Route found = table.match(query);
-        // Of routes that conflict either may be found, if the table reports the conflict.
+        // Either of two conflicting routes may be found, if the table reports the conflict.
         boolean conflict =
                 first != found
                         && first != null
@@ -62,7 +62,7 @@
                                     c ->
                                             Set.of(c.first(), c.second())
                                                     .equals(Set.of(first, found))),
-                    "a conflict that is not reported: " + first + found);
+                    "a conflict is not reported: " + first + found);
         } else {
             assertEquals(first, found);
         }
@@ -79,7 +79,7 @@
                         .count();
         assertTrue(
                 equallySpecific <= 1 || !table.conflicts().isEmpty(),
-                "conflicting: " + equallySpecific);
+                "unreported conflict; equally specific routes: " + equallySpecific);
     }
 
     @Provide
--- a/engine/src/test/java/trailthread/engine/routes/RouteTableTest.java
+++ b/engine/src/test/java/trailthread/engine/routes/RouteTableTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.junit.Test;
 
-/** The documented order, case by case; {@link AnyRoutesTest} has generated tables. */
+/** Tests the documented order case by case; {@link RouteTablePropertyTest} generates tables. */
 public class RouteTableTest {
     private static Route route(String name, String host, String path) {
         return route(name, host, path, Set.of(), Map.of(), null);
@@ -36,19 +36,19 @@
                 null);
     }
 
-    private static RouteQuery get(String host, String path, Map<String, String> headers)
+    private static RouteQuery getQuery(String host, String path, Map<String, String> headers)
             throws BadTargetException {
         return new RouteQuery(
                 host, Target.segments(path), "GET", headers::get, headers.get("class"));
     }
 
-    private static String matching(
+    private static String matchingRoute(
             List<Route> routes, String host, String path, Map<String, String> headers)
             throws BadTargetException {
         List<Route> reversed = new ArrayList<>(routes);
         Collections.reverse(reversed);
-        Route first = new RouteTable(routes).match(get(host, path, headers));
-        Route second = new RouteTable(reversed).match(get(host, path, headers));
+        Route first = new RouteTable(routes).match(getQuery(host, path, headers));
+        Route second = new RouteTable(reversed).match(getQuery(host, path, headers));
         assertEquals("the order in the file does not matter", first, second);
         return first == null ? null : first.name();
     }
@@ -61,22 +61,23 @@
                         route("near", "*.b.example", "/x/y"),
                         route("far", "*.example", "/**"),
                         route("any", "*", "/x/y/z"));
-        assertEquals("exact", matching(routes, "a.b.example", "/x/y", Map.of()));
+        assertEquals("exact", matchingRoute(routes, "a.b.example", "/x/y", Map.of()));
         assertEquals(
-                "falls back where no path suits",
+                "the next host pattern is tried if no path matches",
                 "far",
-                matching(routes, "a.b.example", "/z", Map.of()));
-        assertEquals("near", matching(routes, "c.b.example", "/x/y", Map.of()));
-        assertEquals("near", matching(routes, "d.c.b.example", "/x/y", Map.of()));
+                matchingRoute(routes, "a.b.example", "/z", Map.of()));
+        assertEquals("near", matchingRoute(routes, "c.b.example", "/x/y", Map.of()));
+        assertEquals("near", matchingRoute(routes, "d.c.b.example", "/x/y", Map.of()));
         assertEquals(
-                "a wildcard stands for a label at least",
+                "a wildcard stands for at least one label",
                 "far",
-                matching(routes, "b.example", "/x/y", Map.of()));
-        assertEquals("any", matching(routes, "example", "/x/y/z", Map.of()));
-        assertNull(matching(routes, "example", "/x", Map.of()));
+                matchingRoute(routes, "b.example", "/x/y", Map.of()));
+        assertEquals("any", matchingRoute(routes, "example", "/x/y/z", Map.of()));
+        assertNull(matchingRoute(routes, "example", "/x", Map.of()));
         assertNull(
-                "not within a label",
-                matching(List.of(route("w", "*.b.example", "/**")), "ab.example", "/", Map.of()));
+                "a wildcard matches whole labels only",
+                matchingRoute(
+                        List.of(route("w", "*.b.example", "/**")), "ab.example", "/", Map.of()));
     }
 
     @Test
@@ -89,18 +90,21 @@
                         route("deep", "*", "/{x}/b/c"),
                         route("root", "*", "/"),
                         route("all", "*", "/**"));
-        assertEquals("literal", matching(routes, "h", "/a/b", Map.of()));
-        assertEquals("template", matching(routes, "h", "/a/c", Map.of()));
-        assertEquals("prefix", matching(routes, "h", "/a", Map.of()));
+        assertEquals("literal", matchingRoute(routes, "h", "/a/b", Map.of()));
+        assertEquals("template", matchingRoute(routes, "h", "/a/c", Map.of()));
+        assertEquals("prefix", matchingRoute(routes, "h", "/a", Map.of()));
         assertEquals(
-                "an empty segment is not any segment",
+                "a parameter does not match an empty segment",
                 "prefix",
-                matching(routes, "h", "/a/", Map.of()));
-        assertEquals("prefix", matching(routes, "h", "/a/b/c", Map.of()));
-        assertEquals("deep", matching(routes, "h", "/z/b/c", Map.of()));
-        assertEquals("root", matching(routes, "h", "/", Map.of()));
-        assertEquals("whole segments only", "all", matching(routes, "h", "/ab", Map.of()));
-        assertEquals("encoded without need", "literal", matching(routes, "h", "/%61/b", Map.of()));
+                matchingRoute(routes, "h", "/a/", Map.of()));
+        assertEquals("prefix", matchingRoute(routes, "h", "/a/b/c", Map.of()));
+        assertEquals("deep", matchingRoute(routes, "h", "/z/b/c", Map.of()));
+        assertEquals("root", matchingRoute(routes, "h", "/", Map.of()));
+        assertEquals("whole segments only", "all", matchingRoute(routes, "h", "/ab", Map.of()));
+        assertEquals(
+                "an unreserved character is decoded",
+                "literal",
+                matchingRoute(routes, "h", "/%61/b", Map.of()));
     }
 
     @Test
@@ -125,15 +129,16 @@
                                 Map.of("x-beta", "1", "x-two", "2"),
                                 "read"),
                         route("post", "*", "/a", Set.of("POST"), Map.of(), null));
-        assertEquals("get", matching(routes, "h", "/a", Map.of()));
+        assertEquals("get", matchingRoute(routes, "h", "/a", Map.of()));
         assertEquals(
-                "a method goes before a header",
+                "a method decides before a header",
                 "get",
-                matching(routes, "h", "/a", Map.of("x-beta", "1")));
-        assertEquals("both", matching(routes, "h", "/a", Map.of("x-beta", "1", "x-two", "2")));
+                matchingRoute(routes, "h", "/a", Map.of("x-beta", "1")));
+        assertEquals("both", matchingRoute(routes, "h", "/a", Map.of("x-beta", "1", "x-two", "2")));
         assertEquals(
                 "classed",
-                matching(routes, "h", "/a", Map.of("x-beta", "1", "x-two", "2", "class", "read")));
+                matchingRoute(
+                        routes, "h", "/a", Map.of("x-beta", "1", "x-two", "2", "class", "read")));
         assertEquals(List.of(), new RouteTable(routes).conflicts());
     }
 
@@ -154,22 +159,22 @@
                 "routes a and b both match PUT a.example/x/x, h: 1, and neither is more specific",
                 conflicts.get(0).toString());
         assertTrue(
-                "other methods",
+                "no common method",
                 noConflict(
                         a,
                         route("c", "*.example", "/x/{z}", Set.of("POST"), Map.of("h", "*"), null)));
         assertTrue(
-                "other values",
+                "no common header value",
                 noConflict(
                         route("d", "*", "/", Set.of(), Map.of("h", "1"), null),
                         route("e", "*", "/", Set.of(), Map.of("h", "2"), null)));
         assertTrue(
-                "other classes",
+                "no common class",
                 noConflict(
                         route("f", "*", "/", Set.of(), Map.of(), "x"),
                         route("g", "*", "/", Set.of(), Map.of(), "y")));
         assertTrue(
-                "one more header",
+                "one route has more headers",
                 noConflict(a, route("h", "*.example", "/x/{id}", Set.of("GET"), Map.of(), null)));
     }
 
@@ -191,7 +196,7 @@
                         "c: method is none of POST",
                         "d: path is not /y",
                         "b: selected, for pool pool"),
-                new RouteTable(routes).explain(get("h", "/x", Map.of())));
+                new RouteTable(routes).explain(getQuery("h", "/x", Map.of())));
     }
 
     @Test
--- a/engine/src/test/java/trailthread/engine/routes/TargetTest.java
+++ b/engine/src/test/java/trailthread/engine/routes/TargetTest.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import org.junit.Test;
 
-/** Parsing of targets, and rejection of those that two parsers could read differently. */
+/** Tests that targets are parsed, and rejected if two parsers could read them differently. */
 public class TargetTest {
     private static Target parse(String target, String... hosts) throws BadTargetException {
         return Target.parse("GET", target, Arrays.asList(hosts), true);
     }
 
-    private static void rejects(String message, String target, String... hosts) {
+    private static void assertRejected(String message, String target, String... hosts) {
         BadTargetException e =
                 assertThrows(
                         target + " " + Arrays.toString(hosts),
@@ -66,9 +66,9 @@
     }
 
     @Test
-    public void acceptsOneHostOnly() throws Exception {
-        rejects("more than one Host header", "/", "a", "a");
-        rejects("no Host header", "/");
+    public void requiresOneHostHeader() throws Exception {
+        assertRejected("more than one Host header", "/", "a", "a");
+        assertRejected("no Host header", "/");
         assertEquals("", Target.parse("GET", "/", List.of(), false).host());
     }
 
@@ -83,13 +83,13 @@
         assertEquals(
                 new Target("b.example", "/", List.of("")), parse("https://b.example", "b.example"));
         assertEquals("b", Target.parse("GET", "http://b/", List.of(), false).host());
-        rejects("a target and a Host header that differ", "http://b.example/", "a.example");
-        rejects("a target and a Host header that differ", "http://b.example/", "");
-        rejects("an absolute target without a host", "http:///x", "a");
-        rejects("a target in neither origin nor absolute form", "ftp://a/x", "a");
-        rejects("a target in neither origin nor absolute form", "*", "a");
-        rejects("a target in neither origin nor absolute form", "x", "a");
-        rejects("an invalid host", "http://u@b.example/", "a");
+        assertRejected("a target and a Host header that differ", "http://b.example/", "a.example");
+        assertRejected("a target and a Host header that differ", "http://b.example/", "");
+        assertRejected("an absolute target without a host", "http:///x", "a");
+        assertRejected("a target in neither origin nor absolute form", "ftp://a/x", "a");
+        assertRejected("a target in neither origin nor absolute form", "*", "a");
+        assertRejected("a target in neither origin nor absolute form", "x", "a");
+        assertRejected("an invalid host", "http://u@b.example/", "a");
         BadTargetException e =
                 assertThrows(
                         BadTargetException.class,
@@ -121,24 +121,24 @@
 
     @Test
     public void rejectsWhatTwoParsersCouldReadDifferently() {
-        rejects("a dot segment, which some parsers resolve", "/a/../b", "a");
-        rejects("a dot segment, which some parsers resolve", "/a/%2e%2E/b", "a");
-        rejects("a dot segment, which some parsers resolve", "/.", "a");
-        rejects("an empty segment, which some parsers remove", "//a", "a");
-        rejects("an empty segment, which some parsers remove", "/a//b", "a");
-        rejects("a path parameter, which some parsers remove", "/a;x=1/b", "a");
-        rejects("an encoded slash, at which some parsers split the path", "/a%2fb", "a");
-        rejects("an encoded slash, at which some parsers split the path", "/a%5Cb", "a");
-        rejects("an encoded control character", "/a%00", "a");
-        rejects("an encoded control character", "/a%0d%0a", "a");
-        rejects("a % without two hex digits", "/a%", "a");
-        rejects("a % without two hex digits", "/a%4", "a");
-        rejects("a % without two hex digits", "/a%4g", "a");
-        rejects("a character in the path that must be percent-encoded", "/a\\b", "a");
-        rejects("a character in the path that must be percent-encoded", "/a b", "a");
-        rejects("a character in the path that must be percent-encoded", "/\u00fc", "a");
-        rejects("a character in the path that must be percent-encoded", "/a#b", "a");
-        rejects("a character in the query that must be percent-encoded", "/a?b c", "a");
-        rejects("a character in the query that must be percent-encoded", "/a?b#c", "a");
+        assertRejected("a dot segment, which some parsers resolve", "/a/../b", "a");
+        assertRejected("a dot segment, which some parsers resolve", "/a/%2e%2E/b", "a");
+        assertRejected("a dot segment, which some parsers resolve", "/.", "a");
+        assertRejected("an empty segment, which some parsers remove", "//a", "a");
+        assertRejected("an empty segment, which some parsers remove", "/a//b", "a");
+        assertRejected("a path parameter, which some parsers remove", "/a;x=1/b", "a");
+        assertRejected("an encoded slash, at which some parsers split the path", "/a%2fb", "a");
+        assertRejected("an encoded slash, at which some parsers split the path", "/a%5Cb", "a");
+        assertRejected("an encoded control character", "/a%00", "a");
+        assertRejected("an encoded control character", "/a%0d%0a", "a");
+        assertRejected("a % without two hex digits", "/a%", "a");
+        assertRejected("a % without two hex digits", "/a%4", "a");
+        assertRejected("a % without two hex digits", "/a%4g", "a");
+        assertRejected("a character in the path that must be percent-encoded", "/a\\b", "a");
+        assertRejected("a character in the path that must be percent-encoded", "/a b", "a");
+        assertRejected("a character in the path that must be percent-encoded", "/\u00fc", "a");
+        assertRejected("a character in the path that must be percent-encoded", "/a#b", "a");
+        assertRejected("a character in the query that must be percent-encoded", "/a?b c", "a");
+        assertRejected("a character in the query that must be percent-encoded", "/a?b#c", "a");
     }
 }
