--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryClient.java
@@ -41,6 +41,7 @@
     /** Whether a watch is to be open; kept when the address of discovery changes. */
     private boolean watchWanted;
 
+    /** Whether a watch is kept open without calls from the listener. */
     private boolean pushed;
 
     /** All exchanges in progress, the watch among them. */
