--- a/command/src/main/java/trailthread/command/CheckCommand.java
+++ b/command/src/main/java/trailthread/command/CheckCommand.java
@@ -47,7 +47,7 @@
                 config.name(),
                 config.listen(),
                 config.operatorListen() == null ? "none" : config.operatorListen(),
-                config.services().calls(),
+                config.services().requests(),
                 config.services().connections(),
                 config.services().bodyBytes() + " bytes");
         for (PoolConfig pool : config.services().pools()) {
@@ -88,7 +88,7 @@
                 route.headers().isEmpty() ? "" : " " + route.headers(),
                 route.requestClass() == null ? "" : " class " + route.requestClass(),
                 route.pool(),
-                route.assigns() == null ? "" : ", as " + route.assigns());
+                route.assignedClass() == null ? "" : ", as " + route.assignedClass());
     }
 
     private static String lowerCase(Enum<?> value) {
--- a/command/src/test/java/trailthread/command/CommandLineTest.java
+++ b/command/src/test/java/trailthread/command/CommandLineTest.java
@@ -83,7 +83,7 @@
                 "--header",
                 "X-Hook: 1");
         assertPrinted(out, "route marks, pool marks, class by the method");
-        assertPrinted(out, "  sim: takes it, too, but marks is more specific");
+        assertPrinted(out, "  sim: matches, but marks is more specific");
         assertPrinted(out, "  attempts: path is not /attempts/{}/use");
     }
 
--- a/engine/src/main/java/trailthread/engine/pool/PoolQuotas.java
+++ b/engine/src/main/java/trailthread/engine/pool/PoolQuotas.java
@@ -14,21 +14,24 @@
     /**
      * Joins the quotas.
      *
-     * @throws IllegalArgumentException if the pool's guarantees are more than there is
+     * @throws IllegalArgumentException if a guarantee exceeds what is left of its quota
      */
-    PoolQuotas(Shares shares, PoolConfig.Limits limits) {
+    PoolQuotas(SharedQuotas sharedQuotas, PoolConfig.Limits limits) {
         this.limits = limits;
-        requests = join(shares.requests, limits.requests());
-        connections = join(shares.connections, limits.connections());
-        bodyBytes = join(shares.bodyBytes, limits.bodyBytes());
-        loopTime = shares.loopTime.join(limits.loopWeight());
+        requests = join(sharedQuotas.requests, limits.requests());
+        connections = join(sharedQuotas.connections, limits.connections());
+        bodyBytes = join(sharedQuotas.bodyBytes, limits.bodyBytes());
+        loopTime = sharedQuotas.loopTime.join(limits.loopWeight());
     }
 
     private static Quota.Member join(Quota quota, PoolConfig.QuotaRange range) {
         return quota.join(range.guaranteed(), range.max());
     }
 
-    /** Leaves the guarantees to other pools; open requests may still borrow up to the limits. */
+    /**
+     * Gives up the guarantees, for other pools to have; open requests may still borrow up to the
+     * limits.
+     */
     void dropGuarantees() {
         requests.resize(0, limits.requests().max());
         connections.resize(0, limits.connections().max());
@@ -43,13 +46,15 @@
         loopTime.leave();
     }
 
-    /** Whether a body of so many bytes may be buffered; {@link #releaseBody} follows if so. */
-    boolean acquireBody(long bytes, long now) {
+    /**
+     * Returns whether so many bytes were acquired; if so, {@link #releaseBodyBytes} must follow.
+     */
+    boolean acquireBodyBytes(long bytes, long now) {
         return bytes == 0 || bodyBytes.acquire(bytes, now);
     }
 
-    /** A body is buffered no more. */
-    void releaseBody(long bytes) {
+    /** Releases the bytes of a body that is no longer buffered. */
+    void releaseBodyBytes(long bytes) {
         if (bytes > 0) {
             bodyBytes.release(bytes);
         }
