--- a/daemon/src/main/java/trailthread/daemon/listener/BodyReader.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/BodyReader.java
@@ -195,7 +195,7 @@
             giveUp();
             return false;
         }
-        if (!sink.piece(bytes)) {
+        if (!sink.writePiece(bytes)) {
             pause();
             return false;
         }
@@ -227,7 +227,7 @@
         deadlineTimer.remove();
         done = true;
         if (sink != null) {
-            sink.end();
+            sink.endBody();
             onStreamed.run();
             return;
         }
@@ -264,7 +264,7 @@
         sink = to;
         ByteBuffer first = unstreamed;
         unstreamed = null;
-        if (sink.piece(first)) {
+        if (sink.writePiece(first)) {
             resume();
         }
     }
--- a/daemon/src/main/java/trailthread/daemon/listener/StreamedResponse.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/StreamedResponse.java
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public boolean piece(ByteBuffer piece) {
+    public boolean writePiece(ByteBuffer piece) {
         if (closed) {
             return true; // the attempt is notified separately
         }
@@ -102,7 +102,7 @@
     }
 
     @Override
-    public void end() {
+    public void endBody() {
         ending = true;
         if (!closed && unwritten == null) {
             finish();
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public void broken() {
+    public void abortBody() {
         if (!closed) {
             close();
             IoUtils.safeClose(exchange.getConnection());
@@ -153,7 +153,7 @@
 
     /**
      * Breaks the response off. The attempt is notified in a task of its own, as it may be the
-     * caller of {@link #piece}, and must not be entered again from there.
+     * caller of {@link #writePiece}, and must not be entered again from there.
      */
     void clientGone() {
         if (closed) {
--- a/daemon/src/test/java/trailthread/daemon/listener/EndByMomentTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/EndByMomentTest.java
@@ -174,7 +174,7 @@
                                     LONG_BODY_BYTES,
                                     writable::countDown,
                                     () -> {});
-                    sink.piece(ByteBuffer.wrap(new byte[LONG_BODY_BYTES / 2]));
+                    sink.writePiece(ByteBuffer.wrap(new byte[LONG_BODY_BYTES / 2]));
                     sinks.add(sink);
                 });
         final ByteSink sink = sinks.poll(30, TimeUnit.SECONDS);
@@ -219,8 +219,9 @@
         assertTrue(writable.await(30, TimeUnit.SECONDS));
         loop.execute(
                 () -> {
-                    sink.piece(ByteBuffer.wrap(new byte[LONG_BODY_BYTES - LONG_BODY_BYTES / 2]));
-                    sink.end();
+                    sink.writePiece(
+                            ByteBuffer.wrap(new byte[LONG_BODY_BYTES - LONG_BODY_BYTES / 2]));
+                    sink.endBody();
                 });
         reader.join(30_000);
         assertTrue("with half a response", received.size() > LONG_BODY_BYTES);
--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryExchange.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryExchange.java
@@ -198,7 +198,7 @@
     }
 
     @Override
-    public void head(int status, HeaderMap headers) {
+    public void headReceived(int status, HeaderMap headers) {
         accepted = status == StatusCodes.OK;
         if (accepted) {
             // the request may have been queued for nearly all of the time that is left
@@ -209,7 +209,7 @@
     }
 
     @Override
-    public void body(ByteBuffer piece) {
+    public void bodyReceived(ByteBuffer piece) {
         if (closed) {
             return;
         }
@@ -263,12 +263,12 @@
     }
 
     @Override
-    public void completed() {
+    public void responseCompleted() {
         fail(objects.isWithinObject() ? "ends within an object" : "ends the watch");
     }
 
     @Override
-    public void failed(String reason) {
+    public void exchangeFailed(String reason) {
         fail(reason);
     }
 
--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptExchange.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptExchange.java
@@ -179,31 +179,31 @@
     }
 
     @Override
-    public void sent() {
+    public void requestSent() {
         sentAt = loop.now(); // the time a long body takes to send is not the endpoint's latency
         if (request.source() != null && !isStreaming() && !over) {
             cancelTimeout();
             timeout = loop.schedule(request.afterBodyNs(), this::timedOut);
         }
-        listener.sent();
+        listener.requestSent();
     }
 
     @Override
-    public void head(int status, HeaderMap headers) {
+    public void headReceived(int status, HeaderMap headers) {
         response =
                 new AttemptResponse(
                         loop, this, listener, status, headers, request.forwarded() != null);
     }
 
     @Override
-    public void body(ByteBuffer piece) {
+    public void bodyReceived(ByteBuffer piece) {
         if (!over) {
             response.add(piece);
         }
     }
 
     @Override
-    public void completed() {
+    public void responseCompleted() {
         connections.release(endpoint, connection);
         connection = null;
         end(response.outcome(), responseLatencyNs(), response.load());
@@ -230,7 +230,7 @@
     }
 
     @Override
-    public void failed(String reason) {
+    public void exchangeFailed(String reason) {
         Outcome outcome = isSent() ? Outcome.RESET : outcomeIfUnsent();
         // a load report in the head of a broken response is not trusted either
         end(outcome, elapsedNs(), null);
@@ -315,6 +315,6 @@
         if (load == null && received != null && request.isProbe()) {
             load = LoadReportParser.parse(new String(received.body(), StandardCharsets.UTF_8));
         }
-        listener.ended(new AttemptResult(outcome, latencyNs, load, received));
+        listener.attemptEnded(new AttemptResult(outcome, latencyNs, load, received));
     }
 }
--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptListener.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptListener.java
@@ -11,7 +11,7 @@
     }
 
     /** The request's last byte has been written. */
-    default void sent() {}
+    default void requestSent() {}
 
     /**
      * A long response has started. It is streamed, and the attempt ends no sooner than the response
@@ -30,5 +30,5 @@
     }
 
     /** The attempt is over. Called once, never from within the call that started the attempt. */
-    void ended(AttemptResult result);
+    void attemptEnded(AttemptResult result);
 }
--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
@@ -158,7 +158,7 @@
     }
 
     private void stream(ByteBuffer piece) {
-        sinkHasCapacity = sink.piece(piece);
+        sinkHasCapacity = sink.writePiece(piece);
         if (!sinkHasCapacity) {
             attempt.pauseReading();
         }
@@ -190,9 +190,9 @@
      */
     void close(boolean isComplete) {
         if (isStreaming() && isComplete) {
-            sink.end();
+            sink.endBody();
         } else if (isStreaming()) {
-            sink.broken();
+            sink.abortBody();
         }
         bufferTimeout = AttemptExchange.cancelled(bufferTimeout);
         silenceTimeout = AttemptExchange.cancelled(silenceTimeout);
--- a/engine/src/main/java/trailthread/engine/endpoint/EndpointPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointPool.java
@@ -148,7 +148,7 @@
         AttemptExchange attempt =
                 new AttemptExchange(
                         loop, connections, endpoint, request, timeoutNs, writeDeadline, listener);
-        loop.execute(() -> account.charge(attempt::start));
+        loop.execute(() -> account.runCharged(attempt::start));
         return attempt;
     }
 
--- a/engine/src/main/java/trailthread/engine/http/ByteSink.java
+++ b/engine/src/main/java/trailthread/engine/http/ByteSink.java
@@ -9,11 +9,11 @@
      *
      * @return whether there is capacity for another piece; if not, the sink says when there is
      */
-    boolean piece(ByteBuffer piece);
+    boolean writePiece(ByteBuffer piece);
 
     /** The body is complete. */
-    void end();
+    void endBody();
 
     /** The body breaks off before its end; the recipient must be able to tell. */
-    void broken();
+    void abortBody();
 }
--- a/engine/src/main/java/trailthread/engine/http/HttpConnection.java
+++ b/engine/src/main/java/trailthread/engine/http/HttpConnection.java
@@ -50,7 +50,7 @@
         source.setReadListener(
                 readable -> {
                     loop.beforeServingSocket();
-                    account.charge(() -> read(EventLoop.MAX_BYTES_PER_PASS));
+                    account.runCharged(() -> read(EventLoop.MAX_BYTES_PER_PASS));
                 });
         source.resumeReads();
         writer = new RequestWriter(loop, connection.getSinkChannel(), new WriterListener());
@@ -223,21 +223,21 @@
         writer.responseCompleted();
         idleSince = loop.now();
         resume();
-        notified.completed();
+        notified.responseCompleted();
     }
 
     /** The response is complete, and the connection cannot carry another request. */
     private void closeCompleted() {
         ResponseListener notified = listener;
         close();
-        notified.completed();
+        notified.responseCompleted();
     }
 
     private void fail(String reason) {
         ResponseListener notified = listener;
         close();
         if (notified != null) {
-            notified.failed(reason);
+            notified.exchangeFailed(reason);
         }
     }
 
@@ -249,14 +249,14 @@
         }
 
         @Override
-        public void sent() {
+        public void requestSent() {
             if (listener != null) {
-                listener.sent();
+                listener.requestSent();
             }
         }
 
         @Override
-        public void failed(String reason) {
+        public void exchangeFailed(String reason) {
             fail(reason);
         }
     }
--- a/engine/src/main/java/trailthread/engine/http/RequestWriter.java
+++ b/engine/src/main/java/trailthread/engine/http/RequestWriter.java
@@ -15,10 +15,10 @@
         boolean mayBeWritten();
 
         /** The request's last byte has been written. */
-        void sent();
+        void requestSent();
 
         /** The request cannot be written completely. */
-        void failed(String reason);
+        void exchangeFailed(String reason);
     }
 
     /** The system call copies what it gets from a heap buffer, however little the socket takes. */
@@ -74,10 +74,10 @@
                 return;
             }
             if (head != null) {
-                listener.sent();
+                listener.requestSent();
             }
         } catch (IOException e) {
-            listener.failed("breaks while the request is sent");
+            listener.exchangeFailed("breaks while the request is sent");
         }
     }
 
@@ -147,17 +147,17 @@
     /** All of a streamed body has been written, outside of {@link #write()}. */
     void streamedBodySent(StreamedRequestBody sent) {
         if (!closed && sent == streamedBody) {
-            listener.sent();
+            listener.requestSent();
         }
     }
 
     /** Reports a failure, a turn later, as the source of the body is calling. */
     void failLater(String reason) {
-        loop.execute(() -> listener.failed(reason));
+        loop.execute(() -> listener.exchangeFailed(reason));
     }
 
     /** Reports that the streamed body cannot be written completely. */
     void fail(String reason) {
-        listener.failed(reason);
+        listener.exchangeFailed(reason);
     }
 }
--- a/engine/src/main/java/trailthread/engine/http/ResponseDecoder.java
+++ b/engine/src/main/java/trailthread/engine/http/ResponseDecoder.java
@@ -96,7 +96,7 @@
                 case BODY, CHUNK -> decodeBody(in);
                 case BODY_UNTIL_CLOSE -> {
                     countBodyBytes(in.remaining());
-                    listener.body(in.slice());
+                    listener.bodyReceived(in.slice());
                     in.position(in.limit());
                 }
                 default -> {
@@ -125,7 +125,7 @@
         ByteBuffer piece = in.slice(in.position(), count);
         in.position(in.position() + count);
         remaining -= count;
-        listener.body(piece);
+        listener.bodyReceived(piece);
         if (remaining == 0) {
             state = state == State.BODY ? State.COMPLETE : State.CHUNK_END;
         }
@@ -240,7 +240,7 @@
                     case UNTIL_CLOSE -> State.BODY_UNTIL_CLOSE;
                 };
         keepAlive &= framing != BodyFraming.UNTIL_CLOSE;
-        listener.head(status, headers);
+        listener.headReceived(status, headers);
     }
 
     private long contentLength(BodyFraming framing) throws MalformedResponseException {
--- a/engine/src/main/java/trailthread/engine/http/ResponseListener.java
+++ b/engine/src/main/java/trailthread/engine/http/ResponseListener.java
@@ -5,33 +5,33 @@
 
 /**
  * Receives the events of one request and its response. Each response ends with either {@link
- * #completed} or {@link #failed}.
+ * #responseCompleted} or {@link #exchangeFailed}.
  */
 public interface ResponseListener {
     /**
      * Returns whether the next part of the request may be written; called before each part. If not,
-     * the connection is closed, and {@link #failed} follows.
+     * the connection is closed, and {@link #exchangeFailed} follows.
      */
     default boolean mayBeWritten() {
         return true;
     }
 
     /** The request's last byte has been written. */
-    default void sent() {}
+    default void requestSent() {}
 
     /** The final response's head has been received; interim responses (1xx) are not reported. */
-    void head(int status, HeaderMap headers);
+    void headReceived(int status, HeaderMap headers);
 
     /** A piece of the body; valid only until this returns. */
-    void body(ByteBuffer piece);
+    void bodyReceived(ByteBuffer piece);
 
     /** The response is complete. */
-    void completed();
+    void responseCompleted();
 
     /**
      * The response is malformed or the connection has ended; the connection is closed.
      *
      * @param reason completes a sentence that begins with the server
      */
-    void failed(String reason);
+    void exchangeFailed(String reason);
 }
--- a/engine/src/main/java/trailthread/engine/http/StreamedRequestBody.java
+++ b/engine/src/main/java/trailthread/engine/http/StreamedRequestBody.java
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public boolean piece(ByteBuffer piece) {
+    public boolean writePiece(ByteBuffer piece) {
         remaining -= piece.remaining();
         return writeOrBuffer(isChunked ? chunk(piece) : piece);
     }
@@ -117,7 +117,7 @@
     }
 
     @Override
-    public void end() {
+    public void endBody() {
         ended = true;
         if (isChunked) {
             writeOrBuffer(ByteBuffer.wrap(LAST_CHUNK));
@@ -128,7 +128,7 @@
     }
 
     @Override
-    public void broken() {
+    public void abortBody() {
         writer.fail("its body breaks off");
     }
 }
--- a/engine/src/main/java/trailthread/engine/loop/CpuAccount.java
+++ b/engine/src/main/java/trailthread/engine/loop/CpuAccount.java
@@ -6,26 +6,26 @@
     CpuAccount NONE =
             new CpuAccount() {
                 @Override
-                public void spent(long ns) {
+                public void addTimeNs(long ns) {
                     // not accounted for
                 }
 
                 @Override
-                public void charge(Runnable task) {
+                public void runCharged(Runnable task) {
                     task.run();
                 }
             };
 
-    /** Adds time that the thread has spent on the owner, ns. */
-    void spent(long ns);
+    /** Charges time that the thread has spent on the owner, in nanoseconds. */
+    void addTimeNs(long ns);
 
-    /** Runs a task on the owner's account. */
-    default void charge(Runnable task) {
+    /** Runs a task and charges its duration to the owner. */
+    default void runCharged(Runnable task) {
         long begun = System.nanoTime();
         try {
             task.run();
         } finally {
-            spent(System.nanoTime() - begun);
+            addTimeNs(System.nanoTime() - begun);
         }
     }
 }
--- a/engine/src/main/java/trailthread/engine/pool/Pool.java
+++ b/engine/src/main/java/trailthread/engine/pool/Pool.java
@@ -186,7 +186,7 @@
             ClientRequest request, long deadline, ClientResponse response, long bodyBytes) {
         QuotaReleasingResponse releasing =
                 new QuotaReleasingResponse(response, quotas, Math.max(0, bodyBytes));
-        charge(() -> admit(request, deadline, releasing, bodyBytes >= 0));
+        runCharged(() -> admit(request, deadline, releasing, bodyBytes >= 0));
         return releasing;
     }
 
@@ -213,7 +213,7 @@
     }
 
     @Override
-    public void spent(long ns) {
+    public void addTimeNs(long ns) {
         quotas.loopTime.used(ns, loop.now());
     }
 
--- a/engine/src/main/java/trailthread/engine/pool/QuotaReleasingResponse.java
+++ b/engine/src/main/java/trailthread/engine/pool/QuotaReleasingResponse.java
@@ -91,20 +91,20 @@
         }
 
         @Override
-        public boolean piece(ByteBuffer piece) {
-            return sink.piece(piece);
+        public boolean writePiece(ByteBuffer piece) {
+            return sink.writePiece(piece);
         }
 
         @Override
-        public void end() {
+        public void endBody() {
             releaseQuota();
-            sink.end();
+            sink.endBody();
         }
 
         @Override
-        public void broken() {
+        public void abortBody() {
             releaseQuota();
-            sink.broken();
+            sink.abortBody();
         }
     }
 }
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -121,7 +121,7 @@
         // A streamed body can't be sent a second time.
         boolean bodyConsumed = client.bodySource() != null && client.bodySource().isStarted();
         if (finished || attemptInFlight != null || timeLeftNs <= 0 || bodyConsumed) {
-            attemptEnded(endpoint, attempt, new AttemptResult(Outcome.NOT_SENT, 0, null, null));
+            handleAttemptEnd(endpoint, attempt, new AttemptResult(Outcome.NOT_SENT, 0, null, null));
             return;
         }
         attemptInFlight =
@@ -156,7 +156,7 @@
         }
 
         @Override
-        public void sent() {
+        public void requestSent() {
             metrics.attemptSent();
             if (client.bodySource() != null) {
                 streamedBodySent();
@@ -179,9 +179,9 @@
         }
 
         @Override
-        public void ended(AttemptResult result) {
+        public void attemptEnded(AttemptResult result) {
             attemptInFlight = null;
-            attemptEnded(endpoint, attempt, result);
+            handleAttemptEnd(endpoint, attempt, result);
         }
     }
 
@@ -206,7 +206,7 @@
      * Passes a successful answer on to the client at once, and then the outcome to the balancer,
      * which may retry a failed attempt.
      */
-    private void attemptEnded(String endpoint, int attempt, AttemptResult result) {
+    private void handleAttemptEnd(String endpoint, int attempt, AttemptResult result) {
         boolean succeeded = result.outcome() == Outcome.OK;
         metrics.attemptEnded(endpoint, result.outcome(), result.latencyNs(), result.load());
         if (streaming) {
--- a/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
@@ -273,25 +273,25 @@
                                             Runnable more) {
                                         return new ByteSink() {
                                             @Override
-                                            public boolean piece(ByteBuffer piece) {
+                                            public boolean writePiece(ByteBuffer piece) {
                                                 streamed.addAndGet(piece.remaining());
                                                 return true;
                                             }
 
                                             @Override
-                                            public void end() {
+                                            public void endBody() {
                                                 streamed.addAndGet(1);
                                             }
 
                                             @Override
-                                            public void broken() {
+                                            public void abortBody() {
                                                 streamed.set(-1);
                                             }
                                         };
                                     }
 
                                     @Override
-                                    public void ended(AttemptResult result) {
+                                    public void attemptEnded(AttemptResult result) {
                                         results.add(result);
                                     }
                                 }));
--- a/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
+++ b/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
@@ -48,23 +48,23 @@
     private ResponseListener recorder(String name) {
         return new ResponseListener() {
             @Override
-            public void sent() {
+            public void requestSent() {
                 events.add(name + " sent");
             }
 
             @Override
-            public void head(int status, HeaderMap headers) {}
+            public void headReceived(int status, HeaderMap headers) {}
 
             @Override
-            public void body(ByteBuffer piece) {}
+            public void bodyReceived(ByteBuffer piece) {}
 
             @Override
-            public void completed() {
+            public void responseCompleted() {
                 events.add(name + " completed");
             }
 
             @Override
-            public void failed(String reason) {
+            public void exchangeFailed(String reason) {
                 events.add(name + " failed");
             }
         };
@@ -188,7 +188,7 @@
                                     @Override
                                     public void streamTo(ByteSink to) {
                                         begun = true;
-                                        to.piece(ascii("pour")); // the end is told in a later
+                                        to.writePiece(ascii("pour")); // the end is told in a later
                                         // turn, or not at all
                                     }
 
@@ -240,9 +240,9 @@
                                         } catch (IOException e) {
                                             throw new AssertionError(e);
                                         }
-                                        sink.piece(ascii("one"));
-                                        sink.piece(ascii("two"));
-                                        sink.end();
+                                        sink.writePiece(ascii("one"));
+                                        sink.writePiece(ascii("two"));
+                                        sink.endBody();
                                         sent.add(connection.isSent());
                                     }
 
--- a/engine/src/test/java/trailthread/engine/http/ResponseDecoderTest.java
+++ b/engine/src/test/java/trailthread/engine/http/ResponseDecoderTest.java
@@ -18,22 +18,22 @@
         private final StringBuilder text = new StringBuilder();
 
         @Override
-        public void head(int status, HeaderMap headers) {
+        public void headReceived(int status, HeaderMap headers) {
             text.append(status).append(' ').append(headers.getFirst("X-A")).append(' ');
         }
 
         @Override
-        public void body(ByteBuffer piece) {
+        public void bodyReceived(ByteBuffer piece) {
             text.append(StandardCharsets.ISO_8859_1.decode(piece));
         }
 
         @Override
-        public void completed() {
+        public void responseCompleted() {
             throw new AssertionError("reported by the connection, not by the decoder");
         }
 
         @Override
-        public void failed(String reason) {
+        public void exchangeFailed(String reason) {
             throw new AssertionError("reported by the connection, not by the decoder");
         }
     }
