--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptExchange.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptExchange.java
@@ -13,17 +13,19 @@
 
 /**
  * The HTTP exchange of one attempt to have an endpoint serve a request: gets a connection, sends
- * the request, and limits the time of each step. The response is kept by an {@link
- * AttemptResponse}.
+ * the request, and limits the time of each step. An {@link AttemptResponse} holds the response.
  *
- * <p>An attempt is over, and its connection closed or returned to the pool, before its listener is
- * notified. Prevents a retry from running while the attempt before it holds a connection.
+ * <p>An attempt has ended, and its connection is closed or returned to the pool, before its
+ * listener is notified. Prevents a retry from running while the attempt before it holds a
+ * connection.
  */
 public final class AttemptExchange implements ResponseListener {
     /** A response whose body is longer counts as malformed. */
     private static final long MAX_BODY_BYTES = 32 * 1024 * 1024;
 
-    /** A longer request body is written from its own array, and not copied behind the head. */
+    /**
+     * A longer request body is written from its own array, instead of being copied after the head.
+     */
     private static final int MAX_COPIED_BODY_BYTES = 64 * 1024;
 
     private final EventLoop loop;
@@ -48,10 +50,10 @@
 
     private HttpConnection connection;
 
-    /** When the request's last byte was written, or its first if the last one is still to come. */
+    /** When the request's last byte was written; until then, when sending started. */
     private long sentAt;
 
-    private boolean over;
+    private boolean ended;
 
     /** Null until the response's head has been received. */
     private AttemptResponse response;
@@ -75,22 +77,22 @@
     }
 
     void start() {
-        if (over) {
+        if (ended) {
             return;
         }
         if (endpoint == null) {
-            end(Outcome.CONNECT_FAILED);
+            endAttempt(Outcome.CONNECT_FAILED);
             return;
         }
-        timeout = loop.schedule(deadline - loop.now(), this::timedOut);
+        timeout = loop.schedule(deadline - loop.now(), this::handleTimeout);
         HttpConnection idle = connections.takeIdle(endpoint);
         if (idle != null) {
-            send(idle);
+            sendOn(idle);
             return;
         }
         connectTimeout =
                 loop.scheduleAfterReading(
-                        connections.connectTimeoutNs(), () -> end(Outcome.CONNECT_FAILED));
+                        connections.connectTimeoutNs(), () -> endAttempt(Outcome.CONNECT_FAILED));
         cancelConnect = connections.connect(endpoint, this::connectCompleted);
     }
 
@@ -101,89 +103,89 @@
      */
     private void connectCompleted(HttpConnection opened) {
         cancelConnect = null;
-        if (over) {
-            return; // the connection limit was reached, and that is reported a turn later
+        if (ended) {
+            return; // a reached connection limit is reported even if the connect was cancelled
         }
         connectTimeout.remove();
         if (opened == null) {
-            end(Outcome.CONNECT_FAILED);
+            endAttempt(Outcome.CONNECT_FAILED);
         } else {
-            send(opened);
+            sendOn(opened);
         }
     }
 
-    private void send(HttpConnection to) {
-        boolean maySend = connections.maySend(endpoint, request.isProbe());
+    private void sendOn(HttpConnection target) {
+        boolean maySend = connections.maySend(endpoint, request.isHealthCheck());
         long now = loop.now();
-        if (!maySend || now >= deadline || !mayBeWritten() || !listener.isWanted()) {
-            // Checked again right before the write, as things may have changed since the attempt
-            // was decided: the endpoint drains, the deduplication window has passed, or the client
-            // has disconnected.
-            connections.release(endpoint, to);
-            end(Outcome.NOT_SENT);
+        if (!maySend || now >= deadline || !mayWriteRequest() || !listener.isResponseWanted()) {
+            // Checked right before the write, as these may have happened since the balancer decided
+            // on the attempt: the endpoint drains, the deduplication window has passed, or the
+            // client has disconnected.
+            connections.release(endpoint, target);
+            endAttempt(Outcome.NOT_SENT);
             return;
         }
-        connection = to;
+        connection = target;
         sentAt = now;
-        long timeLeftNs = request.source() == null ? deadline - now : request.afterBodyNs();
+        long timeLeftNs = request.source() == null ? deadline - now : request.timeoutAfterBodyNs();
         RequestEncoder head = request.encoder(endpoint.hostPort, timeLeftNs);
         if (request.source() != null) {
-            to.send(
+            target.send(
                     head.encodeHead(request.source().length()),
                     request.source(),
                     MAX_BODY_BYTES,
                     this);
         } else {
-            sendWithBufferedBody(to, head);
+            sendWithBufferedBody(target, head);
         }
     }
 
-    private void sendWithBufferedBody(HttpConnection to, RequestEncoder head) {
+    private void sendWithBufferedBody(HttpConnection target, RequestEncoder head) {
         byte[] body = request.bodyToSend();
         boolean isLong = body != null && body.length > MAX_COPIED_BODY_BYTES;
-        to.send(
+        target.send(
                 isLong ? head.encodeHead(body.length) : head.encode(body),
                 isLong ? ByteBuffer.wrap(body) : null,
                 MAX_BODY_BYTES,
-                request.isHead(),
+                request.isHeadRequest(),
                 this);
     }
 
     @Override
-    public boolean mayBeWritten() {
+    public boolean mayWriteRequest() {
         return loop.now() < writeDeadline;
     }
 
-    /** Ends the attempt, unless the response turns out to have arrived without being read yet. */
-    private void timedOut() {
+    /** Ends the attempt, unless its response has arrived and only had not been read yet. */
+    private void handleTimeout() {
         if (connection != null) {
             connection.readArrived();
         }
         if (isStreaming()) {
-            return; // what was just read has started a long response
+            return; // the bytes that were just read have started a long response
         }
-        end(isSent() ? Outcome.TIMEOUT : outcomeIfUnsent());
+        endAttempt(isRequestSent() ? Outcome.TIMEOUT : outcomeIfNotSent());
     }
 
-    /** Returns whether the endpoint may serve the request: its last byte has been written. */
-    public boolean isSent() {
-        return connection != null && connection.isSent();
+    /** Returns whether the request's last byte was written, so that the endpoint may serve it. */
+    public boolean isRequestSent() {
+        return connection != null && connection.isRequestSent();
     }
 
     /**
      * Returns the outcome of a request that was not written completely. The endpoint is not at
-     * fault where the deadline for writing has passed.
+     * fault if the deadline for writing has passed.
      */
-    private Outcome outcomeIfUnsent() {
-        return mayBeWritten() ? Outcome.CONNECT_FAILED : Outcome.NOT_SENT;
+    private Outcome outcomeIfNotSent() {
+        return mayWriteRequest() ? Outcome.CONNECT_FAILED : Outcome.NOT_SENT;
     }
 
     @Override
     public void requestSent() {
-        sentAt = loop.now(); // the time a long body takes to send is not the endpoint's latency
-        if (request.source() != null && !isStreaming() && !over) {
+        sentAt = loop.now(); // the time to send a long body is not part of the endpoint's latency
+        if (request.source() != null && !isStreaming() && !ended) {
             cancelTimeout();
-            timeout = loop.schedule(request.afterBodyNs(), this::timedOut);
+            timeout = loop.schedule(request.timeoutAfterBodyNs(), this::handleTimeout);
         }
         listener.requestSent();
     }
@@ -197,8 +199,8 @@
 
     @Override
     public void bodyReceived(ByteBuffer piece) {
-        if (!over) {
-            response.add(piece);
+        if (!ended) {
+            response.addPiece(piece);
         }
     }
 
@@ -206,16 +208,16 @@
     public void responseCompleted() {
         connections.release(endpoint, connection);
         connection = null;
-        end(response.outcome(), responseLatencyNs(), response.load());
+        endAttempt(response.outcome(), responseLatencyNs(), response.load());
     }
 
     /**
      * Returns the latency of a complete response, in nanoseconds, or {@link
      * LatencySampler#UNKNOWN}.
      *
-     * <p>It does not include the time to open the connection. Otherwise an endpoint that gets few
-     * requests, so that its idle connections are closed, would look slow because each request opens
-     * a connection, and would get fewer still, even when the other endpoints are full.
+     * <p>The latency does not include the time to open the connection. Otherwise an endpoint that
+     * gets few requests, so that its idle connections are closed, would look slow because each
+     * request opens a connection, and would get even fewer, also when the other endpoints are full.
      */
     private long responseLatencyNs() {
         if (isStreaming()) {
@@ -223,29 +225,29 @@
         }
         long atLeastNs = loop.arrivedNotBefore() - sentAt;
         long atMostNs = loop.arrivedBy() - sentAt;
-        if (request.isProbe()) {
-            return atMostNs; // not a sample of what requests usually take
+        if (request.isHealthCheck()) {
+            return atMostNs; // a health check is no sample of the usual latency of requests
         }
         return endpoint.latency.sample(atLeastNs, atMostNs);
     }
 
     @Override
     public void exchangeFailed(String reason) {
-        Outcome outcome = isSent() ? Outcome.RESET : outcomeIfUnsent();
+        Outcome outcome = isRequestSent() ? Outcome.RESET : outcomeIfNotSent();
         // a load report in the head of a broken response is not trusted either
-        end(outcome, elapsedNs(), null);
+        endAttempt(outcome, elapsedNs(), null);
     }
 
-    /** Ends the attempt; a request that was not written completely by now is never sent. */
+    /** Ends the attempt; if the request was not written completely yet, it never is. */
     public void cancel() {
-        end(isSent() ? Outcome.CANCELLED : Outcome.NOT_SENT);
+        endAttempt(isRequestSent() ? Outcome.CANCELLED : Outcome.NOT_SENT);
     }
 
-    boolean isOver() {
-        return over;
+    boolean hasEnded() {
+        return ended;
     }
 
-    /** From now on only silence ends the response, and not the time that the attempt takes. */
+    /** Cancels the attempt's timeout: from now on only a silent endpoint ends the response. */
     void streamingStarted() {
         cancelTimeout();
     }
@@ -268,13 +270,11 @@
     }
 
     private void cancelTimeout() {
-        timeout = cancelled(timeout);
+        timeout = cancelTimer(timeout);
     }
 
-    /**
-     * Cancels a timer, or nothing if it is null; returns null, so that the field is cleared too.
-     */
-    static XnioExecutor.Key cancelled(XnioExecutor.Key timer) {
+    /** Cancels a timer unless it is null. Returns null, to be assigned to the timer's field. */
+    static XnioExecutor.Key cancelTimer(XnioExecutor.Key timer) {
         if (timer != null) {
             timer.remove();
         }
@@ -285,25 +285,25 @@
         return loop.now() - startedAt;
     }
 
-    void end(Outcome outcome) {
-        end(outcome, elapsedNs(), response == null ? null : response.load());
+    void endAttempt(Outcome outcome) {
+        endAttempt(outcome, elapsedNs(), response == null ? null : response.load());
     }
 
     /**
-     * Ends the attempt, unless it is over already.
+     * Ends the attempt, unless it has ended already.
      *
-     * @param reportedLoad from the response's head, or null
+     * @param reportedLoad the load report in the response's head, or null
      */
-    private void end(Outcome outcome, long latencyNs, LoadReport reportedLoad) {
-        if (over) {
+    private void endAttempt(Outcome outcome, long latencyNs, LoadReport reportedLoad) {
+        if (ended) {
             return;
         }
-        over = true;
+        ended = true;
         if (response != null) {
             response.close(outcome == Outcome.OK);
         }
         cancelTimeout();
-        connectTimeout = cancelled(connectTimeout);
+        connectTimeout = cancelTimer(connectTimeout);
         if (cancelConnect != null) {
             cancelConnect.run();
         }
@@ -312,7 +312,7 @@
         }
         EndpointResponse received = outcome == Outcome.OK ? response.toEndpointResponse() : null;
         LoadReport load = reportedLoad;
-        if (load == null && received != null && request.isProbe()) {
+        if (load == null && received != null && request.isHealthCheck()) {
             load = LoadReportParser.parse(new String(received.body(), StandardCharsets.UTF_8));
         }
         listener.attemptEnded(new AttemptResult(outcome, latencyNs, load, received));
--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptListener.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptListener.java
@@ -6,7 +6,7 @@
 /** Receives the events of one attempt, on the event loop's thread. */
 public interface AttemptListener {
     /** Returns whether the response is still wanted; called right before the first write. */
-    default boolean isWanted() {
+    default boolean isResponseWanted() {
         return true;
     }
 
@@ -14,21 +14,20 @@
     default void requestSent() {}
 
     /**
-     * A long response has started. It is streamed, and the attempt ends no sooner than the response
-     * does.
+     * A long response has started. It is streamed, and the attempt lasts until the response ends.
      *
      * @param head the status, and the headers if they are forwarded; no body
      * @param length the length of the body in bytes; -1: not known
      * @param load the load report in the response's head, or null
      * @param onCapacity to be run when the sink has capacity again after it had none; not from
      *     within a call to the sink
-     * @return where to stream the body, or null: the response is no longer wanted
+     * @return receives the body; null: the response is no longer wanted
      */
     default ByteSink streamingStarted(
             EndpointResponse head, long length, LoadReport load, Runnable onCapacity) {
         return null;
     }
 
-    /** The attempt is over. Called once, never from within the call that started the attempt. */
+    /** The attempt has ended. Called once, never from within the call that started the attempt. */
     void attemptEnded(AttemptResult result);
 }
--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
@@ -11,9 +11,9 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * The response to one attempt. Its body is buffered as long as it is short, so that an attempt that
- * fails can be retried without the client seeing it. A body that is longer, or of unknown length
- * and slow, is streamed to the client as it arrives.
+ * The response to one attempt. A short body is buffered, so that a failed attempt can be retried
+ * without the client seeing the failure. A longer body, and a slow one of unknown length, is
+ * streamed to the client as it arrives.
  */
 final class AttemptResponse {
     /** A longer body is streamed. */
@@ -22,12 +22,14 @@
     private static final int INITIAL_BUFFER_BYTES = 512;
 
     /**
-     * A body of unknown length is streamed this long after its first bytes. Without this limit an
-     * endpoint that sends slowly would use up the time of the attempt.
+     * A body of unknown length is streamed this long after its first bytes. Prevents an endpoint
+     * that sends slowly from using up the time of the attempt.
      */
     private static final long MAX_BUFFERED_NS = 100_000_000L;
 
-    /** A streamed response that brings nothing for so long, although it could be read, is reset. */
+    /**
+     * A streamed response that brings no byte for this long while its sink has capacity is reset.
+     */
     private static final long MAX_SILENCE_NS = 10_000_000_000L;
 
     private static final long UNKNOWN_LENGTH = -1;
@@ -41,13 +43,13 @@
     /** Null: only the body goes to the client. */
     private final HeaderMap forwardedHeaders;
 
-    /** The length of the body by its head, in bytes, or {@link #UNKNOWN_LENGTH}. */
+    /** The body's length as stated in the head, in bytes, or {@link #UNKNOWN_LENGTH}. */
     private final long length;
 
     private byte[] buffer = NO_BYTES;
     private int bufferedBytes;
 
-    /** Where the body is streamed to, or null: it is buffered. */
+    /** Receives the streamed body; null: the body is buffered. */
     private ByteSink sink;
 
     private boolean sinkHasCapacity;
@@ -56,7 +58,7 @@
     private XnioExecutor.Key silenceTimeout;
 
     /**
-     * Starts a response whose head has been received.
+     * Creates a response whose head has been received.
      *
      * @param isForwarded whether status and headers go to the client as they are
      */
@@ -85,12 +87,12 @@
         return head.outcome(forwardedHeaders != null);
     }
 
-    /** Returns the load report of the head, or null; null too if it is outdated by streaming. */
+    /** Returns the head's load report; null if there is none, or if streaming has outdated it. */
     LoadReport load() {
         return isStreaming() ? null : head.load();
     }
 
-    /** Returns the response with what is buffered of its body. */
+    /** Returns the response with the buffered part of its body. */
     EndpointResponse toEndpointResponse() {
         byte[] body = Arrays.copyOf(buffer, bufferedBytes);
         return forwardedHeaders == null
@@ -99,7 +101,7 @@
     }
 
     /** Buffers or streams a piece of the body. */
-    void add(ByteBuffer piece) {
+    void addPiece(ByteBuffer piece) {
         if (!isStreaming() && outcome() != Outcome.OK) {
             return; // the body of a failed attempt is not used
         }
@@ -114,7 +116,7 @@
             return;
         }
         lastPieceAt = loop.now();
-        stream(piece);
+        streamPiece(piece);
     }
 
     private boolean fitsBuffer(ByteBuffer piece) {
@@ -134,16 +136,16 @@
     }
 
     /**
-     * Streams what is buffered, and everything that follows as it arrives.
+     * Streams the buffered bytes, and from then on each piece as it arrives.
      *
      * @return whether the attempt goes on
      */
     private boolean startStreaming() {
-        bufferTimeout = AttemptExchange.cancelled(bufferTimeout);
+        bufferTimeout = AttemptExchange.cancelTimer(bufferTimeout);
         EndpointResponse start = new EndpointResponse(head.status(), forwardedHeaders, NO_BYTES);
-        sink = listener.streamingStarted(start, length, head.load(), this::sinkReady);
+        sink = listener.streamingStarted(start, length, head.load(), this::resumeStreaming);
         if (sink == null) {
-            attempt.end(Outcome.CANCELLED);
+            attempt.endAttempt(Outcome.CANCELLED);
             return false;
         }
         attempt.streamingStarted();
@@ -152,31 +154,31 @@
             ByteBuffer buffered = ByteBuffer.wrap(buffer, 0, bufferedBytes);
             buffer = NO_BYTES;
             bufferedBytes = 0;
-            stream(buffered);
+            streamPiece(buffered);
         }
-        return !attempt.isOver();
+        return !attempt.hasEnded();
     }
 
-    private void stream(ByteBuffer piece) {
+    private void streamPiece(ByteBuffer piece) {
         sinkHasCapacity = sink.writePiece(piece);
         if (!sinkHasCapacity) {
             attempt.pauseReading();
         }
     }
 
-    private void sinkReady() {
+    private void resumeStreaming() {
         sinkHasCapacity = true;
         lastPieceAt = loop.now();
         attempt.resumeReading();
     }
 
     private void resetIfSilent() {
-        if (attempt.isOver()) {
+        if (attempt.hasEnded()) {
             return;
         }
         long silentNs = sinkHasCapacity ? loop.now() - lastPieceAt : 0;
         if (silentNs >= MAX_SILENCE_NS) {
-            attempt.end(Outcome.RESET);
+            attempt.endAttempt(Outcome.RESET);
         } else {
             silenceTimeout = loop.schedule(MAX_SILENCE_NS - silentNs, this::resetIfSilent);
         }
@@ -194,7 +196,7 @@
         } else if (isStreaming()) {
             sink.abortBody();
         }
-        bufferTimeout = AttemptExchange.cancelled(bufferTimeout);
-        silenceTimeout = AttemptExchange.cancelled(silenceTimeout);
+        bufferTimeout = AttemptExchange.cancelTimer(bufferTimeout);
+        silenceTimeout = AttemptExchange.cancelTimer(silenceTimeout);
     }
 }
--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptResult.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptResult.java
@@ -6,8 +6,8 @@
 /**
  * How an attempt ended.
  *
- * @param latencyNs the endpoint's latency in nanoseconds; negative: not known. Where no complete
- *     response came, how long the attempt took
+ * @param latencyNs the endpoint's latency in nanoseconds; negative: not known. If no complete
+ *     response was received, the duration of the attempt
  * @param load the endpoint's load report, or null
  * @param response the endpoint's response if the outcome is OK, else null
  */
--- a/engine/src/main/java/trailthread/engine/endpoint/ConnectionLimit.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionLimit.java
@@ -12,8 +12,8 @@
     void release();
 
     /**
-     * Returns whether an idle connection may be kept open; false: its permit is needed for another
-     * connection.
+     * Returns whether an idle connection may be kept open; if not, another connection needs its
+     * permit.
      */
     boolean mayKeepIdle();
 
--- a/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
@@ -13,21 +13,22 @@
 
 /**
  * The connections to all endpoints. They are opened on demand, kept while idle, and limited in
- * total. Also checks, right before a request is written, whether the endpoint list allows it.
+ * total. Also checks, right before a request is written, whether the endpoint list still allows the
+ * request.
  */
 final class ConnectionPool {
     /**
      * An idle connection is closed after this fraction of the time for which its endpoint keeps it
-     * open, so that a request never meets a connection that the endpoint closes.
+     * open, so that no request is sent on a connection that the endpoint is closing.
      */
     private static final double IDLE_TIME_FRACTION = 0.8;
 
-    /** How many times idle connections are checked within the time that they are kept. */
+    /** How many times the idle connections are checked within the time for which they are kept. */
     private static final int SWEEPS_PER_IDLE_TIME = 20;
 
     private static final long MIN_SWEEP_INTERVAL_NS = 10_000_000L;
 
-    /** A surplus second response to the last request, if there is one, arrives within this time. */
+    /** A surplus second response to the connection's last request arrives within this time. */
     private static final long SETTLE_TIME_NS = 10_000_000L;
 
     /** A connection that carries no request. */
@@ -45,33 +46,36 @@
     private final ConnectionLimit limit;
     private final CpuAccount account;
     private long connectTimeoutNs;
-    private long idleNs;
+
+    /** How long an idle connection is kept. */
+    private long keepIdleNs;
+
     private long drainGraceNs;
 
-    /** No request is sent to any endpoint then or later: the endpoint list is too old. */
-    private long listUsableUntil = Long.MAX_VALUE;
+    /** No request is sent to any endpoint then or later, as the endpoint list is too old. */
+    private long listLeaseEnd = Long.MAX_VALUE;
 
-    private Runnable readUpdates = () -> {};
+    private Runnable updateReader = () -> {};
 
     /** The idle connections of all endpoints, the one that is idle longest first. */
     private final Set<IdleConnection> idle = new LinkedHashSet<>();
 
-    /** The number of connections, with those that are being established. */
-    private int open;
+    /** The number of connections, including those that are being established. */
+    private int openCount;
 
     private boolean sweepScheduled;
 
     ConnectionPool(
             EventLoop loop,
             long connectTimeoutNs,
-            long idleNs,
+            long endpointIdleNs,
             long drainGraceNs,
             ConnectionLimit limit,
             CpuAccount account) {
         this.loop = loop;
         this.limit = limit;
         this.account = account;
-        setTimeouts(connectTimeoutNs, idleNs, drainGraceNs);
+        setTimeouts(connectTimeoutNs, endpointIdleNs, drainGraceNs);
     }
 
     /**
@@ -81,7 +85,7 @@
      */
     void setTimeouts(long connectTimeout, long endpointIdleNs, long graceNs) {
         connectTimeoutNs = connectTimeout;
-        idleNs = (long) (IDLE_TIME_FRACTION * endpointIdleNs);
+        keepIdleNs = (long) (IDLE_TIME_FRACTION * endpointIdleNs);
         drainGraceNs = ListLease.usableGraceNs(graceNs);
     }
 
@@ -91,56 +95,56 @@
 
     /** Sets until when the endpoint list may be used, by {@link EventLoop#now}. */
     void setListLeaseEnd(long until) {
-        listUsableUntil = until;
+        listLeaseEnd = until;
     }
 
-    /** Sets what reads the updates of the endpoint list that have arrived. */
+    /** Sets a task that reads the updates of the endpoint list that have arrived. */
     void setUpdateReader(Runnable reader) {
-        readUpdates = reader;
+        updateReader = reader;
     }
 
     /**
-     * Returns whether a request may be sent to an endpoint now, by everything that discovery has
-     * sent. A health check does not need a fresh list.
+     * Returns whether a request may be sent to an endpoint now, given all updates that have arrived
+     * from discovery. A health check is sent even if the list is too old.
      */
-    boolean maySend(PooledEndpoint endpoint, boolean isProbe) {
+    boolean maySend(PooledEndpoint endpoint, boolean isHealthCheck) {
         // Updates count as known once they have arrived, even if the loop has not read them yet.
-        readUpdates.run();
+        updateReader.run();
         long now = loop.now();
-        return endpoint.acceptsRequests(now, drainGraceNs) && (isProbe || now < listUsableUntil);
+        return endpoint.acceptsRequests(now, drainGraceNs) && (isHealthCheck || now < listLeaseEnd);
     }
 
     /** Takes an idle connection to the endpoint out of the pool; returns null if there is none. */
     HttpConnection takeIdle(PooledEndpoint endpoint) {
-        IdleConnection next = preferred(endpoint);
+        IdleConnection next = preferredIdle(endpoint);
         while (next != null) {
             remove(next);
             if (isExpired(next)) {
-                // left by a sweep that is late; the endpoint may be closing it right now
+                // the sweep is late, and the endpoint may be closing this connection right now
                 next.connection.close();
             } else if (next.connection.readAndCheckIdle()) {
                 return next.connection;
             }
-            next = preferred(endpoint);
+            next = preferredIdle(endpoint);
         }
         return null;
     }
 
     /**
-     * Returns the connection used last among those that have settled, or else the one that is idle
-     * longest, or null. This prevents a surplus second response to the last request from being
-     * taken for the next one's.
+     * Returns the connection used last among those idle for at least {@link #SETTLE_TIME_NS}, or
+     * else the one that is idle longest, or null. Prevents a surplus second response to one request
+     * from being taken for the response to the next.
      */
-    private IdleConnection preferred(PooledEndpoint endpoint) {
+    private IdleConnection preferredIdle(PooledEndpoint endpoint) {
         long settledSince = loop.now() - SETTLE_TIME_NS;
-        Iterator<IdleConnection> lastFirst = endpoint.idle.descendingIterator();
+        Iterator<IdleConnection> lastFirst = endpoint.idleConnections.descendingIterator();
         while (lastFirst.hasNext()) {
             IdleConnection next = lastFirst.next();
             if (next.connection.idleSince() <= settledSince) {
                 return next;
             }
         }
-        return endpoint.idle.peekFirst();
+        return endpoint.idleConnections.peekFirst();
     }
 
     /**
@@ -155,7 +159,7 @@
             loop.execute(() -> opened.accept(null));
             return () -> {};
         }
-        open++;
+        openCount++;
         Runnable cancel =
                 HttpConnector.open(
                         loop,
@@ -174,7 +178,7 @@
         };
     }
 
-    /** Takes a permit for a connection, if need be that of an idle one, which is closed. */
+    /** Takes a permit for a connection; if none is free, closes an idle connection to free one. */
     private boolean takePermit() {
         if (limit.tryAcquire()) {
             return true;
@@ -187,7 +191,7 @@
     }
 
     private void connectionClosed() {
-        open--;
+        openCount--;
         limit.release();
     }
 
@@ -200,17 +204,17 @@
             return;
         }
         IdleConnection released = new IdleConnection(endpoint, connection);
-        endpoint.idle.addLast(released);
+        endpoint.idleConnections.addLast(released);
         idle.add(released);
         if (!sweepScheduled) {
             sweepScheduled = true;
-            loop.schedule(idleNs, this::sweep);
+            loop.schedule(keepIdleNs, this::sweep);
         }
     }
 
     /**
-     * Closes the connections that have been idle for too long. One timer serves all of them, as
-     * most are used again long before.
+     * Closes the connections that have been idle for too long. One timer serves all connections, as
+     * most are used again long before they expire.
      */
     private void sweep() {
         while (!idle.isEmpty() && isExpired(idle.iterator().next())) {
@@ -219,15 +223,16 @@
         sweepScheduled = !idle.isEmpty();
         if (sweepScheduled) {
             loop.schedule(
-                    Math.max(idleNs / SWEEPS_PER_IDLE_TIME, MIN_SWEEP_INTERVAL_NS), this::sweep);
+                    Math.max(keepIdleNs / SWEEPS_PER_IDLE_TIME, MIN_SWEEP_INTERVAL_NS),
+                    this::sweep);
         }
     }
 
     private boolean isExpired(IdleConnection connection) {
-        return loop.now() - connection.connection.idleSince() >= idleNs;
+        return loop.now() - connection.connection.idleSince() >= keepIdleNs;
     }
 
-    /** Closes up to so many idle connections to any endpoints, those idle longest first. */
+    /** Closes up to this many idle connections to any endpoints, those idle longest first. */
     void closeIdle(int count) {
         for (int i = 0; i < count && !idle.isEmpty(); i++) {
             closeLongestIdle();
@@ -236,14 +241,14 @@
 
     /** Closes all idle connections to the endpoint. */
     void closeIdle(PooledEndpoint endpoint) {
-        while (!endpoint.idle.isEmpty()) {
-            close(endpoint.idle.peekLast());
+        while (!endpoint.idleConnections.isEmpty()) {
+            close(endpoint.idleConnections.peekLast());
         }
     }
 
     /** Returns the number of connections by state, "idle" or "busy". */
     Map<String, Integer> countByState() {
-        return Map.of("idle", idle.size(), "busy", open - idle.size());
+        return Map.of("idle", idle.size(), "busy", openCount - idle.size());
     }
 
     private void closeLongestIdle() {
@@ -257,11 +262,11 @@
 
     private void remove(IdleConnection connection) {
         PooledEndpoint endpoint = connection.endpoint;
-        // the last one is the usual case, and a search would find it last
-        if (endpoint.idle.peekLast() == connection) {
-            endpoint.idle.pollLast();
+        // usually the last connection is removed, which a search from the start would find last
+        if (endpoint.idleConnections.peekLast() == connection) {
+            endpoint.idleConnections.pollLast();
         } else {
-            endpoint.idle.remove(connection);
+            endpoint.idleConnections.remove(connection);
         }
         idle.remove(connection);
     }
--- a/engine/src/main/java/trailthread/engine/endpoint/EndpointPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointPool.java
@@ -27,8 +27,8 @@
      * @param idleNs how long an endpoint keeps an idle connection open
      * @param drainGraceNs how long requests may be sent after an endpoint has started to drain
      * @param limit limits the connections to all endpoints together
-     * @param latencyToleranceNs a difference in latency that is of no importance
-     * @param account is charged with the thread's time for these endpoints
+     * @param latencyToleranceNs differences in latency up to this are ignored
+     * @param account is charged with the time that the thread spends on these endpoints
      */
     public EndpointPool(
             EventLoop loop,
@@ -45,7 +45,7 @@
                 new ConnectionPool(loop, connectTimeoutNs, idleNs, drainGraceNs, limit, account);
     }
 
-    /** Changes the timeouts, which have the meaning that they have in the constructor. */
+    /** Changes the timeouts, which are explained at the constructor. */
     public void setTimeouts(long connectTimeoutNs, long idleNs, long drainGraceNs) {
         connections.setTimeouts(connectTimeoutNs, idleNs, drainGraceNs);
     }
@@ -115,7 +115,7 @@
         connections.setListLeaseEnd(until);
     }
 
-    /** Sets what reads the list updates that have arrived; it is run before each request. */
+    /** Sets a task that reads the list updates that have arrived; it runs before each request. */
     public void setUpdateReader(Runnable reader) {
         connections.setUpdateReader(reader);
     }
@@ -125,14 +125,15 @@
         return connections.countByState();
     }
 
-    /** Starts an attempt that may be written for as long as its response is waited for. */
+    /** Starts an attempt whose request may be written until the timeout. */
     public AttemptExchange attempt(
             String instanceId, EndpointRequest request, long timeoutNs, AttemptListener listener) {
         return attempt(instanceId, request, timeoutNs, Long.MAX_VALUE, listener);
     }
 
     /**
-     * Starts an attempt. If the endpoint is not in the list, it ends with a failed connect.
+     * Starts an attempt. If the endpoint is not in the list, the attempt ends with the outcome
+     * CONNECT_FAILED.
      *
      * @param timeoutNs how long to wait for the response, in nanoseconds
      * @param writeDeadline no byte is written then or later, by {@link EventLoop#now}
@@ -156,13 +157,13 @@
      * Runs a health check, which requests an endpoint's load report.
      *
      * @param timeoutNs how long to wait for the response, in nanoseconds
-     * @param ended receives the result, with the load report in it
+     * @param ended receives the result, which holds the load report
      */
     public void checkHealth(String instanceId, long timeoutNs, Consumer<AttemptResult> ended) {
-        attempt(instanceId, EndpointRequest.PROBE, timeoutNs, ended::accept);
+        attempt(instanceId, EndpointRequest.HEALTH_CHECK, timeoutNs, ended::accept);
     }
 
-    /** Closes up to so many idle connections, to any endpoints. */
+    /** Closes up to this many idle connections to any endpoints. */
     public void closeIdle(int count) {
         connections.closeIdle(count);
     }
--- a/engine/src/main/java/trailthread/engine/endpoint/EndpointRequest.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointRequest.java
@@ -12,11 +12,11 @@
  * @param target path and query as the client sent them
  * @param idempotencyKey or null
  * @param body the buffered body; empty if there is none
- * @param forwarded the client's headers; null: the request is one of the platform's protocol, with
- *     that protocol's headers
+ * @param forwarded the client's headers; null: the request is sent with the headers of the
+ *     platform's protocol
  * @param source the body to stream; null: the body is buffered
- * @param afterBodyNs how long to wait for the response after the last byte of a streamed body, in
- *     nanoseconds
+ * @param timeoutAfterBodyNs how long to wait for the response after the last byte of a streamed
+ *     body, in nanoseconds
  */
 public record EndpointRequest(
         String id,
@@ -27,8 +27,8 @@
         byte[] body,
         ForwardedHeaders forwarded,
         ByteSource source,
-        long afterBodyNs) {
-    static final EndpointRequest PROBE =
+        long timeoutAfterBodyNs) {
+    static final EndpointRequest HEALTH_CHECK =
             new EndpointRequest(null, null, "GET", "/status/load", null, new byte[0], null);
 
     private static final String CORRELATION_ID = "X-Correlation-Id";
@@ -46,16 +46,16 @@
         this(id, requestClass, method, target, idempotencyKey, body, forwarded, null, 0);
     }
 
-    /** Returns whether the response has no body, whatever its length header (RFC 9110, 9.3.2). */
-    boolean isHead() {
+    /** Returns whether the response has no body, whatever its Content-Length (RFC 9110, 9.3.2). */
+    boolean isHeadRequest() {
         return method.equals("HEAD");
     }
 
-    boolean isProbe() {
+    boolean isHealthCheck() {
         return id == null;
     }
 
-    /** Returns the body to send, or null: the request has none. */
+    /** Returns the body to send; null: the request has no body. */
     byte[] bodyToSend() {
         if (forwarded == null) {
             return method.equals("GET") ? null : body;
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Returns whether the method gives a body a meaning; its length is sent then even if it is
-     * empty (RFC 9110, 8.6).
+     * Returns whether the method defines a meaning for a body; a Content-Length is sent then even
+     * if the body is empty (RFC 9110, 8.6).
      */
     private boolean definesBody() {
         return switch (method) {
@@ -75,17 +75,17 @@
     }
 
     /**
-     * Returns an encoder that holds the request's headers, but for those of its body.
+     * Returns an encoder that holds the request's headers, except those that describe its body.
      *
      * @param hostPort the endpoint's address
-     * @param timeLeftNs how long the endpoint has for its response, in nanoseconds
+     * @param timeLeftNs how long the endpoint has to respond, in nanoseconds
      */
     RequestEncoder encoder(String hostPort, long timeLeftNs) {
         if (forwarded != null) {
             return forwardingEncoder(hostPort, timeLeftNs);
         }
         RequestEncoder encoder = new RequestEncoder(method, target, hostPort);
-        if (!isProbe()) {
+        if (!isHealthCheck()) {
             encoder.header(CORRELATION_ID, id)
                     .header("X-Service-Class", requestClass)
                     .header(TIME_LEFT, Seconds.format(timeLeftNs))
--- a/engine/src/main/java/trailthread/engine/endpoint/EndpointResponse.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointResponse.java
@@ -4,10 +4,10 @@
 import io.undertow.util.StatusCodes;
 
 /**
- * A response as an endpoint made it.
+ * An endpoint's response.
  *
  * @param headers as received; null: only the body is forwarded to the client
- * @param body empty where the body is streamed
+ * @param body empty if the body is streamed
  */
 public record EndpointResponse(int status, HeaderMap headers, byte[] body) {
     /** Returns a response of which only the body is forwarded to the client. */
--- a/engine/src/main/java/trailthread/engine/endpoint/LatencySampler.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/LatencySampler.java
@@ -2,20 +2,20 @@
 
 /**
  * Decides which latency to report for a response of one endpoint, where the node knows only a lower
- * and an upper bound of it. Does no I/O and reads no clock.
+ * and an upper bound of that latency. Does no I/O and reads no clock.
  *
- * <p>The bounds differ by the time for which the node's own event loop was late. Added to the
- * latency, it would make an endpoint look slow whenever the node is; subtracted, it would make the
- * endpoint look faster than it ever is, and overloaded from then on. So no latency is reported for
- * a response whose bounds are far apart. The limit must not depend on the latency itself: if short
- * ones were reported under bounds that leave long ones unknown, the estimate would be biased
- * towards the short ones. There is one exception: an endpoint that took many times as long as usual
- * for certain is reported with the lower bound.
+ * <p>The bounds differ by the time for which the node's own event loop was late. If that time were
+ * added to the latency, an endpoint would look slow whenever the node is; if it were subtracted,
+ * the endpoint would look faster than it ever is, and overloaded from then on. So no latency is
+ * reported for a response whose bounds are far apart. How far must not depend on the latency
+ * itself: if short latencies were reported under bounds that leave long ones unknown, the estimate
+ * would be biased towards the short ones. There is one exception: if even the lower bound is many
+ * times the usual latency, the lower bound is reported.
  */
 final class LatencySampler {
     static final long UNKNOWN = -1;
 
-    /** The weight of a new sample in the moving average, which thus spans about ten of them. */
+    /** The weight of a new sample in the moving average, which thus spans about ten samples. */
     private static final double SAMPLE_WEIGHT = 0.1;
 
     /** How far the bounds may be apart, as a fraction of the usual latency. */
@@ -33,14 +33,16 @@
     private boolean hasSamples;
 
     /**
-     * @param toleranceNs a difference in latency that is of no importance, in nanoseconds
+     * @param toleranceNs bounds that differ by no more than this are always close enough, in
+     *     nanoseconds
      */
     LatencySampler(long toleranceNs) {
         this.toleranceNs = toleranceNs;
     }
 
     /**
-     * Returns the latency to report for a response, or {@link #UNKNOWN}, and learns from it.
+     * Returns the latency to report for a response, or {@link #UNKNOWN}. A reported latency updates
+     * the moving average.
      *
      * @param atLeastNs the lower bound, in nanoseconds
      * @param atMostNs the upper bound, in nanoseconds
--- a/engine/src/main/java/trailthread/engine/endpoint/LoadReportParser.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/LoadReportParser.java
@@ -9,14 +9,14 @@
 
 /** Parses the load reports of endpoints. */
 final class LoadReportParser {
-    /** No endpoint reports a larger value of any kind; a report that does is absurd. */
+    /** No endpoint has a larger value of any kind, so a report with a larger one is implausible. */
     private static final double MAX_VALUE = 1e6;
 
     private LoadReportParser() {}
 
     /**
-     * Returns the report, or null if there is none or it is malformed or absurd; unknown keys are
-     * skipped.
+     * Returns the report, or null if there is none or it is malformed or implausible; unknown keys
+     * are skipped.
      *
      * @param json the report's text, or null
      */
@@ -28,8 +28,8 @@
         in.setStrictness(Strictness.STRICT);
         try {
             LoadReport report = read(in);
-            boolean ends = in.peek() == JsonToken.END_DOCUMENT;
-            return ends && isPlausible(report) ? report : null;
+            boolean atEnd = in.peek() == JsonToken.END_DOCUMENT;
+            return atEnd && isPlausible(report) ? report : null;
         } catch (IOException | IllegalStateException | NumberFormatException e) {
             return null;
         }
@@ -72,7 +72,7 @@
                 && isPlausible(report.eps());
     }
 
-    /** Whether a value is absent (NaN) or within its range. */
+    /** Returns whether a value is absent (NaN) or within its range. */
     private static boolean isPlausible(double value) {
         return !(value < 0 || value > MAX_VALUE);
     }
--- a/engine/src/main/java/trailthread/engine/endpoint/PooledEndpoint.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/PooledEndpoint.java
@@ -12,8 +12,8 @@
     final String hostPort;
     final InetSocketAddress address;
 
-    /** The one used last is last. */
-    final ArrayDeque<ConnectionPool.IdleConnection> idle = new ArrayDeque<>();
+    /** The idle connections; the one used last is at the end. */
+    final ArrayDeque<ConnectionPool.IdleConnection> idleConnections = new ArrayDeque<>();
 
     final LatencySampler latency;
 
@@ -25,7 +25,7 @@
 
     /**
      * @param hostPort address:port
-     * @param latencyToleranceNs a difference in latency that is of no importance, in nanoseconds
+     * @param latencyToleranceNs differences in latency up to this are ignored, in nanoseconds
      */
     PooledEndpoint(String instanceId, String hostPort, long latencyToleranceNs) {
         latency = new LatencySampler(latencyToleranceNs);
@@ -45,7 +45,7 @@
     /**
      * Returns whether new requests may be sent.
      *
-     * @param drainGraceNs how long they may still be sent after the endpoint has started to drain
+     * @param drainGraceNs how long requests may be sent after the endpoint has started to drain
      */
     boolean acceptsRequests(long now, long drainGraceNs) {
         return drainingSince == NOT_DRAINING || now - drainingSince < drainGraceNs;
--- a/engine/src/main/java/trailthread/engine/endpoint/ResponseHead.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ResponseHead.java
@@ -19,11 +19,11 @@
     static ResponseHead decode(int status, HeaderMap headers) {
         boolean unprocessed =
                 headers.count(UNPROCESSED) == 1 && "1".equals(headers.getFirst(UNPROCESSED));
-        return new ResponseHead(status, unprocessed, firstReadableLoad(headers));
+        return new ResponseHead(status, unprocessed, firstValidLoad(headers));
     }
 
-    /** Skips reports that cannot be parsed: they invalidate neither the response nor the others. */
-    private static LoadReport firstReadableLoad(HeaderMap headers) {
+    /** Skips malformed load reports, which invalidate neither the response nor other reports. */
+    private static LoadReport firstValidLoad(HeaderMap headers) {
         LoadReport load = null;
         for (int i = 0; load == null && i < headers.count(LOAD); i++) {
             load = LoadReportParser.parse(headers.get(LOAD, i));
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Returns the outcome of a complete response. A status that the protocol does not define counts
-     * as an error, after which the request may have been processed.
+     * Returns the outcome of a complete response. A status that the protocol does not define is an
+     * {@link Outcome#ERROR}, as the request may have been processed.
      *
      * @param isForwarded whether the endpoint serves plain HTTP, and may respond with any status;
      *     then 5xx is an error, and so is 429, as only the node itself sheds load by quota
--- a/engine/src/main/java/trailthread/engine/http/BodyFraming.java
+++ b/engine/src/main/java/trailthread/engine/http/BodyFraming.java
@@ -18,18 +18,20 @@
     /**
      * Returns the framing of the body that follows a head.
      *
-     * @param isToHead whether the request's method was HEAD
-     * @throws MalformedResponseException if readers could differ on where the response ends
+     * @param isHeadRequest whether the request's method was HEAD
+     * @throws MalformedResponseException if two readers could differ on where the response ends
      */
-    static BodyFraming of(int status, HeaderMap headers, boolean isToHead)
+    static BodyFraming of(int status, HeaderMap headers, boolean isHeadRequest)
             throws MalformedResponseException {
         int lengths = headers.count(Headers.CONTENT_LENGTH);
         int encodings = headers.count(Headers.TRANSFER_ENCODING);
         boolean isChunked = encodings > 0;
         if (lengths > 1 || (isChunked && (lengths > 0 || !isOnlyChunked(headers, encodings)))) {
-            throw new MalformedResponseException("an unclear length");
+            throw new MalformedResponseException("an ambiguous body length");
         }
-        if (isToHead || status == StatusCodes.NO_CONTENT || status == StatusCodes.NOT_MODIFIED) {
+        if (isHeadRequest
+                || status == StatusCodes.NO_CONTENT
+                || status == StatusCodes.NOT_MODIFIED) {
             return NONE;
         }
         if (isChunked) {
--- a/engine/src/main/java/trailthread/engine/http/ByteSink.java
+++ b/engine/src/main/java/trailthread/engine/http/ByteSink.java
@@ -5,15 +5,17 @@
 /** Receives the body of a message while it arrives. */
 public interface ByteSink {
     /**
-     * Takes a piece of the body, all of it, and copies what it does not use before it returns.
+     * Writes a piece of the body. Takes all its bytes; those that the sink keeps are copied before
+     * this returns.
      *
-     * @return whether there is capacity for another piece; if not, the sink says when there is
+     * @return whether there is capacity for another piece; if not, the sink tells its source when
+     *     there is again
      */
     boolean writePiece(ByteBuffer piece);
 
-    /** The body is complete. */
+    /** Ends the body, which is complete. */
     void endBody();
 
-    /** The body breaks off before its end; the recipient must be able to tell. */
+    /** Ends the body before it is complete; its recipient must be able to tell. */
     void abortBody();
 }
--- a/engine/src/main/java/trailthread/engine/http/ByteSource.java
+++ b/engine/src/main/java/trailthread/engine/http/ByteSource.java
@@ -2,18 +2,18 @@
 
 /** A body that is streamed while it arrives; it can be read once. */
 public interface ByteSource {
-    /** Returns the length in bytes; -1: not known. */
+    /** Returns the body's length in bytes; -1: not known. */
     long length();
 
-    /** Starts to stream all of the body to the sink, as it arrives. To be called once. */
+    /** Starts to stream the body to the sink as it arrives. To be called once. */
     void streamTo(ByteSink sink);
 
     /** Returns whether {@link #streamTo} was called, so that the body cannot be sent again. */
     boolean isStarted();
 
-    /** Continues to stream, as the sink has capacity again after it had none. */
+    /** Continues to stream after the sink had no capacity, as it has some again. */
     void resume();
 
-    /** Stops streaming: the rest of the body is not wanted. The sink is not called any more. */
+    /** Stops streaming and drops the rest of the body. The sink is not called any more. */
     void stop();
 }
--- a/engine/src/main/java/trailthread/engine/http/EndToEndHeaders.java
+++ b/engine/src/main/java/trailthread/engine/http/EndToEndHeaders.java
@@ -11,8 +11,8 @@
 
 /**
  * Selects the headers of a message that a proxy forwards. Left out are hop-by-hop headers and those
- * that the Connection header names (RFC 9110, 7.6.1), and the framing, which each connection makes
- * anew (RFC 9112, 6 and 7).
+ * that the Connection header names (RFC 9110, 7.6.1), and the framing, which is set anew on each
+ * connection (RFC 9112, 6 and 7).
  */
 public final class EndToEndHeaders {
     private static final Set<String> HOP_BY_HOP =
@@ -77,7 +77,7 @@
         return options;
     }
 
-    /** RFC 9110, 5.6.2. */
+    /** Returns whether a name is a token (RFC 9110, 5.6.2). */
     private static boolean isToken(String name) {
         for (byte c : name.getBytes(StandardCharsets.ISO_8859_1)) {
             boolean isTokenChar =
@@ -92,7 +92,10 @@
         return !name.isEmpty();
     }
 
-    /** RFC 9110, 5.5: no control characters but the tab; bytes past ASCII are forwarded as is. */
+    /**
+     * Returns whether a value holds no control character but the tab (RFC 9110, 5.5); bytes above
+     * ASCII are forwarded as is.
+     */
     private static boolean isFieldValue(String value) {
         for (int i = 0; i < value.length(); i++) {
             char c = value.charAt(i);
--- a/engine/src/main/java/trailthread/engine/http/HttpConnection.java
+++ b/engine/src/main/java/trailthread/engine/http/HttpConnection.java
@@ -12,9 +12,9 @@
  * A connection to an HTTP server that carries one request at a time. {@link HttpConnector} opens
  * it.
  *
- * <p>It is read all the time. Anything that arrives while no response is due closes it: the rest of
- * a malformed response, a surplus second one, or the end of the connection. So none of these is
- * ever taken for the next request's response.
+ * <p>The connection is read at all times. Anything that arrives while no response is due closes it:
+ * the rest of a malformed response, a surplus second response, or the end of the connection. So
+ * none of these is ever taken for the response to the next request.
  *
  * <p>Built on XNIO, as Undertow's client does not read between requests, and can neither cancel a
  * connect nor close a connection before its request has been written.
@@ -37,7 +37,7 @@
     /** When the connection was established, or its last response was complete. */
     private long idleSince;
 
-    /** Nothing is read, as the listener has no capacity for more. */
+    /** Whether reading is suspended, as the listener has no capacity. */
     private boolean paused;
 
     HttpConnection(
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Sends a request. Not to be called before the response to the last one is complete.
+     * Sends a request. Not to be called before the response to the request before is complete.
      *
      * @param maxBodyBytes a response with a longer body is malformed
      */
@@ -68,18 +68,18 @@
     /**
      * Sends a request, as above, whose body is not in the same buffer.
      *
-     * @param body what follows the request's head, or null
-     * @param isHead whether the method is HEAD, so that the response has no body
+     * @param body the bytes that follow the request's head, or null
+     * @param isHeadRequest whether the method is HEAD, so that the response has no body
      */
     public void send(
             ByteBuffer request,
             ByteBuffer body,
             long maxBodyBytes,
-            boolean isHead,
+            boolean isHeadRequest,
             ResponseListener responseListener) {
         writer.setRequest(request, body);
         listener = responseListener;
-        decoder = new ResponseDecoder(responseListener, maxBodyBytes, isHead);
+        decoder = new ResponseDecoder(responseListener, maxBodyBytes, isHeadRequest);
         writer.write();
     }
 
@@ -95,7 +95,7 @@
         writer.write();
     }
 
-    /** Stops reading until {@link #resume}; what has been read already is still reported. */
+    /** Stops reading until {@link #resume}; bytes already read are still passed to the listener. */
     public void pause() {
         paused = true;
         source.suspendReads();
@@ -106,28 +106,28 @@
         if (paused && open) {
             paused = false;
             source.resumeReads();
-            source.wakeupReads(); // the selector may not report again what arrived meanwhile
+            source.wakeupReads(); // the selector may not report what arrived during the pause
         }
     }
 
     /** Returns whether the request's last byte has been written. */
-    public boolean isSent() {
-        return writer.isSent();
+    public boolean isRequestSent() {
+        return writer.isRequestSent();
     }
 
-    /** Reads all that has arrived; the listener is notified before this returns. */
+    /** Reads all bytes that have arrived; the listener is notified before this returns. */
     public void readArrived() {
         read(Integer.MAX_VALUE);
     }
 
-    /** Returns whether another request may be sent, by what has been read so far. */
+    /** Returns whether another request may be sent, as far as the connection has been read. */
     public boolean isIdle() {
         return open && decoder == null;
     }
 
     /**
-     * Returns since when the connection has carried no request, by {@link EventLoop#now}; without
-     * meaning while it carries one.
+     * Returns since when the connection has carried no request, by {@link EventLoop#now}. Undefined
+     * while it carries a request.
      */
     public long idleSince() {
         return idleSince;
@@ -141,7 +141,7 @@
         return isIdle();
     }
 
-    /** Closes the connection at once, whatever it carries; the listener is not notified. */
+    /** Closes the connection at once, even within a request; the listener is not notified. */
     public void close() {
         listener = null;
         decoder = null;
@@ -154,8 +154,8 @@
     }
 
     /**
-     * Reads what has arrived. Stops when the limit is reached or exceeded by part of a buffer; the
-     * selector reports the rest again.
+     * Reads bytes that have arrived, up to the limit or past it by less than a buffer. The selector
+     * reports the rest again.
      */
     private void read(int limitBytes) {
         try (var pooled = loop.buffers().allocate()) {
@@ -168,11 +168,11 @@
                     return;
                 }
                 if (decoder == null) {
-                    close(); // surplus bytes, or the end of the connection
+                    close(); // surplus bytes or the end of the connection, while no response is due
                     return;
                 }
                 if (count < 0) {
-                    connectionEnded();
+                    handleConnectionEnd();
                     return;
                 }
                 boolean mayHoldMore = !buffer.hasRemaining();
@@ -184,15 +184,15 @@
                 readBytes += buffer.capacity();
             }
         } catch (IOException e) {
-            fail("breaks");
+            fail("breaks the connection");
         }
     }
 
-    private void connectionEnded() {
+    private void handleConnectionEnd() {
         if (decoder.connectionEnded()) {
-            closeCompleted();
+            completeAndClose();
         } else {
-            fail("ends before the response is complete");
+            fail("ends the connection before the response is complete");
         }
     }
 
@@ -201,22 +201,22 @@
         try {
             current.decode(bytes);
         } catch (MalformedResponseException e) {
-            fail("brings " + e.getMessage());
+            fail("sends a malformed response: " + e.getMessage());
             return;
         }
         // the listener may have closed the connection meanwhile
         if (decoder == current && current.isComplete()) {
             boolean isReusable = current.isKeepAlive() && writer.isFinished();
             if (isReusable && !bytes.hasRemaining()) {
-                becomeIdle();
+                completeAndBecomeIdle();
             } else {
-                closeCompleted();
+                completeAndClose();
             }
         }
     }
 
-    /** The response is complete, and the connection can carry another request. */
-    private void becomeIdle() {
+    /** Handles the end of a response after which the connection can carry another request. */
+    private void completeAndBecomeIdle() {
         ResponseListener notified = listener;
         listener = null;
         decoder = null;
@@ -226,8 +226,8 @@
         notified.responseCompleted();
     }
 
-    /** The response is complete, and the connection cannot carry another request. */
-    private void closeCompleted() {
+    /** Handles the end of a response after which the connection can carry no other request. */
+    private void completeAndClose() {
         ResponseListener notified = listener;
         close();
         notified.responseCompleted();
@@ -241,11 +241,11 @@
         }
     }
 
-    /** Passes events of the request on to the listener, if there still is one. */
+    /** Passes the writer's events to the listener, unless the connection was closed. */
     private final class WriterListener implements RequestWriter.Listener {
         @Override
-        public boolean mayBeWritten() {
-            return listener == null || listener.mayBeWritten();
+        public boolean mayWriteRequest() {
+            return listener == null || listener.mayWriteRequest();
         }
 
         @Override
--- a/engine/src/main/java/trailthread/engine/http/HttpConnector.java
+++ b/engine/src/main/java/trailthread/engine/http/HttpConnector.java
@@ -12,7 +12,7 @@
 import trailthread.engine.loop.CpuAccount;
 import trailthread.engine.loop.EventLoop;
 
-/** Opens one {@link HttpConnection}, and can cancel that until it is established. */
+/** Opens one {@link HttpConnection}; the connect can be cancelled until it is established. */
 public final class HttpConnector {
     private static final OptionMap TCP = OptionMap.create(Options.TCP_NODELAY, true);
 
@@ -21,8 +21,7 @@
     private final Runnable onClose;
     private final Consumer<HttpConnection> onOpen;
 
-    /** Completed or cancelled. */
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final AtomicBoolean completedOrCancelled = new AtomicBoolean();
 
     private HttpConnector(
             EventLoop loop, CpuAccount account, Runnable onClose, Consumer<HttpConnection> onOpen) {
@@ -35,11 +34,12 @@
     /**
      * Opens a connection.
      *
-     * @param account is charged with the time to read from the connection
-     * @param onClose is run once when a connection that was established is closed
+     * @param account is charged with the time spent on reading the connection
+     * @param onClose runs once, when an established connection is closed
      * @param onOpen receives the connection, or null if it could not be established; never from
      *     within this call
-     * @return cancels the connect, and releases its descriptor; {@code onOpen} is not called then
+     * @return cancels the connect and releases its file descriptor; {@code onOpen} is not called
+     *     then
      */
     public static Runnable open(
             EventLoop loop,
@@ -53,13 +53,14 @@
         }
         HttpConnector connector = new HttpConnector(loop, account, onClose, onOpen);
         IoFuture<StreamConnection> connect = loop.thread().openStreamConnection(server, null, TCP);
-        connect.addNotifier((done, none) -> loop.execute(() -> connector.completed(done)), null);
+        connect.addNotifier(
+                (done, none) -> loop.execute(() -> connector.connectCompleted(done)), null);
         return () -> connector.cancel(connect);
     }
 
-    private void completed(IoFuture<? extends StreamConnection> connect) {
-        StreamConnection connection = result(connect);
-        if (over.getAndSet(true)) {
+    private void connectCompleted(IoFuture<? extends StreamConnection> connect) {
+        StreamConnection connection = establishedConnection(connect);
+        if (completedOrCancelled.getAndSet(true)) {
             IoUtils.safeClose(connection);
         } else if (connection == null) {
             onOpen.accept(null);
@@ -68,7 +69,8 @@
         }
     }
 
-    private static StreamConnection result(IoFuture<? extends StreamConnection> connect) {
+    private static StreamConnection establishedConnection(
+            IoFuture<? extends StreamConnection> connect) {
         try {
             return connect.getStatus() == IoFuture.Status.DONE ? connect.get() : null;
         } catch (IOException e) {
@@ -77,7 +79,7 @@
     }
 
     private void cancel(IoFuture<StreamConnection> connect) {
-        if (!over.getAndSet(true)) {
+        if (!completedOrCancelled.getAndSet(true)) {
             connect.cancel();
         }
     }
--- a/engine/src/main/java/trailthread/engine/http/MalformedResponseException.java
+++ b/engine/src/main/java/trailthread/engine/http/MalformedResponseException.java
@@ -1,6 +1,6 @@
 package trailthread.engine.http;
 
-/** A server sent something that is not a valid HTTP/1.1 response; the message says what. */
+/** A server sent an invalid HTTP/1.1 response; the message names what is invalid in it. */
 final class MalformedResponseException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/engine/src/main/java/trailthread/engine/http/RequestEncoder.java
+++ b/engine/src/main/java/trailthread/engine/http/RequestEncoder.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Encodes one HTTP/1.1 request. Names and values are written as they are; the caller makes sure
- * that they hold no line ends.
+ * Encodes one HTTP/1.1 request. Names and values are written as they are; the caller ensures that
+ * they hold no line ends.
  */
 public final class RequestEncoder {
     private static final int INITIAL_HEAD_CHARS = 256;
@@ -47,7 +47,7 @@
     /**
      * Returns the complete request.
      *
-     * @param body null: the request has none
+     * @param body null: the request has no body
      */
     public ByteBuffer encode(byte[] body) {
         if (body != null) {
--- a/engine/src/main/java/trailthread/engine/http/RequestWriter.java
+++ b/engine/src/main/java/trailthread/engine/http/RequestWriter.java
@@ -6,13 +6,14 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * Writes the requests of one connection to its socket, one after another, as the socket takes them.
+ * Writes the requests of one connection to its socket, one after another, as the socket accepts
+ * them.
  */
 final class RequestWriter {
     /** Receives the events of the request that is being written. */
     interface Listener {
         /** Returns whether the next part of the request may be written. */
-        boolean mayBeWritten();
+        boolean mayWriteRequest();
 
         /** The request's last byte has been written. */
         void requestSent();
@@ -21,20 +22,23 @@
         void exchangeFailed(String reason);
     }
 
-    /** The system call copies what it gets from a heap buffer, however little the socket takes. */
+    /**
+     * Limits the bytes that are passed to one system call: all of them are copied from the heap
+     * buffer, even if the socket accepts few.
+     */
     private static final int MAX_WRITE_BYTES = 64 * 1024;
 
     private final EventLoop loop;
     private final ConduitStreamSinkChannel channel;
     private final Listener listener;
 
-    /** The head, and perhaps a short body behind it; null before the first request. */
+    /** The request's head, followed by its body if that is short; null before the first request. */
     private ByteBuffer head;
 
-    /** The rest of the body, or null. */
+    /** A body that is not in the same buffer as the head, or null. */
     private ByteBuffer body;
 
-    /** The body if it is streamed, or null. */
+    /** A streamed body, or null. */
     private StreamedRequestBody streamedBody;
 
     private boolean closed;
@@ -49,7 +53,7 @@
     /**
      * Sets the request to write next.
      *
-     * @param requestBody what follows the head, or null
+     * @param requestBody the bytes that follow the head, or null
      */
     void setRequest(ByteBuffer requestHead, ByteBuffer requestBody) {
         head = requestHead;
@@ -62,7 +66,7 @@
         streamedBody = new StreamedRequestBody(requestBody, this);
     }
 
-    /** Writes what the socket takes now. */
+    /** Writes as much of the request as the socket accepts now. */
     void write() {
         try {
             if (!write(head) || !write(body)) {
@@ -77,12 +81,12 @@
                 listener.requestSent();
             }
         } catch (IOException e) {
-            listener.exchangeFailed("breaks while the request is sent");
+            listener.exchangeFailed("breaks the connection while the request is sent");
         }
     }
 
     /**
-     * Writes one turn's part of the bytes.
+     * Writes what the socket accepts of the bytes, up to {@link EventLoop#MAX_BYTES_PER_PASS}.
      *
      * @param bytes may be null
      * @return whether all of them have been written
@@ -96,8 +100,8 @@
             if (bytes.position() >= end) {
                 return false;
             }
-            if (!listener.mayBeWritten()) {
-                throw new IOException("the request may no longer be written");
+            if (!listener.mayWriteRequest()) {
+                throw new IOException("the request may not be written any more");
             }
             int count = Math.min(bytes.remaining(), MAX_WRITE_BYTES);
             int written = channel.write(bytes.slice(bytes.position(), count));
@@ -109,25 +113,25 @@
         return true;
     }
 
-    /** Calls {@link #write()} when the socket takes more. */
+    /** Calls {@link #write()} when the socket accepts more bytes. */
     void resumeWrites() {
         channel.resumeWrites();
     }
 
     /** Returns whether the request's last byte has been written. */
-    boolean isSent() {
+    boolean isRequestSent() {
         return head != null
                 && !head.hasRemaining()
                 && (body == null || !body.hasRemaining())
-                && (streamedBody == null || streamedBody.isSent());
+                && (streamedBody == null || streamedBody.isBodySent());
     }
 
-    /** Returns whether the request has been written, and the end of a streamed body is known. */
+    /** Returns whether the request was written and the source of a streamed body has ended it. */
     boolean isFinished() {
-        return isSent() && (streamedBody == null || streamedBody.hasEnded());
+        return isRequestSent() && (streamedBody == null || streamedBody.hasEnded());
     }
 
-    /** The response is complete, so that another request may follow. */
+    /** Handles the end of the response: another request may follow. */
     void responseCompleted() {
         streamedBody = null;
     }
@@ -136,7 +140,7 @@
         return closed;
     }
 
-    /** Stops a streamed body; the connection is closed. */
+    /** Stops the source of a streamed body, as the connection is closed. */
     void close() {
         if (streamedBody != null) {
             streamedBody.stop();
@@ -144,14 +148,17 @@
         closed = true;
     }
 
-    /** All of a streamed body has been written, outside of {@link #write()}. */
+    /** Handles the last byte of a streamed body, if not written by {@link #write()}. */
     void streamedBodySent(StreamedRequestBody sent) {
         if (!closed && sent == streamedBody) {
             listener.requestSent();
         }
     }
 
-    /** Reports a failure, a turn later, as the source of the body is calling. */
+    /**
+     * Reports a failure in a later task. A failure stops the source of the body, which must not be
+     * stopped from within its own call.
+     */
     void failLater(String reason) {
         loop.execute(() -> listener.exchangeFailed(reason));
     }
--- a/engine/src/main/java/trailthread/engine/http/ResponseDecoder.java
+++ b/engine/src/main/java/trailthread/engine/http/ResponseDecoder.java
@@ -17,10 +17,10 @@
 final class ResponseDecoder {
     private static final int INITIAL_LINE_BYTES = 128;
 
-    /** Limits everything but the body: the heads, and the lines between two chunks. */
+    /** Limits the bytes of all heads together, and of the lines between two chunks. */
     private static final int MAX_LINE_BYTES = 16 * 1024;
 
-    /** The header map fails if it gets a few more of one name. */
+    /** {@link HeaderMap} throws if it holds a few more headers of one name than this. */
     private static final int MAX_HEADERS = 100;
 
     private static final int MIN_FINAL_STATUS = 200;
@@ -39,7 +39,7 @@
 
     private final ResponseListener listener;
     private final long maxBodyBytes;
-    private final boolean isToHead;
+    private final boolean isHeadRequest;
     private State state = State.STATUS_LINE;
 
     /** The part of the current line that has arrived. */
@@ -47,17 +47,17 @@
 
     private int lineLength;
 
-    /** The bytes of all lines since the start, or since the last chunk. */
+    /** The number of bytes of all lines since the start, or since the last chunk. */
     private int lineBytes;
 
     private int headerCount;
     private int status;
     private HeaderMap headers = new HeaderMap();
 
-    /** The bytes of the body or the chunk that are still to come. */
+    /** The number of bytes of the body or the chunk that are still to be received. */
     private long remaining;
 
-    /** The bytes of the chunks, or of the body without a length, so far. */
+    /** The size of all chunks so far, or of the received part of a body without a length. */
     private long bodyBytes;
 
     private boolean keepAlive = true;
@@ -71,13 +71,13 @@
 
     /**
      * @param maxBodyBytes a response with a longer body is malformed
-     * @param isToHead whether the request's method was HEAD, so that the response has no body
+     * @param isHeadRequest whether the request's method was HEAD, so that the response has no body
      *     whatever its head says (RFC 9112, 6.3)
      */
-    ResponseDecoder(ResponseListener listener, long maxBodyBytes, boolean isToHead) {
+    ResponseDecoder(ResponseListener listener, long maxBodyBytes, boolean isHeadRequest) {
         this.listener = listener;
         this.maxBodyBytes = maxBodyBytes;
-        this.isToHead = isToHead;
+        this.isHeadRequest = isHeadRequest;
     }
 
     boolean isComplete() {
@@ -89,7 +89,7 @@
         return keepAlive;
     }
 
-    /** Decodes what has arrived, up to the end of the response. */
+    /** Decodes the bytes that have arrived, up to the end of the response. */
     void decode(ByteBuffer in) throws MalformedResponseException {
         while (in.hasRemaining() && state != State.COMPLETE) {
             switch (state) {
@@ -111,7 +111,7 @@
     /**
      * Handles the regular end of the connection.
      *
-     * @return whether the response is complete with it
+     * @return whether the response is complete
      */
     boolean connectionEnded() {
         if (state == State.BODY_UNTIL_CLOSE) {
@@ -149,7 +149,8 @@
         int count = end - start;
         lineBytes += count + (isLineEnd ? 1 : 0);
         if (lineBytes > MAX_LINE_BYTES) {
-            throw new MalformedResponseException("a head without end");
+            throw new MalformedResponseException(
+                    "a head or chunk line of more than " + MAX_LINE_BYTES + " bytes");
         }
         if (lineLength + count > line.length) {
             line = Arrays.copyOf(line, Math.max(2 * line.length, lineLength + count));
@@ -165,13 +166,13 @@
         return isLineEnd;
     }
 
-    /** Rejects anything but HTTP at once, as a line end may never come. */
+    /** Rejects another protocol than HTTP at once, as the end of its line may never arrive. */
     private void checkVersionPrefix() throws MalformedResponseException {
         String prefix = ResponseSyntax.VERSION_PREFIX;
         int count = Math.min(lineLength, prefix.length());
         for (int i = 0; i < count; i++) {
             if (line[i] != prefix.charAt(i)) {
-                throw new MalformedResponseException("no HTTP");
+                throw new MalformedResponseException("a protocol other than HTTP/1");
             }
         }
     }
@@ -196,7 +197,7 @@
             }
             case CHUNK_SIZE -> startChunk(text);
             case CHUNK_END -> endChunk(text);
-            default -> { // trailers, which are ignored
+            default -> { // a trailer, which is ignored
                 if (text.isEmpty()) {
                     state = State.COMPLETE;
                 }
@@ -214,23 +215,23 @@
     private void addHeader(String text) throws MalformedResponseException {
         headerCount++;
         if (headerCount > MAX_HEADERS) {
-            throw new MalformedResponseException("headers without end");
+            throw new MalformedResponseException("more than " + MAX_HEADERS + " headers");
         }
         ResponseSyntax.parseHeader(text, headers);
     }
 
     private void endHead() throws MalformedResponseException {
         if (status == StatusCodes.SWITCHING_PROTOCOLS) {
-            throw new MalformedResponseException("another protocol, unasked");
+            throw new MalformedResponseException("an upgrade that was not requested");
         }
         if (status < MIN_FINAL_STATUS) {
-            state = State.STATUS_LINE; // the head of an interim response; another one follows
+            state = State.STATUS_LINE; // an interim response; the head of another response follows
             return;
         }
         if ("close".equalsIgnoreCase(headers.getFirst(Headers.CONNECTION))) {
             keepAlive = false;
         }
-        BodyFraming framing = BodyFraming.of(status, headers, isToHead);
+        BodyFraming framing = BodyFraming.of(status, headers, isHeadRequest);
         remaining = contentLength(framing);
         state =
                 switch (framing) {
@@ -247,7 +248,7 @@
         String value = headers.getFirst(Headers.CONTENT_LENGTH);
         long length = value == null ? 0 : ResponseSyntax.parseContentLength(value);
         if (length < 0 || (length > maxBodyBytes && framing != BodyFraming.NONE)) {
-            throw new MalformedResponseException("a length that can't be");
+            throw new MalformedResponseException("an invalid or excessive Content-Length");
         }
         return length;
     }
@@ -262,7 +263,7 @@
         if (!text.isEmpty()) {
             throw new MalformedResponseException("a chunk longer than its size");
         }
-        lineBytes = 0; // the number of chunks has no limit: a watch goes on for days
+        lineBytes = 0; // chunks are not limited in number: the response to a watch lasts for days
         state = State.CHUNK_SIZE;
     }
 }
--- a/engine/src/main/java/trailthread/engine/http/ResponseListener.java
+++ b/engine/src/main/java/trailthread/engine/http/ResponseListener.java
@@ -12,7 +12,7 @@
      * Returns whether the next part of the request may be written; called before each part. If not,
      * the connection is closed, and {@link #exchangeFailed} follows.
      */
-    default boolean mayBeWritten() {
+    default boolean mayWriteRequest() {
         return true;
     }
 
@@ -22,7 +22,7 @@
     /** The final response's head has been received; interim responses (1xx) are not reported. */
     void headReceived(int status, HeaderMap headers);
 
-    /** A piece of the body; valid only until this returns. */
+    /** A piece of the body has been received; the buffer is valid only until this returns. */
     void bodyReceived(ByteBuffer piece);
 
     /** The response is complete. */
@@ -31,7 +31,7 @@
     /**
      * The response is malformed or the connection has ended; the connection is closed.
      *
-     * @param reason completes a sentence that begins with the server
+     * @param reason a predicate whose subject is the server, such as "breaks the connection"
      */
     void exchangeFailed(String reason);
 }
--- a/engine/src/main/java/trailthread/engine/http/ResponseSyntax.java
+++ b/engine/src/main/java/trailthread/engine/http/ResponseSyntax.java
@@ -6,7 +6,7 @@
 
 /** Parses the single lines of an HTTP/1.1 response. */
 final class ResponseSyntax {
-    /** What every status line begins with. */
+    /** The prefix of every status line. */
     static final String VERSION_PREFIX = "HTTP/1.";
 
     private static final String HTTP_1_1 = "HTTP/1.1";
@@ -27,18 +27,18 @@
     }
 
     static int parseStatus(String statusLine) throws MalformedResponseException {
-        boolean hasShape =
+        boolean isWellFormed =
                 statusLine.length() >= STATUS_END
                         && statusLine.startsWith(VERSION_PREFIX)
                         && statusLine.charAt(STATUS_START - 1) == ' '
                         && (statusLine.length() == STATUS_END
                                 || statusLine.charAt(STATUS_END) == ' ');
         long status =
-                hasShape
+                isWellFormed
                         ? parseNumber(statusLine.substring(STATUS_START, STATUS_END), DECIMAL)
                         : -1;
         if (status < MIN_STATUS) {
-            throw new MalformedResponseException("no status");
+            throw new MalformedResponseException("an invalid status line");
         }
         return (int) status;
     }
@@ -46,7 +46,7 @@
     static void parseHeader(String line, HeaderMap into) throws MalformedResponseException {
         int colon = line.indexOf(':');
         if (colon <= 0 || !isName(line, colon)) {
-            throw new MalformedResponseException("a header without a name");
+            throw new MalformedResponseException("a header without a valid name");
         }
         into.add(
                 new HttpString(line.substring(0, colon).getBytes(StandardCharsets.ISO_8859_1)),
@@ -73,12 +73,12 @@
         String digits = extension < 0 ? line : line.substring(0, extension);
         long size = parseNumber(digits.strip(), HEXADECIMAL);
         if (size < 0) {
-            throw new MalformedResponseException("a chunk without a size");
+            throw new MalformedResponseException("a chunk without a valid size");
         }
         return size;
     }
 
-    /** Returns a non-negative number that consists of ASCII digits only, or -1. */
+    /** Parses a number of ASCII digits only; returns -1 if it is malformed. */
     private static long parseNumber(String digits, int radix) {
         if (digits.isEmpty() || digits.length() > MAX_DIGITS) {
             return -1;
--- a/engine/src/main/java/trailthread/engine/http/StreamedRequestBody.java
+++ b/engine/src/main/java/trailthread/engine/http/StreamedRequestBody.java
@@ -5,8 +5,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A request body that is written while it arrives. What the socket does not take is buffered, and
- * the source pauses until it is written.
+ * A request body that is written while it arrives. Bytes that the socket does not accept are
+ * buffered, and the source pauses until they are written.
  */
 final class StreamedRequestBody implements ByteSink {
     private static final byte[] CRLF = {'\r', '\n'};
@@ -17,10 +17,10 @@
     private final RequestWriter writer;
     private final boolean isChunked;
 
-    /** What the socket has not taken yet, or null. */
+    /** Bytes that the socket has not accepted yet, or null. */
     private ByteBuffer unwritten;
 
-    /** The bytes that are still to arrive; negative: not known. */
+    /** The number of bytes that are still to arrive; negative: not known. */
     private long remaining;
 
     private boolean ended;
@@ -33,24 +33,24 @@
         isChunked = remaining < 0;
     }
 
-    /** Returns whether the last byte has been written, even if the source has not said so yet. */
-    boolean isSent() {
+    /** Returns whether the last byte was written, even if the source has not reported the end. */
+    boolean isBodySent() {
         return unwritten == null && !writeFailed && (ended || remaining == 0);
     }
 
-    /** Returns whether the source has said that the body is complete. */
+    /** Returns whether the source has reported the end of the body. */
     boolean hasEnded() {
         return ended;
     }
 
     /**
-     * Writes what the socket takes now, or starts the source.
+     * Starts the source, or writes as many buffered bytes as the socket accepts now.
      *
      * @return whether this call has written the last byte
      */
     boolean write() throws IOException {
         if (!source.isStarted()) {
-            source.streamTo(this); // the pieces are written, and the end reported, as they arrive
+            source.streamTo(this); // writePiece and endBody then write the body and report its end
             return false;
         }
         if (unwritten == null) {
@@ -62,7 +62,7 @@
         }
         unwritten = null;
         if (!ended) {
-            source.resume(); // may bring the end, which is reported then
+            source.resume(); // may call endBody, which then reports the last byte
             return false;
         }
         return true;
@@ -88,7 +88,7 @@
         return ByteBuffer.allocate(length).put(sizeBytes).put(CRLF).put(piece).put(CRLF).flip();
     }
 
-    /** Returns whether the socket took all of it. */
+    /** Returns whether the socket accepted all bytes; if not, the rest is buffered. */
     private boolean writeOrBuffer(ByteBuffer bytes) {
         if (writer.isClosed() || writeFailed) {
             return !writeFailed;
@@ -99,7 +99,7 @@
             }
         } catch (IOException e) {
             writeFailed = true;
-            writer.failLater("breaks while the body is sent");
+            writer.failLater("breaks the connection while the body is sent");
             return false;
         }
         buffer(bytes);
@@ -122,13 +122,13 @@
         if (isChunked) {
             writeOrBuffer(ByteBuffer.wrap(LAST_CHUNK));
         }
-        if (isSent()) {
+        if (isBodySent()) {
             writer.streamedBodySent(this);
         }
     }
 
     @Override
     public void abortBody() {
-        writer.fail("its body breaks off");
+        writer.fail("gets a request whose body was cut off");
     }
 }
--- a/engine/src/main/java/trailthread/engine/loop/CpuAccount.java
+++ b/engine/src/main/java/trailthread/engine/loop/CpuAccount.java
@@ -1,13 +1,13 @@
 package trailthread.engine.loop;
 
-/** Accounts for the thread's time that is spent on one owner, such as a pool. */
+/** Adds up the time that the event loop's thread spends on one owner, such as a pool. */
 public interface CpuAccount {
-    /** Accounts for nothing, and does not read the clock. */
+    /** Discards all times, and does not read the clock. */
     CpuAccount NONE =
             new CpuAccount() {
                 @Override
                 public void addTimeNs(long ns) {
-                    // not accounted for
+                    // discarded
                 }
 
                 @Override
@@ -21,11 +21,11 @@
 
     /** Runs a task and charges its duration to the owner. */
     default void runCharged(Runnable task) {
-        long begun = System.nanoTime();
+        long startedAt = System.nanoTime();
         try {
             task.run();
         } finally {
-            addTimeNs(System.nanoTime() - begun);
+            addTimeNs(System.nanoTime() - startedAt);
         }
     }
 }
--- a/engine/src/main/java/trailthread/engine/loop/EventLoop.java
+++ b/engine/src/main/java/trailthread/engine/loop/EventLoop.java
@@ -19,9 +19,9 @@
  */
 public final class EventLoop {
     /**
-     * The most that is read or written of one message before all other sockets that are ready are
-     * served, bytes. More than any message that is buffered completely, so that these are read at
-     * once.
+     * The maximum number of bytes of one message that are read or written before the other ready
+     * sockets are served. Larger than any message that is buffered completely, so that one pass
+     * reads all of such a message.
      */
     public static final int MAX_BYTES_PER_PASS = 128 * 1024;
 
@@ -33,7 +33,10 @@
 
     private static final int POOLED_BUFFERS_PER_THREAD = 16;
 
-    /** From this lateness on, a timer waits until the sockets have been served. */
+    /**
+     * A timeout that runs at least this late waits until the ready sockets have been served. After
+     * a longer time without a known poll, an empty task makes the next poll known.
+     */
     private static final long LATE_NS = 4_000_000L;
 
     private static final int STACK_BYTES = 256 * 1024;
@@ -44,11 +47,12 @@
     private final TimerWheel timers = new TimerWheel(System.nanoTime());
 
     /** XNIO's timer for the next tick that holds timers, or null. */
-    private XnioExecutor.Key wakeUp;
+    private XnioExecutor.Key wakeUpTimer;
 
+    /** When {@link #wakeUpTimer} is due, by the monotonic clock. */
     private long wakeUpAt;
 
-    /** Made when it is first needed, as it holds two descriptors. */
+    /** Created on first use, as it holds two file descriptors. */
     private SocketPass socketPass;
 
     private final ByteBufferPool buffers =
@@ -56,8 +60,8 @@
                     true, BUFFER_BYTES, POOLED_BUFFERS, POOLED_BUFFERS_PER_THREAD);
 
     /**
-     * From the monotonic clock to Unix time, ns. Read once: prevents steps of the wall clock from
-     * moving deadlines of a running node.
+     * Unix time minus the monotonic clock, ns. Computed once: prevents steps of the wall clock from
+     * moving the deadlines of a running node.
      */
     private final long clockOffset = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
 
@@ -67,8 +71,8 @@
      * @throws IOException if XNIO can't open its selector
      */
     public EventLoop(String name) throws IOException {
-        // The provider is named here: to find one as a service, Java would open every jar, and keep
-        // a descriptor of each.
+        // The provider is named here. To look one up as a service, Java would open every jar, and
+        // keep a file descriptor for each.
         xnioWorker =
                 new NioXnioProvider()
                         .getInstance()
@@ -91,17 +95,17 @@
         return xnioWorker;
     }
 
-    /** The I/O thread. */
+    /** Returns the I/O thread. */
     public XnioIoThread thread() {
         return thread;
     }
 
-    /** The pool of buffers for sockets. */
+    /** Returns the pool of buffers for sockets. */
     public ByteBufferPool buffers() {
         return buffers;
     }
 
-    /** Unix time in nanoseconds. */
+    /** Returns Unix time in nanoseconds; it never steps. */
     public long now() {
         return clockOffset + System.nanoTime();
     }
@@ -114,56 +118,58 @@
     /**
      * Schedules a task to run on the thread after a delay. To be called on the thread.
      *
-     * @return cancels the task
+     * @return a key that cancels the task
      * @throws IllegalStateException on another thread
      */
     public XnioExecutor.Key schedule(long delayNs, Runnable task) {
         if (Thread.currentThread() != thread) {
-            throw new IllegalStateException("a timer is set from another thread");
+            throw new IllegalStateException(
+                    "timers can be scheduled only on the event loop's thread");
         }
         TimerWheel.Timer timer = timers.schedule(System.nanoTime() + Math.max(0, delayNs), task);
-        wakeUpBy(TimerWheel.tickOf(timer.dueAt) << TimerWheel.TICK_BITS);
+        scheduleWakeUp(TimerWheel.tickOf(timer.dueAt) << TimerWheel.TICK_BITS);
         return timer;
     }
 
-    /** Runs the timers that are due at this time, by the monotonic clock, or earlier. */
-    private void wakeUpBy(long at) {
-        if (wakeUp != null && wakeUpAt <= at) {
+    /** Makes sure that timers run at this time, by the monotonic clock, or earlier. */
+    private void scheduleWakeUp(long at) {
+        if (wakeUpTimer != null && wakeUpAt <= at) {
             return;
         }
-        if (wakeUp != null) {
-            wakeUp.remove();
+        if (wakeUpTimer != null) {
+            wakeUpTimer.remove();
         }
         wakeUpAt = at;
         // Rounded up: XNIO rounds down to milliseconds, and would run the task again and again
         // before the tick.
         long delayMs = Math.max(0, at - System.nanoTime() + 999_999) / 1_000_000;
-        wakeUp = thread.executeAfter(this::runTimers, delayMs, TimeUnit.MILLISECONDS);
+        wakeUpTimer = thread.executeAfter(this::runDueTimers, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void runTimers() {
-        wakeUp = null;
+    private void runDueTimers() {
+        wakeUpTimer = null;
         for (TimerWheel.Timer timer : timers.removeDue(System.nanoTime())) {
             Runnable task = timer.takeTask();
             if (task != null) {
-                latency.timerRuns(timer.dueAt, System.nanoTime());
+                latency.recordTimerLateness(timer.dueAt, System.nanoTime());
                 runSafely(task);
             }
         }
-        wakeUpBy(timers.nextTickAt());
+        scheduleWakeUp(timers.nextTickAt());
         if (latency.unpolledNs(System.nanoTime()) > LATE_NS) {
-            // Makes the next poll known. Prevents idle time after a long task from being recorded
-            // as lateness.
+            // The empty task's pipe is ready in the next poll, which latency thus learns of.
+            // Prevents
+            // idle time after a long task from being recorded as lateness.
             afterSockets(() -> {});
         }
     }
 
     /**
-     * As {@link #schedule}, for the timeout of a wait for a peer: if the timer runs late, the task
-     * runs after the sockets that are ready have been served. Timers run before sockets, so a peer
-     * whose input arrived in time but was not read yet would time out otherwise.
+     * Schedules the timeout of a wait for a peer, as {@link #schedule} does. If the timer runs
+     * late, the task runs only after the ready sockets have been served. Timers run before sockets,
+     * so otherwise a peer would time out whose input arrived in time but was not read yet.
      *
-     * @return cancels the task
+     * @return a key that cancels the task
      */
     public XnioExecutor.Key scheduleAfterReading(long delayNs, Runnable task) {
         TimeoutAfterReading timeout = new TimeoutAfterReading(System.nanoTime() + delayNs, task);
@@ -171,12 +177,12 @@
         return timeout;
     }
 
-    /** Runs a task once every socket that is ready by now has been served. */
+    /** Runs a task after every socket that is ready now has been served. */
     public void afterSockets(Runnable task) {
         if (socketPass == null) {
             socketPass = new SocketPass(thread, this::beforeServingSocket, this::runSafely);
         }
-        socketPass.after(task);
+        socketPass.runAfterSockets(task);
     }
 
     /**
@@ -184,39 +190,41 @@
      * when that poll returned.
      */
     public void beforeServingSocket() {
-        if (latency.serveSocket(System.nanoTime())) {
-            thread.execute(() -> latency.socketsServed(System.nanoTime()));
+        if (latency.beforeServingSocket(System.nanoTime())) {
+            thread.execute(() -> latency.afterServingSockets(System.nanoTime()));
         }
     }
 
-    /** How late the thread runs. */
+    /** Returns the measurement of how late the thread runs. */
     public LoopLatency latency() {
         return latency;
     }
 
     /**
-     * The earliest time at which input that is read now can have arrived, by {@link #now}: it may
-     * have waited for this thread.
+     * Returns the earliest time at which input that is read now can have arrived, by {@link #now}.
+     * Earlier than now, as the input may have waited for this thread.
      */
     public long arrivedNotBefore() {
         return clockOffset + latency.arrivedNotBefore();
     }
 
-    /** The latest time at which input that is read now can have arrived, by {@link #now}. */
+    /**
+     * Returns the latest time at which input that is read now can have arrived, by {@link #now}.
+     */
     public long arrivedBy() {
         return clockOffset + latency.arrivedBy(System.nanoTime());
     }
 
-    /** Runs a task and logs its exception, so that those after it run too. */
+    /** Runs a task and logs its exception, so that the tasks after it still run. */
     private void runSafely(Runnable task) {
         try {
             run(task);
         } catch (RuntimeException e) {
-            LOG.error("a task failed", e);
+            LOG.error("a task on the event loop threw an exception", e);
         }
     }
 
-    /** Runs a task; for calls by XNIO other than those that serve a socket. */
+    /** Runs a task and measures it. For calls by XNIO that serve no socket. */
     public void run(Runnable task) {
         latency.beginTask(System.nanoTime());
         try {
@@ -226,7 +234,7 @@
         }
     }
 
-    /** Runs its task when it is due or, if that is late, once the sockets have been served. */
+    /** Runs its task when due or, if the timer runs late, after the ready sockets were served. */
     private final class TimeoutAfterReading implements XnioExecutor.Key, Runnable {
         private final long dueAt;
         private final Runnable task;
--- a/engine/src/main/java/trailthread/engine/loop/LoopLatency.java
+++ b/engine/src/main/java/trailthread/engine/loop/LoopLatency.java
@@ -6,18 +6,18 @@
  *
  * <p>In each iteration the thread runs the tasks that are due, polls its sockets, and serves those
  * that are ready. Input that arrives meanwhile waits for the next poll, and the socket does not
- * tell for how long. But it can't have been there at the poll before, or it would have been served
- * then; and if the thread blocked in its poll, the input that it then finds has just woken it. So
- * the arrival of each input lies between two bounds. The time between them is the node's own
- * lateness, not the peer's.
+ * tell for how long. But the input can't have been there at the poll before, or it would have been
+ * served then; and if the thread blocked in a poll, the input found by that poll has just woken the
+ * thread. So the arrival of each input lies between two bounds. The time between them is the node's
+ * own lateness, not the peer's.
  */
 public final class LoopLatency {
     /**
-     * The thread has blocked in a poll if this took longer, and longer than the iteration before.
-     * Prevents a thread that loses its core for a moment between an iteration and its poll from
-     * hiding the lateness of a longer iteration.
+     * A gap between two tasks counts as a blocked poll if it is longer than this, and longer than
+     * the iteration before it. Prevents a thread that loses its core for a moment between an
+     * iteration and its poll from hiding the lateness of a longer iteration.
      */
-    private static final long LEAST_BLOCKED_NS = 100_000L;
+    private static final long MIN_BLOCKED_NS = 100_000L;
 
     /** Half-life of the worst lateness: a pause counts for some seconds, not for minutes. */
     private static final double HALF_LIFE_NS = 1e9;
@@ -25,10 +25,10 @@
     private boolean servingSockets;
     private boolean runningTask;
 
-    /** When the sockets were last polled, as far as is known. */
+    /** The last time at which the sockets are known to have been polled. */
     private long polledAt;
 
-    /** The lower bound for input of the sockets that are being served. */
+    /** The lower bound of the arrival of input on the sockets that are being served. */
     private long arrivedNotBefore;
 
     /** When the last task, or the last pass over the sockets, ended. */
@@ -43,60 +43,63 @@
     }
 
     /**
-     * A socket is about to be served.
+     * Records that a socket is about to be served.
      *
-     * @return true for the first one after a poll; {@link #socketsServed} must follow then
+     * @return true for the first socket after a poll; {@link #afterServingSockets} must follow then
      */
-    boolean serveSocket(long now) {
+    boolean beforeServingSocket(long now) {
         if (servingSockets || runningTask) {
-            return false; // a read within a task says nothing of the other sockets
+            return false; // a socket served within a task says nothing of the other sockets
         }
         servingSockets = true;
-        if (hasBlocked(now)) {
+        if (hasBlockedInPoll(now)) {
             arrivedNotBefore = now;
         } else {
             arrivedNotBefore = polledAt;
-            record(now - polledAt, now); // input right after the last poll has waited so long
+            record(now - polledAt, now); // the wait of input that came right after the last poll
         }
         polledAt = now;
         return true;
     }
 
-    /** All sockets that were ready have been served. */
-    void socketsServed(long now) {
+    /** Records that all ready sockets have been served. */
+    void afterServingSockets(long now) {
         servingSockets = false;
         busyUntil = now;
     }
 
-    /** A task begins. If the thread has blocked until now, its last poll found no socket ready. */
+    /**
+     * Records the start of a task. If the thread has blocked until now, its last poll found no
+     * socket ready.
+     */
     void beginTask(long now) {
-        if (!servingSockets && hasBlocked(now)) {
+        if (!servingSockets && hasBlockedInPoll(now)) {
             polledAt = now;
         }
         runningTask = true;
     }
 
-    /** The task has ended. */
+    /** Records the end of the task. */
     void endTask(long now) {
         runningTask = false;
         busyUntil = now;
     }
 
     /**
-     * For how long the sockets may not have been polled, in nanoseconds. Once this is longer than
-     * the gaps between tasks, no gap is taken for a blocked poll any more, and it grows until a
-     * socket is served.
+     * Returns for how long the sockets may not have been polled, in nanoseconds. Once this time is
+     * longer than the gaps between tasks, no gap counts as a blocked poll any more, and the time
+     * grows until a socket is served.
      */
     long unpolledNs(long now) {
-        return servingSockets || hasBlocked(now) ? 0 : now - polledAt;
+        return servingSockets || hasBlockedInPoll(now) ? 0 : now - polledAt;
     }
 
-    private boolean hasBlocked(long now) {
-        return now - busyUntil > Math.max(LEAST_BLOCKED_NS, busyUntil - polledAt);
+    private boolean hasBlockedInPoll(long now) {
+        return now - busyUntil > Math.max(MIN_BLOCKED_NS, busyUntil - polledAt);
     }
 
-    /** A timer that was due runs now. */
-    void timerRuns(long dueAt, long now) {
+    /** Records the lateness of a timer that runs now. */
+    void recordTimerLateness(long dueAt, long now) {
         record(now - dueAt, now);
     }
 
@@ -107,17 +110,20 @@
         }
     }
 
-    /** The worst recent lateness, in nanoseconds; it decays by half each second. */
+    /** Returns the worst recent lateness, in nanoseconds, which halves each second. */
     public long latenessNs(long now) {
         return (long) (worstLatenessNs * Math.pow(0.5, (now - worstAt) / HALF_LIFE_NS));
     }
 
-    /** By when input that is read now had arrived: the poll, or now for a read within a task. */
+    /**
+     * Returns the upper bound of the arrival of input that is read now: the time of the poll, or
+     * now for a read within a task.
+     */
     long arrivedBy(long now) {
         return servingSockets && !runningTask ? polledAt : now;
     }
 
-    /** Input that is read now can't have arrived before this. */
+    /** Returns the lower bound of the arrival of input that is read now. */
     long arrivedNotBefore() {
         return servingSockets && !runningTask ? arrivedNotBefore : polledAt;
     }
--- a/engine/src/main/java/trailthread/engine/loop/Seconds.java
+++ b/engine/src/main/java/trailthread/engine/loop/Seconds.java
@@ -2,14 +2,14 @@
 
 /** Durations as the protocol writes them: seconds with a decimal point. */
 public final class Seconds {
-    /** Longer durations are invalid; they could overflow when counted in nanoseconds. */
+    /** Longer durations are invalid, as their nanoseconds could overflow. */
     private static final double MAX_SECONDS = 3600;
 
     private static final int MAX_CHARACTERS = 20;
 
     private Seconds() {}
 
-    /** The duration in nanoseconds, or -1 if the text is not one or is over an hour. */
+    /** Returns the duration in nanoseconds; -1 if the text is malformed or over an hour. */
     public static long parse(String text) {
         if (text.isEmpty() || text.length() > MAX_CHARACTERS) {
             return -1;
--- a/engine/src/main/java/trailthread/engine/loop/SocketPass.java
+++ b/engine/src/main/java/trailthread/engine/loop/SocketPass.java
@@ -12,9 +12,10 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Runs tasks once all sockets that are ready have been served. XNIO runs every task and every due
- * timer before it polls the sockets, also those that tasks schedule meanwhile. A byte written to a
- * pipe that the thread itself reads is found in the same poll as all other input.
+ * Runs tasks after all ready sockets have been served. XNIO runs every task and every due timer
+ * before it polls the sockets, also those that tasks schedule meanwhile, so a task that is queued
+ * again still runs before the poll. Instead, a byte is written to a pipe that the thread itself
+ * reads: the poll that finds the byte finds all other input too.
  */
 final class SocketPass {
     private final XnioIoThread thread;
@@ -24,10 +25,10 @@
     private List<Runnable> tasks = new ArrayList<>();
 
     /**
-     * @param socketServed runs whenever the pipe is served, as for any other socket
+     * @param beforeServingSocket runs before the pipe is served, as for any other socket
      * @param runner runs one task, and must catch its exceptions, so that the other tasks run
      */
-    SocketPass(XnioIoThread thread, Runnable socketServed, Consumer<Runnable> runner) {
+    SocketPass(XnioIoThread thread, Runnable beforeServingSocket, Consumer<Runnable> runner) {
         this.thread = thread;
         this.runner = runner;
         try {
@@ -41,18 +42,20 @@
         source.getReadSetter()
                 .set(
                         readable -> {
-                            socketServed.run();
-                            pipeReadable();
+                            beforeServingSocket.run();
+                            readPipe();
                         });
         source.resumeReads();
     }
 
-    /** Runs a task once the sockets that are ready by now have been served. */
-    void after(Runnable task) {
+    /** Runs a task after the sockets that are ready now have been served. */
+    void runAfterSockets(Runnable task) {
         tasks.add(task);
         if (tasks.size() == 1) {
             try {
-                sink.write(ByteBuffer.allocate(1)); // one byte at a time always fits
+                sink.write(
+                        ByteBuffer.allocate(
+                                1)); // always fits, as the pipe never holds more than one byte
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -60,10 +63,10 @@
     }
 
     /**
-     * The poll has found the byte. The tasks run after the other sockets that it found have been
-     * served, and after tasks that these queued, such as the completion of a connect.
+     * Handles the byte that a poll has found. The tasks run after the other sockets of that poll
+     * have been served, and after tasks that these queued, such as the completion of a connect.
      */
-    private void pipeReadable() {
+    private void readPipe() {
         try {
             if (source.read(ByteBuffer.allocate(1)) <= 0) {
                 return;
--- a/engine/src/main/java/trailthread/engine/loop/TimerWheel.java
+++ b/engine/src/main/java/trailthread/engine/loop/TimerWheel.java
@@ -10,10 +10,10 @@
  * timers are kept in slots by the tick at which they are due. Scheduling and cancelling take
  * constant time: each request schedules four timers and cancels three of them, and thousands are
  * pending at a time. Times are passed in, in nanoseconds of the monotonic clock. No timer is due
- * early; one is due up to a tick late.
+ * early; each is due up to one tick late.
  */
 final class TimerWheel {
-    /** A tick lasts two to this power of nanoseconds, about a millisecond. */
+    /** A tick lasts two to this power nanoseconds, about a millisecond. */
     static final int TICK_BITS = 20;
 
     private static final int SLOTS = 2048;
@@ -35,14 +35,14 @@
             this.slot = slot;
         }
 
-        /** Cancels the timer; whether it was still to run. */
+        /** Cancels the timer. Returns whether its task had neither run nor been cancelled. */
         @Override
         public boolean remove() {
             slot.unlink(this);
             return takeTask() != null;
         }
 
-        /** The task to run, the first time; then, or after a cancellation, null. */
+        /** Returns the task on the first call; null on later calls and after a cancellation. */
         Runnable takeTask() {
             Runnable taken = task;
             task = null;
@@ -51,8 +51,8 @@
     }
 
     /**
-     * The timers of one tick, and of those a revolution of the wheel earlier or later, in the order
-     * in which they were scheduled: a doubly linked list.
+     * The timers of one tick, and of the ticks that are whole revolutions of the wheel earlier or
+     * later, in the order in which they were scheduled. A doubly linked list.
      */
     private static final class Slot {
         private Timer first;
@@ -70,7 +70,7 @@
 
         void unlink(Timer timer) {
             if (timer.previous == null && first != timer) {
-                return; // it is not linked any more
+                return; // already unlinked
             }
             if (timer.previous == null) {
                 first = timer.next;
@@ -90,34 +90,34 @@
     private final Slot[] slots = new Slot[SLOTS];
 
     /** The timers of all ticks up to this one have been removed as due. */
-    private long tick;
+    private long lastDueTick;
 
     TimerWheel(long now) {
-        tick = now >> TICK_BITS;
+        lastDueTick = now >> TICK_BITS;
         for (int i = 0; i < SLOTS; i++) {
             slots[i] = new Slot();
         }
     }
 
-    /** The first tick that begins at this time or later. */
+    /** Returns the first tick that begins at this time or later. */
     static long tickOf(long dueAt) {
         return (dueAt + (1L << TICK_BITS) - 1) >> TICK_BITS;
     }
 
-    /** Schedules a timer; one that is overdue already is due at the next tick. */
+    /** Schedules a timer; an overdue one is due at the next tick. */
     Timer schedule(long dueAt, Runnable task) {
-        Slot slot = slots[(int) (Math.max(tickOf(dueAt), tick + 1) % SLOTS)];
+        Slot slot = slots[(int) (Math.max(tickOf(dueAt), lastDueTick + 1) % SLOTS)];
         Timer timer = new Timer(dueAt, task, slot);
         slot.link(timer);
         return timer;
     }
 
-    /** Removes the timers that are due by now, in the order of their ticks. */
+    /** Removes the timers that are due, and returns them in the order of their ticks. */
     List<Timer> removeDue(long now) {
         List<Timer> due = new ArrayList<>();
         long until = now >> TICK_BITS;
-        boolean revolved = until - tick >= SLOTS;
-        for (long t = Math.max(tick + 1, until - SLOTS + 1); t <= until; t++) {
+        boolean revolved = until - lastDueTick >= SLOTS;
+        for (long t = Math.max(lastDueTick + 1, until - SLOTS + 1); t <= until; t++) {
             Slot slot = slots[(int) (t % SLOTS)];
             for (Timer timer = slot.first; timer != null; ) {
                 Timer next = timer.next;
@@ -131,17 +131,17 @@
         if (revolved) { // after a pause, a slot holds the timers of several ticks
             due.sort(Comparator.comparingLong(timer -> tickOf(timer.dueAt)));
         }
-        tick = Math.max(tick, until);
+        lastDueTick = Math.max(lastDueTick, until);
         return due;
     }
 
     /**
-     * The time of the next tick whose slot holds timers, at the latest a revolution from now. These
-     * may be due in a later revolution only.
+     * Returns the time of the next tick whose slot holds timers, at most one revolution ahead. The
+     * timers in that slot may be due only in a later revolution.
      */
     long nextTickAt() {
-        long t = tick + 1;
-        while (t < tick + SLOTS && slots[(int) (t % SLOTS)].first == null) {
+        long t = lastDueTick + 1;
+        while (t < lastDueTick + SLOTS && slots[(int) (t % SLOTS)].first == null) {
             t++;
         }
         return t << TICK_BITS;
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -32,19 +32,19 @@
     private final EndpointRequest endpointRequest;
     private XnioExecutor.Key deadlineTimer;
 
-    /** How many attempts have been made; they are numbered from 0. */
+    /** The number of attempts so far; they are numbered from 0. */
     private int attempts;
 
-    /** From admission to the first attempt, ns; -1: there was none. */
+    /** The time from admission to the first attempt, ns; -1: there was no attempt. */
     private long queuedNs = -1;
 
     /** The attempt in flight, or null. */
     private AttemptExchange attemptInFlight;
 
-    /** No answer is to be sent any more: it was sent or begun, or the client has disconnected. */
+    /** No answer may be sent any more: one was sent or started, or the client has disconnected. */
     private boolean finished;
 
-    /** The answer is streamed to the client while the attempt goes on. */
+    /** The answer is being streamed to the client, while the attempt is still in flight. */
     private boolean streaming;
 
     ActiveRequest(
@@ -92,8 +92,8 @@
     }
 
     /**
-     * A backstop: the balancer's own timer and the attempt's timeout fire before it. Prevents a
-     * request that the balancer has lost from staying open for ever.
+     * Starts a timer that fires after the balancer's own timer and the attempt's timeout. Prevents
+     * a request that the balancer has lost from staying open for ever.
      */
     private void startDeadlineTimer(long timeLeftNs) {
         deadlineTimer =
@@ -107,10 +107,10 @@
     /**
      * Starts an attempt.
      *
-     * @param timeoutNs how long to wait for its end; 0: until the deadline
-     * @param writtenBy from then on it is not written any more, by the loop's clock
+     * @param timeoutNs how long the attempt may last; 0: until the deadline
+     * @param writeDeadline no byte is written then or later, by the loop's clock
      */
-    void startAttempt(String endpoint, long timeoutNs, long writtenBy) {
+    void startAttempt(String endpoint, long timeoutNs, long writeDeadline) {
         int attempt = attempts++;
         metrics.attemptStarted(endpoint);
         long now = dispatcher.now();
@@ -131,11 +131,11 @@
                                 endpoint,
                                 endpointRequest,
                                 timeoutNs == 0 ? timeLeftNs : Math.min(timeoutNs, timeLeftNs),
-                                writtenBy,
+                                writeDeadline,
                                 new AttemptEvents(endpoint, attempt));
     }
 
-    /** Follows one attempt. */
+    /** Receives the events of one attempt. */
     private final class AttemptEvents implements AttemptListener {
         private final String endpoint;
         private final int attempt;
@@ -146,11 +146,11 @@
         }
 
         /**
-         * Looks at the client's connection first. Prevents a loop that runs late from sending a
-         * request whose client has disconnected, which is still unread in the socket.
+         * Checks the client's connection first. Prevents a loop that runs late from sending a
+         * request whose client has disconnected, if the disconnect is still unread in the socket.
          */
         @Override
-        public boolean isWanted() {
+        public boolean isResponseWanted() {
             response.checkConnected();
             return !finished;
         }
@@ -159,13 +159,13 @@
         public void requestSent() {
             metrics.attemptSent();
             if (client.bodySource() != null) {
-                streamedBodySent();
+                restartDeadlineTimer();
             }
         }
 
         @Override
         public ByteSink streamingStarted(
-                EndpointResponse head, long length, LoadReport load, Runnable more) {
+                EndpointResponse head, long length, LoadReport load, Runnable onCapacity) {
             if (finished) {
                 return null; // the client has disconnected
             }
@@ -173,8 +173,8 @@
             streaming = true;
             ByteSink sink =
                     response.beginStreaming(
-                            head, length, more, ActiveRequest.this::clientDisconnected);
-            streamingBegun(endpoint, attempt, load);
+                            head, length, onCapacity, ActiveRequest.this::clientDisconnected);
+            deliverFirstByte(endpoint, attempt, load);
             return sink;
         }
 
@@ -185,16 +185,19 @@
         }
     }
 
-    /** The deadline counts from the body's last byte, which has just been sent to the endpoint. */
-    private void streamedBodySent() {
+    /** Restarts the timer, as the deadline counts from the streamed body's last byte, just sent. */
+    private void restartDeadlineTimer() {
         if (!finished) {
             deadlineTimer.remove();
             startDeadlineTimer(client.timeLeftNs());
         }
     }
 
-    /** Once the client has the first byte, the balancer makes no further attempt. */
-    private void streamingBegun(String endpoint, int attempt, LoadReport load) {
+    /**
+     * Tells the balancer that the client gets the first byte, so that it makes no further attempt,
+     * and delivers the head's load report like that of a health check.
+     */
+    private void deliverFirstByte(String endpoint, int attempt, LoadReport load) {
         driver.deliver(this, (balancer, now) -> balancer.firstByte(now, id, attempt));
         if (load != null) {
             driver.deliver(
@@ -257,8 +260,8 @@
     }
 
     /**
-     * The client has disconnected: no answer is sent. A request that has been sent is left to run
-     * to its end, as the endpoint processes it anyway.
+     * Handles the client's disconnect: no answer is sent. An attempt whose request has been sent
+     * continues, as the endpoint processes the request anyway.
      */
     void clientDisconnected() {
         if (!finished) {
@@ -266,26 +269,26 @@
         }
         finish();
         if (attemptInFlight != null
-                && (streaming || client.bodySource() != null || !attemptInFlight.isSent())) {
+                && (streaming || client.bodySource() != null || !attemptInFlight.isRequestSent())) {
             attemptInFlight.cancel();
         }
         driver.deliver((balancer, now) -> balancer.clientDisconnected(now, id));
         releaseIfDone();
     }
 
-    /** The balancer no longer waits for an attempt. */
+    /** Cancels an attempt that the balancer no longer waits for. */
     void cancel(int attempt) {
         if (attemptInFlight != null && attempt == attempts - 1) {
             attemptInFlight.cancel();
         }
     }
 
-    /** Whether no answer is to be sent any more. */
+    /** Returns whether no answer may be sent any more. */
     boolean isFinished() {
         return finished;
     }
 
-    /** Cancels the attempt in flight of a request that was answered before its end. */
+    /** Cancels the attempt in flight of a request that was answered before the attempt ended. */
     void abandon() {
         clientDisconnected();
         cancel(attempts - 1);
@@ -294,7 +297,7 @@
     private void deadlineExceeded() {
         if (!finished) {
             LOG.error(
-                    "request {} of class {} was not answered in time",
+                    "request {} of class {} was not answered by its deadline",
                     client.id(),
                     client.requestClass());
             fail();
@@ -318,8 +321,8 @@
         }
     }
 
-    /** Nothing of the request is used any more; called once. */
-    void released() {
+    /** Tells the response that no part of the request is used any more. Called once. */
+    void notifyReleased() {
         response.onReleased();
     }
 }
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequests.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequests.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The requests that are open or still have an attempt in flight. */
+/** The requests that are not answered yet or still have an attempt in flight. */
 final class ActiveRequests {
     private final Map<Long, ActiveRequest> byId = new HashMap<>();
 
-    /** The clients' ids of these: endpoints recognize duplicates of a request by it. */
+    /** The correlation ids of these requests, by which endpoints recognize duplicates. */
     private final Set<String> clientIds = new HashSet<>();
 
     void add(long id, String clientId, ActiveRequest request) {
@@ -18,7 +18,7 @@
         clientIds.add(clientId);
     }
 
-    /** Removes a request; whether it was still here. */
+    /** Removes a request; returns whether it was present. */
     boolean remove(long id, String clientId, ActiveRequest request) {
         boolean removed = byId.remove(id, request);
         if (removed) {
@@ -27,7 +27,7 @@
         return removed;
     }
 
-    /** The request with this id, or null: it has ended. */
+    /** Returns the request with this id, or null if it has ended. */
     ActiveRequest get(long id) {
         return byId.get(id);
     }
@@ -44,7 +44,7 @@
         return byId.size();
     }
 
-    /** A copy, which stays as it is while requests end. */
+    /** Returns a copy, which does not change while requests end. */
     List<ActiveRequest> snapshot() {
         return List.copyOf(byId.values());
     }
--- a/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
+++ b/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
@@ -20,15 +20,15 @@
     private final BalancerDriver driver;
     private final ActiveRequests requests;
 
-    /** A health check that takes longer has failed. */
+    /** A health check that takes longer fails. */
     private long healthCheckTimeoutNs;
 
     private Predicate<String> mayCheckHealth = endpoint -> true;
 
-    /** Where the list is watched and fetched; null: such actions are ignored. */
+    /** Watches and fetches the endpoint list; null: these actions are ignored. */
     private EndpointListSource discovery;
 
-    private boolean stopped;
+    private boolean timersStopped;
 
     BalancerActionExecutor(
             EventLoop loop,
@@ -47,7 +47,7 @@
         this.healthCheckTimeoutNs = healthCheckTimeoutNs;
     }
 
-    /** Sets which of the health checks that the balancer requests are made. */
+    /** Sets to which endpoints the health checks that the balancer requests are sent. */
     void setHealthCheckFilter(Predicate<String> mayCheckHealth) {
         this.mayCheckHealth = mayCheckHealth;
     }
@@ -56,16 +56,16 @@
         this.discovery = discovery;
     }
 
-    /** From now on timers that fire are not delivered. */
-    void stop() {
-        stopped = true;
+    /** Stops delivering timers that fire to the balancer. */
+    void stopTimers() {
+        timersStopped = true;
     }
 
     @Override
-    public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
+    public void send(long id, long timeoutNs, long writeDeadline, String endpoint) {
         ActiveRequest request = requests.get(id);
         if (request != null) {
-            request.startAttempt(endpoint, timeoutNs, writtenBy);
+            request.startAttempt(endpoint, timeoutNs, writeDeadline);
         }
     }
 
@@ -99,7 +99,7 @@
     }
 
     private void timerFired(long token) {
-        if (!stopped) {
+        if (!timersStopped) {
             driver.deliver((balancer, now) -> balancer.timer(now, token));
         }
     }
--- a/engine/src/main/java/trailthread/engine/request/BalancerDriver.java
+++ b/engine/src/main/java/trailthread/engine/request/BalancerDriver.java
@@ -9,7 +9,7 @@
 
 /**
  * Delivers events to the balancer. The actions that it requests while it handles an event are
- * queued and run after it, in order: the balancer must never be entered again from within an event.
+ * queued and run after the event, in order: the balancer must not be called from within an event.
  */
 final class BalancerDriver {
     private static final Logger LOG = LoggerFactory.getLogger(BalancerDriver.class);
@@ -24,11 +24,11 @@
     private BalancerEvents balancer;
     private boolean runningActions;
 
-    /** The time of the latest event, ns. */
+    /** When the latest event was delivered, ns. */
     private long eventAt;
 
     /**
-     * @param clock the time of events, in ns
+     * @param clock returns the time of an event, in nanoseconds
      */
     BalancerDriver(LongSupplier clock) {
         this.clock = clock;
@@ -39,22 +39,23 @@
         this.balancer = balancer;
     }
 
-    /** Delivers an event that concerns no single request; see the other method. */
+    /** Delivers an event, as below, with no request to fail if the balancer throws. */
     void deliver(BalancerEvent event) {
         deliver(null, event);
     }
 
     /**
-     * Delivers an event, then runs the actions it led to. An exception of the balancer is logged.
+     * Delivers an event, then runs the actions that the balancer requested. An exception of the
+     * balancer is logged.
      *
-     * @param request fails if the balancer throws; null: none does
+     * @param request fails if the balancer throws; may be null
      */
     void deliver(ActiveRequest request, BalancerEvent event) {
         eventAt = clock.getAsLong();
         try {
             event.deliver(balancer, eventAt);
         } catch (RuntimeException e) {
-            LOG.error("the decision module failed", e);
+            LOG.error("the balancer threw an exception while it handled an event", e);
             if (request != null) {
                 queuedActions.add(request::fail);
             }
@@ -82,11 +83,13 @@
         try {
             action.run();
         } catch (RuntimeException e) {
-            LOG.error("an action of the decision module failed", e);
+            LOG.error("an action that the balancer requested threw an exception", e);
         }
     }
 
-    /** The actions to pass to the balancer: each is queued, and run by the executor later. */
+    /**
+     * Returns the actions to pass to the balancer: each is queued, and executed after the event.
+     */
     BalancerActions queueingActions(BalancerActions executor) {
         return new QueueingActions(executor);
     }
@@ -99,8 +102,8 @@
         }
 
         @Override
-        public void send(long id, long timeoutNs, long writtenBy, String endpoint) {
-            queuedActions.add(() -> executor.send(id, timeoutNs, writtenBy, endpoint));
+        public void send(long id, long timeoutNs, long writeDeadline, String endpoint) {
+            queuedActions.add(() -> executor.send(id, timeoutNs, writeDeadline, endpoint));
         }
 
         @Override
@@ -119,8 +122,8 @@
         }
 
         /**
-         * The delay counts from the event. Prevents timers from firing late by the time that the
-         * balancer and the actions before this one took.
+         * The delay counts from the delivery of the event. Prevents timers from firing late by the
+         * time that the balancer and the actions before this one took.
          */
         @Override
         public void timer(long delayNs, long token) {
--- a/engine/src/main/java/trailthread/engine/request/ClientRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ClientRequest.java
@@ -4,15 +4,15 @@
 import trailthread.engine.http.ByteSource;
 
 /**
- * A client's request, decoded.
+ * A decoded request of a client.
  *
  * @param id the client's X-Correlation-Id
  * @param tenant the tenant whose quota the request counts against, or null
  * @param timeLeftNs how long the client waits, from when it sent the request
- * @param isRetry whether the client says that this is a retry
+ * @param isRetry whether the client marked the request as a retry
  * @param workNs the expected work, ns; 0: not known
- * @param affinityKey identifies what the request concerns, for the balancer's key affinity; 0: not
- *     given
+ * @param affinityKey identifies what the request concerns; the balancer prefers the same endpoints
+ *     for requests with the same key; 0: none
  * @param target path and query as the client sent them
  * @param idempotencyKey the client's Idempotency-Key, or null
  * @param forwardedHeaders the client's headers to forward to the endpoint, which may then answer
@@ -33,7 +33,7 @@
         byte[] body,
         ForwardedHeaders forwardedHeaders,
         ByteSource bodySource) {
-    /** A request whose body is buffered, or is still to be received. */
+    /** Creates a request whose body is buffered, or is still to be received. */
     public ClientRequest(
             String id,
             String requestClass,
@@ -63,12 +63,12 @@
                 null);
     }
 
-    /** The request with its body, which has been received completely. */
+    /** Returns the request with its body, which has been received completely. */
     public ClientRequest withBody(byte[] received) {
         return with(received, null);
     }
 
-    /** The request with a body that is streamed while it is forwarded. */
+    /** Returns the request with a body that is streamed while it is forwarded. */
     public ClientRequest withBodySource(ByteSource streamed) {
         return with(new byte[0], streamed);
     }
--- a/engine/src/main/java/trailthread/engine/request/ClientResponse.java
+++ b/engine/src/main/java/trailthread/engine/request/ClientResponse.java
@@ -16,7 +16,7 @@
      * even if the stream breaks later.
      *
      * @param head status and headers, without a body
-     * @param length of the body, in bytes; -1: not known before its end
+     * @param length the length of the body in bytes; -1: not known
      * @param onWritable runs when more bytes can be written to the client, after the returned sink
      *     had no capacity
      * @param onDisconnect runs if the client disconnects before the end of the body
@@ -32,19 +32,18 @@
     default void checkConnected() {}
 
     /**
-     * Called once, as the last method, when the engine no longer holds any part of the request, its
-     * body included: the request is answered or its client has disconnected, and no attempt is in
-     * flight.
+     * Called once, after all other methods, when the engine no longer refers to the request or its
+     * body: the request is answered or its client has disconnected, and no attempt is in flight.
      */
     default void onReleased() {}
 
     /**
-     * Rejects the request. It had no effect at any endpoint, so the client may retry it.
+     * Rejects the request. It had no effect at any endpoint, so the client may retry.
      *
      * @param retryAfterNs how long the client should wait before a retry; 0: no advice
      */
     void reject(long retryAfterNs);
 
-    /** Answers with a failure. The request may have had its effect at an endpoint. */
+    /** Answers with a failure. The request may have had an effect at an endpoint. */
     void fail();
 }
--- a/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
@@ -17,8 +17,8 @@
 import trailthread.engine.metrics.MetricsRecorder;
 
 /**
- * Carries clients' requests to endpoints as the balancer decides. Everything runs on the loop's
- * thread.
+ * Dispatches clients' requests to endpoints as the balancer decides. Everything runs on the event
+ * loop's thread.
  */
 public final class RequestDispatcher implements RequestHandler {
     private static final Logger LOG = LoggerFactory.getLogger(RequestDispatcher.class);
@@ -33,7 +33,7 @@
     private final ActiveRequests requests = new ActiveRequests();
     private long lastId;
 
-    /** How far past its deadline a request may still be answered, ns. */
+    /** How long after its deadline a request may still be answered, ns. */
     private long responseSlackNs;
 
     /** The latest deadline of any request, by {@link EventLoop#now}. */
@@ -48,9 +48,9 @@
     private boolean retired;
 
     /**
-     * Makes a dispatcher without requests.
+     * Creates a dispatcher without requests.
      *
-     * @param seed of the balancer's random numbers
+     * @param seed the seed of the balancer's random numbers
      */
     public RequestDispatcher(
             EventLoop loop,
@@ -63,12 +63,12 @@
         this.endpoints = endpoints;
         driver = new BalancerDriver(loop::now);
         actions = new BalancerActionExecutor(loop, endpoints, metrics, driver, requests);
-        apply(settings);
+        applyTimeouts(settings);
         balancer = new Balancer(settings, seed, loop.now(), driver.queueingActions(actions));
         driver.setBalancer(balancer);
     }
 
-    private void apply(Settings settings) {
+    private void applyTimeouts(Settings settings) {
         responseSlackNs = settings.responseSlackNs;
         // An endpoint whose health check takes longer can't meet any latency objective.
         actions.setHealthCheckTimeoutNs(
@@ -79,22 +79,21 @@
     }
 
     /**
-     * Applies changed settings from now on; open requests keep the class that they were admitted
-     * with.
+     * Applies changed settings. Open requests keep the request class with which they were admitted.
      */
     public void applySettings(Settings settings) {
-        apply(settings);
+        applyTimeouts(settings);
         driver.deliver((events, now) -> balancer.retune(now, settings));
     }
 
-    /** Sets where the balancer's requests to watch or fetch the endpoint list go. */
+    /** Sets the source from which the balancer watches and fetches the endpoint list. */
     public void setDiscovery(EndpointListSource discovery) {
         actions.setDiscovery(discovery);
     }
 
     /**
-     * Ends the dispatcher: the caller admits no more requests, the open ones run to their ends, and
-     * then no more timers are delivered to the balancer.
+     * Retires the dispatcher. The caller admits no more requests; once the open ones have ended, no
+     * more timers are delivered to the balancer.
      *
      * @param whenRetired runs once, when no request is left
      */
@@ -106,14 +105,14 @@
     private void finishRetiring() {
         if (whenRetired != null && !retired && requests.isEmpty()) {
             retired = true;
-            actions.stop();
+            actions.stopTimers();
             whenRetired.run();
         }
     }
 
     /**
      * Limits deadlines, so that requests are answered before the process is killed. A later call
-     * may only bring the times forward. Times are by {@link EventLoop#now}, ns.
+     * may only set earlier times. Times are by {@link EventLoop#now}, ns.
      *
      * @param newRequestsBy the latest deadline of requests that are admitted from now on
      * @param allRequestsBy when every request that is still open is given up
@@ -129,8 +128,8 @@
     }
 
     /**
-     * Answers every open request with a failure, and only then cancels their attempts: that takes
-     * longer, and a request would have to wait for those before it.
+     * Answers every open request with a failure, and only then cancels their attempts. Prevents a
+     * request from being answered late because the attempts of others are cancelled before it.
      */
     private void giveUpOpenRequests(long dueAt) {
         List<ActiveRequest> open =
@@ -138,21 +137,21 @@
         if (open.isEmpty()) {
             return;
         }
-        long begunAt = now();
+        long startedAt = now();
         open.forEach(ActiveRequest::fail);
         long answeredAt = now();
         open.forEach(ActiveRequest::abandon);
         LOG.warn(
-                "{} calls are given up: the process may be killed before they have their time;"
-                        + " begun {} ms late, answered within {} ms",
+                "{} requests are given up: the process may be killed before their deadlines;"
+                        + " started {} ms late, all answered within {} ms",
                 open.size(),
-                (begunAt - dueAt) / NS_PER_MS,
-                (answeredAt - begunAt) / NS_PER_MS);
+                (startedAt - dueAt) / NS_PER_MS,
+                (answeredAt - startedAt) / NS_PER_MS);
     }
 
     /**
-     * Sets a filter for the health checks that the balancer requests, by endpoint; at first, all
-     * are made.
+     * Sets to which endpoints the health checks that the balancer requests are sent; without a
+     * filter, to all.
      */
     public void setHealthCheckFilter(Predicate<String> mayCheckHealth) {
         actions.setHealthCheckFilter(mayCheckHealth);
@@ -163,7 +162,7 @@
         driver.deliver((balancer, now) -> balancer.admit(admission));
     }
 
-    /** How many of the listed endpoints the balancer avoids now. */
+    /** Returns how many of the listed endpoints the balancer avoids now. */
     public int avoidedEndpoints() {
         return balancer.countAvoided(now());
     }
@@ -194,10 +193,10 @@
         return requests.hasClientId(clientId);
     }
 
-    /** Releases a request that has its answer and no attempt in flight; it may come here twice. */
+    /** Releases a finished request without an attempt in flight; a second call does nothing. */
     void release(ActiveRequest request, long id, String clientId) {
         if (requests.remove(id, clientId, request)) {
-            request.released();
+            request.notifyReleased();
             finishRetiring();
         }
     }
--- a/engine/src/main/java/trailthread/engine/request/RequestHandler.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestHandler.java
@@ -3,11 +3,11 @@
 /** Handles the requests that clients send. */
 public interface RequestHandler {
     /**
-     * Handles a request that has been received. It is answered on {@code response} by its deadline,
-     * unless the client disconnects first.
+     * Handles a request that has been received. The answer is given to {@code response} by the
+     * deadline, unless the client disconnects first.
      *
      * @param deadline when the client stops waiting: Unix time in nanoseconds, by the loop's clock
-     * @return to be run if the client disconnects before the request is answered
+     * @return a task to run if the client disconnects before the request is answered
      */
     Runnable handle(ClientRequest request, long deadline, ClientResponse response);
 
--- a/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
@@ -84,12 +84,12 @@
     }
 
     private void attempt(
-            EndpointPool endpoints, long timeoutNs, long writtenBy, String id, int length) {
+            EndpointPool endpoints, long timeoutNs, long writeDeadline, String id, int length) {
         endpoints.attempt(
                 "w",
                 new EndpointRequest(id, "use", "POST", "/use", null, new byte[length], null),
                 timeoutNs,
-                writtenBy,
+                writeDeadline,
                 results::add);
     }
 
@@ -270,7 +270,7 @@
                                             EndpointResponse head,
                                             long contentLength,
                                             LoadReport load,
-                                            Runnable more) {
+                                            Runnable onCapacity) {
                                         return new ByteSink() {
                                             @Override
                                             public boolean writePiece(ByteBuffer piece) {
--- a/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
+++ b/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
@@ -209,7 +209,7 @@
         endpoint.close();
         assertEquals("request failed", nextEvent());
         BlockingQueue<Boolean> sent = new LinkedBlockingQueue<>();
-        loop.execute(() -> sent.add(connection.isSent()));
+        loop.execute(() -> sent.add(connection.isRequestSent()));
         assertTrue(sent.poll(30, TimeUnit.SECONDS));
     }
 
@@ -243,7 +243,7 @@
                                         sink.writePiece(ascii("one"));
                                         sink.writePiece(ascii("two"));
                                         sink.endBody();
-                                        sent.add(connection.isSent());
+                                        sent.add(connection.isRequestSent());
                                     }
 
                                     @Override
--- a/engine/src/test/java/trailthread/engine/loop/LoopLatencyTest.java
+++ b/engine/src/test/java/trailthread/engine/loop/LoopLatencyTest.java
@@ -12,17 +12,17 @@
     private final LoopLatency latency = new LoopLatency(0);
 
     private void serveSockets(long from, long until) {
-        assertTrue(latency.serveSocket(from));
-        latency.socketsServed(until);
+        assertTrue(latency.beforeServingSocket(from));
+        latency.afterServingSockets(until);
     }
 
     @Test
     public void inputThatEndsABlockedPollHasJustArrived() {
         serveSockets(10 * MS, 11 * MS);
-        assertTrue(latency.serveSocket(30 * MS));
+        assertTrue(latency.beforeServingSocket(30 * MS));
         assertEquals(30 * MS, latency.arrivedNotBefore());
         assertEquals(30 * MS, latency.arrivedBy(31 * MS));
-        assertFalse("one poll an iteration", latency.serveSocket(32 * MS));
+        assertFalse("one poll an iteration", latency.beforeServingSocket(32 * MS));
         assertEquals(30 * MS, latency.arrivedBy(32 * MS));
         assertEquals(0, latency.latenessNs(32 * MS));
     }
@@ -32,7 +32,7 @@
         serveSockets(10 * MS, 11 * MS);
         latency.beginTask(11 * MS);
         latency.endTask(29 * MS);
-        assertTrue(latency.serveSocket(29 * MS + 50_000));
+        assertTrue(latency.beforeServingSocket(29 * MS + 50_000));
         assertEquals(10 * MS, latency.arrivedNotBefore());
         assertEquals(29 * MS + 50_000, latency.arrivedBy(40 * MS));
         assertEquals(19 * MS + 50_000, latency.latenessNs(29 * MS + 50_000));
@@ -48,7 +48,7 @@
             latency.beginTask(at);
             latency.endTask(at + MS / 10);
         }
-        assertTrue(latency.serveSocket(2010 * MS + MS / 10 + 20_000));
+        assertTrue(latency.beforeServingSocket(2010 * MS + MS / 10 + 20_000));
         assertEquals("the last timer's poll", 2010 * MS, latency.arrivedNotBefore());
         assertTrue(latency.latenessNs(2011 * MS) < MS);
     }
@@ -56,7 +56,7 @@
     @Test
     public void aPauseShorterThanTheIterationIsNotABlockedPoll() {
         serveSockets(10 * MS, 500 * MS);
-        assertTrue(latency.serveSocket(510 * MS));
+        assertTrue(latency.beforeServingSocket(510 * MS));
         assertEquals(10 * MS, latency.arrivedNotBefore());
     }
 
@@ -76,9 +76,9 @@
             latency.endTask(at + 1);
         }
         assertEquals(1950 * MS, latency.unpolledNs(2010 * MS));
-        assertTrue(latency.serveSocket(2011 * MS));
+        assertTrue(latency.beforeServingSocket(2011 * MS));
         assertEquals("sockets are being served", 0, latency.unpolledNs(2012 * MS));
-        latency.socketsServed(2012 * MS);
+        latency.afterServingSockets(2012 * MS);
         assertEquals(1 * MS, latency.unpolledNs(2012 * MS));
     }
 
@@ -86,21 +86,21 @@
     public void aReadWithinATaskIsNoPollOfTheOtherSockets() {
         serveSockets(10 * MS, 11 * MS);
         latency.beginTask(11 * MS);
-        assertFalse(latency.serveSocket(20 * MS));
+        assertFalse(latency.beforeServingSocket(20 * MS));
         assertEquals(10 * MS, latency.arrivedNotBefore());
         assertEquals(21 * MS, latency.arrivedBy(21 * MS));
         latency.endTask(22 * MS);
-        assertTrue(latency.serveSocket(22 * MS + 1));
+        assertTrue(latency.beforeServingSocket(22 * MS + 1));
         assertEquals("the poll before was at 10", 10 * MS, latency.arrivedNotBefore());
     }
 
     @Test
     public void theWorstLatenessDecaysByHalfEachSecond() {
-        latency.timerRuns(100 * MS, 500 * MS);
+        latency.recordTimerLateness(100 * MS, 500 * MS);
         assertEquals(400 * MS, latency.latenessNs(500 * MS));
-        latency.timerRuns(500 * MS, 510 * MS);
+        latency.recordTimerLateness(500 * MS, 510 * MS);
         assertEquals(100 * MS, latency.latenessNs(2500 * MS));
-        latency.timerRuns(2400 * MS, 2600 * MS);
+        latency.recordTimerLateness(2400 * MS, 2600 * MS);
         assertEquals(200 * MS, latency.latenessNs(2600 * MS));
     }
 }
--- a/engine/src/test/java/trailthread/engine/loop/MeterCost.java
+++ b/engine/src/test/java/trailthread/engine/loop/MeterCost.java
@@ -16,8 +16,8 @@
             LoopLatency latency = new LoopLatency(System.nanoTime());
             long began = System.nanoTime();
             for (int i = 0; i < ITERATIONS; i++) {
-                if (latency.serveSocket(System.nanoTime())) {
-                    latency.socketsServed(System.nanoTime());
+                if (latency.beforeServingSocket(System.nanoTime())) {
+                    latency.afterServingSockets(System.nanoTime());
                 }
                 for (int task = 0; task < TASKS; task++) {
                     latency.beginTask(System.nanoTime());
