--- a/engine/src/test/java/trailthread/engine/endpoint/LatencyTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/AttemptLatencyTest.java
@@ -22,12 +22,12 @@
 import trailthread.engine.loop.EventLoop;
 
 /** The latency that an attempt reports. */
-public class LatencyTest {
+public class AttemptLatencyTest {
     private static final long LONG_NS = 60_000_000_000L;
 
     /**
-     * Otherwise an endpoint that gets few requests would look slow by its handshakes, and get ever
-     * fewer.
+     * Prevents an endpoint that gets few requests from looking slow because of its connects, and so
+     * from getting even fewer requests.
      */
     @Test
     public void openingAConnectionDoesNotCountAsLatency() throws Exception {
@@ -63,8 +63,8 @@
                                 results::add);
                     });
             assertTrue(first.isConnected() && second.isConnected());
-            Thread.sleep(200); // the backlog is full: the connect gets no reply
-            long connectHungUntil = loop.now();
+            Thread.sleep(200); // the backlog is full, so the connect gets no reply
+            long connectBlockedUntil = loop.now();
             server.accept().close();
             server.accept().close();
             try (Socket late = server.accept()) {
@@ -75,11 +75,11 @@
                 AttemptResult result = results.poll(30, TimeUnit.SECONDS);
                 assertNotNull("the attempt ends", result);
                 assertEquals(Outcome.OK, result.outcome());
-                assertTrue(result.latencyNs() <= loop.now() - connectHungUntil);
+                assertTrue(result.latencyNs() <= loop.now() - connectBlockedUntil);
             }
         } finally {
             loop.xnioWorker().shutdownNow();
         }
-        assertTrue("it has ended once", results.isEmpty());
+        assertTrue("the attempt ended only once", results.isEmpty());
     }
 }
--- a/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LateLoopTest.java
@@ -29,7 +29,7 @@
 import trailthread.engine.loop.CpuAccount;
 import trailthread.engine.loop.EventLoop;
 
-/** An endpoint is not blamed for what the event loop reads late. */
+/** Input that the event loop reads late does not count against the endpoint. */
 public class LateLoopTest {
     private static final long MS = 1_000_000L;
     private static final long LONG_NS = 60_000 * MS;
@@ -46,7 +46,7 @@
     }
 
     @After
-    public void end() throws IOException {
+    public void closeLoopAndServer() throws IOException {
         loop.xnioWorker().shutdownNow();
         server.close();
     }
@@ -141,9 +141,9 @@
         }
     }
 
-    /** Otherwise attempts time out while their responses lie unread in the socket. */
+    /** Prevents attempts from timing out while their responses lie unread in the socket. */
     @Test
-    public void aResponseThatHasArrivedIsNoTimeout() throws Exception {
+    public void aResponseThatHasArrivedUnreadPreventsTheTimeout() throws Exception {
         EndpointPool endpoints = endpoints(LONG_NS);
         loop.execute(() -> attempt(endpoints, 400 * MS));
         try (Socket connection = server.accept()) {
@@ -151,15 +151,16 @@
             loop.execute(
                     () -> {
                         write(connection, RESPONSE);
-                        sleep(600); // the timeout is due before the sockets are looked at
+                        sleep(600); // the timeout is due before the sockets are read
                     });
             assertEquals(Outcome.OK, nextResult().outcome());
         }
     }
 
     /**
-     * Taking a connection without using it must not restart its idle time, as the endpoint's own
-     * idle time goes on.
+     * Prevents a request from being sent on a connection that the endpoint is closing: taking a
+     * connection without using it must not restart its idle time, as the endpoint's own timer of
+     * the connection goes on.
      */
     @Test
     public void aConnectionThatWasNotUsedKeepsItsIdleTime() throws Exception {
@@ -195,8 +196,8 @@
     }
 
     /**
-     * The sweep that closes it is a timer and may be late, and the endpoint may just have closed
-     * it.
+     * Prevents a request from being sent on a connection that the endpoint has just closed: the
+     * sweep that closes expired connections is a timer and may be late.
      */
     @Test
     public void aConnectionIdleForTooLongIsNotUsed() throws Exception {
@@ -218,7 +219,10 @@
         }
     }
 
-    /** A surplus second response may still arrive on the connection that was used last. */
+    /**
+     * Prevents a surplus second response, which may still arrive on the connection that was used
+     * last, from being taken for the next request's response.
+     */
     @Test
     public void aSettledConnectionIsPreferred() throws Exception {
         EndpointPool endpoints = endpoints(LONG_NS);
@@ -251,9 +255,9 @@
         }
     }
 
-    /** The read before a timeout may find the start of a long response, which then goes on. */
+    /** The read before a timeout may find the start of a long response, which is then streamed. */
     @Test
-    public void aLongResponseThatHasStartedIsNoTimeout() throws Exception {
+    public void aLongResponseThatHasStartedPreventsTheTimeout() throws Exception {
         int length = 100_000;
         EndpointPool endpoints = endpoints(LONG_NS);
         AtomicInteger streamed = new AtomicInteger();
@@ -312,8 +316,9 @@
         }
     }
 
+    /** Prevents a late loop from counting an established connection as a failed connect. */
     @Test
-    public void aConnectionThatIsEstablishedIsNoFailure() throws Exception {
+    public void anEstablishedConnectionPreventsTheConnectTimeout() throws Exception {
         EndpointPool endpoints = endpoints(100 * MS);
         loop.execute(
                 () -> {
@@ -341,11 +346,13 @@
         assertEquals(Outcome.NOT_SENT, nextResult().outcome());
         loop.execute(() -> attempt(endpoints, LONG_NS, Long.MAX_VALUE, "next", 4));
         try (Socket connection = server.accept()) {
-            assertTrue("its connection serves the next", readRequest(connection).contains("next"));
+            assertTrue(
+                    "its connection carries the next request",
+                    readRequest(connection).contains("next"));
         }
     }
 
-    /** The same on an idle connection, and for an attempt that has timed out. */
+    /** The same check on an idle connection, also for an attempt whose timeout has passed. */
     @Test
     public void anAttemptPastItsDeadlineIsNotSentOnAnIdleConnection() throws Exception {
         EndpointPool endpoints = endpoints(LONG_NS);
@@ -363,7 +370,7 @@
                                     byTimeout ? Long.MAX_VALUE : loop.now() + 100 * MS,
                                     "late",
                                     4);
-                            sleep(300); // it starts once this is over
+                            sleep(300); // the attempt starts after this task
                         });
                 assertEquals(Outcome.NOT_SENT, nextResult().outcome());
             }
@@ -372,10 +379,12 @@
         }
     }
 
-    /** A long request is written as fast as the endpoint reads it, so it may pass its deadline. */
+    /**
+     * A long request is written as fast as the endpoint reads, so its deadline may pass meanwhile.
+     */
     @Test
-    public void theRestOfARequestIsNotWrittenPastItsDeadline() throws Exception {
-        int length = 32 * 1024 * 1024; // more than the system holds for a connection
+    public void theRestOfARequestIsNotWrittenPastItsWriteDeadline() throws Exception {
+        int length = 32 * 1024 * 1024; // more than the system buffers for a connection
         EndpointPool endpoints = endpoints(LONG_NS);
         loop.execute(() -> attempt(endpoints, LONG_NS, loop.now() + 500 * MS, "late", length));
         try (Socket connection = server.accept()) {
@@ -385,7 +394,7 @@
         }
     }
 
-    /** Otherwise an idle endpoint looks overloaded, and requests to it are held back. */
+    /** Prevents requests from being held back because an idle endpoint looks overloaded. */
     @Test
     public void theLoopsDelayIsNotTheEndpointsLatency() throws Exception {
         EndpointPool endpoints = endpoints(LONG_NS);
@@ -402,7 +411,7 @@
                 AttemptResult result = nextResult();
                 assertEquals(Outcome.OK, result.outcome());
                 assertTrue("took " + result.latencyNs(), result.latencyNs() < 900 * MS);
-                assertTrue("the first is known", late || result.latencyNs() > 0);
+                assertTrue("the first response's latency is known", late || result.latencyNs() > 0);
                 sleep(20); // the connection is not used before it has settled
                 loop.execute(() -> attempt(endpoints, LONG_NS));
             }
--- a/engine/src/test/java/trailthread/engine/endpoint/LatencySamplerTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/LatencySamplerTest.java
@@ -4,13 +4,13 @@
 
 import org.junit.Test;
 
-/** Which latency is reported for a response that arrived between two reads of the sockets. */
+/** Which latency is reported for a response whose arrival is known only by two bounds. */
 public class LatencySamplerTest {
     private static final long MS = 1_000_000L;
-    private final LatencySampler latency = new LatencySampler(4 * MS);
+    private final LatencySampler sampler = new LatencySampler(4 * MS);
 
-    private long sample(long leastMs, long mostMs) {
-        long sample = latency.sample(leastMs * MS, mostMs * MS);
+    private long sample(long atLeastMs, long atMostMs) {
+        long sample = sampler.sample(atLeastMs * MS, atMostMs * MS);
         return sample == LatencySampler.UNKNOWN ? sample : Math.round(sample / (double) MS);
     }
 
@@ -22,17 +22,17 @@
     }
 
     /**
-     * Reporting the middle of such bounds gave 7 ms for endpoints that take 20, which then looked
-     * overloaded.
+     * Prevents endpoints that take 20 ms from being reported with 7 ms, the middle of such bounds,
+     * and from looking overloaded after that.
      */
     @Test
-    public void aNodeThatIsLateFromTheStartReportsNothing() {
+    public void noLatencyIsReportedWhileTheNodeIsLateFromTheStart() {
         for (int i = 0; i < 100; i++) {
             assertEquals(LatencySampler.UNKNOWN, sample(0, 15 + i));
         }
     }
 
-    /** Otherwise only short responses would be learned from while the node is late. */
+    /** Prevents short latencies from being the only samples while the node is late. */
     @Test
     public void shortResponsesAreReportedNoSoonerThanLongOnes() {
         sample(20, 20);
@@ -63,7 +63,7 @@
             sample(100, 300);
         }
         assertEquals(
-                "reported until it was three times the usual",
+                "100 ms is less than three times the usual latency by now",
                 LatencySampler.UNKNOWN,
                 sample(100, 300));
         assertEquals(34, sample(30, 38));
--- a/engine/src/test/java/trailthread/engine/endpoint/OutcomeByMomentTest.java
+++ b/engine/src/test/java/trailthread/engine/endpoint/OutcomeByMomentTest.java
@@ -28,29 +28,29 @@
 public class OutcomeByMomentTest {
     private static final long MS = 1_000_000L;
     private static final long LONG_NS = 60_000 * MS;
-    private static final int SHORT = 4;
+    private static final int SHORT_BODY_BYTES = 4;
 
-    /** More than the system holds for a connection whose endpoint does not read. */
-    private static final int LONG = 32 * 1024 * 1024;
+    /** More than the system buffers for a connection whose endpoint does not read. */
+    private static final int LONG_BODY_BYTES = 32 * 1024 * 1024;
 
     private final EventLoop loop;
     private final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
 
     public OutcomeByMomentTest() throws IOException {
-        loop = new EventLoop("moments");
+        loop = new EventLoop("outcomes");
     }
 
     @After
-    public void end() {
+    public void closeLoop() {
         loop.xnioWorker().shutdownNow();
     }
 
-    /** What an endpoint does with a connection; it may close it, or leave it open. */
+    /** What an endpoint does with a connection, which it may close or leave open. */
     private interface EndpointScript {
         void run(Socket connection) throws IOException;
     }
 
-    /** Reads the request's head and so many bytes of its body. */
+    /** Reads the request's head and this many bytes of its body, then runs another script. */
     private static EndpointScript readRequest(int bytes, EndpointScript then) {
         return connection -> {
             byte[] last = new byte[4];
@@ -79,7 +79,7 @@
             attempt(server.getLocalPort(), length, timeoutNs, LONG_NS);
             try (Socket connection = server.accept()) {
                 script.run(connection);
-                assertEnds(moment, expected);
+                assertNextOutcome(moment, expected);
             }
         }
     }
@@ -114,7 +114,7 @@
         return endpoints;
     }
 
-    private void assertEnds(String moment, Outcome expected) throws InterruptedException {
+    private void assertNextOutcome(String moment, Outcome expected) throws InterruptedException {
         AttemptResult result = results.poll(30, TimeUnit.SECONDS);
         assertNotNull(moment, result);
         assertEquals(moment, expected, result.outcome());
@@ -126,15 +126,16 @@
                 Socket first = new Socket(server.getInetAddress(), server.getLocalPort());
                 Socket second = new Socket(server.getInetAddress(), server.getLocalPort())) {
             assertEquals(first.getPort(), second.getPort()); // these fill the backlog
-            attempt(server.getLocalPort(), SHORT, LONG_NS, 200 * MS);
-            assertEnds("the connection does not come up", Outcome.CONNECT_FAILED);
-            attempt(server.getLocalPort(), SHORT, 200 * MS, LONG_NS);
-            assertEnds("its time is over before that", Outcome.CONNECT_FAILED);
+            attempt(server.getLocalPort(), SHORT_BODY_BYTES, LONG_NS, 200 * MS);
+            assertNextOutcome("the connect times out", Outcome.CONNECT_FAILED);
+            attempt(server.getLocalPort(), SHORT_BODY_BYTES, 200 * MS, LONG_NS);
+            assertNextOutcome(
+                    "the attempt times out before it is connected", Outcome.CONNECT_FAILED);
         }
         ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         closed.close();
-        attempt(closed.getLocalPort(), SHORT, LONG_NS, LONG_NS);
-        assertEnds("the connection is refused", Outcome.CONNECT_FAILED);
+        attempt(closed.getLocalPort(), SHORT_BODY_BYTES, LONG_NS, LONG_NS);
+        assertNextOutcome("the connection is refused", Outcome.CONNECT_FAILED);
     }
 
     @Test
@@ -143,31 +144,31 @@
         String error = "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n";
         assertOutcome(
                 "the connection ends",
-                LONG,
+                LONG_BODY_BYTES,
                 LONG_NS,
                 readRequest(1, Socket::close),
                 Outcome.CONNECT_FAILED);
         assertOutcome(
-                "its time is over",
-                LONG,
+                "the attempt times out",
+                LONG_BODY_BYTES,
                 300 * MS,
                 readRequest(1, c -> {}),
                 Outcome.CONNECT_FAILED);
         assertOutcome(
                 "it is rejected",
-                LONG,
+                LONG_BODY_BYTES,
                 LONG_NS,
                 readRequest(1, respond(unprocessed, false)),
                 Outcome.REJECTED);
         assertOutcome(
                 "it gets an error response",
-                LONG,
+                LONG_BODY_BYTES,
                 LONG_NS,
                 readRequest(1, respond(error, false)),
                 Outcome.ERROR);
         assertOutcome(
-                "a response is cut",
-                LONG,
+                "the connection ends within a response",
+                LONG_BODY_BYTES,
                 LONG_NS,
                 readRequest(1, respond(error.substring(0, 20), true)),
                 Outcome.CONNECT_FAILED);
@@ -188,59 +189,69 @@
             "HTTP/1.1 100 Continue\r\nX-Unprocessed: 1\r\n\r\nHTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
         };
         assertOutcome(
-                "nothing comes", SHORT, 300 * MS, readRequest(SHORT, c -> {}), Outcome.TIMEOUT);
+                "no response arrives",
+                SHORT_BODY_BYTES,
+                300 * MS,
+                readRequest(SHORT_BODY_BYTES, c -> {}),
+                Outcome.TIMEOUT);
         assertOutcome(
                 "the connection ends",
-                SHORT,
+                SHORT_BODY_BYTES,
                 LONG_NS,
-                readRequest(SHORT, Socket::close),
+                readRequest(SHORT_BODY_BYTES, Socket::close),
                 Outcome.RESET);
         assertOutcome(
                 "it is served",
-                SHORT,
+                SHORT_BODY_BYTES,
                 LONG_NS,
-                readRequest(SHORT, respond(served, false)),
+                readRequest(SHORT_BODY_BYTES, respond(served, false)),
                 Outcome.OK);
         for (String response : rejections) {
             assertOutcome(
                     response,
-                    SHORT,
+                    SHORT_BODY_BYTES,
                     LONG_NS,
-                    readRequest(SHORT, respond(response, false)),
+                    readRequest(SHORT_BODY_BYTES, respond(response, false)),
                     Outcome.REJECTED);
             assertOutcome(
-                    "cut: " + response,
-                    SHORT,
+                    "the connection ends within: " + response,
+                    SHORT_BODY_BYTES,
                     LONG_NS,
-                    readRequest(SHORT, respond(response.substring(0, response.length() - 2), true)),
+                    readRequest(
+                            SHORT_BODY_BYTES,
+                            respond(response.substring(0, response.length() - 2), true)),
                     Outcome.RESET);
             assertOutcome(
-                    "half: " + response,
-                    SHORT,
+                    "the attempt times out within: " + response,
+                    SHORT_BODY_BYTES,
                     300 * MS,
                     readRequest(
-                            SHORT, respond(response.substring(0, response.length() - 2), false)),
+                            SHORT_BODY_BYTES,
+                            respond(response.substring(0, response.length() - 2), false)),
                     Outcome.TIMEOUT);
             assertOutcome(
-                    "unreadable: " + response,
-                    SHORT,
+                    "malformed: " + response,
+                    SHORT_BODY_BYTES,
                     LONG_NS,
-                    readRequest(SHORT, respond(response.replace("Length: 0", "Length: -1"), false)),
+                    readRequest(
+                            SHORT_BODY_BYTES,
+                            respond(response.replace("Length: 0", "Length: -1"), false)),
                     Outcome.RESET);
         }
         for (String response : errors) {
             assertOutcome(
                     response,
-                    SHORT,
+                    SHORT_BODY_BYTES,
                     LONG_NS,
-                    readRequest(SHORT, respond(response, false)),
+                    readRequest(SHORT_BODY_BYTES, respond(response, false)),
                     Outcome.ERROR);
         }
         assertOutcome(
-                "a response has begun",
-                SHORT,
+                "the attempt times out within a response",
+                SHORT_BODY_BYTES,
                 300 * MS,
-                readRequest(SHORT, respond(served.substring(0, served.length() - 1), false)),
+                readRequest(
+                        SHORT_BODY_BYTES, respond(served.substring(0, served.length() - 1), false)),
                 Outcome.TIMEOUT);
     }
 }
--- a/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
+++ b/engine/src/test/java/trailthread/engine/http/HttpConnectionTest.java
@@ -28,7 +28,7 @@
  * it was written.
  */
 public class HttpConnectionTest {
-    private static final int LONG = 1024 * 1024;
+    private static final int LONG_BODY_BYTES = 1024 * 1024;
     private static final int SHORT_COUNT = 9;
 
     private final EventLoop loop;
@@ -40,7 +40,7 @@
     }
 
     @After
-    public void end() throws IOException {
+    public void closeLoopAndServer() throws IOException {
         loop.xnioWorker().shutdownNow();
         server.close();
     }
@@ -92,7 +92,7 @@
         return events.poll(30, TimeUnit.SECONDS);
     }
 
-    /** Otherwise the long response is read to its end, before some of the others by chance. */
+    /** Prevents a long response from being read to its end before those on other connections. */
     @Test
     public void shortResponsesDoNotWaitForALongOne() throws Exception {
         List<Socket> endpoints = new ArrayList<>();
@@ -101,19 +101,23 @@
             HttpConnection connection = connect();
             endpoints.add(server.accept());
             if (i == 0) {
-                // makes the system enlarge the receive buffer, so that a long response fits it
+                // makes the system enlarge the receive buffer, so that it holds a long response
                 loop.execute(
                         () ->
                                 connection.send(
                                         ascii("GET / HTTP/1.1\r\n\r\n"),
-                                        16 * LONG,
+                                        16 * LONG_BODY_BYTES,
                                         recorder("first")));
-                respond(endpoints.get(0), 16 * LONG);
+                respond(endpoints.get(0), 16 * LONG_BODY_BYTES);
                 assertEquals("first sent", nextEvent());
                 assertEquals("first completed", nextEvent());
             }
             loop.execute(
-                    () -> connection.send(ascii("GET / HTTP/1.1\r\n\r\n"), LONG, recorder(name)));
+                    () ->
+                            connection.send(
+                                    ascii("GET / HTTP/1.1\r\n\r\n"),
+                                    LONG_BODY_BYTES,
+                                    recorder(name)));
             assertEquals(name + " sent", nextEvent());
         }
         CountDownLatch resumeLoop = new CountDownLatch(1);
@@ -125,17 +129,17 @@
                         throw new AssertionError(e);
                     }
                 });
-        Thread filling =
+        Thread longResponder =
                 new Thread(
                         () -> {
                             try {
-                                respond(endpoints.get(0), LONG);
+                                respond(endpoints.get(0), LONG_BODY_BYTES);
                             } catch (IOException e) {
                                 throw new AssertionError(e);
                             }
                         });
-        filling.start();
-        Thread.sleep(200); // by now it lies in the socket, or waits to be read
+        longResponder.start();
+        Thread.sleep(200); // by now the long response is in the socket's buffers
         for (Socket endpoint : endpoints.subList(1, endpoints.size())) {
             respond(endpoint, 0);
         }
@@ -161,7 +165,7 @@
     }
 
     /**
-     * Otherwise a request whose every byte was written would count as one that was never processed,
+     * Prevents a request whose every byte was written from counting as one that was never processed
      * until the source reports its end.
      */
     @Test
@@ -173,7 +177,7 @@
                         connection.send(
                                 ascii("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\n"),
                                 new ByteSource() {
-                                    private boolean begun;
+                                    private boolean started;
 
                                     @Override
                                     public long length() {
@@ -182,14 +186,14 @@
 
                                     @Override
                                     public boolean isStarted() {
-                                        return begun;
+                                        return started;
                                     }
 
                                     @Override
-                                    public void streamTo(ByteSink to) {
-                                        begun = true;
-                                        to.writePiece(ascii("pour")); // the end is told in a later
-                                        // turn, or not at all
+                                    public void streamTo(ByteSink sink) {
+                                        started = true;
+                                        // the end of the body is reported later, or never
+                                        sink.writePiece(ascii("pour"));
                                     }
 
                                     @Override
@@ -198,7 +202,7 @@
                                     @Override
                                     public void stop() {}
                                 },
-                                LONG,
+                                LONG_BODY_BYTES,
                                 recorder("request")));
         String head = "POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\npour";
         assertEquals(
@@ -213,7 +217,7 @@
         assertTrue(sent.poll(30, TimeUnit.SECONDS));
     }
 
-    /** Otherwise the request would count as one that may have been processed. */
+    /** Prevents an incomplete request from counting as one that may have been processed. */
     @Test
     public void aBodyWhoseLastWriteBreaksWasNotSent() throws Exception {
         HttpConnection connection = connect();
@@ -224,7 +228,7 @@
                         connection.send(
                                 ascii("POST / HTTP/1.1\r\n\r\n"),
                                 new ByteSource() {
-                                    private boolean begun;
+                                    private boolean started;
 
                                     @Override
                                     public long length() {
@@ -233,10 +237,10 @@
 
                                     @Override
                                     public void streamTo(ByteSink sink) {
-                                        begun = true;
+                                        started = true;
                                         try {
                                             endpoint.setSoLinger(true, 0);
-                                            endpoint.close(); // a reset, which the next write meets
+                                            endpoint.close(); // a reset, so the next write fails
                                         } catch (IOException e) {
                                             throw new AssertionError(e);
                                         }
@@ -248,7 +252,7 @@
 
                                     @Override
                                     public boolean isStarted() {
-                                        return begun;
+                                        return started;
                                     }
 
                                     @Override
@@ -257,7 +261,7 @@
                                     @Override
                                     public void stop() {}
                                 },
-                                LONG,
+                                LONG_BODY_BYTES,
                                 recorder("request")));
         assertFalse(sent.poll(30, TimeUnit.SECONDS));
         assertEquals("request failed", nextEvent());
--- a/engine/src/test/java/trailthread/engine/http/ResponseDecoderTest.java
+++ b/engine/src/test/java/trailthread/engine/http/ResponseDecoderTest.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.Test;
 
-/** Valid and malformed responses, at once and in pieces. */
+/** Decodes valid and malformed responses, whole and in pieces. */
 public class ResponseDecoderTest {
     private static final String OK = "HTTP/1.1 200 OK\r\n";
 
@@ -95,7 +95,7 @@
     }
 
     @Test
-    public void whatFollowsAResponseIsNotRead() throws Exception {
+    public void bytesAfterAResponseAreNotRead() throws Exception {
         ResponseDecoder decoder = new ResponseDecoder(recorder, 10);
         String response = OK + "Content-Length: 1\r\n\r\nxHTTP";
         ByteBuffer bytes = ByteBuffer.wrap(response.getBytes(StandardCharsets.US_ASCII));
@@ -105,7 +105,7 @@
     }
 
     @Test
-    public void someResponsesEndTheirConnection() throws Exception {
+    public void http10AndConnectionCloseEndTheConnection() throws Exception {
         for (String last :
                 new String[] {
                     "HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n",
--- a/engine/src/test/java/trailthread/engine/loop/MeterCost.java
+++ b/engine/src/test/java/trailthread/engine/loop/LoopLatencyCost.java
@@ -1,20 +1,20 @@
 package trailthread.engine.loop;
 
 /**
- * Measures the cost of {@link LoopLatency}: an iteration with one socket and four tasks, as for a
- * single request. Run by hand: {@code java -cp ... trailthread.engine.loop.MeterCost}.
+ * Measures the cost of {@link LoopLatency} for an iteration with one socket and four tasks, as a
+ * single request causes. Run by hand: {@code java -cp ... trailthread.engine.loop.LoopLatencyCost}.
  */
-public final class MeterCost {
+public final class LoopLatencyCost {
     private static final int ITERATIONS = 5_000_000;
     private static final int TASKS = 4;
 
-    private MeterCost() {}
+    private LoopLatencyCost() {}
 
-    /** Prints nanoseconds an iteration, several times, as the first runs warm up. */
+    /** Prints the nanoseconds per iteration of several rounds, of which the first warm up. */
     public static void main(String[] args) {
         for (int round = 0; round < 5; round++) {
             LoopLatency latency = new LoopLatency(System.nanoTime());
-            long began = System.nanoTime();
+            long startedAt = System.nanoTime();
             for (int i = 0; i < ITERATIONS; i++) {
                 if (latency.beforeServingSocket(System.nanoTime())) {
                     latency.afterServingSockets(System.nanoTime());
@@ -25,8 +25,8 @@
                 }
             }
             System.out.println(
-                    (System.nanoTime() - began) / ITERATIONS
-                            + " ns an iteration, lateness "
+                    (System.nanoTime() - startedAt) / ITERATIONS
+                            + " ns per iteration, lateness "
                             + latency.latenessNs(System.nanoTime())
                             + " ns");
         }
--- a/engine/src/test/java/trailthread/engine/loop/LoopLatencyTest.java
+++ b/engine/src/test/java/trailthread/engine/loop/LoopLatencyTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.Test;
 
-/** When input may have arrived, as far as the thread that reads it can tell. */
+/** The bounds between which input has arrived, and the lateness of the loop. */
 public class LoopLatencyTest {
     private static final long MS = 1_000_000L;
     private final LoopLatency latency = new LoopLatency(0);
@@ -22,7 +22,7 @@
         assertTrue(latency.beforeServingSocket(30 * MS));
         assertEquals(30 * MS, latency.arrivedNotBefore());
         assertEquals(30 * MS, latency.arrivedBy(31 * MS));
-        assertFalse("one poll an iteration", latency.beforeServingSocket(32 * MS));
+        assertFalse("a second socket of the same poll", latency.beforeServingSocket(32 * MS));
         assertEquals(30 * MS, latency.arrivedBy(32 * MS));
         assertEquals(0, latency.latenessNs(32 * MS));
     }
@@ -49,7 +49,7 @@
             latency.endTask(at + MS / 10);
         }
         assertTrue(latency.beforeServingSocket(2010 * MS + MS / 10 + 20_000));
-        assertEquals("the last timer's poll", 2010 * MS, latency.arrivedNotBefore());
+        assertEquals("the poll before the last timer", 2010 * MS, latency.arrivedNotBefore());
         assertTrue(latency.latenessNs(2011 * MS) < MS);
     }
 
@@ -61,13 +61,13 @@
     }
 
     /**
-     * No later gap is long enough to be taken for a blocked poll then: only a poll that is known of
-     * ends this, which the loop has to bring about.
+     * After a long task, no gap between tasks is long enough to count as a blocked poll. This ends
+     * only with a poll that is known, so the loop must make one known.
      */
     @Test
-    public void afterALongTaskSocketsAreUnpolledUntilAPollIsKnownOf() {
+    public void afterALongTaskSocketsCountAsUnpolledUntilAPollIsKnown() {
         serveSockets(10 * MS, 11 * MS);
-        assertEquals("it has blocked", 0, latency.unpolledNs(60 * MS));
+        assertEquals("the thread has blocked", 0, latency.unpolledNs(60 * MS));
         latency.beginTask(60 * MS);
         latency.endTask(460 * MS);
         assertEquals(400 * MS, latency.unpolledNs(460 * MS));
@@ -91,7 +91,7 @@
         assertEquals(21 * MS, latency.arrivedBy(21 * MS));
         latency.endTask(22 * MS);
         assertTrue(latency.beforeServingSocket(22 * MS + 1));
-        assertEquals("the poll before was at 10", 10 * MS, latency.arrivedNotBefore());
+        assertEquals("the poll before was at 10 ms", 10 * MS, latency.arrivedNotBefore());
     }
 
     @Test
--- a/engine/src/test/java/trailthread/engine/loop/TimerWheelTest.java
+++ b/engine/src/test/java/trailthread/engine/loop/TimerWheelTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import org.junit.Test;
 
-/** The wheel against a plain list of timers, with random schedules. */
+/** Compares the wheel with a plain list of timers, under random schedules. */
 public class TimerWheelTest {
     private static final long MS = 1_000_000L;
 
@@ -31,12 +31,12 @@
                     assertTrue(pending.remove(random.nextInt(pending.size())).timer.remove());
                 }
                 assertTrue(
-                        "it wakes in time for all",
+                        "the next tick is not after any pending timer's tick",
                         pending.stream()
                                 .allMatch(
-                                        s ->
+                                        p ->
                                                 wheel.nextTickAt()
-                                                        <= TimerWheel.tickOf(s.timer.dueAt)
+                                                        <= TimerWheel.tickOf(p.timer.dueAt)
                                                                 << TimerWheel.TICK_BITS));
                 now +=
                         random.nextInt(50) == 0
@@ -44,16 +44,18 @@
                                 : random.nextLong(3 * MS);
                 long tick = now >> TimerWheel.TICK_BITS;
                 List<TimerWheel.Timer> due = wheel.removeDue(now);
-                long last = 0;
+                long lastTick = 0;
                 for (TimerWheel.Timer timer : due) {
                     assertTrue(timer.dueAt <= now);
-                    assertTrue("in the order of ticks", TimerWheel.tickOf(timer.dueAt) >= last);
-                    last = TimerWheel.tickOf(timer.dueAt);
-                    assertTrue(pending.removeIf(s -> s.timer == timer));
+                    assertTrue(
+                            "in the order of their ticks",
+                            TimerWheel.tickOf(timer.dueAt) >= lastTick);
+                    lastTick = TimerWheel.tickOf(timer.dueAt);
+                    assertTrue(pending.removeIf(p -> p.timer == timer));
                 }
                 assertTrue(
-                        "none is left",
-                        pending.stream().allMatch(s -> TimerWheel.tickOf(s.timer.dueAt) > tick));
+                        "no due timer is left",
+                        pending.stream().allMatch(p -> TimerWheel.tickOf(p.timer.dueAt) > tick));
             }
         }
     }
@@ -66,7 +68,7 @@
         List<TimerWheel.Timer> due = wheel.removeDue(2 * MS);
         assertEquals(2, due.size());
         assertTrue(due.get(0).takeTask() != null);
-        assertTrue("before it has run", second.remove());
+        assertTrue("cancelled before it has run", second.remove());
         assertTrue(second.takeTask() == null);
         assertFalse(second.remove());
     }
--- a/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
+++ b/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
@@ -9,25 +9,26 @@
 import trailthread.api.BalancerActions;
 import trailthread.api.BalancerEvents;
 
-/** The balancer is never entered again from within an event, and its exception ends one event. */
+/** The balancer is never called from within an event, and its exception ends one event only. */
 public class BalancerDriverTest {
-    private final List<String> log = new ArrayList<>();
+    private final List<String> calls = new ArrayList<>();
     private long now;
     private final BalancerDriver driver = new BalancerDriver(() -> now);
 
     /**
-     * An implementation of the interface that logs each method's begin and end, and runs a task.
+     * Returns an implementation of an interface that records the start and the end of each call,
+     * and runs a task in between.
      */
-    private <T> T logged(Class<T> type, Runnable task) {
+    private <T> T recording(Class<T> type, Runnable task) {
         Class<?>[] types = {type};
         return type.cast(
                 Proxy.newProxyInstance(
                         type.getClassLoader(),
                         types,
                         (proxy, method, args) -> {
-                            log.add(method.getName());
+                            calls.add(method.getName());
                             task.run();
-                            log.add("/" + method.getName());
+                            calls.add("/" + method.getName());
                             return null;
                         }));
     }
@@ -36,21 +37,22 @@
     public void actionsWaitForTheEventToEnd() {
         BalancerActions actions =
                 driver.queueingActions(
-                        logged(
+                        recording(
                                 BalancerActions.class,
                                 () -> {
-                                    // A send that fails at once, as to a removed endpoint.
-                                    if (log.size() == 3) {
+                                    // Simulates a send that fails at once, as to a removed
+                                    // endpoint.
+                                    if (calls.size() == 3) {
                                         driver.deliver(
                                                 (balancer, now) ->
                                                         balancer.clientDisconnected(2, 7));
                                     }
                                 }));
         driver.setBalancer(
-                logged(
+                recording(
                         BalancerEvents.class,
                         () -> {
-                            if (log.size() == 1) {
+                            if (calls.size() == 1) {
                                 actions.send(7, 0, Long.MAX_VALUE, "w");
                                 actions.watch(true);
                             }
@@ -66,28 +68,28 @@
                         "/send",
                         "watch",
                         "/watch"),
-                log);
+                calls);
     }
 
     @Test
-    public void aBalancerThatThrowsFailsOneEvent() {
+    public void anExceptionOfTheBalancerEndsOneEventOnly() {
         driver.setBalancer(
-                logged(
+                recording(
                         BalancerEvents.class,
                         () -> {
-                            if (log.size() == 1) {
+                            if (calls.size() == 1) {
                                 throw new IllegalStateException(
-                                        "scripted: this trace is part of the test");
+                                        "thrown by the test: this stack trace is expected");
                             }
                         }));
         driver.deliver((balancer, now) -> balancer.timer(1, 0));
         driver.deliver((balancer, now) -> balancer.clientDisconnected(2, 7));
-        assertEquals(List.of("timer", "clientDisconnected", "/clientDisconnected"), log);
+        assertEquals(List.of("timer", "clientDisconnected", "/clientDisconnected"), calls);
     }
 
     @Test
-    public void aDelayCountsFromTheEventHoweverLateItsTimerIsSet() {
-        List<Object> set = new ArrayList<>();
+    public void aTimersDelayCountsFromTheEventHoweverLateTheTimerIsScheduled() {
+        List<Object> scheduled = new ArrayList<>();
         BalancerActions actions =
                 driver.queueingActions(
                         (BalancerActions)
@@ -96,11 +98,11 @@
                                         new Class<?>[] {BalancerActions.class},
                                         (proxy, method, args) -> {
                                             now += 30;
-                                            set.addAll(List.of(args));
+                                            scheduled.addAll(List.of(args));
                                             return null;
                                         }));
         driver.setBalancer(
-                logged(
+                recording(
                         BalancerEvents.class,
                         () -> {
                             now += 7; // the balancer itself takes time
@@ -108,6 +110,6 @@
                             actions.timer(100, 2);
                         }));
         driver.deliver((balancer, at) -> balancer.clientDisconnected(at, 7));
-        assertEquals(List.of(93L, 1L, 63L, 2L), set);
+        assertEquals(List.of(93L, 1L, 63L, 2L), scheduled);
     }
 }
--- a/engine/src/test/java/trailthread/engine/request/DisconnectedClientTest.java
+++ b/engine/src/test/java/trailthread/engine/request/DisconnectedClientTest.java
@@ -14,34 +14,34 @@
 import org.junit.Test;
 import trailthread.engine.loop.EventLoop;
 
-/** What becomes of a request whose client disconnects. */
+/** A request whose client disconnects early is not sent to an endpoint. */
 public class DisconnectedClientTest {
     private final EventLoop loop;
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
     public DisconnectedClientTest() throws IOException {
-        loop = new EventLoop("gone");
+        loop = new EventLoop("disconnected-client");
     }
 
     @After
-    public void end() throws IOException {
+    public void closeLoopAndServer() throws IOException {
         loop.xnioWorker().shutdownNow();
         server.close();
     }
 
     /** Prevents an endpoint from working for a client that has disconnected. */
     @Test
-    public void anAttemptThatHasNotBegunIsNotWritten() throws Exception {
-        SingleEndpointDispatcher endpoint =
+    public void anAttemptThatHasNotStartedIsNotSent() throws Exception {
+        SingleEndpointDispatcher singleEndpoint =
                 new SingleEndpointDispatcher(loop, server.getLocalPort());
         loop.execute(
                 () -> {
-                    endpoint.list();
-                    Runnable disconnected = endpoint.take("left", method -> {});
-                    // The attempt has been decided on, and starts after this.
+                    singleEndpoint.listEndpoint();
+                    Runnable disconnected = singleEndpoint.admit("disconnected", method -> {});
+                    // The balancer has decided on the attempt, which starts in a later task.
                     disconnected.run();
-                    assertFalse(endpoint.dispatcher.isOpen("left"));
-                    endpoint.take("stays", method -> {});
+                    assertFalse(singleEndpoint.dispatcher.isOpen("disconnected"));
+                    singleEndpoint.admit("connected", method -> {});
                 });
         try (Socket connection = server.accept()) {
             String id =
@@ -52,7 +52,7 @@
                             .filter(line -> line.startsWith("X-Correlation-Id: "))
                             .findFirst()
                             .orElseThrow();
-            assertEquals("X-Correlation-Id: stays", id);
+            assertEquals("X-Correlation-Id: connected", id);
         }
     }
 }
--- a/engine/src/test/java/trailthread/engine/request/GiveUpTest.java
+++ b/engine/src/test/java/trailthread/engine/request/GiveUpTest.java
@@ -15,27 +15,27 @@
 import org.junit.Test;
 import trailthread.engine.loop.EventLoop;
 
-/** Requests that are at an endpoint when the process may be killed soon. */
+/** Requests that are still at an endpoint are answered before the process may be killed. */
 public class GiveUpTest {
     private static final int REQUESTS = 3;
     private static final long HOUR_NS = 3_600_000_000_000L;
-    private static final int LONGEST_WAIT_S = 30;
+    private static final int MAX_WAIT_S = 30;
     private final EventLoop loop;
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final List<Socket> connections = new ArrayList<>();
 
-    /** The ends of requests, in order. */
-    private final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+    /** The methods that ended requests, in the order of their calls. */
+    private final BlockingQueue<String> endingCalls = new LinkedBlockingQueue<>();
 
-    private final SingleEndpointDispatcher endpoint;
+    private final SingleEndpointDispatcher singleEndpoint;
 
     public GiveUpTest() throws IOException {
         loop = new EventLoop("give-up");
-        endpoint = new SingleEndpointDispatcher(loop, server.getLocalPort());
+        singleEndpoint = new SingleEndpointDispatcher(loop, server.getLocalPort());
     }
 
     @After
-    public void end() throws IOException {
+    public void closeLoopAndSockets() throws IOException {
         loop.xnioWorker().shutdownNow();
         server.close();
         for (Socket connection : connections) {
@@ -43,18 +43,18 @@
         }
     }
 
-    private void recordEnd(String method) {
+    private void recordEndingCall(String method) {
         if (method.equals("fail") || method.equals("onReleased")) {
-            ends.add(method);
+            endingCalls.add(method);
         }
     }
 
     private void sendRequests() throws IOException {
         loop.execute(
                 () -> {
-                    endpoint.list();
+                    singleEndpoint.listEndpoint();
                     for (int i = 0; i < REQUESTS; i++) {
-                        endpoint.take("r" + i, this::recordEnd);
+                        singleEndpoint.admit("r" + i, this::recordEndingCall);
                     }
                 });
         for (int i = 0; i < REQUESTS; i++) {
@@ -64,36 +64,40 @@
         }
     }
 
-    private List<String> nextEnds(int count) throws InterruptedException {
+    private List<String> nextEndingCalls(int count) throws InterruptedException {
         List<String> next = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            next.add(ends.poll(LONGEST_WAIT_S, TimeUnit.SECONDS));
+            next.add(endingCalls.poll(MAX_WAIT_S, TimeUnit.SECONDS));
         }
         return next;
     }
 
-    /** Guards against a request that is killed unanswered while others are cancelled before it. */
+    /**
+     * Prevents a request from being unanswered at the kill because the attempts of other requests
+     * are cancelled before it is answered.
+     */
     @Test
-    public void allAreAnsweredBeforeAnyAttemptIsCancelled() throws Exception {
+    public void allRequestsAreAnsweredBeforeAnyAttemptIsCancelled() throws Exception {
         sendRequests();
-        loop.execute(() -> endpoint.dispatcher.setAnswerDeadlines(loop.now(), loop.now()));
+        loop.execute(() -> singleEndpoint.dispatcher.setAnswerDeadlines(loop.now(), loop.now()));
         assertEquals(
                 List.of("fail", "fail", "fail", "onReleased", "onReleased", "onReleased"),
-                nextEnds(2 * REQUESTS));
+                nextEndingCalls(2 * REQUESTS));
     }
 
     /**
-     * Guards against requests that are killed unanswered, as an earlier plan was still followed.
+     * Prevents requests from being unanswered at the kill because deadlines that were replaced by
+     * earlier ones still apply.
      */
     @Test
-    public void theTimeToAnswerByCanBeBroughtForward() throws Exception {
+    public void answerDeadlinesCanBeReplacedByEarlierOnes() throws Exception {
         sendRequests();
         loop.execute(
                 () -> {
                     long later = loop.now() + HOUR_NS;
-                    endpoint.dispatcher.setAnswerDeadlines(later, later);
-                    endpoint.dispatcher.setAnswerDeadlines(loop.now(), loop.now());
+                    singleEndpoint.dispatcher.setAnswerDeadlines(later, later);
+                    singleEndpoint.dispatcher.setAnswerDeadlines(loop.now(), loop.now());
                 });
-        assertEquals(List.of("fail", "fail", "fail"), nextEnds(REQUESTS));
+        assertEquals(List.of("fail", "fail", "fail"), nextEndingCalls(REQUESTS));
     }
 }
--- a/engine/src/test/java/trailthread/engine/request/SingleEndpointDispatcher.java
+++ b/engine/src/test/java/trailthread/engine/request/SingleEndpointDispatcher.java
@@ -29,7 +29,7 @@
     private final int port;
 
     /**
-     * Makes a dispatcher that does not know of its endpoint yet.
+     * Creates a dispatcher whose endpoint is not listed yet.
      *
      * @param port where the endpoint listens, on loopback
      */
@@ -64,8 +64,8 @@
         return settings;
     }
 
-    /** Lists the endpoint. To be called on the loop's thread. */
-    void list() {
+    /** Adds the endpoint to the list. To be called on the loop's thread. */
+    void listEndpoint() {
         DiscoveredEndpoint endpoint =
                 new DiscoveredEndpoint("w", "127.0.0.1:" + port, "a", 0, EndpointState.READY, 1, 0);
         endpoints.update(new DiscoveryUpdate(1, true, List.of(endpoint)), loop.now());
@@ -76,10 +76,10 @@
     /**
      * Admits a request. To be called on the loop's thread.
      *
-     * @param called gets the name of each method of its response that is called
-     * @return to run when the client disconnects
+     * @param onCall receives the name of each method that is called on the request's response
+     * @return a task to run when the client disconnects
      */
-    Runnable take(String id, Consumer<String> called) {
+    Runnable admit(String id, Consumer<String> onCall) {
         ClientRequest request =
                 new ClientRequest(
                         id,
@@ -94,16 +94,16 @@
                         null,
                         new byte[4],
                         null);
-        return dispatcher.handle(request, loop.now() + TIMEOUT_NS, response(called));
+        return dispatcher.handle(request, loop.now() + TIMEOUT_NS, response(onCall));
     }
 
-    private static ClientResponse response(Consumer<String> called) {
+    private static ClientResponse response(Consumer<String> onCall) {
         return (ClientResponse)
                 Proxy.newProxyInstance(
                         ClientResponse.class.getClassLoader(),
                         new Class<?>[] {ClientResponse.class},
                         (proxy, method, args) -> {
-                            called.accept(method.getName());
+                            onCall.accept(method.getName());
                             return null;
                         });
     }
