--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptExchange.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptExchange.java
@@ -127,12 +127,13 @@
         }
         connection = target;
         sentAt = now;
-        long timeLeftNs = request.source() == null ? deadline - now : request.timeoutAfterBodyNs();
+        long timeLeftNs =
+                request.bodySource() == null ? deadline - now : request.timeoutAfterBodyNs();
         RequestEncoder head = request.encoder(endpoint.hostPort, timeLeftNs);
-        if (request.source() != null) {
+        if (request.bodySource() != null) {
             target.send(
-                    head.encodeHead(request.source().length()),
-                    request.source(),
+                    head.encodeHead(request.bodySource().length()),
+                    request.bodySource(),
                     MAX_BODY_BYTES,
                     this);
         } else {
@@ -183,7 +184,7 @@
     @Override
     public void requestSent() {
         sentAt = loop.now(); // the time to send a long body is not part of the endpoint's latency
-        if (request.source() != null && !isStreaming() && !ended) {
+        if (request.bodySource() != null && !isStreaming() && !ended) {
             cancelTimeout();
             timeout = loop.schedule(request.timeoutAfterBodyNs(), this::handleTimeout);
         }
@@ -194,7 +195,7 @@
     public void headReceived(int status, HeaderMap headers) {
         response =
                 new AttemptResponse(
-                        loop, this, listener, status, headers, request.forwarded() != null);
+                        loop, this, listener, status, headers, request.forwardedHeaders() != null);
     }
 
     @Override
--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
@@ -138,7 +138,7 @@
     /**
      * Streams the buffered bytes, and from then on each piece as it arrives.
      *
-     * @return whether the attempt goes on
+     * @return whether the attempt has not ended
      */
     private boolean startStreaming() {
         bufferTimeout = AttemptExchange.cancelTimer(bufferTimeout);
--- a/engine/src/main/java/trailthread/engine/endpoint/EndpointRequest.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/EndpointRequest.java
@@ -12,9 +12,9 @@
  * @param target path and query as the client sent them
  * @param idempotencyKey or null
  * @param body the buffered body; empty if there is none
- * @param forwarded the client's headers; null: the request is sent with the headers of the
+ * @param forwardedHeaders the client's headers; null: the request is sent with the headers of the
  *     platform's protocol
- * @param source the body to stream; null: the body is buffered
+ * @param bodySource the body to stream; null: the body is buffered
  * @param timeoutAfterBodyNs how long to wait for the response after the last byte of a streamed
  *     body, in nanoseconds
  */
@@ -25,8 +25,8 @@
         String target,
         String idempotencyKey,
         byte[] body,
-        ForwardedHeaders forwarded,
-        ByteSource source,
+        ForwardedHeaders forwardedHeaders,
+        ByteSource bodySource,
         long timeoutAfterBodyNs) {
     static final EndpointRequest HEALTH_CHECK =
             new EndpointRequest(null, null, "GET", "/status/load", null, new byte[0], null);
@@ -42,8 +42,8 @@
             String target,
             String idempotencyKey,
             byte[] body,
-            ForwardedHeaders forwarded) {
-        this(id, requestClass, method, target, idempotencyKey, body, forwarded, null, 0);
+            ForwardedHeaders forwardedHeaders) {
+        this(id, requestClass, method, target, idempotencyKey, body, forwardedHeaders, null, 0);
     }
 
     /** Returns whether the response has no body, whatever its Content-Length (RFC 9110, 9.3.2). */
@@ -57,7 +57,7 @@
 
     /** Returns the body to send; null: the request has no body. */
     byte[] bodyToSend() {
-        if (forwarded == null) {
+        if (forwardedHeaders == null) {
             return method.equals("GET") ? null : body;
         }
         return body.length == 0 && !definesBody() ? null : body;
@@ -81,7 +81,7 @@
      * @param timeLeftNs how long the endpoint has to respond, in nanoseconds
      */
     RequestEncoder encoder(String hostPort, long timeLeftNs) {
-        if (forwarded != null) {
+        if (forwardedHeaders != null) {
             return forwardingEncoder(hostPort, timeLeftNs);
         }
         RequestEncoder encoder = new RequestEncoder(method, target, hostPort);
@@ -95,9 +95,9 @@
     }
 
     private RequestEncoder forwardingEncoder(String hostPort, long timeLeftNs) {
-        String host = forwarded.host().isEmpty() ? hostPort : forwarded.host();
+        String host = forwardedHeaders.host().isEmpty() ? hostPort : forwardedHeaders.host();
         RequestEncoder encoder = new RequestEncoder(method, target, host);
-        List<String> headers = forwarded.headers();
+        List<String> headers = forwardedHeaders.headers();
         for (int i = 0; i < headers.size(); i += 2) {
             encoder.header(headers.get(i), headers.get(i + 1));
         }
--- a/engine/src/main/java/trailthread/engine/loop/EventLoop.java
+++ b/engine/src/main/java/trailthread/engine/loop/EventLoop.java
@@ -21,7 +21,7 @@
     /**
      * The maximum number of bytes of one message that are read or written before the other ready
      * sockets are served. Larger than any message that is buffered completely, so that one pass
-     * reads all of such a message.
+     * reads all of it.
      */
     public static final int MAX_BYTES_PER_PASS = 128 * 1024;
 
--- a/engine/src/main/java/trailthread/engine/loop/LoopLatency.java
+++ b/engine/src/main/java/trailthread/engine/loop/LoopLatency.java
@@ -6,7 +6,7 @@
  *
  * <p>In each iteration the thread runs the tasks that are due, polls its sockets, and serves those
  * that are ready. Input that arrives meanwhile waits for the next poll, and the socket does not
- * tell for how long. But the input can't have been there at the poll before, or it would have been
+ * show for how long. But the input can't have been there at the poll before, or it would have been
  * served then; and if the thread blocked in a poll, the input found by that poll has just woken the
  * thread. So the arrival of each input lies between two bounds. The time between them is the node's
  * own lateness, not the peer's.
