--- a/engine/src/main/java/trailthread/engine/discovery/DiscoveryExchange.java
+++ b/engine/src/main/java/trailthread/engine/discovery/DiscoveryExchange.java
@@ -204,7 +204,7 @@
     }
 
     @Override
-    public void head(int status, HeaderMap headers) {
+    public void headReceived(int status, HeaderMap headers) {
         accepted = status == StatusCodes.OK;
         if (accepted) {
             // the request may have been queued for nearly the whole response timeout
@@ -215,7 +215,7 @@
     }
 
     @Override
-    public void body(ByteBuffer piece) {
+    public void bodyReceived(ByteBuffer piece) {
         if (closed) {
             return;
         }
@@ -269,12 +269,12 @@
     }
 
     @Override
-    public void completed() {
+    public void responseCompleted() {
         fail(splitter.isWithinObject() ? "ends within an object" : "ends the response");
     }
 
     @Override
-    public void failed(String reason) {
+    public void exchangeFailed(String reason) {
         fail(reason);
     }
 
--- a/engine/src/main/java/trailthread/engine/loop/CpuAccount.java
+++ b/engine/src/main/java/trailthread/engine/loop/CpuAccount.java
@@ -1,31 +1,31 @@
 package trailthread.engine.loop;
 
-/** Accounts for the thread's time that is spent on one owner, such as a pool. */
+/** Adds up the time that the event loop's thread spends on one owner, such as a pool. */
 public interface CpuAccount {
-    /** Accounts for nothing, and does not read the clock. */
+    /** Discards all times, and does not read the clock. */
     CpuAccount NONE =
             new CpuAccount() {
                 @Override
-                public void spent(long ns) {
-                    // not accounted for
+                public void addTimeNs(long ns) {
+                    // discarded
                 }
 
                 @Override
-                public void charge(Runnable task) {
+                public void runCharged(Runnable task) {
                     task.run();
                 }
             };
 
-    /** Adds time that the thread has spent on the owner, ns. */
-    void spent(long ns);
+    /** Charges time that the thread has spent on the owner, in nanoseconds. */
+    void addTimeNs(long ns);
 
-    /** Runs a task on the owner's account. */
-    default void charge(Runnable task) {
-        long begun = System.nanoTime();
+    /** Runs a task and charges its duration to the owner. */
+    default void runCharged(Runnable task) {
+        long startedAt = System.nanoTime();
         try {
             task.run();
         } finally {
-            spent(System.nanoTime() - begun);
+            addTimeNs(System.nanoTime() - startedAt);
         }
     }
 }
