--- a/daemon/src/main/java/trailthread/daemon/DescriptorBudget.java
+++ b/daemon/src/main/java/trailthread/daemon/DescriptorBudget.java
@@ -28,7 +28,7 @@
      * @param hasAdminServer whether some are reserved for the admin server
      */
     public static DescriptorBudget of(int limit, boolean hasAdminServer) {
-        int own = BASE_DESCRIPTORS + (hasAdminServer ? AdminServer.MOST_DESCRIPTORS : 0);
+        int own = BASE_DESCRIPTORS + (hasAdminServer ? AdminServer.MAX_DESCRIPTORS : 0);
         int remaining = limit - own;
         int forClients = (int) (CLIENTS_SHARE * remaining);
         return new DescriptorBudget(limit, own, forClients, remaining - forClients);
--- a/daemon/src/main/java/trailthread/daemon/admin/AdminServer.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminServer.java
@@ -39,7 +39,7 @@
      * The most file descriptors that it holds: for its address, its connections, and one connection
      * that is being rejected.
      */
-    public static final int MOST_DESCRIPTORS = 2 + AdminLimits.DEFAULT_CONNECTIONS;
+    public static final int MAX_DESCRIPTORS = 2 + AdminLimits.DEFAULT_CONNECTIONS;
 
     /** The period of the timer whose lateness is measured. */
     private static final long LATENESS_INTERVAL_NS = 100_000_000L;
