--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -205,7 +205,7 @@
                 next.settings().connectTimeoutNs, next.idleCloseNs(), next.drainGraceNs());
         frontend.retune(next.settings().classes);
         if (admin != null) {
-            admin.serves(next.settings().classes);
+            admin.addClasses(next.settings().classes);
         }
         metrics.configurationReloaded(true);
         LOG.info(
--- a/daemon/src/main/java/trailthread/daemon/admin/AdminServer.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminServer.java
@@ -91,7 +91,7 @@
     }
 
     /** Shows further request classes, with counts of 0 before their first request. */
-    public void serves(List<RequestClass> classes) {
+    public void addClasses(List<RequestClass> classes) {
         classes.forEach(requestClass -> metrics.addClass(requestClass.name()));
     }
 
