--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -203,7 +203,7 @@
         endpointList.retune(next.drainGraceNs(), pushed);
         endpoints.setTimeouts(
                 next.settings().connectTimeoutNs, next.idleCloseNs(), next.drainGraceNs());
-        frontend.retune(next.settings().classes);
+        frontend.applySettings(next.settings().classes);
         if (admin != null) {
             admin.addClasses(next.settings().classes);
         }
--- a/daemon/src/main/java/trailthread/daemon/listener/PlatformFrontend.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PlatformFrontend.java
@@ -27,7 +27,7 @@
     }
 
     /** Replaces the request classes; requests whose heads have been decoded keep theirs. */
-    public void retune(List<RequestClass> classes) {
+    public void applySettings(List<RequestClass> classes) {
         decoder = new PlatformRequestDecoder(classes);
     }
 
