--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -166,7 +166,7 @@
 
     private void acceptFrom(ServerSocketChannel inherited) {
         try {
-            listener.share(inherited);
+            listener.listenOnInherited(inherited);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
@@ -50,7 +50,7 @@
     private boolean drained;
 
     /**
-     * Makes a listener; {@link #listen} or {@link #share} follows.
+     * Makes a listener; {@link #listen} or {@link #listenOnInherited} follows.
      *
      * @param maxConnections how many connections may be open; further ones wait to be accepted
      * @param maxClientConnections how many connections clients with requests may hold; idle
@@ -88,7 +88,7 @@
      *
      * @throws IOException if the socket can't be accepted from
      */
-    public void share(ServerSocketChannel inherited) throws IOException {
+    public void listenOnInherited(ServerSocketChannel inherited) throws IOException {
         IoUtils.safeClose(server);
         server =
                 InheritedTcpServer.on(
