--- a/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
+++ b/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
@@ -196,7 +196,7 @@
                 "the listening socket closes {} ms after SIGTERM, planned {}; connections {}",
                 millisecondsSince(requestedAt),
                 plan.closeNs() / NS_PER_MS,
-                listener.connections());
+                listener.connectionsByState());
         listener.close(done::countDown);
     }
 
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -239,7 +239,7 @@
 
     @Override
     public Map<String, Integer> clientConnections() {
-        return listener.connections();
+        return listener.connectionsByState();
     }
 
     @Override
@@ -260,7 +260,7 @@
     /** The share of the descriptors in use by the node's connections and its reserve, 0 to 1. */
     private double descriptorUse() {
         int used = descriptors.own();
-        for (int connections : listener.connections().values()) {
+        for (int connections : listener.connectionsByState().values()) {
             used += connections;
         }
         for (int connections : endpoints.connections().values()) {
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
@@ -168,7 +168,7 @@
     }
 
     /** The number of connections by state. */
-    public Map<String, Integer> connections() {
+    public Map<String, Integer> connectionsByState() {
         return connections.byState();
     }
 
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -252,7 +252,7 @@
 
     @Override
     public Map<String, Integer> clientConnections() {
-        return listener.connections();
+        return listener.connectionsByState();
     }
 
     @Override
--- a/daemon/src/test/java/trailthread/daemon/listener/EndByMomentTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/EndByMomentTest.java
@@ -233,7 +233,7 @@
     private void awaitAccepted() throws InterruptedException {
         BlockingQueue<Integer> silent = new LinkedBlockingQueue<>();
         do {
-            loop.execute(() -> silent.add(listener.connections().get("silent")));
+            loop.execute(() -> silent.add(listener.connectionsByState().get("silent")));
         } while (silent.poll(30, TimeUnit.SECONDS) == 0);
     }
 
--- a/daemon/src/test/java/trailthread/daemon/listener/LateLoopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LateLoopTest.java
@@ -357,7 +357,7 @@
                         listener.close(
                                 () ->
                                         left.complete(
-                                                listener.connections().values().stream()
+                                                listener.connectionsByState().values().stream()
                                                         .mapToInt(Integer::intValue)
                                                         .sum())));
         assertEquals(0, (int) left.get(30, TimeUnit.SECONDS));
