--- a/daemon/src/main/java/trailthread/daemon/listener/BodyBuffer.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/BodyBuffer.java
@@ -3,16 +3,16 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Collects a request's body in memory that is reserved from what long bodies share. */
+/** Buffers a request's body in memory that is reserved from a {@link BodyMemoryLimit}. */
 final class BodyBuffer {
     static final byte[] EMPTY = new byte[0];
 
-    /** First capacity for a body whose length is not known. */
+    /** Initial capacity for a body of unknown length. */
     private static final int INITIAL_CAPACITY_BYTES = 1024;
 
     private final BodyMemoryLimit memory;
 
-    /** The body's length as its client declares it, in bytes; -1 if it does not. */
+    /** The body's declared length in bytes; -1 if the client declares none. */
     private final long declaredLength;
 
     private byte[] content = EMPTY;
@@ -27,7 +27,7 @@
     /**
      * Appends bytes.
      *
-     * @return false, with nothing appended, if the memory for them can't be reserved
+     * @return false, with nothing appended, if memory for them can't be reserved
      */
     boolean append(ByteBuffer bytes) {
         int count = bytes.remaining();
@@ -40,14 +40,14 @@
     }
 
     /**
-     * Grows to the declared length, or to at least twice the capacity. While the content moves, its
-     * old place and its new one are both reserved.
+     * Grows to the declared length, or to at least twice the capacity. Until the content is copied,
+     * both the old and the new array are reserved.
      */
-    private boolean growTo(int leastBytes) {
+    private boolean growTo(int minBytes) {
         long capacity = declaredLength;
         if (declaredLength < 0) {
             long doubled = Math.max(2L * content.length, INITIAL_CAPACITY_BYTES);
-            capacity = Math.min(BodyReader.MAX_BODY_BYTES, Math.max(leastBytes, doubled));
+            capacity = Math.min(BodyReader.MAX_BODY_BYTES, Math.max(minBytes, doubled));
         }
         long reservation = BodyMemoryLimit.reservationFor(capacity);
         if (!memory.tryReserve(reservation)) {
@@ -59,8 +59,10 @@
         return true;
     }
 
-    /** Copies the content and these bytes, which did not fit, and releases the reservation. */
-    ByteBuffer drainWith(ByteBuffer bytes) {
+    /**
+     * Returns a copy of the content followed by bytes that did not fit; releases the reservation.
+     */
+    ByteBuffer takeContentWith(ByteBuffer bytes) {
         ByteBuffer all =
                 ByteBuffer.allocate(length + bytes.remaining())
                         .put(content, 0, length)
@@ -71,10 +73,10 @@
     }
 
     /**
-     * The complete body. It is no longer referred to from here, and the caller is to release {@link
+     * Returns the complete body and keeps no reference to it. The caller must release {@link
      * BodyMemoryLimit#reservationFor} its length.
      */
-    byte[] take() {
+    byte[] takeBody() {
         byte[] body = content;
         if (content.length > length) {
             body = Arrays.copyOf(content, length);
@@ -85,7 +87,7 @@
         return body;
     }
 
-    /** Drops the content, and releases its reservation. */
+    /** Discards the content and releases its reservation. */
     void release() {
         memory.release(reservedBytes);
         reservedBytes = 0;
--- a/daemon/src/main/java/trailthread/daemon/listener/BodyMemoryLimit.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/BodyMemoryLimit.java
@@ -1,11 +1,11 @@
 package trailthread.daemon.listener;
 
 /**
- * Bounds the memory that long request bodies may take together, from their first byte to the end of
- * the request. Short bodies are not counted: the limit on connections bounds them.
+ * Bounds the total memory of long request bodies, each from its first byte to the end of its
+ * request. Short bodies are not counted: the limit on connections bounds their memory.
  */
 final class BodyMemoryLimit {
-    /** Only bodies longer than this are counted, in bytes. */
+    /** Bodies up to this length are not counted. */
     static final int SHORT_BODY_BYTES = 64 * 1024;
 
     private final long limitBytes;
@@ -15,12 +15,12 @@
         this.limitBytes = limitBytes;
     }
 
-    /** How many bytes are to be reserved for a body of this size: none for a short one. */
+    /** Returns the bytes to reserve for a body of this length: 0 for a short one. */
     static long reservationFor(long bodyBytes) {
         return bodyBytes > SHORT_BODY_BYTES ? bodyBytes : 0;
     }
 
-    /** Reserves memory; if this returns true, the bytes are to be released once. */
+    /** Reserves memory. If this returns true, the caller must release the bytes once. */
     boolean tryReserve(long bytes) {
         if (reservedBytes + bytes > limitBytes) {
             return false;
--- a/daemon/src/main/java/trailthread/daemon/listener/BodyReader.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/BodyReader.java
@@ -14,44 +14,47 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * Reads a request's body to its end, so that the response reaches the client: of a chunked body
- * that is left unread, Undertow closes the connection without a response.
+ * Reads a request's body to its end. If a chunked body were left unread, Undertow would close the
+ * connection without a response.
  *
- * <p>A body that finds no memory to be buffered in is streamed: the receiver gets this reader as
- * the source of the body, which then flows at the pace at which its sink accepts it.
+ * <p>If there is no memory to buffer a body, it is streamed: the receiver gets this reader as the
+ * source, which is read only as fast as the sink accepts bytes.
  *
- * <p>The client must keep up a least rate. If it does not, or the connection breaks, the connection
- * is closed.
+ * <p>If the client sends more slowly than {@link #MIN_BYTES_PER_SECOND}, or the connection breaks,
+ * the connection is closed.
  */
 final class BodyReader implements ByteSource {
-    /** Gets the body by one of these methods; {@link #aborted} may also follow a stream. */
+    /** Gets the body by one of these methods; {@link #aborted} may also follow {@link #stream}. */
     interface Receiver {
         /**
          * The request is complete.
          *
-         * @param body empty if it was not to be buffered; null if it is too large
+         * @param body empty if it was discarded unbuffered; null if it is too large
          */
         void complete(byte[] body);
 
-        /** There is no memory to buffer the body: it is to be streamed, see {@link #onStream}. */
+        /**
+         * There is no memory to buffer the body: it must be streamed, see {@link
+         * #setStreamCallbacks}.
+         */
         void stream(BodyReader body);
 
-        /** The body will never be complete; the connection is closed. */
+        /** The body will never be complete, and the connection is closed. */
         void aborted();
     }
 
     /** The longest body that a request may have. */
     static final long MAX_BODY_BYTES = 32 * 1024 * 1024;
 
-    /** If a body that is not buffered is longer than this, the connection is closed. */
+    /** If a body that is discarded is longer than this, the connection is closed. */
     private static final long MAX_DISCARDED_BYTES = 1024 * 1024;
 
-    /** The least rate of a body; clients send 64 kB a second or more. */
+    /** The minimum rate of a body; clients send 64 kB a second or more. */
     private static final long MIN_BYTES_PER_SECOND = 48_000;
 
     private static final long NS_PER_SECOND = 1_000_000_000L;
 
-    /** How often a body that is paused is looked at. */
+    /** How often the deadline is checked while reading is paused. */
     private static final long PAUSED_CHECK_INTERVAL_NS = 1_000_000_000L;
 
     private final EventLoop loop;
@@ -63,69 +66,72 @@
 
     private final Receiver receiver;
 
-    /** When the message is due, but for the time that the rate earns for the bytes received. */
-    private long dueAt;
+    /** Deadline of the message, without the extra time that each received byte adds. */
+    private long deadlineWithoutBody;
 
     private XnioExecutor.Key deadlineTimer;
     private long receivedBytes;
     private boolean tooLarge;
 
-    /** Nothing more is read. */
+    /** The body is complete, aborted or stopped: nothing more is read. */
     private boolean done;
 
-    /** What was received before the stream began, and did not fit the buffer; then null. */
-    private ByteBuffer unstreamed;
+    /** What was received before streaming started; null once it is given to the sink. */
+    private ByteBuffer receivedBeforeStream;
 
     private ByteSink sink;
 
-    /** Since when reading is paused; 0: it is not. */
+    /** When reading was paused; 0 if it is not paused. */
     private long pausedAt;
 
-    private Runnable onStreamed = () -> {};
-    private Runnable onClientGone = () -> {};
+    private Runnable onStreamComplete = () -> {};
+    private Runnable onDisconnect = () -> {};
 
     /**
-     * Makes a reader, and starts the client's time; {@link #read} follows.
+     * Makes a reader and starts the timer for its deadline; {@link #read} follows.
      *
-     * @param dueAt when the message is due, by the loop's clock, but for what its rate earns
-     * @param buffered whether the body is wanted; else it is discarded, and passes for empty
-     * @param memory where a long body's bytes are reserved; those of a body that is not handed over
-     *     are released here
+     * @param deadlineWithoutBody deadline of the message by the loop's clock, without the extra
+     *     time that each received byte adds
+     * @param buffered whether to buffer the body; if not, it is discarded and the receiver gets an
+     *     empty one
+     * @param memory where a long body's bytes are reserved; this reader releases them if it does
+     *     not hand the body over
      */
     BodyReader(
             EventLoop loop,
             HttpServerExchange exchange,
-            long dueAt,
+            long deadlineWithoutBody,
             boolean buffered,
             BodyMemoryLimit memory,
             Receiver receiver) {
         this.loop = loop;
         this.exchange = exchange;
-        this.dueAt = dueAt;
+        this.deadlineWithoutBody = deadlineWithoutBody;
         this.receiver = receiver;
         buffer = buffered ? new BodyBuffer(memory, exchange.getRequestContentLength()) : null;
         channel = exchange.getRequestChannel();
-        deadlineTimer = loop.scheduleAfterReading(dueAt - loop.now(), this::checkDeadline);
+        deadlineTimer =
+                loop.scheduleAfterReading(deadlineWithoutBody - loop.now(), this::checkDeadline);
     }
 
     /**
-     * Sets what happens at the end of a body that is streamed.
+     * Sets what runs at the end of a streamed body.
      *
-     * @param onStreamed runs when its last byte has been given to the sink
-     * @param onClientGone runs instead if it is never complete
+     * @param onStreamComplete runs when the last byte has been given to the sink
+     * @param onDisconnect runs instead if the body is never complete
      */
-    void onStream(Runnable onStreamed, Runnable onClientGone) {
-        this.onStreamed = onStreamed;
-        this.onClientGone = onClientGone;
+    void setStreamCallbacks(Runnable onStreamComplete, Runnable onDisconnect) {
+        this.onStreamComplete = onStreamComplete;
+        this.onDisconnect = onDisconnect;
     }
 
-    /** The longest time that the body may yet take at the least rate, in nanoseconds. */
-    long longestNs() {
+    /** The maximum time until the body is complete, in nanoseconds. */
+    long maxRemainingNs() {
         long bytes = length() < 0 ? MAX_BODY_BYTES : length();
-        return dueAt - loop.now() + timeForBytesNs(bytes);
+        return deadlineWithoutBody - loop.now() + timeForBytesNs(bytes);
     }
 
-    /** Starts to read; a client that expects it gets a 100 Continue first (RFC 9110, 10.1.1). */
+    /** Starts to read. A client that expects 100 Continue gets that first (RFC 9110, 10.1.1). */
     void read() {
         if (HttpContinue.requiresContinueResponse(exchange)) {
             HttpContinue.sendContinueResponse(exchange, new ReadAfterContinue());
@@ -142,11 +148,11 @@
 
         @Override
         public void onException(HttpServerExchange continued, Sender sender, IOException e) {
-            giveUp();
+            abort();
         }
     }
 
-    /** Reads what has come, up to the most that one turn of the loop may read. */
+    /** Reads the available bytes, up to the limit of one pass of the loop. */
     private void readAvailable() {
         try (var pooled = loop.buffers().allocate()) {
             ByteBuffer bytes = pooled.getBuffer();
@@ -162,19 +168,22 @@
                     channel.resumeReads();
                     return;
                 }
-                boolean readsOn = accept(bytes.flip());
-                if (!readsOn) {
+                boolean continuesReading = handleBytes(bytes.flip());
+                if (!continuesReading) {
                     return;
                 }
             }
-            readInNextTurn();
+            readInNextPass();
         } catch (IOException e) {
-            giveUp();
+            abort();
         }
     }
 
-    /** No event would announce the rest: it may lie in Undertow's buffers. */
-    private void readInNextTurn() {
+    /**
+     * Continues in the loop's next pass. The rest may already be in Undertow's buffers, where no
+     * socket event would report it.
+     */
+    private void readInNextPass() {
         channel.suspendReads();
         loop.afterSockets(
                 () -> {
@@ -184,15 +193,15 @@
                 });
     }
 
-    /** Handles bytes that were read; whether to read on at once. */
-    private boolean accept(ByteBuffer bytes) {
+    /** Handles bytes that were read; returns whether to continue reading at once. */
+    private boolean handleBytes(ByteBuffer bytes) {
         receivedBytes += bytes.remaining();
-        return sink == null ? bufferOrDiscard(bytes) : streamOn(bytes);
+        return sink == null ? bufferOrDiscard(bytes) : giveToSink(bytes);
     }
 
-    private boolean streamOn(ByteBuffer bytes) {
+    private boolean giveToSink(ByteBuffer bytes) {
         if (receivedBytes > MAX_BODY_BYTES) {
-            giveUp();
+            abort();
             return false;
         }
         if (!sink.piece(bytes)) {
@@ -209,13 +218,13 @@
         }
         if (buffer == null || tooLarge) {
             if (receivedBytes > MAX_DISCARDED_BYTES) {
-                giveUp();
+                abort();
                 return false;
             }
             return true;
         }
         if (!buffer.append(bytes)) {
-            unstreamed = buffer.drainWith(bytes);
+            receivedBeforeStream = buffer.takeContentWith(bytes);
             pause();
             receiver.stream(this);
             return false;
@@ -228,14 +237,14 @@
         done = true;
         if (sink != null) {
             sink.end();
-            onStreamed.run();
+            onStreamComplete.run();
             return;
         }
         receiver.complete(tooLarge ? null : body());
     }
 
     private byte[] body() {
-        return buffer == null ? BodyBuffer.EMPTY : buffer.take();
+        return buffer == null ? BodyBuffer.EMPTY : buffer.takeBody();
     }
 
     private void releaseBuffer() {
@@ -262,8 +271,8 @@
     @Override
     public void streamTo(ByteSink to) {
         sink = to;
-        ByteBuffer first = unstreamed;
-        unstreamed = null;
+        ByteBuffer first = receivedBeforeStream;
+        receivedBeforeStream = null;
         if (sink.piece(first)) {
             resume();
         }
@@ -272,7 +281,7 @@
     @Override
     public void resume() {
         if (!done) {
-            dueAt += loop.now() - pausedAt; // the client is not to pay for the pause
+            deadlineWithoutBody += loop.now() - pausedAt; // the pause is not the client's fault
             pausedAt = 0;
             readAvailable();
         }
@@ -281,23 +290,23 @@
     @Override
     public void stop() {
         deadlineTimer.remove();
-        unstreamed = null;
+        receivedBeforeStream = null;
         if (!done) {
             done = true;
             channel.suspendReads();
         }
     }
 
-    /** Closes the connection if the client has fallen behind the least rate. */
+    /** Closes the connection if the client has fallen behind the minimum rate. */
     private void checkDeadline() {
-        long leftNs = dueAt + timeForBytesNs(receivedBytes) - loop.now();
+        long leftNs = deadlineWithoutBody + timeForBytesNs(receivedBytes) - loop.now();
         if (pausedAt > 0) {
             deadlineTimer =
                     loop.scheduleAfterReading(PAUSED_CHECK_INTERVAL_NS, this::checkDeadline);
         } else if (leftNs > 0) {
             deadlineTimer = loop.scheduleAfterReading(leftNs, this::checkDeadline);
         } else {
-            giveUp();
+            abort();
         }
     }
 
@@ -305,13 +314,13 @@
         return NS_PER_SECOND * bytes / MIN_BYTES_PER_SECOND;
     }
 
-    private void giveUp() {
+    private void abort() {
         deadlineTimer.remove();
         if (!done) {
             done = true;
             releaseBuffer();
             receiver.aborted();
-            onClientGone.run();
+            onDisconnect.run();
         }
         IoUtils.safeClose(exchange.getConnection());
     }
--- a/daemon/src/main/java/trailthread/daemon/listener/ClientConnection.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ClientConnection.java
@@ -13,8 +13,8 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * A connection from a client, and when bytes of its next request began to come: as the source
- * conduit it sees every byte that is read.
+ * A connection from a client. It wraps the source conduit, and so sees every byte that is read and
+ * knows when the first byte of the next request arrived.
  */
 final class ClientConnection extends AbstractStreamSourceConduit<StreamSourceConduit> {
     private static final long NO_BYTES = 0;
@@ -22,13 +22,13 @@
     private final StreamConnection connection;
     private final EventLoop loop;
 
-    /** When it was opened, or became idle last. */
+    /** When the connection was opened or last became idle. */
     private long unusedSince;
 
-    /** Whose request it carried last; null if there is only one service. */
+    /** The service whose request the connection carried last; null if there is only one service. */
     private Object owner;
 
-    /** When the first byte of an incomplete request came; {@link #NO_BYTES} if none has come. */
+    /** When the first byte of an incomplete request arrived; {@link #NO_BYTES} if none has. */
     private long receivingSince = NO_BYTES;
 
     /** Wraps the connection's source conduit; times are those of the loop, in nanoseconds. */
@@ -40,23 +40,23 @@
         connection.getSourceChannel().setConduit(this);
     }
 
-    /** The connection that an exchange came on. */
-    static ClientConnection of(HttpServerExchange exchange) {
+    /** Returns the connection that carries an exchange. */
+    static ClientConnection fromExchange(HttpServerExchange exchange) {
         return (ClientConnection)
                 ((AbstractServerConnection) exchange.getConnection()).getOriginalSourceConduit();
     }
 
-    /** When it was opened, or became idle last. */
+    /** When the connection was opened or last became idle. */
     long unusedSince() {
         return unusedSince;
     }
 
-    /** Whether bytes of an incomplete request have come. */
+    /** Whether bytes of an incomplete request have arrived. */
     boolean isReceiving() {
         return receivingSince != NO_BYTES;
     }
 
-    /** When the first byte of an incomplete request came, if any has come; else long ago. */
+    /** When the first byte of an incomplete request arrived; 0, which is long ago, if none has. */
     long receivingSince() {
         return receivingSince;
     }
@@ -73,13 +73,13 @@
         return connection.isOpen();
     }
 
-    /** Its request has ended, and it carries none from now on. */
-    void becomeUnused(long now) {
+    /** Records that the request on this connection has ended. */
+    void markUnused(long now) {
         unusedSince = now;
         receivingSince = NO_BYTES;
     }
 
-    /** Reads what has come on it, as if its socket had just become readable. */
+    /** Reads the available bytes, as if the socket had just become readable. */
     void readAvailable() {
         ConduitStreamSourceChannel source = connection.getSourceChannel();
         ChannelListeners.invokeChannelListener(source, source.getReadListener());
@@ -92,16 +92,16 @@
     @Override
     public int read(ByteBuffer dst) throws IOException {
         loop.beforeServingSocket();
-        return (int) noteReceived(super.read(dst));
+        return (int) recordReceived(super.read(dst));
     }
 
     @Override
     public long read(ByteBuffer[] dsts, int offs, int len) throws IOException {
         loop.beforeServingSocket();
-        return noteReceived(super.read(dsts, offs, len));
+        return recordReceived(super.read(dsts, offs, len));
     }
 
-    private long noteReceived(long count) {
+    private long recordReceived(long count) {
         if (count > 0 && receivingSince == NO_BYTES) {
             receivingSince = loop.now();
         }
--- a/daemon/src/main/java/trailthread/daemon/listener/ClientConnections.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ClientConnections.java
@@ -9,126 +9,138 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * Tracks the connections from clients, and closes those that clients hold without using them, so
- * that descriptors are free for clients with requests: connections on which nothing is sent, heads
- * that are never completed, and connections that are kept open after a request.
+ * Tracks the connections from clients, and closes unused ones to free descriptors for clients with
+ * requests: connections on which nothing is sent, on which a head is never completed, or which are
+ * kept open after a request.
  *
- * <p>No request is lost to such a close: {@link #end(ClientConnection, long)}, the one place where
- * a connection is closed between requests, reads first what has come. Where many connections are
- * idle, and while the node drains, responses end their connections (Connection: close), which can't
- * cross a request at all. docs/restarts.md describes what a client sees.
+ * <p>No request is lost to such a close: {@link #closeUnlessReceiving}, the only place where a
+ * connection is closed between requests, first reads the available bytes. While many connections
+ * are idle, and while the node drains, responses end their connections (Connection: close): the
+ * client learns of it before it sends another request. docs/restarts.md describes what a client
+ * sees.
  */
 final class ClientConnections {
     /**
-     * A first head is due this long after its connection opened; any other, after its first byte.
+     * Timeout of a request head: from the opening of the connection for the first one, from the
+     * head's first byte for any other.
      */
     private static final long HEAD_TIMEOUT_NS = 2_600_000_000L;
 
-    /** The rest of a message is due this long after its head, but for what a body's rate earns. */
+    /** Timeout of the rest of a message after its head, without the time for a body's bytes. */
     private static final long REST_TIMEOUT_NS = 1_000_000_000L;
 
-    /** An idle connection is closed after this time, however few there are. */
+    /** An idle connection is closed after this time, however few connections are open. */
     private static final long IDLE_TIMEOUT_NS = 15_000_000_000L;
 
-    /** Clients rely on an idle connection for this long, so it is closed later, but in a crowd. */
+    /**
+     * Clients rely on an idle connection for this long. It is closed earlier only past {@link
+     * #CLOSE_UNUSED_SHARE}.
+     */
     private static final long MIN_KEEP_ALIVE_NS = 2_000_000_000L;
 
     /** A client with a request sends it within this time of connecting. */
     private static final long SILENT_GRACE_NS = 250_000_000L;
 
-    /** How long a connection must have been unused to be closed, or to count, in a crowd. */
-    private static final long CROWDED_UNUSED_NS = 100_000_000L;
+    /**
+     * Minimum unused time of a connection that is closed past {@link #CLOSE_UNUSED_SHARE} or counts
+     * as idle for {@link #CLOSE_AFTER_RESPONSE_SHARE}.
+     */
+    private static final long MIN_UNUSED_NS = 100_000_000L;
 
     private static final long CHECK_INTERVAL_NS = 50_000_000L;
 
-    /** The share that is exceeded by any number of connections. */
-    private static final double NO_SHARE = 0;
+    /** Exceeded by any number of connections. */
+    private static final double ZERO_SHARE = 0;
 
     /**
-     * When idle connections exceed this share of the limit, responses end theirs. Busy ones do not
-     * count, and the idle must have been so for a while: many requests at a time cost less over the
-     * connections that are open.
+     * When idle connections exceed this share of the limit, responses end their connections. Busy
+     * connections do not count, nor do ones that became idle just now: many concurrent requests
+     * cost less on connections that are already open.
      */
-    private static final double ENDING_IDLE_SHARE = 0.3;
+    private static final double CLOSE_AFTER_RESPONSE_SHARE = 0.3;
 
     /**
-     * Past this share of the limit, idle connections are closed that have been kept long enough.
+     * Past this share of the limit, connections are closed that have been idle for {@link
+     * #MIN_KEEP_ALIVE_NS} or silent for {@link #SILENT_GRACE_NS}.
      */
-    private static final double KEPT_SHARE = 0.5;
+    private static final double CLOSE_IDLE_SHARE = 0.5;
 
     /**
      * Past this share of the limit, all connections are closed that have been unused for {@link
-     * #CROWDED_UNUSED_NS}. Prevents clients that open a connection for each request from using up
-     * the limit, past which no client can connect.
+     * #MIN_UNUSED_NS}. Prevents clients that open a connection for each request from using up the
+     * limit, past which no client can connect.
      */
-    private static final double CROWDED_SHARE = 0.65;
+    private static final double CLOSE_UNUSED_SHARE = 0.65;
 
     private final EventLoop loop;
     private final int limit;
 
-    /** Those on which no head has come yet, the oldest first. */
+    /** Connections on which no head has arrived yet, the oldest first. */
     private final Set<ClientConnection> silent = new LinkedHashSet<>();
 
-    /** Those between two requests. */
+    /** Connections between two requests. */
     private final IdleConnections idle = new IdleConnections();
 
-    /** Those with a request. */
+    /** Connections with a request in flight. */
     private final Set<ClientConnection> busy = new LinkedHashSet<>();
 
-    /** Those whose last response has been written; their clients are to read it and to close. */
+    /** Connections whose last response has been written, until their clients close them. */
     private final Set<ClientConnection> leaving = new LinkedHashSet<>();
 
     private boolean closeAfterResponse;
 
-    /** Runs once no connection is open; null unless all are to end. */
-    private Runnable whenNone;
+    /** Runs once no connection is open; null unless {@link #closeAll} was called. */
+    private Runnable onNoneOpen;
 
     /**
      * Starts to track connections.
      *
-     * @param limit how many connections clients with requests may hold; past it none can connect
+     * @param limit how many connections clients with requests may hold; past it no client can
+     *     connect
      */
     ClientConnections(EventLoop loop, int limit) {
         this.loop = loop;
         this.limit = limit;
-        loop.execute(this::checkRegularly);
+        loop.execute(this::checkPeriodically);
     }
 
-    private void checkRegularly() {
-        closeUnusedInCrowd();
-        if (whenNone != null) {
+    private void checkPeriodically() {
+        closeTimedOutOrExcess();
+        if (onNoneOpen != null) {
             closeUnused();
         }
-        loop.schedule(CHECK_INTERVAL_NS, this::checkRegularly);
+        loop.schedule(CHECK_INTERVAL_NS, this::checkPeriodically);
     }
 
     ClientConnection opened(StreamConnection connection) {
         ClientConnection client = new ClientConnection(connection, loop);
         silent.add(client);
-        closeUnusedInCrowd();
+        closeTimedOutOrExcess();
         return client;
     }
 
-    /** A request's head has come; returns when the rest of the message is due. */
-    long began(ClientConnection client) {
+    /**
+     * Records that a request's head has arrived; returns the deadline of the rest of the message.
+     */
+    long requestStarted(ClientConnection client) {
         long now = loop.now();
         boolean first = silent.remove(client);
         idle.remove(client);
         busy.add(client);
-        long headBegan = first ? client.unusedSince() : now;
-        return Math.max(headBegan + HEAD_TIMEOUT_NS, now + REST_TIMEOUT_NS);
+        long headStartedAt = first ? client.unusedSince() : now;
+        return Math.max(headStartedAt + HEAD_TIMEOUT_NS, now + REST_TIMEOUT_NS);
     }
 
     /**
-     * A request has its response.
+     * Records that a response has been written.
      *
      * @param persistent whether the connection may carry another request
      */
-    void ended(ClientConnection client, boolean persistent) {
+    void responseWritten(ClientConnection client, boolean persistent) {
         if (!busy.remove(client) || !client.isOpen()) {
             return;
         }
-        client.becomeUnused(loop.now());
+        client.markUnused(loop.now());
         if (persistent) {
             idle.add(client);
         } else {
@@ -141,69 +153,76 @@
         idle.remove(client);
         busy.remove(client);
         leaving.remove(client);
-        notifyIfNone();
+        notifyIfNoneOpen();
     }
 
-    /** Whether the response to the request on this connection is to end it. */
-    boolean endsWithAnswer(ClientConnection client) {
+    /** Whether the response to the request on this connection must end the connection. */
+    boolean shouldEndWithResponse(ClientConnection client) {
         if (closeAfterResponse) {
             return true;
         }
-        return idle.size() > ENDING_IDLE_SHARE * limit
+        return idle.size() > CLOSE_AFTER_RESPONSE_SHARE * limit
                 && idle.longestIdleFirst().iterator().next().unusedSince()
-                        < loop.now() - CROWDED_UNUSED_NS
+                        < loop.now() - MIN_UNUSED_NS
                 && idle.holdsFairShare(client.owner());
     }
 
     /** Sets whether every response ends its connection. */
-    void closeAfterResponse(boolean end) {
-        closeAfterResponse = end;
+    void closeAfterResponse(boolean enabled) {
+        closeAfterResponse = enabled;
     }
 
-    /** Ends the idle connections, and the silent ones that have had time to send a request. */
+    /** Closes the idle connections, and the silent ones that have had time to send a request. */
     void closeUnused() {
         long now = loop.now();
-        endWhileOver(NO_SHARE, idle.longestIdleFirst(), now, REST_TIMEOUT_NS);
-        endWhileOver(NO_SHARE, silent, now - SILENT_GRACE_NS, REST_TIMEOUT_NS);
+        closeWhileOver(ZERO_SHARE, idle.longestIdleFirst(), now, REST_TIMEOUT_NS);
+        closeWhileOver(ZERO_SHARE, silent, now - SILENT_GRACE_NS, REST_TIMEOUT_NS);
     }
 
     /**
-     * Ends all connections: unused ones within some time, the others with their responses, see
-     * {@link #closeAfterResponse}.
+     * Closes all connections: unused ones as soon as they have had time to send a request, the
+     * others after their responses, see {@link #closeAfterResponse}.
      *
-     * @param whenNone runs when none is left, and not before: requests that lie unread would be
-     *     reset with the process
+     * @param onNoneOpen runs when no connection is left. If it ran earlier, the end of the process
+     *     would reset connections with unread requests.
      */
-    void endAll(Runnable whenNone) {
-        this.whenNone = whenNone;
+    void closeAll(Runnable onNoneOpen) {
+        this.onNoneOpen = onNoneOpen;
         closeUnused();
-        notifyIfNone();
+        notifyIfNoneOpen();
     }
 
-    private void notifyIfNone() {
-        if (whenNone != null && size() == 0) {
-            whenNone.run();
+    private void notifyIfNoneOpen() {
+        if (onNoneOpen != null && size() == 0) {
+            onNoneOpen.run();
         }
     }
 
-    /** Closes what has timed out, and more the closer the connections come to the limit. */
-    private void closeUnusedInCrowd() {
+    /**
+     * Closes connections that have timed out, and more of them the closer their number is to the
+     * limit.
+     */
+    private void closeTimedOutOrExcess() {
         long now = loop.now();
-        endWhileOver(NO_SHARE, silent, now - HEAD_TIMEOUT_NS, 0);
-        endWhileOver(NO_SHARE, idle.longestIdleFirst(), now - IDLE_TIMEOUT_NS, HEAD_TIMEOUT_NS);
-        for (ClientConnection client : lateWithHead(now)) {
-            end(client, HEAD_TIMEOUT_NS);
+        closeWhileOver(ZERO_SHARE, silent, now - HEAD_TIMEOUT_NS, 0);
+        closeWhileOver(ZERO_SHARE, idle.longestIdleFirst(), now - IDLE_TIMEOUT_NS, HEAD_TIMEOUT_NS);
+        for (ClientConnection client : headTimedOut(now)) {
+            closeUnlessReceiving(client, HEAD_TIMEOUT_NS);
         }
-        endWhileOver(KEPT_SHARE, idle.longestIdleFirst(), now - MIN_KEEP_ALIVE_NS, HEAD_TIMEOUT_NS);
-        endWhileOver(KEPT_SHARE, silent, now - SILENT_GRACE_NS, HEAD_TIMEOUT_NS);
-        long unusedSince = now - CROWDED_UNUSED_NS;
-        endWhileOver(CROWDED_SHARE, idle.longestIdleFirst(), unusedSince, CROWDED_UNUSED_NS);
-        endWhileOver(CROWDED_SHARE, silent, unusedSince, CROWDED_UNUSED_NS);
-        endWhileOver(CROWDED_SHARE, leaving, unusedSince, CROWDED_UNUSED_NS);
+        closeWhileOver(
+                CLOSE_IDLE_SHARE,
+                idle.longestIdleFirst(),
+                now - MIN_KEEP_ALIVE_NS,
+                HEAD_TIMEOUT_NS);
+        closeWhileOver(CLOSE_IDLE_SHARE, silent, now - SILENT_GRACE_NS, HEAD_TIMEOUT_NS);
+        long unusedSince = now - MIN_UNUSED_NS;
+        closeWhileOver(CLOSE_UNUSED_SHARE, idle.longestIdleFirst(), unusedSince, MIN_UNUSED_NS);
+        closeWhileOver(CLOSE_UNUSED_SHARE, silent, unusedSince, MIN_UNUSED_NS);
+        closeWhileOver(CLOSE_UNUSED_SHARE, leaving, unusedSince, MIN_UNUSED_NS);
     }
 
-    /** Those that have served a request, and are late with the rest of the next one's head. */
-    private List<ClientConnection> lateWithHead(long now) {
+    /** Connections that have carried a request, and on which the next head has timed out. */
+    private List<ClientConnection> headTimedOut(long now) {
         List<ClientConnection> late = new ArrayList<>();
         for (ClientConnection client : idle.longestIdleFirst()) {
             if (client.isReceiving() && client.receivingSince() <= now - HEAD_TIMEOUT_NS) {
@@ -235,42 +254,42 @@
     }
 
     /**
-     * Ends the first of some connections that have been unused for long enough, while there are
-     * more connections than a share of the limit.
+     * Closes connections that have been unused for long enough, the longest unused first, while
+     * more connections are open than a share of the limit.
      *
-     * @param clients those unused for longest first
-     * @param unusedSince only those are ended that have been unused since then
-     * @param restTimeoutNs see {@link #end}
+     * @param clients connections to close, the longest unused first
+     * @param unusedSince only connections that have been unused since then are closed
+     * @param restTimeoutNs see {@link #closeUnlessReceiving}
      */
-    private void endWhileOver(
+    private void closeWhileOver(
             double share, Set<ClientConnection> clients, long unusedSince, long restTimeoutNs) {
-        boolean noneDue =
+        boolean noneToClose =
                 clients.isEmpty()
                         || !isOver(share)
                         || clients.iterator().next().unusedSince() > unusedSince;
-        if (noneDue) {
+        if (noneToClose) {
             return; // the usual case, in which nothing is copied
         }
         for (ClientConnection client : List.copyOf(clients)) {
             if (client.unusedSince() > unusedSince || !isOver(share)) {
                 return;
             }
-            if (share == NO_SHARE || idle.holdsFairShare(client.owner())) {
-                end(client, restTimeoutNs);
+            if (share == ZERO_SHARE || idle.holdsFairShare(client.owner())) {
+                closeUnlessReceiving(client, restTimeoutNs);
             }
         }
     }
 
     /**
-     * Ends a connection that carries no request, after reading what has come on it: the timers of a
-     * late loop run before it looks at its sockets. If a complete request has come, it is served
-     * and the connection stays; if a part has come, there is time for the rest. A request that
-     * comes after this read is not lost either: its client sees the connection close before any
-     * response, and sends it again.
+     * Closes a connection that carries no request, after reading the available bytes, as a late
+     * loop runs its timers before it reads its sockets. If a complete request has arrived, it is
+     * served and the connection stays open; if a part has arrived, the client has time to send the
+     * rest. A request that arrives after this read is not lost either: its client sees the
+     * connection close before any response, and sends it again.
      *
-     * @param restTimeoutNs how long after its first byte the rest of a head may come
+     * @param restTimeoutNs how long after its first byte the rest of a head may arrive
      */
-    private void end(ClientConnection client, long restTimeoutNs) {
+    private void closeUnlessReceiving(ClientConnection client, long restTimeoutNs) {
         long unusedSince = client.unusedSince();
         client.readAvailable();
         boolean served = busy.contains(client) || client.unusedSince() != unusedSince;
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
@@ -18,8 +18,8 @@
 import trailthread.engine.metrics.MetricsRecorder;
 
 /**
- * Accepts clients' HTTP connections, decides which of them end when, and says whether the node is
- * ready for clients.
+ * Accepts clients' HTTP connections, closes them when they are unused or the node stops, and tracks
+ * whether the node is ready for clients.
  */
 public final class HttpListener {
     private static final int MAX_HEADER_BYTES = 16 * 1024;
@@ -28,14 +28,14 @@
     /** Undertow's value for a body of any length; {@link BodyReader} bounds it. */
     private static final long UNBOUNDED_ENTITY = -1;
 
-    /** A loop that is later than this may have left connections waiting to be accepted. */
+    /** If the loop is later than this, connections may be waiting to be accepted. */
     private static final long LATE_NS = 10_000_000L;
 
-    /** For how long a late node goes on accepting before it closes its listening socket. */
+    /** How long a late node continues to accept before it closes its listening socket. */
     private static final long ACCEPT_GRACE_NS = 100_000_000L;
 
-    /** How long an accepted connection may take from the accepting thread to the loop. */
-    private static final long HANDOVER_NS = 20_000_000L;
+    /** How long the accepting thread may take to hand a connection over to the loop. */
+    private static final long MAX_HANDOVER_NS = 20_000_000L;
 
     private final EventLoop loop;
     private final ClientConnections connections;
@@ -43,7 +43,7 @@
     private final int maxConnections;
     private AcceptingChannel<StreamConnection> server;
 
-    /** Whether other processes accept from the listening socket, too. */
+    /** Whether other processes also accept from the listening socket. */
     private boolean shared;
 
     private boolean ready;
@@ -53,8 +53,8 @@
      * Makes a listener; {@link #listen} or {@link #listenOnInherited} follows.
      *
      * @param maxConnections how many connections may be open; further ones wait to be accepted
-     * @param maxClientConnections how many connections clients with requests may hold; idle
-     *     connections are closed by shares of it
+     * @param maxClientConnections how many connections clients with requests may hold; unused
+     *     connections are closed when open ones exceed shares of it
      */
     public HttpListener(
             EventLoop loop,
@@ -69,7 +69,7 @@
     }
 
     /**
-     * Opens an address for clients, and returns the one that is bound.
+     * Listens on an address, and returns the address that was bound.
      *
      * @throws IOException if the address can't be bound
      */
@@ -82,9 +82,9 @@
     }
 
     /**
-     * Accepts from an inherited listening socket, which other processes hold, too, in place of the
-     * address that was opened before. It is never closed here, as Java would close the process's
-     * log with it.
+     * Accepts from an inherited listening socket, which other processes also hold, and closes the
+     * address opened before. The inherited socket is never closed here, as Java would close the
+     * process's log with it.
      *
      * @throws IOException if the socket can't be accepted from
      */
@@ -149,19 +149,19 @@
         receiver.setFrontend(frontend);
     }
 
-    /** Whether clients may be sent to this node: it is ready, and not drained. */
+    /** Whether clients may be sent to this node: it is ready and not drained. */
     public boolean isReady() {
         return ready && !drained;
     }
 
-    /** Sets whether the node is drained: no clients are to be sent to it, ready or not. */
+    /** Sets whether the node is drained: it then counts as not ready for new clients. */
     public void setDrained(boolean drained) {
         this.drained = drained;
     }
 
     /**
-     * Closes connections that carry no request, without losing one; a connection that has just been
-     * opened has time to send its first.
+     * Closes connections that carry no request, without losing requests that have been sent. A new
+     * connection has time to send its first request.
      */
     public void closeUnused() {
         connections.closeUnused();
@@ -178,31 +178,32 @@
     }
 
     /**
-     * Sets whether each connection ends with its next response, so that clients connect to another
-     * node.
+     * Sets whether connections are closed after their next response, so that clients connect to
+     * another node.
      */
-    public void closeAfterResponse(boolean end) {
-        connections.closeAfterResponse(end);
+    public void closeAfterResponse(boolean enabled) {
+        connections.closeAfterResponse(enabled);
     }
 
     /**
-     * Accepts no further connections, and ends those that are open: idle ones at once, the others
-     * after their request.
+     * Stops accepting, and closes the open connections: idle ones at once, the others after their
+     * responses.
      *
-     * @param whenDone runs when none is open any more
+     * @param onClosed runs when no connection is open any more
      */
-    public void close(Runnable whenDone) {
-        // The thread that accepts is late when the loop is. Connections that wait to be accepted
-        // would be reset with the listening socket, and their requests lost.
+    public void close(Runnable onClosed) {
+        // When the loop is late, so is the accepting thread. Closing the listening socket would
+        // reset connections that wait to be accepted, and lose their requests.
         boolean late = loop.latency().latenessNs(System.nanoTime()) > LATE_NS;
-        loop.schedule(late ? ACCEPT_GRACE_NS : 0, () -> stopAccepting(whenDone));
+        loop.schedule(late ? ACCEPT_GRACE_NS : 0, () -> stopAccepting(onClosed));
     }
 
-    private void stopAccepting(Runnable whenDone) {
+    private void stopAccepting(Runnable onClosed) {
         if (!stopAcceptingIfShared()) {
             IoUtils.safeClose(server);
         }
-        // The loop has yet to open what the accepting thread handed over last.
-        loop.schedule(HANDOVER_NS, () -> loop.afterSockets(() -> connections.endAll(whenDone)));
+        // The loop has yet to open the connections that the accepting thread handed over last.
+        loop.schedule(
+                MAX_HANDOVER_NS, () -> loop.afterSockets(() -> connections.closeAll(onClosed)));
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
@@ -19,12 +19,12 @@
 import trailthread.engine.loop.Seconds;
 import trailthread.engine.request.ClientResponse;
 
-/** Writes the response to one request over HTTP, and notices when its client disconnects. */
+/** Writes the response to one request over HTTP, and detects when its client disconnects. */
 final class HttpResponseWriter implements ClientResponse {
-    /** Headers of endpoints' responses that are meant for the balancer alone. */
+    /** Headers of endpoints' responses that only the balancer uses. */
     private static final Set<String> NOT_FORWARDED = Set.of("x-backend-load", "x-unprocessed");
 
-    /** The connection of a client that does not read its response is closed after this time. */
+    /** If a client does not read its response within this time, its connection is closed. */
     private static final long READ_TIMEOUT_NS = 10_000_000_000L;
 
     private static final byte[] NO_BODY = new byte[0];
@@ -37,11 +37,11 @@
     private final Runnable onReleased;
     private final Runnable stopBody;
 
-    /** The response has begun, or the client has disconnected before. */
+    /** The response has started, or the client disconnected before it could. */
     private boolean answered;
 
-    /** Runs if the client disconnects; null if it is not watched. */
-    private Runnable onClientGone;
+    /** Runs if the client disconnects; null before {@link #watchForDisconnect}. */
+    private Runnable onDisconnect;
 
     /** Null unless the response is streamed. */
     private StreamedResponse streamed;
@@ -50,9 +50,9 @@
      * Makes a writer for an exchange.
      *
      * @param forwardsEndpointHeaders whether the client gets the endpoint's headers
-     * @param isLastOnConnection whether the connection is to end with this response
-     * @param memory where bytes that the client sends ahead are reserved, past a pooled buffer
-     * @param onReleased runs once nothing of the request is kept
+     * @param isLastOnConnection whether the connection ends with this response
+     * @param memory where memory for pipelined bytes is reserved that exceed a pooled buffer
+     * @param onReleased runs once no part of the request is held any more
      * @param stopBody runs before a response to a request whose body is incomplete
      */
     HttpResponseWriter(
@@ -97,7 +97,7 @@
         }
         HeaderMap to = exchange.getResponseHeaders();
         // The result is not needed: headers that could be taken for the start of another response
-        // are left out, and have not been seen here.
+        // are left out, and endpoints have not been seen to send any.
         EndToEndHeaders.forward(from, NOT_FORWARDED, to::add);
         to.add(Headers.VIA, "1.1 trailthread");
         String length = from.getFirst(Headers.CONTENT_LENGTH);
@@ -159,28 +159,28 @@
     }
 
     /**
-     * Watches for the client's end while the request is in flight, as Undertow does not read then.
-     * Bytes that the client sends ahead meanwhile are kept for its next requests.
+     * Detects a disconnect while the request is in flight, when Undertow does not read from the
+     * connection. Pipelined bytes are kept for the client's next requests.
      *
-     * @param whenGone runs if the client disconnects before the response has begun
+     * @param onDisconnect runs if the client disconnects before the response has started
      */
-    void watchClient(Runnable whenGone) {
+    void watchForDisconnect(Runnable onDisconnect) {
         if (answered) {
             return;
         }
-        onClientGone = whenGone;
+        this.onDisconnect = onDisconnect;
         AbstractServerConnection connection = connection();
         connection
                 .getChannel()
                 .getSourceChannel()
-                .setReadListener(channel -> readAhead(connection));
+                .setReadListener(channel -> readPipelined(connection));
         connection.getOriginalSourceConduit().resumeReads();
     }
 
     @Override
     public void checkConnected() {
-        if (onClientGone != null && !answered) {
-            readAhead(connection());
+        if (onDisconnect != null && !answered) {
+            readPipelined(connection());
         }
     }
 
@@ -189,28 +189,28 @@
     }
 
     /**
-     * Reads what the client sends ahead. Bytes that find no memory stay in the socket, and the
-     * client's end behind them is not noticed.
+     * Reads pipelined bytes. If there is no memory for them, they stay in the socket, and a
+     * disconnect behind them is not detected.
      */
-    private void readAhead(AbstractServerConnection connection) {
+    private void readPipelined(AbstractServerConnection connection) {
         boolean open;
         try {
             open = PipelinedBytes.read(connection, memory);
         } catch (IOException e) {
-            open = false; // a connection that can't be read is as good as closed
+            open = false; // a connection that can't be read counts as closed
         }
         if (!open) {
-            clientGone(connection);
+            handleDisconnect(connection);
         }
     }
 
-    private void clientGone(AbstractServerConnection connection) {
+    private void handleDisconnect(AbstractServerConnection connection) {
         connection.getOriginalSourceConduit().suspendReads();
         if (!answered) {
             answered = true;
-            onClientGone.run();
+            onDisconnect.run();
         } else if (streamed != null) {
-            streamed.clientGone();
+            streamed.handleDisconnect();
         }
         IoUtils.safeClose(connection);
     }
--- a/daemon/src/main/java/trailthread/daemon/listener/IdleConnections.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/IdleConnections.java
@@ -5,9 +5,9 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The connections between two requests, and how many of them each owner has. */
+/** The connections between two requests, and their number for each owner. */
 final class IdleConnections {
-    /** The longest idle first. */
+    /** In the order in which they became idle. */
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
     private final Set<ClientConnection> longestIdleFirst = Collections.unmodifiableSet(connections);
@@ -31,15 +31,15 @@
         return connections.size();
     }
 
-    /** A view of the connections. */
+    /** A view of the connections, the longest idle first. */
     Set<ClientConnection> longestIdleFirst() {
         return longestIdleFirst;
     }
 
     /**
-     * Whether an owner has at least an equal share of these connections. Only those of such an
-     * owner are closed to free descriptors, which prevents the many idle connections of one
-     * service's clients from costing another service's clients theirs.
+     * Whether an owner has at least an equal share of the idle connections. Only connections of
+     * such owners are closed to free descriptors. Otherwise, many idle connections to one service
+     * would cause those to other services to be closed.
      *
      * @param owner null if connections have no owners
      */
--- a/daemon/src/main/java/trailthread/daemon/listener/PipelinedBytes.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PipelinedBytes.java
@@ -9,12 +9,12 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * Bytes that a client has pipelined behind a request in flight, past what a pooled buffer holds.
- * Undertow reads the next requests on the connection from them. Their memory is reserved from what
- * long bodies share.
+ * Buffer for bytes that a client has pipelined behind a request in flight, when they exceed a
+ * pooled buffer. Undertow reads the next requests on the connection from it. Its memory is reserved
+ * from the limit on long bodies.
  */
 final class PipelinedBytes implements PooledByteBuffer {
-    /** The most that is kept for one connection; the rest waits in its socket. */
+    /** The maximum buffered for one connection; further bytes stay in its socket. */
     private static final int MAX_BYTES = 256 * 1024;
 
     private final BodyMemoryLimit memory;
@@ -28,12 +28,12 @@
     }
 
     /**
-     * Whether the client has sent more than this request, and so expects further responses. If the
-     * connection ended with this request's response, complete requests behind it would be lost. A
-     * late loop has not read them yet, so the socket is read first, unless it still holds the
-     * request's own body.
+     * Whether the client has pipelined bytes behind this request, and so expects further responses.
+     * If the connection ended with this request's response, complete requests behind it would be
+     * lost. A late loop may not have read them yet, so this reads the socket first, unless it still
+     * holds the request's own body.
      */
-    static boolean isBehind(HttpServerExchange exchange, BodyMemoryLimit memory) {
+    static boolean hasPipelined(HttpServerExchange exchange, BodyMemoryLimit memory) {
         if (!(exchange.getConnection() instanceof AbstractServerConnection connection)) {
             return false;
         }
@@ -41,7 +41,7 @@
             try {
                 read(connection, memory);
             } catch (IOException e) {
-                return false; // the response will fail in the same way
+                return false; // writing the response will fail, too
             }
         }
         PooledByteBuffer kept = connection.getExtraBytes();
@@ -49,10 +49,10 @@
     }
 
     /**
-     * Reads pipelined bytes and keeps them for the next requests. What exceeds the memory stays in
-     * the socket.
+     * Reads pipelined bytes and keeps them for the next requests. Bytes for which there is no
+     * memory stay in the socket.
      *
-     * @return false if the client has closed its side of the connection, as far as that was read
+     * @return false if the end of the stream was read: the client has closed its side
      * @throws IOException if the connection is broken
      */
     static boolean read(AbstractServerConnection connection, BodyMemoryLimit memory)
@@ -60,7 +60,7 @@
         StreamSourceConduit source = connection.getOriginalSourceConduit();
         try (PooledByteBuffer pooled = connection.getByteBufferPool().allocate()) {
             ByteBuffer piece = pooled.getBuffer();
-            int leftInTurn = EventLoop.MAX_BYTES_PER_PASS;
+            int leftInPass = EventLoop.MAX_BYTES_PER_PASS;
             int count;
             do {
                 int free = freeBytes(connection, memory);
@@ -73,23 +73,23 @@
                 if (count > 0) {
                     keep(connection, piece.flip());
                 }
-                leftInTurn -= count;
-            } while (count > 0 && leftInTurn > 0);
+                leftInPass -= count;
+            } while (count > 0 && leftInPass > 0);
             return count >= 0;
         }
     }
 
-    /** How many bytes more can be kept; makes the buffer larger if it is full. */
+    /** Returns how many more bytes can be kept; enlarges the buffer if it is full. */
     private static int freeBytes(AbstractServerConnection connection, BodyMemoryLimit memory) {
         PooledByteBuffer kept = connection.getExtraBytes();
         if (kept == null) {
-            return Integer.MAX_VALUE; // a pooled buffer will hold as much as is read at a time
+            return Integer.MAX_VALUE; // a new pooled buffer holds all that one read returns
         }
         int free = free(kept);
         if (free > 0) {
             return free;
         }
-        PipelinedBytes larger = doubled(kept, memory);
+        PipelinedBytes larger = moveToDoubled(kept, memory);
         if (larger == null) {
             return 0;
         }
@@ -101,7 +101,9 @@
         return kept.getBuffer().capacity() - kept.getBuffer().remaining();
     }
 
-    /** Appends to what is kept; Undertow keeps what came together with the request. */
+    /**
+     * Appends to the kept bytes. Undertow has kept those that arrived together with the request.
+     */
     private static void keep(AbstractServerConnection connection, ByteBuffer piece) {
         PooledByteBuffer kept = connection.getExtraBytes();
         if (kept == null) {
@@ -113,9 +115,10 @@
     }
 
     /**
-     * Moves the bytes to a buffer of twice the size; null, with nothing moved, if none can be had.
+     * Moves the bytes to a buffer of twice the size. Returns null, with nothing moved, if that
+     * exceeds a limit.
      */
-    private static PipelinedBytes doubled(PooledByteBuffer kept, BodyMemoryLimit memory) {
+    private static PipelinedBytes moveToDoubled(PooledByteBuffer kept, BodyMemoryLimit memory) {
         int capacity = 2 * kept.getBuffer().capacity();
         if (capacity > MAX_BYTES || !memory.tryReserve(capacity)) {
             return null;
--- a/daemon/src/main/java/trailthread/daemon/listener/PlainRequestDecoder.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PlainRequestDecoder.java
@@ -15,11 +15,11 @@
 import trailthread.engine.routes.Target;
 
 /**
- * Decodes the requests of plain HTTP clients. What the client does not state has a default: the
- * class follows from the method (RFC 9110, 9.2), the deadline from the class, and the id is new.
+ * Decodes the requests of plain HTTP clients. If the client does not state them, the class is
+ * derived from the method (RFC 9110, 9.2), the deadline from the class, and the id is generated.
  */
 final class PlainRequestDecoder {
-    /** Headers that the balancer sets itself, and so are not forwarded. */
+    /** Headers that are not forwarded, as the balancer sets them itself. */
     private static final Set<String> NOT_FORWARDED =
             Set.of("x-correlation-id", "x-time-left", "x-service-class");
 
@@ -31,7 +31,7 @@
     /**
      * Makes a decoder for the clients of a pool.
      *
-     * @param newIds makes ids that no other request has
+     * @param newIds generates unique request ids
      */
     PlainRequestDecoder(PoolConfig pool, Supplier<String> newIds) {
         this.pool = pool;
@@ -46,7 +46,7 @@
      */
     ClientRequest decode(String method, Target target, HeaderMap headers, String assignedClass)
             throws BadRequestException {
-        String key = single(headers, "Idempotency-Key");
+        String key = singleValue(headers, "Idempotency-Key");
         RetrySafety retrySafety = retrySafety(method, key);
         ClassConfig classConfig =
                 assignedClass == null
@@ -56,14 +56,14 @@
         if (classConfig.retrySafety() == RetrySafety.KEYED && key == null) {
             throw new BadRequestException("class " + className + " needs an Idempotency-Key");
         }
-        String id = single(headers, "X-Correlation-Id");
+        String id = singleValue(headers, "X-Correlation-Id");
         long timeLeftNs = timeLeftNs(headers, classConfig.requestClass().deadlineNs());
         List<String> forwarded = forwardedHeaders(headers);
         String host = headers.getFirst("Host");
         return new ClientRequest(
                 id == null || id.isEmpty() ? newIds.get() : id,
                 className,
-                single(headers, "X-Account"),
+                singleValue(headers, "X-Account"),
                 timeLeftNs,
                 "1".equals(headers.getFirst("X-Repeat")),
                 0,
@@ -75,21 +75,21 @@
                 new ForwardedHeaders(host == null ? "" : host, forwarded));
     }
 
-    /** The client's time, but no more than the class allows. */
+    /** The remaining time that the client states, up to the class's deadline. */
     private static long timeLeftNs(HeaderMap headers, long classDeadlineNs)
             throws BadRequestException {
-        String timeLeft = single(headers, "X-Time-Left");
+        String timeLeft = singleValue(headers, "X-Time-Left");
         if (timeLeft == null) {
             return classDeadlineNs;
         }
         long timeLeftNs = Seconds.parse(timeLeft);
         if (timeLeftNs < 0) {
-            throw new BadRequestException("X-Time-Left must be seconds");
+            throw new BadRequestException("X-Time-Left must be a number of seconds");
         }
         return Math.min(timeLeftNs, classDeadlineNs);
     }
 
-    /** Names and values in turn. */
+    /** Names and values alternate. */
     private static List<String> forwardedHeaders(HeaderMap headers) throws BadRequestException {
         List<String> forwarded = new ArrayList<>(2 * headers.size());
         boolean complete =
@@ -106,7 +106,7 @@
         return forwarded;
     }
 
-    /** Whether a request may be repeated, by RFC 9110, 9.2.1 and 9.2.2; other methods may not. */
+    /** How safe a retry is, by RFC 9110, 9.2.1 and 9.2.2; other methods need an idempotency key. */
     private static RetrySafety retrySafety(String method, String key) {
         return switch (method) {
             case "GET", "HEAD", "OPTIONS", "TRACE" -> RetrySafety.SAFE;
@@ -118,16 +118,16 @@
     /** The class that the client names, or the default for its method. */
     private ClassConfig requestedClass(HeaderMap headers, RetrySafety retrySafety)
             throws BadRequestException {
-        String name = single(headers, "X-Service-Class");
+        String name = singleValue(headers, "X-Service-Class");
         if (name == null) {
             return pool.defaultClass(retrySafety);
         }
         ClassConfig named = classNamed(name);
-        // Prevents work from being done twice that must not be: a client may ask for a stricter
-        // class than its method's, but not for a laxer one.
+        // A class with laxer retry rules than the method's would let the balancer repeat work that
+        // must be done once, so clients may only name stricter classes.
         if (named.retrySafety().compareTo(retrySafety) < 0) {
             throw new BadRequestException(
-                    "class " + name + " may be repeated, and the method may not");
+                    "class " + name + " allows retries that the method does not");
         }
         return named;
     }
@@ -138,11 +138,11 @@
                 return classConfig;
             }
         }
-        throw new BadRequestException("no class " + name);
+        throw new BadRequestException("unknown class " + name);
     }
 
-    /** The value of a header that may be given once, or null. */
-    private static String single(HeaderMap headers, String name) throws BadRequestException {
+    /** Returns the value of a header that may be given at most once, or null. */
+    private static String singleValue(HeaderMap headers, String name) throws BadRequestException {
         String value = headers.getFirst(name);
         if (value == null) {
             return null;
@@ -152,7 +152,7 @@
                         && value.length() <= MAX_HEADER_CHARACTERS
                         && VisibleAscii.isVisible(value);
         if (!valid) {
-            throw new BadRequestException(name + " must be given once, in visible letters");
+            throw new BadRequestException(name + " must be given once, in visible ASCII");
         }
         return value;
     }
--- a/daemon/src/main/java/trailthread/daemon/listener/PlatformFrontend.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PlatformFrontend.java
@@ -8,7 +8,10 @@
 import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.request.RequestHandler;
 
-/** Frontend of the platform's clients: one service, whose headers name class and deadline. */
+/**
+ * Frontend for the platform's clients: one service, whose clients state class and deadline in
+ * headers.
+ */
 public final class PlatformFrontend implements RequestFrontend {
     private static final Logger LOG = LoggerFactory.getLogger(PlatformFrontend.class);
 
@@ -26,7 +29,7 @@
         this.handler = new UnboundedHandler(handler);
     }
 
-    /** Replaces the request classes; requests whose heads have been decoded keep theirs. */
+    /** Replaces the request classes. Requests whose heads have been decoded keep their class. */
     public void applySettings(List<RequestClass> classes) {
         decoder = new PlatformRequestDecoder(classes);
     }
--- a/daemon/src/main/java/trailthread/daemon/listener/PlatformRequestDecoder.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PlatformRequestDecoder.java
@@ -22,7 +22,9 @@
 
     private static final int MAX_HEADER_CHARACTERS = 1024;
 
-    /** A larger claim would distort the decision module's estimates of work. */
+    /**
+     * Maximum of expected_ns: larger values would distort the decision module's estimates of work.
+     */
     private static final long MAX_WORK_NS = 3_600_000_000_000L;
 
     private final Map<String, RequestClass> classes = new HashMap<>();
@@ -38,31 +40,31 @@
      *
      * @param query without its question mark; empty if there is none
      * @throws BadRequestException if a header is missing or malformed, or method, path and class do
-     *     not suit each other
+     *     not fit each other
      */
     ClientRequest decode(String method, String path, String query, HeaderMap headers)
             throws BadRequestException {
         String name = required(headers, SERVICE_CLASS);
         RequestClass requestClass = classes.get(name);
         if (requestClass == null || !firstSegment(path).equals(name)) {
-            throw new BadRequestException("no such class at this path");
+            throw new BadRequestException("unknown class, or not the first segment of the path");
         }
         String key = optional(headers, IDEMPOTENCY_KEY);
         boolean keyed = requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY;
         boolean safe = requestClass.idempotency() == Idempotency.IDEMPOTENT;
         if (!method.equals(safe ? "GET" : "POST") || keyed != (key != null)) {
-            throw new BadRequestException("method or Idempotency-Key do not suit the class");
+            throw new BadRequestException("method or Idempotency-Key does not fit the class");
         }
         String target = query.isEmpty() ? path : path + "?" + query;
         if (!VisibleAscii.isVisible(target)) {
             throw new BadRequestException("the path can't be forwarded");
         }
         String facts = optional(headers, FACTS);
-        long workNs = fact(facts, "expected_ns", 10);
+        long workNs = parseFact(facts, "expected_ns", 10);
         if (workNs < 0 || workNs > MAX_WORK_NS) {
-            throw new BadRequestException("no request takes so much work");
+            throw new BadRequestException(FACTS + ": expected_ns is out of range");
         }
-        long timeLeftNs = nanoseconds(required(headers, TIME_LEFT), TIME_LEFT);
+        long timeLeftNs = secondsToNs(required(headers, TIME_LEFT), TIME_LEFT);
         return new ClientRequest(
                 required(headers, CORRELATION_ID),
                 name,
@@ -70,7 +72,7 @@
                 Math.min(timeLeftNs, requestClass.deadlineNs()),
                 "1".equals(headers.getFirst(REPEAT)),
                 workNs,
-                fact(facts, "entity", 16),
+                parseFact(facts, "entity", 16),
                 method,
                 target,
                 key,
@@ -78,8 +80,8 @@
                 null);
     }
 
-    /** Parses one of the numbers in name=value,name=value; 0 if it is absent. */
-    private static long fact(String facts, String name, int radix) throws BadRequestException {
+    /** Parses one of the numbers in a list of the form name=value,name=value; 0 if it is absent. */
+    private static long parseFact(String facts, String name, int radix) throws BadRequestException {
         for (int from = 0; facts != null && from < facts.length(); ) {
             int comma = facts.indexOf(',', from);
             int to = comma < 0 ? facts.length() : comma;
@@ -110,8 +112,9 @@
     }
 
     /**
-     * The value of a header that may be given once, or null. Checks it on behalf of the endpoints,
-     * too: one that can't parse it would close its connection, and be charged with a failure.
+     * Returns the value of a header that may be given at most once, or null. An endpoint that can't
+     * parse a malformed value would close its connection, which would count as its failure, so such
+     * values are rejected here.
      */
     private static String optional(HeaderMap headers, HttpString name) throws BadRequestException {
         String value = headers.getFirst(name);
@@ -123,15 +126,15 @@
                         && value.length() <= MAX_HEADER_CHARACTERS
                         && VisibleAscii.isVisible(value);
         if (!valid) {
-            throw new BadRequestException(name + " must be given once, in visible letters");
+            throw new BadRequestException(name + " must be given once, in visible ASCII");
         }
         return value;
     }
 
-    private static long nanoseconds(String seconds, HttpString name) throws BadRequestException {
+    private static long secondsToNs(String seconds, HttpString name) throws BadRequestException {
         long ns = Seconds.parse(seconds);
         if (ns < 0) {
-            throw new BadRequestException(name + " must be seconds");
+            throw new BadRequestException(name + " must be a number of seconds");
         }
         return ns;
     }
--- a/daemon/src/main/java/trailthread/daemon/listener/RequestFrontend.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/RequestFrontend.java
@@ -5,7 +5,7 @@
 import trailthread.engine.request.ClientRequest;
 import trailthread.engine.request.ClientResponse;
 
-/** Decodes the heads of clients' requests, and says which handler serves each of them. */
+/** Decodes the heads of clients' requests, and selects the handler for each request. */
 public interface RequestFrontend {
     /** The path of the readiness check. */
     String readyPath();
@@ -14,7 +14,7 @@
     DecodedHead decode(HttpServerExchange exchange);
 
     /**
-     * What the head of a request says.
+     * The result of decoding a request's head.
      *
      * @param request without its body; null if it is rejected
      * @param handler serves the request; null if it is rejected
@@ -31,17 +31,17 @@
         }
     }
 
-    /** Serves requests, and bounds the memory that their bodies may take. */
+    /** Serves requests, and limits the memory of their bodies. */
     interface Handler {
-        /** Stands for the bytes of a body that could not be reserved. */
+        /** Used instead of a number of bytes if memory for the body could not be reserved. */
         long NOT_RESERVED = -1;
 
-        /** Whether a request with this id is in flight; a second one must not join it. */
+        /** Whether a request with this id is in flight; a second one must be rejected. */
         boolean isInFlight(String id);
 
         /**
-         * Whose clients these are, where several services share the connections; null if there is
-         * one service. Compared by identity.
+         * The service that owns the clients' connections, compared by identity; null if there is
+         * only one service.
          */
         default Object owner() {
             return null;
@@ -55,16 +55,16 @@
             return true;
         }
 
-        /** Releases what was reserved for the body of a request that is not handled. */
+        /** Releases the memory reserved for the body of a request that is not handled. */
         default void releaseBody(long bytes) {}
 
         /**
          * Serves a request.
          *
-         * @param deadline when the client stops waiting, by the loop's clock in nanoseconds
-         * @param reservedBytes what was reserved for its body; {@link #NOT_RESERVED} if nothing
-         *     could be, and the body was discarded
-         * @return what to run if the client disconnects before it has its response
+         * @param deadline when the client stops waiting, in nanoseconds of the loop's clock
+         * @param reservedBytes memory reserved for its body; {@link #NOT_RESERVED} if none could be
+         *     reserved, and the body was discarded
+         * @return the callback for a client that disconnects before the response
          */
         Runnable handle(
                 ClientRequest request, long deadline, ClientResponse response, long reservedBytes);
--- a/daemon/src/main/java/trailthread/daemon/listener/RequestReceiver.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/RequestReceiver.java
@@ -15,13 +15,13 @@
 import trailthread.engine.request.ClientRequest;
 
 /**
- * Receives clients' requests: has their heads decoded, reads their bodies, and gives them to their
- * handlers, or rejects them.
+ * Receives clients' requests: decodes their heads with the frontend, reads their bodies, and passes
+ * them to their handlers or rejects them.
  */
 final class RequestReceiver implements HttpHandler {
     /**
-     * The share of the heap that long bodies may take together. They fill most of its old
-     * generation then.
+     * The share of the heap that all long bodies together may use; they then fill most of its old
+     * generation.
      */
     private static final double BODIES_HEAP_SHARE = 0.3;
 
@@ -56,44 +56,46 @@
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        long dueAt = track(exchange);
+        long deadlineWithoutBody = track(exchange);
         if (exchange.getRequestURI().equals(frontend.readyPath())) {
             exchange.setStatusCode(
                     isReady.getAsBoolean() ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE);
             exchange.setPersistent(exchange.isPersistent() && !isLastOnConnection(exchange));
             return;
         }
-        PendingRequest pending = new PendingRequest(exchange, dueAt);
+        PendingRequest pending = new PendingRequest(exchange, deadlineWithoutBody);
         if (exchange.getRequestContentLength() > BodyReader.MAX_BODY_BYTES) {
             Connectors.terminateRequest(exchange); // the body is too long to be discarded
             reject(exchange, RejectionReason.TOO_LARGE);
             return;
         }
-        pending.reserve();
+        pending.reserveBodyMemory();
         exchange.dispatch(SameThreadExecutor.INSTANCE, pending::readBody);
     }
 
-    /** Tracks the connection's state; returns when the complete message is due. */
+    /**
+     * Tracks the connection's state; returns the message's deadline without the time for its body.
+     */
     private long track(HttpServerExchange exchange) {
-        ClientConnection client = ClientConnection.of(exchange);
-        long dueAt = connections.began(client);
+        ClientConnection client = ClientConnection.fromExchange(exchange);
+        long deadlineWithoutBody = connections.requestStarted(client);
         exchange.addExchangeCompleteListener(
                 (completed, next) -> {
-                    connections.ended(client, exchange.isPersistent());
+                    connections.responseWritten(client, exchange.isPersistent());
                     next.proceed();
                 });
-        return dueAt;
+        return deadlineWithoutBody;
     }
 
     /** Whether the connection ends with this response. */
     private boolean isLastOnConnection(HttpServerExchange exchange) {
-        return connections.endsWithAnswer(ClientConnection.of(exchange))
-                && !PipelinedBytes.isBehind(exchange, bodyMemory);
+        return connections.shouldEndWithResponse(ClientConnection.fromExchange(exchange))
+                && !PipelinedBytes.hasPipelined(exchange, bodyMemory);
     }
 
     /**
-     * Rejects a request. The connection ends, as what follows on it can't be trusted, unless only a
-     * route is missing.
+     * Rejects a request. Unless only a route is missing, this closes the connection, as further
+     * bytes on it may not be where a request starts.
      */
     private void reject(HttpServerExchange exchange, RejectionReason reason) {
         metrics.requestRejected(reason);
@@ -116,22 +118,22 @@
     /** A request whose head was decoded, and whose body is being read. */
     private final class PendingRequest implements BodyReader.Receiver {
         private final HttpServerExchange exchange;
-        private final long dueAt;
+        private final long deadlineWithoutBody;
         private final RequestFrontend decodedBy;
         private DecodedHead head;
 
-        /** What the handler has reserved for the body, in bytes, or that it could not. */
+        /** Bytes that the handler has reserved for the body, or {@link Handler#NOT_RESERVED}. */
         private long reservedBytes = Handler.NOT_RESERVED;
 
-        PendingRequest(HttpServerExchange exchange, long dueAt) {
+        PendingRequest(HttpServerExchange exchange, long deadlineWithoutBody) {
             this.exchange = exchange;
-            this.dueAt = dueAt;
+            this.deadlineWithoutBody = deadlineWithoutBody;
             decodedBy = frontend;
             head = decodedBy.decode(exchange);
         }
 
         /** Reserves memory for the body, if the request has a handler. */
-        void reserve() {
+        void reserveBodyMemory() {
             if (head.request() == null) {
                 reservedBytes = Handler.NOT_RESERVED;
                 return;
@@ -142,7 +144,7 @@
 
         void readBody() {
             boolean buffered = reservedBytes != Handler.NOT_RESERVED;
-            new BodyReader(loop, exchange, dueAt, buffered, bodyMemory, this).read();
+            new BodyReader(loop, exchange, deadlineWithoutBody, buffered, bodyMemory, this).read();
         }
 
         @Override
@@ -162,13 +164,13 @@
             reject(exchange, rejection);
         }
 
-        /** The frontend was replaced while the body was read. */
+        /** Decodes the head again after the frontend was replaced while the body was read. */
         private void decodeAgain() {
             releaseReservation();
             head = frontend.decode(exchange);
             boolean discarded = reservedBytes == Handler.NOT_RESERVED;
             if (!discarded) {
-                reserve();
+                reserveBodyMemory();
             }
         }
 
@@ -182,7 +184,9 @@
             return isDuplicate() ? RejectionReason.CONFLICT : null;
         }
 
-        /** Whether the endpoint could take this request for a copy of one in flight. */
+        /**
+         * Whether an endpoint could mistake this request for one in flight, which has the same id.
+         */
         private boolean isDuplicate() {
             return head.handler().isInFlight(head.request().id());
         }
@@ -190,11 +194,12 @@
         private void handle(ClientRequest request) {
             long bodyBytes = BodyMemoryLimit.reservationFor(request.body().length);
             HttpResponseWriter response = responseWriter(bodyBytes, () -> {});
-            // The client's time runs from its last byte, which may have waited for this loop.
+            // The client's time runs from its last byte, which may have arrived while the loop was
+            // late.
             long deadline = loop.arrivedNotBefore() + request.timeLeftNs();
-            Runnable onClientGone =
+            Runnable onDisconnect =
                     head.handler().handle(request, deadline, response, reservedBytes);
-            response.watchClient(onClientGone);
+            response.watchForDisconnect(onDisconnect);
         }
 
         @Override
@@ -208,10 +213,10 @@
             }
             HttpResponseWriter response = responseWriter(0, body::stop);
             ClientRequest request = head.request().withBodySource(body);
-            long deadline = loop.now() + body.longestNs() + request.timeLeftNs();
-            Runnable onClientGone =
+            long deadline = loop.now() + body.maxRemainingNs() + request.timeLeftNs();
+            Runnable onDisconnect =
                     head.handler().handle(request, deadline, response, reservedBytes);
-            body.onStream(() -> response.watchClient(onClientGone), onClientGone);
+            body.setStreamCallbacks(() -> response.watchForDisconnect(onDisconnect), onDisconnect);
         }
 
         @Override
@@ -220,7 +225,7 @@
         }
 
         private HttpResponseWriter responseWriter(long bodyBytes, Runnable stopBody) {
-            ClientConnection.of(exchange).setOwner(head.handler().owner());
+            ClientConnection.fromExchange(exchange).setOwner(head.handler().owner());
             return new HttpResponseWriter(
                     loop,
                     exchange,
@@ -238,7 +243,7 @@
         }
     }
 
-    /** The bytes to reserve for a body that is still to come: its length, if that is declared. */
+    /** The bytes to reserve for a body that is not read yet: its length, if that is declared. */
     private static long bodyReservation(HttpServerExchange exchange) {
         long length = exchange.getRequestContentLength();
         if (length >= 0) {
--- a/daemon/src/main/java/trailthread/daemon/listener/ServiceFrontend.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ServiceFrontend.java
@@ -23,8 +23,8 @@
 import trailthread.engine.routes.Target;
 
 /**
- * Frontend of several services behind one address: a request's route names the pool that serves it.
- * Immutable.
+ * Frontend for several services behind one address: a request's route names the pool that serves
+ * it. Immutable.
  */
 public final class ServiceFrontend implements RequestFrontend {
     private static final Logger LOG = LoggerFactory.getLogger(ServiceFrontend.class);
@@ -36,14 +36,14 @@
      * Makes a frontend.
      *
      * @param pools all pools that the routes name, by name
-     * @param newIds makes ids for requests that bring none
+     * @param newIds generates ids for requests without one
      */
     public ServiceFrontend(RouteTable routes, Map<String, Pool> pools, Supplier<String> newIds) {
         this.routes = routes;
         pools.forEach((name, pool) -> services.put(name, new Service(pool, newIds)));
     }
 
-    /** No service can have this path: a route to it never matches. */
+    /** Reserved for the balancer: a route to this path never matches. */
     @Override
     public String readyPath() {
         return "/-/ready";
@@ -87,7 +87,7 @@
                 headers.getFirst(PlatformRequestDecoder.SERVICE_CLASS));
     }
 
-    /** A pool, and the decoder for its clients' requests. */
+    /** A pool and the decoder for its clients' requests. */
     private static final class Service implements Handler {
         private final Pool pool;
 
--- a/daemon/src/main/java/trailthread/daemon/listener/StreamedResponse.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/StreamedResponse.java
@@ -10,11 +10,11 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * Streams a long response to a client. What the client has not accepted of a piece is kept until it
- * does, and no further piece is asked for meanwhile.
+ * Streams a long response to a client. Bytes that the client does not accept at once are kept, and
+ * until it accepts them no further bytes are requested from the source.
  */
 final class StreamedResponse implements ByteSink {
-    /** The connection of a client that accepts nothing for this time is closed. */
+    /** If a client accepts nothing for this time, its connection is closed. */
     private static final long WRITE_TIMEOUT_NS = 10_000_000_000L;
 
     private static final long NOT_WAITING = -1;
@@ -23,38 +23,41 @@
     private final HttpServerExchange exchange;
     private final StreamSinkChannel channel;
     private final Runnable onWritable;
-    private final Runnable onClientGone;
+    private final Runnable onDisconnect;
 
-    /** What the client has yet to accept; null if it has accepted all. */
+    /** Bytes that the client has yet to accept; null if it has accepted all. */
     private ByteBuffer unwritten;
 
-    /** The last piece has been given. */
-    private boolean ending;
+    /** The source has passed on the last byte. */
+    private boolean endReached;
 
-    /** The response is complete or broken off. */
+    /** The response is complete or was broken off. */
     private boolean closed;
 
     private XnioExecutor.Key timeoutTimer;
     private long writtenBytes;
 
-    /** The bytes written by the last check for a timeout; {@link #NOT_WAITING} if none was due. */
+    /**
+     * {@link #writtenBytes} at the last check for a timeout; {@link #NOT_WAITING} if the client had
+     * nothing to accept then.
+     */
     private long writtenBytesAtCheck = NOT_WAITING;
 
     /**
-     * Starts to stream on an exchange whose status and headers have been set.
+     * Starts to stream the body of a response whose status and headers have been set.
      *
-     * @param onWritable runs when the client accepts more after it had not
-     * @param onClientGone runs if the client disconnects before the last piece
+     * @param onWritable runs when the client accepts bytes again after it had not
+     * @param onDisconnect runs if the client disconnects before the last byte is passed on
      */
     StreamedResponse(
             EventLoop loop,
             HttpServerExchange exchange,
             Runnable onWritable,
-            Runnable onClientGone) {
+            Runnable onDisconnect) {
         this.loop = loop;
         this.exchange = exchange;
         this.onWritable = onWritable;
-        this.onClientGone = onClientGone;
+        this.onDisconnect = onDisconnect;
         channel = exchange.getResponseChannel();
         channel.getWriteSetter().set(writable -> writeUnwritten());
         timeoutTimer = loop.schedule(WRITE_TIMEOUT_NS, this::checkTimeout);
@@ -75,12 +78,12 @@
                 return false;
             }
         } catch (IOException e) {
-            clientGone();
+            handleDisconnect();
         }
         return true;
     }
 
-    /** Writes what the client accepts; whether that was all. */
+    /** Writes as much as the client accepts; returns whether that was all. */
     private boolean write(ByteBuffer bytes) throws IOException {
         while (bytes.hasRemaining()) {
             int count = channel.write(bytes);
@@ -92,7 +95,7 @@
         return true;
     }
 
-    /** Appends, as several pieces may come of what was read from the endpoint at once. */
+    /** Appends to the kept bytes, as one read from the endpoint may yield several pieces. */
     private void keepUnwritten(ByteBuffer piece) {
         unwritten =
                 ByteBuffer.allocate(unwritten.remaining() + piece.remaining())
@@ -103,7 +106,7 @@
 
     @Override
     public void end() {
-        ending = true;
+        endReached = true;
         if (!closed && unwritten == null) {
             finish();
         }
@@ -126,14 +129,14 @@
                 return;
             }
             unwritten = null;
-            if (ending) {
+            if (endReached) {
                 finish();
             } else {
                 channel.suspendWrites();
                 onWritable.run();
             }
         } catch (IOException e) {
-            clientGone();
+            handleDisconnect();
         }
     }
 
@@ -147,38 +150,38 @@
                 channel.resumeWrites();
             }
         } catch (IOException e) {
-            clientGone();
+            handleDisconnect();
         }
     }
 
     /**
-     * Breaks the response off. The attempt is notified in a task of its own, as it may be the
-     * caller of {@link #piece}, and must not be entered again from there.
+     * Breaks the response off. The attempt is notified in a separate task, as it may be the caller
+     * of {@link #piece}, which must not reenter it.
      */
-    void clientGone() {
+    void handleDisconnect() {
         if (closed) {
             return;
         }
         close();
         unwritten = null;
         IoUtils.safeClose(exchange.getConnection());
-        if (!ending) {
-            loop.execute(onClientGone);
+        if (!endReached) {
+            loop.execute(onDisconnect);
         }
     }
 
     private void close() {
         closed = true;
-        timeoutTimer.remove(); // it would keep the exchange in memory
+        timeoutTimer.remove(); // a pending timer would keep the exchange in memory
     }
 
     private void checkTimeout() {
         if (closed) {
             return;
         }
-        boolean waiting = unwritten != null || ending;
+        boolean waiting = unwritten != null || endReached;
         if (waiting && writtenBytes == writtenBytesAtCheck) {
-            clientGone();
+            handleDisconnect();
             return;
         }
         writtenBytesAtCheck = waiting ? writtenBytes : NOT_WAITING;
--- a/daemon/src/main/java/trailthread/daemon/listener/UnboundedHandler.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/UnboundedHandler.java
@@ -4,7 +4,9 @@
 import trailthread.engine.request.ClientResponse;
 import trailthread.engine.request.RequestHandler;
 
-/** Serves the requests of a single service, the memory of whose bodies has no bound of its own. */
+/**
+ * Serves the requests of a single service, which has no limit of its own on the memory of bodies.
+ */
 final class UnboundedHandler implements RequestFrontend.Handler {
     private final RequestHandler handler;
 
--- a/daemon/src/main/java/trailthread/daemon/listener/VisibleAscii.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/VisibleAscii.java
@@ -1,6 +1,6 @@
 package trailthread.daemon.listener;
 
-/** The characters that may stand in a header's value or a target that is forwarded. */
+/** The characters allowed in header values and targets that are forwarded. */
 final class VisibleAscii {
     private VisibleAscii() {}
 
