--- a/daemon/src/main/java/trailthread/daemon/admin/AdminConnections.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminConnections.java
@@ -7,17 +7,19 @@
 import org.xnio.StreamConnection;
 
 /**
- * Limits the admin server's connections and the rate of their responses, and with them the file
- * descriptors and the loop's time that its clients can use.
+ * Limits the number of the admin server's connections and the rate of responses on each, and so the
+ * file descriptors and the loop's time that its clients can use.
  */
 final class AdminConnections {
     private static final class ConnectionState {
         private boolean busy;
 
-        /** When its last response ended, or it was opened. */
+        /**
+         * When the last response was written or, before the first one, the connection was opened.
+         */
         private long idleSince;
 
-        /** Its next response is sent no sooner. */
+        /** The earliest time of the next response. */
         private long nextResponseAt;
 
         ConnectionState(long now) {
@@ -33,14 +35,14 @@
     }
 
     /**
-     * Admits a connection. At the limit, the one that has been idle longest is closed for it; if
+     * Admits a connection. At the limit, the connection that has been idle longest is closed; if
      * all are busy, the new one is.
      *
      * @return whether the new connection is open
      */
     boolean opened(StreamConnection connection, long now) {
-        if (states.size() >= limits.connections()) {
-            IoUtils.safeClose(longestIdleOr(connection));
+        if (states.size() >= limits.maxConnections()) {
+            IoUtils.safeClose(longestIdleOrElse(connection));
         }
         if (!connection.isOpen()) {
             return false;
@@ -49,8 +51,8 @@
         return true;
     }
 
-    private StreamConnection longestIdleOr(StreamConnection otherwise) {
-        StreamConnection longestIdle = otherwise;
+    private StreamConnection longestIdleOrElse(StreamConnection fallback) {
+        StreamConnection longestIdle = fallback;
         long idleSince = Long.MAX_VALUE;
         for (Map.Entry<StreamConnection, ConnectionState> entry : states.entrySet()) {
             ConnectionState state = entry.getValue();
@@ -62,19 +64,19 @@
         return longestIdle;
     }
 
-    /** A request has come; returns when its response may be sent. */
-    long began(StreamConnection connection, long now) {
+    /** Records that a request has arrived; returns when its response may be sent. */
+    long requestStarted(StreamConnection connection, long now) {
         ConnectionState state = states.get(connection);
         if (state == null) {
-            return now; // it has been closed
+            return now; // the connection has been closed
         }
         state.busy = true;
         long responseAt = Math.max(now, state.nextResponseAt);
-        state.nextResponseAt = responseAt + limits.answerEveryNs();
+        state.nextResponseAt = responseAt + limits.minResponseIntervalNs();
         return responseAt;
     }
 
-    void ended(StreamConnection connection, long now) {
+    void responseWritten(StreamConnection connection, long now) {
         ConnectionState state = states.get(connection);
         if (state != null) {
             state.busy = false;
--- a/daemon/src/main/java/trailthread/daemon/admin/AdminHandler.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminHandler.java
@@ -12,14 +12,14 @@
 import java.util.Set;
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
-import trailthread.daemon.admin.MetricsCache.Form;
+import trailthread.daemon.admin.MetricsCache.Format;
 import trailthread.engine.loop.EventLoop;
 import trailthread.engine.metrics.NodeControl;
 import trailthread.engine.metrics.NodeStatus;
 
 /** Serves the admin server's requests. */
 final class AdminHandler implements HttpHandler {
-    /** Under this prefix are the paths that the operators have prescribed. */
+    /** Prefix of the paths that the operators have prescribed. */
     private static final String PRESCRIBED_PREFIX = "/-/";
 
     private static final String METRICS_PATH = "/metrics";
@@ -76,16 +76,19 @@
     private long track(HttpServerExchange exchange, long now) {
         StreamConnection connection =
                 ((AbstractServerConnection) exchange.getConnection()).getChannel();
-        long responseAt = connections.began(connection, now);
+        long responseAt = connections.requestStarted(connection, now);
         exchange.addExchangeCompleteListener(
                 (completed, next) -> {
-                    connections.ended(connection, loop.now());
+                    connections.responseWritten(connection, loop.now());
                     next.proceed();
                 });
         return responseAt;
     }
 
-    /** No path here takes a body, so what follows the head can't be trusted. */
+    /**
+     * Rejects a request with a body. No path here takes one, so the connection is closed rather
+     * than read on.
+     */
     private static void rejectBody(HttpServerExchange exchange) {
         Connectors.terminateRequest(exchange);
         exchange.setPersistent(false);
@@ -93,7 +96,7 @@
     }
 
     /**
-     * Serves a prescribed path once the request is complete, so that an incomplete one has no
+     * Serves a prescribed path once the request is complete, so that an incomplete request has no
      * effect. The connection ends with the response.
      */
     private void receivePrescribed(HttpServerExchange exchange) {
@@ -115,7 +118,7 @@
                 exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, PROMETHEUS_TEXT);
                 exchange.getResponseSender().send(metrics.appMetrics(status).render());
             }
-            case "GET status" -> sendCached(exchange, Form.JSON);
+            case "GET status" -> sendCached(exchange, Format.JSON);
             default -> end(exchange, StatusCodes.NOT_FOUND);
         }
     }
@@ -133,10 +136,10 @@
         }
         switch (path) {
             case READY_PATH -> end(exchange, okOrUnavailable(status.isReady()));
-            case STATUS_PATH -> sendCached(exchange, Form.JSON);
+            case STATUS_PATH -> sendCached(exchange, Format.JSON);
             default -> {
                 String accept = exchange.getRequestHeaders().getFirst(Headers.ACCEPT);
-                sendCached(exchange, Form.accepted(accept));
+                sendCached(exchange, Format.accepted(accept));
             }
         }
     }
@@ -150,19 +153,19 @@
         exchange.endExchange();
     }
 
-    private void sendCached(HttpServerExchange exchange, Form form) {
-        cache.get(form, body -> send(exchange, form, body));
+    private void sendCached(HttpServerExchange exchange, Format format) {
+        cache.get(format, body -> send(exchange, format, body));
     }
 
-    private void send(HttpServerExchange exchange, Form form, byte[] body) {
+    private void send(HttpServerExchange exchange, Format format, byte[] body) {
         if (body == null) {
             end(exchange, StatusCodes.INTERNAL_SERVER_ERROR);
             return;
         }
-        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, form.contentType());
+        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, format.contentType());
         exchange.getResponseSender().send(ByteBuffer.wrap(body));
         if (!exchange.isResponseComplete()) {
-            loop.schedule(limits.readWithinNs(), () -> closeIfUnread(exchange));
+            loop.schedule(limits.responseReadTimeoutNs(), () -> closeIfUnread(exchange));
         }
     }
 
--- a/daemon/src/main/java/trailthread/daemon/admin/AdminLimits.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminLimits.java
@@ -1,30 +1,33 @@
 package trailthread.daemon.admin;
 
 /**
- * What clients of the admin server may use of the node's descriptors and time.
+ * Limits on the descriptors and the loop's time that clients of the admin server can use.
  *
- * @param connections open at once; a further one replaces the one that has been idle longest
- * @param idleMs a connection without a request is closed after this time
- * @param headMs the time from a request head's first byte to its last
- * @param readWithinNs the connection of a client that has not read its response by then is closed
- * @param answerEveryNs the least interval between two responses on a connection; later ones wait
- * @param acceptEveryNs for how long no further connections are accepted after one was
- * @param freshNs for how long rendered metrics are served again
+ * @param maxConnections the maximum number of open connections; a further one replaces the one that
+ *     has been idle longest
+ * @param idleTimeoutMs a connection without a request is closed after this time, in milliseconds
+ * @param headTimeoutMs the maximum time from a request head's first byte to its last
+ * @param responseReadTimeoutNs a client's connection is closed if it does not read its response
+ *     within this time
+ * @param minResponseIntervalNs the minimum interval between two responses on a connection; a
+ *     response that would come sooner is delayed
+ * @param minAcceptIntervalNs the minimum interval between accepting two connections
+ * @param cacheNs how long rendered metrics are served from the cache
  */
 record AdminLimits(
-        int connections,
-        int idleMs,
-        int headMs,
-        long readWithinNs,
-        long answerEveryNs,
-        long acceptEveryNs,
-        long freshNs) {
-    static final int DEFAULT_CONNECTIONS = 24;
+        int maxConnections,
+        int idleTimeoutMs,
+        int headTimeoutMs,
+        long responseReadTimeoutNs,
+        long minResponseIntervalNs,
+        long minAcceptIntervalNs,
+        long cacheNs) {
+    static final int DEFAULT_MAX_CONNECTIONS = 24;
 
-    /** Keep the use of the loop's time by all clients together at a few percent. */
+    /** Limits all clients together to a few percent of the loop's time. */
     static final AdminLimits DEFAULT =
             new AdminLimits(
-                    DEFAULT_CONNECTIONS,
+                    DEFAULT_MAX_CONNECTIONS,
                     15_000,
                     2_000,
                     10_000_000_000L,
--- a/daemon/src/main/java/trailthread/daemon/admin/AdminServer.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminServer.java
@@ -25,9 +25,9 @@
 /**
  * The operators' HTTP server: {@code /metrics} for Prometheus, {@code /status} in JSON, {@code
  * /ready}, and under {@code /-/} the paths that the operators have prescribed, with which they
- * drain the node. It runs on the loop's thread beside the clients' requests, and bounds the time
- * that its own clients can take of it. A node without an operators' address makes none, and then
- * loads no class of this package.
+ * drain the node. It runs on the loop's thread, which also serves the clients' requests, and limits
+ * how much of the thread's time the operators' clients can use. A node without an address for
+ * operators creates no admin server, and then loads no class of this package.
  */
 public final class AdminServer {
     private static final Logger LOG = LoggerFactory.getLogger(AdminServer.class);
@@ -36,10 +36,10 @@
     private static final int BACKLOG = 64;
 
     /**
-     * The most file descriptors that it holds: for its address, its connections, and one connection
-     * that is being rejected.
+     * The maximum of file descriptors that the server holds: one for its address, one for each
+     * connection, and one for a connection that is being rejected.
      */
-    public static final int MAX_DESCRIPTORS = 2 + AdminLimits.DEFAULT_CONNECTIONS;
+    public static final int MAX_DESCRIPTORS = 2 + AdminLimits.DEFAULT_MAX_CONNECTIONS;
 
     /** The period of the timer whose lateness is measured. */
     private static final long LATENESS_INTERVAL_NS = 100_000_000L;
@@ -55,10 +55,10 @@
     private boolean closed;
 
     /**
-     * Makes a server that records metrics, and does not listen yet.
+     * Makes a server that records metrics; {@link #listen} opens its address.
      *
      * @param nodeName the node's name in its metrics
-     * @param classes request classes that are shown before their first request
+     * @param classes request classes whose metrics are exported before their first request
      */
     public AdminServer(
             EventLoop loop, String nodeName, List<RequestClass> classes, NodeStatus status) {
@@ -80,7 +80,7 @@
                         loop,
                         nodeName,
                         version(),
-                        limits.freshNs(),
+                        limits.cacheNs(),
                         () -> metrics.snapshot(status));
         connections = new AdminConnections(limits);
     }
@@ -90,7 +90,7 @@
         return version == null ? "unknown" : version;
     }
 
-    /** Shows further request classes, with counts of 0 before their first request. */
+    /** Adds request classes, whose metrics are exported as 0 before their first request. */
     public void addClasses(List<RequestClass> classes) {
         classes.forEach(requestClass -> metrics.addClass(requestClass.name()));
     }
@@ -101,9 +101,9 @@
     }
 
     /**
-     * Opens the operators' address, and returns the one that is bound.
+     * Listens on the operators' address, and returns the address that was bound.
      *
-     * @param control executes what operators ask of the node
+     * @param control executes the operators' commands
      * @throws BindException if the address can't be bound; the message names the configuration's
      *     key
      */
@@ -124,8 +124,8 @@
                         OptionMap.builder()
                                 .set(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
                                 .set(UndertowOptions.MAX_HEADERS, MAX_HEADERS)
-                                .set(UndertowOptions.REQUEST_PARSE_TIMEOUT, limits.headMs())
-                                .set(UndertowOptions.NO_REQUEST_TIMEOUT, limits.idleMs())
+                                .set(UndertowOptions.REQUEST_PARSE_TIMEOUT, limits.headTimeoutMs())
+                                .set(UndertowOptions.NO_REQUEST_TIMEOUT, limits.idleTimeoutMs())
                                 .set(UndertowOptions.ALWAYS_SET_DATE, false)
                                 .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
                                 .set(UndertowOptions.DECODE_URL, false)
@@ -143,14 +143,14 @@
     private AcceptingChannel<StreamConnection> bind(
             InetSocketAddress address, ChannelListener<AcceptingChannel<StreamConnection>> accept)
             throws BindException {
-        int openAtOnce = limits.connections() + 1; // one to be rejected
+        int maxOpen = limits.maxConnections() + 1; // one more, to be rejected
         OptionMap options =
                 OptionMap.builder()
                         .set(Options.TCP_NODELAY, true)
                         .set(Options.REUSE_ADDRESSES, true)
                         .set(Options.BACKLOG, BACKLOG)
-                        .set(Options.CONNECTION_HIGH_WATER, openAtOnce)
-                        .set(Options.CONNECTION_LOW_WATER, openAtOnce)
+                        .set(Options.CONNECTION_HIGH_WATER, maxOpen)
+                        .set(Options.CONNECTION_LOW_WATER, maxOpen)
                         .getMap();
         try {
             return loop.xnioWorker().createStreamConnectionServer(address, accept, options);
@@ -174,7 +174,7 @@
         loop.schedule(
                 LATENESS_INTERVAL_NS,
                 () -> {
-                    metrics.timerRan(loop.now() - dueAt);
+                    metrics.recordTimerLateness(loop.now() - dueAt);
                     if (!closed) {
                         measureLateness();
                     }
@@ -189,14 +189,17 @@
         }
     }
 
-    /** Prevents a client that opens connections without a pause from taking the loop's time. */
+    /**
+     * Stops accepting for a while. Otherwise, a client that opens connections without a pause could
+     * use up the loop's time.
+     */
     private void suspendAccepts() {
         if (acceptsSuspended) {
             return;
         }
         acceptsSuspended = true;
         server.suspendAccepts();
-        loop.schedule(limits.acceptEveryNs(), this::resumeAccepts);
+        loop.schedule(limits.minAcceptIntervalNs(), this::resumeAccepts);
     }
 
     private void resumeAccepts() {
--- a/daemon/src/main/java/trailthread/daemon/admin/AppMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AppMetrics.java
@@ -4,26 +4,26 @@
 import trailthread.engine.metrics.RequestResult;
 
 /**
- * The metrics whose names the operators have prescribed (docs/operations.md explains them). They
- * are rendered here, as Prometheus' writers would append a suffix to the counters' names.
+ * The metrics whose names the operators have prescribed; docs/operations.md explains them. Rendered
+ * here, as the writers of the Prometheus library would append a suffix to the counters' names.
  *
- * @param classes the metrics of each request class, which may be live ones
- * @param attemptsSent attempts that were written to their last byte
- * @param endpoints how many endpoints are listed
- * @param avoidedEndpoints how many of these the node avoids
- * @param reloadsApplied configurations that were applied at a reload
- * @param reloadsRejected configurations that were not
+ * @param classes the metrics of each request class; they are not copied, so render them at once
+ * @param attemptsSent attempts whose last byte was written
+ * @param listedEndpoints the number of listed endpoints
+ * @param avoidedEndpoints the number of listed endpoints that the balancer avoids
+ * @param reloadsApplied configurations that were applied on a reload
+ * @param reloadsRejected configurations that were rejected on a reload
  */
 record AppMetrics(
         Map<String, ClassMetrics> classes,
         long attemptsSent,
-        int endpoints,
+        int listedEndpoints,
         int avoidedEndpoints,
         long reloadsApplied,
         long reloadsRejected) {
     private static final int TYPICAL_LINE_CHARACTERS = 64;
 
-    /** The metrics as text, one a line. */
+    /** Renders the metrics as text, one per line. */
     String render() {
         int lines = (classes.size() + 1) * RequestResult.values().length;
         StringBuilder out = new StringBuilder(TYPICAL_LINE_CHARACTERS * lines);
@@ -32,7 +32,7 @@
         }
         append(out, "sends", attemptsSent);
         append(out, "current", classes.values().stream().mapToLong(ClassMetrics::inFlight).sum());
-        append(out, "cluster_size", endpoints);
+        append(out, "cluster_size", listedEndpoints);
         append(out, "cluster_unhealthy", avoidedEndpoints);
         append(out, "conf_loaded", reloadsApplied);
         append(out, "conf_invalid", reloadsRejected);
--- a/daemon/src/main/java/trailthread/daemon/admin/ClassMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/ClassMetrics.java
@@ -8,7 +8,7 @@
     long admitted;
 
     /** Admitted requests whose client disconnected before the response. */
-    long clientsGone;
+    long clientDisconnects;
 
     /** Responses to admitted requests. */
     final EnumCounts<RequestResult> responses;
@@ -23,7 +23,7 @@
 
     private ClassMetrics(ClassMetrics other) {
         admitted = other.admitted;
-        clientsGone = other.clientsGone;
+        clientDisconnects = other.clientDisconnects;
         responses = other.responses.copy();
         durations = other.durations.copy();
     }
@@ -32,8 +32,8 @@
         return new ClassMetrics(this);
     }
 
-    /** Requests that have neither their response nor lost their client. */
+    /** Admitted requests whose response is pending and whose client is still connected. */
     long inFlight() {
-        return admitted - clientsGone - durations.count();
+        return admitted - clientDisconnects - durations.count();
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/admin/DurationHistogram.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/DurationHistogram.java
@@ -5,7 +5,7 @@
 /** A histogram of durations with fixed buckets. */
 final class DurationHistogram {
     /**
-     * Upper bounds of the buckets in seconds: from one turn of the loop to the longest deadlines.
+     * Upper bounds of the buckets in seconds: from one pass of the loop to the longest deadlines.
      */
     private static final double[] UPPER_BOUNDS_S = {
         0.001,
@@ -58,7 +58,7 @@
         return UPPER_BOUNDS_S.clone();
     }
 
-    /** The number of durations in each bucket; not cumulative. */
+    /** The number of durations in each bucket, not cumulative. */
     long[] counts() {
         return counts;
     }
--- a/daemon/src/main/java/trailthread/daemon/admin/EndpointMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/EndpointMetrics.java
@@ -5,15 +5,15 @@
 import trailthread.api.LoadReport;
 import trailthread.api.Outcome;
 
-/** What this node has seen of one endpoint. */
+/** Metrics of one endpoint, from this node's attempts and health checks. */
 final class EndpointMetrics {
-    /** Those that fail less first, then those with less work, then the faster ones. */
+    /** Orders endpoints by failure ratio, then by load, then by latency, the lowest first. */
     static final Comparator<EndpointMetrics> BEST_FIRST =
             Comparator.comparingDouble((EndpointMetrics endpoint) -> endpoint.failureRatio)
                     .thenComparingDouble(endpoint -> endpoint.inFlight + orZero(endpoint.queue))
                     .thenComparingDouble(endpoint -> orZero(endpoint.latencySeconds));
 
-    /** Weight of one attempt in the smoothed values, which so remember about ten attempts. */
+    /** Weight of one attempt in the smoothed values, which so average about ten attempts. */
     private static final double SMOOTHING_WEIGHT = 0.1;
 
     private static final double NS_PER_SECOND = 1e9;
@@ -21,21 +21,21 @@
     final String id;
     EndpointState state;
 
-    /** Attempts of this node's that have not ended. */
+    /** This node's attempts that have not ended. */
     long inFlight;
 
-    /** Attempts that ended, without those that say nothing of the endpoint. */
+    /** Attempts that ended, without inconclusive ones: not sent, or cancelled. */
     long attempts;
 
     long failures;
 
-    /** Smoothed share of attempts that failed. */
+    /** Smoothed share of failures among {@link #attempts}. */
     double failureRatio;
 
-    /** Smoothed latency of the attempts served; NaN if there were none. */
+    /** Smoothed latency of successful attempts; NaN if there were none. */
     double latencySeconds = Double.NaN;
 
-    /** The length of the queue that the endpoint reported last; NaN if it reported none. */
+    /** The queue length that the endpoint last reported; NaN if it reported none. */
     double queue = Double.NaN;
 
     EndpointMetrics(String id, EndpointState state) {
@@ -59,17 +59,18 @@
     }
 
     /**
-     * An attempt has ended.
+     * Records the end of an attempt.
      *
-     * @param latencyNs -1 if it is not known
-     * @param load what the endpoint reported with it, or null
+     * @param latencyNs -1 if unknown
+     * @param load the load report that came with the response, or null
      */
-    void attemptEnded(Outcome outcome, long latencyNs, LoadReport load) {
-        // It may have begun before the endpoint left the list and came back.
+    void recordAttempt(Outcome outcome, long latencyNs, LoadReport load) {
+        // The attempt may have started before the endpoint was removed from the list and added
+        // again with new metrics.
         inFlight = Math.max(0, inFlight - 1);
-        loadReported(load);
-        boolean saysNothing = outcome == Outcome.NOT_SENT || outcome == Outcome.CANCELLED;
-        if (saysNothing) {
+        recordLoad(load);
+        boolean isInconclusive = outcome == Outcome.NOT_SENT || outcome == Outcome.CANCELLED;
+        if (isInconclusive) {
             return;
         }
         boolean failed = outcome != Outcome.OK && outcome != Outcome.REJECTED;
@@ -87,14 +88,14 @@
         return average + SMOOTHING_WEIGHT * (value - average);
     }
 
-    /** The endpoint has reported its load; null if it has not. */
-    void loadReported(LoadReport load) {
+    /** Records a load report; null if the endpoint sent none. */
+    void recordLoad(LoadReport load) {
         if (load != null && !Double.isNaN(load.queue())) {
             queue = load.queue();
         }
     }
 
-    /** The value, or 0 if it is not known. */
+    /** Returns the value, or 0 if it is unknown (NaN). */
     static double orZero(double value) {
         return Double.isNaN(value) ? 0 : value;
     }
--- a/daemon/src/main/java/trailthread/daemon/admin/EndpointTotals.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/EndpointTotals.java
@@ -1,24 +1,24 @@
 package trailthread.daemon.admin;
 
-/** Sums over several endpoints. */
+/** Sums of the metrics of several endpoints. */
 final class EndpointTotals {
-    private int endpoints;
+    private int endpointCount;
     private long inFlight;
     private long attempts;
     private long failures;
     private double queue;
 
     void add(EndpointMetrics endpoint) {
-        endpoints++;
+        endpointCount++;
         inFlight += endpoint.inFlight;
         attempts += endpoint.attempts;
         failures += endpoint.failures;
         queue += EndpointMetrics.orZero(endpoint.queue);
     }
 
-    /** How many endpoints were added. */
-    int endpoints() {
-        return endpoints;
+    /** The number of endpoints added. */
+    int endpointCount() {
+        return endpointCount;
     }
 
     long inFlight() {
--- a/daemon/src/main/java/trailthread/daemon/admin/Exposition.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/Exposition.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** Renders a snapshot for Prometheus; docs/operations.md explains each metric to operators. */
+/** Renders a snapshot for Prometheus. docs/operations.md explains each metric to operators. */
 final class Exposition {
     private static final int TYPICAL_BYTES = 64 * 1024;
     private static final double NS_PER_SECOND = 1e9;
@@ -18,8 +18,8 @@
     /**
      * Renders all metrics of a node.
      *
-     * @param nodeName the node's name, as configured
-     * @param writer writes the format that is wanted
+     * @param nodeName the configured name of the node
+     * @param writer writes the requested format
      */
     static byte[] render(
             Snapshot snapshot,
@@ -48,7 +48,7 @@
                 Labels.of("name", nodeName, "version", version));
         families.gauge(
                 "trailthread_ready",
-                "Whether the node takes clients: 1 or 0.",
+                "Whether the node is ready for clients: 1 or 0.",
                 snapshot.ready() ? 1 : 0);
     }
 
@@ -56,49 +56,52 @@
         if (snapshot.level() != null) {
             families.stateSet(
                     "trailthread_level",
-                    "The level of service.",
+                    "Current degradation level.",
                     snapshot.levelChanges().keySet(),
                     snapshot.level());
             families.gauge(
                     "trailthread_level_start_time_seconds",
-                    "Since when the level is held, in Unix time.",
+                    "When the current degradation level was entered, in Unix time.",
                     snapshot.levelSince() / NS_PER_SECOND);
         }
         families.counters(
                 "trailthread_level_changes",
-                "How often each level was entered.",
+                "Changes to each degradation level.",
                 "level",
                 snapshot.levelChanges());
         families.gauges(
                 "trailthread_reading",
-                "What the level rests on; each name ends in its unit.",
+                "Readings that determine the degradation level; each name ends in its unit.",
                 "reading",
                 snapshot.readings());
         families.histogram(
                 "trailthread_loop_lateness_seconds",
-                "How late a timer of each tenth of a second ran.",
+                "Lateness of a timer that runs every 0.1 seconds on the event loop.",
                 snapshot.timerLateness());
     }
 
     private void addRequests(Snapshot snapshot) {
         Map<String, ClassMetrics> classes = snapshot.classes();
         families.classCounters(
-                "trailthread_calls", "Calls taken.", classes, metrics -> metrics.admitted);
-        families.responseCounters("trailthread_answers", "Answers to calls taken.", classes);
+                "trailthread_calls", "Requests admitted.", classes, metrics -> metrics.admitted);
+        families.responseCounters(
+                "trailthread_answers", "Responses to admitted requests.", classes);
         families.classCounters(
                 "trailthread_calls_gone",
-                "Calls whose client went before the answer.",
+                "Admitted requests whose client disconnected before the response.",
                 classes,
-                metrics -> metrics.clientsGone);
+                metrics -> metrics.clientDisconnects);
         families.classHistograms(
-                "trailthread_call_duration_seconds", "From a call taken to its answer.", classes);
+                "trailthread_call_duration_seconds",
+                "Time from admitting a request to its response.",
+                classes);
         families.gauge(
                 "trailthread_calls_at_work",
-                "Calls taken that are not answered as yet.",
+                "Requests admitted and not yet answered.",
                 classes.values().stream().mapToLong(ClassMetrics::inFlight).sum());
         families.counters(
                 "trailthread_rejected",
-                "Requests answered without being taken as a call.",
+                "Requests rejected without being admitted.",
                 "reason",
                 snapshot.rejections());
     }
@@ -106,16 +109,16 @@
     private void addAttempts(Snapshot snapshot) {
         families.counters(
                 "trailthread_attempts",
-                "Attempts at workers that have ended.",
+                "Attempts at endpoints that have ended.",
                 "outcome",
                 snapshot.attempts());
         families.gauge(
                 "trailthread_attempts_at_work",
-                "Attempts at workers that have not ended.",
+                "Attempts at endpoints that have not ended.",
                 snapshot.attemptsInFlight());
         families.counters(
                 "trailthread_probes",
-                "Probes of workers that have ended.",
+                "Health checks of endpoints that have ended.",
                 "outcome",
                 snapshot.healthChecks());
     }
@@ -123,12 +126,12 @@
     private void addConnections(Snapshot snapshot) {
         families.gauges(
                 "trailthread_client_connections",
-                "Connections to clients.",
+                "Connections from clients.",
                 "state",
                 snapshot.clientConnections());
         families.gauges(
                 "trailthread_worker_connections",
-                "Connections to workers.",
+                "Connections to endpoints.",
                 "state",
                 snapshot.endpointConnections());
         families.gauge(
@@ -139,7 +142,7 @@
 
     private void addProcess(ProcessMetrics process) {
         families.gaugeIfKnown(
-                "process_open_fds", "File descriptors held.", process.openDescriptors());
+                "process_open_fds", "Open file descriptors.", process.openDescriptors());
         families.gaugeIfKnown(
                 "process_resident_memory_bytes", "Resident memory.", process.residentBytes());
         families.gaugeIfKnown(
@@ -147,9 +150,7 @@
                 "When the process started, in Unix time.",
                 process.startSeconds());
         families.counterIfKnown(
-                "process_cpu_seconds",
-                "Processor time used, by users and system.",
-                process.cpuSeconds());
+                "process_cpu_seconds", "User and system CPU time used.", process.cpuSeconds());
         addHeap("jvm_memory_used_bytes", "Memory in use.", process.heapUsedBytes());
         addHeap(
                 "jvm_memory_committed_bytes",
@@ -165,39 +166,41 @@
     private void addEndpoints(FleetMetrics fleet) {
         families.gauges(
                 "trailthread_workers",
-                "Workers listed.",
+                "Endpoints listed.",
                 "state",
-                Map.of("ready", fleet.ready(), "draining", fleet.draining()));
+                Map.of("ready", fleet.readyCount(), "draining", fleet.drainingCount()));
         families.endpointGauges(
                 "trailthread_worker_in_flight",
-                "Attempts of this node's at the worker.",
-                fleet.worst(),
+                "Attempts of this node in flight at the endpoint.",
+                fleet.worstEndpoints(),
                 endpoint -> endpoint.inFlight);
         families.endpointGauges(
                 "trailthread_worker_queue",
-                "The queue that the worker told of last.",
-                fleet.worst(),
+                "Queue length that the endpoint last reported.",
+                fleet.worstEndpoints(),
                 endpoint -> endpoint.queue);
         families.endpointGauges(
                 "trailthread_worker_latency_seconds",
-                "Smoothed time to the answer, of attempts served.",
-                fleet.worst(),
+                "Smoothed latency of successful attempts.",
+                fleet.worstEndpoints(),
                 endpoint -> endpoint.latencySeconds);
         families.endpointGauges(
                 "trailthread_worker_failure_ratio",
                 "Smoothed share of attempts that failed.",
-                fleet.worst(),
+                fleet.worstEndpoints(),
                 endpoint -> endpoint.failureRatio);
-        EndpointTotals others = fleet.others();
+        EndpointTotals others = fleet.otherEndpoints();
         families.gauge(
                 "trailthread_other_workers",
-                "Workers without figures of their own here.",
-                others.endpoints());
+                "Endpoints without metrics of their own here.",
+                others.endpointCount());
         families.gauge(
                 "trailthread_other_workers_in_flight",
-                "Attempts of this node's at these.",
+                "Attempts of this node in flight at endpoints without metrics of their own.",
                 others.inFlight());
         families.gauge(
-                "trailthread_other_workers_queue", "The queues of these together.", others.queue());
+                "trailthread_other_workers_queue",
+                "Total queue length of endpoints without metrics of their own.",
+                others.queue());
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/admin/FleetMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/FleetMetrics.java
@@ -8,36 +8,40 @@
 import trailthread.api.EndpointState;
 
 /**
- * The metrics of all endpoints, in bounded space.
+ * The metrics of all endpoints, in bounded memory.
  *
- * @param ready how many endpoints are ready
- * @param draining how many are not
- * @param worst the worst of them one by one, the worst first
- * @param others the sums over all others
+ * @param readyCount the number of ready endpoints
+ * @param drainingCount the number of other listed endpoints
+ * @param worstEndpoints metrics of each of the worst endpoints, the worst first
+ * @param otherEndpoints sums of the metrics of all other endpoints
  */
-record FleetMetrics(int ready, int draining, List<EndpointMetrics> worst, EndpointTotals others) {
+record FleetMetrics(
+        int readyCount,
+        int drainingCount,
+        List<EndpointMetrics> worstEndpoints,
+        EndpointTotals otherEndpoints) {
 
     /**
-     * Copies the metrics of the worst endpoints, and sums up the others.
+     * Copies the metrics of the worst endpoints, and sums up those of the others.
      *
-     * @param maxShown how many endpoints are copied at most
+     * @param maxWorst the maximum number of endpoints in {@link #worstEndpoints}
      */
-    static FleetMetrics of(Collection<EndpointMetrics> endpoints, int maxShown) {
+    static FleetMetrics summarize(Collection<EndpointMetrics> endpoints, int maxWorst) {
         PriorityQueue<EndpointMetrics> worst =
-                new PriorityQueue<>(maxShown + 1, EndpointMetrics.BEST_FIRST);
+                new PriorityQueue<>(maxWorst + 1, EndpointMetrics.BEST_FIRST);
         EndpointTotals others = new EndpointTotals();
         int ready = 0;
         for (EndpointMetrics endpoint : endpoints) {
             ready += endpoint.state == EndpointState.READY ? 1 : 0;
             boolean isWorse =
-                    worst.size() < maxShown
+                    worst.size() < maxWorst
                             || EndpointMetrics.BEST_FIRST.compare(endpoint, worst.peek()) > 0;
             if (!isWorse) {
                 others.add(endpoint);
                 continue;
             }
             worst.add(endpoint);
-            if (worst.size() > maxShown) {
+            if (worst.size() > maxWorst) {
                 others.add(worst.poll());
             }
         }
--- a/daemon/src/main/java/trailthread/daemon/admin/MetricFamilies.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/MetricFamilies.java
@@ -22,9 +22,9 @@
 import java.util.function.ToDoubleFunction;
 import trailthread.engine.metrics.RequestResult;
 
-/** Collects metric families in the classes of Prometheus' library. */
+/** Collects metric families as objects of the Prometheus library. */
 final class MetricFamilies {
-    private static final long NOT_CREATED = 0;
+    private static final long NO_CREATION_TIME = 0;
 
     private final List<MetricSnapshot> families = new ArrayList<>();
 
@@ -68,7 +68,7 @@
         families.add(gauge.build());
     }
 
-    /** Adds a gauge with a value for each endpoint for which it is not NaN. */
+    /** Adds a gauge with a value for each endpoint, except where the value is NaN. */
     void endpointGauges(
             String name,
             String help,
@@ -105,7 +105,7 @@
             String name, String help, String label, EnumCounts<E> counts) {
         CounterSnapshot.Builder counter = counter(name, help);
         for (E constant : counts.constants()) {
-            Labels labels = Labels.of(label, MetricLabels.of(constant));
+            Labels labels = Labels.of(label, MetricLabels.valueOf(constant));
             counter.dataPoint(counterPoint(counts.get(constant), labels));
         }
         families.add(counter.build());
@@ -135,7 +135,10 @@
             for (RequestResult result : responses.constants()) {
                 Labels labels =
                         Labels.of(
-                                "class", requestClass.getKey(), "answer", MetricLabels.of(result));
+                                "class",
+                                requestClass.getKey(),
+                                "answer",
+                                MetricLabels.valueOf(result));
                 counter.dataPoint(counterPoint(responses.get(result), labels));
             }
         }
@@ -186,7 +189,7 @@
     }
 
     private static CounterDataPointSnapshot counterPoint(double value, Labels labels) {
-        return new CounterDataPointSnapshot(value, labels, null, NOT_CREATED);
+        return new CounterDataPointSnapshot(value, labels, null, NO_CREATION_TIME);
     }
 
     private static HistogramDataPointSnapshot histogramPoint(
@@ -194,6 +197,6 @@
         ClassicHistogramBuckets buckets =
                 ClassicHistogramBuckets.of(durations.upperBoundsSeconds(), durations.counts());
         return new HistogramDataPointSnapshot(
-                buckets, durations.sumSeconds(), labels, Exemplars.EMPTY, NOT_CREATED);
+                buckets, durations.sumSeconds(), labels, Exemplars.EMPTY, NO_CREATION_TIME);
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/admin/MetricLabels.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/MetricLabels.java
@@ -3,12 +3,14 @@
 import java.util.Locale;
 import trailthread.api.Outcome;
 
-/** The published label values of enums, which stay when their constants are renamed. */
+/**
+ * The published label values of enum constants, which must not change when a constant is renamed.
+ */
 final class MetricLabels {
     private MetricLabels() {}
 
-    /** The label value of a constant, in metrics and in the status document. */
-    static String of(Enum<?> value) {
+    /** Returns the label value of a constant in metrics and in the status document. */
+    static String valueOf(Enum<?> value) {
         if (value == Outcome.REJECTED) {
             return "full";
         }
--- a/daemon/src/main/java/trailthread/daemon/admin/MetricsCache.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/MetricsCache.java
@@ -15,14 +15,15 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * Renders the metrics, and caches the result for a while, so that the loop's time does not depend
- * on how often clients ask. The loop's thread only takes the snapshot; another thread renders it.
+ * Renders the metrics and caches the result, so that the load on the event loop does not depend on
+ * the rate of the clients' requests. The loop's thread only takes the snapshot; another thread
+ * renders it.
  */
 final class MetricsCache {
     private static final Logger LOG = LoggerFactory.getLogger(MetricsCache.class);
 
     /** A format in which metrics are rendered. */
-    enum Form {
+    enum Format {
         PROMETHEUS(PrometheusTextFormatWriter.create()),
         OPEN_METRICS(OpenMetricsTextFormatWriter.create()),
         JSON(null);
@@ -30,12 +31,12 @@
         @SuppressWarnings("ImmutableEnumChecker") // the library's writers hold no state
         private final ExpositionFormatWriter writer;
 
-        Form(ExpositionFormatWriter writer) {
+        Format(ExpositionFormatWriter writer) {
             this.writer = writer;
         }
 
-        /** The metrics format that suits an Accept header, which may be null. */
-        static Form accepted(String header) {
+        /** Returns the metrics format for an Accept header, which may be null. */
+        static Format accepted(String header) {
             return OPEN_METRICS.writer.accepts(header) ? OPEN_METRICS : PROMETHEUS;
         }
 
@@ -44,19 +45,19 @@
         }
     }
 
-    /** The last body of one format, and who waits for the next one. */
+    /** The last rendered body in one format, and the receivers that wait for the next one. */
     private static final class Entry {
-        /** Null before the first one, and if the last one could not be rendered. */
+        /** Null before the first rendering, and if the last one failed. */
         private byte[] body;
 
         private long snapshotAt;
-        private final List<Consumer<byte[]>> waiting = new ArrayList<>();
+        private final List<Consumer<byte[]>> waitingReceivers = new ArrayList<>();
 
         void complete(byte[] rendered, long at) {
             body = rendered;
             snapshotAt = at;
-            List<Consumer<byte[]>> notified = List.copyOf(waiting);
-            waiting.clear();
+            List<Consumer<byte[]>> notified = List.copyOf(waitingReceivers);
+            waitingReceivers.clear();
             notified.forEach(receiver -> receiver.accept(rendered));
         }
     }
@@ -64,68 +65,69 @@
     private final EventLoop loop;
     private final String nodeName;
     private final String version;
-    private final long freshNs;
-    private final Supplier<Snapshot> snapshots;
-    private final Map<Form, Entry> entries = new EnumMap<>(Form.class);
+    private final long cacheNs;
+    private final Supplier<Snapshot> snapshotSource;
+    private final Map<Format, Entry> entries = new EnumMap<>(Format.class);
 
     /**
      * Makes an empty cache.
      *
-     * @param freshNs for how long a body is served again, from its snapshot on
+     * @param cacheNs how long a body is served from the cache, counted from its snapshot
      */
     MetricsCache(
             EventLoop loop,
             String nodeName,
             String version,
-            long freshNs,
-            Supplier<Snapshot> snapshots) {
+            long cacheNs,
+            Supplier<Snapshot> snapshotSource) {
         this.loop = loop;
         this.nodeName = nodeName;
         this.version = version;
-        this.freshNs = freshNs;
-        this.snapshots = snapshots;
+        this.cacheNs = cacheNs;
+        this.snapshotSource = snapshotSource;
     }
 
     /**
-     * Gives the rendered metrics to a receiver, at once or later, on the loop's thread.
+     * Passes the rendered metrics to a receiver, at once or later, on the loop's thread.
      *
-     * @param receiver gets the bytes, which it must not change; null if they can't be rendered
+     * @param receiver gets the bytes, which it must not change; null if rendering failed
      */
-    void get(Form form, Consumer<byte[]> receiver) {
-        Entry entry = entries.computeIfAbsent(form, f -> new Entry());
-        if (entry.body != null && loop.now() - entry.snapshotAt < freshNs) {
+    void get(Format format, Consumer<byte[]> receiver) {
+        Entry entry = entries.computeIfAbsent(format, f -> new Entry());
+        if (entry.body != null && loop.now() - entry.snapshotAt < cacheNs) {
             receiver.accept(entry.body);
             return;
         }
-        entry.waiting.add(receiver);
-        if (entry.waiting.size() == 1) {
+        entry.waitingReceivers.add(receiver);
+        if (entry.waitingReceivers.size() == 1) {
             long now = loop.now();
-            Snapshot snapshot = snapshots.get();
-            loop.xnioWorker().execute(() -> renderInto(entry, form, snapshot, now));
+            Snapshot snapshot = snapshotSource.get();
+            loop.xnioWorker().execute(() -> renderInto(entry, format, snapshot, now));
         }
     }
 
     /**
-     * Completes the entry even if the rendering ends in an error, so that nobody waits for ever.
+     * Renders a snapshot and completes the entry, even if rendering throws an error: its receivers
+     * would otherwise wait for ever.
      */
-    private void renderInto(Entry entry, Form form, Snapshot snapshot, long snapshotAt) {
+    private void renderInto(Entry entry, Format format, Snapshot snapshot, long snapshotAt) {
         byte[] body = null;
         try {
-            body = render(form, snapshot);
+            body = render(format, snapshot);
         } finally {
             byte[] rendered = body;
             loop.execute(() -> entry.complete(rendered, snapshotAt));
         }
     }
 
-    private byte[] render(Form form, Snapshot snapshot) {
+    private byte[] render(Format format, Snapshot snapshot) {
         try {
             ProcessMetrics process = ProcessMetrics.read();
-            return form.writer == null
+            return format.writer == null
                     ? StatusJson.render(snapshot, process, nodeName, version)
-                    : Exposition.render(snapshot, process, nodeName, version, form.writer);
+                    : Exposition.render(snapshot, process, nodeName, version, format.writer);
         } catch (IOException | RuntimeException e) {
-            LOG.error("the metrics can't be rendered", e);
+            LOG.error("cannot render the metrics", e);
             return null;
         }
     }
--- a/daemon/src/main/java/trailthread/daemon/admin/NodeMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/NodeMetrics.java
@@ -14,10 +14,12 @@
 import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.metrics.RequestResult;
 
-/** Counts what happens in one node. All methods run on the loop's thread. */
+/** Records the events of one node as metrics. All methods run on the loop's thread. */
 final class NodeMetrics implements MetricsRecorder {
-    /** How many endpoints have metrics of their own in a snapshot; the others are summed up. */
-    static final int MAX_ENDPOINTS_SHOWN = 1_024;
+    /**
+     * Maximum number of endpoints with metrics of their own in a snapshot; others are summed up.
+     */
+    static final int MAX_SEPARATE_ENDPOINTS = 1_024;
 
     private final Map<String, ClassMetrics> classes = new LinkedHashMap<>();
     private final Map<String, EndpointMetrics> endpoints = new HashMap<>();
@@ -36,13 +38,13 @@
     /**
      * Makes the metrics of a node.
      *
-     * @param classes request classes that are shown before their first request
+     * @param classes request classes whose metrics are exported before their first request
      */
     NodeMetrics(List<String> classes) {
         classes.forEach(this::addClass);
     }
 
-    /** Shows a request class, with counts of 0 before its first request. */
+    /** Adds a request class, whose metrics are exported as 0 before its first request. */
     void addClass(String requestClass) {
         metricsOf(requestClass);
     }
@@ -58,15 +60,15 @@
 
     @Override
     public void requestAnswered(
-            String requestClass, RequestResult result, long afterNs, long waitedNs) {
+            String requestClass, RequestResult result, long latencyNs, long queuedNs) {
         ClassMetrics metrics = metricsOf(requestClass);
         metrics.responses.increment(result);
-        metrics.durations.add(afterNs);
+        metrics.durations.add(latencyNs);
     }
 
     @Override
     public void clientDisconnected(String requestClass) {
-        metricsOf(requestClass).clientsGone++;
+        metricsOf(requestClass).clientDisconnects++;
     }
 
     @Override
@@ -94,7 +96,7 @@
         attempts.increment(outcome);
         EndpointMetrics metrics = endpoints.get(endpoint);
         if (metrics != null) {
-            metrics.attemptEnded(outcome, latencyNs, load);
+            metrics.recordAttempt(outcome, latencyNs, load);
         }
     }
 
@@ -103,20 +105,20 @@
         healthChecks.increment(outcome);
         EndpointMetrics metrics = endpoints.get(endpoint);
         if (metrics != null) {
-            metrics.loadReported(load);
+            metrics.recordLoad(load);
         }
     }
 
     @Override
     public void endpointListUpdated(ListKind kind, List<EndpointEntry> entries) {
-        Map<String, EndpointMetrics> before = Map.of();
+        Map<String, EndpointMetrics> previous = Map.of();
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
-            before = new HashMap<>(endpoints);
+            previous = new HashMap<>(endpoints);
             endpoints.clear();
         }
         for (EndpointEntry entry : entries) {
             String id = entry.endpoint();
-            EndpointMetrics metrics = endpoints.getOrDefault(id, before.get(id));
+            EndpointMetrics metrics = endpoints.getOrDefault(id, previous.get(id));
             if (entry.state() == EndpointState.GONE) {
                 endpoints.remove(id);
             } else if (metrics == null) {
@@ -149,9 +151,9 @@
         levelSince = now;
     }
 
-    /** The regular timer ran this long after it was due. */
-    void timerRan(long lateNs) {
-        timerLateness.add(lateNs);
+    /** Records how long after its deadline the periodic timer ran. */
+    void recordTimerLateness(long latenessNs) {
+        timerLateness.add(latenessNs);
     }
 
     /** The current values of the metrics whose names the operators have prescribed. */
@@ -165,7 +167,7 @@
                 reloadsRejected);
     }
 
-    /** Copies all metrics, together with what the node says of itself. */
+    /** Copies all metrics and the node's status. */
     Snapshot snapshot(NodeStatus status) {
         Map<String, ClassMetrics> classCopies = new LinkedHashMap<>();
         classes.forEach((name, metrics) -> classCopies.put(name, metrics.copy()));
@@ -184,10 +186,12 @@
                 new LinkedHashMap<>(status.clientConnections()),
                 new LinkedHashMap<>(status.endpointConnections()),
                 status.descriptorLimit(),
-                FleetMetrics.of(endpoints.values(), MAX_ENDPOINTS_SHOWN));
+                FleetMetrics.summarize(endpoints.values(), MAX_SEPARATE_ENDPOINTS));
     }
 
-    /** The changes to every level, in the order of the levels; 0 for those never entered. */
+    /**
+     * The number of changes to each level, in the order of the levels; 0 if it was never entered.
+     */
     private Map<String, Long> levelChanges(List<String> levels) {
         Map<String, Long> changes = new LinkedHashMap<>();
         levels.forEach(name -> changes.put(name, 0L));
--- a/daemon/src/main/java/trailthread/daemon/admin/ProcessMetrics.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/ProcessMetrics.java
@@ -7,8 +7,8 @@
 import java.time.Instant;
 
 /**
- * The resources that the process uses; NaN where the system does not say. They are read from /proc
- * (proc(5)), as the virtual machine's management classes would take megabytes of memory.
+ * The resources that the process uses; NaN where unknown. They are read from /proc (proc(5)) rather
+ * than from the JVM's management classes, which would take megabytes of memory.
  */
 record ProcessMetrics(
         double openDescriptors,
@@ -28,7 +28,7 @@
     private static final double NS_PER_SECOND = 1e9;
     private static final double MS_PER_SECOND = 1e3;
 
-    /** Reads the current values from files; not to be called on the loop's thread. */
+    /** Reads the current values. This reads files, so it must not run on the loop's thread. */
     static ProcessMetrics read() {
         Runtime runtime = Runtime.getRuntime();
         ProcessHandle.Info info = ProcessHandle.current().info();
@@ -50,7 +50,9 @@
 
     private static double countOpenDescriptors() {
         String[] open = DESCRIPTORS.toFile().list();
-        return open == null ? Double.NaN : open.length - 1; // one is open to read the directory
+        return open == null
+                ? Double.NaN
+                : open.length - 1; // one is open for reading the directory itself
     }
 
     private static double readResidentBytes() {
@@ -62,7 +64,7 @@
                 }
             }
         } catch (IOException | NumberFormatException e) {
-            return Double.NaN; // not known on this system
+            return Double.NaN; // not available on this system
         }
         return Double.NaN;
     }
--- a/daemon/src/main/java/trailthread/daemon/admin/StatusJson.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/StatusJson.java
@@ -8,13 +8,12 @@
 import java.util.Map;
 import trailthread.engine.metrics.RequestResult;
 
-/**
- * Renders a snapshot as one JSON object, for people and scripts. Values that are not known are left
- * out.
- */
+/** Renders a snapshot as one JSON object, for people and scripts. Unknown values are left out. */
 final class StatusJson {
-    /** Integers below this are written without a fraction: a double represents them all. */
-    private static final double EXACT_INTEGERS = 1L << 53;
+    /**
+     * Integers below this are written without a fraction: a double represents each of them exactly.
+     */
+    private static final double EXACT_INTEGER_LIMIT = 1L << 53;
 
     private final JsonWriter out;
 
@@ -81,9 +80,9 @@
             out.name(requestClass.getKey()).beginObject();
             out.name("taken").value(metrics.admitted);
             for (RequestResult result : metrics.responses.constants()) {
-                out.name(MetricLabels.of(result)).value(metrics.responses.get(result));
+                out.name(MetricLabels.valueOf(result)).value(metrics.responses.get(result));
             }
-            out.name("gone").value(metrics.clientsGone);
+            out.name("gone").value(metrics.clientDisconnects);
             out.name("at_work").value(metrics.inFlight());
             writeNumber("mean_seconds", durations.sumSeconds() / durations.count());
             out.endObject();
@@ -93,16 +92,16 @@
 
     private void writeEndpoints(FleetMetrics fleet) throws IOException {
         out.name("workers").beginObject();
-        out.name("ready").value(fleet.ready());
-        out.name("draining").value(fleet.draining());
+        out.name("ready").value(fleet.readyCount());
+        out.name("draining").value(fleet.drainingCount());
         out.name("worst").beginArray();
-        for (EndpointMetrics endpoint : fleet.worst()) {
+        for (EndpointMetrics endpoint : fleet.worstEndpoints()) {
             writeEndpoint(endpoint);
         }
         out.endArray();
-        EndpointTotals others = fleet.others();
+        EndpointTotals others = fleet.otherEndpoints();
         out.name("others").beginObject();
-        out.name("count").value(others.endpoints());
+        out.name("count").value(others.endpointCount());
         out.name("in_flight").value(others.inFlight());
         writeNumber("queue", others.queue());
         out.name("attempts").value(others.attempts());
@@ -114,7 +113,7 @@
     private void writeEndpoint(EndpointMetrics endpoint) throws IOException {
         out.beginObject();
         out.name("id").value(endpoint.id);
-        out.name("state").value(MetricLabels.of(endpoint.state));
+        out.name("state").value(MetricLabels.valueOf(endpoint.state));
         out.name("in_flight").value(endpoint.inFlight);
         writeNumber("queue", endpoint.queue);
         writeNumber("latency_seconds", endpoint.latencySeconds);
@@ -124,7 +123,7 @@
         out.endObject();
     }
 
-    /** Writes those of the values that JSON can represent: the finite ones. */
+    /** Writes the finite values, as JSON can't represent others. */
     private void writeNumbers(String name, Map<String, ? extends Number> values)
             throws IOException {
         out.name(name).beginObject();
@@ -140,14 +139,14 @@
             throws IOException {
         out.name(name).beginObject();
         for (E constant : counts.constants()) {
-            out.name(MetricLabels.of(constant)).value(counts.get(constant));
+            out.name(MetricLabels.valueOf(constant)).value(counts.get(constant));
         }
         out.endObject();
     }
 
-    /** Writes a number, unless it is not finite: JSON can't represent those. */
+    /** Writes a number if it is finite, as JSON can't represent others. */
     private void writeNumber(String name, double value) throws IOException {
-        if (value == Math.rint(value) && Math.abs(value) < EXACT_INTEGERS) {
+        if (value == Math.rint(value) && Math.abs(value) < EXACT_INTEGER_LIMIT) {
             out.name(name).value((long) value);
         } else if (Double.isFinite(value)) {
             out.name(name).value(value);
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
@@ -96,8 +96,8 @@
             return;
         }
         HeaderMap to = exchange.getResponseHeaders();
-        // The result is not needed: headers that could be taken for the start of another response
-        // are left out, and endpoints have not been seen to send any.
+        // The result is not needed: forwarding stops before a header that could be taken for the
+        // start of another response, and endpoints have not been seen to send such headers.
         EndToEndHeaders.forward(from, NOT_FORWARDED, to::add);
         to.add(Headers.VIA, "1.1 trailthread");
         String length = from.getFirst(Headers.CONTENT_LENGTH);
--- a/daemon/src/test/java/trailthread/daemon/admin/MetricLabelsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/MetricLabelsTest.java
@@ -13,7 +13,7 @@
 /** The label values that dashboards and alerts rely on, whatever the constants are called. */
 public class MetricLabelsTest {
     private static List<String> labels(Enum<?>[] constants) {
-        return Arrays.stream(constants).map(MetricLabels::of).toList();
+        return Arrays.stream(constants).map(MetricLabels::valueOf).toList();
     }
 
     @Test
--- a/daemon/src/test/java/trailthread/daemon/admin/MetricsExpositionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/MetricsExpositionTest.java
@@ -184,22 +184,24 @@
         metrics.attemptStarted("w9");
         attempt("unlisted", Outcome.RESET, 0);
         FleetMetrics fleet = metrics.snapshot(new FixedNodeStatus()).fleet();
-        assertEquals(10_000, fleet.ready());
+        assertEquals(10_000, fleet.readyCount());
         assertEquals(
                 List.of("w4321", "w77", "w9"),
-                fleet.worst().subList(0, 3).stream().map(endpoint -> endpoint.id).toList());
-        assertEquals(NodeMetrics.MAX_ENDPOINTS_SHOWN, fleet.worst().size());
-        assertEquals(8_976, fleet.others().endpoints());
-        assertEquals(8_976, fleet.others().attempts());
-        assertEquals(0, fleet.others().inFlight() + fleet.others().failures());
-        assertEquals(17_952, fleet.others().queue(), 0);
+                fleet.worstEndpoints().subList(0, 3).stream()
+                        .map(endpoint -> endpoint.id)
+                        .toList());
+        assertEquals(NodeMetrics.MAX_SEPARATE_ENDPOINTS, fleet.worstEndpoints().size());
+        assertEquals(8_976, fleet.otherEndpoints().endpointCount());
+        assertEquals(8_976, fleet.otherEndpoints().attempts());
+        assertEquals(0, fleet.otherEndpoints().inFlight() + fleet.otherEndpoints().failures());
+        assertEquals(17_952, fleet.otherEndpoints().queue(), 0);
         list(ListKind.FULL, EndpointState.READY, "w77", "new");
         list(ListKind.FAILED, EndpointState.READY);
         attempt("w77", Outcome.NOT_SENT, 0);
         list(ListKind.DELTA, EndpointState.GONE, "new");
         fleet = metrics.snapshot(new FixedNodeStatus()).fleet();
-        assertEquals(1, fleet.worst().size());
-        assertEquals("kept across lists", 2, fleet.worst().get(0).attempts);
+        assertEquals(1, fleet.worstEndpoints().size());
+        assertEquals("kept across lists", 2, fleet.worstEndpoints().get(0).attempts);
     }
 
     /** In the page's tables, each row begins with a metric's name and its type. */
