--- a/daemon/src/test/java/trailthread/daemon/admin/AdminServerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/AdminServerTest.java
@@ -32,10 +32,10 @@
 import trailthread.engine.metrics.NodeControl;
 import trailthread.engine.metrics.RequestResult;
 
-/** The admin server over real sockets: its responses, and the limits of its clients. */
+/** The admin server over real sockets: its responses and the limits on its clients. */
 public class AdminServerTest {
-    private static final int LONGEST_WAIT_S = 30;
-    private static final int LONG_MS = 1000 * LONGEST_WAIT_S;
+    private static final int TIMEOUT_S = 30;
+    private static final int LONG_MS = 1000 * TIMEOUT_S;
     private static final long LONG_NS = 1_000_000L * LONG_MS;
     private static final int SHORT_MS = 200;
     private static final long SHORT_NS = 1_000_000L * SHORT_MS;
@@ -44,21 +44,21 @@
                     "read", 1, 0, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 1, 0);
 
     private final FixedNodeStatus status = new FixedNodeStatus();
-    private final List<String> executed = new CopyOnWriteArrayList<>();
+    private final List<String> executedCommands = new CopyOnWriteArrayList<>();
     private final NodeControl control =
             new NodeControl() {
                 @Override
                 public boolean drain() {
-                    return executed.add("drain");
+                    return executedCommands.add("drain");
                 }
 
                 @Override
                 public boolean resume() {
-                    executed.add("resume");
+                    executedCommands.add("resume");
                     return false;
                 }
             };
-    private final List<Closeable> open = new ArrayList<>();
+    private final List<Closeable> toClose = new ArrayList<>();
     private final EventLoop loop = new EventLoop("test");
     private AdminServer server;
     private InetSocketAddress address;
@@ -77,22 +77,22 @@
 
     @After
     public void end() throws Exception {
-        for (Closeable c : open) {
+        for (Closeable c : toClose) {
             c.close();
         }
         server.close();
         CountDownLatch ended = new CountDownLatch(1);
-        // Waits for the tasks of the loop, and for what they have rendered.
+        // Waits for the loop's tasks and for the renderings that they have started.
         loop.execute(() -> loop.xnioWorker().execute(() -> loop.execute(ended::countDown)));
-        assertTrue(ended.await(LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertTrue(ended.await(TIMEOUT_S, TimeUnit.SECONDS));
         loop.xnioWorker().shutdown();
-        assertTrue(loop.xnioWorker().awaitTermination(LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertTrue(loop.xnioWorker().awaitTermination(TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     private Socket connect() throws IOException {
         Socket client = new Socket(address.getAddress(), address.getPort());
         client.setSoTimeout(LONG_MS);
-        open.add(client);
+        toClose.add(client);
         return client;
     }
 
@@ -159,10 +159,10 @@
                 "GET",
                 "/metrics",
                 "Accept: application/openmetrics-text;version=1.0.0,*/*;q=0.5\r\n");
-        String open = readResponse(client);
-        assertTrue(open, open.contains("Content-Type: application/openmetrics-text"));
-        assertTrue(open, open.endsWith("# EOF\n"));
-        assertTrue(open, open.contains("# TYPE trailthread_level stateset\n"));
+        String openMetrics = readResponse(client);
+        assertTrue(openMetrics, openMetrics.contains("Content-Type: application/openmetrics-text"));
+        assertTrue(openMetrics, openMetrics.endsWith("# EOF\n"));
+        assertTrue(openMetrics, openMetrics.contains("# TYPE trailthread_level stateset\n"));
         String statusJson = get(client, "/status");
         assertTrue(
                 statusJson,
@@ -190,12 +190,12 @@
             Socket sender = connect();
             sendRequest(sender, "GET", "/metrics", body);
             assertStatus(413, readResponse(sender));
-            assertTrue("its body is not read", isClosed(sender));
+            assertTrue("closed, with its body unread", isClosed(sender));
         }
         Socket longHead = connect();
         sendRequest(longHead, "GET", "/metrics", "X: " + "x".repeat(20_000) + "\r\n");
         assertStatus(400, readResponse(longHead));
-        assertTrue("a head without an end", isClosed(longHead));
+        assertTrue("closed after a head that is too long", isClosed(longHead));
     }
 
     /** Sends a request to a prescribed path, on a connection that ends with the response. */
@@ -253,17 +253,17 @@
         assertStatus(200, sendPrescribed("GET", "/-/ready", "\r\n"));
         assertStatus(404, sendPrescribed("GET", "/-/drain", "\r\n"));
         assertStatus(503, sendPrescribed("POST", "/-/resume", "Content-Length: 0\r\n\r\n"));
-        assertEquals(List.of("resume"), executed);
+        assertEquals(List.of("resume"), executedCommands);
         send(half, "}");
         assertStatus(200, readResponse(half));
         assertStatus(
                 200,
                 sendPrescribed("POST", "/-/drain", "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"));
-        assertEquals(List.of("resume", "drain", "drain"), executed);
+        assertEquals(List.of("resume", "drain", "drain"), executedCommands);
     }
 
     @Test
-    public void aFurtherConnectionReplacesTheOneThatIsIdleLongest() throws Exception {
+    public void aFurtherConnectionReplacesTheLongestIdleOne() throws Exception {
         listen(maxConnections(2));
         Socket first = connect();
         assertStatus(200, get(first, "/ready"));
@@ -285,7 +285,7 @@
                 .execute(
                         () -> {
                             try {
-                                rendering.await(LONGEST_WAIT_S, TimeUnit.SECONDS);
+                                rendering.await(TIMEOUT_S, TimeUnit.SECONDS);
                             } catch (InterruptedException e) {
                                 throw new AssertionError(e);
                             }
@@ -294,7 +294,7 @@
         Socket second = connect();
         sendRequest(first, "GET", "/metrics", "");
         sendRequest(second, "GET", "/status", "");
-        assertTrue(status.snapshots.tryAcquire(2, LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertTrue(status.snapshots.tryAcquire(2, TIMEOUT_S, TimeUnit.SECONDS));
         assertTrue(isClosed(connect()));
         rendering.countDown();
         assertStatus(200, readResponse(first));
@@ -329,23 +329,23 @@
         loop.execute(() -> server.metricsRecorder().endpointListUpdated(ListKind.FULL, entries));
         Socket unread = connect();
         send(unread, "GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n".repeat(requests));
-        assertTrue(status.snapshots.tryAcquire(LONGEST_WAIT_S, TimeUnit.SECONDS));
+        assertTrue(status.snapshots.tryAcquire(TIMEOUT_S, TimeUnit.SECONDS));
         int rendered = 1;
         while (status.snapshots.tryAcquire(5 * SHORT_MS, TimeUnit.MILLISECONDS)) {
             rendered++;
         }
-        assertTrue("the connection was to be full before " + rendered, rendered < requests);
-        boolean othersServed = false;
+        assertTrue("the connection should be full before " + rendered, rendered < requests);
+        boolean otherClientServed = false;
         for (long start = System.nanoTime();
-                !othersServed && System.nanoTime() - start < LONG_NS; ) {
+                !otherClientServed && System.nanoTime() - start < LONG_NS; ) {
             try (Socket other = connect()) {
                 sendRequest(other, "GET", "/ready", "");
-                othersServed = other.getInputStream().read() == 'H';
+                otherClientServed = other.getInputStream().read() == 'H';
             } catch (IOException e) {
                 Thread.sleep(SHORT_MS); // the limit is still reached
             }
         }
-        assertTrue("others are served again", othersServed);
+        assertTrue("another client is served", otherClientServed);
     }
 
     @Test
@@ -358,7 +358,7 @@
         get(client, "/metrics");
         assertTrue(System.nanoTime() - start >= SHORT_NS);
         assertEquals(
-                "rendered once for all requests within a while",
+                "rendered once for all requests within the cache time",
                 1,
                 status.snapshots.drainPermits());
     }
--- a/daemon/src/test/java/trailthread/daemon/admin/FixedNodeStatus.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/FixedNodeStatus.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.Semaphore;
 import trailthread.engine.metrics.NodeStatus;
 
-/** The status of a node that does not change; counts how often a snapshot was taken of it. */
+/** A fixed node status, which counts the snapshots that are taken. */
 final class FixedNodeStatus implements NodeStatus {
     final Semaphore snapshots = new Semaphore(0);
     volatile boolean ready = true;
--- a/daemon/src/test/java/trailthread/daemon/admin/MetricLabelsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/MetricLabelsTest.java
@@ -10,7 +10,10 @@
 import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.metrics.RequestResult;
 
-/** The label values that dashboards and alerts rely on, whatever the constants are called. */
+/**
+ * Dashboards and alerts rely on these label values, so they must not change when a constant is
+ * renamed.
+ */
 public class MetricLabelsTest {
     private static List<String> labels(Enum<?>[] constants) {
         return Arrays.stream(constants).map(MetricLabels::valueOf).toList();
--- a/daemon/src/test/java/trailthread/daemon/admin/MetricsExpositionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/admin/MetricsExpositionTest.java
@@ -26,12 +26,12 @@
 import trailthread.engine.metrics.RejectionReason;
 import trailthread.engine.metrics.RequestResult;
 
-/** What is counted, and how it is rendered. */
+/** Which events are counted, and how the metrics are rendered. */
 public class MetricsExpositionTest {
     private static final String NAME = "[a-zA-Z_:][a-zA-Z0-9_:]*";
     private static final String LABEL = "[a-zA-Z_][a-zA-Z0-9_]*=\"([^\"\\\\\n]|\\\\[\\\\\"n])*\"";
 
-    /** A line of the text format 0.0.4, as its page at prometheus.io describes it. */
+    /** A line of the text format 0.0.4, as prometheus.io specifies it. */
     private static final Pattern LINE =
             Pattern.compile(
                     "# HELP "
@@ -79,7 +79,7 @@
         return JsonParser.parseString(new String(json, StandardCharsets.UTF_8)).getAsJsonObject();
     }
 
-    private void list(ListKind kind, EndpointState state, String... endpoints) {
+    private void updateList(ListKind kind, EndpointState state, String... endpoints) {
         List<EndpointEntry> entries = new ArrayList<>();
         for (String endpoint : endpoints) {
             entries.add(new EndpointEntry(endpoint, 1, state, "a", 0, 0));
@@ -87,23 +87,23 @@
         metrics.endpointListUpdated(kind, entries);
     }
 
-    private void attempt(String endpoint, Outcome outcome, double queue) {
+    private void endAttempt(String endpoint, Outcome outcome, double queue) {
         metrics.attemptStarted(endpoint);
         metrics.attemptEnded(endpoint, outcome, 20_000_000L, new LoadReport(1, queue, 0, 0, 0, 0));
     }
 
     @Test
-    public void eventsAreRenderedInBothForms() throws IOException {
+    public void eventsAreRenderedInBothFormats() throws IOException {
         String escapedId = "w\\\"\n0";
-        list(ListKind.FULL, EndpointState.READY, escapedId, "w1");
-        list(ListKind.DELTA, EndpointState.DRAINING, "w1");
+        updateList(ListKind.FULL, EndpointState.READY, escapedId, "w1");
+        updateList(ListKind.DELTA, EndpointState.DRAINING, "w1");
         for (int i = 0; i < 3; i++) {
             metrics.requestAdmitted("read");
         }
         metrics.requestAnswered("read", RequestResult.SERVED, 20_000_000L, 0);
         metrics.clientDisconnected("read");
         metrics.requestRejected(RejectionReason.CONFLICT);
-        attempt(escapedId, Outcome.OK, 7);
+        endAttempt(escapedId, Outcome.OK, 7);
         metrics.attemptStarted("w1");
         metrics.healthChecked("w1", Outcome.TIMEOUT, null);
         metrics.degradationLevelEntered(1_500_000_000L, "full");
@@ -175,14 +175,14 @@
         for (int i = 0; i < ids.length; i++) {
             ids[i] = "w" + i;
         }
-        list(ListKind.FULL, EndpointState.READY, ids);
+        updateList(ListKind.FULL, EndpointState.READY, ids);
         for (String id : ids) {
-            attempt(id, Outcome.OK, 2);
+            endAttempt(id, Outcome.OK, 2);
         }
-        attempt("w77", Outcome.RESET, 0);
-        attempt("w4321", Outcome.RESET, 1);
+        endAttempt("w77", Outcome.RESET, 0);
+        endAttempt("w4321", Outcome.RESET, 1);
         metrics.attemptStarted("w9");
-        attempt("unlisted", Outcome.RESET, 0);
+        endAttempt("unlisted", Outcome.RESET, 0);
         FleetMetrics fleet = metrics.snapshot(new FixedNodeStatus()).fleet();
         assertEquals(10_000, fleet.readyCount());
         assertEquals(
@@ -195,21 +195,21 @@
         assertEquals(8_976, fleet.otherEndpoints().attempts());
         assertEquals(0, fleet.otherEndpoints().inFlight() + fleet.otherEndpoints().failures());
         assertEquals(17_952, fleet.otherEndpoints().queue(), 0);
-        list(ListKind.FULL, EndpointState.READY, "w77", "new");
-        list(ListKind.FAILED, EndpointState.READY);
-        attempt("w77", Outcome.NOT_SENT, 0);
-        list(ListKind.DELTA, EndpointState.GONE, "new");
+        updateList(ListKind.FULL, EndpointState.READY, "w77", "new");
+        updateList(ListKind.FAILED, EndpointState.READY);
+        endAttempt("w77", Outcome.NOT_SENT, 0);
+        updateList(ListKind.DELTA, EndpointState.GONE, "new");
         fleet = metrics.snapshot(new FixedNodeStatus()).fleet();
         assertEquals(1, fleet.worstEndpoints().size());
         assertEquals("kept across lists", 2, fleet.worstEndpoints().get(0).attempts);
     }
 
-    /** In the page's tables, each row begins with a metric's name and its type. */
+    /** In the tables of docs/operations.md, each row begins with a metric's name and its type. */
     @Test
     public void theOperatorsPageDocumentsEachMetricAndNoOther() throws IOException {
         metrics.degradationLevelEntered(1, "full");
-        list(ListKind.FULL, EndpointState.READY, "w0");
-        attempt("w0", Outcome.OK, 1);
+        updateList(ListKind.FULL, EndpointState.READY, "w0");
+        endAttempt("w0", Outcome.OK, 1);
         Set<String> rendered = matches("(?m)^# TYPE (\\S+ \\S+)$", text());
         Set<String> documented =
                 matches(
--- a/daemon/src/test/java/trailthread/daemon/listener/LeavingClientTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/ClientDisconnectTest.java
@@ -36,10 +36,11 @@
 import trailthread.testkit.TestCluster;
 
 /**
- * Clients that disconnect at each moment at which their request waits: it is not forwarded to an
- * endpoint any more.
+ * A client may disconnect at any time while its request waits. The request is then not forwarded to
+ * an endpoint. Also covers pipelined requests, as bytes behind a request are read to detect a
+ * disconnect.
  */
-public class LeavingClientTest {
+public class ClientDisconnectTest {
     private static final long LONG_NS = 20_000_000_000L;
     private final EventLoop loop;
     private final ScriptedServer endpoint;
@@ -49,7 +50,7 @@
     private HttpListener listener;
     private InetSocketAddress address;
 
-    public LeavingClientTest() throws IOException {
+    public ClientDisconnectTest() throws IOException {
         loop = new EventLoop("leaving");
         endpoint = ScriptedServer.respondingWith("made");
     }
@@ -95,10 +96,10 @@
                                                         1,
                                                         0))),
                                 loop.now()));
-        loop.execute(this::list);
-        // Leaves a connection to the endpoint open, to which the next request is written at once.
-        onlyOneWhoStaysIsServed();
-        loop.execute(this::listNone);
+        loop.execute(this::listEndpoint);
+        // Leaves an open connection to the endpoint, on which the next request is sent at once.
+        assertOnlyAConnectedClientIsServed();
+        loop.execute(this::listNoEndpoint);
     }
 
     @After
@@ -113,14 +114,14 @@
         return client;
     }
 
-    /** Lists the endpoint, for which queued requests wait. To be called on the loop's thread. */
-    private void list() {
+    /** Lists the endpoint, to which queued requests are then sent. Runs on the loop's thread. */
+    private void listEndpoint() {
         dispatcher.updateEndpointList(
                 ListKind.FULL, List.of(new EndpointEntry("w", 1, EndpointState.READY, "a", 0, 0)));
     }
 
-    /** Lists no endpoint, so that requests are queued. To be called on the loop's thread. */
-    private void listNone() {
+    /** Lists no endpoint, so that requests are queued. Runs on the loop's thread. */
+    private void listNoEndpoint() {
         dispatcher.updateEndpointList(ListKind.FULL, List.of());
     }
 
@@ -128,14 +129,14 @@
     private void awaitInFlight(String... ids) throws Exception {
         for (String id : ids) {
             for (boolean inFlight = false; !inFlight; ) {
-                CountDownLatch looked = new CountDownLatch(1);
+                CountDownLatch checked = new CountDownLatch(1);
                 boolean[] open = new boolean[1];
                 loop.execute(
                         () -> {
                             open[0] = dispatcher.isOpen(id);
-                            looked.countDown();
+                            checked.countDown();
                         });
-                ScriptedServer.await(looked);
+                ScriptedServer.await(checked);
                 inFlight = open[0];
             }
         }
@@ -145,53 +146,58 @@
         return request.split("X-Correlation-Id: ")[1].split("\r\n")[0];
     }
 
-    /** Another client's request is served, and is the first that the endpoint has received. */
-    private void onlyOneWhoStaysIsServed() throws Exception {
-        try (Socket stays = connect()) {
+    /**
+     * Asserts that a connected client's request is served, and that the endpoint has received no
+     * other request.
+     */
+    private void assertOnlyAConnectedClientIsServed() throws Exception {
+        try (Socket connected = connect()) {
             String request = TestCluster.requestText("use", "?stays", "");
-            Message.send(stays, request);
-            assertEquals("made", Message.read(stays).body());
+            Message.send(connected, request);
+            assertEquals("made", Message.read(connected).body());
             assertEquals(id(request), endpoint.takeRequest().header("X-Correlation-Id"));
             endpoint.assertNoMoreRequests();
         }
-        Thread.sleep(20); // the connection to the endpoint is not used before it has settled
+        Thread.sleep(20); // the endpoint connection is reused only after a short pause
     }
 
-    /** The end was read together with the request, which was forwarded all the same. */
+    /** Guards against forwarding a request that is read together with the disconnect. */
     @Test
-    public void whoLeavesUnreadIsNotServed() throws Exception {
-        CountDownLatch goOn = new CountDownLatch(1);
-        loop.execute(this::list);
-        loop.execute(() -> ScriptedServer.await(goOn));
+    public void disconnectReadWithTheRequestPreventsForwarding() throws Exception {
+        CountDownLatch unblock = new CountDownLatch(1);
+        loop.execute(this::listEndpoint);
+        loop.execute(() -> ScriptedServer.await(unblock));
         Socket client = connect();
         Message.send(client, TestCluster.requestText("use", "", ""));
         client.close();
-        goOn.countDown();
-        onlyOneWhoStaysIsServed();
+        unblock.countDown();
+        assertOnlyAConnectedClientIsServed();
     }
 
-    /** Timers and list updates are handled before the sockets are read. */
+    /** A late loop handles timers and list updates before it reads the disconnect. */
     @Test
-    public void whoLeavesBeforeALateLoopLooksIsNotServed() throws Exception {
+    public void disconnectBeforeALateLoopReadsPreventsForwarding() throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
             Socket client = connect();
             String request = TestCluster.requestText("use", "", "");
             Message.send(client, request);
             awaitInFlight(id(request));
-            CountDownLatch goOn = new CountDownLatch(1);
-            loop.execute(() -> ScriptedServer.await(goOn));
-            loop.execute(this::list); // runs before the sockets are read
+            CountDownLatch unblock = new CountDownLatch(1);
+            loop.execute(() -> ScriptedServer.await(unblock));
+            loop.execute(this::listEndpoint); // runs before the sockets are read
             client.setSoLinger(resets, 0);
             client.close();
-            goOn.countDown();
-            onlyOneWhoStaysIsServed();
-            loop.execute(this::listNone);
+            unblock.countDown();
+            assertOnlyAConnectedClientIsServed();
+            loop.execute(this::listNoEndpoint);
         }
     }
 
-    /** After the first pipelined byte nothing was read, and the client's end was not noticed. */
+    /**
+     * Guards against no longer reading after the first pipelined byte, which hid the disconnect.
+     */
     @Test
-    public void whoLeavesBehindFurtherBytesIsNotServed() throws Exception {
+    public void disconnectBehindPipelinedBytesPreventsForwarding() throws Exception {
         for (String bytes :
                 new String[] {
                     "x", TestCluster.requestText("use", "?next", ""), "x".repeat(100_000)
@@ -201,18 +207,19 @@
             Message.send(client, request);
             awaitInFlight(id(request));
             Message.send(client, bytes);
-            loop.execute(() -> loop.afterSockets(() -> {})); // the bytes are read before the end
+            // The bytes are read before the disconnect.
+            loop.execute(() -> loop.afterSockets(() -> {}));
             awaitInFlight(id(request));
             client.close();
-            loop.execute(() -> loop.afterSockets(this::list));
-            onlyOneWhoStaysIsServed();
-            loop.execute(this::listNone);
+            loop.execute(() -> loop.afterSockets(this::listEndpoint));
+            assertOnlyAConnectedClientIsServed();
+            loop.execute(this::listNoEndpoint);
         }
     }
 
     /** The client disconnects during the first attempt, so that there is no retry. */
     @Test
-    public void whoLeavesBetweenAttemptsIsNotServedAgain() throws Exception {
+    public void disconnectDuringAnAttemptPreventsARetry() throws Exception {
         CountDownLatch rejected = new CountDownLatch(1);
         endpoint.setScript(
                 request -> {
@@ -222,21 +229,21 @@
                 });
         Socket client = connect();
         String request = TestCluster.requestText("use", "", "");
-        loop.execute(this::list);
+        loop.execute(this::listEndpoint);
         Message.send(client, request);
         assertEquals(id(request), endpoint.takeRequest().header("X-Correlation-Id"));
-        CountDownLatch goOn = new CountDownLatch(1);
-        loop.execute(() -> ScriptedServer.await(goOn));
+        CountDownLatch unblock = new CountDownLatch(1);
+        loop.execute(() -> ScriptedServer.await(unblock));
         client.close();
         rejected.countDown();
-        goOn.countDown();
-        onlyOneWhoStaysIsServed();
+        unblock.countDown();
+        assertOnlyAConnectedClientIsServed();
     }
 
     /** The connection to the endpoint is established after the client has disconnected. */
     @Test
-    public void whoLeavesDuringAConnectIsNotServed() throws Exception {
-        CountDownLatch goOn = new CountDownLatch(1);
+    public void disconnectDuringAConnectPreventsForwarding() throws Exception {
+        CountDownLatch unblock = new CountDownLatch(1);
         Socket client = connect();
         String request = TestCluster.requestText("use", "", "");
         Message.send(client, request);
@@ -244,51 +251,53 @@
         loop.execute(
                 () -> {
                     endpoints.closeIdle(1);
-                    list(); // an endpoint is selected, and a connection begun
-                    loop.execute(() -> ScriptedServer.await(goOn)); // it is established meanwhile
+                    listEndpoint(); // an endpoint is selected, and a connection is started
+                    // The connection is established while the loop is blocked.
+                    loop.execute(() -> ScriptedServer.await(unblock));
                 });
         client.close();
-        goOn.countDown();
-        onlyOneWhoStaysIsServed();
+        unblock.countDown();
+        assertOnlyAConnectedClientIsServed();
     }
 
     @Test
-    public void whoLeavesWithHalfABodyIsNeverTaken() throws Exception {
+    public void disconnectWithHalfABodyPreventsForwarding() throws Exception {
         Socket client = connect();
         String request = TestCluster.requestText("use", "", "");
         Message.send(client, request.substring(0, request.length() - 2));
-        loop.execute(this::list);
+        loop.execute(this::listEndpoint);
         client.close();
-        onlyOneWhoStaysIsServed();
+        assertOnlyAConnectedClientIsServed();
     }
 
-    /** Bytes read behind a request replaced those that had come together with it. */
+    /** Guards against replacing pipelined bytes that arrived with a request by later ones. */
     @Test
-    public void aCallSentAheadInPiecesIsWhole() throws Exception {
+    public void aRequestPipelinedInPiecesIsComplete() throws Exception {
         try (Socket client = connect()) {
             String first = TestCluster.requestText("use", "?1", "");
-            String ahead = TestCluster.requestText("use", "?2", "");
-            Message.send(client, first + ahead.substring(0, 40));
+            String pipelined = TestCluster.requestText("use", "?2", "");
+            Message.send(client, first + pipelined.substring(0, 40));
             awaitInFlight(id(first));
-            for (int at = 40; at < ahead.length(); at += 40) {
-                Message.send(client, ahead.substring(at, Math.min(ahead.length(), at + 40)));
+            for (int at = 40; at < pipelined.length(); at += 40) {
+                Message.send(
+                        client, pipelined.substring(at, Math.min(pipelined.length(), at + 40)));
                 awaitInFlight(id(first));
             }
-            loop.execute(this::list);
+            loop.execute(this::listEndpoint);
             assertEquals("made", Message.read(client).body());
             assertEquals("made", Message.read(client).body());
             assertEquals(id(first), endpoint.takeRequest().header("X-Correlation-Id"));
-            assertEquals(id(ahead), endpoint.takeRequest().header("X-Correlation-Id"));
+            assertEquals(id(pipelined), endpoint.takeRequest().header("X-Correlation-Id"));
         }
     }
 
     /**
-     * Past 16 KiB, pipelined requests were read and dropped, and the connection ended with the
+     * Guards against dropping pipelined requests past 16 KiB and closing the connection after the
      * first response.
      */
     @Test
-    public void callsSentAheadAreAllAnsweredInTheirOrder() throws Exception {
-        for (int count : new int[] {300, 3_000}) { // about 50 KB, and more than is kept at a time
+    public void pipelinedRequestsAreAllServedInOrder() throws Exception {
+        for (int count : new int[] {300, 3_000}) { // about 50 KB, and more than is buffered
             try (Socket client = connect()) {
                 List<String> requests =
                         Stream.generate(() -> TestCluster.requestText("use", "?ahead", ""))
@@ -298,14 +307,14 @@
                 awaitInFlight(id(requests.get(0)));
                 Thread sender = new Thread(() -> sendAll(client, requests.subList(1, count)));
                 sender.start();
-                loop.execute(() -> loop.schedule(100_000_000L, this::list));
+                loop.execute(() -> loop.schedule(100_000_000L, this::listEndpoint));
                 for (String request : requests) {
                     assertEquals("made", Message.read(client).body());
                     assertEquals(id(request), endpoint.takeRequest().header("X-Correlation-Id"));
                 }
                 sender.join();
             }
-            loop.execute(this::listNone);
+            loop.execute(this::listNoEndpoint);
         }
     }
 
@@ -317,9 +326,11 @@
         }
     }
 
-    /** A last response ended the connection, although complete requests had come behind its own. */
+    /**
+     * Guards against closing the connection with a response while complete requests are pipelined.
+     */
     @Test
-    public void theLastAnswerIsTheLastCallsWhereSomeAreSentAhead() throws Exception {
+    public void onlyTheLastPipelinedResponseEndsTheConnection() throws Exception {
         loop.execute(() -> listener.closeAfterResponse(true));
         try (Socket client = connect()) {
             String first = TestCluster.requestText("use", "?1", "");
@@ -329,7 +340,7 @@
                             + TestCluster.requestText("use", "?2", "")
                             + TestCluster.requestText("use", "?3", ""));
             awaitInFlight(id(first));
-            loop.execute(this::list);
+            loop.execute(this::listEndpoint);
             for (String last : new String[] {null, null, "close"}) {
                 Message response = Message.read(client);
                 assertEquals("made", response.body());
@@ -340,11 +351,12 @@
     }
 
     /**
-     * A rejected request is responded to at once, and the response ended the connection, although
-     * complete requests had come behind it.
+     * Guards against closing the connection with a response that the listener itself sends, while
+     * complete requests are pipelined behind it.
      */
     @Test
-    public void theLastAnswerIsTheLastCallsBehindWhatIsNoCall() throws Exception {
+    public void anImmediateResponseDoesNotEndTheConnectionBeforePipelinedRequests()
+            throws Exception {
         RequestFrontend platform = new PlatformFrontend(settings.classes, dispatcher);
         listener.setFrontend(
                 new RequestFrontend() {
@@ -361,7 +373,7 @@
                     }
                 });
         loop.execute(() -> listener.closeAfterResponse(true));
-        loop.execute(this::list);
+        loop.execute(this::listEndpoint);
         for (String path : new String[] {"/ready", "/nowhere"}) {
             try (Socket client = connect()) {
                 String rejected = "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
--- a/daemon/src/test/java/trailthread/daemon/listener/EndByMomentTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/GracefulCloseTest.java
@@ -30,11 +30,12 @@
 import trailthread.engine.request.RequestHandler;
 
 /**
- * What a client sees when its connection is ended, by what the connection carries at that moment:
- * for a graceful shutdown, and for a drain.
+ * A graceful shutdown and a drain close connections in every state without losing a request or a
+ * response. A connection that is closed over unread bytes is reset, and its client loses the
+ * response.
  */
-public class EndByMomentTest {
-    /** More than the system buffers for a connection whose client does not read. */
+public class GracefulCloseTest {
+    /** More than the system buffers for a client that does not read. */
     private static final int LONG_BODY_BYTES = 16 * 1024 * 1024;
 
     private static final String CONNECTION_CLOSE = "Connection: close\r\n";
@@ -42,12 +43,12 @@
     private final EventLoop loop;
     private final List<Socket> clients = new ArrayList<>();
     private final BlockingQueue<ClientResponse> responses = new LinkedBlockingQueue<>();
-    private final CountDownLatch noneOpen = new CountDownLatch(1);
+    private final CountDownLatch allClosed = new CountDownLatch(1);
     private HttpListener listener;
     private InetSocketAddress address;
     private int lastId;
 
-    public EndByMomentTest() throws IOException {
+    public GracefulCloseTest() throws IOException {
         loop = new EventLoop("ends");
     }
 
@@ -115,7 +116,7 @@
                 + "\r\nX-Service-Class: use\r\nX-Time-Left: 20\r\nContent-Length: 4\r\n\r\npour";
     }
 
-    /** The response of the request that was received next. */
+    /** Returns the pending response to the next request that the listener receives. */
     private ClientResponse nextResponse() throws InterruptedException {
         return responses.poll(30, TimeUnit.SECONDS);
     }
@@ -124,43 +125,43 @@
         return EndpointResponse.of("made".getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** All that the client receives until its connection is closed. */
+    /** Reads everything that the client receives until its connection is closed. */
     private static String readAll(Socket client) throws IOException {
         return new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
     }
 
     @Test
-    public void aGracefulShutdown() throws Exception {
-        assertEachIsEnded(
+    public void gracefulShutdownClosesConnectionsInEveryState() throws Exception {
+        assertNothingIsLost(
                 () -> {
                     listener.closeAfterResponse(true);
-                    listener.close(noneOpen::countDown);
+                    listener.close(allClosed::countDown);
                 });
-        assertTrue("all connections have ended", noneOpen.await(30, TimeUnit.SECONDS));
+        assertTrue("all connections have ended", allClosed.await(30, TimeUnit.SECONDS));
     }
 
     @Test
-    public void aDrain() throws Exception {
-        assertEachIsEnded(
+    public void drainClosesConnectionsInEveryState() throws Exception {
+        assertNothingIsLost(
                 () -> {
                     listener.closeAfterResponse(true);
-                    endUnusedRepeatedly();
+                    closeUnusedRepeatedly();
                 });
     }
 
-    private void endUnusedRepeatedly() {
+    private void closeUnusedRepeatedly() {
         listener.closeUnused();
-        loop.schedule(100_000_000L, this::endUnusedRepeatedly);
+        loop.schedule(100_000_000L, this::closeUnusedRepeatedly);
     }
 
-    private void assertEachIsEnded(Runnable endConnections) throws Exception {
+    private void assertNothingIsLost(Runnable closeConnections) throws Exception {
         listen();
         Socket idle = connectAndServe();
         Socket unreadRequest = connectAndServe();
         Socket unreadResponse = connect(request());
         ClientResponse writtenResponse = nextResponse();
         loop.execute(() -> writtenResponse.respond(endpointResponse()));
-        Socket atEndpoint = connect(request());
+        Socket pendingRequest = connect(request());
         final ClientResponse pendingResponse = nextResponse();
         Socket halfStreamed = connect(request());
         ClientResponse streamedResponse = nextResponse();
@@ -181,18 +182,19 @@
         Socket halfBody = connect(request().replace("pour", "po"));
         Socket silent = connect("");
         awaitAccepted();
-        CountDownLatch ending = new CountDownLatch(1);
+        CountDownLatch closeStarted = new CountDownLatch(1);
         loop.execute(
                 () -> {
                     try {
-                        send(unreadRequest, request()); // not read when the end begins
+                        // The loop reads this request only after the close has started.
+                        send(unreadRequest, request());
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
-                    endConnections.run();
-                    ending.countDown();
+                    closeConnections.run();
+                    closeStarted.countDown();
                 });
-        ending.await(30, TimeUnit.SECONDS);
+        closeStarted.await(30, TimeUnit.SECONDS);
         send(halfBody, "ur");
         for (int i = 0; i < 2; i++) { // for halfBody and unreadRequest
             ClientResponse response = nextResponse();
@@ -203,7 +205,7 @@
         assertEquals("accepted and silent", "", readAll(silent));
         assertEquals("idle", "", readAll(idle));
         loop.execute(() -> pendingResponse.respond(endpointResponse()));
-        assertLastResponse("with a request at an endpoint", readAll(atEndpoint));
+        assertLastResponse("with a request at an endpoint", readAll(pendingRequest));
         assertTrue("with its response written, not read", readAll(unreadResponse).endsWith("made"));
         ByteArrayOutputStream received = new ByteArrayOutputStream();
         Thread reader =
@@ -227,8 +229,8 @@
     }
 
     /**
-     * Waits until the connection on which nothing is sent is accepted. One that still waits to be
-     * accepted is reset with the listening socket.
+     * Waits until the silent connection is accepted. Otherwise, closing the listening socket would
+     * reset it.
      */
     private void awaitAccepted() throws InterruptedException {
         BlockingQueue<Integer> silent = new LinkedBlockingQueue<>();
@@ -237,15 +239,15 @@
         } while (silent.poll(30, TimeUnit.SECONDS) == 0);
     }
 
-    private static void assertLastResponse(String moment, String received) {
+    private static void assertLastResponse(String state, String received) {
         assertTrue(
-                moment + ": " + received,
+                state + ": " + received,
                 received.startsWith("HTTP/1.1 200")
                         && received.contains(CONNECTION_CLOSE)
                         && received.endsWith("made"));
     }
 
-    /** A connection that is idle after a request. */
+    /** Opens a connection that is idle after a request. */
     private Socket connectAndServe() throws Exception {
         Socket client = connect(request());
         ClientResponse response = nextResponse();
--- a/daemon/src/test/java/trailthread/daemon/listener/LateLoopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LateLoopListenerTest.java
@@ -33,10 +33,11 @@
 import trailthread.engine.request.RequestHandler;
 
 /**
- * No complete request is lost because the loop runs late, and its timers run before it has looked
- * at its sockets. The tests block the loop, as a busy core does.
+ * No complete request is lost when the loop runs late. A late loop runs its timers before it reads
+ * its sockets, so it may time out or close connections with unread requests. The tests block the
+ * loop, as a busy core does.
  */
-public class LateLoopTest {
+public class LateLoopListenerTest {
     private static final int MAX_CONNECTIONS = 28;
     private static final String CONNECTION_CLOSE = "Connection: close\r\n";
     private static final RequestClass USE =
@@ -52,22 +53,25 @@
                     0);
     private static final EndpointResponse RESPONSE =
             EndpointResponse.of("made".getBytes(StandardCharsets.US_ASCII));
-    private static final long MIN_KEEP_ALIVE_MS = 2_300;
+
+    /** Longer than the minimum keep-alive time, shorter than the timeout of a head. */
+    private static final long BLOCKED_MS = 2_300;
+
     private final EventLoop loop;
     private final List<Socket> clients = new ArrayList<>();
     private HttpListener listener;
     private InetSocketAddress address;
     private final AtomicInteger lastId = new AtomicInteger();
 
-    /** The lengths of the requests' bodies, in the order in which the requests were received. */
+    /** The lengths of the requests' bodies, in the order of their receipt. */
     private final List<Integer> bodyLengths = new CopyOnWriteArrayList<>();
 
     private final List<Long> deadlines = new CopyOnWriteArrayList<>();
 
-    /** Gets the next request's response to be sent later; null if all are sent at once. */
-    private volatile CompletableFuture<ClientResponse> heldBack;
+    /** Gets the next request's response for the test to send; null if all are sent at once. */
+    private volatile CompletableFuture<ClientResponse> heldResponse;
 
-    public LateLoopTest() throws IOException {
+    public LateLoopListenerTest() throws IOException {
         loop = new EventLoop("late");
     }
 
@@ -88,7 +92,8 @@
                                             ClientResponse response) {
                                         bodyLengths.add(request.body().length);
                                         deadlines.add(deadline);
-                                        if (heldBack == null || !heldBack.complete(response)) {
+                                        if (heldResponse == null
+                                                || !heldResponse.complete(response)) {
                                             response.respond(RESPONSE);
                                         }
                                         return () -> {};
@@ -146,7 +151,7 @@
         return text.toString();
     }
 
-    /** Runs a task while the loop is blocked, which then runs its timers first. */
+    /** Runs a task while the loop is blocked. Unblocked, the loop runs its timers first. */
     private void whileLoopIsBlocked(long atLeastMs, Task task) throws Exception {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch unblock = new CountDownLatch(1);
@@ -170,27 +175,33 @@
         void run() throws Exception;
     }
 
-    /** The connection ended with the response before, and the unread request with it. */
+    /**
+     * Guards against closing the connection after the previous response while the next request is
+     * unread, and so losing that request.
+     */
     @Test
-    public void aCallThatLiesUnreadBehindTheLastAnswerIsAnswered() throws Exception {
-        heldBack = new CompletableFuture<>();
+    public void unreadRequestBehindTheLastResponseIsServed() throws Exception {
+        heldResponse = new CompletableFuture<>();
         loop.execute(() -> listener.closeAfterResponse(true));
         Socket client = connect();
         send(client);
-        ClientResponse response = heldBack.get(30, TimeUnit.SECONDS);
+        ClientResponse response = heldResponse.get(30, TimeUnit.SECONDS);
         whileLoopIsBlocked(
                 0,
                 () -> {
                     loop.execute(() -> response.respond(RESPONSE)); // before the sockets are read
                     send(client);
                 });
-        assertFalse("another request follows", readResponse(client).contains(CONNECTION_CLOSE));
-        assertTrue("this is the last", readResponse(client).contains(CONNECTION_CLOSE));
+        assertFalse("another request is unread", readResponse(client).contains(CONNECTION_CLOSE));
+        assertTrue("no further request is unread", readResponse(client).contains(CONNECTION_CLOSE));
     }
 
-    /** Its time began when the node read it, and its client had given up before the response. */
+    /**
+     * Guards against counting the deadline from the read: the client then gave up before the
+     * response.
+     */
     @Test
-    public void aCallsTimeBeginsWhenItMayHaveComeNotWhenItIsRead() throws Exception {
+    public void deadlineCountsFromPossibleArrivalNotFromRead() throws Exception {
         Socket client = connect();
         send(client);
         readResponse(client);
@@ -203,31 +214,35 @@
                     sentBy[0] = loop.now();
                 });
         readResponse(client);
-        assertTrue("no later than its client's", deadlines.get(0) <= sentBy[0] + 20_000_000_000L);
+        assertTrue(
+                "the deadline is no later than the client's",
+                deadlines.get(0) <= sentBy[0] + 20_000_000_000L);
     }
 
     /**
-     * After a long turn of the loop, all idle time was taken for lateness. The request lost that
-     * time, and was rejected at once.
+     * Guards against counting idle time after a long pass of the loop as lateness: the deadline was
+     * then so early that the request was rejected at once.
      */
     @Test
-    public void aCallLosesNoTimeToTheQuietBeforeIt() throws Exception {
+    public void idleTimeBeforeARequestDoesNotShortenItsDeadline() throws Exception {
         Socket client = connect();
         send(client);
         readResponse(client);
         deadlines.clear();
         whileLoopIsBlocked(400, () -> {});
         Thread.sleep(500);
-        long quiet = loop.now(); // the loop has looked at its sockets since it was blocked
+        long idleAt = loop.now(); // the loop has polled its sockets since it was blocked
         Thread.sleep(500);
         send(client);
         readResponse(client);
         assertTrue(
-                "not before " + quiet + ": " + deadlines,
-                deadlines.get(0) >= quiet + 20_000_000_000L);
+                "not counted from before " + idleAt + ": " + deadlines,
+                deadlines.get(0) >= idleAt + 20_000_000_000L);
     }
 
-    /** The long body was read as long as bytes came, and so before some of the other requests. */
+    /**
+     * Guards against reading a long body for as long as bytes arrive, and so before other requests.
+     */
     @Test
     public void shortRequestsDoNotWaitForALongBody() throws Exception {
         int length = 1024 * 1024;
@@ -261,12 +276,12 @@
             readResponse(client);
         }
         assertEquals(
-                "the long one is last: " + bodyLengths,
+                "the long body is complete last: " + bodyLengths,
                 all.size() - 1,
                 bodyLengths.indexOf(length));
     }
 
-    /** They were closed with their requests unread, and the clients saw a reset. */
+    /** Guards against closing idle connections with unread requests, which resets them. */
     @Test
     public void idleConnectionsAreReadBeforeTheyAreClosed() throws Exception {
         List<Socket> kept = new ArrayList<>();
@@ -277,7 +292,7 @@
             kept.add(client);
         }
         whileLoopIsBlocked(
-                MIN_KEEP_ALIVE_MS,
+                BLOCKED_MS,
                 () -> {
                     for (Socket client : kept) {
                         send(client);
@@ -292,17 +307,17 @@
     }
 
     @Test
-    public void aFirstHeadThatCameInTimeIsServed() throws Exception {
+    public void aFirstHeadThatArrivedInTimeIsServed() throws Exception {
         Socket client = connect();
         send(connect());
         Thread.sleep(100); // both are accepted
-        whileLoopIsBlocked(MIN_KEEP_ALIVE_MS, () -> send(client));
+        whileLoopIsBlocked(BLOCKED_MS, () -> send(client));
         assertNotNull(readResponse(client));
     }
 
-    /** The rest of a message has a timeout, too. */
+    /** The body has a timeout of its own, after the head's. */
     @Test
-    public void aBodyThatCameInTimeIsServed() throws Exception {
+    public void aBodyThatArrivedInTimeIsServed() throws Exception {
         Socket client = connect();
         client.getOutputStream()
                 .write(
@@ -310,13 +325,12 @@
                                         + "\r\nX-Service-Class: use\r\nX-Time-Left: 20\r\nContent-Length: 4\r\n\r\npo")
                                 .getBytes(StandardCharsets.US_ASCII));
         Thread.sleep(200); // the head is read
-        whileLoopIsBlocked(
-                MIN_KEEP_ALIVE_MS + 250, () -> client.getOutputStream().write(new byte[2]));
+        whileLoopIsBlocked(BLOCKED_MS + 250, () -> client.getOutputStream().write(new byte[2]));
         assertNotNull(readResponse(client));
     }
 
     @Test
-    public void onCloseRequestsThatHaveComeAreServedFirst() throws Exception {
+    public void onCloseArrivedRequestsAreServedFirst() throws Exception {
         Socket idle = connect();
         send(idle);
         readResponse(idle);
@@ -341,8 +355,8 @@
     }
 
     /**
-     * The end was reported when the first of them had ended, and requests that lay unread on the
-     * others were reset with the process.
+     * Guards against reporting the end after the first connection: the process then ended, and
+     * reset the others with unread requests.
      */
     @Test
     public void closeIsDoneOnceNoConnectionIsOpen() throws Exception {
@@ -351,21 +365,21 @@
             send(idle);
             readResponse(idle);
         }
-        CompletableFuture<Integer> left = new CompletableFuture<>();
+        CompletableFuture<Integer> openConnections = new CompletableFuture<>();
         loop.execute(
                 () ->
                         listener.close(
                                 () ->
-                                        left.complete(
+                                        openConnections.complete(
                                                 listener.connectionsByState().values().stream()
                                                         .mapToInt(Integer::intValue)
                                                         .sum())));
-        assertEquals(0, (int) left.get(30, TimeUnit.SECONDS));
+        assertEquals(0, (int) openConnections.get(30, TimeUnit.SECONDS));
     }
 
-    /** Both were closed after the last read, which had read the first part of their heads. */
+    /** Guards against closing connections after reading a part of a head. */
     @Test
-    public void onCloseAHeadThatHasBegunHasTimeForItsRest() throws Exception {
+    public void onCloseAPartialHeadHasTimeToComplete() throws Exception {
         Socket kept = connect();
         send(kept);
         readResponse(kept);
@@ -397,9 +411,7 @@
         assertTrue("all connections have ended", done.await(30, TimeUnit.SECONDS));
     }
 
-    /**
-     * Where many connections are idle, a client that keeps its own prevents others from connecting.
-     */
+    /** If clients kept many idle connections open, others could not connect. */
     @Test
     public void whereManyAreIdleResponsesEndTheirConnections() throws Exception {
         int maxIdle = (int) (0.3 * MAX_CONNECTIONS);
@@ -408,7 +420,7 @@
             send(client);
             assertFalse(idle + " idle", readResponse(client).contains(CONNECTION_CLOSE));
         }
-        Thread.sleep(200); // they have been idle for long enough to count
+        Thread.sleep(200); // the connections have been idle for long enough to count
         Socket client = connect();
         send(client);
         assertTrue(readResponse(client).contains(CONNECTION_CLOSE));
--- a/daemon/src/test/java/trailthread/daemon/listener/PlatformRequestDecoderTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/PlatformRequestDecoderTest.java
@@ -17,16 +17,16 @@
     private final PlatformRequestDecoder decoder =
             new PlatformRequestDecoder(
                     List.of(
-                            of("state", Idempotency.IDEMPOTENT),
-                            of("action", Idempotency.IDEMPOTENCY_KEY),
-                            of("use", Idempotency.NOT_IDEMPOTENT)));
+                            requestClass("state", Idempotency.IDEMPOTENT),
+                            requestClass("action", Idempotency.IDEMPOTENCY_KEY),
+                            requestClass("use", Idempotency.NOT_IDEMPOTENT)));
 
-    private static RequestClass of(String name, Idempotency idempotency) {
+    private static RequestClass requestClass(String name, Idempotency idempotency) {
         return new RequestClass(
                 name, 1, 0, 2_000_000_000L, idempotency, DeduplicationScope.ALL, 1, 1, 0);
     }
 
-    /** Decodes a request of one line a header, the first one its method, path and query. */
+    /** Decodes a request from lines: method, path and query first, then one header per line. */
     private ClientRequest decode(String request) throws BadRequestException {
         String[] lines = request.split("\n");
         String[] start = lines[0].split(" ", 3);
@@ -84,7 +84,7 @@
                 request);
     }
 
-    /** A client's time beyond the class's deadline must not set a timer. */
+    /** Prevents a client's time from setting a timer beyond the class's deadline. */
     @Test
     public void theTimeLeftIsBoundedByTheClassesDeadline() throws Exception {
         ClientRequest request =
