--- a/daemon/src/main/java/trailthread/daemon/listener/PlainRequestDecoder.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PlainRequestDecoder.java
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Decodes a request's head; its body is still to come.
+     * Decodes a request's head, before its body is read.
      *
      * @param assignedClass the name of the class that the route assigns; null if it assigns none
      * @throws BadRequestException if a header is malformed, or the class does not suit the method
--- a/daemon/src/main/java/trailthread/daemon/listener/PlatformRequestDecoder.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/PlatformRequestDecoder.java
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Decodes a request's head; its body is still to come.
+     * Decodes a request's head, before its body is read.
      *
      * @param query without its question mark; empty if there is none
      * @throws BadRequestException if a header is missing or malformed, or method, path and class do
--- a/daemon/src/main/java/trailthread/daemon/listener/RequestFrontend.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/RequestFrontend.java
@@ -10,7 +10,7 @@
     /** The path of the readiness check. */
     String readyPath();
 
-    /** Decodes a request's head; its body is still to come. */
+    /** Decodes a request's head, before its body is read. */
     DecodedHead decode(HttpServerExchange exchange);
 
     /**
--- a/daemon/src/main/java/trailthread/daemon/listener/RequestReceiver.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/RequestReceiver.java
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Rejects a request. Unless only a route is missing, this closes the connection, as further
-     * bytes on it may not be where a request starts.
+     * Rejects a request. Unless only a route is missing, this closes the connection, as the bytes
+     * that follow may not start with a request.
      */
     private void reject(HttpServerExchange exchange, RejectionReason reason) {
         metrics.requestRejected(reason);
