--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -166,7 +166,7 @@
 
     private void acceptFrom(ServerSocketChannel inherited) {
         try {
-            listener.share(inherited);
+            listener.listenOnInherited(inherited);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -203,9 +203,9 @@
         endpointList.retune(next.drainGraceNs(), pushed);
         endpoints.setTimeouts(
                 next.settings().connectTimeoutNs, next.idleCloseNs(), next.drainGraceNs());
-        frontend.retune(next.settings().classes);
+        frontend.applySettings(next.settings().classes);
         if (admin != null) {
-            admin.serves(next.settings().classes);
+            admin.addClasses(next.settings().classes);
         }
         metrics.configurationReloaded(true);
         LOG.info(
@@ -239,7 +239,7 @@
 
     @Override
     public Map<String, Integer> clientConnections() {
-        return listener.connections();
+        return listener.connectionsByState();
     }
 
     @Override
@@ -260,7 +260,7 @@
     /** The share of the descriptors in use by the node's connections and its reserve, 0 to 1. */
     private double descriptorUse() {
         int used = descriptors.own();
-        for (int connections : listener.connections().values()) {
+        for (int connections : listener.connectionsByState().values()) {
             used += connections;
         }
         for (int connections : endpoints.connections().values()) {
