--- a/command/src/main/java/trailthread/command/ServeCommand.java
+++ b/command/src/main/java/trailthread/command/ServeCommand.java
@@ -36,8 +36,8 @@
         if (config == null) {
             return Trailthread.BAD;
         }
-        Lifecycle.startLean();
-        CompletableFuture<Runnable> reload = Lifecycle.onHangup();
+        Lifecycle.setSystemProperties();
+        CompletableFuture<Runnable> reload = Lifecycle.handleHangup();
         ServiceNode node = new ServiceNode(file, config);
         try {
             Lifecycle.start(node::start, node::stop);
--- a/daemon/src/main/java/org/xnio/nio/InheritedTcpServer.java
+++ b/daemon/src/main/java/org/xnio/nio/InheritedTcpServer.java
@@ -23,7 +23,7 @@
      * @param accept runs when connections may be accepted
      * @throws IOException if it can't be made non-blocking or registered
      */
-    public static AcceptingChannel<StreamConnection> on(
+    public static AcceptingChannel<StreamConnection> create(
             ServerSocketChannel inherited,
             XnioWorker worker,
             ChannelListener<? super AcceptingChannel<StreamConnection>> accept,
--- a/daemon/src/main/java/trailthread/daemon/DescriptorBudget.java
+++ b/daemon/src/main/java/trailthread/daemon/DescriptorBudget.java
@@ -6,12 +6,12 @@
  * How a node divides the file descriptors that it may hold.
  *
  * @param limit all of them
- * @param own those for the Java virtual machine, the listening socket, discovery and the admin
+ * @param reserved those for the Java virtual machine, the listening socket, discovery and the admin
  *     server
  * @param forClients the most connections to clients
  * @param forEndpoints the most connections to endpoints
  */
-public record DescriptorBudget(int limit, int own, int forClients, int forEndpoints) {
+public record DescriptorBudget(int limit, int reserved, int forClients, int forEndpoints) {
     /** For the Java virtual machine, the listening socket and discovery. */
     private static final int BASE_DESCRIPTORS = 48;
 
@@ -28,9 +28,9 @@
      * @param hasAdminServer whether some are reserved for the admin server
      */
     public static DescriptorBudget of(int limit, boolean hasAdminServer) {
-        int own = BASE_DESCRIPTORS + (hasAdminServer ? AdminServer.MOST_DESCRIPTORS : 0);
-        int remaining = limit - own;
+        int reserved = BASE_DESCRIPTORS + (hasAdminServer ? AdminServer.MOST_DESCRIPTORS : 0);
+        int remaining = limit - reserved;
         int forClients = (int) (CLIENTS_SHARE * remaining);
-        return new DescriptorBudget(limit, own, forClients, remaining - forClients);
+        return new DescriptorBudget(limit, reserved, forClients, remaining - forClients);
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/Drain.java
+++ b/daemon/src/main/java/trailthread/daemon/Drain.java
@@ -35,7 +35,7 @@
     /** Counts drains, so that the timers of an earlier drain don't affect a later one. */
     private int drainNumber;
 
-    private boolean ended;
+    private boolean shuttingDown;
 
     /** Makes a drain that has not begun, for the clients of a listener. */
     public Drain(EventLoop loop, HttpListener listener) {
@@ -45,10 +45,10 @@
 
     @Override
     public boolean drain() {
-        if (!draining && !ended) {
+        if (!draining && !shuttingDown) {
             begin();
         }
-        return !ended;
+        return !shuttingDown;
     }
 
     private void begin() {
@@ -62,7 +62,7 @@
     }
 
     private boolean isInProgress(int number) {
-        return draining && !ended && number == drainNumber;
+        return draining && !shuttingDown && number == drainNumber;
     }
 
     private void closeWithResponses(int number) {
@@ -80,22 +80,22 @@
 
     @Override
     public boolean resume() {
-        if (draining && !ended) {
+        if (draining && !shuttingDown) {
             draining = false;
             LOG.info("takes clients again");
             listener.closeAfterResponse(false);
             listener.setDrained(false);
         }
-        return !ended;
+        return !shuttingDown;
     }
 
     /** Stops all drains for good, as the node shuts down. */
-    void end() {
-        ended = true;
+    void setShuttingDown() {
+        shuttingDown = true;
     }
 
     /** Whether the node shuts down. */
-    boolean hasEnded() {
-        return ended;
+    boolean isShuttingDown() {
+        return shuttingDown;
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
+++ b/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
@@ -80,7 +80,7 @@
     }
 
     /** The list comes from another discovery service from now on. */
-    void sourceMoved() {
+    void sourceChanged() {
         lease.recordSourceSwitch(loop.now());
     }
 
@@ -91,7 +91,7 @@
      *     sent, in nanoseconds
      * @param pushed whether an agent pushes the list
      */
-    void retune(long drainGraceNs, boolean pushed) {
+    void applySettings(long drainGraceNs, boolean pushed) {
         lease.retune(drainGraceNs, pushed);
         publishLease();
     }
--- a/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
+++ b/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
@@ -115,7 +115,7 @@
         this.requestedAt = requestedAt;
         this.done = done;
         long beginsAfterNs = loop.now() - requestedAt;
-        drain.end();
+        drain.setShuttingDown();
         listener.setReady(false);
         // If another process accepts for this node, clients reach it as soon as they reconnect.
         shared = listener.stopAcceptingIfShared();
--- a/daemon/src/main/java/trailthread/daemon/InheritedSocket.java
+++ b/daemon/src/main/java/trailthread/daemon/InheritedSocket.java
@@ -24,7 +24,7 @@
      *     socket
      * @throws IOException if the descriptor can't be used
      */
-    static ServerSocketChannel of(Map<String, String> environment)
+    static ServerSocketChannel fromEnvironment(Map<String, String> environment)
             throws ConfigException, IOException {
         String descriptor = environment.getOrDefault(VARIABLE, "");
         if (descriptor.isEmpty()) {
--- a/daemon/src/main/java/trailthread/daemon/Lifecycle.java
+++ b/daemon/src/main/java/trailthread/daemon/Lifecycle.java
@@ -8,7 +8,7 @@
 /** The life of the process: its start, its signal handlers and its end. */
 public final class Lifecycle {
     /** Begins to serve requests. */
-    public interface Starting {
+    public interface StartTask {
         /**
          * Returns when it has begun.
          *
@@ -18,7 +18,7 @@
     }
 
     /** Shuts down gracefully. */
-    public interface Ending {
+    public interface StopTask {
         /** Returns when the process may exit. */
         void run() throws InterruptedException;
     }
@@ -31,7 +31,7 @@
      * data of all locales; and the logging provider, and translations of its messages, would be
      * searched for in every jar.
      */
-    public static void startLean() {
+    public static void setSystemProperties() {
         System.setProperty("org.jboss.logging.provider", "slf4j");
         System.setProperty("io.undertow.max-drain-time", "1000");
         System.setProperty("javax.management.builder.initial", NoMBeanServer.class.getName());
@@ -49,7 +49,7 @@
      * <p>Uses reflection, as the compiler warns of {@code sun.misc.Signal}, and warnings are errors
      * in this build.
      */
-    public static CompletableFuture<Runnable> onHangup() {
+    public static CompletableFuture<Runnable> handleHangup() {
         CompletableFuture<Runnable> reload = new CompletableFuture<>();
         try {
             Class<?> signalType = Class.forName("sun.misc.Signal");
@@ -94,20 +94,20 @@
      *
      * @throws IOException if the start fails; the hook is removed then
      */
-    public static void start(Starting starting, Ending ending) throws IOException {
-        Thread shutdownHook = new Thread(() -> shutDown(ending), "stop");
+    public static void start(StartTask startTask, StopTask stopTask) throws IOException {
+        Thread shutdownHook = new Thread(() -> shutDown(stopTask), "stop");
         Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
-            starting.run();
+            startTask.run();
         } catch (IOException e) {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
             throw e;
         }
     }
 
-    private static void shutDown(Ending ending) {
+    private static void shutDown(StopTask stopTask) {
         try {
-            ending.run();
+            stopTask.run();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/daemon/src/main/java/trailthread/daemon/Main.java
+++ b/daemon/src/main/java/trailthread/daemon/Main.java
@@ -38,11 +38,11 @@
     }
 
     private static void serve() throws IOException {
-        Lifecycle.startLean();
+        Lifecycle.setSystemProperties();
         try {
-            CompletableFuture<Runnable> reload = Lifecycle.onHangup();
+            CompletableFuture<Runnable> reload = Lifecycle.handleHangup();
             Node node = new Node(NodeConfig.load(System.getenv()));
-            ServerSocketChannel inherited = InheritedSocket.of(System.getenv());
+            ServerSocketChannel inherited = InheritedSocket.fromEnvironment(System.getenv());
             Lifecycle.start(() -> node.start(inherited), node::stop);
             reload.complete(() -> node.reload(System.getenv()));
         } catch (ConfigException e) {
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -147,7 +147,7 @@
     }
 
     private void serve(InetSocketAddress ownAddress, ServerSocketChannel inherited) {
-        if (drain.hasEnded()) {
+        if (drain.isShuttingDown()) {
             return; // shutting down already: a request accepted now might get no response
         }
         if (inherited != null) {
@@ -196,11 +196,11 @@
     private void apply(NodeConfig next) {
         boolean pushed = !next.settings().listIsPolled;
         if (discovery.setAddress(next.discoveryAddress())) {
-            endpointList.sourceMoved();
+            endpointList.sourceChanged();
         }
         discovery.setPushed(pushed);
         requests.applySettings(next.settings());
-        endpointList.retune(next.drainGraceNs(), pushed);
+        endpointList.applySettings(next.drainGraceNs(), pushed);
         endpoints.setTimeouts(
                 next.settings().connectTimeoutNs, next.idleCloseNs(), next.drainGraceNs());
         frontend.retune(next.settings().classes);
@@ -259,7 +259,7 @@
 
     /** The share of the descriptors in use by the node's connections and its reserve, 0 to 1. */
     private double descriptorUse() {
-        int used = descriptors.own();
+        int used = descriptors.reserved();
         for (int connections : listener.connections().values()) {
             used += connections;
         }
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
@@ -91,7 +91,7 @@
     public void share(ServerSocketChannel inherited) throws IOException {
         IoUtils.safeClose(server);
         server =
-                InheritedTcpServer.on(
+                InheritedTcpServer.create(
                         inherited, loop.xnioWorker(), acceptListener(), socketOptions());
         shared = true;
         server.resumeAccepts();
--- a/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
@@ -68,7 +68,7 @@
 
     private static String says(Drain drain, String event) {
         if (event.equals("end")) {
-            drain.end();
+            drain.setShuttingDown();
             return "-";
         }
         return (event.equals("drain") ? drain.drain() : drain.resume()) ? "+" : "0";
