--- a/command/src/test/java/trailthread/command/ServicesTest.java
+++ b/command/src/test/java/trailthread/command/ServicesTest.java
@@ -161,7 +161,7 @@
         Socket toSim = sim.takeRequest().connection();
         Socket toMarks = marks.takeRequest().connection();
         cluster.reload(file(endpoints(sim), "attempts = 2\n" + endpoints(marks)));
-        cluster.awaitLogLine("1 pools kept, 1 begun, 1 ending");
+        cluster.awaitLogLine("1 pools kept, 1 started, 1 retired");
         Thread.sleep(20); // as above
         ask("GET", "/2", "sim.example.org", "");
         ask("GET", "/2", "marks.example.org", "");
@@ -198,7 +198,7 @@
                 "[node]\nlisten = \"127.0.0.1:0\"\ndescriptors = 256\n"
                         + pool("sim", endpoints(sim))
                         + route("all", "pool = \"sim\""));
-        cluster.awaitLogLine("1 pools kept, 0 begun, 1 ending");
+        cluster.awaitLogLine("1 pools kept, 0 started, 1 retired");
         assertEquals("sim", ask("GET", "/x", "marks.example.org", "").body());
         Message.send(half, "ur");
         assertEquals("routed by the new file", "sim", Message.read(half).body());
@@ -212,7 +212,7 @@
         serve();
         cluster.reload(file(endpoints(sim), "deadlin = \"1s\"\n" + endpoints(marks)));
         cluster.awaitLogLine("pools.marks.deadlin: expected a key that is known, such as deadline");
-        cluster.awaitLogLine("is not taken over: 1 faults");
+        cluster.awaitLogLine("was not applied: 1 faults");
         assertEquals("marks", ask("GET", "/x", "marks.example.org", "").body());
     }
 
--- a/daemon/src/main/java/trailthread/daemon/Drain.java
+++ b/daemon/src/main/java/trailthread/daemon/Drain.java
@@ -55,7 +55,7 @@
         draining = true;
         drainNumber++;
         int number = drainNumber;
-        LOG.info("drains: clients are led away");
+        LOG.info("drain started: clients are moved to other nodes");
         listener.setDrained(true);
         loop.schedule(CLOSE_WITH_RESPONSES_AFTER_NS, () -> closeWithResponses(number));
         loop.schedule(CLOSE_IDLE_AFTER_NS, () -> closeIdle(number));
@@ -82,7 +82,7 @@
     public boolean resume() {
         if (draining && !shuttingDown) {
             draining = false;
-            LOG.info("takes clients again");
+            LOG.info("drain ended: clients are served again");
             listener.closeAfterResponse(false);
             listener.setDrained(false);
         }
--- a/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
+++ b/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
@@ -105,10 +105,10 @@
         loop.execute(() -> begin(name, requestedAt, done));
         boolean allEnded = done.await(longestDeadlineNs + LAST_RESPONSES_NS, TimeUnit.NANOSECONDS);
         LOG.info(
-                "{} ends {} ms after SIGTERM, {}",
+                "{} exits {} ms after SIGTERM, {}",
                 name,
                 millisecondsSince(requestedAt),
-                allEnded ? "no connection left" : "connections left");
+                allEnded ? "all connections closed" : "connections still open");
     }
 
     private void begin(String name, long requestedAt, CountDownLatch done) {
@@ -125,7 +125,7 @@
         follow(
                 ShutdownPlan.of(deadlineInForceNs, latenessNs),
                 ShutdownPlan.of(longestDeadlineNs, latenessNs));
-        LOG.info("{} stops, begun {} ms after SIGTERM", name, beginsAfterNs / NS_PER_MS);
+        LOG.info("{} is shutting down, begun {} ms after SIGTERM", name, beginsAfterNs / NS_PER_MS);
         logPlan(latenessNs);
         // Loads now what a late timer needs. Prevents the time for that from being taken out of the
         // margin, when open requests are given up.
@@ -171,9 +171,9 @@
 
     private void logPlan(long latenessNs) {
         LOG.info(
-                "planned: responses end connections {} ms after SIGTERM, the listening socket"
-                        + " closes {}, requests are to be answered by {}, earlier ones by {}; the"
-                        + " loop is up to {} ms late",
+                "shutdown plan, in ms after SIGTERM: responses close their connections from {},"
+                        + " the listening socket closes at {}, new requests are answered by {},"
+                        + " earlier ones by {}; the loop is up to {} ms late",
                 closeWithResponsesNs() / NS_PER_MS,
                 plan.closeNs() / NS_PER_MS,
                 plan.answeredNs() / NS_PER_MS,
--- a/daemon/src/main/java/trailthread/daemon/Lifecycle.java
+++ b/daemon/src/main/java/trailthread/daemon/Lifecycle.java
@@ -83,8 +83,8 @@
     private static void warnOfIgnoredHangup() {
         LoggerFactory.getLogger(Lifecycle.class)
                 .warn(
-                        "SIGHUP was ignored when the process started, as under nohup, and stays so:"
-                                + " the configuration is never read again. Remedy: start it without"
+                        "SIGHUP was ignored when the process started, as under nohup, and stays ignored:"
+                                + " the configuration can't be reloaded. Start the process without"
                                 + " nohup, or with 'env --default-signal=HUP' before 'java'");
     }
 
--- a/daemon/src/main/java/trailthread/daemon/LoopbackWarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/LoopbackWarmUp.java
@@ -180,7 +180,7 @@
         if (wasServed(result.outcome())) {
             sendNext();
         } else {
-            end(", the last one not served");
+            end(", the last of which was not served");
         }
     }
 
@@ -226,9 +226,9 @@
 
     private void end(String failure) {
         LOG.info(
-                "warmed up with {} calls{}{}",
+                "warmed up with {} requests{}{}",
                 sent,
-                fleetIsBusy ? ", as workers are busy" : "",
+                fleetIsBusy ? ", as endpoints are busy" : "",
                 failure);
         loopbackEndpoints.update(new DiscoveryUpdate(0, true, List.of()), loop.now());
         over = true;
--- a/daemon/src/main/java/trailthread/daemon/NoMBeanServer.java
+++ b/daemon/src/main/java/trailthread/daemon/NoMBeanServer.java
@@ -18,7 +18,7 @@
         private static final long serialVersionUID = 1L;
 
         MBeanServerDisabledError() {
-            super("no management beans here", null, false, false);
+            super("the MBean server is disabled", null, false, false);
         }
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -188,7 +188,7 @@
             shutdown.setLongestDeadline(next.longestDeadlineNs());
             loop.execute(() -> apply(next));
         } catch (ConfigException e) {
-            LOG.error("configuration not taken over: {}", e.getMessage());
+            LOG.error("configuration not applied: {}", e.getMessage());
             loop.execute(() -> metrics.configurationReloaded(false));
         }
     }
@@ -209,7 +209,7 @@
         }
         metrics.configurationReloaded(true);
         LOG.info(
-                "configuration taken over: {} classes, {} attempts at most",
+                "configuration applied: {} request classes, at most {} attempts",
                 next.settings().classes.size(),
                 next.settings().maxAttempts);
     }
--- a/daemon/src/main/java/trailthread/daemon/NodeConfig.java
+++ b/daemon/src/main/java/trailthread/daemon/NodeConfig.java
@@ -58,7 +58,7 @@
         try (Reader reader = Files.newBufferedReader(Path.of(file))) {
             return new NodeConfigParser(environment).parse(reader);
         } catch (IOException e) {
-            throw new ConfigException(FILE_VARIABLE, "a file that can be read, got '" + file + "'");
+            throw new ConfigException(FILE_VARIABLE, "a readable file, got '" + file + "'");
         }
     }
 
@@ -76,7 +76,7 @@
         NodeConfig next = load(environment);
         String missing = keys.firstMissingIn(next.keys);
         if (missing != null) {
-            throw new ConfigException(missing, "a value, as in the file before");
+            throw new ConfigException(missing, "a value, as in the previous file");
         }
         boolean discoveryMoved =
                 !next.discoveryInFile.isEmpty() && !next.discoveryInFile.equals(discoveryInFile);
--- a/daemon/src/main/java/trailthread/daemon/NodeConfigParser.java
+++ b/daemon/src/main/java/trailthread/daemon/NodeConfigParser.java
@@ -68,7 +68,7 @@
             in.setStrictness(Strictness.STRICT);
             readFile(in);
         } catch (IOException | IllegalStateException | NumberFormatException e) {
-            throw new ConfigException(currentKey, "JSON that can be used: " + firstLine(e));
+            throw new ConfigException(currentKey, "valid JSON of the right type: " + firstLine(e));
         }
         try {
             return build();
@@ -87,7 +87,7 @@
         in.endObject();
         currentKey = NodeConfig.FILE_VARIABLE;
         if (in.peek() != JsonToken.END_DOCUMENT) {
-            throw new IOException("nothing after its end");
+            throw new IOException("text after the end of the object");
         }
     }
 
@@ -101,7 +101,7 @@
             case "known" -> knownEndpoints = DiscoveryParser.read(in);
             case "management" -> admin = in.nextString();
             case "operator" ->
-                    throw new ConfigException("operator.listen", "management in its place");
+                    throw new ConfigException("operator.listen", "the key 'management' instead");
             case "levels" -> {
                 degradation = new HashMap<>();
                 JsonFlattener.flatten(in, degradation::put);
@@ -128,7 +128,7 @@
         }
         in.endObject();
         if (limit < MIN_DESCRIPTOR_LIMIT) {
-            throw new IOException("sockets: at least " + MIN_DESCRIPTOR_LIMIT);
+            throw new IOException("sockets must be at least " + MIN_DESCRIPTOR_LIMIT);
         }
         return limit;
     }
--- a/daemon/src/main/java/trailthread/daemon/StartSequence.java
+++ b/daemon/src/main/java/trailthread/daemon/StartSequence.java
@@ -104,13 +104,15 @@
         if (endpointList.whenLeaseHeld(task)) {
             return;
         }
-        LOG.info("waits for the list before it is ready");
+        LOG.info("waiting for the endpoint list before becoming ready");
         loop.schedule(startedAt + LIST_TIMEOUT_NS - loop.now(), this::listTimedOut);
     }
 
     private void listTimedOut() {
         if (endpointList.isWaiting()) {
-            LOG.warn("no list in {} ms: ready without one", (loop.now() - startedAt) / NS_PER_MS);
+            LOG.warn(
+                    "no endpoint list after {} ms: becoming ready without it",
+                    (loop.now() - startedAt) / NS_PER_MS);
             endpointList.stopWaiting();
         }
     }
--- a/daemon/src/main/java/trailthread/daemon/admin/AdminServer.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminServer.java
@@ -113,7 +113,7 @@
         server.resumeAccepts();
         loop.execute(this::measureLateness);
         InetSocketAddress bound = server.getLocalAddress(InetSocketAddress.class);
-        LOG.info("operators are told on {}", bound);
+        LOG.info("admin server listens on {}", bound);
         return bound;
     }
 
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -162,7 +162,7 @@
             LOG.error("{}", fault);
         }
         if (result.read() == null) {
-            LOG.error("{} is not taken over: {} faults", path, result.faults().size());
+            LOG.error("{} was not applied: {} faults", path, result.faults().size());
             loop.execute(() -> metrics.configurationReloaded(false));
             return;
         }
@@ -171,12 +171,14 @@
 
     private void applyReloaded(OperatorFile next) {
         if (!hasSameTotals(file.services(), next.services())) {
-            LOG.error("{} is not taken over: descriptors and body_memory take a restart", path);
+            LOG.error(
+                    "{} was not applied: descriptors and body_memory change only at a restart",
+                    path);
             metrics.configurationReloaded(false);
             return;
         }
         if (!hasSameAddresses(file, next)) {
-            LOG.warn("{}: name and listen wait for the next start", path);
+            LOG.warn("{}: changes of name and listen take effect at the next start", path);
         }
         apply(next);
         metrics.configurationReloaded(true);
@@ -203,7 +205,7 @@
         RouteTable routes = new RouteTable(services.routes());
         listener.setFrontend(new ServiceFrontend(routes, pools.byName(), this::newId));
         LOG.info(
-                "{} pools kept, {} begun, {} ending; {} routes",
+                "{} pools kept, {} started, {} retired; {} routes",
                 change.kept(),
                 change.started(),
                 change.retired(),
--- a/daemon/src/test/java/trailthread/daemon/DegradationControllerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DegradationControllerTest.java
@@ -18,7 +18,8 @@
  * served.
  */
 public class DegradationControllerTest {
-    private static final Pattern ADMIN_ADDRESS = Pattern.compile("operators are told on .*:(\\d+)");
+    private static final Pattern ADMIN_ADDRESS =
+            Pattern.compile("admin server listens on .*:(\\d+)");
     private static final Pattern LATENESS =
             Pattern.compile("\\{reading=\"lateness_seconds\"} ([0-9.E-]+)");
 
@@ -39,7 +40,8 @@
     }
 
     private String metrics() throws Exception {
-        Matcher adminAddress = ADMIN_ADDRESS.matcher(cluster.awaitLogLine("operators are told on"));
+        Matcher adminAddress =
+                ADMIN_ADDRESS.matcher(cluster.awaitLogLine("admin server listens on"));
         assertTrue(adminAddress.find());
         Thread.sleep(1100); // metrics are updated every second
         cluster.port = Integer.parseInt(adminAddress.group(1));
--- a/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
@@ -253,7 +253,7 @@
         ScriptedServer moved =
                 cluster.closeAtEnd(new ScriptedServer(TestCluster::answerWatchUnchanged));
         cluster.reload("{\"name\":");
-        cluster.awaitLogLine("configuration not taken over: name");
+        cluster.awaitLogLine("configuration not applied: name");
         for (int i = 0; i < 3; i++) { // several in a row have the effect of one
             cluster.reload(cluster.config(moved, TestCluster.SETTINGS, first));
         }
--- a/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
+++ b/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
@@ -225,7 +225,7 @@
                     ScriptedServer endpoint = endpoint();
                     cluster.start(settings(4_000), endpoint);
                     cluster.reload(cluster.config(settings(300), endpoint));
-                    cluster.awaitLogLine("configuration taken over");
+                    cluster.awaitLogLine("configuration applied");
                     shutDownUnderLoad(300, 0);
                 });
     }
--- a/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
@@ -97,7 +97,7 @@
     }
 
     private int adminPort(int process) throws Exception {
-        return Integer.parseInt(holder.awaitLogMatch("operators are told on .*:(\\d+)", process));
+        return Integer.parseInt(holder.awaitLogMatch("admin server listens on .*:(\\d+)", process));
     }
 
     @Test
--- a/daemon/src/test/java/trailthread/daemon/RetuneTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RetuneTest.java
@@ -83,7 +83,7 @@
         assertTrue("the newest is taken", newest);
         cluster.reload("{");
         cluster.awaitLogLine(
-                "configuration not taken over"); // signals before it may still be under way, and
+                "configuration not applied"); // signals before it may still be under way, and
         // read this one
         assertEquals(200, cluster.sendRequest("newest").status());
         assertEquals(400, cluster.sendRequest("use").status());
--- a/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
@@ -88,7 +88,7 @@
         try (OutputStream out = cluster.openConfigPipe()) { // read once more
             out.write(cluster.config(TestCluster.SETTINGS).getBytes(StandardCharsets.UTF_8));
         }
-        cluster.awaitLogLine("configuration taken over");
+        cluster.awaitLogLine("configuration applied");
     }
 
     /** Guards against a node that never reloads, and does not say so. */
@@ -109,7 +109,7 @@
         cluster.launcher = List.of("nohup", "env", "--default-signal=HUP");
         cluster.start(TestCluster.SETTINGS);
         cluster.reload(cluster.config(TestCluster.SETTINGS));
-        cluster.awaitLogLine("configuration taken over");
+        cluster.awaitLogLine("configuration applied");
     }
 
     /**
@@ -130,9 +130,9 @@
                         TestCluster.SETTINGS.replace(
                                 "\"deadline_ns\":20000000000", "\"deadline_ns\":100000000"),
                         endpoint));
-        cluster.awaitLogLine("configuration taken over");
+        cluster.awaitLogLine("configuration applied");
         cluster.terminate();
-        cluster.awaitLogLine("stops");
+        cluster.awaitLogLine("is shutting down");
         Thread.sleep(3_000); // past 1.7 s and the new deadlines
         answer.countDown();
         assertEquals("made", Message.read(client).body());
@@ -149,7 +149,7 @@
         Message.send(before, TestCluster.requestText("use", "", ""));
         endpoint.takeRequest();
         cluster.terminate();
-        cluster.awaitLogLine("stops");
+        cluster.awaitLogLine("is shutting down");
         Socket after = cluster.connect();
         Message.send(after, TestCluster.requestText("use", "", ""));
         endpoint.takeRequest();
--- a/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
@@ -143,7 +143,7 @@
         long answeredAt = now();
         open.forEach(ActiveRequest::abandon);
         LOG.warn(
-                "{} calls are given up: the process may be killed before they have their time;"
+                "{} open requests failed: the process may be killed before their deadlines;"
                         + " begun {} ms late, answered within {} ms",
                 open.size(),
                 (begunAt - dueAt) / NS_PER_MS,
--- a/testkit/src/main/java/trailthread/testkit/TestCluster.java
+++ b/testkit/src/main/java/trailthread/testkit/TestCluster.java
@@ -29,7 +29,8 @@
 public final class TestCluster {
     private static final Pattern SERVING_ADDRESS = Pattern.compile("serves on .*:(\\d+)");
 
-    private static final Pattern ADMIN_ADDRESS = Pattern.compile("operators are told on .*:(\\d+)");
+    private static final Pattern ADMIN_ADDRESS =
+            Pattern.compile("admin server listens on .*:(\\d+)");
 
     /** Settings with long timeouts, so that tests pass on a slow machine as well. */
     public static final String SETTINGS =
@@ -243,7 +244,7 @@
     /** Sends a request to the program's admin server. */
     public Message sendAdminRequest(String method, String path)
             throws IOException, InterruptedException {
-        Matcher address = ADMIN_ADDRESS.matcher(awaitLogLine("operators are told on"));
+        Matcher address = ADMIN_ADDRESS.matcher(awaitLogLine("admin server listens on"));
         assertTrue(address.find());
         return sendAdminRequest(Integer.parseInt(address.group(1)), method, path);
     }
