--- a/daemon/src/main/java/org/xnio/nio/InheritedTcpServer.java
+++ b/daemon/src/main/java/org/xnio/nio/InheritedTcpServer.java
@@ -9,18 +9,18 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Makes an XNIO server on a listening socket that the process inherited; XNIO itself can only open
- * sockets. This is in XNIO's package, as the classes that it uses are package-private; the build
- * pins XNIO's version.
+ * Creates an XNIO server on a listening socket that the process inherited; XNIO itself can only
+ * open sockets. This is in XNIO's package, as the classes that it uses are package-private; the
+ * build pins XNIO's version.
  */
 public final class InheritedTcpServer {
     private InheritedTcpServer() {}
 
     /**
-     * Makes the server. It accepts nothing until it is resumed.
+     * Creates the server. It accepts nothing until accepts are resumed.
      *
      * @param inherited bound and listening; closed only with the server
-     * @param accept runs when connections may be accepted
+     * @param accept runs when connections are waiting to be accepted
      * @throws IOException if it can't be made non-blocking or registered
      */
     public static AcceptingChannel<StreamConnection> create(
--- a/daemon/src/main/java/trailthread/daemon/ConfigKeys.java
+++ b/daemon/src/main/java/trailthread/daemon/ConfigKeys.java
@@ -8,8 +8,8 @@
 import java.util.TreeSet;
 
 /**
- * The keys present in a configuration file, by their dotted paths. Used to detect keys that a
- * reloaded file has lost.
+ * The keys present in a configuration file, by their dotted paths. Used to detect keys that are
+ * missing from a reloaded file.
  *
  * <p>The items of a list ({@code list.0.key}) are compared as a group: a key that all items of the
  * old list have is expected in each item of the new one.
@@ -38,7 +38,7 @@
         return !part.isEmpty() && part.chars().allMatch(c -> c >= '0' && c <= '9');
     }
 
-    private static String listOf(String item) {
+    private static String listPath(String item) {
         return item.substring(0, item.lastIndexOf('.'));
     }
 
@@ -47,7 +47,7 @@
         Map<String, Set<String>> common = new HashMap<>();
         itemKeys.forEach(
                 (item, keys) ->
-                        common.computeIfAbsent(listOf(item), list -> new TreeSet<>(keys))
+                        common.computeIfAbsent(listPath(item), list -> new TreeSet<>(keys))
                                 .retainAll(keys));
         return common;
     }
@@ -65,7 +65,7 @@
         Map<String, Set<String>> expected = commonItemKeys();
         for (Map.Entry<String, Set<String>> item : other.itemKeys.entrySet()) {
             Set<String> missing =
-                    new HashSet<>(expected.getOrDefault(listOf(item.getKey()), Set.of()));
+                    new HashSet<>(expected.getOrDefault(listPath(item.getKey()), Set.of()));
             missing.removeAll(item.getValue());
             if (!missing.isEmpty()) {
                 return item.getKey() + "." + missing.iterator().next();
--- a/daemon/src/main/java/trailthread/daemon/DecisionWarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/DecisionWarmUp.java
@@ -16,22 +16,23 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * Warms the code of the decision module up: simulates more requests than a few endpoints can take,
- * on a module of its own, whose decisions are dropped. The first decisions among several endpoints
- * take longer than all the rest of a request, and {@link LoopbackWarmUp} has one endpoint only.
+ * Warms up the code of the decision module: simulates more requests than a few endpoints can serve,
+ * with a separate {@link Balancer} whose decisions are discarded. Without a warm-up, the first
+ * decision among several endpoints takes longer than all the rest of a request; {@link
+ * LoopbackWarmUp} has only one endpoint.
  *
- * <p>Uses no sockets, and simulated time.
+ * <p>Uses simulated time and no sockets.
  */
 class DecisionWarmUp implements BalancerActions {
     private static final int ENDPOINTS = 10;
     private static final long STEP_NS = 1_000_000;
     private static final int MAX_STEPS = 300;
-    private static final long MAX_REAL_NS = 50_000_000L;
+    private static final long MAX_DURATION_NS = 50_000_000L;
 
-    /** More than the endpoints can take, so that some requests are queued and some rejected. */
+    /** More than the endpoints can serve, so that some requests are queued and some rejected. */
     private static final int REQUESTS_PER_STEP = 2;
 
-    private static final long RESPONSE_NS = 25 * STEP_NS;
+    private static final long RESPONSE_TIME_NS = 25 * STEP_NS;
 
     private record Attempt(long request, int number, long endsAt) {}
 
@@ -40,7 +41,7 @@
     private final Settings settings;
     private final Balancer balancer;
 
-    /** The attempts in flight, in the order of their ends, as all take the same time. */
+    /** The attempts in flight; as all take the same time, they end in this order. */
     private final ArrayDeque<Attempt> inFlight = new ArrayDeque<>();
 
     private final PriorityQueue<Timer> timers =
@@ -51,7 +52,7 @@
 
     private long lastRequest;
 
-    /** Makes a simulation of a node with these settings. */
+    /** Creates a simulation of a node with these settings. */
     DecisionWarmUp(Settings settings, long seed) {
         this.settings = settings;
         balancer = new Balancer(settings, seed, now, this);
@@ -62,10 +63,10 @@
         balancer.list(now, ListKind.FULL, entries);
     }
 
-    /** Runs a simulation, for a limited number of steps and a limited time. */
+    /** Runs a simulation for a limited number of steps and a limited real time. */
     static void run(EventLoop loop, Settings settings, long seed) {
         DecisionWarmUp simulation = new DecisionWarmUp(settings, seed);
-        long until = loop.now() + MAX_REAL_NS;
+        long until = loop.now() + MAX_DURATION_NS;
         for (int i = 0; i < MAX_STEPS && loop.now() < until; i++) {
             simulation.step();
         }
@@ -87,7 +88,8 @@
 
     private void succeed(Attempt attempt) {
         LoadReport load = new LoadReport(1, 0, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
-        balancer.outcome(now, attempt.request, attempt.number, Outcome.OK, RESPONSE_NS, true, load);
+        balancer.outcome(
+                now, attempt.request, attempt.number, Outcome.OK, RESPONSE_TIME_NS, true, load);
     }
 
     private void sendRequest() {
@@ -107,7 +109,7 @@
 
     @Override
     public void send(long request, long timeoutNs, long writtenBy, String endpoint) {
-        inFlight.add(new Attempt(request, 0, now + RESPONSE_NS));
+        inFlight.add(new Attempt(request, 0, now + RESPONSE_TIME_NS));
     }
 
     @Override
--- a/daemon/src/main/java/trailthread/daemon/Drain.java
+++ b/daemon/src/main/java/trailthread/daemon/Drain.java
@@ -7,16 +7,16 @@
 import trailthread.engine.metrics.NodeControl;
 
 /**
- * Drains a node: its clients are moved to other nodes while it goes on running, and may be taken
- * back. The node is not ready from then on, but it goes on accepting connections, as the front end
- * that polls its readiness needs one to learn of it. Runs on the loop's thread.
+ * Drains a node: moves its clients to other nodes while it keeps running, until it is resumed. A
+ * draining node is not ready but keeps accepting connections, as the front end needs one to poll
+ * its readiness. Runs on the loop's thread.
  */
 public final class Drain implements NodeControl {
     private static final Logger LOG = LoggerFactory.getLogger(Drain.class);
 
     /**
-     * When responses begin to close their connections. Before, the front end may not have learned
-     * of the drain, and clients whose connections were closed would come back to this node.
+     * When responses begin to close their connections. Earlier, the front end may not have learned
+     * of the drain, and clients whose connections were closed would reconnect to this node.
      */
     private static final long CLOSE_WITH_RESPONSES_AFTER_NS = 400_000_000L;
 
@@ -37,7 +37,7 @@
 
     private boolean shuttingDown;
 
-    /** Makes a drain that has not begun, for the clients of a listener. */
+    /** Creates a drain, not yet begun, for the clients of a listener. */
     public Drain(EventLoop loop, HttpListener listener) {
         this.loop = loop;
         this.listener = listener;
@@ -89,7 +89,7 @@
         return !shuttingDown;
     }
 
-    /** Stops all drains for good, as the node shuts down. */
+    /** Ends any drain and rejects further drains and resumes, as the node shuts down. */
     void setShuttingDown() {
         shuttingDown = true;
     }
--- a/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
+++ b/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
@@ -14,8 +14,8 @@
 import trailthread.engine.request.RequestDispatcher;
 
 /**
- * Passes the endpoint list, and the lease on it, from discovery to all that act on it. Runs on the
- * loop's thread.
+ * Passes the endpoint list and its lease from discovery to the endpoint pool, the dispatcher and
+ * the metrics. Runs on the loop's thread.
  */
 final class EndpointListUpdater implements DiscoveryListener {
     private final EventLoop loop;
@@ -28,7 +28,7 @@
     private Runnable onLeaseHeld;
 
     /**
-     * Makes an updater whose lease is not held yet.
+     * Creates an updater whose lease is not held yet.
      *
      * @param lease on the endpoint list
      */
@@ -79,13 +79,13 @@
         }
     }
 
-    /** The list comes from another discovery service from now on. */
+    /** Notes that the list comes from another discovery service from now on. */
     void sourceChanged() {
         lease.recordSourceSwitch(loop.now());
     }
 
     /**
-     * Uses other settings from now on.
+     * Applies reloaded settings.
      *
      * @param drainGraceNs how long after the announcement of a drain new requests may still be
      *     sent, in nanoseconds
--- a/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
+++ b/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
@@ -11,18 +11,18 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * Shuts a node down without losing requests: it serves on for a while, then closes its listening
- * socket and finishes the requests in flight. {@link ShutdownPlan} says when.
+ * Shuts a node down without losing requests: it keeps serving for a while, then closes its
+ * listening socket and finishes the requests in flight. {@link ShutdownPlan} sets the times.
  */
 public final class GracefulShutdown {
-    /** Holds the requests in flight; they must be answered before the process is killed. */
+    /** The requests in flight, which must be answered before the process is killed. */
     public interface OpenRequests {
         /**
          * Sets the times by which requests must be answered; later calls bring them forward. Times
          * are those of {@link EventLoop#now}, in nanoseconds.
          *
          * @param newRequestsBy the latest deadline of requests that are admitted from now on
-         * @param allRequestsBy when every request that is still open is given up
+         * @param allRequestsBy when every request that is still open is answered with a failure
          */
         void setAnswerDeadlines(long newRequestsBy, long allRequestsBy);
     }
@@ -35,7 +35,7 @@
      */
     private static final long LAST_RESPONSES_NS = 1_700_000_000L;
 
-    /** How often it is looked whether the plan is to be brought forward. */
+    /** How often the node checks whether the plan must be brought forward. */
     private static final long PLAN_INTERVAL_NS = 25_000_000L;
 
     private static final long NS_PER_MS = 1_000_000L;
@@ -45,8 +45,8 @@
     private final Drain drain;
     private final OpenRequests requests;
 
-    /** The longest deadline by the settings in force. */
-    private volatile long deadlineInForceNs;
+    /** The longest deadline by the current settings. */
+    private volatile long currentDeadlineNs;
 
     /**
      * The longest deadline of all settings since the start: requests keep the deadline they were
@@ -57,25 +57,25 @@
     /** When SIGTERM came, by the loop's clock in nanoseconds. */
     private long requestedAt;
 
-    /** Opened once no connection is left. */
+    /** Counted down once all connections are closed. */
     private CountDownLatch done;
 
     /** Whether other processes accept from the listening socket, too. */
     private boolean shared;
 
-    /** For requests admitted from now on. */
+    /** The plan for requests admitted from now on. */
     private ShutdownPlan plan;
 
-    /** For all requests. */
+    /** The plan for all requests, including those admitted with longer deadlines. */
     private ShutdownPlan planForAll;
 
-    /** The steps of the plan that are still to come, or have been taken. */
-    private final List<XnioExecutor.Key> steps = new ArrayList<>();
+    /** The timers of the plan's steps; some may have run. */
+    private final List<XnioExecutor.Key> stepTimers = new ArrayList<>();
 
     /** Whether the listening socket is closing. */
     private boolean closing;
 
-    /** Makes the shutdown of a node that serves with the listener. */
+    /** Creates the shutdown of the node that serves with this listener. */
     public GracefulShutdown(
             EventLoop loop, HttpListener listener, Drain drain, OpenRequests requests) {
         this.loop = loop;
@@ -89,17 +89,17 @@
      * several threads at once.
      */
     public void setLongestDeadline(long deadlineNs) {
-        deadlineInForceNs = deadlineNs;
+        currentDeadlineNs = deadlineNs;
         longestDeadlineNs = Math.max(longestDeadlineNs, deadlineNs);
     }
 
     /**
-     * Shuts the node down. Returns when all requests have been answered or have had their time.
+     * Shuts the node down. Returns once all requests are answered or out of time.
      *
      * @param name the node's, for the log
      */
     public void await(String name) throws InterruptedException {
-        // Taken here, as the loop may run the task late, and the time to a kill counts from now.
+        // Read before the task runs, which may be late: the time to a kill counts from now.
         long requestedAt = loop.now();
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> begin(name, requestedAt, done));
@@ -122,14 +122,15 @@
         long latenessNs = latenessNs();
         // The platform does not say whether a reload changes the deadlines it counts by, so new
         // requests are planned by the newest ones.
-        follow(
-                ShutdownPlan.of(deadlineInForceNs, latenessNs),
+        applyPlans(
+                ShutdownPlan.of(currentDeadlineNs, latenessNs),
                 ShutdownPlan.of(longestDeadlineNs, latenessNs));
         LOG.info("{} is shutting down, begun {} ms after SIGTERM", name, beginsAfterNs / NS_PER_MS);
         logPlan(latenessNs);
-        // Loads now what a late timer needs. Prevents the time for that from being taken out of the
-        // margin, when open requests are given up.
-        loop.afterSockets(this::planAgain);
+        // Goes through afterSockets only to load its code now: a late timer that fails open
+        // requests
+        // needs it, and loading it then would use up the margin before the kill.
+        loop.afterSockets(this::replan);
     }
 
     private long latenessNs() {
@@ -140,28 +141,28 @@
      * Brings the plan forward if the loop has become later, as other processes have become busy, or
      * if a reload has shortened deadlines.
      */
-    private void planAgain() {
+    private void replan() {
         long latenessNs = latenessNs();
-        ShutdownPlan next = ShutdownPlan.of(deadlineInForceNs, latenessNs);
+        ShutdownPlan next = ShutdownPlan.of(currentDeadlineNs, latenessNs);
         if (next.isEarlierThan(plan)) {
             ShutdownPlan nextForAll = ShutdownPlan.of(longestDeadlineNs, latenessNs);
-            follow(next, ShutdownPlan.earlier(planForAll, nextForAll));
+            applyPlans(next, ShutdownPlan.earlier(planForAll, nextForAll));
             logPlan(latenessNs);
         }
         if (loop.now() < requestedAt + planForAll.answeredNs()) {
-            loop.schedule(PLAN_INTERVAL_NS, this::planAgain);
+            loop.schedule(PLAN_INTERVAL_NS, this::replan);
         }
     }
 
-    private void follow(ShutdownPlan newPlan, ShutdownPlan newPlanForAll) {
+    private void applyPlans(ShutdownPlan newPlan, ShutdownPlan newPlanForAll) {
         plan = newPlan;
         planForAll = newPlanForAll;
         requests.setAnswerDeadlines(
                 requestedAt + plan.answeredNs(), requestedAt + planForAll.answeredNs());
         cancelSteps();
-        steps.add(runAt(closeWithResponsesNs(), () -> listener.closeAfterResponse(true)));
+        stepTimers.add(runAt(closeWithResponsesNs(), () -> listener.closeAfterResponse(true)));
         if (!closing) {
-            steps.add(runAt(plan.closeNs(), this::close));
+            stepTimers.add(runAt(plan.closeNs(), this::close));
         }
     }
 
@@ -182,8 +183,8 @@
     }
 
     private void cancelSteps() {
-        steps.forEach(XnioExecutor.Key::remove);
-        steps.clear();
+        stepTimers.forEach(XnioExecutor.Key::remove);
+        stepTimers.clear();
     }
 
     private XnioExecutor.Key runAt(long afterRequestNs, Runnable step) {
--- a/daemon/src/main/java/trailthread/daemon/InheritedSocket.java
+++ b/daemon/src/main/java/trailthread/daemon/InheritedSocket.java
@@ -20,7 +20,7 @@
     /**
      * The inherited socket, or null if the node is to open its address itself.
      *
-     * @throws ConfigException if the variable names another descriptor, or it is no listening
+     * @throws ConfigException if the variable names another descriptor, or is not a listening
      *     socket
      * @throws IOException if the descriptor can't be used
      */
--- a/daemon/src/main/java/trailthread/daemon/JsonFlattener.java
+++ b/daemon/src/main/java/trailthread/daemon/JsonFlattener.java
@@ -19,7 +19,7 @@
      * commas, the number of its objects under {@code .count}, and each object under its index.
      *
      * @param in positioned before the value
-     * @throws IOException if it can't be read or is no JSON
+     * @throws IOException if it can't be read or is not JSON
      */
     static void flatten(JsonReader in, BiConsumer<String, String> consumer) throws IOException {
         flatten("", in, consumer);
--- a/daemon/src/main/java/trailthread/daemon/Lifecycle.java
+++ b/daemon/src/main/java/trailthread/daemon/Lifecycle.java
@@ -7,10 +7,10 @@
 
 /** The life of the process: its start, its signal handlers and its end. */
 public final class Lifecycle {
-    /** Begins to serve requests. */
+    /** Starts serving requests. */
     public interface StartTask {
         /**
-         * Returns when it has begun.
+         * Returns once the start is under way.
          *
          * @throws IOException if it can't
          */
@@ -43,8 +43,8 @@
 
     /**
      * Handles SIGHUP from now on; without a handler it would end the Java virtual machine. Each
-     * signal runs the task that the returned future is completed with; a signal that comes earlier
-     * is handled once it is.
+     * signal runs the task that the returned future is completed with; signals that arrive before
+     * the completion are handled then.
      *
      * <p>Uses reflection, as the compiler warns of {@code sun.misc.Signal}, and warnings are errors
      * in this build.
@@ -83,9 +83,9 @@
     private static void warnOfIgnoredHangup() {
         LoggerFactory.getLogger(Lifecycle.class)
                 .warn(
-                        "SIGHUP was ignored when the process started, as under nohup, and stays ignored:"
-                                + " the configuration can't be reloaded. Start the process without"
-                                + " nohup, or with 'env --default-signal=HUP' before 'java'");
+                        "SIGHUP was ignored when the process started, as under nohup, and stays"
+                                + " ignored: the configuration can't be reloaded. Start the process"
+                                + " without nohup, or with 'env --default-signal=HUP' before 'java'");
     }
 
     /**
--- a/daemon/src/main/java/trailthread/daemon/LoopbackWarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/LoopbackWarmUp.java
@@ -34,26 +34,26 @@
  * not wait for classes to be loaded and code to be compiled. {@link DecisionWarmUp} does the same
  * for decisions among many endpoints.
  *
- * <p>The node is client and endpoint of these requests, over its own address. They have a decision
- * module and an endpoint pool of their own, and never reach a real endpoint. A warm-up request that
- * timed out may be read long after the warm-up has ended, so this stays in front of the real
- * request handler and checks the id of every request for as long as the node runs.
+ * <p>The node is both client and endpoint of these requests, over its own address. They use a
+ * decision module and an endpoint pool of their own, and never reach a real endpoint. A warm-up
+ * request that timed out may be read long after the warm-up has ended, so this handler stays in
+ * front of the real one and checks the id of every request for as long as the node runs.
  */
 final class LoopbackWarmUp implements RequestHandler {
     /**
-     * The circumstances of a start.
+     * What the length of the warm-up depends on.
      *
-     * @param startedAt when it began, by the loop's clock in nanoseconds
-     * @param probing whether endpoints are being asked for their load, see {@link #loadReported}
+     * @param startedAt when the start began, by the loop's clock in nanoseconds
+     * @param probing whether endpoints are being probed for their load, see {@link #loadReported}
      * @param replacesProcess whether another process of this node serves its clients meanwhile, so
-     *     that there is no hurry
+     *     that the warm-up may take longer
      */
     record Start(long startedAt, boolean probing, boolean replacesProcess) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(LoopbackWarmUp.class);
     private static final String SELF = "self";
 
-    /** After so many requests the code in use has been compiled. */
+    /** After this many requests, the code in use has been compiled. */
     private static final int MAX_REQUESTS = 1000;
 
     /** The first requests load the classes; they take far longer than those that follow. */
@@ -74,7 +74,7 @@
     /** Opening a connection is warmed up as well: many clients connect at once after a restart. */
     private static final int REQUESTS_PER_CONNECTION = 2;
 
-    /** Rejecting a request is warmed up as well: such a crowd exceeds the capacity. */
+    /** Rejecting a request is warmed up as well: so many clients at once exceed the capacity. */
     private static final int REQUESTS_PER_REJECTION = 3;
 
     private static final int MAX_CONNECTIONS = 16;
@@ -94,18 +94,18 @@
     /** The ids of warm-up requests begin with this; no client's id does. */
     private final String idPrefix;
 
-    /** The ids of warm-up requests that have come as a client's. */
-    private final Set<String> dispatched = new HashSet<>();
+    /** The ids of warm-up requests that have arrived from the node as a client. */
+    private final Set<String> dispatchedIds = new HashSet<>();
 
     private Start start;
     private Runnable whenDone;
     private long endsAt;
     private boolean fleetIsBusy;
-    private int sent;
-    private boolean over;
+    private int sentCount;
+    private boolean finished;
 
     /**
-     * Makes a warm-up that is not started.
+     * Creates a warm-up that is not started.
      *
      * @param clientRequests handles all requests but the warm-up's
      */
@@ -143,11 +143,11 @@
         this.whenDone = whenDone;
         boolean untilLoadIsKnown = start.probing() || start.replacesProcess();
         endsAt = start.startedAt() + (untilLoadIsKnown ? IDLE_FLEET_NS : UNKNOWN_FLEET_NS);
-        listSelf(ownAddress);
+        setSelfAsEndpoint(ownAddress);
         sendNext();
     }
 
-    private void listSelf(InetSocketAddress ownAddress) {
+    private void setSelfAsEndpoint(InetSocketAddress ownAddress) {
         String hostPort = ownAddress.getAddress().getHostAddress() + ":" + ownAddress.getPort();
         String zone = config.settings().zone;
         DiscoveredEndpoint self =
@@ -158,13 +158,13 @@
     }
 
     /**
-     * Shortens the warm-up by what an endpoint's load says of the fleet: endpoints with requests in
-     * flight or queued mean that it is busy.
+     * Shortens the warm-up by an endpoint's load: requests in flight or queued there mean that the
+     * fleet is busy.
      *
      * @param load null if the endpoint did not report it
      */
     void loadReported(LoadReport load) {
-        // A probe that fails at once reports before the start.
+        // A probe that fails immediately reports before the warm-up has been started.
         if (start == null || start.replacesProcess()) {
             return;
         }
@@ -180,33 +180,33 @@
         if (wasServed(result.outcome())) {
             sendNext();
         } else {
-            end(", the last of which was not served");
+            finish(", the last of which was not served");
         }
     }
 
     /**
-     * Whether the node can serve itself. A timeout counts: on a busy machine the first request may
-     * take all of its time to load the classes that the next ones need.
+     * Whether the node was able to serve itself. A timeout counts as well: on a busy machine the
+     * first request may take all of its time to load the classes that the next ones need.
      */
     private static boolean wasServed(Outcome outcome) {
         return outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.TIMEOUT;
     }
 
     private void sendNext() {
-        boolean timeIsUp = sent >= MIN_REQUESTS && loop.now() > endsAt;
-        if (sent == MAX_REQUESTS || timeIsUp) {
-            end("");
+        boolean timeIsUp = sentCount >= MIN_REQUESTS && loop.now() > endsAt;
+        if (sentCount == MAX_REQUESTS || timeIsUp) {
+            finish("");
             return;
         }
-        if (sent % REQUESTS_PER_CONNECTION == 0) {
+        if (sentCount % REQUESTS_PER_CONNECTION == 0) {
             loopbackEndpoints.closeIdle(SELF);
         }
         List<RequestClass> classes = config.settings().classes;
-        RequestClass requestClass = classes.get(sent % classes.size());
-        sent++;
+        RequestClass requestClass = classes.get(sentCount % classes.size());
+        sentCount++;
         loopbackEndpoints.attempt(
                 SELF,
-                request(idPrefix + sent, requestClass),
+                request(idPrefix + sentCount, requestClass),
                 REQUEST_TIMEOUT_NS,
                 this::attemptEnded);
     }
@@ -224,14 +224,14 @@
                 null);
     }
 
-    private void end(String failure) {
+    private void finish(String failure) {
         LOG.info(
                 "warmed up with {} requests{}{}",
-                sent,
+                sentCount,
                 fleetIsBusy ? ", as endpoints are busy" : "",
                 failure);
         loopbackEndpoints.update(new DiscoveryUpdate(0, true, List.of()), loop.now());
-        over = true;
+        finished = true;
         whenDone.run();
     }
 
@@ -241,15 +241,17 @@
     }
 
     /**
-     * Handles a client's request, or one of the warm-up. Those come twice: as a client's request,
-     * and then, dispatched, as they reach the endpoint.
+     * Handles a request of a client or of the warm-up. The node receives each warm-up request
+     * twice: first as from a client, then, once dispatched, as its endpoint.
      */
     @Override
     public Runnable handle(ClientRequest request, long deadline, ClientResponse response) {
         if (!request.id().startsWith(idPrefix)) {
             return clientRequests.handle(request, deadline, response);
         }
-        if (!over && sent % REQUESTS_PER_REJECTION != 0 && dispatched.add(request.id())) {
+        if (!finished
+                && sentCount % REQUESTS_PER_REJECTION != 0
+                && dispatchedIds.add(request.id())) {
             return loopbackRequests.handle(request, deadline, response);
         }
         respond(response);
@@ -257,9 +259,9 @@
     }
 
     private void respond(ClientResponse response) {
-        if (over) {
+        if (finished) {
             response.fail();
-        } else if (sent % REQUESTS_PER_REJECTION == 0) {
+        } else if (sentCount % REQUESTS_PER_REJECTION == 0) {
             response.reject(REQUEST_TIMEOUT_NS);
         } else {
             response.respond(EndpointResponse.of(BODY));
--- a/daemon/src/main/java/trailthread/daemon/NoMBeanServer.java
+++ b/daemon/src/main/java/trailthread/daemon/NoMBeanServer.java
@@ -3,8 +3,8 @@
 import javax.management.MBeanServerBuilder;
 
 /**
- * Keeps the Java platform from creating its MBean server. XNIO registers itself there, which would
- * load hundreds of classes at the start; it goes on without one. The constructor throws an error,
+ * Prevents the Java platform from creating its MBean server. XNIO would register itself there,
+ * which loads hundreds of classes at the start, and works without. The constructor throws an error,
  * as the platform would set up its own logging to report an exception.
  */
 public final class NoMBeanServer extends MBeanServerBuilder {
@@ -13,7 +13,7 @@
         throw new MBeanServerDisabledError();
     }
 
-    /** Has no stack trace, as nobody reads it. */
+    /** Has no stack trace, as none is ever printed. */
     private static final class MBeanServerDisabledError extends Error {
         private static final long serialVersionUID = 1L;
 
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -22,7 +22,7 @@
 import trailthread.engine.metrics.NodeStatus;
 import trailthread.engine.request.RequestDispatcher;
 
-/** A platform node: connects its parts, starts, reloads and stops them. */
+/** A platform node: connects its components; starts, reloads and stops them. */
 final class Node implements NodeStatus {
     private static final Logger LOG = LoggerFactory.getLogger(Node.class);
 
@@ -51,7 +51,7 @@
     private final GracefulShutdown shutdown;
 
     /**
-     * Makes a node; it does nothing until it is started.
+     * Creates a node that does nothing until it is started.
      *
      * @throws IOException if the event loop can't be created
      */
@@ -126,32 +126,32 @@
             admin.listen(config.adminAddress(), drain);
         }
         InetSocketAddress ownAddress = listener.listen(warmUpAddress(inherited));
-        loop.execute(() -> begin(ownAddress, inherited));
+        loop.execute(() -> startOnLoop(ownAddress, inherited));
     }
 
     /**
-     * Where the node listens during the warm-up. On a shared socket, its requests to itself could
-     * reach another process, and real endpoints through it.
+     * The address of the node during the warm-up. Over a shared socket, its requests to itself
+     * could reach another process, which would forward them to real endpoints.
      */
     private InetSocketAddress warmUpAddress(ServerSocketChannel inherited) {
         InetSocketAddress configured = config.listenAddress();
         return inherited == null ? configured : new InetSocketAddress(configured.getAddress(), 0);
     }
 
-    private void begin(InetSocketAddress ownAddress, ServerSocketChannel inherited) {
+    private void startOnLoop(InetSocketAddress ownAddress, ServerSocketChannel inherited) {
         discovery.setKnownList(config.knownEndpoints());
         endpointList.start(config.knownEndpoints());
         discovery.setPushed(!config.settings().listIsPolled);
         new StartSequence(loop, config, endpoints, endpointList, loopbackWarmUp)
-                .run(ownAddress, inherited != null, () -> serve(ownAddress, inherited));
+                .run(ownAddress, inherited != null, () -> startServing(ownAddress, inherited));
     }
 
-    private void serve(InetSocketAddress ownAddress, ServerSocketChannel inherited) {
+    private void startServing(InetSocketAddress ownAddress, ServerSocketChannel inherited) {
         if (drain.isShuttingDown()) {
-            return; // shutting down already: a request accepted now might get no response
+            return; // a request accepted now might get no response
         }
         if (inherited != null) {
-            acceptFrom(inherited);
+            acceptFromInherited(inherited);
         }
         listener.setReady(true);
         if (degradation != null) {
@@ -164,7 +164,7 @@
                 inherited == null ? ownAddress : config.listenAddress());
     }
 
-    private void acceptFrom(ServerSocketChannel inherited) {
+    private void acceptFromInherited(ServerSocketChannel inherited) {
         try {
             listener.share(inherited);
         } catch (IOException e) {
@@ -175,7 +175,8 @@
     /**
      * Reads the configuration again, on a worker thread, one reload after another. Settings and the
      * address of discovery are applied if the file is valid; else all stays as it was. Connections,
-     * requests in flight and the endpoint list are kept. Other keys wait for the next start.
+     * requests in flight and the endpoint list are kept. Changes of other keys take effect at the
+     * next start.
      */
     void reload(Map<String, String> environment) {
         loop.xnioWorker().execute(() -> readAndApply(environment));
@@ -215,8 +216,8 @@
     }
 
     /**
-     * Shuts the node down gracefully: serves on for a while, then finishes the requests in flight.
-     * Returns when all have had their time.
+     * Shuts the node down gracefully: keeps serving for a while, then finishes the requests in
+     * flight. Returns once all are answered or out of time.
      */
     void stop() throws InterruptedException {
         shutdown.await(config.name());
@@ -257,7 +258,7 @@
         return descriptors.limit();
     }
 
-    /** The share of the descriptors in use by the node's connections and its reserve, 0 to 1. */
+    /** The share of the descriptors that connections use or the process reserves, 0 to 1. */
     private double descriptorUse() {
         int used = descriptors.reserved();
         for (int connections : listener.connections().values()) {
--- a/daemon/src/main/java/trailthread/daemon/NodeConfig.java
+++ b/daemon/src/main/java/trailthread/daemon/NodeConfig.java
@@ -16,14 +16,14 @@
  *
  * @param name the node's name, for logs and threads
  * @param listenAddress where clients connect
- * @param discoveryAddress the discovery service in use
- * @param discoveryInFile the discovery service as the file names it, which an environment variable
- *     may override; may be empty
+ * @param discoveryAddress the address of the discovery service in use
+ * @param discoveryInFile the address of the discovery service in the file, which an environment
+ *     variable may override; may be empty
  * @param seed of the random number generators
- * @param descriptorLimit how many file descriptors the process may hold
+ * @param descriptorLimit the most file descriptors that the process may hold
  * @param knownEndpoints the endpoint list that the node had last, possibly out of date
  * @param settings of the decision module
- * @param idleCloseNs how long an endpoint leaves an idle connection open, in nanoseconds
+ * @param idleCloseNs how long an endpoint keeps an idle connection open, in nanoseconds
  * @param drainGraceNs how long after the announcement of a drain new requests may still be sent, in
  *     nanoseconds
  * @param adminAddress where the admin server listens, or null if there is none
@@ -70,7 +70,7 @@
      * <p>A file that lacks keys of the previous one is rejected: it was probably truncated, or read
      * while it was being written.
      *
-     * @throws ConfigException if the file can't be used; this configuration then stays in force
+     * @throws ConfigException if the file can't be used; this configuration then stays in use
      */
     NodeConfig reload(Map<String, String> environment) throws ConfigException {
         NodeConfig next = load(environment);
@@ -78,15 +78,15 @@
         if (missing != null) {
             throw new ConfigException(missing, "a value, as in the previous file");
         }
-        boolean discoveryMoved =
+        boolean discoveryChanged =
                 !next.discoveryInFile.isEmpty() && !next.discoveryInFile.equals(discoveryInFile);
         return new NodeConfig(
                 name,
                 listenAddress,
-                discoveryMoved
+                discoveryChanged
                         ? NodeConfigParser.discoveryAddress(next.discoveryInFile)
                         : discoveryAddress,
-                discoveryMoved ? next.discoveryInFile : discoveryInFile,
+                discoveryChanged ? next.discoveryInFile : discoveryInFile,
                 seed,
                 descriptorLimit,
                 knownEndpoints,
--- a/daemon/src/main/java/trailthread/daemon/NodeConfigParser.java
+++ b/daemon/src/main/java/trailthread/daemon/NodeConfigParser.java
@@ -50,7 +50,7 @@
     private String currentKey = NodeConfig.FILE_VARIABLE;
 
     /**
-     * Makes a parser.
+     * Creates a parser.
      *
      * @param environment the variables that override keys of the file
      */
@@ -171,7 +171,7 @@
      * Parses the address of the discovery service.
      *
      * @param hostPort {@code address:port}
-     * @throws ConfigException if it is no address with a port to connect to
+     * @throws ConfigException if it is not an address with a port that can be connected to
      */
     static InetSocketAddress discoveryAddress(String hostPort) throws ConfigException {
         return address("discovery", hostPort, MIN_CONNECT_PORT);
@@ -186,7 +186,7 @@
                 return new InetSocketAddress(hostPort.substring(0, colon), port);
             }
         } catch (IllegalArgumentException e) {
-            // reported below, with the key
+            // reported below with the key
         }
         throw new ConfigException(key, "address:port, got '" + hostPort + "'");
     }
--- a/daemon/src/main/java/trailthread/daemon/ShutdownPlan.java
+++ b/daemon/src/main/java/trailthread/daemon/ShutdownPlan.java
@@ -8,8 +8,8 @@
  * @param answeredNs by then every request is answered, as the process may be killed soon after
  */
 record ShutdownPlan(long closeWithResponsesNs, long closeNs, long answeredNs) {
-    /** How long new connections may still come, as the front end learns of the shutdown late. */
-    private static final long SERVE_ON_NS = 700_000_000L;
+    /** How long new connections may still arrive, as the front end learns of the shutdown late. */
+    private static final long KEEP_SERVING_NS = 700_000_000L;
 
     /**
      * How long before the listening socket is closed, responses begin to close their connections.
@@ -18,16 +18,16 @@
     private static final long CLOSE_WITH_RESPONSES_NS = 150_000_000L;
 
     /**
-     * The platform kills the process {@link #SERVE_ON_NS} and the longest deadline after SIGTERM,
-     * but counts no more than this for the deadline.
+     * The platform kills the process {@link #KEEP_SERVING_NS} plus the longest deadline after
+     * SIGTERM, but counts at most this much of the deadline.
      */
     private static final long MAX_COUNTED_DEADLINE_NS = 3_000_000_000L;
 
-    /** For the signal to arrive and responses to be written, on a part of a core. */
+    /** Time for the signal to arrive and responses to be written, on a fraction of a core. */
     private static final long MARGIN_NS = 150_000_000L;
 
-    /** A plan is not replaced for less. */
-    private static final long LEAST_CHANGE_NS = 10_000_000L;
+    /** A plan is replaced only by one that is earlier by at least this. */
+    private static final long MIN_CHANGE_NS = 10_000_000L;
 
     /**
      * Plans a shutdown.
@@ -39,15 +39,15 @@
     static ShutdownPlan of(long longestDeadlineNs, long latenessNs) {
         long deadlineNs = Math.min(longestDeadlineNs, MAX_COUNTED_DEADLINE_NS);
         long marginNs = MARGIN_NS + Math.min(latenessNs, MARGIN_NS);
-        long answeredNs = SERVE_ON_NS + deadlineNs - marginNs;
+        long answeredNs = KEEP_SERVING_NS + deadlineNs - marginNs;
         // The last requests to be accepted have at least half of their deadline left.
-        long closeNs = Math.min(SERVE_ON_NS, answeredNs - deadlineNs / 2);
+        long closeNs = Math.min(KEEP_SERVING_NS, answeredNs - deadlineNs / 2);
         return new ShutdownPlan(closeNs - CLOSE_WITH_RESPONSES_NS, closeNs, answeredNs);
     }
 
     /** Whether this plan is earlier than another by enough to replace it. */
     boolean isEarlierThan(ShutdownPlan other) {
-        return answeredNs <= other.answeredNs - LEAST_CHANGE_NS;
+        return answeredNs <= other.answeredNs - MIN_CHANGE_NS;
     }
 
     /** The plan of the two by which requests are answered earlier. */
--- a/daemon/src/main/java/trailthread/daemon/StartSequence.java
+++ b/daemon/src/main/java/trailthread/daemon/StartSequence.java
@@ -11,21 +11,21 @@
 import trailthread.engine.loop.EventLoop;
 
 /**
- * What a node does between its start and its first client: it asks endpoints how busy the fleet is,
+ * The steps from a node's start to its first client: probes endpoints for the load of the fleet,
  * warms up accordingly, and waits for the endpoint list. Runs on the loop's thread.
  */
 final class StartSequence {
     private static final Logger LOG = LoggerFactory.getLogger(StartSequence.class);
 
-    /** How many endpoints are asked for their load: a single one may happen to be idle. */
+    /** How many endpoints are probed: a single one may happen to be idle. */
     private static final int PROBED_ENDPOINTS = 4;
 
     private static final long PROBE_TIMEOUT_NS = 300_000_000L;
 
     /**
      * How long a start waits for the endpoint list before the node becomes ready without one. The
-     * first polls of a fleet are spread over the same time. Without other nodes, clients then get
-     * rejections instead of no response.
+     * first polls of a fleet are spread over the same time. If no other node is up, clients then
+     * get rejections instead of no response.
      */
     private static final long LIST_TIMEOUT_NS = 4_500_000_000L;
 
@@ -38,7 +38,7 @@
     private final LoopbackWarmUp loopbackWarmUp;
     private final long startedAt;
 
-    /** Makes a sequence whose times count from now. */
+    /** Creates a sequence whose times count from now. */
     StartSequence(
             EventLoop loop,
             NodeConfig config,
@@ -70,9 +70,9 @@
     }
 
     /**
-     * Asks some endpoints for their load, if the settings allow it.
+     * Probes some endpoints for their load, if the settings allow it.
      *
-     * @return whether any was asked
+     * @return whether any endpoint is being probed
      */
     private boolean probeEndpoints() {
         boolean allowed =
@@ -98,7 +98,7 @@
 
     /**
      * Runs a task once the node has an endpoint list. Until then the node is not ready and gets no
-     * requests; it could only reject them.
+     * requests, as it could only reject them.
      */
     private void awaitList(Runnable task) {
         if (endpointList.whenLeaseHeld(task)) {
--- a/daemon/src/main/java/trailthread/daemon/services/PoolSet.java
+++ b/daemon/src/main/java/trailthread/daemon/services/PoolSet.java
@@ -17,7 +17,7 @@
      *
      * @param kept how many pools stay as they are
      * @param started how many pools are new or changed
-     * @param retired how many pools end with the requests they have in flight
+     * @param retired how many old pools end once their requests in flight have
      */
     record Change(int kept, int started, int retired) {}
 
@@ -28,7 +28,7 @@
     private final Map<String, Pool> pools = new LinkedHashMap<>();
 
     /**
-     * Makes an empty set.
+     * Creates an empty set.
      *
      * @param random seeds each new pool
      */
@@ -69,7 +69,7 @@
         return pool;
     }
 
-    /** The pools by their names; changes with the set. */
+    /** A live view of the pools by name. */
     Map<String, Pool> byName() {
         return pools;
     }
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -43,11 +43,11 @@
      * so that the connections for clients are this share of it: idle connections are then closed
      * after 2 s once two thirds of the connections are in use, and after 0.1 s from seven eighths.
      */
-    private static final double FULL_SHARE = 0.75;
+    private static final double CLIENTS_SHARE = 0.75;
 
     private final Path path;
 
-    /** The file in force. */
+    /** The file whose contents are applied. */
     private volatile OperatorFile file;
 
     private final EventLoop loop;
@@ -65,7 +65,7 @@
     private long lastId;
 
     /**
-     * Makes a node; it does nothing until it is started.
+     * Creates a node that does nothing until it is started.
      *
      * @param path where the file was read, and is read again at each reload
      * @param file the file's contents
@@ -89,11 +89,11 @@
                 new HttpListener(
                         loop,
                         forClients,
-                        (int) (forClients / FULL_SHARE),
+                        (int) (forClients / CLIENTS_SHARE),
                         new ServiceFrontend(new RouteTable(List.of()), Map.of(), this::newId),
                         metrics);
         drain = new Drain(loop, listener);
-        shutdown = new GracefulShutdown(loop, listener, drain, ServiceNode::ignoreAnswerBy);
+        shutdown = new GracefulShutdown(loop, listener, drain, ServiceNode::ignoreAnswerDeadlines);
     }
 
     private AdminServer adminServer(OperatorFile file) throws IOException {
@@ -103,8 +103,8 @@
         return new AdminServer(loop, file.name(), metricsClasses(file.services()), this);
     }
 
-    /** Requests need no time by which they are answered: here nobody kills the process. */
-    private static void ignoreAnswerBy(long newOnes, long all) {}
+    /** Requests need no answer deadline, as no platform kills this process. */
+    private static void ignoreAnswerDeadlines(long newRequestsBy, long allRequestsBy) {}
 
     /** The request classes of all pools, each named after its pool and itself. */
     private static List<RequestClass> metricsClasses(ServicesConfig services) {
@@ -139,7 +139,7 @@
         if (admin != null) {
             admin.listen(EndpointPool.address(file.operatorListen()), drain);
         }
-        loop.execute(() -> apply(file)); // before the first request can come
+        loop.execute(() -> apply(file)); // before the first request can arrive
         InetSocketAddress address = listener.listen(EndpointPool.address(file.listen()));
         loop.execute(
                 () -> {
@@ -196,7 +196,7 @@
                 && Objects.equals(a.operatorListen(), b.operatorListen());
     }
 
-    /** Changes pools and routes between two requests. */
+    /** Replaces pools and routes between two requests. */
     private void apply(OperatorFile next) {
         ServicesConfig services = next.services();
         shutdown.setLongestDeadline(longestDeadlineNs(services));
@@ -226,8 +226,8 @@
     }
 
     /**
-     * Shuts the node down gracefully: serves on for a while, then finishes the requests in flight.
-     * Returns when all have had their time.
+     * Shuts the node down gracefully: keeps serving for a while, then finishes the requests in
+     * flight. Returns once all are answered or out of time.
      */
     public void stop() throws InterruptedException {
         shutdown.await(file.name());
