--- a/daemon/src/main/java/trailthread/daemon/DescriptorBudget.java
+++ b/daemon/src/main/java/trailthread/daemon/DescriptorBudget.java
@@ -6,8 +6,8 @@
  * How a node divides the file descriptors that it may hold.
  *
  * @param limit how many the process may hold
- * @param reserved those for the Java virtual machine, the listening socket, discovery and the admin
- *     server
+ * @param reserved how many the process keeps for the Java virtual machine, the listening socket,
+ *     discovery and the admin server
  * @param forClients the most connections to clients
  * @param forEndpoints the most connections to endpoints
  */
--- a/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
+++ b/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
@@ -54,7 +54,7 @@
      */
     private volatile long longestDeadlineNs;
 
-    /** When SIGTERM came, by the loop's clock in nanoseconds. */
+    /** When SIGTERM arrived, by the loop's clock in nanoseconds. */
     private long requestedAt;
 
     /** Counted down once all connections are closed. */
--- a/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
+++ b/daemon/src/test/java/trailthread/daemon/AdminServerOffTest.java
@@ -26,35 +26,39 @@
  * them.
  */
 public class AdminServerOffTest {
-    /** Connects the parts as a node does; an argument is the address of the admin server. */
-    @SuppressWarnings("StreamResourceLeak") // closed at once
+    /**
+     * Connects the components as a node does, and prints the threads and descriptors in use before
+     * and after.
+     *
+     * @param args the address of the admin server, or nothing for a node without one
+     */
+    @SuppressWarnings("StreamResourceLeak") // closed immediately
     public static void main(String[] args) throws IOException {
         InetSocketAddress listen = args.length == 0 ? null : new InetSocketAddress(args[0], 0);
         EventLoop loop = new EventLoop("n0");
-        Files.list(Path.of("/proc/self/fd"))
-                .close(); // loads the classes that counting needs before the first count
-        String before = held();
-        AdminServer operator =
-                listen == null ? null : new AdminServer(loop, "n0", List.of(), new Nothing());
-        MetricsRecorder recorder =
-                operator == null ? MetricsRecorder.OFF : operator.metricsRecorder();
+        // Loads the classes that counting needs before the first count.
+        Files.list(Path.of("/proc/self/fd")).close();
+        String before = usage();
+        AdminServer admin =
+                listen == null ? null : new AdminServer(loop, "n0", List.of(), new EmptyStatus());
+        MetricsRecorder recorder = admin == null ? MetricsRecorder.OFF : admin.metricsRecorder();
         recorder.requestAdmitted("read");
-        if (operator != null) {
-            operator.listen(listen, null);
+        if (admin != null) {
+            admin.listen(listen, null);
         }
-        System.out.println("held " + before + " then " + held());
+        System.out.println("usage " + before + " then " + usage());
         Runtime.getRuntime().halt(0);
     }
 
-    private static String held() {
+    private static String usage() {
         return Thread.getAllStackTraces().size()
                 + " threads and "
                 + Path.of("/proc/self/fd").toFile().list().length
                 + " descriptors";
     }
 
-    /** The status of a node without any state. */
-    private static final class Nothing implements NodeStatus {
+    /** The status of a node that has no state. */
+    private static final class EmptyStatus implements NodeStatus {
         @Override
         public boolean isReady() {
             return false;
@@ -117,7 +121,7 @@
                 program.waitFor(10, TimeUnit.MILLISECONDS);
                 text = Files.readString(log, StandardCharsets.ISO_8859_1);
             }
-            assertTrue(until + " in " + text.length() + " letters", text.contains(until));
+            assertTrue(until + " in " + text.length() + " characters", text.contains(until));
             return text;
         } finally {
             program.destroyForcibly().waitFor();
@@ -125,28 +129,30 @@
         }
     }
 
-    private static boolean loads(String log) {
+    private static boolean showsAdminClass(String log) {
         return log.contains("trailthread.daemon.admin.") || log.contains("io.prometheus.");
     }
 
     @Test
-    public void switchedOffItIsNotLoaded() throws Exception {
+    public void adminClassesAreNotLoadedWithoutAnAdminServer() throws Exception {
         String main = AdminServerOffTest.class.getName();
-        String off = run("held ", Map.of(), main);
-        assertFalse("a class is loaded", loads(off));
-        String[] held =
+        String off = run("usage ", Map.of(), main);
+        assertFalse("an admin class is loaded", showsAdminClass(off));
+        String[] usages =
                 off.lines()
-                        .filter(line -> line.startsWith("held "))
+                        .filter(line -> line.startsWith("usage "))
                         .findFirst()
                         .orElseThrow()
-                        .substring("held ".length())
+                        .substring("usage ".length())
                         .split(" then ");
-        assertEquals(held[0], held[1]);
-        assertTrue("what this test looks for", loads(run("held ", Map.of(), main, "127.0.0.1")));
+        assertEquals(usages[0], usages[1]);
+        assertTrue(
+                "an admin server loads its classes",
+                showsAdminClass(run("usage ", Map.of(), main, "127.0.0.1")));
     }
 
     @Test
-    public void theNodeLoadsNothingOfIt() throws Exception {
+    public void aNodeWithoutAdminServerAndLevelsLoadsNoneOfTheirClasses() throws Exception {
         TestCluster cluster = new TestCluster();
         Path config = Files.createTempFile("trailthread", ".json");
         try {
@@ -158,8 +164,9 @@
                             Main.class.getName(),
                             "serve");
             assertTrue(
-                    "what this test looks for", log.contains("trailthread.engine.loop.EventLoop "));
-            assertFalse("a class is loaded", loads(log));
+                    "the log lists loaded classes",
+                    log.contains("trailthread.engine.loop.EventLoop "));
+            assertFalse("an admin class is loaded", showsAdminClass(log));
             assertFalse(
                     "a class of the levels is loaded",
                     log.contains("trailthread.degradation.")
--- a/daemon/src/test/java/trailthread/daemon/ArchitectureTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ArchitectureTest.java
@@ -94,7 +94,7 @@
 
     /** A platform node must not load the classes that only operators' files need. */
     @Test
-    public void onlyServicesKnowTheOperatorsFile() {
+    public void onlyServicesDependOnTheOperatorsFile() {
         noClasses()
                 .that()
                 .resideInAPackage("trailthread.daemon..")
@@ -132,7 +132,7 @@
                 .dependOnClassesThat(
                         resideInAPackage("io.undertow.server..")
                                 .and(
-                                        new DescribedPredicate<>("not the pool of buffers") {
+                                        new DescribedPredicate<>("not the buffer pool") {
                                             @Override
                                             public boolean test(JavaClass c) {
                                                 return !c.getSimpleName()
--- a/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ClientSideTest.java
@@ -38,19 +38,19 @@
             Message response = Message.read(client);
             assertEquals(200, response.status());
             assertEquals(body, response.body());
-            Thread.sleep(
-                    20); // a connection is not used right after a response, as surplus bytes may
-            // follow
+            // A connection is not used right after a response, as surplus bytes may follow.
+            Thread.sleep(20);
         }
 
-        Message asked = endpoint.takeRequest();
-        assertEquals("POST /action" + query + " HTTP/1.1", asked.startLine());
-        assertEquals("pour", asked.body());
-        assertTrue(text.contains("X-Correlation-Id: " + asked.header("X-Correlation-Id") + "\r\n"));
-        assertEquals("5c0f6e1a2b3d4c59", asked.header("Idempotency-Key"));
-        double left = Double.parseDouble(asked.header("X-Time-Left"));
+        Message received = endpoint.takeRequest();
+        assertEquals("POST /action" + query + " HTTP/1.1", received.startLine());
+        assertEquals("pour", received.body());
+        assertTrue(
+                text.contains("X-Correlation-Id: " + received.header("X-Correlation-Id") + "\r\n"));
+        assertEquals("5c0f6e1a2b3d4c59", received.header("Idempotency-Key"));
+        double left = Double.parseDouble(received.header("X-Time-Left"));
         assertTrue("time left: " + left, left > 0 && left <= 20);
-        assertEquals(asked.connection(), endpoint.takeRequest().connection());
+        assertEquals(received.connection(), endpoint.takeRequest().connection());
     }
 
     @Test
@@ -100,7 +100,8 @@
     }
 
     /**
-     * Undertow reads nothing during a request, so a close could go unnoticed until the response.
+     * Undertow reads nothing during a request, so a client's close could go unnoticed until the
+     * response.
      */
     @Test
     public void requestsOfADisconnectedClientAreDropped() throws Exception {
@@ -109,9 +110,9 @@
         Message watch = cluster.discovery.takeRequest();
         Socket gone = cluster.connect();
         Message.send(gone, TestCluster.requestText("use", "", ""));
-        cluster.sendRequest("other"); // its response comes after the first request was read
+        cluster.sendRequest("other"); // its response arrives after the first request was read
         gone.close();
-        Thread.sleep(100); // the close must come before the list
+        Thread.sleep(100); // the close must arrive before the list
         TestCluster.sendWatchLine(watch, TestCluster.endpointListJson(2, true, "active", endpoint));
         Socket client = cluster.connect();
         Message.send(client, TestCluster.requestText("use", "?second", ""));
@@ -131,12 +132,12 @@
         Socket first = cluster.connect();
         String text = TestCluster.requestText("use", "", "");
         Message.send(first, text);
-        Message asked = endpoint.takeRequest();
+        Message received = endpoint.takeRequest();
         Socket second = cluster.connect();
         Message.send(second, text);
         assertEquals(409, Message.read(second).status());
         endpoint.assertNoMoreRequests();
-        asked.respond("200 OK", "", "made");
+        received.respond("200 OK", "", "made");
         assertEquals("made", Message.read(first).body());
         endpoint.setScript(request -> request.respond("200 OK", "", "again"));
         assertEquals("again", cluster.sendRequest("use").body());
@@ -149,14 +150,14 @@
         cluster.start(
                 TestCluster.SETTINGS, cluster.closeAtEnd(ScriptedServer.respondingWith("made")));
         for (int i = 0; i < 60; i++) {
-            assertEquals(
-                    "made", cluster.sendRequest("use").body()); // and the connection stays open
+            // The connection stays open.
+            assertEquals("made", cluster.sendRequest("use").body());
         }
     }
 
     /**
-     * Prevents idle and incomplete connections from using up the limit: once they were not counted,
-     * and hundreds of them blocked all clients with requests.
+     * Prevents idle connections and incomplete requests from using up the limit: when they were not
+     * counted, hundreds of them blocked all clients with requests.
      */
     @Test
     public void idleConnectionsAndIncompleteRequestsBlockNobody() throws Exception {
@@ -164,13 +165,13 @@
         cluster.start(
                 TestCluster.SETTINGS, cluster.closeAtEnd(ScriptedServer.respondingWith("made")));
         String text = TestCluster.requestText("use", "", "");
-        Socket[] useless = new Socket[60];
-        for (int i = 0; i < useless.length; i++) {
-            useless[i] = cluster.connect();
-            Message.send(useless[i], text.substring(0, i * (text.length() - 1) / useless.length));
+        Socket[] unused = new Socket[60];
+        for (int i = 0; i < unused.length; i++) {
+            unused[i] = cluster.connect();
+            Message.send(unused[i], text.substring(0, i * (text.length() - 1) / unused.length));
         }
         assertEquals("made", cluster.sendRequest("use").body());
-        for (Socket client : useless) {
+        for (Socket client : unused) {
             assertNull("closed without a response", Message.read(client));
         }
     }
@@ -181,10 +182,8 @@
                 cluster.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
-                                    Message.send(
-                                            request.connection(),
-                                            ""); // the second request is sent before the response
-                                    // to this one
+                                    // The second request is sent before the response to this one.
+                                    Message.send(request.connection(), "");
                                     request.respond("200 OK", "", request.startLine());
                                 }));
         cluster.start(TestCluster.SETTINGS, endpoint);
--- a/daemon/src/test/java/trailthread/daemon/CorruptResponseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CorruptResponseTest.java
@@ -62,11 +62,11 @@
      */
     @Test
     public void bytesAfterAResponseNeverReachTheNextRequest() throws Exception {
-        String[] more = {MADE.replace("made", "copy"), "noise", "\r\n"};
+        String[] surplusBytes = {MADE.replace("made", "copy"), "noise", "\r\n"};
         ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
         cluster.start(TestCluster.SETTINGS, endpoint);
-        for (String rest : more) {
-            endpoint.setScript(request -> Message.send(request.connection(), MADE + rest));
+        for (String surplus : surplusBytes) {
+            endpoint.setScript(request -> Message.send(request.connection(), MADE + surplus));
             assertEquals("made", cluster.sendRequest("use").body());
             Socket corrupt = endpoint.takeRequest().connection();
             endpoint.setScript(request -> request.respond("200 OK", "", "next"));
--- a/daemon/src/test/java/trailthread/daemon/CrowdTest.java
+++ b/daemon/src/test/java/trailthread/daemon/CrowdTest.java
@@ -23,10 +23,10 @@
 /** Every client gets a response if ten times as many connect as there is capacity for. */
 public class CrowdTest {
     private static final int CLIENTS = 2000;
-    private static final int MIN_AT_ONCE = 500;
+    private static final int MIN_BATCH = 500;
     private static final int OTHER_DESCRIPTORS = 400;
     private static final int MAX_ATTEMPTS = 20;
-    private static final long LIMIT_NS = 120_000_000_000L;
+    private static final long TIME_LIMIT_NS = 120_000_000_000L;
     private static final Pattern LENGTH = Pattern.compile("(?i)\r\nContent-Length: *(\\d+)");
 
     private final TestCluster cluster;
@@ -46,7 +46,7 @@
         cluster.close();
     }
 
-    /** A client, with what it has received and the number of its attempts. */
+    /** A client that connects again until it has received a complete response. */
     private final class Client {
         private String received = "";
         private int attempts;
@@ -64,10 +64,13 @@
             try {
                 if (key.isConnectable()) {
                     channel.finishConnect();
-                    byte[] call =
+                    byte[] request =
                             TestCluster.requestText("state", "", "")
                                     .getBytes(StandardCharsets.ISO_8859_1);
-                    assertEquals("sent at once", call.length, channel.write(ByteBuffer.wrap(call)));
+                    assertEquals(
+                            "sent in one write",
+                            request.length,
+                            channel.write(ByteBuffer.wrap(request)));
                     key.interestOps(SelectionKey.OP_READ);
                     return;
                 }
@@ -86,9 +89,9 @@
                     return;
                 }
             } catch (IOException e) {
-                // a reset counts as an end
+                // a reset counts as a close
             }
-            assertEquals("ended within its response", "", received);
+            assertEquals("closed within its response", "", received);
             channel.close();
             connect();
         }
@@ -101,11 +104,11 @@
                     || received.length() < head + 4 + Integer.parseInt(length.group(1))) {
                 return false;
             }
-            boolean refused =
+            boolean rejected =
                     received.startsWith("HTTP/1.1 503 ") && received.contains("\r\nRetry-After: ");
             assertTrue(
                     received,
-                    refused
+                    rejected
                             || (received.startsWith("HTTP/1.1 200 ")
                                     && received.endsWith("\r\n\r\nmade")));
             return true;
@@ -113,8 +116,8 @@
     }
 
     /**
-     * Idle clients use up their descriptors, and more wait; the node's own descriptors are
-     * reserved.
+     * Idle clients use up all connections to clients, and more wait to be accepted; discovery and
+     * endpoints have descriptors of their own.
      */
     @Test
     public void idleClientsAtTheDescriptorLimitBlockNeitherDiscoveryNorRequests() throws Exception {
@@ -157,14 +160,14 @@
         UnixOperatingSystemMXBean system =
                 (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         long free = system.getMaxFileDescriptorCount() - system.getOpenFileDescriptorCount();
-        int atOnce = (int) Math.max(MIN_AT_ONCE, Math.min(CLIENTS, free - OTHER_DESCRIPTORS));
-        long limit = System.nanoTime() + LIMIT_NS;
-        for (int begun = 0; begun < CLIENTS; ) {
-            for (int i = 0; i < atOnce && begun < CLIENTS; i++, begun++) {
+        int batch = (int) Math.max(MIN_BATCH, Math.min(CLIENTS, free - OTHER_DESCRIPTORS));
+        long limit = System.nanoTime() + TIME_LIMIT_NS;
+        for (int started = 0; started < CLIENTS; ) {
+            for (int i = 0; i < batch && started < CLIENTS; i++, started++) {
                 new Client().connect();
             }
-            while (answered < begun) {
-                assertTrue(answered + " answered of " + begun, System.nanoTime() < limit);
+            while (answered < started) {
+                assertTrue(answered + " answered of " + started, System.nanoTime() < limit);
                 selector.select(
                         key -> {
                             try {
--- a/daemon/src/test/java/trailthread/daemon/DecisionWarmUpTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DecisionWarmUpTest.java
@@ -13,7 +13,7 @@
 /** The warm-up must exercise the decisions of an overloaded node. */
 public class DecisionWarmUpTest {
     @Test
-    public void itSendsQueuesAndRejects() {
+    public void theSimulationSendsQueuesAndRejects() {
         Settings settings = new Settings();
         settings.retryAfter = true;
         settings.maxRetryAfterNs = 1_000_000_000L;
--- a/daemon/src/test/java/trailthread/daemon/DegradationControllerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DegradationOverSocketsTest.java
@@ -14,23 +14,23 @@
 import trailthread.testkit.TestCluster;
 
 /**
- * Degradation levels in the real program: polls are shed, requests that are not idempotent are
- * served.
+ * Degradation levels of the program, over real sockets: requests of idempotent classes are shed,
+ * others are served.
  */
-public class DegradationControllerTest {
+public class DegradationOverSocketsTest {
     private static final Pattern ADMIN_ADDRESS =
             Pattern.compile("admin server listens on .*:(\\d+)");
     private static final Pattern LATENESS =
             Pattern.compile("\\{reading=\"lateness_seconds\"} ([0-9.E-]+)");
 
-    /** A slow machine changes no verdict. */
-    private static final String SLOW =
+    /** Keeps readings that a slow machine raises from changing the level. */
+    private static final String IGNORE_SLOWNESS =
             """
             "lateness":{"hold_s":3600},"memory":{"hold_s":3600},"cpu_withheld":{"hold_s":3600}""";
 
     private final TestCluster cluster;
 
-    public DegradationControllerTest() throws Exception {
+    public DegradationOverSocketsTest() throws Exception {
         cluster = new TestCluster();
     }
 
@@ -50,23 +50,23 @@
         return Message.read(operator).body();
     }
 
-    /** A single request that an endpoint fails is enough, as the test sets low thresholds. */
+    /** One failed request is enough to change the level, as the test sets low thresholds. */
     @Test
-    public void pollsAreShedAndUsesAreServedWhileRequestsFail() throws Exception {
+    public void idempotentRequestsAreShedAndOthersServedWhileRequestsFail() throws Exception {
         cluster.extraConfig =
                 """
                 "management":"127.0.0.1:0",
                 "levels":{"on":true,"keep":0.000001,"lean":{SLOW},"essential":{SLOW},
                  "reduced":{"least_shed":1,"least_stay_s":300,
                   "starved":{"enter":0.01,"leave":0.0001,"hold_s":0},SLOW}},"""
-                        .replace("SLOW", SLOW);
+                        .replace("SLOW", IGNORE_SLOWNESS);
         ScriptedServer endpoint =
                 cluster.closeAtEnd(
                         new ScriptedServer(request -> request.respond("500 Error", "", "")));
         cluster.start(TestCluster.SETTINGS, endpoint);
-        int node = cluster.port;
+        int clientPort = cluster.port;
         assertTrue(metrics().contains("trailthread_level{trailthread_level=\"normal\"} 1"));
-        cluster.port = node;
+        cluster.port = clientPort;
         assertEquals(502, cluster.sendRequest("use").status());
         String change = cluster.awaitLogLine("level normal -> reduced");
         for (String part :
@@ -97,6 +97,8 @@
         }
         Matcher lateness = LATENESS.matcher(metrics);
         assertTrue(metrics, lateness.find());
-        assertTrue("it is not the age of the clock", Double.parseDouble(lateness.group(1)) < 30);
+        assertTrue(
+                "the lateness is a duration, not a time since the epoch or the boot",
+                Double.parseDouble(lateness.group(1)) < 30);
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DiscoverySideTest.java
@@ -10,7 +10,7 @@
 import trailthread.testkit.ScriptedServer;
 import trailthread.testkit.TestCluster;
 
-/** How the node follows discovery, and keeps its list without it, over real sockets. */
+/** The node follows discovery, and keeps its list while discovery fails, over real sockets. */
 public class DiscoverySideTest {
     private static final long PIECE_MS = 500;
     private final TestCluster cluster;
@@ -28,7 +28,7 @@
         cluster.close();
     }
 
-    private static String as(String id, String list) {
+    private static String withId(String id, String list) {
         return list.replace("\"w0\"", "\"" + id + "\"");
     }
 
@@ -37,21 +37,26 @@
         cluster.start(TestCluster.SETTINGS, first);
         Message watch = cluster.discovery.takeRequest();
         assertEquals("GET /v1/endpoints?stream=1&index=1 HTTP/1.1", watch.startLine());
-        assertEquals("the list known before serves", "first", cluster.sendRequest("use").body());
+        assertEquals(
+                "the list from the configuration is used",
+                "first",
+                cluster.sendRequest("use").body());
 
         TestCluster.sendWatchLine(watch, "");
         TestCluster.sendWatchLine(
-                watch, as("w1", TestCluster.endpointListJson(7, false, "active", second)));
+                watch, withId("w1", TestCluster.endpointListJson(7, false, "active", second)));
         TestCluster.sendWatchLine(watch, TestCluster.endpointListJson(8, false, "leaving", first));
-        cluster.sendRequest("other"); // its response comes after the lines of discovery were read
+        // Its response arrives after the node has read the lines of discovery.
+        cluster.sendRequest("other");
         while (!cluster.sendRequest("use").body().equals("second")) {
             assertTrue("the drain is applied in time", first.requests.size() < 100);
         }
-        int asked = first.requests.size();
+        int requestsBefore = first.requests.size();
         for (int i = 0; i < 10; i++) {
             assertEquals("second", cluster.sendRequest("use").body());
         }
-        assertEquals("nothing new to what drains", asked, first.requests.size());
+        assertEquals(
+                "no new request to a draining endpoint", requestsBefore, first.requests.size());
         watch.connection().close();
         assertEquals(
                 "GET /v1/endpoints?stream=1&index=8 HTTP/1.1",
@@ -63,7 +68,7 @@
         cluster.start(TestCluster.SETTINGS, first);
         TestCluster.sendWatchLine(
                 cluster.discovery.takeRequest(),
-                as("w1", TestCluster.endpointListJson(2, true, "active", second)));
+                withId("w1", TestCluster.endpointListJson(2, true, "active", second)));
         while (!cluster.sendRequest("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
@@ -76,7 +81,7 @@
     @Test
     public void anIndentedListIsRead() throws Exception {
         cluster.start(TestCluster.SETTINGS, first);
-        String list = as("w1", TestCluster.endpointListJson(2, true, "active", second));
+        String list = withId("w1", TestCluster.endpointListJson(2, true, "active", second));
         TestCluster.sendWatchLine(
                 cluster.discovery.takeRequest(),
                 list.replace("{", "{\n  ").replace(",", ",\n  ").replace("}", "\n}"));
@@ -119,14 +124,14 @@
 
     /** Prevents a node from keeping its first list because it opens no watch. */
     @Test
-    public void whereListsArePushedAWatchIsKeptOpenUnasked() throws Exception {
+    public void aWatchIsKeptOpenWhereListsArePushed() throws Exception {
         cluster.start(
                 TestCluster.SETTINGS.replace(
                         "\"discovery\":\"on_request\"", "\"discovery\":\"pushed\""),
                 first);
         Message watch = cluster.discovery.takeRequest();
         TestCluster.sendWatchLine(
-                watch, as("w1", TestCluster.endpointListJson(2, true, "active", second)));
+                watch, withId("w1", TestCluster.endpointListJson(2, true, "active", second)));
         while (!cluster.sendRequest("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
@@ -143,11 +148,11 @@
     }
 
     /**
-     * The backoff after a failure at the old address may be longer than updates of the new one may
-     * wait.
+     * The backoff after a failure at the old address may last longer than updates of the new one
+     * may go unread.
      */
     @Test
-    public void aMoveDuringThePauseAfterAFailureIsAskedAtOnce() throws Exception {
+    public void aNewAddressIsPolledAtOnceDuringTheBackoffAfterAFailure() throws Exception {
         ScriptedServer moved =
                 cluster.closeAtEnd(
                         new ScriptedServer(
@@ -155,7 +160,7 @@
                                     TestCluster.beginWatch(request);
                                     TestCluster.sendWatchLine(
                                             request,
-                                            as(
+                                            withId(
                                                     "w1",
                                                     TestCluster.endpointListJson(
                                                             2, true, "active", second)));
@@ -172,7 +177,7 @@
         }
     }
 
-    /** If the network is cut, the watch stays open, but heartbeats stop. */
+    /** If the network fails, the watch stays open, but heartbeats stop. */
     @Test
     public void aSilentWatchIsClosed() throws Exception {
         cluster.start(TestCluster.SETTINGS, first);
@@ -192,9 +197,9 @@
         cluster.discovery.setScript(
                 request -> {
                     TestCluster.beginWatch(request);
-                    comesInPieces(
+                    sendInPieces(
                             request,
-                            as("w1", TestCluster.endpointListJson(2, true, "active", second))
+                            withId("w1", TestCluster.endpointListJson(2, true, "active", second))
                                     + "\n",
                             10);
                 });
@@ -206,19 +211,19 @@
         first.assertNoMoreRequests();
     }
 
-    /** An endless list would keep the node from polling again. */
+    /** Prevents an endless list from keeping the node from polling again. */
     @Test
     public void anEndlessListIsAborted() throws Exception {
         cluster.discovery.setScript(
                 request -> {
                     TestCluster.beginWatch(request);
-                    comesInPieces(request, "{\"generation\":2," + " ".repeat(1_000), 500);
+                    sendInPieces(request, "{\"generation\":2," + " ".repeat(1_000), 500);
                 });
         cluster.start(TestCluster.SETTINGS, first);
         cluster.awaitLogLine("is silent");
     }
 
-    private static void comesInPieces(Message watch, String text, int pieces) throws IOException {
+    private static void sendInPieces(Message watch, String text, int pieces) throws IOException {
         int length = (text.length() + pieces - 1) / pieces;
         for (int at = 0; at < text.length(); at += length) {
             String piece = text.substring(at, Math.min(text.length(), at + length));
@@ -242,11 +247,11 @@
      * failure of the new one.
      */
     @Test
-    public void onSighupTheWatchMovesAndAllElseStays() throws Exception {
+    public void onSighupTheWatchMovesToTheNewAddressAndTheListIsKept() throws Exception {
         cluster.start(TestCluster.SETTINGS, first);
         Message watch = cluster.discovery.takeRequest();
         TestCluster.sendWatchLine(
-                watch, as("w1", TestCluster.endpointListJson(7, true, "active", second)));
+                watch, withId("w1", TestCluster.endpointListJson(7, true, "active", second)));
         while (!cluster.sendRequest("use").body().equals("second")) {
             assertTrue(first.requests.size() < 100);
         }
@@ -254,7 +259,7 @@
                 cluster.closeAtEnd(new ScriptedServer(TestCluster::answerWatchUnchanged));
         cluster.reload("{\"name\":");
         cluster.awaitLogLine("configuration not applied: name");
-        for (int i = 0; i < 3; i++) { // several in a row have the effect of one
+        for (int i = 0; i < 3; i++) { // several signals have the effect of one
             cluster.reload(cluster.config(moved, TestCluster.SETTINGS, first));
         }
         Message movedWatch = moved.takeRequest();
--- a/daemon/src/test/java/trailthread/daemon/DrainTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTest.java
@@ -13,10 +13,10 @@
 
 /** A drain moves clients away without losing requests; after a resume they are served again. */
 public class DrainTest extends WithAdminServer {
-    private Message ready() throws IOException {
-        Socket front = cluster.connect();
-        Message.send(front, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
-        return Message.read(front);
+    private Message sendReadyRequest() throws IOException {
+        Socket frontEnd = cluster.connect();
+        Message.send(frontEnd, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
+        return Message.read(frontEnd);
     }
 
     @Test
@@ -25,7 +25,7 @@
         ScriptedServer endpoint =
                 cluster.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
         cluster.start(TestCluster.SETTINGS, endpoint);
-        assertEquals(200, ready().status());
+        assertEquals(200, sendReadyRequest().status());
         Socket busy = cluster.connect();
         Message.send(busy, TestCluster.requestText("use", "", ""));
         endpoint.takeRequest();
@@ -33,7 +33,7 @@
         Message.send(idle, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals(200, Message.read(idle).status());
         assertEquals(200, cluster.sendAdminRequest("POST", "/-/drain").status());
-        assertEquals(503, ready().status());
+        assertEquals(503, sendReadyRequest().status());
         assertEquals(503, cluster.sendAdminRequest("GET", "/-/ready").status());
         assertEquals("idle connections are closed", -1, idle.getInputStream().read());
         Socket late = cluster.connect();
@@ -46,7 +46,7 @@
             assertEquals("close", served.header("Connection"));
         }
         assertEquals(200, cluster.sendAdminRequest("POST", "/-/resume").status());
-        assertEquals(200, ready().status());
+        assertEquals(200, sendReadyRequest().status());
         Message afterResume = cluster.sendRequest("use");
         assertEquals("made", afterResume.body());
         assertTrue(
--- a/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTransitionsTest.java
@@ -24,12 +24,15 @@
 
 /** Drain, resume and shutdown in each state, as one table. */
 public class DrainTransitionsTest {
-    /** After responses begin to close connections, and before idle connections are closed. */
-    private static final long ANSWERS_HAVE_ENDED_MS = 600;
+    /**
+     * A time after a drain when responses close connections, and idle connections are not closed
+     * yet.
+     */
+    private static final long RESPONSES_CLOSE_AFTER_MS = 600;
 
     /**
-     * Events; the result of each, with '-' for the shutdown, which has none; whether the node is
-     * ready; whether responses close connections.
+     * Columns: the events; the result of each ('+' accepted, '0' refused, '-' for the shutdown,
+     * which has none); whether the node is ready; whether responses close connections.
      */
     private static final Object[][] TABLE = {
         {"", "", true, false},
@@ -39,9 +42,8 @@
         {"drain resume", "++", true, false},
         {"drain resume resume", "+++", true, false},
         {"drain resume drain", "+++", false, true},
-        {
-            "end drain", "-0", true, false
-        }, // the shutdown decides about readiness and connections from then on
+        // After the shutdown has begun, it decides on readiness and connections.
+        {"end drain", "-0", true, false},
         {"end resume", "-0", true, false},
         {"drain end", "+-", false, false},
         {"drain end resume", "+-0", false, false},
@@ -60,13 +62,13 @@
         loop.xnioWorker().shutdownNow();
     }
 
-    private <T> T onLoop(Supplier<T> does) throws Exception {
+    private <T> T onLoop(Supplier<T> task) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
-        loop.execute(() -> done.complete(does.get()));
+        loop.execute(() -> done.complete(task.get()));
         return done.get(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    private static String says(Drain drain, String event) {
+    private static String apply(Drain drain, String event) {
         if (event.equals("end")) {
             drain.setShuttingDown();
             return "-";
@@ -85,24 +87,24 @@
                             8,
                             new PlatformFrontend(List.of(), new NoRequests()),
                             MetricsRecorder.OFF);
-            InetSocketAddress at =
+            InetSocketAddress address =
                     listener.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             Drain drain = new Drain(loop, listener);
-            String said =
+            String results =
                     onLoop(
                             () -> {
                                 listener.setReady(true);
                                 StringBuilder all = new StringBuilder();
                                 for (String event :
                                         events.isEmpty() ? new String[0] : events.split(" ")) {
-                                    all.append(says(drain, event));
+                                    all.append(apply(drain, event));
                                 }
                                 return all.toString();
                             });
-            assertEquals(events, row[1], said);
+            assertEquals(events, row[1], results);
             assertEquals(events + ": ready", row[2], onLoop(listener::isReady));
-            Thread.sleep(ANSWERS_HAVE_ENDED_MS);
-            try (Socket client = new Socket(at.getAddress(), at.getPort())) {
+            Thread.sleep(RESPONSES_CLOSE_AFTER_MS);
+            try (Socket client = new Socket(address.getAddress(), address.getPort())) {
                 client.setSoTimeout(1000 * ScriptedServer.TIMEOUT_S);
                 Message.send(client, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 Message answer = Message.read(client);
--- a/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
+++ b/daemon/src/test/java/trailthread/daemon/EndpointSideTest.java
@@ -32,14 +32,16 @@
     }
 
     /**
-     * Starts a node with two endpoints. The first request runs the script, all others are served.
+     * Starts a node with two endpoints. The script responds to the first request; all others are
+     * served.
      */
-    private ScriptedServer[] startWithFirstRequest(ScriptedServer.Script act) throws Exception {
-        AtomicInteger asked = new AtomicInteger();
+    private ScriptedServer[] startWithFirstRequest(ScriptedServer.Script firstScript)
+            throws Exception {
+        AtomicInteger requests = new AtomicInteger();
         ScriptedServer.Script script =
                 request -> {
-                    if (asked.getAndIncrement() == 0) {
-                        act.respond(request);
+                    if (requests.getAndIncrement() == 0) {
+                        firstScript.respond(request);
                     } else {
                         request.respond("200 OK", "", "made");
                     }
@@ -52,7 +54,7 @@
         return endpoints;
     }
 
-    private static int asked(ScriptedServer... endpoints) {
+    private static int requestCount(ScriptedServer... endpoints) {
         return endpoints[0].requests.size() + endpoints[1].requests.size();
     }
 
@@ -62,7 +64,7 @@
                 startWithFirstRequest(
                         request -> request.respond("503 Full", "X-Unprocessed: 1\r\n", ""));
         assertEquals("made", cluster.sendRequest("use").body());
-        assertEquals(2, asked(endpoints));
+        assertEquals(2, requestCount(endpoints));
     }
 
     @Test
@@ -80,7 +82,7 @@
     public void anIdempotentRequestIsRetried() throws Exception {
         ScriptedServer[] endpoints = startWithFirstRequest(request -> request.connection().close());
         assertEquals("made", cluster.sendRequest("state").body());
-        assertEquals(2, asked(endpoints));
+        assertEquals(2, requestCount(endpoints));
     }
 
     /**
@@ -116,8 +118,8 @@
                                 request -> failures.get(turn.getAndIncrement()).respond(request)));
         cluster.start(TestCluster.SETTINGS, endpoint);
         for (int i = 0; i < failures.size(); i++) {
-            assertEquals("way " + i, 502, cluster.sendRequest("use").status());
-            assertEquals("way " + i, i + 1, endpoint.requests.size());
+            assertEquals("failure " + i, 502, cluster.sendRequest("use").status());
+            assertEquals("failure " + i, i + 1, endpoint.requests.size());
         }
     }
 
@@ -129,10 +131,8 @@
     public void aTimedOutAttemptIsClosedBeforeTheNextIsSent() throws Exception {
         ScriptedServer[] endpoints =
                 startWithFirstRequest(request -> request.respond("200 OK", "", "made"));
-        assertEquals(
-                "made",
-                cluster.sendRequest("state")
-                        .body()); // the module now has a latency estimate for its timeouts
+        // Gives the module a latency estimate for its timeouts.
+        assertEquals("made", cluster.sendRequest("state").body());
         ScriptedServer.Script silent = request -> {};
         List<Integer> closedBefore = new ArrayList<>();
         for (ScriptedServer endpoint : endpoints) {
@@ -141,7 +141,7 @@
                         for (ScriptedServer other : endpoints) {
                             other.setScript(
                                     second -> {
-                                        closedBefore.add(closed(endpoints));
+                                        closedBefore.add(awaitClosedConnections(endpoints));
                                         second.respond("200 OK", "", "made");
                                     });
                         }
@@ -153,9 +153,11 @@
     }
 
     /**
-     * Waits for the number of closed connections, as a peer records a close on a thread of its own.
+     * Waits until a connection has been closed, which an endpoint records on a thread of its own.
+     *
+     * @return the number of closed connections
      */
-    private static int closed(ScriptedServer... endpoints) throws IOException {
+    private static int awaitClosedConnections(ScriptedServer... endpoints) throws IOException {
         try {
             for (int i = 0;
                     i < 500
@@ -183,7 +185,10 @@
         assertNotEquals(idle, endpoint.takeRequest().connection());
     }
 
-    /** At the descriptor limit, an idle connection is closed for one to another endpoint. */
+    /**
+     * At the descriptor limit, an idle connection is closed to make room for one to another
+     * endpoint.
+     */
     @Test
     public void moreEndpointsThanConnectionsAreAllReached() throws Exception {
         ScriptedServer[] endpoints = new ScriptedServer[20];
@@ -192,9 +197,9 @@
                     cluster.closeAtEnd(
                             new ScriptedServer(
                                     request -> {
-                                        LockSupport.parkNanos(
-                                                5_000_000); // a clear difference, so that each
-                                        // endpoint is used
+                                        // A clear difference in latency, so that each endpoint is
+                                        // used.
+                                        LockSupport.parkNanos(5_000_000);
                                         request.respond("200 OK", "", "made");
                                     }));
         }
@@ -210,14 +215,16 @@
         }
     }
 
-    /** The drain is announced while a connect hangs; what counts is the request's first byte. */
+    /**
+     * The drain is announced while a connect hangs: no byte of the request may be written after it.
+     */
     @Test
     public void nothingIsSentToAnEndpointThatBeganToDrain() throws Exception {
         ScriptedServer serving = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
         try (ServerSocket hanging = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            List<Socket> fill = new ArrayList<>(); // fills its backlog, so that a connect hangs
-            while (fill.size() < 2) {
-                fill.add(new Socket(InetAddress.getLoopbackAddress(), hanging.getLocalPort()));
+            List<Socket> backlog = new ArrayList<>(); // is full, so that a connect hangs
+            while (backlog.size() < 2) {
+                backlog.add(new Socket(InetAddress.getLoopbackAddress(), hanging.getLocalPort()));
             }
             String list =
                     TestCluster.endpointListJson(1, true, "active", serving)
@@ -227,13 +234,13 @@
             TestCluster.sendWatchLine(watch, list);
             Socket client = cluster.connect();
             Message.send(client, TestCluster.requestText("use", "", ""));
-            Thread.sleep(
-                    200); // the connect hangs by now; if not, the test passes without proving much
+            // The connect hangs by now; if not, the test passes without proving much.
+            Thread.sleep(200);
             TestCluster.sendWatchLine(
                     watch,
                     list.replace("active", "leaving").replace("generation\":1", "generation\":2"));
             cluster.sendRequest("other");
-            for (int i = 0; i < fill.size(); i++) {
+            for (int i = 0; i < backlog.size(); i++) {
                 hanging.accept().close();
             }
             try (Socket late = hanging.accept()) { // the connect completes, seconds later
--- a/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
+++ b/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
@@ -28,12 +28,14 @@
  * platform allows, although endpoints hang and clients use every connection that stays open.
  */
 public class GracefulShutdownTest {
-    /** They send in turn, from SIGTERM until after the last connection has ended. */
+    /** Clients send in turn, from SIGTERM until after the last connection has ended. */
     private static final int CLIENTS = 28;
 
     private static final int INTERVAL_MS = 30;
 
-    /** Requests from then on come after responses have begun to close connections. */
+    /**
+     * Requests sent this long after SIGTERM arrive after responses have begun to close connections.
+     */
     private static final int LATE_MS = 450;
 
     private static final String[] CLASSES = {"use", "state", "action"};
@@ -82,9 +84,9 @@
     @SuppressWarnings("AssertionFailureIgnored") // collected, and reported by the test
     private void sendRequests(Socket connection, int number, int deadlineMs) {
         String id = "";
-        boolean begunBeforeKill = true;
+        boolean sentBeforeKill = true;
         try {
-            if (endsBeforeTurn(connection, number)) {
+            if (isClosedBeforeTurn(connection, number)) {
                 assertFalse("the connection was open at the kill", killed);
                 return;
             }
@@ -94,7 +96,7 @@
                 Matcher matcher = ID.matcher(requestText);
                 assertTrue(matcher.find());
                 id = matcher.group(1);
-                begunBeforeKill = !killed;
+                sentBeforeKill = !killed;
                 Message.send(connection, requestText);
                 response = Message.read(connection);
                 if (response == null) {
@@ -105,8 +107,8 @@
             assertEquals("no further response", -1, connection.getInputStream().read());
         } catch (IOException e) {
             // A request that crosses the close of an idle connection was not read; its client
-            // sends it elsewhere.
-            if ((killed && begunBeforeKill) || receivedIds.contains(id)) {
+            // retries it at another node.
+            if ((killed && sentBeforeKill) || receivedIds.contains(id)) {
                 faults.add("client " + number + " was not answered before the kill: " + e);
             }
         } catch (RuntimeException | AssertionError e) {
@@ -114,11 +116,15 @@
         }
     }
 
-    /** Waits for the client's turn to send; whether the node ends the idle connection before. */
-    private static boolean endsBeforeTurn(Socket connection, int number) throws IOException {
+    /**
+     * Waits for the client's turn to send.
+     *
+     * @return whether the node closed the idle connection before
+     */
+    private static boolean isClosedBeforeTurn(Socket connection, int number) throws IOException {
         connection.setSoTimeout(1 + number * INTERVAL_MS);
         try {
-            assertEquals("nothing comes unasked", -1, connection.getInputStream().read());
+            assertEquals("no bytes without a request", -1, connection.getInputStream().read());
             return true;
         } catch (SocketTimeoutException e) {
             return false;
@@ -129,21 +135,22 @@
 
     private static final int MAX_RUNS = 10;
 
-    /** Starts the node and shuts it down. */
+    /** Starts the node and shuts it down under load. */
     private interface Run {
         void run() throws Exception;
     }
 
-    private void runUndisturbed(Run play) throws Exception {
+    /** Repeats a run with faults if the machine delayed threads during it. */
+    private void runUndisturbed(Run run) throws Exception {
         for (int i = 1; ; i++) {
             SchedulingDelayMeter delayMeter = new SchedulingDelayMeter();
-            play.run();
+            run.run();
             delayMeter.stop();
             if (faults.isEmpty() || !delayMeter.hasReachedLimit() || i == MAX_RUNS) {
                 break;
             }
             System.out.printf(
-                    "void: the machine held a thread for %d ms; run %d: %s%n",
+                    "void: the machine delayed a thread by %d ms; run %d: %s%n",
                     delayMeter.maxDelayMs(), i, faults);
             faults.clear();
             lateResponses.set(0);
@@ -151,7 +158,7 @@
             killed = false;
         }
         assertEquals(List.of(), List.copyOf(faults));
-        assertTrue("some requests come late", lateResponses.get() > 0);
+        assertTrue("some requests sent late are answered", lateResponses.get() > 0);
     }
 
     private void shutDownUnderLoad(int deadlineMs, int stoppedMs) throws Exception {
@@ -217,7 +224,9 @@
         runWithDeadlines(1_200, 120);
     }
 
-    /** The platform does not say which deadlines it counts by; they may be the newest. */
+    /**
+     * The platform does not say by which deadlines it counts the time to a kill: maybe the newest.
+     */
     @Test
     public void afterSighupHasShortenedDeadlines() throws Exception {
         runUndisturbed(
--- a/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/LongMessagesTest.java
@@ -25,18 +25,21 @@
 import trailthread.testkit.ScriptedServer;
 import trailthread.testkit.TestCluster;
 
-/** Long responses and bodies: more than fit into memory, in all framings, from slow peers. */
+/**
+ * Responses and request bodies that are longer than the memory for them, in all framings, with slow
+ * clients.
+ */
 public class LongMessagesTest extends WithAdminServer {
     private static final int LONG = 4_000_000;
     private static final String OK = "HTTP/1.1 200 OK\r\n";
 
-    private static byte[] bytes(int count) {
+    private static byte[] randomBytes(int count) {
         byte[] bytes = new byte[count];
         new Random(count).nextBytes(bytes);
         return bytes;
     }
 
-    private static void chunks(OutputStream out, byte[] body, int chunk) throws IOException {
+    private static void writeChunks(OutputStream out, byte[] body, int chunk) throws IOException {
         for (int from = 0; from < body.length; from += chunk) {
             int count = Math.min(chunk, body.length - from);
             out.write((Integer.toHexString(count) + "\r\n").getBytes(StandardCharsets.US_ASCII));
@@ -45,8 +48,8 @@
         }
     }
 
-    /** The body that a client gets, without its framing; fails if it is not complete. */
-    private static byte[] read(Socket client) throws IOException {
+    /** Reads the body of a response, without its framing; fails if it is not complete. */
+    private static byte[] readBody(Socket client) throws IOException {
         InputStream in = client.getInputStream();
         String head = head(in);
         assertTrue(head, head.startsWith(OK));
@@ -54,7 +57,7 @@
             int length =
                     Integer.parseInt(head.replaceAll("(?s).*Content-Length: (\\d+)\r\n.*", "$1"));
             byte[] body = in.readNBytes(length);
-            assertEquals("cut short", length, body.length);
+            assertEquals("truncated", length, body.length);
             return body;
         }
         ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -89,7 +92,7 @@
 
     @Test
     public void longResponsesPassInEveryFraming() throws Exception {
-        byte[] made = bytes(LONG);
+        byte[] made = randomBytes(LONG);
         List<ScriptedServer.Script> forms =
                 List.of(
                         request -> {
@@ -102,7 +105,7 @@
                             Message.send(
                                     request.connection(),
                                     OK + "Transfer-Encoding: chunked\r\n\r\n");
-                            chunks(request.connection().getOutputStream(), made, 1000);
+                            writeChunks(request.connection().getOutputStream(), made, 1000);
                             Message.send(request.connection(), "0\r\n\r\n");
                         },
                         request -> {
@@ -117,17 +120,17 @@
             Socket client = cluster.connect();
             Message.send(client, TestCluster.requestText("use", "", ""));
             endpoint.takeRequest();
-            assertArrayEquals(made, read(client));
+            assertArrayEquals(made, readBody(client));
             endpoint.setScript(request -> request.respond("200 OK", "", "next"));
             Message.send(client, TestCluster.requestText("use", "", ""));
-            assertEquals("the connection goes on", "next", Message.read(client).body());
+            assertEquals("the connection is kept alive", "next", Message.read(client).body());
             endpoint.takeRequest();
         }
     }
 
     @Test
-    public void moreResponsesThanFitIntoMemoryForSlowClients() throws Exception {
-        byte[] made = bytes(8 * LONG);
+    public void slowClientsGetResponsesThatExceedTheMemory() throws Exception {
+        byte[] made = randomBytes(8 * LONG);
         ScriptedServer endpoint =
                 cluster.closeAtEnd(
                         new ScriptedServer(
@@ -151,14 +154,14 @@
         assertEquals("others are served meanwhile", "short", cluster.sendRequest("state").body());
         clients.get(0).close();
         for (Socket client : clients.subList(1, clients.size())) {
-            assertArrayEquals(made, read(client));
+            assertArrayEquals(made, readBody(client));
         }
         assertEquals("short", cluster.sendRequest("state").body());
     }
 
     @Test
     public void aTruncatedResponseIsNotComplete() throws Exception {
-        byte[] made = bytes(LONG);
+        byte[] made = randomBytes(LONG);
         ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
         cluster.start(TestCluster.SETTINGS, endpoint);
         for (String framing :
@@ -170,38 +173,35 @@
                     request -> {
                         Message.send(request.connection(), OK + framing + "\r\n");
                         if (framing.startsWith("T")) {
-                            chunks(request.connection().getOutputStream(), made, LONG);
+                            writeChunks(request.connection().getOutputStream(), made, LONG);
                         } else {
                             request.connection().getOutputStream().write(made);
                         }
-                        request.connection()
-                                .setSoLinger(
-                                        framing.isEmpty(),
-                                        0); // without a length, only a reset shows that the body is
-                        // truncated
+                        // Without a length, only a reset shows that the body is truncated.
+                        request.connection().setSoLinger(framing.isEmpty(), 0);
                         request.connection().close();
                     });
             Socket client = cluster.connect();
             Message.send(client, TestCluster.requestText("use", "", ""));
             endpoint.takeRequest();
             try {
-                read(client);
+                readBody(client);
             } catch (IOException | AssertionError e) {
                 continue;
             }
-            throw new AssertionError("passed for whole: " + framing);
+            throw new AssertionError("accepted as complete: " + framing);
         }
     }
 
     @Test
     public void longBodiesAreRetriedAndChunkedBodiesGetALength() throws Exception {
-        String body = new String(bytes(LONG), StandardCharsets.ISO_8859_1);
-        AtomicInteger asked = new AtomicInteger();
+        String body = new String(randomBytes(LONG), StandardCharsets.ISO_8859_1);
+        AtomicInteger attempts = new AtomicInteger();
         ScriptedServer endpoint =
                 cluster.closeAtEnd(
                         new ScriptedServer(
                                 request -> {
-                                    boolean first = asked.incrementAndGet() == 1;
+                                    boolean first = attempts.incrementAndGet() == 1;
                                     request.respond(
                                             first ? "503 Busy" : "200 OK",
                                             first ? "X-Unprocessed: 1\r\n" : "",
@@ -211,13 +211,14 @@
         String head =
                 TestCluster.requestText("use", "", "")
                         .replaceFirst("(?s)Content-Length: 4\r\n\r\npour", "");
-        Socket told = cluster.connect();
-        Message.send(told, head + "Expect: 100-continue\r\nContent-Length: " + LONG + "\r\n\r\n");
-        assertEquals("HTTP/1.1 100 Continue", Message.read(told).startLine());
-        Message.send(told, body);
+        Socket expecting = cluster.connect();
+        Message.send(
+                expecting, head + "Expect: 100-continue\r\nContent-Length: " + LONG + "\r\n\r\n");
+        assertEquals("HTTP/1.1 100 Continue", Message.read(expecting).startLine());
+        Message.send(expecting, body);
         assertEquals(body, endpoint.takeRequest().body());
         assertEquals("sent again whole", body, endpoint.takeRequest().body());
-        assertEquals("made", Message.read(told).body());
+        assertEquals("made", Message.read(expecting).body());
         Socket chunked = cluster.connect();
         Message.send(
                 chunked,
@@ -225,7 +226,7 @@
                         .replaceFirst(
                                 "(?s)Content-Length: 4\r\n\r\npour",
                                 "Transfer-Encoding: chunked\r\n\r\n"));
-        chunks(chunked.getOutputStream(), body.getBytes(StandardCharsets.ISO_8859_1), 70_000);
+        writeChunks(chunked.getOutputStream(), body.getBytes(StandardCharsets.ISO_8859_1), 70_000);
         Message.send(chunked, "0\r\n\r\n");
         assertEquals("made", Message.read(chunked).body());
         assertEquals(body, endpoint.takeRequest().body());
@@ -241,7 +242,7 @@
 
     /**
      * Only a buffered body can be retried, so the retry shows that the last body was buffered,
-     * although others had used the memory up before.
+     * although the bodies of disconnected clients had used up the memory before.
      */
     @Test
     public void theMemoryOfDisconnectedClientsIsReleased() throws Exception {
@@ -256,8 +257,8 @@
                                     answered.release();
                                 }));
         cluster.start(TestCluster.SETTINGS, endpoint);
-        String body =
-                new String(bytes(3 * LONG), StandardCharsets.ISO_8859_1); // the limit allows one
+        // The memory limit allows one such body.
+        String body = new String(randomBytes(3 * LONG), StandardCharsets.ISO_8859_1);
         for (int i = 0; i < 5; i++) {
             Socket leaves = cluster.connect();
             Message.send(leaves, head("Content-Length: " + body.length()) + body);
@@ -267,17 +268,15 @@
             answers.release();
             answered.acquireUninterruptibly();
             answers.release();
-            assertEquals(
-                    "made",
-                    cluster.sendRequest("state")
-                            .body()); // by then the node has read the previous response
+            // By the time of this response, the node has read the previous one.
+            assertEquals("made", cluster.sendRequest("state").body());
             endpoint.takeRequest();
             answered.acquireUninterruptibly();
         }
-        AtomicInteger asked = new AtomicInteger();
+        AtomicInteger attempts = new AtomicInteger();
         endpoint.setScript(
                 request -> {
-                    boolean first = asked.incrementAndGet() == 1;
+                    boolean first = attempts.incrementAndGet() == 1;
                     request.respond(
                             first ? "503 Busy" : "200 OK",
                             first ? "X-Unprocessed: 1\r\n" : "",
@@ -286,21 +285,22 @@
         Socket client = cluster.connect();
         Message.send(client, head("Content-Length: " + body.length()) + body);
         assertEquals("made", Message.read(client).body());
-        assertEquals(2, asked.get());
+        assertEquals(2, attempts.get());
     }
 
     @Test
     public void bodiesThatExceedTheMemoryAreStreamed() throws Exception {
         ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
         cluster.start(TestCluster.SETTINGS, endpoint);
-        byte[] most = bytes(30 * 1024 * 1024); // below the limit of a body, above that of all
-        String body = new String(most, StandardCharsets.ISO_8859_1);
+        // Below the limit for one body, above that for all.
+        byte[] longest = randomBytes(30 * 1024 * 1024);
+        String body = new String(longest, StandardCharsets.ISO_8859_1);
         for (String framing :
-                List.of("Content-Length: " + most.length, "Transfer-Encoding: chunked")) {
+                List.of("Content-Length: " + longest.length, "Transfer-Encoding: chunked")) {
             Socket client = cluster.connect();
             Message.send(client, head(framing));
             if (framing.startsWith("T")) {
-                chunks(client.getOutputStream(), most, 100_000);
+                writeChunks(client.getOutputStream(), longest, 100_000);
                 Message.send(client, "0\r\n\r\n");
             } else {
                 Message.send(client, body);
@@ -308,7 +308,7 @@
             assertEquals(framing, "made", Message.read(client).body());
             assertEquals(body, endpoint.takeRequest().body());
             Message.send(client, TestCluster.requestText("use", "", ""));
-            assertEquals("the connection goes on", "made", Message.read(client).body());
+            assertEquals("the connection is kept alive", "made", Message.read(client).body());
             endpoint.takeRequest();
         }
         cluster.awaitMetricLine("app_sends 4");
@@ -344,9 +344,10 @@
             Message.send(client, head("Content-Length: " + 30 * 1024 * 1024));
             Message.send(client, "x".repeat(100_000));
             assertTrue(rejected.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
-            Message refused = Message.read(client);
-            assertEquals("nothing has run: the module refuses", 503, refused.status());
-            assertEquals("close", refused.header("Connection"));
+            Message rejection = Message.read(client);
+            assertEquals(
+                    "nothing has run, so the node rejects the request", 503, rejection.status());
+            assertEquals("close", rejection.header("Connection"));
             cluster.awaitMetricLine("app_sends 0");
             cluster.awaitMetricLine("app_current 0");
         }
@@ -363,7 +364,7 @@
         Message.send(client, "x".repeat(2_000_000));
         client.close();
         assertTrue(
-                "the worker's connection ends",
+                "the endpoint's connection is closed",
                 endpoint.closedConnections.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS)
                         != null);
         endpoint.assertNoMoreRequests();
@@ -375,19 +376,19 @@
     public void aMalformedRequestIsNotBuffered() throws Exception {
         ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
         cluster.start(TestCluster.SETTINGS, endpoint);
-        Socket noCall = cluster.connect();
+        Socket malformed = cluster.connect();
         Message.send(
-                noCall,
+                malformed,
                 head("Content-Length: " + LONG)
                         .replace("X-Time-Left: 20.000", "X-Time-Left: soon"));
         try {
-            noCall.getOutputStream().write(bytes(2_000_000));
+            malformed.getOutputStream().write(randomBytes(2_000_000));
             assertEquals(
                     "the body of a malformed request is discarded for a limited time",
                     -1,
-                    noCall.getInputStream().read());
+                    malformed.getInputStream().read());
         } catch (IOException e) {
-            assertTrue("as good as an end", !(e instanceof SocketTimeoutException));
+            assertTrue("a reset counts as a close", !(e instanceof SocketTimeoutException));
         }
         Socket tooLong = cluster.connect();
         Message.send(tooLong, head("Content-Length: 60000000"));
--- a/daemon/src/test/java/trailthread/daemon/MetricsOverSocketsTest.java
+++ b/daemon/src/test/java/trailthread/daemon/MetricsOverSocketsTest.java
@@ -10,18 +10,18 @@
 import trailthread.testkit.ScriptedServer;
 import trailthread.testkit.TestCluster;
 
-/** The metrics match what scripted peers saw, however requests end. */
+/** The metrics match what clients and endpoints saw, however requests end. */
 public class MetricsOverSocketsTest extends WithAdminServer {
     @Test
     public void eachRequestIsCountedOnce() throws Exception {
-        CountDownLatch over = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
         endpoint.setScript(
                 request -> {
                     switch (request.startLine().replaceAll(".*how=(\\w+) .*", "$1")) {
                         case "reset" -> request.connection().close();
                         case "error" -> request.respond("500 Error", "", "");
-                        case "held" -> ScriptedServer.await(over);
+                        case "held" -> ScriptedServer.await(release);
                         case "long" -> {
                             Message.send(
                                     request.connection(),
@@ -36,14 +36,17 @@
         cluster.awaitMetricLine("app_answered{group=\"use\"} 0");
         int sends = 0;
         for (String how : new String[] {"reset", "error", "served"}) {
-            assertEquals(how, how.equals("served") ? 200 : 502, ask(how, "20.000").status());
+            assertEquals(
+                    how, how.equals("served") ? 200 : 502, sendRequest(how, "20.000").status());
             sends++;
         }
-        Socket cut = cluster.connect();
-        Message.send(cut, TestCluster.requestText("use", "?how=long", ""));
-        int came = cut.getInputStream().readAllBytes().length;
-        assertTrue("passed on until it broke off: " + came, came > 64 * 1024 && came < 200_000);
-        assertEquals("its time is over", 502, ask("held", "0.500").status());
+        Socket truncated = cluster.connect();
+        Message.send(truncated, TestCluster.requestText("use", "?how=long", ""));
+        int received = truncated.getInputStream().readAllBytes().length;
+        assertTrue(
+                "forwarded until the endpoint closed: " + received,
+                received > 64 * 1024 && received < 200_000);
+        assertEquals("the deadline has passed", 502, sendRequest("held", "0.500").status());
         sends += 2;
         cluster.awaitMetricLine("app_current 0");
         Socket leaves = cluster.connect();
@@ -57,11 +60,11 @@
         cluster.awaitMetricLine("app_deferred{group=\"use\"} 0");
         cluster.awaitMetricLine("app_errored{group=\"use\"} 4");
         cluster.awaitMetricLine("app_sends " + sends);
-        assertEquals("what the worker saw", sends, endpoint.requests.size());
-        over.countDown();
+        assertEquals("requests at the endpoint", sends, endpoint.requests.size());
+        release.countDown();
     }
 
-    private Message ask(String how, String seconds) throws Exception {
+    private Message sendRequest(String how, String seconds) throws Exception {
         Socket client = cluster.connect();
         Message.send(
                 client,
--- a/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NewVersionTest.java
@@ -18,7 +18,7 @@
 import trailthread.testkit.ScriptedServer;
 import trailthread.testkit.TestCluster;
 
-/** A process replaces another one on an inherited socket, and no request is lost. */
+/** A new process takes over from an old one on an inherited socket without losing a request. */
 public class NewVersionTest {
     private static final String SERVES = "serves on";
     private static final int REQUESTS = 50;
@@ -64,8 +64,8 @@
         Files.writeString(config, cluster.config(TestCluster.SETTINGS, endpoint));
         long old = start();
         holder.awaitLogMatch(SERVES, 1);
-        Socket atWork = cluster.connect();
-        Message.send(atWork, TestCluster.requestText("use", "", ""));
+        Socket inFlight = cluster.connect();
+        Message.send(inFlight, TestCluster.requestText("use", "", ""));
         Socket idle = cluster.connect();
         Message.send(idle, TestCluster.requestText("state", "", ""));
         assertEquals("made", Message.read(idle).body());
@@ -85,7 +85,7 @@
         }
         assertEquals("idle connections are closed", -1, idle.getInputStream().read());
         answer.countDown();
-        Message served = Message.read(atWork);
+        Message served = Message.read(inFlight);
         assertEquals("made", served.body());
         assertEquals("close", served.header("Connection"));
         ended.get(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
@@ -101,15 +101,15 @@
     }
 
     @Test
-    public void aNewProcessThatDiesChangesNothing() throws Exception {
+    public void aNewProcessThatDiesDoesNotDisturbTheOldOne() throws Exception {
         ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
         Files.writeString(config, cluster.config(TestCluster.SETTINGS, endpoint));
         start();
         holder.awaitLogMatch(SERVES, 1);
         for (int i = 2; i < 4; i++) {
-            long dies = start();
-            adminPort(i); // waits until its start is in progress
-            assertTrue(ProcessHandle.of(dies).orElseThrow().destroyForcibly());
+            long killed = start();
+            adminPort(i); // waits until the start is in progress
+            assertTrue(ProcessHandle.of(killed).orElseThrow().destroyForcibly());
             assertEquals("made", cluster.sendRequest("use").body());
         }
         Files.writeString(config, "{");
@@ -163,13 +163,14 @@
                             .redirectErrorStream(true);
             builder.environment().put("LB_CONFIG", config.toString());
             builder.environment().put("LB_SOCKET_FD", descriptor);
-            Process refused = builder.start();
-            String said =
-                    new String(refused.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertEquals(2, refused.waitFor());
+            Process process = builder.start();
+            String output =
+                    new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            assertEquals(2, process.waitFor());
             assertTrue(
-                    said,
-                    said.startsWith("trailthread: LB_SOCKET_FD: ") && said.lines().count() == 1);
+                    output,
+                    output.startsWith("trailthread: LB_SOCKET_FD: ")
+                            && output.lines().count() == 1);
         }
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/NodeConfigTest.java
+++ b/daemon/src/test/java/trailthread/daemon/NodeConfigTest.java
@@ -167,7 +167,7 @@
             }
             Files.writeString(file, GOOD.replace("\"discovery\"", "\"other\""));
             NodeConfig last = config;
-            assertThrows("a file cut short", ConfigException.class, () -> last.reload(environment));
+            assertThrows("a truncated file", ConfigException.class, () -> last.reload(environment));
         } finally {
             Files.delete(file);
         }
--- a/daemon/src/test/java/trailthread/daemon/PauseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/PauseTest.java
@@ -16,14 +16,14 @@
 import trailthread.testkit.ScriptedServer;
 import trailthread.testkit.TestCluster;
 
-/** No request is lost or runs twice while the node or endpoints are stopped. */
+/** No request is lost or runs twice while the node is stopped or endpoints are silent. */
 public class PauseTest {
     private static final int IN_FLIGHT = 6;
-    private static final int KEPT = 8;
+    private static final int KEPT_ALIVE = 8;
     private static final int NEW = 20;
 
     /** Short objectives and deadlines, so that the module soon uses a silent endpoint again. */
-    private static final String QUICK =
+    private static final String SHORT_DEADLINES =
             TestCluster.SETTINGS
                     .replace("\"aim_ns\":10000000000", "\"aim_ns\":500000000")
                     .replace("\"deadline_ns\":20000000000", "\"deadline_ns\":2000000000");
@@ -52,8 +52,8 @@
         }
     }
 
-    /** Counts the requests that endpoints received, and checks that none came twice. */
-    private static int ranOnce(ScriptedServer... endpoints) {
+    /** Counts the requests that endpoints received, and checks that none ran twice. */
+    private static int countRequestsRunOnce(ScriptedServer... endpoints) {
         Set<String> ids = new HashSet<>();
         for (ScriptedServer endpoint : endpoints) {
             for (Message request : endpoint.requests) {
@@ -65,25 +65,25 @@
 
     @Test
     public void requestsSentToAStoppedNodeAreServedAndRunOnce() throws Exception {
-        cluster.descriptorLimit = 96; // 28 connections to clients: fewer than come
+        cluster.descriptorLimit = 96; // 28 connections to clients: fewer than there are clients
         ScriptedServer[] endpoints = {
             cluster.closeAtEnd(ScriptedServer.respondingWith("made")),
             cluster.closeAtEnd(ScriptedServer.respondingWith("made"))
         };
         cluster.start(TestCluster.SETTINGS, endpoints);
         List<Socket> clients = new ArrayList<>();
-        for (int i = 0; i < KEPT; i++) {
+        for (int i = 0; i < KEPT_ALIVE; i++) {
             clients.add(send(cluster.connect(), i));
             assertServed(clients.subList(i, i + 1));
         }
-        CountDownLatch goOn = new CountDownLatch(1);
-        CountDownLatch out = new CountDownLatch(IN_FLIGHT);
+        CountDownLatch resume = new CountDownLatch(1);
+        CountDownLatch inFlight = new CountDownLatch(IN_FLIGHT);
         for (ScriptedServer endpoint : endpoints) {
             endpoint.setScript(
                     request -> {
-                        out.countDown();
+                        inFlight.countDown();
                         try {
-                            goOn.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
+                            resume.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
                         } catch (InterruptedException e) {
                             throw new AssertionError(e);
                         }
@@ -93,11 +93,13 @@
         for (int i = 0; i < IN_FLIGHT; i++) {
             clients.add(send(cluster.connect(), i));
         }
-        assertTrue("requests are in flight", out.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
+        assertTrue(
+                "requests are in flight",
+                inFlight.await(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
 
         cluster.signal("STOP");
-        goOn.countDown();
-        for (int i = 0; i < KEPT; i++) {
+        resume.countDown();
+        for (int i = 0; i < KEPT_ALIVE; i++) {
             send(clients.get(i), i);
         }
         for (int i = 0; i < NEW; i++) {
@@ -107,21 +109,21 @@
         cluster.signal("CONT");
 
         assertServed(clients);
-        assertEquals(KEPT + IN_FLIGHT + KEPT + NEW, ranOnce(endpoints));
+        assertEquals(KEPT_ALIVE + IN_FLIGHT + KEPT_ALIVE + NEW, countRequestsRunOnce(endpoints));
         assertEquals("made", cluster.sendRequest("use").body());
         assertEquals("made", cluster.sendRequest("state").body());
     }
 
     @Test
     public void silentEndpointsBlockNothingAndAreUsedAgainOnceTheyRespond() throws Exception {
-        ScriptedServer.Script serves = request -> request.respond("200 OK", "", "made");
+        ScriptedServer.Script respond = request -> request.respond("200 OK", "", "made");
         ScriptedServer[] endpoints = {
-            cluster.closeAtEnd(new ScriptedServer(serves)),
-            cluster.closeAtEnd(new ScriptedServer(serves)),
-            cluster.closeAtEnd(new ScriptedServer(serves)),
-            cluster.closeAtEnd(new ScriptedServer(serves))
+            cluster.closeAtEnd(new ScriptedServer(respond)),
+            cluster.closeAtEnd(new ScriptedServer(respond)),
+            cluster.closeAtEnd(new ScriptedServer(respond)),
+            cluster.closeAtEnd(new ScriptedServer(respond))
         };
-        cluster.start(QUICK, endpoints);
+        cluster.start(SHORT_DEADLINES, endpoints);
         for (int i = 0; i < 200; i++) {
             assertEquals(200, cluster.sendRequest("state").status());
         }
@@ -132,25 +134,25 @@
         for (ScriptedServer endpoint : silent) {
             endpoint.setScript(request -> {});
         }
-        List<Socket> users = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         while (silent[0].requests.isEmpty() && silent[1].requests.isEmpty()) {
-            Socket user = cluster.connect();
+            Socket client = cluster.connect();
             Message.send(
-                    user, TestCluster.requestText("use", "", "").replace("Left: 20", "Left: 3"));
-            users.add(user);
+                    client, TestCluster.requestText("use", "", "").replace("Left: 20", "Left: 3"));
+            clients.add(client);
             Thread.sleep(10);
         }
-        for (Socket user : users) {
-            int status = Message.read(user).status();
+        for (Socket client : clients) {
+            int status = Message.read(client).status();
             assertTrue("status " + status, status == 200 || status == 502);
         }
-        assertEquals(users.size(), ranOnce(endpoints));
+        assertEquals(clients.size(), countRequestsRunOnce(endpoints));
 
         for (int i = 0; i < 20; i++) {
             assertEquals("made", cluster.sendRequest("state").body());
         }
         for (ScriptedServer endpoint : silent) {
-            endpoint.setScript(serves);
+            endpoint.setScript(respond);
             endpoint.requests.clear();
         }
         long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * ScriptedServer.TIMEOUT_S);
--- a/daemon/src/test/java/trailthread/daemon/RollingRestartTest.java
+++ b/daemon/src/test/java/trailthread/daemon/RollingRestartTest.java
@@ -32,7 +32,7 @@
     private static final Pattern ID = Pattern.compile("X-Correlation-Id: (\\w+)");
     private final TestCluster[] nodes = new TestCluster[2];
 
-    /** How often each id ran at the endpoints. */
+    /** How often endpoints received each request, by its id. */
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
 
     private final Map<Integer, Integer> responses = new ConcurrentHashMap<>();
@@ -41,8 +41,8 @@
     private volatile boolean over;
 
     /**
-     * Whether the nodes shut down on a slow machine, which stops them again and again; endpoints
-     * and clients are slow then as well.
+     * Whether the nodes shut down on a slow machine, simulated by stopping their processes again
+     * and again; endpoints and clients are slow then as well.
      */
     private boolean slowed;
 
@@ -59,28 +59,26 @@
      * possible.
      */
     private final class Client extends Thread {
-        private int at;
+        private int nodeIndex;
         private final int number;
         private Socket connection;
 
         Client(int number) {
             this.number = number;
-            at = number % 2;
+            nodeIndex = number % 2;
         }
 
         @Override
         public void run() {
             try {
-                sleep(
-                        slowed
-                                ? number * SLOW_MS / CLIENTS * 2L
-                                : 0); // so that some requests are in flight at each shutdown
+                // So that some requests are in flight at each shutdown.
+                sleep(slowed ? number * SLOW_MS / CLIENTS * 2L : 0);
                 for (int i = 0; !over; i++) {
                     String requestClass = i % 2 == 0 ? "use" : "state";
                     int attempts = 1;
                     while (!isAnswered(TestCluster.requestText(requestClass, "", ""))
                             && attempts++ < MAX_ATTEMPTS) {
-                        at = 1 - at;
+                        nodeIndex = 1 - nodeIndex;
                         sleep(5);
                     }
                     if (attempts > MAX_ATTEMPTS) {
@@ -99,7 +97,8 @@
         private boolean isAnswered(String requestText) throws IOException {
             if (connection == null) {
                 try {
-                    connection = new Socket(InetAddress.getLoopbackAddress(), nodes[at].port);
+                    connection =
+                            new Socket(InetAddress.getLoopbackAddress(), nodes[nodeIndex].port);
                 } catch (ConnectException e) {
                     return false;
                 }
@@ -112,8 +111,8 @@
                 Message.send(connection, requestText);
                 response = Message.read(connection);
             } catch (IOException e) {
-                if (!slowed) { // if a node closes late, a request may cross the close and be reset
-                    // unread
+                // If a node closes late, a request may cross the close and be reset unread.
+                if (!slowed) {
                     faults.add(id.group(1) + " ran " + runs.get(id.group(1)) + " times, then " + e);
                 }
                 connection.close();
@@ -134,7 +133,7 @@
             } else if ("close".equals(response.header("Connection"))) {
                 connection.close();
                 connection = null;
-                at = 1 - at; // the node moves its clients away
+                nodeIndex = 1 - nodeIndex; // the node moves its clients to the other
             }
             return response != null;
         }
@@ -146,8 +145,8 @@
     }
 
     /**
-     * The machine runs the node that shuts down for a third of the time only, as an overcommitted
-     * one does.
+     * The process that shuts down runs for only a third of the time, as on an overcommitted
+     * machine.
      */
     @Test
     public void noRequestIsLostOrRunsTwiceOnASlowMachine() throws Exception {
@@ -155,7 +154,7 @@
         restartInTurn();
     }
 
-    /** Stops the node's process and lets it go on, again and again, until it has ended. */
+    /** Stops and continues the node's process, again and again, until it has ended. */
     private static Thread slowDown(TestCluster node) {
         Thread thread =
                 new Thread(
--- a/daemon/src/test/java/trailthread/daemon/RetuneTest.java
+++ b/daemon/src/test/java/trailthread/daemon/SettingsReloadTest.java
@@ -10,9 +10,9 @@
 import trailthread.testkit.ScriptedServer;
 import trailthread.testkit.TestCluster;
 
-/** Reloading settings at SIGHUP: all of them are applied, or none. */
-public class RetuneTest extends WithAdminServer {
-    private static final String OTHERS =
+/** At SIGHUP, all reloaded settings are applied, or none. */
+public class SettingsReloadTest extends WithAdminServer {
+    private static final String OTHER_SETTINGS =
             TestCluster.SETTINGS
                     .replace("\"name\":\"use\"", "\"name\":\"study\"")
                     .replace("\"most_tries\":6", "\"most_tries\":1");
@@ -24,22 +24,22 @@
                 cluster.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
         cluster.start(TestCluster.SETTINGS, endpoint);
         assertEquals(400, cluster.sendRequest("study").status());
-        Socket atWork = cluster.connect();
-        Message.send(atWork, TestCluster.requestText("use", "", ""));
+        Socket inFlight = cluster.connect();
+        Message.send(inFlight, TestCluster.requestText("use", "", ""));
         endpoint.takeRequest();
-        Socket half = cluster.connect();
+        Socket incomplete = cluster.connect();
         String request = TestCluster.requestText("use", "", "");
-        Message.send(half, request.substring(0, request.length() - 2));
+        Message.send(incomplete, request.substring(0, request.length() - 2));
         cluster.sendRequest("none"); // the node has read what was sent before
-        cluster.reload(cluster.config(OTHERS, endpoint));
+        cluster.reload(cluster.config(OTHER_SETTINGS, endpoint));
         cluster.awaitMetricLine("app_conf_loaded 1");
         cluster.awaitMetricLine("app_answered{group=\"study\"} 0");
         assertEquals(400, cluster.sendRequest("use").status());
-        Message.send(half, request.substring(request.length() - 2));
+        Message.send(incomplete, request.substring(request.length() - 2));
         endpoint.takeRequest();
         answer.countDown();
-        assertEquals("made", Message.read(atWork).body());
-        assertEquals("made", Message.read(half).body());
+        assertEquals("made", Message.read(inFlight).body());
+        assertEquals("made", Message.read(incomplete).body());
         assertEquals("made", cluster.sendRequest("study").body());
         cluster.awaitMetricLine("app_answered{group=\"use\"} 2");
     }
@@ -57,7 +57,7 @@
                 "more than one attempt",
                 cluster.sendRequest("state").status() >= 500
                         && endpoint.requests.size() + other.requests.size() > 1);
-        cluster.reload(cluster.config(OTHERS, endpoint, other));
+        cluster.reload(cluster.config(OTHER_SETTINGS, endpoint, other));
         cluster.awaitMetricLine("app_conf_loaded 1");
         int before = endpoint.requests.size() + other.requests.size();
         cluster.sendRequest("state");
@@ -69,22 +69,20 @@
         ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
         cluster.start(TestCluster.SETTINGS, endpoint);
         for (int i = 0; i < 20; i++) {
-            cluster.reload(cluster.config(i % 2 == 0 ? OTHERS : TestCluster.SETTINGS, endpoint));
+            cluster.reload(
+                    cluster.config(i % 2 == 0 ? OTHER_SETTINGS : TestCluster.SETTINGS, endpoint));
         }
-        cluster.reload(
-                cluster.config(
-                        OTHERS.replace("\"study\"", "\"newest\""),
-                        endpoint)); // no other file has that class
+        // No other file has this class.
+        cluster.reload(cluster.config(OTHER_SETTINGS.replace("\"study\"", "\"newest\""), endpoint));
         boolean newest = false;
         for (int i = 0; !newest && i < 10 * ScriptedServer.TIMEOUT_S; i++) {
             newest = cluster.sendRequest("newest").status() == 200;
             Thread.sleep(newest ? 0 : 100);
         }
-        assertTrue("the newest is taken", newest);
+        assertTrue("the newest file is applied", newest);
         cluster.reload("{");
-        cluster.awaitLogLine(
-                "configuration not applied"); // signals before it may still be under way, and
-        // read this one
+        // Earlier signals may still be pending; their reloads read this broken file as well.
+        cluster.awaitLogLine("configuration not applied");
         assertEquals(200, cluster.sendRequest("newest").status());
         assertEquals(400, cluster.sendRequest("use").status());
     }
@@ -93,7 +91,7 @@
     public void aBrokenFileChangesNothing() throws Exception {
         ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
         cluster.start(TestCluster.SETTINGS, endpoint);
-        String good = cluster.config(OTHERS, endpoint);
+        String good = cluster.config(OTHER_SETTINGS, endpoint);
         String[] broken = {
             "",
             "{",
--- a/daemon/src/test/java/trailthread/daemon/ShutdownPlanTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ShutdownPlanTest.java
@@ -11,8 +11,8 @@
 
     @Test
     public void stepsForShortAndLongDeadlines() {
-        long[][] cases = { // longest deadline, lateness; close with responses, close, answered:
-            // milliseconds
+        // In ms: longest deadline, lateness; close with responses, close, answered.
+        long[][] cases = {
             {150, 0, 475, 625, 700},
             {300, 0, 550, 700, 850},
             {1_200, 0, 550, 700, 1_750},
@@ -25,10 +25,10 @@
         };
         for (long[] c : cases) {
             ShutdownPlan plan = ShutdownPlan.of(c[0] * MS, c[1] * MS);
-            String of = c[0] + " ms, late by " + c[1];
-            assertEquals(of, c[2] * MS, plan.closeWithResponsesNs());
-            assertEquals(of, c[3] * MS, plan.closeNs());
-            assertEquals(of, c[4] * MS, plan.answeredNs());
+            String label = c[0] + " ms, late by " + c[1];
+            assertEquals(label, c[2] * MS, plan.closeWithResponsesNs());
+            assertEquals(label, c[3] * MS, plan.closeNs());
+            assertEquals(label, c[4] * MS, plan.answeredNs());
         }
     }
 
@@ -37,7 +37,7 @@
         for (long ms = 1; ms < 20_000; ms = ms * 5 / 4 + 1) {
             for (long late = 0; late < 1_000; late = 2 * late + 10) {
                 ShutdownPlan plan = ShutdownPlan.of(ms * MS, late * MS);
-                assertTrue("new connections come for 0.4 s", plan.closeNs() >= 400 * MS);
+                assertTrue("new connections are accepted for 0.4 s", plan.closeNs() >= 400 * MS);
                 assertTrue(
                         plan.closeWithResponsesNs() < plan.closeNs()
                                 && plan.closeNs() <= plan.answeredNs());
--- a/daemon/src/test/java/trailthread/daemon/ShutdownReplanTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ShutdownReplanTest.java
@@ -18,22 +18,25 @@
 import trailthread.engine.loop.EventLoop;
 import trailthread.engine.metrics.MetricsRecorder;
 
-/** A shutdown whose circumstances get worse while it is under way. */
+/**
+ * The shutdown plan is brought forward if the loop becomes late, or deadlines become shorter, while
+ * the shutdown is in progress.
+ */
 public class ShutdownReplanTest {
     private static final long DEADLINE_NS = 30_000_000_000L;
     private static final long SHORT_DEADLINE_NS = 300_000_000L;
-    private static final long LONGEST_WAIT_S = 30;
+    private static final long MAX_WAIT_S = 30;
     private static final int MAX_CONNECTIONS = 8;
 
     private static final long PUNCTUAL_NS = 20_000_000L;
 
-    /** Longer than the lateness of an idle loop, and more than the plan is replaced for. */
+    /** More than the lateness of an idle loop, and enough for the plan to be replaced. */
     private static final long BUSY_MS = 100;
 
     private final EventLoop loop;
 
-    /** The times by which requests admitted from now on are to be answered, as they are set. */
-    private final BlockingQueue<Long> answerTimes = new LinkedBlockingQueue<>();
+    /** The answer deadlines of new requests, in the order in which the shutdown sets them. */
+    private final BlockingQueue<Long> answerDeadlines = new LinkedBlockingQueue<>();
 
     private GracefulShutdown shutdown;
 
@@ -56,10 +59,10 @@
                         loop,
                         listener,
                         new Drain(loop, listener),
-                        (newOnes, all) -> answerTimes.add(newOnes));
+                        (newRequestsBy, allRequestsBy) -> answerDeadlines.add(newRequestsBy));
         shutdown.setLongestDeadline(DEADLINE_NS);
         awaitPunctualLoop();
-        Thread hook = new Thread(this::await);
+        Thread hook = new Thread(this::awaitShutdown);
         hook.setDaemon(true);
         hook.start();
     }
@@ -71,7 +74,7 @@
         }
     }
 
-    private void await() {
+    private void awaitShutdown() {
         try {
             shutdown.await("n0");
         } catch (InterruptedException e) {
@@ -84,9 +87,9 @@
         loop.xnioWorker().shutdownNow();
     }
 
-    private long nextAnswerTime() throws InterruptedException {
-        Long next = answerTimes.poll(LONGEST_WAIT_S, TimeUnit.SECONDS);
-        assertNotNull("a plan is made", next);
+    private long nextAnswerDeadline() throws InterruptedException {
+        Long next = answerDeadlines.poll(MAX_WAIT_S, TimeUnit.SECONDS);
+        assertNotNull("the shutdown sets an answer deadline", next);
         return next;
     }
 
@@ -98,19 +101,25 @@
         }
     }
 
-    /** Guards against requests that are killed unanswered, as the node got busy after SIGTERM. */
+    /**
+     * Guards against requests that are unanswered at the kill, as the node became busy after
+     * SIGTERM.
+     */
     @Test
     public void aLoopThatBecomesLateAnswersEarlier() throws Exception {
-        long planned = nextAnswerTime();
+        long planned = nextAnswerDeadline();
         loop.execute(ShutdownReplanTest::keepBusy);
-        assertTrue("the plan is brought forward", nextAnswerTime() < planned);
+        assertTrue("the plan is brought forward", nextAnswerDeadline() < planned);
     }
 
-    /** Guards against requests that are killed unanswered where SIGHUP crosses SIGTERM. */
+    /**
+     * Guards against requests that are unanswered at the kill, as a reload shortened deadlines just
+     * after SIGTERM.
+     */
     @Test
     public void aReloadThatShortensDeadlinesAnswersEarlier() throws Exception {
-        long planned = nextAnswerTime();
+        long planned = nextAnswerDeadline();
         shutdown.setLongestDeadline(SHORT_DEADLINE_NS);
-        assertTrue("the plan is brought forward", nextAnswerTime() < planned);
+        assertTrue("the plan is brought forward", nextAnswerDeadline() < planned);
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/StaleListTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StaleListTest.java
@@ -13,8 +13,8 @@
 import trailthread.testkit.TestCluster;
 
 /**
- * The endpoint list is a lease: each sign of life of discovery renews it, and a process that has
- * just started holds none.
+ * The endpoint list is held under a lease: each sign of life of discovery renews it, and a process
+ * that has just started holds none.
  *
  * <p>Prevents a node from sending requests to servers that were removed while it did not hear from
  * discovery. Such a removal counts as announced 6 s after it was made, whether or not the node has
@@ -23,13 +23,13 @@
 public class StaleListTest {
     private static final int SERVERS = 3_200;
 
-    /** How long after a change it counts as announced. */
-    private static final long NEWS_DUE_MS = 6_000;
+    /** A change counts as announced this long after it was made. */
+    private static final long UPDATE_DUE_MS = 6_000;
 
     private final TestCluster cluster;
     private final ScriptedServer gone;
     private final ScriptedServer present;
-    private final CountDownLatch answers = new CountDownLatch(1);
+    private final CountDownLatch discoveryRecovers = new CountDownLatch(1);
 
     public StaleListTest() throws Exception {
         cluster = new TestCluster();
@@ -39,31 +39,31 @@
 
     @After
     public void end() throws Exception {
-        answers.countDown();
+        discoveryRecovers.countDown();
         cluster.close();
     }
 
-    private ScriptedServer[] thousands(ScriptedServer peer) {
+    private ScriptedServer[] thousandsOf(ScriptedServer server) {
         ScriptedServer[] servers = new ScriptedServer[SERVERS];
-        Arrays.fill(servers, peer);
+        Arrays.fill(servers, server);
         return servers;
     }
 
-    /** Discovery is overloaded: it accepts requests, and responds to none until released. */
-    private void crowd() {
+    /** Makes discovery accept requests, and respond to none until it recovers. */
+    private void overloadDiscovery() {
         cluster.discovery.setScript(
                 request -> {
-                    ScriptedServer.await(answers);
+                    ScriptedServer.await(discoveryRecovers);
                     TestCluster.beginWatch(request);
                     TestCluster.sendWatchLine(
                             request,
-                            TestCluster.endpointListJson(14, true, "active", thousands(present)));
+                            TestCluster.endpointListJson(14, true, "active", thousandsOf(present)));
                 });
     }
 
-    private void assertRefused() throws Exception {
+    private void assertRejected() throws Exception {
         Message answer = cluster.sendRequest("use");
-        assertEquals("present", 503, answer.status());
+        assertEquals("rejected", 503, answer.status());
         gone.assertNoMoreRequests();
     }
 
@@ -77,17 +77,17 @@
 
     @Test
     public void aNewProcessDoesNotUseTheListOfThePreviousOne() throws Exception {
-        crowd();
-        cluster.start(TestCluster.SETTINGS, thousands(gone));
-        assertRefused();
-        answers.countDown();
+        overloadDiscovery();
+        cluster.start(TestCluster.SETTINGS, thousandsOf(gone));
+        assertRejected();
+        discoveryRecovers.countDown();
         awaitServedBy("present");
         gone.assertNoMoreRequests();
     }
 
     /**
-     * The watch breaks and no later poll is answered; changes made meanwhile count as announced all
-     * the same.
+     * The watch breaks and no later poll is answered; changes made meanwhile nevertheless count as
+     * announced.
      */
     @Test
     public void aListWithoutConfirmationExpires() throws Exception {
@@ -100,12 +100,12 @@
         cluster.start(TestCluster.SETTINGS, gone);
         Message watch = cluster.discovery.takeRequest();
         awaitServedBy("gone");
-        crowd();
+        overloadDiscovery();
         watch.connection().close();
-        Thread.sleep(NEWS_DUE_MS + 500);
+        Thread.sleep(UPDATE_DUE_MS + 500);
         gone.requests.clear();
-        assertRefused();
-        answers.countDown();
+        assertRejected();
+        discoveryRecovers.countDown();
         awaitServedBy("present");
         gone.assertNoMoreRequests();
     }
@@ -122,7 +122,7 @@
         cluster.start(TestCluster.SETTINGS, present);
         awaitServedBy("present");
         cluster.discovery.close();
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(2 * NEWS_DUE_MS);
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(2 * UPDATE_DUE_MS);
         while (System.nanoTime() < until) {
             assertEquals("present", cluster.sendRequest("use").body());
             Thread.sleep(100);
--- a/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
+++ b/daemon/src/test/java/trailthread/daemon/StartAndStopTest.java
@@ -29,12 +29,12 @@
     }
 
     @Test
-    public void itIsReadyOnceItServesAndTheWarmUpReachesNoEndpoint() throws Exception {
+    public void theNodeIsReadyOnceItServesAndItsWarmUpReachesNoEndpoint() throws Exception {
         ScriptedServer endpoint = cluster.closeAtEnd(ScriptedServer.respondingWith("made"));
         cluster.start(TestCluster.SETTINGS, endpoint);
-        Socket front = cluster.connect();
-        Message.send(front, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
-        assertEquals(200, Message.read(front).status());
+        Socket frontEnd = cluster.connect();
+        Message.send(frontEnd, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
+        assertEquals(200, Message.read(frontEnd).status());
         endpoint.assertNoMoreRequests();
     }
 
@@ -58,7 +58,7 @@
         assertEquals("made", cluster.sendRequest("use").body());
     }
 
-    /** The nodes of a busy fleet need this one soon; in an idle fleet it may warm up for longer. */
+    /** A busy fleet needs the new node soon; in an idle fleet the node may warm up for longer. */
     @Test
     public void aStartIsShorterIfEndpointsAreBusy() throws Exception {
         String probes =
@@ -77,21 +77,24 @@
         }
     }
 
-    /** Prevents a SIGHUP before the node is started from ending the process or being lost. */
+    /**
+     * Prevents a SIGHUP that arrives before the node is started from ending the process or being
+     * lost.
+     */
     @Test
-    public void aSighupDuringTheStartIsRemembered() throws Exception {
+    public void aSighupDuringTheStartIsHandledAfterwards() throws Exception {
         try (OutputStream out = cluster.startWithConfigPipe()) {
             cluster.signal("HUP");
             out.write(cluster.config(TestCluster.SETTINGS).getBytes(StandardCharsets.UTF_8));
         }
         cluster.awaitLogLine("serves on");
-        try (OutputStream out = cluster.openConfigPipe()) { // read once more
+        try (OutputStream out = cluster.openConfigPipe()) { // the reload reads the pipe again
             out.write(cluster.config(TestCluster.SETTINGS).getBytes(StandardCharsets.UTF_8));
         }
         cluster.awaitLogLine("configuration applied");
     }
 
-    /** Guards against a node that never reloads, and does not say so. */
+    /** Guards against a node that never reloads and does not report it. */
     @Test
     public void anIgnoredSighupIsReportedAtTheStart() throws Exception {
         cluster.launcher = List.of("nohup");
@@ -100,7 +103,7 @@
         assertTrue(warning, warning.contains("WARN") && warning.contains("--default-signal=HUP"));
         cluster.reload(cluster.config(TestCluster.SETTINGS));
         cluster.terminate();
-        assertEquals("the signal did not end it", 0, cluster.exitStatus());
+        assertEquals("SIGHUP did not end the process", 0, cluster.exitStatus());
     }
 
     /** Guards against a node that does not reload, although it is started as the warning says. */
@@ -113,11 +116,11 @@
     }
 
     /**
-     * Prevents a shutdown that waits by the deadlines in force from cutting off requests that were
-     * admitted with longer ones.
+     * Prevents a shutdown that waits for the current deadlines only from cutting off requests that
+     * were admitted with longer ones.
      */
     @Test
-    public void callsTakenUnderLongerDeadlinesAreWaitedFor() throws Exception {
+    public void requestsAdmittedWithLongerDeadlinesAreWaitedFor() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         ScriptedServer endpoint =
                 cluster.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
@@ -133,14 +136,15 @@
         cluster.awaitLogLine("configuration applied");
         cluster.terminate();
         cluster.awaitLogLine("is shutting down");
-        Thread.sleep(3_000); // past 1.7 s and the new deadlines
+        Thread.sleep(3_000); // longer than the new deadlines and the 1.7 s for last responses
         answer.countDown();
         assertEquals("made", Message.read(client).body());
         assertEquals(0, cluster.exitStatus());
     }
 
     @Test
-    public void onSigtermItServesOnThenFinishesItsRequestsAndExitsWithZero() throws Exception {
+    public void onSigtermTheNodeKeepsServingThenFinishesItsRequestsAndExitsWithZero()
+            throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         ScriptedServer endpoint =
                 cluster.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
@@ -155,7 +159,7 @@
         endpoint.takeRequest();
         Socket idle = cluster.connect();
         Message.send(idle, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
-        assertEquals("the front is to go elsewhere", 503, Message.read(idle).status());
+        assertEquals("the front end is sent to other nodes", 503, Message.read(idle).status());
         assertEquals("idle connections are closed", -1, idle.getInputStream().read());
         answer.countDown();
         for (Socket client : new Socket[] {before, after}) {
--- a/daemon/src/test/java/trailthread/daemon/UnreadUpdatesTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UnreadUpdatesTest.java
@@ -26,20 +26,22 @@
 import trailthread.testkit.TestCluster;
 
 /**
- * A drain counts as announced once discovery has written it, even if it is not read yet because the
- * loop is late or the list is long.
+ * A drain counts as announced once discovery has written it, even if the node has not read it yet
+ * because the loop is late or the list is long.
  */
 public class UnreadUpdatesTest {
     private static final long MS = 1_000_000L;
-    private static final long WITHIN_NS = 30_000 * MS;
+    private static final long TIMEOUT_NS = 30_000 * MS;
 
-    /** The grace period of a drain; over once the loop was blocked for {@link #HELD_MS}. */
+    /**
+     * The grace period of a drain, which ends while the loop is blocked for {@link #BLOCKED_MS}.
+     */
     private static final long GRACE_NS = 200 * MS;
 
-    private static final long HELD_MS = 400;
+    private static final long BLOCKED_MS = 400;
     private final EventLoop loop = new EventLoop("unread");
     private final ScriptedServer server = ScriptedServer.respondingWith("made");
-    private final ScriptedServer peer =
+    private final ScriptedServer discoveryServer =
             new ScriptedServer(
                     request -> {
                         TestCluster.beginWatch(request);
@@ -52,8 +54,8 @@
     private final EndpointPool endpoints =
             new EndpointPool(
                     loop,
-                    WITHIN_NS,
-                    WITHIN_NS,
+                    TIMEOUT_NS,
+                    TIMEOUT_NS,
                     GRACE_NS,
                     ConnectionLimit.of(16),
                     MS,
@@ -61,7 +63,7 @@
     private final DiscoveryClient discovery =
             new DiscoveryClient(
                     loop,
-                    address(peer),
+                    address(discoveryServer),
                     new DiscoveryListener() {
                         @Override
                         public void updated(DiscoveryUpdate update, long knownSince) {
@@ -83,49 +85,49 @@
 
     @After
     public void end() throws Exception {
-        peer.close();
+        discoveryServer.close();
         server.close();
         loop.xnioWorker().shutdownNow();
     }
 
-    private static InetSocketAddress address(ScriptedServer of) {
-        return EndpointPool.address(of.hostPort());
+    private static InetSocketAddress address(ScriptedServer server) {
+        return EndpointPool.address(server.hostPort());
     }
 
     private void attempt() {
         endpoints.attempt(
                 "w0",
                 new EndpointRequest("1", "use", "POST", "/use", null, new byte[4], null),
-                WITHIN_NS,
+                TIMEOUT_NS,
                 results::add);
     }
 
     private Outcome awaitOutcome() throws InterruptedException {
-        AttemptResult ending = results.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
-        assertNotNull("the attempt was to end", ending);
-        return ending.outcome();
+        AttemptResult result = results.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
+        assertNotNull("the attempt ends", result);
+        return result.outcome();
     }
 
     @Test
     public void aLateLoopReadsUpdatesBeforeItWritesARequest() throws Exception {
-        Message watch = peer.takeRequest();
+        Message watch = discoveryServer.takeRequest();
         loop.execute(this::attempt);
         assertEquals(
-                "served before the drain, by a connection that is kept",
+                "served before the drain, over a connection that is kept alive",
                 Outcome.OK,
                 awaitOutcome());
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch resume = new CountDownLatch(1);
         loop.execute(
                 () -> {
                     attempt(); // runs after this task, and before the sockets are polled
-                    held.countDown();
-                    ScriptedServer.await(goOn);
+                    blocked.countDown();
+                    ScriptedServer.await(resume);
                 });
-        ScriptedServer.await(held);
+        ScriptedServer.await(blocked);
         TestCluster.sendWatchLine(watch, TestCluster.endpointListJson(2, false, "leaving", server));
-        Thread.sleep(HELD_MS);
-        goOn.countDown();
+        Thread.sleep(BLOCKED_MS);
+        resume.countDown();
         assertEquals(Outcome.NOT_SENT, awaitOutcome());
         assertEquals("the watch stays", 0, failures.get());
     }
--- a/daemon/src/test/java/trailthread/daemon/UpdateDueTest.java
+++ b/daemon/src/test/java/trailthread/daemon/UpdateDueTest.java
@@ -22,13 +22,13 @@
 import trailthread.testkit.TestCluster;
 
 /**
- * Since when an update counts as known that arrived, or was due, before it was read. The grace
+ * An update counts as known since it arrived, or was due, even if it is read later. The grace
  * period of a drain begins then.
  */
 public class UpdateDueTest {
     private static final long MS = 1_000_000L;
     private static final long UPDATE_DUE_MS = 6_000;
-    private final ScriptedServer peer;
+    private final ScriptedServer discoveryServer;
     private final EventLoop loop;
     private final DiscoveryClient discovery;
     private final BlockingQueue<Long> knownSince = new LinkedBlockingQueue<>();
@@ -36,15 +36,15 @@
     private final BlockingQueue<Long> failures = new LinkedBlockingQueue<>();
 
     public UpdateDueTest() throws Exception {
-        peer =
+        discoveryServer =
                 new ScriptedServer(
                         request -> {
                             TestCluster.beginWatch(request);
                             TestCluster.sendWatchLine(
                                     request, TestCluster.endpointListJson(1, true, "active"));
                         });
-        loop = new EventLoop("news");
-        String[] hostPort = peer.hostPort().split(":");
+        loop = new EventLoop("updates");
+        String[] hostPort = discoveryServer.hostPort().split(":");
         discovery =
                 new DiscoveryClient(
                         loop,
@@ -67,34 +67,37 @@
 
     @After
     public void end() throws Exception {
-        peer.close();
+        discoveryServer.close();
         loop.xnioWorker().shutdownNow();
     }
 
-    private long known() throws InterruptedException {
+    private long nextKnownSince() throws InterruptedException {
         Long since = knownSince.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS);
-        assertNotNull("a list was to come", since);
+        assertNotNull("an update is passed on", since);
         return since;
     }
 
     @Test
     public void anUpdateReadLateIsKnownSinceItArrived() throws Exception {
-        Message watch = peer.takeRequest();
-        known();
+        Message watch = discoveryServer.takeRequest();
+        nextKnownSince();
         long arrivedBy = sendUnread(watch, TestCluster.endpointListJson(2, true, "leaving"));
-        assertTrue("known since it came", known() <= arrivedBy);
+        assertTrue("known since it arrived", nextKnownSince() <= arrivedBy);
     }
 
-    /** Sends a line that lies unread, as the loop is late; returns when it had come by. */
+    /**
+     * Sends a line that stays unread, as the loop is blocked; returns a time by which it had
+     * arrived.
+     */
     private long sendUnread(Message watch, String line) throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch resume = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    held.countDown();
+                    blocked.countDown();
                     ScriptedServer.await(resume);
                 });
-        ScriptedServer.await(held);
+        ScriptedServer.await(blocked);
         TestCluster.sendWatchLine(watch, line);
         final long arrivedBy = loop.now();
         Thread.sleep(300);
@@ -104,36 +107,37 @@
 
     @Test
     public void anUpdateDueWithoutAWatchIsKnownSinceItWasDue() throws Exception {
-        known();
+        nextKnownSince();
         assertUpdateDueAfterSilenceSince(loop.now());
     }
 
     /** A heartbeat does not cover what changed after it arrived and before a late loop read it. */
     @Test
     public void anUpdateIsDueSinceTheLastHeartbeatArrivedNotSinceItWasRead() throws Exception {
-        Message watch = peer.takeRequest();
-        known();
+        Message watch = discoveryServer.takeRequest();
+        nextKnownSince();
         assertUpdateDueAfterSilenceSince(sendUnread(watch, ""));
     }
 
     /**
      * Prevents the end of a watch without changes from being taken for a failure, after which the
-     * module polled again.
+     * decision module would poll again.
      */
     @Test
-    public void aWatchThatLivesTellsThatNothingHasChanged() throws Exception {
-        Message watch = peer.takeRequest();
-        known();
-        peer.setScript(
+    public void aNewWatchConfirmsThatNothingHasChanged() throws Exception {
+        Message watch = discoveryServer.takeRequest();
+        nextKnownSince();
+        discoveryServer.setScript(
                 request -> {
                     TestCluster.beginWatch(request);
                     TestCluster.sendWatchLine(request, "");
                 });
         watch.connection().close();
         assertNotNull(
-                "its end is noticed", failures.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
+                "the end of the watch is noticed",
+                failures.poll(ScriptedServer.TIMEOUT_S, TimeUnit.SECONDS));
         loop.execute(() -> discovery.watch(true));
-        known();
+        nextKnownSince();
         updates.remove();
         assertEquals(new DiscoveryUpdate(1, false, List.of()), updates.remove());
     }
@@ -146,6 +150,6 @@
         loop.execute(() -> discovery.watch(true));
         assertTrue(
                 "due six seconds after the last sign of life",
-                known() <= silentSince + UPDATE_DUE_MS * MS);
+                nextKnownSince() <= silentSince + UPDATE_DUE_MS * MS);
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/WithAdminServer.java
+++ b/daemon/src/test/java/trailthread/daemon/WithAdminServer.java
@@ -4,7 +4,7 @@
 import org.junit.Before;
 import trailthread.testkit.TestCluster;
 
-/** A node with a door for its operators, which each test starts with settings of its own. */
+/** A test of a node with an admin server, which each test method starts with its own settings. */
 abstract class WithAdminServer {
     TestCluster cluster;
 
--- a/daemon/src/test/java/trailthread/daemon/soak/RequestHistory.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/RequestHistory.java
@@ -3,7 +3,9 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** What client and servers saw of one request. Times are those of {@link System#nanoTime}. */
+/**
+ * What the client and the servers saw of one request. Times are those of {@link System#nanoTime}.
+ */
 final class RequestHistory {
     static final long NEVER = Long.MAX_VALUE;
 
@@ -11,12 +13,13 @@
     final RequestKind kind;
     final int deadlineMs;
 
-    /** When servers had received an attempt completely. */
+    /** When servers had received each attempt completely. */
     final List<Long> receivedAt = new CopyOnWriteArrayList<>();
 
-    volatile long begunAt = NEVER;
+    /** When the client began to write. */
+    volatile long startedAt = NEVER;
 
-    /** When the last byte had been written. */
+    /** When the client had written the last byte. */
     volatile long writtenAt = NEVER;
 
     /** When its client closed the connection without waiting for a response. */
@@ -25,8 +28,8 @@
     /** When the response was complete, or the connection had ended. */
     volatile long endedAt = NEVER;
 
-    /** How it ended: a status, or what became of the connection. */
-    volatile String end = "open";
+    /** How the request ended: the status line, or what happened to the connection. */
+    volatile String result = "open";
 
     volatile boolean answered;
 
@@ -38,27 +41,28 @@
 
     void ended(String how, boolean withResponse) {
         answered = withResponse;
-        end = how;
+        result = how;
         endedAt = System.nanoTime();
     }
 
-    /** The history with times in milliseconds after SIGTERM. */
-    String text(long terminatedAt) {
+    /** Describes the history, with times in milliseconds after SIGTERM. */
+    String describe(long terminatedAt) {
         StringBuilder received = new StringBuilder();
         for (long at : receivedAt) {
             received.append(' ').append(milliseconds(at, terminatedAt));
         }
         return String.format(
-                "%s %s, deadline %d ms: begun %s, written %s, at servers%s, client left %s, ended %s: %s",
+                "%s %s, deadline %d ms: started %s, written %s, at servers%s, client left %s,"
+                        + " ended %s: %s",
                 kind,
                 id,
                 deadlineMs,
-                milliseconds(begunAt, terminatedAt),
+                milliseconds(startedAt, terminatedAt),
                 milliseconds(writtenAt, terminatedAt),
                 received.length() == 0 ? " never" : received,
                 milliseconds(clientLeftAt, terminatedAt),
                 milliseconds(endedAt, terminatedAt),
-                end);
+                result);
     }
 
     private static String milliseconds(long at, long terminatedAt) {
--- a/daemon/src/test/java/trailthread/daemon/soak/RequestKind.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/RequestKind.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** The classes of requests in the program's settings. */
+/** The request classes in the program's settings. */
 enum RequestKind {
     /** May be repeated. */
     STATE,
--- a/daemon/src/test/java/trailthread/daemon/soak/Scenario.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/Scenario.java
@@ -6,16 +6,17 @@
 import trailthread.testkit.TestCluster;
 
 /**
- * What happens in one run; all of it is drawn from the seed.
+ * What happens in one run; everything is drawn from the seed.
  *
- * @param deadlinesMs of the classes in the order of {@link RequestKind}, in milliseconds
- * @param servers one entry a server: how it treats requests
- * @param signals sent to the program, by time; SIGTERM, which time counts from, is not among them
- * @param killed whether SIGKILL comes at the earliest time the platform allows
- * @param idleConnections held by clients that send nothing
- * @param burstClients connect soon after SIGTERM, for one request each
- * @param busyThreads compete with the program for the machine
- * @param busyFromMs from then on, in milliseconds after SIGTERM
+ * @param deadlinesMs the deadline of each class, in the order of {@link RequestKind}, in
+ *     milliseconds
+ * @param servers how each server treats requests
+ * @param signals sent to the program, by time, except the SIGTERM from which times count
+ * @param killed whether SIGKILL is sent at the earliest time that the platform allows
+ * @param idleConnections how many connections clients hold without sending
+ * @param burstClients how many clients connect soon after SIGTERM, for one request each
+ * @param busyThreads how many threads compete with the program for the CPUs
+ * @param busyFromMs when these threads begin, in milliseconds after SIGTERM
  */
 record Scenario(
         long seed,
@@ -31,21 +32,31 @@
     private static final int[] DEADLINES_MS = {150, 300, 600, 1_200, 2_500, 4_000};
     private static final int[] BUSY_THREADS = {0, 0, 8, 48};
 
-    /** Before a reload that shortens them, deadlines are so many times longer. */
+    /** Before a reload that shortens them, deadlines are this many times longer. */
     private static final int LONGER_DEADLINES = 4;
 
-    /** The platform kills so long after SIGTERM, past the longest deadline, at the earliest. */
+    /**
+     * The platform kills the process at the earliest this long plus the longest deadline after
+     * SIGTERM.
+     */
     private static final int KILL_AFTER_MS = 700;
 
+    /** The platform counts at most this much of the longest deadline. */
     private static final int MAX_COUNTED_DEADLINE_MS = 3_000;
 
-    /** The program reads its configuration again, with shorter deadlines than at its start. */
+    /**
+     * The signal by which the program reloads its configuration, with shorter deadlines than at its
+     * start.
+     */
     static final String HANGUP = "HUP";
 
     /** A signal, and when it is sent, in milliseconds after SIGTERM. */
     record TimedSignal(String name, int atMs) {}
 
-    /** The shares of requests that a server answers late, never, or half; the rest at once. */
+    /**
+     * The shares of requests that a server answers late, never, or half; it answers the rest
+     * immediately.
+     */
     record ServerMix(double late, double never, double half) {}
 
     /** Draws the scenario of a seed. */
@@ -57,9 +68,9 @@
         }
         int clients = 8 + random.nextInt(33);
         List<ServerMix> servers = new ArrayList<>();
-        double hanging = random.nextInt(4) == 0 ? 1 : 0.3;
+        double hangingShare = random.nextInt(4) == 0 ? 1 : 0.3;
         for (int i = 2 + random.nextInt(3); i > 0; i--) {
-            servers.add(serverMix(random, hanging));
+            servers.add(serverMix(random, hangingShare));
         }
         boolean crowd = random.nextInt(3) == 0;
         return new Scenario(
@@ -75,9 +86,9 @@
                 random.nextInt(800));
     }
 
-    private static ServerMix serverMix(Random random, double hanging) {
-        if (random.nextDouble() < hanging) {
-            return new ServerMix(0, 1, 0); // through the whole of the shutdown
+    private static ServerMix serverMix(Random random, double hangingShare) {
+        if (random.nextDouble() < hangingShare) {
+            return new ServerMix(0, 1, 0); // hangs throughout the shutdown
         }
         return new ServerMix(random.nextDouble() / 3, random.nextDouble() / 5, 0.1);
     }
@@ -138,7 +149,7 @@
         return settings(deadlineFactorAtStart());
     }
 
-    /** The settings that a reload brings: those of the scenario. */
+    /** The settings that a reload applies: those of the scenario. */
     String settings() {
         return settings(1);
     }
--- a/daemon/src/test/java/trailthread/daemon/soak/ShutdownSoak.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/ShutdownSoak.java
@@ -4,13 +4,13 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Plays runs of many seeds, and prints what broke. */
+/** Runs the scenarios of many seeds, and prints the violations. */
 final class ShutdownSoak {
-    /** The machine disturbs too much if it voids more than this share of the runs. */
+    /** The test fails if the machine was so busy that more than this share of the runs are void. */
     private static final double MAX_VOID_SHARE = 0.2;
 
     private final PrintStream out;
-    private final Map<Rule, Integer> breaks = new EnumMap<>(Rule.class);
+    private final Map<Rule, Integer> violations = new EnumMap<>(Rule.class);
     private int runs;
     private int voidRuns;
     private int requests;
@@ -19,52 +19,56 @@
         this.out = out;
     }
 
-    /** Plays the run of a seed once. */
-    void play(long seed) throws Exception {
-        SoakRun.Result result = SoakRun.play(Scenario.of(seed));
+    /** Runs the scenario of a seed once. */
+    void run(long seed) throws Exception {
+        SoakRun.Result result = SoakRun.run(Scenario.of(seed));
         runs++;
         if (result.isVoid()) {
             voidRuns++;
             out.printf(
-                    "seed %d: void, the machine held a thread for %d ms; breaks not counted: %s%n",
-                    seed, result.worstDelayMs(), result.breaks());
+                    "seed %d: void, the machine delayed a thread by %d ms; violations not counted:"
+                            + " %s%n",
+                    seed, result.worstDelayMs(), result.violations());
             return;
         }
         requests += result.requests();
         out.printf(
-                "seed %d: %d requests, %d breaks, last response %d ms before the kill, threads held"
-                        + " %d ms%n",
+                "seed %d: %d requests, %d violations, last response %d ms before the kill,"
+                        + " threads delayed by %d ms%n",
                 seed,
                 result.requests(),
-                result.breaks().size(),
-                result.leftAtKillMs(),
+                result.violations().size(),
+                result.marginBeforeKillMs(),
                 result.worstDelayMs());
-        result.breaks().forEach(broken -> breaks.merge(broken.rule(), 1, Integer::sum));
-        if (!result.breaks().isEmpty()) {
+        result.violations()
+                .forEach(violation -> violations.merge(violation.rule(), 1, Integer::sum));
+        if (!result.violations().isEmpty()) {
             print(result);
         }
     }
 
     private void print(SoakRun.Result result) {
         out.println("  " + result.scenario());
-        result.breaks()
-                .forEach(broken -> out.println("  " + broken.rule() + " " + broken.evidence()));
+        result.violations()
+                .forEach(
+                        violation ->
+                                out.println("  " + violation.rule() + " " + violation.evidence()));
         result.log().forEach(line -> out.println("  | " + line));
     }
 
-    /** A line with the breaks by rule, and the runs that were void. */
+    /** A line with the numbers of void runs and of violations by rule. */
     String summary() {
         StringBuilder summary = new StringBuilder();
         summary.append(runs).append(" runs, ").append(voidRuns).append(" void, ");
-        summary.append(requests).append(" requests; breaks:");
+        summary.append(requests).append(" requests; violations:");
         for (Rule rule : Rule.values()) {
-            summary.append(' ').append(rule).append(' ').append(breaks.getOrDefault(rule, 0));
+            summary.append(' ').append(rule).append(' ').append(violations.getOrDefault(rule, 0));
         }
         return summary.toString();
     }
 
-    /** Whether no rule broke, and the machine let enough runs count. */
+    /** Whether no rule was broken, and enough runs were not void. */
     boolean passed() {
-        return breaks.isEmpty() && voidRuns <= MAX_VOID_SHARE * runs;
+        return violations.isEmpty() && voidRuns <= MAX_VOID_SHARE * runs;
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/soak/ShutdownSoakTest.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/ShutdownSoakTest.java
@@ -5,13 +5,13 @@
 import org.junit.Test;
 
 /**
- * No request is lost by a graceful shutdown, whatever signals, servers, crowds and load there are.
- * {@code make soak SEEDS=from-to} plays other seeds than the few of every build.
+ * A graceful shutdown loses no request, whatever signals, slow servers, crowds of clients and CPU
+ * load there are. {@code make soak SEEDS=from-to} runs other seeds than the few of every build.
  */
 public class ShutdownSoakTest {
     private static final String SEEDS = System.getProperty("soak.seeds", "1-12");
 
-    /** Rules broke under these beside heavy load. */
+    /** Seeds under which rules were broken beside heavy load. */
     private static final long[] SEEDS_BROKEN_BESIDE_LOAD = {41, 180, 403, 458, 703};
 
     private final ShutdownSoak soak = new ShutdownSoak(System.out);
@@ -20,16 +20,16 @@
     public void nothingIsLostUnderAnySeed() throws Exception {
         String[] range = SEEDS.split("-");
         for (long seed = Long.parseLong(range[0]); seed <= Long.parseLong(range[1]); seed++) {
-            soak.play(seed);
+            soak.run(seed);
         }
         assertPassed();
     }
 
-    /** Guards against responses that come late, or not at all, on a machine that is overloaded. */
+    /** Guards against responses that are late or missing on an overloaded machine. */
     @Test
     public void nothingIsLostUnderSeedsThatBrokeBesideHeavyLoad() throws Exception {
         for (long seed : SEEDS_BROKEN_BESIDE_LOAD) {
-            soak.play(seed);
+            soak.run(seed);
         }
         assertPassed();
     }
--- a/daemon/src/test/java/trailthread/daemon/soak/SoakClient.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/SoakClient.java
@@ -10,18 +10,17 @@
 import trailthread.testkit.TestCluster;
 
 /**
- * A client that sends one request after another, on the connection that it has for as long as that
- * is open, and on a new one else. It ends when it can't connect any more: another node would serve
- * it then.
+ * A client that sends one request after another, on the same connection as long as that is open. It
+ * ends when it can't connect any more: another node would serve it then.
  */
 final class SoakClient implements Runnable {
     private static final Pattern ID = Pattern.compile("X-Correlation-Id: (\\w+)");
     private static final int MAX_PAUSE_MS = 60;
 
-    /** The share of requests whose client leaves before their response. */
-    private static final double LEAVING = 0.04;
+    /** The share of requests whose client disconnects before the response. */
+    private static final double LEAVING_SHARE = 0.04;
 
-    private static final int MAX_STAY_MS = 120;
+    private static final int MAX_WAIT_BEFORE_LEAVING_MS = 120;
 
     private final SoakRun run;
     private final Random random;
@@ -30,10 +29,10 @@
     private Socket connection;
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param maxRequests after which it ends
-     * @param startsAfterMs how long it waits before the first, in milliseconds
+     * @param maxRequests how many requests it sends at most
+     * @param startsAfterMs how long it waits before the first request, in milliseconds
      */
     SoakClient(SoakRun run, long seed, int maxRequests, int startsAfterMs) {
         this.run = run;
@@ -46,7 +45,7 @@
     public void run() {
         try {
             Thread.sleep(startsAfterMs);
-            for (int i = 0; i < maxRequests && run.goesOn(); i++) {
+            for (int i = 0; i < maxRequests && run.isRunning(); i++) {
                 if (connection == null) {
                     connection = run.connect();
                 }
@@ -70,26 +69,26 @@
                         .replace("Left: 20.000", "Left: " + deadlineMs / 1000.0);
         Matcher id = ID.matcher(text);
         if (!id.find()) {
-            throw new IllegalStateException("a request has an id");
+            throw new IllegalStateException("no id in the request: " + text);
         }
         RequestHistory request = run.add(new RequestHistory(id.group(1), kind, deadlineMs));
         try {
-            request.begunAt = System.nanoTime();
+            request.startedAt = System.nanoTime();
             Message.send(connection, text);
             request.writtenAt = System.nanoTime();
-            if (random.nextDouble() < LEAVING) {
+            if (random.nextDouble() < LEAVING_SHARE) {
                 leave(request);
             } else {
                 awaitResponse(request);
             }
         } catch (IOException e) {
-            request.ended("the connection broke: " + e.getMessage(), false);
+            request.ended("the connection failed: " + e.getMessage(), false);
             disconnect();
         }
     }
 
     private void leave(RequestHistory request) throws InterruptedException {
-        Thread.sleep(random.nextInt(MAX_STAY_MS));
+        Thread.sleep(random.nextInt(MAX_WAIT_BEFORE_LEAVING_MS));
         request.clientLeftAt = System.nanoTime();
         disconnect();
     }
@@ -97,7 +96,7 @@
     private void awaitResponse(RequestHistory request) throws IOException {
         Message response = Message.read(connection);
         if (response == null) {
-            request.ended("the connection ended", false);
+            request.ended("the connection was closed", false);
             disconnect();
             return;
         }
--- a/daemon/src/test/java/trailthread/daemon/soak/SoakRun.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/SoakRun.java
@@ -17,29 +17,31 @@
 
 /** One run of the program under a {@link Scenario}, from its start to its end. */
 final class SoakRun {
-    /** Of the program; idle connections may use up those for clients. */
+    /** The descriptor limit of the program; idle connections may use up its share for clients. */
     private static final int DESCRIPTORS = 256;
 
     /** How long clients send before SIGTERM. */
     private static final int WARM_UP_MS = 500;
 
-    /** New connections come for so long after SIGTERM. */
+    /** New connections arrive for this long after SIGTERM. */
     private static final int NEW_CONNECTIONS_MS = 400;
 
-    /** The process ends at the latest so long after the longest deadline, counted from SIGTERM. */
+    /** The process exits at the latest this long plus the longest deadline after SIGTERM. */
     private static final int LAST_RESPONSES_MS = 1_700;
 
     /**
-     * What a run showed.
+     * The result of a run.
      *
-     * @param leftAtKillMs from the last response to the kill, in milliseconds; -1: no kill
+     * @param marginBeforeKillMs from the last response to the kill, in milliseconds; -1 without a
+     *     kill
+     * @param worstDelayMs the longest delay of a thread by the machine, in milliseconds
      */
     record Result(
             Scenario scenario,
-            List<Judge.Break> breaks,
+            List<RuleChecker.Violation> violations,
             List<String> log,
             int requests,
-            long leftAtKillMs,
+            long marginBeforeKillMs,
             long worstDelayMs) {
         boolean isVoid() {
             return worstDelayMs >= SchedulingDelayMeter.DELAY_LIMIT_MS;
@@ -52,7 +54,7 @@
     private final Queue<String> notes = new ConcurrentLinkedQueue<>();
     private final List<Thread> threads = new ArrayList<>();
     private ScriptedServer[] servers;
-    private long leftAtKillMs;
+    private long marginBeforeKillMs;
     private volatile boolean over;
 
     private SoakRun(Scenario scenario) throws IOException {
@@ -60,20 +62,20 @@
         cluster.descriptorLimit = DESCRIPTORS;
     }
 
-    /** Plays a scenario. */
-    static Result play(Scenario scenario) throws Exception {
+    /** Runs a scenario. */
+    static Result run(Scenario scenario) throws Exception {
         SoakRun run = new SoakRun(scenario);
         SchedulingDelayMeter delays = new SchedulingDelayMeter();
         try {
-            List<Judge.Break> breaks = run.play();
+            List<RuleChecker.Violation> violations = run.execute();
             List<String> log = new ArrayList<>(run.cluster.log);
             log.addAll(run.notes);
             return new Result(
                     scenario,
-                    breaks,
+                    violations,
                     log,
                     run.requests.size(),
-                    run.leftAtKillMs,
+                    run.marginBeforeKillMs,
                     delays.maxDelayMs());
         } finally {
             delays.stop();
@@ -81,7 +83,7 @@
         }
     }
 
-    private List<Judge.Break> play() throws Exception {
+    private List<RuleChecker.Violation> execute() throws Exception {
         servers = new ScriptedServer[scenario.servers().size()];
         for (int i = 0; i < servers.length; i++) {
             servers[i] = server(scenario.servers().get(i), scenario.seed() + i);
@@ -90,23 +92,23 @@
         startClients();
         Thread.sleep(WARM_UP_MS);
         for (int i = 0; i < scenario.busyThreads(); i++) {
-            start(this::keepBusyLater);
+            start(this::keepCpuBusyLater);
         }
-        Judge.Times times = terminate();
-        List<Judge.Break> breaks = new ArrayList<>();
+        RuleChecker.Times times = terminate();
+        List<RuleChecker.Violation> violations = new ArrayList<>();
         if (!scenario.killed()) {
-            checkOwnEnd(times, breaks);
+            checkExit(times, violations);
         }
         over = true;
         for (Thread thread : threads) {
             thread.join();
         }
-        leftAtKillMs = leftAtKillMs(times.killedAt());
-        breaks.addAll(Judge.judge(requests.values(), times));
-        return breaks;
+        marginBeforeKillMs = marginBeforeKillMs(times.killedAt());
+        violations.addAll(RuleChecker.check(requests.values(), times));
+        return violations;
     }
 
-    private long leftAtKillMs(long killedAt) {
+    private long marginBeforeKillMs(long killedAt) {
         return requests.values().stream()
                 .filter(request -> request.answered && killedAt != RequestHistory.NEVER)
                 .mapToLong(request -> (killedAt - request.endedAt) / 1_000_000)
@@ -165,15 +167,15 @@
         thread.start();
     }
 
-    private void keepBusyLater() {
+    private void keepCpuBusyLater() {
         pause(scenario.busyFromMs());
         while (!over) {
             Thread.onSpinWait();
         }
     }
 
-    /** Sends the signals, and SIGKILL if the scenario has it. */
-    private Judge.Times terminate() throws Exception {
+    /** Sends the signals of the scenario, with SIGTERM and, if it has one, SIGKILL. */
+    private RuleChecker.Times terminate() throws Exception {
         List<Scenario.TimedSignal> before =
                 scenario.signals().stream().filter(signal -> signal.atMs() < 0).toList();
         long base = System.nanoTime();
@@ -193,12 +195,12 @@
             }
         }
         if (!scenario.killed()) {
-            return new Judge.Times(terminatedAt, RequestHistory.NEVER);
+            return new RuleChecker.Times(terminatedAt, RequestHistory.NEVER);
         }
         sleepUntil(terminatedAt, scenario.killAtMs());
         long killedAt = System.nanoTime();
         cluster.kill();
-        return new Judge.Times(terminatedAt, killedAt);
+        return new RuleChecker.Times(terminatedAt, killedAt);
     }
 
     private void signal(String name) throws Exception {
@@ -216,17 +218,22 @@
         Thread.sleep(Math.max(0, ms - (System.nanoTime() - since) / 1_000_000));
     }
 
-    private void checkOwnEnd(Judge.Times times, List<Judge.Break> breaks) throws Exception {
+    private void checkExit(RuleChecker.Times times, List<RuleChecker.Violation> violations)
+            throws Exception {
         int dueMs =
                 scenario.longestDeadlineAtStartMs()
                         + LAST_RESPONSES_MS
                         + SchedulingDelayMeter.DELAY_LIMIT_MS;
         long leftMs = dueMs - (System.nanoTime() - times.terminatedAt()) / 1_000_000;
         if (!cluster.exitsWithin(Math.max(0, leftMs), TimeUnit.MILLISECONDS)) {
-            breaks.add(new Judge.Break(Rule.DID_NOT_END, "running after " + dueMs + " ms"));
+            violations.add(
+                    new RuleChecker.Violation(
+                            Rule.DID_NOT_END, "still running after " + dueMs + " ms"));
             cluster.kill();
         } else if (cluster.exitStatus() != 0) {
-            breaks.add(new Judge.Break(Rule.DID_NOT_END, "status " + cluster.exitStatus()));
+            violations.add(
+                    new RuleChecker.Violation(
+                            Rule.DID_NOT_END, "exit status " + cluster.exitStatus()));
         }
     }
 
@@ -239,8 +246,8 @@
         return scenario;
     }
 
-    /** Whether clients are to go on. */
-    boolean goesOn() {
+    /** Whether clients keep sending. */
+    boolean isRunning() {
         return !over;
     }
 
@@ -253,7 +260,7 @@
         return request;
     }
 
-    /** Notes something unusual, to be printed with the log. */
+    /** Notes an unusual event, which is printed with the log. */
     void note(String text) {
         notes.add(text);
     }
