--- a/command/src/test/java/trailthread/command/ServicesTest.java
+++ b/command/src/test/java/trailthread/command/ServicesTest.java
@@ -169,7 +169,7 @@
         Socket toSim = sim.takeRequest().connection();
         Socket toMarks = marks.takeRequest().connection();
         cluster.reload(file(endpointsKey(sim), "attempts = 2\n" + endpointsKey(marks)));
-        cluster.awaitLogLine("1 pools kept, 1 begun, 1 ending");
+        cluster.awaitLogLine("1 pools kept, 1 started, 1 retired");
         Thread.sleep(20); // a connection is not reused right after a response
         sendRequest("GET", "/2", "sim.example.org", "");
         sendRequest("GET", "/2", "marks.example.org", "");
@@ -208,7 +208,7 @@
                 "[node]\nlisten = \"127.0.0.1:0\"\ndescriptors = 256\n"
                         + poolSection("sim", endpointsKey(sim))
                         + routeSection("all", "pool = \"sim\""));
-        cluster.awaitLogLine("1 pools kept, 0 begun, 1 ending");
+        cluster.awaitLogLine("1 pools kept, 0 started, 1 retired");
         assertEquals("sim", sendRequest("GET", "/x", "marks.example.org", "").body());
         Message.send(half, "ur");
         assertEquals("routed by the new file", "sim", Message.read(half).body());
@@ -222,7 +222,7 @@
         startBothServices();
         cluster.reload(file(endpointsKey(sim), "deadlin = \"1s\"\n" + endpointsKey(marks)));
         cluster.awaitLogLine("pools.marks.deadlin: expected a key that is known, such as deadline");
-        cluster.awaitLogLine("is not taken over: 1 faults");
+        cluster.awaitLogLine("was not applied: 1 faults");
         assertEquals("marks", sendRequest("GET", "/x", "marks.example.org", "").body());
     }
 
--- a/daemon/src/main/java/trailthread/daemon/Drain.java
+++ b/daemon/src/main/java/trailthread/daemon/Drain.java
@@ -7,16 +7,16 @@
 import trailthread.engine.metrics.NodeControl;
 
 /**
- * Drains a node: its clients are moved to other nodes while it goes on running, and may be taken
- * back. The node is not ready from then on, but it goes on accepting connections, as the front end
- * that polls its readiness needs one to learn of it. Runs on the loop's thread.
+ * Drains a node: moves its clients to other nodes while it keeps running, until it is resumed. A
+ * draining node is not ready but keeps accepting connections, as the front end needs one to poll
+ * its readiness. Runs on the loop's thread.
  */
 public final class Drain implements NodeControl {
     private static final Logger LOG = LoggerFactory.getLogger(Drain.class);
 
     /**
-     * When responses begin to close their connections. Before, the front end may not have learned
-     * of the drain, and clients whose connections were closed would come back to this node.
+     * When responses begin to close their connections. Earlier, the front end may not have learned
+     * of the drain, and clients whose connections were closed would reconnect to this node.
      */
     private static final long CLOSE_WITH_RESPONSES_AFTER_NS = 400_000_000L;
 
@@ -35,9 +35,9 @@
     /** Counts drains, so that the timers of an earlier drain don't affect a later one. */
     private int drainNumber;
 
-    private boolean ended;
+    private boolean shuttingDown;
 
-    /** Makes a drain that has not begun, for the clients of a listener. */
+    /** Creates a drain, not yet begun, for the clients of a listener. */
     public Drain(EventLoop loop, HttpListener listener) {
         this.loop = loop;
         this.listener = listener;
@@ -45,24 +45,24 @@
 
     @Override
     public boolean drain() {
-        if (!draining && !ended) {
+        if (!draining && !shuttingDown) {
             begin();
         }
-        return !ended;
+        return !shuttingDown;
     }
 
     private void begin() {
         draining = true;
         drainNumber++;
         int number = drainNumber;
-        LOG.info("drains: clients are led away");
+        LOG.info("drain started: clients are moved to other nodes");
         listener.setDrained(true);
         loop.schedule(CLOSE_WITH_RESPONSES_AFTER_NS, () -> closeWithResponses(number));
         loop.schedule(CLOSE_IDLE_AFTER_NS, () -> closeIdle(number));
     }
 
     private boolean isInProgress(int number) {
-        return draining && !ended && number == drainNumber;
+        return draining && !shuttingDown && number == drainNumber;
     }
 
     private void closeWithResponses(int number) {
@@ -80,22 +80,22 @@
 
     @Override
     public boolean resume() {
-        if (draining && !ended) {
+        if (draining && !shuttingDown) {
             draining = false;
-            LOG.info("takes clients again");
+            LOG.info("drain ended: clients are served again");
             listener.closeAfterResponse(false);
             listener.setDrained(false);
         }
-        return !ended;
+        return !shuttingDown;
     }
 
-    /** Stops all drains for good, as the node shuts down. */
-    void end() {
-        ended = true;
+    /** Ends any drain and rejects further drains and resumes, as the node shuts down. */
+    void setShuttingDown() {
+        shuttingDown = true;
     }
 
     /** Whether the node shuts down. */
-    boolean hasEnded() {
-        return ended;
+    boolean isShuttingDown() {
+        return shuttingDown;
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/InheritedSocket.java
+++ b/daemon/src/main/java/trailthread/daemon/InheritedSocket.java
@@ -20,11 +20,11 @@
     /**
      * The inherited socket, or null if the node is to open its address itself.
      *
-     * @throws ConfigException if the variable names another descriptor, or it is no listening
+     * @throws ConfigException if the variable names another descriptor, or is not a listening
      *     socket
      * @throws IOException if the descriptor can't be used
      */
-    static ServerSocketChannel of(Map<String, String> environment)
+    static ServerSocketChannel fromEnvironment(Map<String, String> environment)
             throws ConfigException, IOException {
         String descriptor = environment.getOrDefault(VARIABLE, "");
         if (descriptor.isEmpty()) {
--- a/daemon/src/main/java/trailthread/daemon/NodeConfigParser.java
+++ b/daemon/src/main/java/trailthread/daemon/NodeConfigParser.java
@@ -50,7 +50,7 @@
     private String currentKey = NodeConfig.FILE_VARIABLE;
 
     /**
-     * Makes a parser.
+     * Creates a parser.
      *
      * @param environment the variables that override keys of the file
      */
@@ -68,7 +68,7 @@
             in.setStrictness(Strictness.STRICT);
             readFile(in);
         } catch (IOException | IllegalStateException | NumberFormatException e) {
-            throw new ConfigException(currentKey, "JSON that can be used: " + firstLine(e));
+            throw new ConfigException(currentKey, "valid JSON of the right type: " + firstLine(e));
         }
         try {
             return build();
@@ -87,7 +87,7 @@
         in.endObject();
         currentKey = NodeConfig.FILE_VARIABLE;
         if (in.peek() != JsonToken.END_DOCUMENT) {
-            throw new IOException("nothing after its end");
+            throw new IOException("text after the end of the object");
         }
     }
 
@@ -101,7 +101,7 @@
             case "known" -> knownEndpoints = DiscoveryParser.read(in);
             case "management" -> admin = in.nextString();
             case "operator" ->
-                    throw new ConfigException("operator.listen", "management in its place");
+                    throw new ConfigException("operator.listen", "the key 'management' instead");
             case "levels" -> {
                 degradation = new HashMap<>();
                 JsonFlattener.flatten(in, degradation::put);
@@ -128,7 +128,7 @@
         }
         in.endObject();
         if (limit < MIN_DESCRIPTOR_LIMIT) {
-            throw new IOException("sockets: at least " + MIN_DESCRIPTOR_LIMIT);
+            throw new IOException("sockets must be at least " + MIN_DESCRIPTOR_LIMIT);
         }
         return limit;
     }
@@ -171,7 +171,7 @@
      * Parses the address of the discovery service.
      *
      * @param hostPort {@code address:port}
-     * @throws ConfigException if it is no address with a port to connect to
+     * @throws ConfigException if it is not an address with a port that can be connected to
      */
     static InetSocketAddress discoveryAddress(String hostPort) throws ConfigException {
         return address("discovery", hostPort, MIN_CONNECT_PORT);
@@ -186,7 +186,7 @@
                 return new InetSocketAddress(hostPort.substring(0, colon), port);
             }
         } catch (IllegalArgumentException e) {
-            // reported below, with the key
+            // reported below with the key
         }
         throw new ConfigException(key, "address:port, got '" + hostPort + "'");
     }
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -43,11 +43,11 @@
      * so that the connections for clients are this share of it: idle connections are then closed
      * after 2 s once two thirds of the connections are in use, and after 0.1 s from seven eighths.
      */
-    private static final double FULL_SHARE = 0.75;
+    private static final double CLIENTS_SHARE = 0.75;
 
     private final Path path;
 
-    /** The file in force. */
+    /** The file whose contents are applied. */
     private volatile OperatorFile file;
 
     private final EventLoop loop;
@@ -65,7 +65,7 @@
     private long lastId;
 
     /**
-     * Makes a node; it does nothing until it is started.
+     * Creates a node that does nothing until it is started.
      *
      * @param path where the file was read, and is read again at each reload
      * @param file the file's contents
@@ -91,11 +91,11 @@
                 new HttpListener(
                         loop,
                         forClients,
-                        (int) (forClients / FULL_SHARE),
+                        (int) (forClients / CLIENTS_SHARE),
                         new ServiceFrontend(new RouteTable(List.of()), Map.of(), this::newId),
                         metrics);
         drain = new Drain(loop, listener);
-        shutdown = new GracefulShutdown(loop, listener, drain, ServiceNode::ignoreAnswerBy);
+        shutdown = new GracefulShutdown(loop, listener, drain, ServiceNode::ignoreAnswerDeadlines);
     }
 
     private AdminServer adminServer(OperatorFile file) throws IOException {
@@ -105,8 +105,8 @@
         return new AdminServer(loop, file.name(), metricsClasses(file.services()), this);
     }
 
-    /** Requests need no time by which they are answered: here nobody kills the process. */
-    private static void ignoreAnswerBy(long newOnes, long all) {}
+    /** Requests need no answer deadline, as no platform kills this process. */
+    private static void ignoreAnswerDeadlines(long newRequestsBy, long allRequestsBy) {}
 
     /** The request classes of all pools, each named after its pool and itself. */
     private static List<RequestClass> metricsClasses(ServicesConfig services) {
@@ -141,7 +141,7 @@
         if (admin != null) {
             admin.listen(EndpointPool.address(file.operatorListen()), drain);
         }
-        loop.execute(() -> apply(file)); // before the first request can come
+        loop.execute(() -> apply(file)); // before the first request can arrive
         InetSocketAddress address = listener.listen(EndpointPool.address(file.listen()));
         loop.execute(
                 () -> {
@@ -164,7 +164,7 @@
             LOG.error("{}", fault);
         }
         if (result.read() == null) {
-            LOG.error("{} is not taken over: {} faults", path, result.faults().size());
+            LOG.error("{} was not applied: {} faults", path, result.faults().size());
             loop.execute(() -> metrics.configurationReloaded(false));
             return;
         }
@@ -173,12 +173,14 @@
 
     private void applyReloaded(OperatorFile next) {
         if (!hasSameTotals(file.services(), next.services())) {
-            LOG.error("{} is not taken over: descriptors and body_memory take a restart", path);
+            LOG.error(
+                    "{} was not applied: descriptors and body_memory change only at a restart",
+                    path);
             metrics.configurationReloaded(false);
             return;
         }
         if (!hasSameAddresses(file, next)) {
-            LOG.warn("{}: name and listen wait for the next start", path);
+            LOG.warn("{}: changes of name and listen take effect at the next start", path);
         }
         apply(next);
         metrics.configurationReloaded(true);
@@ -196,7 +198,7 @@
                 && Objects.equals(a.operatorListen(), b.operatorListen());
     }
 
-    /** Changes pools and routes between two requests. */
+    /** Replaces pools and routes between two requests. */
     private void apply(OperatorFile next) {
         ServicesConfig services = next.services();
         shutdown.setLongestDeadline(longestDeadlineNs(services));
@@ -205,7 +207,7 @@
         RouteTable routes = new RouteTable(services.routes());
         listener.setFrontend(new ServiceFrontend(routes, pools.byName(), this::newId));
         LOG.info(
-                "{} pools kept, {} begun, {} ending; {} routes",
+                "{} pools kept, {} started, {} retired; {} routes",
                 change.kept(),
                 change.started(),
                 change.retired(),
@@ -226,8 +228,8 @@
     }
 
     /**
-     * Shuts the node down gracefully: serves on for a while, then finishes the requests in flight.
-     * Returns when all have had their time.
+     * Shuts the node down gracefully: keeps serving for a while, then finishes the requests in
+     * flight. Returns once all are answered or out of time.
      */
     public void stop() throws InterruptedException {
         shutdown.await(file.name());
