--- a/lab/src/main/java/trailthread/lab/baseline/OraclePolicy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/OraclePolicy.java
@@ -7,8 +7,9 @@
 
 /**
  * Chooses the server at which one more request would complete first, given the true state of all
- * servers and the requests on their way; none if it would miss the latency objective. It does not
- * reserve capacity and does not foresee faults, so another policy may still do better.
+ * servers and the requests on their way; rejects the request if it would miss the latency
+ * objective. It does not reserve capacity and does not foresee faults, so another policy may still
+ * do better.
  */
 final class OraclePolicy extends PlainPolicy {
     private final FleetView fleetView;
--- a/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
@@ -82,7 +82,7 @@
         settings.classes.forEach(c -> classes.put(c.name(), c));
     }
 
-    /** Chooses one of the candidates, of which there is at least one; null refuses the request. */
+    /** Chooses one of the candidates, of which there is at least one; null for none of them. */
     abstract Endpoint choose(List<Endpoint> candidates, RequestClass requestClass, long now);
 
     /** The servers that accept new requests. */
@@ -164,8 +164,8 @@
     }
 
     /**
-     * The servers that the rules on repeats allow; those that the request was not sent to yet, if
-     * there are any.
+     * The servers that the rules on repeats allow, without those that the request was sent to if
+     * any others are left.
      */
     private List<Endpoint> candidates(Request request, long now) {
         if (request.sentTo.isEmpty()) {
--- a/lab/src/main/java/trailthread/lab/baseline/Policies.java
+++ b/lab/src/main/java/trailthread/lab/baseline/Policies.java
@@ -40,7 +40,7 @@
     public static final Policy ORACLE =
             new NamedPolicy(
                     "oracle",
-                    "the best server by the true state of all; refuses what would miss its latency objective",
+                    "the best server by the true state of all; rejects requests that would miss their objective",
                     (settings, seed, now, actions, fleetView) ->
                             new OraclePolicy(settings, seed, actions, fleetView));
 
@@ -74,7 +74,7 @@
                                     new SnsLottery(settings, seed, actions, true)),
                     new NamedPolicy(
                             "sns-uncorrected",
-                            "the same without attempts since the report",
+                            "as sns, but without the attempts since the report",
                             (settings, seed, now, actions, fleetView) ->
                                     new SnsLottery(settings, seed, actions, false)),
                     new NamedPolicy(
--- a/lab/src/main/java/trailthread/lab/baseline/Prequal.java
+++ b/lab/src/main/java/trailthread/lab/baseline/Prequal.java
@@ -19,7 +19,7 @@
 final class Prequal extends PlainPolicy {
     private static final int PROBES_PER_REQUEST = 3;
 
-    /** Limited to half of the servers as well, because the paper has far more of these. */
+    /** Limited to half of the servers as well, because the fleets of the paper are far larger. */
     private static final int MAX_POOL = 16;
 
     private static final long PROBE_LIFETIME_NS = 1_000_000_000L;
@@ -47,7 +47,7 @@
     /** Oldest first. */
     private final List<Probe> pool = new ArrayList<>();
 
-    private boolean worstNext;
+    private boolean removeWorstNext;
 
     Prequal(Settings settings, long seed, BalancerActions actions) {
         super(settings, seed, actions);
@@ -96,24 +96,24 @@
             return candidates.get(random.nextInt(candidates.size()));
         }
         double[] inflight = usable.stream().mapToDouble(probe -> probe.inflight).sorted().toArray();
-        double hot =
+        double hotLimit =
                 inflight[Math.min(inflight.length - 1, (int) (HOT_QUANTILE * inflight.length))];
         Probe best = null;
         for (Probe probe : usable) {
-            best = best == null || better(probe, best, hot) ? probe : best;
+            best = best == null || better(probe, best, hotLimit) ? probe : best;
         }
         best.inflight++;
         if (--best.uses <= 0) {
             pool.remove(best);
         }
-        removeOne(hot);
+        removeOne(hotLimit);
         return best.endpoint;
     }
 
     /** The hot-cold lexicographic order of the paper. */
-    private static boolean better(Probe a, Probe b, double hot) {
-        boolean aHot = a.inflight > hot;
-        boolean bHot = b.inflight > hot;
+    private static boolean better(Probe a, Probe b, double hotLimit) {
+        boolean aHot = a.inflight > hotLimit;
+        boolean bHot = b.inflight > hotLimit;
         return aHot != bHot ? bHot : aHot ? a.inflight < b.inflight : a.latencyMs < b.latencyMs;
     }
 
@@ -121,17 +121,17 @@
      * Removes one probe for each request, alternately the oldest and the worst, so that the pool
      * does not fill with results that were never chosen.
      */
-    private void removeOne(double hot) {
+    private void removeOne(double hotLimit) {
         if (pool.size() <= MIN_POOL) {
             return;
         }
         Probe out = pool.get(0);
-        if (worstNext) {
+        if (removeWorstNext) {
             for (Probe probe : pool) {
-                out = better(out, probe, hot) ? probe : out;
+                out = better(out, probe, hotLimit) ? probe : out;
             }
         }
-        worstNext = !worstNext;
+        removeWorstNext = !removeWorstNext;
         pool.remove(out);
     }
 }
--- a/lab/src/main/java/trailthread/lab/baseline/SnsLottery.java
+++ b/lab/src/main/java/trailthread/lab/baseline/SnsLottery.java
@@ -6,9 +6,9 @@
 import trailthread.api.Settings;
 
 /**
- * The lottery of the paper alone: tickets inversely proportional to the smoothed reported queue
- * length, with or without the correction by the attempts of this node since the report (Chawathe
- * and Brewer, "System Support for Scalable and Fault Tolerant Internet Services", 1998, 3.2).
+ * The lottery of SNS alone: tickets inversely proportional to the smoothed reported queue length,
+ * with or without the correction by the attempts of this node since the report (Chawathe and
+ * Brewer, "System Support for Scalable and Fault Tolerant Internet Services", 1998, 3.2).
  */
 final class SnsLottery extends PlainPolicy {
     private final boolean corrected;
--- a/lab/src/main/java/trailthread/lab/clients/ClientOperation.java
+++ b/lab/src/main/java/trailthread/lab/clients/ClientOperation.java
@@ -4,14 +4,14 @@
 import trailthread.lab.scenario.Scenario.ClassModel;
 
 /**
- * What a client wants done, over one or more attempts. All its random numbers are drawn when it
- * begins, so they do not depend on the results of its attempts.
+ * An operation of a client: one or more attempts, each of which is one request to a node. All its
+ * random numbers are drawn when it begins, so they do not depend on the results of its attempts.
  */
 public final class ClientOperation {
     /** The result of an attempt as its client sees it. */
     public enum AttemptResult {
         SERVED,
-        REFUSED,
+        REJECTED,
         FAILED,
         /**
          * No node was reachable, or the node closed the connection without reading the request:
@@ -104,7 +104,7 @@
     /**
      * Reports the end of an attempt.
      *
-     * @param retryAfterNs the advice of the response; 0 if there was none
+     * @param retryAfterNs the Retry-After of the response; 0 if it had none
      */
     public void attemptEnded(AttemptResult result, long retryAfterNs) {
         if (done) {
@@ -129,7 +129,7 @@
                     .recordOperation(
                             classModel,
                             result == AttemptResult.SERVED,
-                            result == AttemptResult.REFUSED,
+                            result == AttemptResult.REJECTED,
                             startedAt,
                             clients.now(),
                             attempts);
--- a/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
+++ b/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
@@ -78,8 +78,8 @@
     }
 
     /**
-     * Runs the task after an exponential backoff, or after the advised time if that is longer and
-     * the clients honor it.
+     * Runs the task after an exponential backoff, or after the Retry-After of the response if that
+     * is longer and the clients honor it.
      */
     void scheduleRetry(int attempts, double draw, long retryAfterNs, Runnable task) {
         var clientModel = scenario.clients();
@@ -123,7 +123,7 @@
     }
 
     /**
-     * Sends operations until this time. A varying rate is drawn by thinning (Lewis and Shedler,
+     * Starts operations until this time. A varying rate is drawn by thinning (Lewis and Shedler,
      * 1979).
      */
     public void begin(long end) {
--- a/lab/src/main/java/trailthread/lab/emulation/EmulatedDiscovery.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulatedDiscovery.java
@@ -110,7 +110,7 @@
         return updateJson(generation, true, String.join(",", entries));
     }
 
-    /** Tells the checker that a node has received the complete endpoint list. */
+    /** Reports to the checker that a node has received the complete endpoint list. */
     void recordListReceived(int node) {
         servers.forEach(
                 server ->
@@ -216,7 +216,10 @@
             }
         }
 
-        /** Sends a line of the watch; an empty line follows whenever none was sent for a while. */
+        /**
+         * Sends a line of the watch; after a pause without lines, an empty one is sent as
+         * keepalive.
+         */
         void sendLine(String text) {
             transport.send(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
             scheduleKeepalive();
--- a/lab/src/main/java/trailthread/lab/emulation/EmulatedServer.java
+++ b/lab/src/main/java/trailthread/lab/emulation/EmulatedServer.java
@@ -313,9 +313,9 @@
         }
 
         @Override
-        public void executionStarted() {
+        public void accepted() {
             emulation.check(
-                    checker -> checker.executionStarted(emulation.now(), requestId, attempt));
+                    checker -> checker.attemptAccepted(emulation.now(), requestId, attempt));
         }
 
         @Override
--- a/lab/src/main/java/trailthread/lab/emulation/Emulation.java
+++ b/lab/src/main/java/trailthread/lab/emulation/Emulation.java
@@ -31,6 +31,10 @@
 public final class Emulation implements FaultTarget, Closeable {
     private static final long SECOND = 1_000_000_000L;
     private static final long START_TIMEOUT_NS = 30 * SECOND;
+
+    /** How much later than a node the lab may observe an event on a socket. */
+    private static final long OBSERVATION_SLACK_NS = 50_000_000L;
+
     private static final int MAX_REMEMBERED_REQUESTS = 200_000;
 
     /** The number of attempts of a request so far, and the server that received the last one. */
@@ -151,8 +155,8 @@
     public void startNodes(Program program, Path directory) throws IOException {
         checker =
                 new InvariantChecker(
-                        scenario.rules().responseSlackNs() + 50_000_000L,
-                        scenario.rules().drainGraceNs() + 50_000_000L);
+                        scenario.rules().responseSlackNs() + OBSERVATION_SLACK_NS,
+                        scenario.rules().drainGraceNs() + OBSERVATION_SLACK_NS);
         Files.createDirectories(directory);
         createHttpClients();
         for (int i = 0; i < nodeCount; i++) {
@@ -195,7 +199,8 @@
     public void targetNodes(List<Integer> ports) {
         checker =
                 new InvariantChecker(
-                        scenario.rules().responseSlackNs() + 50_000_000L, Long.MAX_VALUE / 4);
+                        scenario.rules().responseSlackNs() + OBSERVATION_SLACK_NS,
+                        Long.MAX_VALUE / 4); // drains are not checked
         createHttpClients();
         for (int i = 0; i < ports.size(); i++) {
             httpClients.add(scenario.zones().get(i % scenario.zones().size()), ports.get(i));
@@ -225,7 +230,7 @@
         if (withFaults) {
             FaultInjector.schedule(eventQueue(), streams, scenario.faults(), this);
         }
-        sampleEachSecond(begin, begin + scenario.durationNs(), everySecond);
+        sampleEachSecond(begin + scenario.durationNs(), everySecond);
         applyIsolation(begin + scenario.durationNs());
         long longestDeadline =
                 scenario.classes().stream()
@@ -244,7 +249,7 @@
         }
     }
 
-    private void sampleEachSecond(long begin, long end, Consumer<Emulation> everySecond) {
+    private void sampleEachSecond(long end, Consumer<Emulation> everySecond) {
         eventQueue()
                 .scheduleAfter(
                         SECOND,
@@ -271,7 +276,7 @@
                                                     .toArray()));
                             everySecond.accept(this);
                             if (now() + SECOND <= end) {
-                                sampleEachSecond(begin, end, everySecond);
+                                sampleEachSecond(end, everySecond);
                             }
                         });
     }
--- a/lab/src/main/java/trailthread/lab/emulation/HttpClients.java
+++ b/lab/src/main/java/trailthread/lab/emulation/HttpClients.java
@@ -29,7 +29,7 @@
         final String zone;
         final InetSocketAddress address;
 
-        /** Whether new connections go there. */
+        /** Whether new requests go to this node. */
         boolean admitted = true;
 
         /**
@@ -47,7 +47,7 @@
             this.address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         }
 
-        /** The process was killed; the system closes all its connections. */
+        /** The process was killed; the operating system closes all its connections. */
         void killed() {
             interrupted = true;
             admitted = false;
@@ -73,7 +73,7 @@
     /**
      * @param responseSlackNs how far past its deadline a response is still in time
      * @param zones the zones of clients, by number
-     * @param requestIds supplies a new request id at each call
+     * @param requestIds supplies a new request id each time
      */
     HttpClients(
             EmulationLoop loop,
@@ -125,8 +125,8 @@
 
     @Override
     public void startAttempt(
-            ClientOperation operation, int zone, double draw, long clientTimeoutAt) {
-        TargetNode target = chooseTarget(zones.get(zone), draw);
+            ClientOperation operation, int zoneIndex, double nodeChoice, long clientTimeoutAt) {
+        TargetNode target = chooseTarget(zones.get(zoneIndex), nodeChoice);
         if (target == null) {
             operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
             return;
@@ -162,20 +162,20 @@
     private record ClientAttempt(
             ClientOperation operation, String id, long clientTimeoutAt, boolean resent) {
         String request(long now) {
-            var rules = operation.classModel().requestClass();
-            boolean idempotent = rules.idempotency() == Idempotency.IDEMPOTENT;
+            var requestClass = operation.classModel().requestClass();
+            boolean idempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
             return (idempotent ? "GET /" : "POST /")
-                    + rules.name()
+                    + requestClass.name()
                     + "?work="
                     + (long) operation.work()
                     + " HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: "
                     + id
                     + "\r\nX-Service-Class: "
-                    + rules.name()
+                    + requestClass.name()
                     + "\r\nX-Time-Left: "
                     + String.format(Locale.ROOT, "%.4f", Math.max(0, clientTimeoutAt - now) / 1e9)
                     + (operation.tenant() == null ? "" : "\r\nX-Account: " + operation.tenant())
-                    + (rules.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                    + (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                             ? "\r\nIdempotency-Key: " + id
                             : "")
                     + (idempotent ? "\r\n\r\n" : "\r\nContent-Length: 4\r\n\r\npour");
@@ -235,22 +235,22 @@
         }
 
         /**
-         * Tells the checker that the node has the request: the connection is established, so the
-         * node's host receives every byte sent.
+         * Reports to the checker that the node has the request: the connection is established, so
+         * the node's host receives every byte sent.
          */
         private void requestReceived() {
             received = true;
             receivedWhileInterrupted = target.interrupted;
-            var rules = attempt.operation.classModel().requestClass();
+            var requestClass = attempt.operation.classModel().requestClass();
             checker.requestReceived(
                     eventQueue.now(),
                     attempt.id,
                     target.name,
                     new RequestTerms(
-                            rules.name(),
-                            rules.idempotency(),
-                            rules.deduplicationScope(),
-                            rules.deduplicationWindowNs(),
+                            requestClass.name(),
+                            requestClass.idempotency(),
+                            requestClass.deduplicationScope(),
+                            requestClass.deduplicationWindowNs(),
                             attempt.clientTimeoutAt + READ_GRACE_NS));
         }
 
@@ -270,16 +270,16 @@
                 removeConnection();
                 return;
             }
-            ClientAttempt answered = takeAttempt();
+            ClientAttempt completed = takeAttempt();
             int status = message.status();
-            boolean refused = status == 429 || status == 503;
-            if (status == 200 && !message.bodyText().startsWith(answered.id + " ")) {
-                checker.wrongResponse(eventQueue.now(), answered.id, message.bodyText());
+            boolean rejected = status == 429 || status == 503;
+            if (status == 200 && !message.bodyText().startsWith(completed.id + " ")) {
+                checker.wrongResponse(eventQueue.now(), completed.id, message.bodyText());
             }
             checker.responded(
                     eventQueue.now(),
-                    answered.id,
-                    status == 200 ? "served" : refused ? "refused" : "failed " + status);
+                    completed.id,
+                    status == 200 ? "served" : rejected ? "refused" : "failed " + status);
             if (message.keepsConnectionOpen()) {
                 reused = true;
                 target.idle.addLast(this);
@@ -287,11 +287,11 @@
                 transport.close();
                 removeConnection();
             }
-            answered.operation.attemptEnded(
+            completed.operation.attemptEnded(
                     status == 200
                             ? ClientOperation.AttemptResult.SERVED
-                            : refused
-                                    ? ClientOperation.AttemptResult.REFUSED
+                            : rejected
+                                    ? ClientOperation.AttemptResult.REJECTED
                                     : ClientOperation.AttemptResult.FAILED,
                     retryAfterNs(message.header("retry-after")));
         }
@@ -324,31 +324,28 @@
             if (attempt == null) {
                 return;
             }
-            ClientAttempt unanswered = takeAttempt();
+            ClientAttempt lost = takeAttempt();
             if (!received) {
-                unanswered.operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
+                lost.operation.attemptEnded(ClientOperation.AttemptResult.UNREACHABLE, 0);
             } else if (receivedWhileInterrupted || target.interrupted) {
-                checker.clientDisconnected(eventQueue.now(), unanswered.id);
-                unanswered.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
+                checker.clientDisconnected(eventQueue.now(), lost.id);
+                lost.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
             } else if (reused
-                    && !unanswered.resent
+                    && !lost.resent
                     && (reason.equals("closed") || reason.equals("reset"))) {
                 // The node closed the idle connection while the request was on its way, so the
                 // request is sent once more, on a new connection.
-                checker.forget(unanswered.id);
+                checker.forget(lost.id);
                 new ClientConnection(target)
                         .open(
                                 new ClientAttempt(
-                                        unanswered.operation,
-                                        unanswered.id,
-                                        unanswered.clientTimeoutAt,
-                                        true));
+                                        lost.operation, lost.id, lost.clientTimeoutAt, true));
             } else {
                 checker.connectionLost(
                         eventQueue.now(),
-                        unanswered.id,
+                        lost.id,
                         "connection lost before the response: " + reason);
-                unanswered.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
+                lost.operation.attemptEnded(ClientOperation.AttemptResult.NO_RESPONSE, 0);
             }
         }
 
--- a/lab/src/main/java/trailthread/lab/emulation/HttpMessageConnection.java
+++ b/lab/src/main/java/trailthread/lab/emulation/HttpMessageConnection.java
@@ -64,7 +64,7 @@
         return new HttpMessageConnection(loop, channel, true, listener);
     }
 
-    /** Starts to connect; the listener is told the outcome. */
+    /** Starts to connect; the listener receives the outcome. */
     static HttpMessageConnection open(
             EmulationLoop loop, InetSocketAddress address, Listener listener) throws IOException {
         SocketChannel channel = SocketChannel.open();
--- a/lab/src/main/java/trailthread/lab/event/EventQueue.java
+++ b/lab/src/main/java/trailthread/lab/event/EventQueue.java
@@ -3,10 +3,10 @@
 import java.util.PriorityQueue;
 
 /**
- * The events of a run in order of their time, and at one time in the order in which they were
- * scheduled. Nothing depends on hashing or on the machine, so one seed gives one history
- * (discrete-event simulation with a future event list: Law, "Simulation Modeling and Analysis",
- * 1.3). The emulation drives the same queue by the real clock.
+ * The scheduled tasks, or events, of a run. They run in the order of their times, and at the same
+ * time in the order in which they were scheduled. Nothing depends on hashing or on the machine, so
+ * one seed gives one history (discrete-event simulation with a future event list: Law, "Simulation
+ * Modeling and Analysis", 1.3). The emulation drives the same queue by the real clock.
  */
 public final class EventQueue {
     /** A scheduled task. */
--- a/lab/src/main/java/trailthread/lab/experiment/Bootstrap.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Bootstrap.java
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Estimates the mean of these differences, each the first value minus the second.
+     * Estimates the mean of these differences, each the first policy's value minus the second's.
      *
      * @throws IllegalArgumentException if there are no differences
      */
--- a/lab/src/main/java/trailthread/lab/experiment/Comparison.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Comparison.java
@@ -29,20 +29,21 @@
      * @throws IllegalArgumentException if the two policies were not run with the same seeds
      */
     public Bootstrap difference(String other, ToDoubleFunction<Result> metric) {
-        List<Result> ours = resultsOf(first);
-        List<Result> theirs = resultsOf(other);
-        if (ours.size() != theirs.size()) {
+        List<Result> firstResults = resultsOf(first);
+        List<Result> otherResults = resultsOf(other);
+        if (firstResults.size() != otherResults.size()) {
             throw new IllegalArgumentException(
                     first + " and " + other + " were run with different seeds");
         }
-        double[] differences = new double[ours.size()];
+        double[] differences = new double[firstResults.size()];
         for (int i = 0; i < differences.length; i++) {
-            if (ours.get(i).seed() != theirs.get(i).seed()) {
+            if (firstResults.get(i).seed() != otherResults.get(i).seed()) {
                 throw new IllegalArgumentException(
                         first + " and " + other + " were run with different seeds");
             }
             differences[i] =
-                    metric.applyAsDouble(ours.get(i)) - metric.applyAsDouble(theirs.get(i));
+                    metric.applyAsDouble(firstResults.get(i))
+                            - metric.applyAsDouble(otherResults.get(i));
         }
         return Bootstrap.of(differences);
     }
--- a/lab/src/main/java/trailthread/lab/experiment/Result.java
+++ b/lab/src/main/java/trailthread/lab/experiment/Result.java
@@ -12,7 +12,7 @@
 import trailthread.lab.simulation.Simulation;
 
 /**
- * The result of one run. Its JSON keys are the names of these components.
+ * The result of one run. The JSON keys are the names of the record components.
  *
  * @param goodput the priority weight of operations served within their latency objective, plus the
  *     reduced weight of those served late, over the priority weight of all operations
@@ -22,7 +22,8 @@
  * @param attempts attempts sent to servers, per client operation
  * @param probes health checks per second
  * @param opened connections opened to servers, per second
- * @param unevenness the attempts at the busiest server over the mean of all servers
+ * @param unevenness the attempts at the busiest server over the mean of all servers, including the
+ *     warm-up
  * @param broken the number of violations of each invariant; empty if there were none
  * @param events events executed in virtual time; 0 for a run in real time
  * @param wallMs duration of the run on this machine; varies between runs
@@ -66,7 +67,9 @@
         metrics.classes().forEach((name, counted) -> classes.put(name, counted.counts()));
         Map<String, Integer> broken = new LinkedHashMap<>();
         checker.violationCounts()
-                .forEach((rule, count) -> broken.put(rule.name().toLowerCase(Locale.ROOT), count));
+                .forEach(
+                        (invariant, count) ->
+                                broken.put(invariant.name().toLowerCase(Locale.ROOT), count));
         long[] totals = metrics.totals();
         double seconds = (scenario.durationNs() - scenario.warmUpNs()) / 1e9;
         Histogram latency = metrics.latencyUs();
--- a/lab/src/main/java/trailthread/lab/experiment/RunExecutor.java
+++ b/lab/src/main/java/trailthread/lab/experiment/RunExecutor.java
@@ -22,10 +22,10 @@
     /**
      * Executes runs and returns their results in the order of {@code specs}.
      *
-     * @param finished receives each result as its run ends, on the thread that executed the run
+     * @param onResult receives each result as its run ends, on the thread that executed the run
      * @throws BalancerFailureException if the load balancer of a run requested an impossible action
      */
-    public static List<Result> runAll(List<RunSpec> specs, int threads, Consumer<Result> finished)
+    public static List<Result> runAll(List<RunSpec> specs, int threads, Consumer<Result> onResult)
             throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
@@ -43,7 +43,7 @@
                                                             spec.scenario(),
                                                             spec.policy(),
                                                             spec.seed()));
-                                    finished.accept(result);
+                                    onResult.accept(result);
                                     return result;
                                 }));
             }
@@ -53,8 +53,8 @@
             }
             return results;
         } catch (ExecutionException e) {
-            if (e.getCause() instanceof BalancerFailureException fault) {
-                throw fault;
+            if (e.getCause() instanceof BalancerFailureException failure) {
+                throw failure;
             }
             throw new IllegalStateException(e.getCause());
         } finally {
--- a/lab/src/main/java/trailthread/lab/fault/FaultInjector.java
+++ b/lab/src/main/java/trailthread/lab/fault/FaultInjector.java
@@ -15,7 +15,7 @@
     /** How long a server drains before its process ends. */
     private static final long DRAIN_NS = 2_000_000_000L;
 
-    /** How long its next start takes. */
+    /** How long the next start of a drained server takes. */
     private static final long START_NS = 1_000_000_000L;
 
     /** How long a start takes after a loss of power. */
--- a/lab/src/main/java/trailthread/lab/fault/FaultTarget.java
+++ b/lab/src/main/java/trailthread/lab/fault/FaultTarget.java
@@ -5,7 +5,7 @@
 
 /** A run, in virtual time or on sockets, into which faults can be injected. */
 public interface FaultTarget {
-    /** A server that faults can strike. */
+    /** A server that faults can affect. */
     interface Server {
         String zone();
 
@@ -14,7 +14,7 @@
 
         ServerProcess process();
 
-        /** Discovery lists it as draining. */
+        /** Makes discovery list it as draining. */
         void startDraining();
 
         /** Ends its process. */
@@ -27,7 +27,7 @@
         void replace();
     }
 
-    /** A node that faults can strike. */
+    /** A node that faults can affect. */
     interface Node {
         /** Kills the process. */
         void kill();
@@ -56,7 +56,7 @@
     /** The nodes, in an order that does not change. */
     List<? extends Node> nodes();
 
-    /** Makes discovery stop answering, or answer again. */
+    /** Stops discovery, or starts it again. */
     void setDiscoveryDown(boolean down);
 
     /** Cuts the servers and nodes of a zone off from all other zones; null ends the fault. */
--- a/lab/src/main/java/trailthread/lab/invariant/Invariant.java
+++ b/lab/src/main/java/trailthread/lab/invariant/Invariant.java
@@ -1,6 +1,6 @@
 package trailthread.lab.invariant;
 
-/** The invariants of every run, whatever fails. */
+/** The invariants of every run, whichever faults are injected. */
 public enum Invariant {
     /** Every request that a node receives gets exactly one final response. */
     ONE_ANSWER("one final response per request"),
--- a/lab/src/main/java/trailthread/lab/invariant/InvariantChecker.java
+++ b/lab/src/main/java/trailthread/lab/invariant/InvariantChecker.java
@@ -11,14 +11,15 @@
 import trailthread.api.Outcome;
 
 /**
- * Checks the {@link Invariant}s of a run, virtual or real, from the outside. It is told of events
- * in order and relies on nothing that a node claims: an attempt counts as one that may have run
- * from its last byte on, whatever outcome its node sees.
+ * Checks the {@link Invariant}s of a run, virtual or real, from the outside. It receives events in
+ * order and trusts no node: an attempt that a server has received whole and not rejected counts as
+ * one that may have run, whatever outcome its node reports.
  */
 public final class InvariantChecker {
     /** The number of violations kept with their histories; later ones are only counted. */
     private static final int MAX_KEPT_VIOLATIONS = 20;
 
+    /** The most requests remembered after their clients have disconnected. */
     private static final int MAX_ABANDONED = 10_000;
 
     /** Where an attempt runs, as far as deduplication is concerned. */
@@ -34,7 +35,7 @@
         long firstExecutionSentAt;
         int attemptsInFlight;
         boolean responded;
-        boolean noResponseOwed;
+        boolean noResponseExpected;
 
         /** All attempts by number. */
         final Map<Integer, SentAttempt> sentAttempts = new HashMap<>(2);
@@ -96,10 +97,14 @@
     }
 
     private void recordViolation(
-            Invariant rule, long at, String subject, String finding, List<HistoryEntry> history) {
-        violationCounts.merge(rule, 1, Integer::sum);
+            Invariant invariant,
+            long at,
+            String subject,
+            String finding,
+            List<HistoryEntry> history) {
+        violationCounts.merge(invariant, 1, Integer::sum);
         if (violations.size() < MAX_KEPT_VIOLATIONS) {
-            violations.add(new Violation(rule, at, subject, finding, List.copyOf(history)));
+            violations.add(new Violation(invariant, at, subject, finding, List.copyOf(history)));
         }
     }
 
@@ -160,7 +165,7 @@
      * A server has received the last byte of an attempt and has not rejected it: from now on it may
      * be executed.
      */
-    public void executionStarted(long at, String requestId, int attempt) {
+    public void attemptAccepted(long at, String requestId, int attempt) {
         TrackedRequest tracked = tracked(requestId);
         if (tracked == null || !tracked.sentAttempts.containsKey(attempt)) {
             return; // the request has ended and is not tracked any more
@@ -263,21 +268,21 @@
         TrackedRequest tracked = openRequests.get(requestId);
         if (tracked != null) {
             recordViolation(Invariant.ONE_ANSWER, at, requestId, description, tracked.history);
-            tracked.noResponseOwed = true;
+            tracked.noResponseExpected = true;
             closeIfDone(requestId, tracked);
         }
     }
 
     /**
-     * The client disconnected early, or its node was killed or paused: the request is owed no
-     * response any more.
+     * The client disconnected early, or its node was killed or paused: no response is expected any
+     * more.
      */
     public void clientDisconnected(long at, String requestId) {
         TrackedRequest tracked = openRequests.get(requestId);
         if (tracked != null) {
             tracked.history.add(
                     new HistoryEntry(at, HistoryEntry.Event.CLIENT_GONE, -1, null, null));
-            tracked.noResponseOwed = true;
+            tracked.noResponseExpected = true;
             closeIfDone(requestId, tracked);
         }
     }
@@ -285,10 +290,10 @@
     /** The client timed out, including all slack, without a response. */
     public void deadlineMissed(long at, String requestId) {
         TrackedRequest tracked = openRequests.get(requestId);
-        if (tracked != null && !tracked.responded && !tracked.noResponseOwed) {
+        if (tracked != null && !tracked.responded && !tracked.noResponseExpected) {
             tracked.history.add(new HistoryEntry(at, HistoryEntry.Event.OVERDUE, -1, null, null));
             recordViolation(Invariant.IN_TIME, at, requestId, "no response", tracked.history);
-            tracked.noResponseOwed = true;
+            tracked.noResponseExpected = true;
             closeIfDone(requestId, tracked);
         }
     }
@@ -304,7 +309,7 @@
     }
 
     private void closeIfDone(String requestId, TrackedRequest tracked) {
-        if ((tracked.responded || tracked.noResponseOwed)
+        if ((tracked.responded || tracked.noResponseExpected)
                 && tracked.attemptsInFlight <= 0
                 && openRequests.remove(requestId) != null) {
             checkedRequests++;
@@ -341,7 +346,7 @@
                 List.of());
     }
 
-    /** Ends the run: requests that are still owed a response count as overdue. */
+    /** Ends the run: requests that still wait for a response count as overdue. */
     public void finish(long at) {
         for (String requestId : new ArrayList<>(openRequests.keySet())) {
             deadlineMissed(at, requestId);
--- a/lab/src/main/java/trailthread/lab/invariant/RequestTerms.java
+++ b/lab/src/main/java/trailthread/lab/invariant/RequestTerms.java
@@ -8,8 +8,8 @@
  *
  * @param deadline when its client times out, in ns
  * @param deduplicationScope which servers drop a repeated request that carries an idempotency key
- * @param deduplicationWindowNs for how long they do, counted from when the first attempt that may
- *     have run was sent
+ * @param deduplicationWindowNs how long these servers do so, counted from when the first attempt
+ *     that may have run was sent
  */
 public record RequestTerms(
         String requestClass,
--- a/lab/src/main/java/trailthread/lab/invariant/Violation.java
+++ b/lab/src/main/java/trailthread/lab/invariant/Violation.java
@@ -12,7 +12,7 @@
  *     request
  */
 public record Violation(
-        Invariant rule, long at, String subject, String finding, List<HistoryEntry> history) {
+        Invariant invariant, long at, String subject, String finding, List<HistoryEntry> history) {
     /** Describes the violation and its history in several lines. */
     public String describe() {
         StringBuilder text =
@@ -20,7 +20,7 @@
                         String.format(
                                 java.util.Locale.ROOT,
                                 "%s violated at %.6f s by %s: %s",
-                                rule,
+                                invariant,
                                 at / 1e9,
                                 subject,
                                 finding));
--- a/lab/src/main/java/trailthread/lab/metrics/RunMetrics.java
+++ b/lab/src/main/java/trailthread/lab/metrics/RunMetrics.java
@@ -9,7 +9,7 @@
 
 /**
  * Metrics of a run. Operations that began before the end of the warm-up count only in the series of
- * seconds, not in the totals.
+ * seconds, not in the totals. Attempts by server include the warm-up.
  */
 public final class RunMetrics {
     private static final long MAX_LATENCY_US = 600_000_000L;
@@ -20,18 +20,18 @@
         private long offered;
         private long inTime;
         private long late;
-        private long refused;
+        private long rejected;
         private final Histogram latencyUs = new Histogram(MAX_LATENCY_US, HISTOGRAM_DIGITS);
 
         /**
-         * The number of operations: all, completed within the latency objective, completed late,
-         * refused, failed.
+         * The number of operations: all, served within the latency objective, served late,
+         * rejected, failed.
          */
         public long[] counts() {
-            return new long[] {offered, inTime, late, refused, offered - inTime - late - refused};
+            return new long[] {offered, inTime, late, rejected, offered - inTime - late - rejected};
         }
 
-        /** The latencies of completed operations, measured from the first attempt, in us. */
+        /** The latencies of served operations, measured from the first attempt, in us. */
         public Histogram latencyUs() {
             return latencyUs;
         }
@@ -42,17 +42,17 @@
         private long offered;
         private long inTime;
         private long late;
-        private long refused;
+        private long rejected;
         private long failed;
         private long attempts;
         private int[] inflight = new int[0];
 
         /**
          * The operations that began in this second, and how they ended (within the latency
-         * objective, late, refused, failed); and the attempts sent to servers in this second.
+         * objective, late, rejected, failed); and the attempts sent to servers in this second.
          */
         public long[] counts() {
-            return new long[] {offered, inTime, late, refused, failed, attempts};
+            return new long[] {offered, inTime, late, rejected, failed, attempts};
         }
 
         /** The requests in flight at each server at the end of the second. */
@@ -74,7 +74,7 @@
     private long attempts;
     private long healthChecks;
     private long connections;
-    private long refusals;
+    private long rejections;
     private long logLines;
     private long decisions;
     private long decisionNs;
@@ -96,6 +96,7 @@
         return seconds.get(index);
     }
 
+    /** What an event at this time adds to a total: 0 during the warm-up, otherwise 1. */
     private int counted() {
         return clock >= countedFrom ? 1 : 0;
     }
@@ -109,7 +110,7 @@
     public void recordOperation(
             ClassModel classModel,
             boolean served,
-            boolean refused,
+            boolean rejected,
             long startedAt,
             long endedAt,
             int clientAttemptsUsed) {
@@ -119,8 +120,8 @@
         second.offered++;
         second.inTime += inTime ? 1 : 0;
         second.late += served && !inTime ? 1 : 0;
-        second.refused += refused ? 1 : 0;
-        second.failed += served || refused ? 0 : 1;
+        second.rejected += rejected ? 1 : 0;
+        second.failed += served || rejected ? 0 : 1;
         if (startedAt < countedFrom) {
             return;
         }
@@ -132,7 +133,7 @@
         classMetrics.offered++;
         classMetrics.inTime += inTime ? 1 : 0;
         classMetrics.late += served && !inTime ? 1 : 0;
-        classMetrics.refused += refused ? 1 : 0;
+        classMetrics.rejected += rejected ? 1 : 0;
         offeredWeight += classModel.requestClass().priorityWeight();
         goodWeight +=
                 inTime
@@ -165,9 +166,9 @@
         connections += counted();
     }
 
-    /** Records that a node refused a request. */
-    public void recordRefusal() {
-        refusals += counted();
+    /** Records that a node rejected a request. */
+    public void recordRejection() {
+        rejections += counted();
     }
 
     /** Records that the balancer wrote a log line. */
@@ -187,8 +188,8 @@
     }
 
     /**
-     * The weight of operations completed in time over the weight of all operations; late ones count
-     * in part. 1 if there were none.
+     * The weight of operations served in time over the weight of all operations; late ones count in
+     * part. 1 if there were none.
      */
     public double goodput() {
         return offeredWeight == 0 ? 1 : goodWeight / offeredWeight;
@@ -217,11 +218,11 @@
 
     /**
      * The numbers of client operations, client attempts, attempts at servers, health checks, opened
-     * connections, refusals and log lines.
+     * connections, rejections and log lines.
      */
     public long[] totals() {
         return new long[] {
-            operations, clientAttempts, attempts, healthChecks, connections, refusals, logLines
+            operations, clientAttempts, attempts, healthChecks, connections, rejections, logLines
         };
     }
 
--- a/lab/src/main/java/trailthread/lab/model/ServerLimits.java
+++ b/lab/src/main/java/trailthread/lab/model/ServerLimits.java
@@ -29,14 +29,14 @@
      * A metastable failure (Bronson et al., HotOS 2021): once the queue has been longer than {@code
      * waitingPerCore} requests per core for {@code afterNs}, the server works {@code
      * slowdownFactor} times slower, until it has held no more than {@code idlePerCore} requests per
-     * core for {@code calmNs}.
+     * core for {@code idleNs}.
      */
     public record Jam(
             double waitingPerCore,
             long afterNs,
             double slowdownFactor,
             double idlePerCore,
-            long calmNs) {
+            long idleNs) {
         /** A server that never jams. */
         public static final Jam NEVER = new Jam(Double.POSITIVE_INFINITY, Long.MAX_VALUE, 1, 0, 0);
     }
--- a/lab/src/main/java/trailthread/lab/model/ServerModel.java
+++ b/lab/src/main/java/trailthread/lab/model/ServerModel.java
@@ -9,10 +9,10 @@
  * for slots, and are rejected when the queue is full. The caller passes the time, virtual or real;
  * the model draws no random numbers.
  *
- * <p>All executing jobs progress at one rate, so the work done for each of them since the start of
- * the server, {@code servedPerJob}, is the same. A job completes when {@code servedPerJob} reaches
- * its value at the beginning of the job plus the work of the job. Each step costs O(log n) for n
- * executing jobs.
+ * <p>All executing jobs progress at one rate. {@code servedPerJob} is the work that a job executing
+ * since the start of the server would have received. A job completes when {@code servedPerJob} has
+ * grown by the work of the job since its execution began. Each step costs O(log n) for n executing
+ * jobs.
  */
 public final class ServerModel {
     /** The number of steps in which the capacity of a cold server rises. */
@@ -152,7 +152,7 @@
             job.state = Job.State.DONE;
             return false;
         }
-        checkColdBudget(now, job);
+        crashIfColdAndOverloaded(now, job);
         job.sequence = nextSequence++;
         if (executing.size() < limits.slots()) {
             startExecuting(job);
@@ -168,7 +168,7 @@
      * Crashes a cold server that receives more work within the window than {@link
      * ServerLimits.Cold} allows.
      */
-    private void checkColdBudget(long now, Job job) {
+    private void crashIfColdAndOverloaded(long now, Job job) {
         ServerLimits.Cold cold = limits.cold();
         double capacityShare = capacityShare(now);
         if (capacityShare >= 1) {
@@ -277,7 +277,7 @@
         if (jamConditionSince == Long.MAX_VALUE) {
             return Long.MAX_VALUE;
         }
-        return jamConditionSince + (jammed ? limits.jam().calmNs() : limits.jam().afterNs());
+        return jamConditionSince + (jammed ? limits.jam().idleNs() : limits.jam().afterNs());
     }
 
     /**
@@ -309,6 +309,7 @@
                 break;
             }
             advanceTo(next);
+            // The tolerance covers rounding errors: the job of an event at this time must complete.
             if (!executing.isEmpty()
                     && executing.peek().completesAtServed - servedPerJob
                             <= 1e-6 * rate(currentTime) + 1e-12 * servedPerJob) {
--- a/lab/src/main/java/trailthread/lab/scenario/Scenario.java
+++ b/lab/src/main/java/trailthread/lab/scenario/Scenario.java
@@ -127,7 +127,7 @@
      * @param reportNoise the largest relative error of the values in a load report
      * @param healthCheckWorkNs the work of a health check
      * @param queuedHealthChecks whether a health check is queued and served like a request;
-     *     otherwise it is answered at once and bypasses the queue
+     *     otherwise it bypasses the queue and succeeds at once
      */
     public record FleetModel(
             int servers,
@@ -149,8 +149,10 @@
     public record DiscoveryModel(long minDelayNs, long maxDelayNs) {}
 
     /**
-     * Limits that the nodes are configured with.
+     * The settings of the nodes.
      *
+     * @param responseSlackNs how long after its deadline a response still counts as in time
+     * @param drainGraceNs how long a node may send new attempts to a server that drains
      * @param maxRetryAfterNs the longest Retry-After that a node sends; 0 to send none
      */
     public record NodeRules(
@@ -213,7 +215,7 @@
          * failure.
          */
         COLD_FLEET,
-        /** Discovery answers no requests, and its watches are closed. */
+        /** Discovery does not respond to requests, and its watches are closed. */
         ROSTER_DOWN,
         /**
          * {@code affectedShare} of the nodes are killed and start again after {@code durationNs},
@@ -225,10 +227,7 @@
          * started again once they have exited.
          */
         NODE_RESTART,
-        /**
-         * {@code affectedShare} of the nodes are told to reload their configuration, which has not
-         * changed.
-         */
+        /** {@code affectedShare} of the nodes reload their configuration, which has not changed. */
         NODE_RELOAD,
         /** {@code affectedShare} of the nodes are paused for {@code durationNs}, then resumed. */
         NODE_PAUSE
@@ -238,7 +237,7 @@
      * A fault and when it occurs.
      *
      * @param affectedShare the share of servers or nodes affected, 0 to 1
-     * @param magnitude as {@link FaultKind} says
+     * @param magnitude its meaning depends on the kind: see {@link FaultKind}
      * @param requestShare the share of requests affected; only for {@link FaultKind#HEAVY_TAIL}
      * @param zone the zone that is isolated, or whose servers alone are affected; null for all
      *     zones
--- a/lab/src/main/java/trailthread/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/trailthread/lab/scenario/ScenarioReader.java
@@ -30,30 +30,30 @@
     /** A duration longer than any run, for states that are not entered by default. */
     private static final String NEVER = "1000h";
 
-    /** Thrown for a scenario that has faults. */
+    /** Thrown for a scenario file with errors. */
     public static final class InvalidScenarioException extends Exception {
         private static final long serialVersionUID = 1;
-        private final transient List<Fault> faults;
+        private final transient List<Fault> errors;
 
-        InvalidScenarioException(List<Fault> faults) {
-            super(String.join("\n", faults.stream().map(Fault::toString).toList()));
-            this.faults = List.copyOf(faults);
+        InvalidScenarioException(List<Fault> errors) {
+            super(String.join("\n", errors.stream().map(Fault::toString).toList()));
+            this.errors = List.copyOf(errors);
         }
 
-        /** The faults found, at least one. */
-        public List<Fault> faults() {
-            return faults;
+        /** The errors found, at least one. */
+        public List<Fault> errors() {
+            return errors;
         }
     }
 
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<Fault> errors = new ArrayList<>();
 
     private ScenarioReader() {}
 
     /**
      * Reads a scenario file.
      *
-     * @throws InvalidScenarioException with all faults of the file
+     * @throws InvalidScenarioException with all errors of the file
      */
     public static Scenario read(Path file) throws IOException, InvalidScenarioException {
         return parse(file.toString(), Files.readString(file, StandardCharsets.UTF_8));
@@ -62,8 +62,8 @@
     /**
      * Parses the text of a scenario file; without side effects.
      *
-     * @param name the file name that faults report
-     * @throws InvalidScenarioException with all faults of the text
+     * @param name the file name for error messages
+     * @throws InvalidScenarioException with all errors of the text
      */
     public static Scenario parse(String name, String text) throws InvalidScenarioException {
         ScenarioReader reader = new ScenarioReader();
@@ -71,7 +71,7 @@
         toml.errors()
                 .forEach(
                         e ->
-                                reader.faults.add(
+                                reader.errors.add(
                                         new Fault(
                                                 name,
                                                 e.position().line(),
@@ -80,12 +80,12 @@
                                                 "TOML",
                                                 e.getMessage())));
         Scenario scenario =
-                reader.faults.isEmpty()
+                reader.errors.isEmpty()
                         ? reader.readScenario(
-                                new ScenarioTable(name, reader.faults, toml, null, ""))
+                                new ScenarioTable(name, reader.errors, toml, null, ""))
                         : null;
-        if (!reader.faults.isEmpty()) {
-            throw new InvalidScenarioException(reader.faults);
+        if (!reader.errors.isEmpty()) {
+            throw new InvalidScenarioException(reader.errors);
         }
         return scenario;
     }
@@ -100,7 +100,7 @@
         List<ClassModel> classes = new ArrayList<>();
         root.tables("classes").forEach(table -> classes.add(requestClass(table)));
         if (classes.isEmpty()) {
-            root.addFault("classes", "at least one [[classes]] table");
+            root.addError("classes", "at least one [[classes]] table");
         }
         List<Tenant> tenants = new ArrayList<>();
         for (ScenarioTable table : root.tables("tenants")) {
@@ -121,7 +121,7 @@
         List<ScheduledFault> scheduledFaults = new ArrayList<>();
         root.tables("faults").forEach(table -> scheduledFaults.add(scheduledFault(table, zones)));
         root.reportUnknownKeys();
-        return faults.isEmpty()
+        return errors.isEmpty()
                 ? new Scenario(
                         name,
                         description,
@@ -294,10 +294,10 @@
         FaultKind kind = table.enumValue("trouble", null, FaultKind.class);
         String zone = table.text("zone", "");
         if (!zone.isEmpty() && !zones.contains(zone)) {
-            table.addFault("zone", "one of " + String.join(", ", zones));
+            table.addError("zone", "one of " + String.join(", ", zones));
         }
         if (kind == FaultKind.ZONE_CUT && zone.isEmpty()) {
-            table.addFault("zone", "the zone to isolate");
+            table.addError("zone", "the zone to isolate");
         }
         ScheduledFault fault =
                 new ScheduledFault(
--- a/lab/src/main/java/trailthread/lab/scenario/ScenarioTable.java
+++ b/lab/src/main/java/trailthread/lab/scenario/ScenarioTable.java
@@ -13,13 +13,13 @@
 import trailthread.configuration.Units;
 
 /**
- * One table of a scenario file. Its methods return the values of keys and record a fault for each
- * invalid value, for which they return the default. The keys that were read are the known ones;
- * {@link #reportUnknownKeys} records a fault for every other key of the table.
+ * One table of a scenario file. Its methods return the values of keys and record an error for each
+ * invalid value, for which they return the default. {@link #reportUnknownKeys} records an error for
+ * each key of the table that was not read.
  */
 final class ScenarioTable {
     private final String file;
-    private final List<Fault> faults;
+    private final List<Fault> errors;
     private final TomlTable table;
     private final TomlPosition position;
     private final String path;
@@ -27,19 +27,19 @@
 
     /**
      * @param table null for a table that the file lacks; all its values are the defaults
-     * @param position where faults of absent keys are reported
+     * @param position where errors of absent keys are reported
      */
     ScenarioTable(
-            String file, List<Fault> faults, TomlTable table, TomlPosition position, String path) {
+            String file, List<Fault> errors, TomlTable table, TomlPosition position, String path) {
         this.file = file;
-        this.faults = faults;
+        this.errors = errors;
         this.table = table;
         this.position = position;
         this.path = path;
     }
 
     /** Records that the value of a key is not what is expected. */
-    void addFault(String key, String expected) {
+    void addError(String key, String expected) {
         TomlPosition at =
                 table != null && table.contains(List.of(key))
                         ? table.inputPositionOf(List.of(key))
@@ -51,7 +51,7 @@
                         : value instanceof TomlArray
                                 ? "a list"
                                 : value instanceof TomlTable ? "a table" : value.toString();
-        faults.add(
+        errors.add(
                 new Fault(
                         file,
                         at == null ? 1 : at.line(),
@@ -66,14 +66,14 @@
         Object value = table == null ? null : table.get(List.of(key));
         if (value == null) {
             if (defaultValue == null) {
-                addFault(key, expected);
+                addError(key, expected);
             }
             return defaultValue;
         }
         try {
             return convert.apply(value);
         } catch (IllegalArgumentException | ClassCastException e) {
-            addFault(key, expected);
+            addError(key, expected);
             return defaultValue;
         }
     }
@@ -127,11 +127,10 @@
 
     /** A duration in ns; {@code defaultValue} is null for a required key. */
     long durationNs(String key, String defaultValue) {
-        String text = defaultValue == null ? null : defaultValue;
         Long time =
                 read(
                         key,
-                        text == null ? null : Units.nanoseconds(text),
+                        defaultValue == null ? null : Units.nanoseconds(defaultValue),
                         "a duration with its unit, such as 250ms",
                         value -> Units.nanoseconds((String) value));
         return time == null ? 1 : time;
@@ -171,7 +170,7 @@
             return new long[] {bound, bound};
         }
         if (pair.get(0) > pair.get(1)) {
-            addFault(key, "the lesser one first");
+            addError(key, "the lesser value first");
         }
         return new long[] {pair.get(0), pair.get(1)};
     }
@@ -189,7 +188,7 @@
                                 + ", or a list of the least and the greatest",
                         value -> number(value, min, max));
         if (pair.get(0) > pair.get(1)) {
-            addFault(key, "the lesser one first");
+            addError(key, "the lesser value first");
         }
         return new double[] {pair.get(0), pair.get(1)};
     }
@@ -235,12 +234,12 @@
         knownKeys.add(key);
         Object value = table == null ? null : table.get(List.of(key));
         if (value != null && !(value instanceof TomlTable)) {
-            addFault(key, "a table");
+            addError(key, "a table");
         }
         boolean present = value instanceof TomlTable;
         return new ScenarioTable(
                 file,
-                faults,
+                errors,
                 present ? (TomlTable) value : null,
                 present ? table.inputPositionOf(List.of(key)) : position,
                 path.isEmpty() ? key : path + "." + key);
@@ -259,19 +258,19 @@
                 tables.add(
                         new ScenarioTable(
                                 file,
-                                faults,
+                                errors,
                                 array.getTable(i),
                                 array.inputPositionOf(i),
                                 (path.isEmpty() ? key : path + "." + key) + "[" + i + "]"));
             }
         }
         if (!valid) {
-            addFault(key, "an array of tables, [[" + key + "]]");
+            addError(key, "an array of tables, [[" + key + "]]");
         }
         return tables;
     }
 
-    /** Records a fault for each key that no method of this table was called with. */
+    /** Records an error for each key of the table that was not read. */
     void reportUnknownKeys() {
         if (table == null) {
             return;
@@ -279,7 +278,7 @@
         for (String key : table.keySet()) {
             if (!knownKeys.contains(key)) {
                 String suggestion = SpellingSuggestion.find(key, knownKeys);
-                addFault(
+                addError(
                         key,
                         suggestion != null
                                 ? "a key that is known, such as " + suggestion
--- a/lab/src/main/java/trailthread/lab/server/IncomingRequest.java
+++ b/lab/src/main/java/trailthread/lab/server/IncomingRequest.java
@@ -1,6 +1,6 @@
 package trailthread.lab.server;
 
-/** A request as seen by the server process, in virtual time or on a socket. */
+/** An attempt of a node as its server process receives it, in virtual time or on a socket. */
 public interface IncomingRequest {
     /** How the server responds. */
     enum Response {
@@ -19,7 +19,7 @@
     double work();
 
     /** The server has accepted the request: from now on it may be executed. */
-    void executionStarted();
+    void accepted();
 
     /**
      * Sends the response now. With {@code trickleNs} above 0 its bytes are spread over this time,
--- a/lab/src/main/java/trailthread/lab/server/ServerFaults.java
+++ b/lab/src/main/java/trailthread/lab/server/ServerFaults.java
@@ -1,8 +1,9 @@
 package trailthread.lab.server;
 
 /**
- * The faults injected into a server. Shares are of its requests, from 0 to 1; initially there are
- * no faults.
+ * The faults injected into a server, except slowdowns and delayed load reports, which {@link
+ * ServerProcess} has methods for. Shares are of its requests, from 0 to 1; initially there are no
+ * faults.
  */
 public final class ServerFaults {
     /** Share of requests that fail immediately. */
@@ -23,7 +24,7 @@
     /** Whether the server is cut off from the network: packets are dropped without an error. */
     public boolean isolated;
 
-    /** Whether a request sent now would be served normally. */
+    /** Whether none of these faults is active. */
     public boolean noneActive() {
         return errorShare + lostResponseShare + resetShare + garbageShare == 0
                 && trickleNs == 0
--- a/lab/src/main/java/trailthread/lab/server/ServerProcess.java
+++ b/lab/src/main/java/trailthread/lab/server/ServerProcess.java
@@ -157,7 +157,7 @@
         return up;
     }
 
-    /** Counts the starts: connections and requests of an earlier incarnation are gone. */
+    /** Counts the stops: connections and requests of an earlier incarnation are gone. */
     public int incarnation() {
         return incarnation;
     }
@@ -175,16 +175,16 @@
     /** Handles a request whose last byte has arrived. */
     public void receive(IncomingRequest incoming) {
         if (drawFault(faults.errorShare)) {
-            incoming.executionStarted();
+            incoming.accepted();
             eventQueue.scheduleAfter(FAST_ERROR_NS, () -> incoming.respond(Response.ERROR, 0));
             return;
         }
         advance();
         ServedJob job = new ServedJob(incoming.work(), incoming, null, eventQueue.now());
         job.inflightOnArrival = Math.min(MAX_TRACKED_INFLIGHT - 1, model.inflight());
-        boolean taken = model.arrive(eventQueue.now(), job);
-        if (taken) {
-            incoming.executionStarted();
+        boolean accepted = model.arrive(eventQueue.now(), job);
+        if (accepted) {
+            incoming.accepted();
             requests.put(incoming, job);
         } else if (!model.hasCrashed()) {
             incoming.respond(Response.FULL, 0);
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedAttempt.java
@@ -16,13 +16,13 @@
     private EventQueue.Entry timeout;
     private boolean ended;
 
-    /** Whether it has a connection, which belongs to {@code serverIncarnation}. */
+    /** Whether the attempt holds a connection to the incarnation {@code serverIncarnation}. */
     private boolean connected;
 
     private int serverIncarnation;
     private boolean requestWritten;
 
-    /** Whether it counts in {@link SimulatedServer#arriving}. */
+    /** Whether the attempt counts in {@link SimulatedServer#arriving}. */
     private boolean arriving = true;
 
     SimulatedAttempt(
@@ -123,8 +123,8 @@
     }
 
     @Override
-    public void executionStarted() {
-        simulation.checker().executionStarted(simulation.now(), request.name, number);
+    public void accepted() {
+        simulation.checker().attemptAccepted(simulation.now(), request.name, number);
     }
 
     @Override
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedDiscovery.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedDiscovery.java
@@ -29,7 +29,7 @@
         random = simulation.streams().stream("roster");
     }
 
-    /** The whole list, as a node that starts now has it cached. */
+    /** The whole endpoint list, which a node that starts now has in its cache. */
     List<EndpointEntry> snapshot() {
         List<EndpointEntry> entries = new ArrayList<>();
         servers.forEach(server -> entries.add(server.entry()));
@@ -110,7 +110,7 @@
                         () -> node.deliver(() -> node.receiveList(ListKind.FAILED, List.of())));
     }
 
-    /** Makes discovery stop answering, which ends all watches, or answer again. */
+    /** Stops discovery, which ends all watches, or starts it again. */
     void setDown(boolean nowDown) {
         down = nowDown;
         if (nowDown) {
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
@@ -24,12 +24,12 @@
  */
 final class SimulatedNode implements BalancerActions, FaultTarget.Node {
     /**
-     * Ends the run of a balancer in an endless loop: the most actions that one event may request,
-     * and the most events at one point in time.
+     * The most actions that one event may request, and the most events at one point in time. A
+     * balancer that exceeds them is in an endless loop, and the run ends.
      */
     private static final int MAX_STEPS_AT_ONCE = 100_000;
 
-    /** Likewise the most timers that a node may have. */
+    /** The most pending timers of a node; the run ends if the balancer sets more. */
     private static final int MAX_TIMERS = 2_000_000;
 
     private record IdleConnection(int serverIncarnation, long idleSince) {}
@@ -126,7 +126,7 @@
 
     /**
      * The frontend sends new requests to other nodes until this node is back. The node ends after
-     * the longest deadline, when all its requests must have been answered.
+     * the longest deadline, by which it must have responded to all its requests.
      */
     @Override
     public void restart() {
@@ -153,7 +153,7 @@
         return draining;
     }
 
-    /** When it was killed last. */
+    /** When the node was last killed. */
     long killedAt() {
         return killedAt;
     }
@@ -223,13 +223,7 @@
 
     /** Receives a request whose client times out at this deadline. */
     void receiveRequest(ClientOperation operation, long deadline) {
-        SimulatedRequest request =
-                new SimulatedRequest(
-                        simulation.nextId(),
-                        simulation.nextSerial(),
-                        operation,
-                        simulation.now(),
-                        deadline);
+        SimulatedRequest request = new SimulatedRequest(simulation.nextId(), operation, deadline);
         requests.put(request.id, request);
         var requestClass = operation.classModel().requestClass();
         simulation
@@ -268,7 +262,7 @@
             simulation
                     .checker()
                     .clientDisconnected(
-                            simulation.now(), request.name); // a paused process owes no response
+                            simulation.now(), request.name); // a paused process can't respond
         } else {
             simulation.checker().deadlineMissed(simulation.now(), request.name);
         }
@@ -345,8 +339,8 @@
     // ---- connections
 
     /**
-     * Takes the most recently used idle connection to the server; false if the server has closed
-     * them all. Drops those that have been idle for too long.
+     * Takes the most recently used idle connection to the server; false if there is none. Drops the
+     * connections that the server has closed.
      */
     boolean takeIdleConnection(SimulatedServer server) {
         ArrayDeque<IdleConnection> connections = idleConnections.get(server);
@@ -436,10 +430,10 @@
                 () -> {
                     SimulatedRequest request = requests.get(id);
                     if (request != null) {
-                        simulation.metrics().recordRefusal();
+                        simulation.metrics().recordRejection();
                         respond(
                                 request,
-                                ClientOperation.AttemptResult.REFUSED,
+                                ClientOperation.AttemptResult.REJECTED,
                                 retryAfterNs,
                                 "refused");
                     }
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedRequest.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedRequest.java
@@ -4,28 +4,22 @@
 
 /** A request at a node. */
 final class SimulatedRequest {
-    final long id;
-
     /** Counts the requests of all nodes. */
-    final long serial;
+    final long id;
 
     /** Identifies the request to the checker. */
     final String name;
 
     final ClientOperation operation;
     final long deadline;
-    final long receivedAt;
     int attempts;
     SimulatedAttempt currentAttempt;
     boolean finished;
 
-    SimulatedRequest(
-            long id, long serial, ClientOperation operation, long receivedAt, long deadline) {
+    SimulatedRequest(long id, ClientOperation operation, long deadline) {
         this.id = id;
-        this.serial = serial;
-        this.name = Long.toString(serial);
+        this.name = Long.toString(id);
         this.operation = operation;
-        this.receivedAt = receivedAt;
         this.deadline = deadline;
     }
 }
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedServer.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedServer.java
@@ -17,7 +17,7 @@
     EndpointState state = EndpointState.READY;
     int connections;
 
-    /** Attempts on their way to this server. */
+    /** The number of attempts on their way to this server. */
     int arriving;
 
     SimulatedServer(
--- a/lab/src/main/java/trailthread/lab/simulation/Simulation.java
+++ b/lab/src/main/java/trailthread/lab/simulation/Simulation.java
@@ -25,11 +25,11 @@
 
 /**
  * A run in virtual time: clients, nodes with the balancer under test, network, servers, discovery
- * and faults. One seed gives one history. It runs on the calling thread and shares nothing, so many
- * can run at once.
+ * and faults. One seed gives one history. A simulation runs on the calling thread and shares no
+ * state, so many simulations can run at once.
  */
 public final class Simulation implements RequestSink, FaultTarget {
-    /** Virtual clocks do not begin at 0, so that no code can rely on it. */
+    /** Virtual time does not begin at 0, so that no code can rely on a clock that does. */
     private static final long START_TIME = 1_000_000_000_000L;
 
     /** How long the frontend of the nodes continues to send to a node that was killed. */
@@ -51,7 +51,6 @@
     private final UniformRandomProvider networkRandom;
     private final UniformRandomProvider speedRandom;
     private long lastId;
-    private long lastSerial;
     private String isolatedZone;
 
     private Simulation(Scenario scenario, Policy policy, long seed) {
@@ -166,8 +165,8 @@
     }
 
     /**
-     * Chooses a node of the zone, or of all zones if the frontend knows none there; null if there
-     * is none.
+     * Chooses a node of the zone, or of any zone if the frontend routes to none there; null if it
+     * routes to no node.
      */
     private SimulatedNode chooseNode(String zone, double draw) {
         int inZone = 0;
@@ -249,10 +248,6 @@
         return ++lastId;
     }
 
-    long nextSerial() {
-        return ++lastSerial;
-    }
-
     @Override
     public void setHeavyTail(double share, double factor) {
         clients.setHeavyTail(share, factor);
@@ -294,7 +289,7 @@
         transmit(from.zone, to.zone, from, () -> to.deliver(task));
     }
 
-    /** Runs the task after one network delay, if the network delivers at all. */
+    /** Runs the task after one network delay, unless a fault isolates the server or a zone. */
     private void transmit(String from, String to, SimulatedServer server, Runnable task) {
         boolean crossZone = !from.equals(to);
         if (server.process().faults.isolated
--- a/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
@@ -149,7 +149,7 @@
         silent.setSoTimeout(400);
         assertThrows(SocketTimeoutException.class, () -> Message.read(silent));
         assertEquals(
-                "load requests are still answered",
+                "load requests still get a response",
                 200,
                 Message.read(get("/status/load", "")).status());
     }
--- a/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
+++ b/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
@@ -27,7 +27,7 @@
             long at, int number, ServerLocation location, boolean executes, Outcome outcome) {
         checker.attemptSent(at, "7", number, "n0", location);
         if (executes) {
-            checker.executionStarted(at + 1, "7", number);
+            checker.attemptAccepted(at + 1, "7", number);
         }
         checker.attemptEnded(at + 2, "7", number, outcome);
     }
--- a/lab/src/test/java/trailthread/lab/scenario/ScenarioReaderTest.java
+++ b/lab/src/test/java/trailthread/lab/scenario/ScenarioReaderTest.java
@@ -39,7 +39,7 @@
                 assertThrows(
                         ScenarioReader.InvalidScenarioException.class,
                         () -> ScenarioReader.parse("f", text));
-        assertEquals(List.of(expected), e.faults().stream().map(Object::toString).toList());
+        assertEquals(List.of(expected), e.errors().stream().map(Object::toString).toList());
     }
 
     @Test
@@ -52,7 +52,7 @@
                 "f:8:1: classes[0].aim: expected a duration with its unit, such as 250ms, found 10");
         assertFaults(
                 GOOD.replace("\"1ms\", \"3ms\"", "\"3ms\", \"1ms\""),
-                "f:7:1: classes[0].work: expected the lesser one first, found a list");
+                "f:7:1: classes[0].work: expected the lesser value first, found a list");
         assertFaults(
                 GOOD.replace("workers = 4", "workers = 0"),
                 "f:11:1: fleet.workers: expected a whole number from 1 to 100000, found 0");
