--- a/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
+++ b/lab/src/main/java/trailthread/lab/clients/ClientPopulation.java
@@ -56,7 +56,7 @@
         tailFactor = factor;
     }
 
-    /** The operations that have not ended. */
+    /** The number of operations that have not ended. */
     public int openOperations() {
         return openOperations;
     }
--- a/lab/src/main/java/trailthread/lab/emulation/Emulation.java
+++ b/lab/src/main/java/trailthread/lab/emulation/Emulation.java
@@ -134,7 +134,7 @@
         return metrics;
     }
 
-    /** The invariant checker; null if neither nodes nor target ports were given. */
+    /** The invariant checker; null unless nodes were started or given as targets. */
     public InvariantChecker checker() {
         return checker;
     }
--- a/lab/src/main/java/trailthread/lab/emulation/NodeProcess.java
+++ b/lab/src/main/java/trailthread/lab/emulation/NodeProcess.java
@@ -152,8 +152,8 @@
         configuration.put("limits", Map.of("sockets", 1024));
         configuration.put("settings", settings);
         Gson gson = new Gson();
-        // The endpoint list that a node starting now would have received, as discovery writes it.
         String json = gson.toJson(configuration);
+        // The endpoint list that a node starting now would have received, as discovery writes it.
         return json.substring(0, json.length() - 1)
                 + ",\"known\":"
                 + emulation.discovery().fullListJson(number)
--- a/lab/src/main/java/trailthread/lab/invariant/Violation.java
+++ b/lab/src/main/java/trailthread/lab/invariant/Violation.java
@@ -5,7 +5,7 @@
 /**
  * A violation of an invariant.
  *
- * @param at when it was detected, in ns
+ * @param at when the violation was detected, in ns of the clock of the run
  * @param subject the id of the request, or the name of the server
  * @param finding what was observed
  * @param history all events of the request so far, in order; empty for a server or an unknown
--- a/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
+++ b/lab/src/test/java/trailthread/lab/emulation/EmulatedServerTest.java
@@ -232,7 +232,7 @@
     }
 
     @Test
-    public void stoppedDiscoveryAnswersNothingAndResetsWatches() throws Exception {
+    public void stoppedDiscoveryDoesNotRespondAndResetsWatches() throws Exception {
         start("[[faults]]\ntrouble = \"roster_down\"\nat = \"300ms\"\nfor = \"50s\"\n");
         Socket watch = connect(emulation.discoveryAddress(0));
         Message.send(watch, "GET /v1/endpoints?stream=1&index=0 HTTP/1.1\r\nHost: r\r\n\r\n");
--- a/lab/src/test/java/trailthread/lab/experiment/BootstrapTest.java
+++ b/lab/src/test/java/trailthread/lab/experiment/BootstrapTest.java
@@ -9,7 +9,7 @@
 import trailthread.lab.random.RandomStreams;
 
 /**
- * Bootstrap finds real differences, and finds one where there is none no more often than its
+ * Bootstrap finds real differences; where there is none, it finds one no more often than its
  * confidence level allows.
  */
 public class BootstrapTest {
--- a/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
+++ b/lab/src/test/java/trailthread/lab/invariant/InvariantCheckerTest.java
@@ -32,11 +32,11 @@
         checker.attemptEnded(at + 2, "7", number, outcome);
     }
 
-    private void assertViolations(Invariant... rules) {
+    private void assertViolations(Invariant... expected) {
         Map<Invariant, Integer> counts = checker.violationCounts();
-        assertEquals(checker.violations().toString(), rules.length, counts.size());
-        for (Invariant rule : rules) {
-            assertEquals(rule.name(), Integer.valueOf(1), counts.get(rule));
+        assertEquals(checker.violations().toString(), expected.length, counts.size());
+        for (Invariant invariant : expected) {
+            assertEquals(invariant.name(), Integer.valueOf(1), counts.get(invariant));
         }
     }
 
@@ -88,7 +88,7 @@
     }
 
     @Test
-    public void noResponseIsOwedToADisconnectedClient() {
+    public void aDisconnectedClientExpectsNoResponse() {
         receive(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         checker.clientDisconnected(500, "7");
         checker.deadlineMissed(1011, "7");
--- a/lab/src/test/java/trailthread/lab/scenario/ScenarioReaderTest.java
+++ b/lab/src/test/java/trailthread/lab/scenario/ScenarioReaderTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** The reader applies defaults and reports each fault of a scenario with its position. */
+/** The reader applies defaults and reports each error in a scenario with its position. */
 public class ScenarioReaderTest {
     private static final String GOOD =
             """
@@ -34,7 +34,7 @@
         assertEquals(1, scenario.nodes());
     }
 
-    private static void assertFaults(String text, String... expected) {
+    private static void assertErrors(String text, String... expected) {
         ScenarioReader.InvalidScenarioException e =
                 assertThrows(
                         ScenarioReader.InvalidScenarioException.class,
@@ -43,27 +43,27 @@
     }
 
     @Test
-    public void faultsAreReportedWithTheirPositions() {
-        assertFaults(
+    public void errorsAreReportedWithTheirPositions() {
+        assertErrors(
                 GOOD + "spede = 2\n",
                 "f:12:1: fleet.spede: expected a key that is known, such as speed, found 2");
-        assertFaults(
+        assertErrors(
                 GOOD.replace("\"10ms\"", "10"),
                 "f:8:1: classes[0].aim: expected a duration with its unit, such as 250ms, found 10");
-        assertFaults(
+        assertErrors(
                 GOOD.replace("\"1ms\", \"3ms\"", "\"3ms\", \"1ms\""),
                 "f:7:1: classes[0].work: expected the lesser value first, found a list");
-        assertFaults(
+        assertErrors(
                 GOOD.replace("workers = 4", "workers = 0"),
                 "f:11:1: fleet.workers: expected a whole number from 1 to 100000, found 0");
-        assertFaults(
+        assertErrors(
                 GOOD.replace("name = \"x\"\n", ""), "f:1:1: name: expected a text, found nothing");
-        assertFaults(
+        assertErrors(
                 GOOD + "[[faults]]\ntrouble = \"gremlins\"\nat = \"1s\"\n",
                 "f:13:1: faults[0].trouble: expected one of fast_errors, lost_answers, resets, garbage, drips, slow, "
                         + "late_reports, heavy_tail, cut, zone_cut, restart, replace, cold_fleet, roster_down, "
                         + "node_kill, node_restart, node_reload, node_pause, found gremlins");
-        assertFaults(
+        assertErrors(
                 GOOD + "[[faults]]\ntrouble = \"zone_cut\"\nat = \"1s\"\nzone = \"q\"\n",
                 "f:15:1: faults[0].zone: expected one of a, found q");
     }
--- a/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
@@ -228,7 +228,7 @@
     }
 
     @Test(timeout = 60_000)
-    public void aFloodOfTimersEndsTheRun() throws Exception {
+    public void anEndlessLoopOfTimersEndsTheRun() throws Exception {
         assertRunFails(
                 "without time passing",
                 (actions, balancer) ->
