--- a/lab/src/main/java/trailthread/lab/invariant/Violation.java
+++ b/lab/src/main/java/trailthread/lab/invariant/Violation.java
@@ -5,14 +5,14 @@
 /**
  * A violation of an invariant.
  *
- * @param at when it was detected, in ns
+ * @param at when the violation was detected, in ns of the clock of the run
  * @param subject the id of the request, or the name of the server
  * @param finding what was observed
  * @param history all events of the request so far, in order; empty for a server or an unknown
  *     request
  */
 public record Violation(
-        Invariant rule, long at, String subject, String finding, List<HistoryEntry> history) {
+        Invariant invariant, long at, String subject, String finding, List<HistoryEntry> history) {
     /** Describes the violation and its history in several lines. */
     public String describe() {
         StringBuilder text =
@@ -20,7 +20,7 @@
                         String.format(
                                 java.util.Locale.ROOT,
                                 "%s violated at %.6f s by %s: %s",
-                                rule,
+                                invariant,
                                 at / 1e9,
                                 subject,
                                 finding));
