--- a/decisions/src/main/java/trailthread/AttemptRecorder.java
+++ b/decisions/src/main/java/trailthread/AttemptRecorder.java
@@ -50,7 +50,7 @@
      */
     void recordEnd(Request request, Attempt attempt, long latencyNs, LoadReport load, long now) {
         Endpoint endpoint = attempt.endpoint;
-        inFlight.end(attempt, now);
+        inFlight.attemptEnded(attempt, now);
         if (load != null) {
             endpoint.load.record(load, now);
         }
@@ -78,8 +78,9 @@
     private void recordFailure(Attempt attempt, long latencyNs, long now) {
         Endpoint endpoint = attempt.endpoint;
         outliers.recordFailure(endpoint);
-        // An endpoint that is congested and no longer responds shows it only by time-outs. The
-        // first time-out in a row may be one lost response, so it does not count.
+        // A congested endpoint that no longer responds shows this only by timeouts. The first
+        // timeout in a row, or that of an overtaken attempt, may be one lost response, so neither
+        // counts.
         boolean showsCongestion =
                 attempt.outcome == Outcome.TIMEOUT
                         && endpoint.health.failures() > 1
--- a/decisions/src/main/java/trailthread/AttemptSender.java
+++ b/decisions/src/main/java/trailthread/AttemptSender.java
@@ -54,9 +54,9 @@
     }
 
     private void send(Request request, Endpoint endpoint, long now) {
-        // Computed before begin, which adds the new attempt to those that may have run.
+        // Computed before the new attempt is added, which then counts as one that may have run.
         long writeDeadline = retries.writeDeadline(request);
-        inFlight.begin(request, endpoint, now);
+        inFlight.addAttempt(request, endpoint, now);
         slowStart.takeToken(endpoint, now);
         long timeoutNs = retries.timeoutNs(request, endpoint, now);
         actions.send(request.id, timeoutNs, writeDeadline, endpoint.name);
--- a/decisions/src/main/java/trailthread/Balancer.java
+++ b/decisions/src/main/java/trailthread/Balancer.java
@@ -19,9 +19,9 @@
  *
  * <p>The life of a request: {@link #request}; {@link AdmissionController}; {@link AttemptSender}
  * with {@link EndpointPicker}, or {@link RequestQueue} if other requests wait or no endpoint is
- * open; {@link #outcome} with {@link AttemptRecorder}; then done, a retry by {@link RetryPolicy},
- * or the final answer by {@link FinalResponder}. The modules keep their own state, and this class
- * calls them in order.
+ * open ({@link ConcurrencyLimiter#isOpen}); {@link #outcome} with {@link AttemptRecorder}; then the
+ * request is served, retried by {@link RetryPolicy}, or rejected or failed by {@link
+ * FinalResponder}. The modules keep their own state, and this class calls them in order.
  */
 public final class Balancer implements BalancerEvents {
     private final BalancerActions actions;
@@ -85,7 +85,7 @@
         responder = new FinalResponder(settings, actions, random);
         queue =
                 new RequestQueue(
-                        settings, priorities, actions, random, sender::trySend, this::rejectIfLate);
+                        settings, priorities, actions, random, sender::trySend, this::endIfTooLate);
     }
 
     /**
@@ -168,7 +168,7 @@
         endpoints.refreshSubset(now);
         priorities.recordArrival(request, now);
         if (!admissions.admits(request)) {
-            refuseOrFail(request);
+            rejectOrFail(request);
             return;
         }
         setSendableTimer(request, now);
@@ -208,7 +208,7 @@
 
     private void sendableTimerDue(Request request, long now) {
         boolean isPending = request != null && !request.finished && !request.streaming;
-        if (isPending && !rejectIfLate(request, now)) {
+        if (isPending && !endIfTooLate(request, now)) {
             setSendableTimer(request, now);
         }
     }
@@ -220,25 +220,25 @@
     }
 
     private void enqueue(Request request, long now) {
-        if (!rejectIfLate(request, now)) {
+        if (!endIfTooLate(request, now)) {
             setSendableTimer(request, now);
             queue.add(request);
         }
     }
 
-    private boolean rejectIfLate(Request request, long now) {
+    private boolean endIfTooLate(Request request, long now) {
         if (!admissions.isTooLate(request, now)) {
             return false;
         }
         if (!queue.isEmpty() && log.tryAcquire(RateLimitedLog.Kind.REJECTING, now)) {
             log.write("turning requests away: no backend is open, held " + queue.size());
         }
-        refuseOrFail(request);
+        rejectOrFail(request);
         return true;
     }
 
-    private void refuseOrFail(Request request) {
-        responder.answer(request);
+    private void rejectOrFail(Request request) {
+        responder.rejectOrFail(request);
         removeIfComplete(request);
     }
 
@@ -291,7 +291,7 @@
         if (retries.acquireRetry(request, now)) {
             sendOrEnqueue(request, now);
         } else {
-            refuseOrFail(request);
+            rejectOrFail(request);
         }
     }
 }
--- a/decisions/src/main/java/trailthread/ConcurrencyLimiter.java
+++ b/decisions/src/main/java/trailthread/ConcurrencyLimiter.java
@@ -28,8 +28,8 @@
     private static final double TOTAL_GROWTH = 0.7;
 
     /**
-     * The same growth where the responses of other endpoints are the evidence. It is multiplied by
-     * the headroom, which is the share of the target latency that is not used.
+     * Like {@link #TOTAL_GROWTH}, where the responses of all endpoints adjust the limit. It is
+     * multiplied by the headroom, which is the share of the target latency that is not used.
      */
     private static final double TOTAL_PRIOR_GROWTH = 5.6;
 
@@ -104,14 +104,15 @@
     }
 
     /** Sets the initial limit of endpoints that are new to this node. */
-    void initialise() {
+    void setInitialLimits() {
         List<Endpoint> endpoints = subset.endpoints();
         for (Endpoint endpoint : endpoints) {
             if (endpoint.limit.attempts > 0) {
                 continue;
             }
             double initial = initialLimit();
-            // Up to twice that, if this node's limits would otherwise not add up to one attempt.
+            // Up to twice the initial limit, if this node's limits would otherwise not add up to
+            // one attempt.
             double onePerNode = Math.min(2 * initial, 1.0 / endpoints.size());
             endpoint.limit.attempts = Math.max(initial, onePerNode);
         }
@@ -130,8 +131,8 @@
      * at once and so would look fast, and rejecting costs it work.
      */
     void recordRejection(Endpoint endpoint) {
-        double reached = Math.min(endpoint.limit.attempts, endpoint.inFlight.count() + 1);
-        endpoint.limit.attempts = Math.max(minLimit(), REJECTED_SHARE_KEPT * reached);
+        double usedLimit = Math.min(endpoint.limit.attempts, endpoint.inFlight.count() + 1);
+        endpoint.limit.attempts = Math.max(minLimit(), REJECTED_SHARE_KEPT * usedLimit);
     }
 
     /** Cuts the limit of an endpoint that was ejected for congestion to the initial limit. */
@@ -172,8 +173,8 @@
         Limit limit = endpoint.limit;
         double excess = noise * estimator.latencyNs(endpoint, now) / targetLatencyNs(endpoint) - 1;
         if (excess > 0) {
-            double cut = 1 - Math.min(1, excess) * prior;
-            limit.attempts = Math.max(minLimit(), limit.attempts * cut);
+            double keptShare = 1 - Math.min(1, excess) * prior;
+            limit.attempts = Math.max(minLimit(), limit.attempts * keptShare);
         } else if (nearCapacity) {
             double totalLimit =
                     subset.sharingNodes() * Math.max(1 / INITIAL_TOTAL_LIMIT, totalCapacity);
@@ -186,10 +187,10 @@
         int count = endpoint.inFlight.count();
         double excess = estimator.latencyNs(endpoint, now) / targetLatencyNs(endpoint) - 1;
         if (excess > 0) {
-            double reached =
+            double usedLimit =
                     Math.min(limit.attempts, Math.max(count, endpoint.latency.meanInFlight()) + 1);
-            double cut = 1 - LatencyStats.LATENCY_WEIGHT * Math.min(1, excess);
-            limit.attempts = Math.max(minLimit(), reached * cut);
+            double keptShare = 1 - LatencyStats.LATENCY_WEIGHT * Math.min(1, excess);
+            limit.attempts = Math.max(minLimit(), usedLimit * keptShare);
         } else if (count + 2 > limit.attempts || nearCapacity) {
             double totalLimit =
                     subset.sharingNodes() * Math.max(1 / INITIAL_TOTAL_LIMIT, limit.attempts);
--- a/decisions/src/main/java/trailthread/EndpointDirectory.java
+++ b/decisions/src/main/java/trailthread/EndpointDirectory.java
@@ -64,7 +64,7 @@
 
     private void selectSubset(long now) {
         subsetSelector.select(now);
-        limiter.initialise();
+        limiter.setInitialLimits();
     }
 
     void pollTimerDue(long serial, long now) {
--- a/decisions/src/main/java/trailthread/FinalResponder.java
+++ b/decisions/src/main/java/trailthread/FinalResponder.java
@@ -3,7 +3,7 @@
 import trailthread.api.BalancerActions;
 import trailthread.api.Settings;
 
-/** Gives the final answer to requests that can't be served. */
+/** Rejects or fails requests that can't be served. */
 final class FinalResponder {
     private final ActiveSettings settings;
     private final BalancerActions actions;
@@ -15,10 +15,10 @@
         this.random = random;
     }
 
-    /** Refuses the request if its client may safely send it again, else fails it. */
-    void answer(Request request) {
+    /** Rejects the request if its client may safely send it again, else fails it. */
+    void rejectOrFail(Request request) {
         request.finished = true;
-        if (RetryPolicy.mayRefuse(request)) {
+        if (RetryPolicy.mayReject(request)) {
             actions.refuse(request.id, retryAfterNs());
         } else {
             actions.fail(request.id);
@@ -26,12 +26,12 @@
     }
 
     /**
-     * A random Retry-After, or 0 for none. Random, as clients that all came back at the same time
+     * The Retry-After, or 0 for none. It is random, as clients that all retried at the same time
      * would prolong the overload.
      */
     private long retryAfterNs() {
         Settings s = settings.get();
-        long spreadNs = random.jittered(s.maxRetryAfterNs / (1 + RandomSource.JITTER));
-        return s.retryAfter ? spreadNs : 0;
+        long randomNs = random.jittered(s.maxRetryAfterNs / (1 + RandomSource.JITTER));
+        return s.retryAfter ? randomNs : 0;
     }
 }
--- a/decisions/src/main/java/trailthread/InFlightTracker.java
+++ b/decisions/src/main/java/trailthread/InFlightTracker.java
@@ -87,7 +87,7 @@
     }
 
     /** Adds a new attempt to the request, and counts it as in flight. */
-    void begin(Request request, Endpoint endpoint, long now) {
+    void addAttempt(Request request, Endpoint endpoint, long now) {
         EndpointAttempts attempts = endpoint.inFlight;
         if (!attempts.isAwaitingResponse()) {
             attempts.silentSince = now;
@@ -102,7 +102,7 @@
     }
 
     /** Records the end of an attempt, with any outcome. */
-    void end(Attempt attempt, long now) {
+    void attemptEnded(Attempt attempt, long now) {
         EndpointAttempts attempts = attempt.endpoint.inFlight;
         boolean wasPresumedLost = !release(attempt);
         if (wasPresumedLost) {
--- a/decisions/src/main/java/trailthread/KeyAffinity.java
+++ b/decisions/src/main/java/trailthread/KeyAffinity.java
@@ -11,10 +11,10 @@
  *
  * <p>Weighted rendezvous hashing (Thaler and Ravishankar, 1998; Schindelhauer and Schomaker, 2005)
  * with bounded loads (Mirrokni et al., 2018): for each key, all nodes rank the endpoints in the
- * same order. An endpoint that is not open, or that has more than {@link #LOAD_BOUND} times its
- * fair share of this node's attempts in flight, is passed over for the next in that order. If a key
- * spilled over to random endpoints instead, each of them would have to load its data and would
- * evict that of other keys. Without the bound, popular keys would overload their endpoints.
+ * same order. The key's home is the first of them that is open and has less than {@link
+ * #LOAD_BOUND} times its fair share of this node's attempts in flight. If a key spilled over to
+ * random endpoints instead, each of them would have to load its data and would evict that of other
+ * keys. Without the bound, popular keys would overload their endpoints.
  */
 final class KeyAffinity {
     /**
@@ -67,18 +67,18 @@
     }
 
     /**
-     * The index of the endpoint for a key, or {@link #NONE} if no endpoint is open to it.
+     * The index of a key's home, or {@link #NONE} if no endpoint is open to the request.
      *
      * @param candidates which of the endpoints are open
      */
     int findHome(long key, List<Endpoint> endpoints, Candidates candidates) {
         WeightMeaning meaning = settings.get().weights;
         boolean byWeight = meaning == WeightMeaning.NOMINAL || meaning == WeightMeaning.ROUGH;
-        double inFlight = 1;
+        double totalInFlight = 1; // includes the attempt to be sent
         double totalSize = 0;
         for (int i = 0; i < endpoints.size(); i++) {
             if (candidates.isOpen(i)) {
-                inFlight += endpoints.get(i).inFlight.count();
+                totalInFlight += endpoints.get(i).inFlight.count();
                 totalSize += endpoints.get(i).size(byWeight);
             }
         }
@@ -88,7 +88,7 @@
             Endpoint endpoint = endpoints.get(i);
             double size = endpoint.size(byWeight);
             boolean withinBound =
-                    endpoint.inFlight.count() < LOAD_BOUND * inFlight * size / totalSize;
+                    endpoint.inFlight.count() < LOAD_BOUND * totalInFlight * size / totalSize;
             if (candidates.isOpen(i) && withinBound) {
                 double score = size / -Math.log(HashMixer.uniform(key ^ endpoint.hash));
                 home = score > highest ? i : home;
--- a/decisions/src/main/java/trailthread/LoadEstimator.java
+++ b/decisions/src/main/java/trailthread/LoadEstimator.java
@@ -40,7 +40,7 @@
     private final WorkloadMeans means;
 
     /** The responses of all endpoints together. */
-    private final LatencyStats all = new LatencyStats();
+    private final LatencyStats allEndpoints = new LatencyStats();
 
     /** The mean of latency less the service time that the endpoint reports, in nanoseconds. */
     private double queueingDelayNs;
@@ -52,7 +52,7 @@
 
     /** The responses of all endpoints together. */
     LatencyStats allEndpoints() {
-        return all;
+        return allEndpoints;
     }
 
     /**
@@ -78,7 +78,7 @@
         double driftNs = IDLE_DRIFT_DEADLINES * settings.longestDeadlineNs();
         int inFlight = attempt.inFlightAtSend;
         attempt.endpoint.latency.record(latencyNs, inFlight, objectiveNs, driftNs, now);
-        all.record(latencyNs, inFlight, objectiveNs, driftNs, now);
+        allEndpoints.record(latencyNs, inFlight, objectiveNs, driftNs, now);
     }
 
     /**
@@ -86,18 +86,21 @@
      */
     double latencyNs(Endpoint endpoint, long now) {
         LatencyStats stats = endpoint.latency;
-        if (all.latencyNs() == 0) {
+        if (allEndpoints.latencyNs() == 0) {
             return stats.latencyNs();
         }
         long reportedAt = endpoint.load.serviceTimeAt();
         if (stats.responses() == 0 && reportedAt == 0) {
-            return all.latencyNs();
+            return allEndpoints.latencyNs();
         }
         double prior = LatencyStats.PRIOR_RESPONSES;
-        double own = stats.recentResponses(now, means.objectiveNs());
+        double ownResponses = stats.recentResponses(now, means.objectiveNs());
         double sum =
-                own * stats.logLatency() + prior * (all.logLatency() + stats.relativeSlowness(all));
-        double count = own + prior;
+                ownResponses * stats.logLatency()
+                        + prior
+                                * (allEndpoints.logLatency()
+                                        + stats.relativeSlowness(allEndpoints));
+        double count = ownResponses + prior;
         if (reportedAt > 0) {
             double decayNs = LatencyStats.DECAY_OBJECTIVES * means.objectiveNs();
             double age = (now - reportedAt) / decayNs;
@@ -114,8 +117,8 @@
      * endpoints; 0: not known.
      */
     double idleNs(Endpoint endpoint) {
-        double own = endpoint.latency.idleNs();
-        return own > 0 ? own : all.idleNs();
+        double ownNs = endpoint.latency.idleNs();
+        return ownNs > 0 ? ownNs : allEndpoints.idleNs();
     }
 
     /**
--- a/decisions/src/main/java/trailthread/Lottery.java
+++ b/decisions/src/main/java/trailthread/Lottery.java
@@ -7,11 +7,11 @@
  * Draws an endpoint by lottery.
  *
  * <p>Lottery scheduling (Waldspurger and Weihl, OSDI 1994) as the SNS paper uses it (Fox et al.,
- * SOSP 1997, 3.1.2): an endpoint's tickets are inverse to its predicted time. If each node always
- * sent to the best endpoint, all nodes would send to the same one. Tickets are also in proportion
- * to the capacity of an endpoint in slow start, to the square of an endpoint's success rate (an
- * endpoint that fails responds fast and has a short queue), and to its capacity where that is below
- * one attempt.
+ * SOSP 1997, 3.1.2): an endpoint's tickets are inversely proportional to its predicted time. If
+ * each node always sent to the best endpoint, all nodes would send to the same one. Tickets are
+ * also in proportion to the capacity of an endpoint in slow start, to the square of an endpoint's
+ * success rate (an endpoint that fails responds fast and has a short queue), and to its capacity
+ * where that is below one attempt.
  */
 final class Lottery {
     /**
--- a/decisions/src/main/java/trailthread/OutlierDetector.java
+++ b/decisions/src/main/java/trailthread/OutlierDetector.java
@@ -64,8 +64,8 @@
             return failures >= FAILURES_TO_EJECT;
         }
 
-        /** Whether the endpoint was ejected for congestion and is still congested. */
-        boolean isCongested() {
+        /** Whether the endpoint was ejected for congestion and has not recovered since. */
+        boolean isSuspectForCongestion() {
             return congestedEjections > 0;
         }
 
@@ -170,7 +170,10 @@
                 && request.isIdempotent();
     }
 
-    /** Whether so many of this node's endpoints are suspect that none is avoided. */
+    /**
+     * Whether so many of this node's endpoints are suspect that ejected ones may be sent to as
+     * well.
+     */
     boolean isEjectionSuspended() {
         return isEjectionSuspendedWith(0);
     }
--- a/decisions/src/main/java/trailthread/PriorityPolicy.java
+++ b/decisions/src/main/java/trailthread/PriorityPolicy.java
@@ -6,9 +6,10 @@
 /**
  * Ranks requests by how much serving them adds to the goal per unit of work.
  *
- * <p>The goal is a weighted sum of three shares of priority weight that is served: of all requests,
- * of the worst-served class and of the worst-served tenant. If not all requests can be served,
- * those with the largest gain per unit of work go first (the greedy rule for a fractional knapsack:
+ * <p>The goal is a weighted sum of shares of priority weight that is served: of all requests, of
+ * the worst window of time, of the worst-served class and of the worst-served tenant. A gain in the
+ * worst window is taken to equal one over all requests. If not all requests can be served, those
+ * with the largest gain per unit of work go first (the greedy rule for a fractional knapsack:
  * Dantzig, 1957).
  */
 final class PriorityPolicy {
@@ -45,7 +46,7 @@
         if (tenant == null) {
             return;
         }
-        if (tenant.admitWithinQuota(settings.get().nodes, now)) {
+        if (tenant.countIfWithinQuota(settings.get().nodes, now)) {
             tenant.requested.add(now, request.weight);
         } else {
             request.weight *= settings.get().overQuotaWeight;
@@ -65,9 +66,9 @@
     }
 
     /**
-     * The weight that a request is expected to earn per unit of work. The probability that it still
-     * meets its objective is estimated as {@code x^3 / (1 + x^3)}, where x is the time left to the
-     * objective in mean latencies.
+     * The weight that a request is expected to earn per unit of work. The probability that the
+     * request still meets its objective is estimated as {@code x^3 / (1 + x^3)}, where x is the
+     * time left to the objective in mean latencies.
      */
     double weightPerWork(Request request, long now) {
         double latenciesLeft =
--- a/decisions/src/main/java/trailthread/ReportedLoad.java
+++ b/decisions/src/main/java/trailthread/ReportedLoad.java
@@ -49,8 +49,8 @@
      * The requests at the endpoint: the smoothed report plus this node's attempts since that are
      * still in flight.
      *
-     * @param inFlight this node's attempts in flight there. Reported requests in hand include
-     *     these, so these are a lower bound; a reported queue need not include them
+     * @param inFlight this node's attempts in flight there. A reported number of requests in flight
+     *     includes these, so they are a lower bound; a reported queue need not include them
      */
     double requests(int inFlight) {
         double corrected = smoothed + sentSinceReport;
--- a/decisions/src/main/java/trailthread/Request.java
+++ b/decisions/src/main/java/trailthread/Request.java
@@ -147,8 +147,8 @@
     }
 
     /**
-     * Whether a repeat at the endpoint does no harm: the endpoint shares the deduplication window
-     * of the first attempt that may have run, or the request needs no deduplication there.
+     * Whether one more attempt at the endpoint does no harm: the endpoint shares the deduplication
+     * window of the first attempt that may have run, or the request needs no deduplication there.
      */
     boolean isDeduplicatedAt(Endpoint endpoint) {
         if (attemptsSent == 0 || idempotency() != Idempotency.IDEMPOTENCY_KEY) {
--- a/decisions/src/main/java/trailthread/RequestQueue.java
+++ b/decisions/src/main/java/trailthread/RequestQueue.java
@@ -29,8 +29,8 @@
         private final boolean overQuota;
 
         /**
-         * Whether the lane holds retries. They are kept apart from first attempts, because not
-         * every open endpoint is open to a retry.
+         * Whether the lane holds retries. They are kept apart from first attempts, because a retry
+         * may not be sent to every endpoint that is open.
          */
         private final boolean retries;
 
@@ -50,7 +50,7 @@
                     && retries == request.attemptsSent() > 0;
         }
 
-        /** Whether every open endpoint is open to the requests of this lane. */
+        /** Whether the requests of this lane may be sent to every endpoint that is open. */
         boolean mayUseAnyOpenEndpoint() {
             return !retries && requests.peekLast().isIdempotent();
         }
@@ -60,29 +60,29 @@
     private final PriorityPolicy priorities;
     private final BalancerActions actions;
     private final RandomSource random;
-    private final RequestAction sendIfOpen;
-    private final RequestAction rejectIfLate;
+    private final RequestAction trySend;
+    private final RequestAction endIfTooLate;
     private final List<Lane> lanes = new ArrayList<>();
     private int size;
     private boolean releaseTimerSet;
 
     /**
-     * @param sendIfOpen sends a request, if an endpoint is open to it
-     * @param rejectIfLate answers a request, if it can no longer be served in time
+     * @param trySend sends a request, if an endpoint is open to it
+     * @param endIfTooLate rejects or fails a request, if it can no longer be served in time
      */
     RequestQueue(
             ActiveSettings settings,
             PriorityPolicy priorities,
             BalancerActions actions,
             RandomSource random,
-            RequestAction sendIfOpen,
-            RequestAction rejectIfLate) {
+            RequestAction trySend,
+            RequestAction endIfTooLate) {
         this.settings = settings;
         this.priorities = priorities;
         this.actions = actions;
         this.random = random;
-        this.sendIfOpen = sendIfOpen;
-        this.rejectIfLate = rejectIfLate;
+        this.trySend = trySend;
+        this.endIfTooLate = endIfTooLate;
     }
 
     boolean isEmpty() {
@@ -138,7 +138,7 @@
         List<Lane> blocked = new ArrayList<>();
         Lane best = bestLane(gain, blocked, now);
         while (best != null) {
-            if (sendIfOpen.apply(best.requests.peekLast(), now)) {
+            if (trySend.apply(best.requests.peekLast(), now)) {
                 best.requests.removeLast();
                 size--;
             } else if (best.mayUseAnyOpenEndpoint()) {
@@ -178,7 +178,8 @@
     }
 
     /**
-     * Removes finished requests from both ends of a lane, and rejects late requests at its new end.
+     * Removes finished requests from both ends of a lane, and rejects or fails the newest requests
+     * that are too late.
      */
     private void trim(Lane lane, long now) {
         ArrayDeque<Request> requests = lane.requests;
@@ -186,13 +187,14 @@
             requests.removeFirst();
             size--;
         }
-        while (!requests.isEmpty() && isDone(requests.peekLast(), now)) {
+        while (!requests.isEmpty() && isFinishedOrEnded(requests.peekLast(), now)) {
             requests.removeLast();
             size--;
         }
     }
 
-    private boolean isDone(Request request, long now) {
-        return request.finished || rejectIfLate.apply(request, now);
+    /** Whether the request is finished; rejects or fails it first if it is too late. */
+    private boolean isFinishedOrEnded(Request request, long now) {
+        return request.finished || endIfTooLate.apply(request, now);
     }
 }
--- a/decisions/src/main/java/trailthread/RetryPolicy.java
+++ b/decisions/src/main/java/trailthread/RetryPolicy.java
@@ -5,8 +5,8 @@
 import trailthread.api.Settings;
 
 /**
- * Decides whether a request may have one more attempt, how long to wait for it, and which final
- * answer a request gets that can't be served.
+ * Decides whether a request may have one more attempt, how long to wait for it, and whether a
+ * request that can't be served is rejected or fails.
  *
  * <p>A request that may have run is retried only if that is harmless: it is idempotent, or has an
  * idempotency key, is still within the deduplication window and goes to an endpoint that shares it.
@@ -16,8 +16,8 @@
     private static final double TIMEOUT_LATENCIES = 5;
 
     /**
-     * Mean latencies that must be left for a retry after a time-out. With less time left, a
-     * time-out would only give up the attempt.
+     * Mean latencies that must be left for a retry after a timeout. With less time left, a timeout
+     * would only give up the attempt.
      */
     private static final double RETRY_LATENCIES = 2;
 
@@ -67,7 +67,7 @@
      * How long to wait for an attempt that has just been sent, in nanoseconds; 0: until the client
      * gives up. Prevents an endpoint that accepts requests but never responds from holding a
      * request until its deadline. Only an attempt of a request that can still be retried has a
-     * time-out.
+     * timeout.
      */
     long timeoutNs(Request request, Endpoint endpoint, long now) {
         boolean canRetry =
@@ -87,10 +87,10 @@
     }
 
     /**
-     * Whether the final answer may be a refusal, after which clients may send the request again;
-     * else it is a failure.
+     * Whether a request that can't be served may be rejected, after which its client may send it
+     * again; else it fails.
      */
-    static boolean mayRefuse(Request request) {
+    static boolean mayReject(Request request) {
         return request.isIdempotent()
                 || request.firstAttemptThatMayHaveRun() == null
                 || (request.idempotency() == Idempotency.IDEMPOTENCY_KEY
--- a/decisions/src/main/java/trailthread/SlowStart.java
+++ b/decisions/src/main/java/trailthread/SlowStart.java
@@ -95,6 +95,7 @@
             startingEndpoints += share < 1 ? 1 : 0;
         }
         double servedPerNs = served.value(now) / s.overloadWindowNs / Math.max(1, allCapacity);
+        // At least one request of any node to each endpoint in the time of a mean objective.
         double tokensPerNs =
                 Math.max(
                         USED_CAPACITY_SHARE * s.overloadMultiple * startingCapacity * servedPerNs,
--- a/decisions/src/main/java/trailthread/SubsetSelector.java
+++ b/decisions/src/main/java/trailthread/SubsetSelector.java
@@ -123,7 +123,7 @@
     private boolean isHealthy(Endpoint endpoint, long now) {
         double usualNs = estimator.allEndpoints().latencyNs();
         boolean slow =
-                endpoint.health.isCongested()
+                endpoint.health.isSuspectForCongestion()
                         || estimator.latencyNs(endpoint, now)
                                 > OutlierDetector.CONGESTED_LATENCIES * usualNs;
         return endpoint.isReady() && !endpoint.health.isFailing() && !slow;
--- a/decisions/src/main/java/trailthread/TenantStats.java
+++ b/decisions/src/main/java/trailthread/TenantStats.java
@@ -16,9 +16,10 @@
     }
 
     /**
-     * Counts an arrival, and returns whether it is within this node's part of the tenant's quota.
+     * Returns whether an arrival is within this node's part of the tenant's quota, and counts it if
+     * it is.
      */
-    boolean admitWithinQuota(int nodes, long now) {
+    boolean countIfWithinQuota(int nodes, long now) {
         double quota = tenant.quotaPerSecond() / nodes * arrivals.spanNs() / 1e9;
         boolean within = arrivals.value(now) < quota;
         arrivals.add(now, within ? 1 : 0);
--- a/decisions/src/main/java/trailthread/api/BalancerActions.java
+++ b/decisions/src/main/java/trailthread/api/BalancerActions.java
@@ -11,8 +11,8 @@
      *
      * @param timeoutNs how long to wait for the end of the attempt; 0: until the client gives up
      * @param writeDeadline when, by the clock of the events, the request must have been written; no
-     *     byte of it may be written later. A host that does not write at once checks its clock
-     *     first, and reports {@link Outcome#NOT_SENT} if it is too late
+     *     byte of it may be written then or later. A host that does not write at once checks its
+     *     clock first, and reports {@link Outcome#NOT_SENT} if it is too late
      */
     void send(long id, long timeoutNs, long writeDeadline, String endpoint);
 
--- a/decisions/src/main/java/trailthread/api/Outcome.java
+++ b/decisions/src/main/java/trailthread/api/Outcome.java
@@ -2,17 +2,17 @@
 
 /** How one attempt or health check ended. */
 public enum Outcome {
-    /** Answered with success. */
+    /** The endpoint responded with success. */
     OK(true),
-    /** Answered with an error. */
+    /** The endpoint responded with an error. */
     ERROR(true),
     /** Rejected by the endpoint, unprocessed. */
     REJECTED(false),
-    /** Not answered in time. */
+    /** No response in time. */
     TIMEOUT(true),
-    /** No connection could be made. */
+    /** No connection could be made, or it broke before the request's last byte was written. */
     CONNECT_FAILED(false),
-    /** The connection broke with the attempt in flight. */
+    /** The connection broke, or the response was malformed, after the request was written. */
     RESET(true),
     /** Cancelled by this node. */
     CANCELLED(true),
--- a/decisions/src/test/java/trailthread/AdmissionControllerTest.java
+++ b/decisions/src/test/java/trailthread/AdmissionControllerTest.java
@@ -54,7 +54,7 @@
         assertEquals(NOW + 1000 * MS, admissions.sendableUntil(prompt, NOW));
     }
 
-    /** The deduplication window of 300 ms less the connect time-out of 200 ms. */
+    /** The deduplication window of 300 ms less the connect timeout of 200 ms. */
     @Test
     void aRequestThatMayHaveRunIsSendableWithinItsDeduplicationWindow() {
         Request prompt = modules.request("prompt");
--- a/decisions/src/test/java/trailthread/AttemptRecorderTest.java
+++ b/decisions/src/test/java/trailthread/AttemptRecorderTest.java
@@ -58,7 +58,7 @@
         assertEquals(1, a.latency.responses());
     }
 
-    /** One time-out may be a lost response; a second one in a row shows congestion. */
+    /** One timeout may be a lost response; a second one in a row shows congestion. */
     @Test
     void onlyTimeoutsAfterTheFirstInARowCountAsLatency() {
         attemptEndsIn(Outcome.TIMEOUT, 500 * MS);
--- a/decisions/src/test/java/trailthread/ConcurrencyLimiterTest.java
+++ b/decisions/src/test/java/trailthread/ConcurrencyLimiterTest.java
@@ -18,7 +18,7 @@
 
     private List<Endpoint> start(double sharingNodes, String... names) {
         List<Endpoint> endpoints = modules.useSubset(sharingNodes, names);
-        limiter.initialise();
+        limiter.setInitialLimits();
         limiter.updateTotal(NOW);
         return endpoints;
     }
--- a/decisions/src/test/java/trailthread/FinalResponderTest.java
+++ b/decisions/src/test/java/trailthread/FinalResponderTest.java
@@ -20,7 +20,7 @@
     private Request answered(String requestClass, Outcome outcome) {
         Request request = modules.request(requestClass);
         modules.attempt(request, WiredModules.endpoint("a", 0), outcome, NOW);
-        responder.answer(request);
+        responder.rejectOrFail(request);
         return request;
     }
 
--- a/decisions/src/test/java/trailthread/InFlightTrackerTest.java
+++ b/decisions/src/test/java/trailthread/InFlightTrackerTest.java
@@ -43,7 +43,7 @@
         }
         Attempt answered = modules.begin(endpoint, now);
         answered.outcome = Outcome.OK;
-        inFlight.end(answered, now + 20 * MS);
+        inFlight.attemptEnded(answered, now + 20 * MS);
         inFlight.recordResponse(answered);
         assertCounts(0, 0, now + 20 * MS);
     }
@@ -53,7 +53,7 @@
         modules.begin(endpoint, NOW);
         Attempt later = modules.begin(endpoint, NOW + MS);
         later.outcome = Outcome.OK;
-        inFlight.end(later, NOW + 20 * MS);
+        inFlight.attemptEnded(later, NOW + 20 * MS);
         inFlight.recordResponse(later);
         assertCounts(1, 0, NOW + 100 * MS - 1);
         assertCounts(0, 0, NOW + 100 * MS);
@@ -65,10 +65,10 @@
         Attempt lost = modules.begin(endpoint, NOW);
         Attempt streaming = modules.begin(endpoint, NOW + 49 * MS);
         assertCounts(1, 1, NOW + 50 * MS);
-        inFlight.end(lost, NOW + 60 * MS);
+        inFlight.attemptEnded(lost, NOW + 60 * MS);
         assertCounts(1, 0, NOW + 60 * MS);
         inFlight.release(streaming);
-        inFlight.end(streaming, NOW + 70 * MS);
+        inFlight.attemptEnded(streaming, NOW + 70 * MS);
         assertCounts(0, 0, NOW + 70 * MS);
         assertEquals(0, endpoint.load.requests(0));
     }
@@ -76,7 +76,7 @@
     @Test
     void noAttemptIsPresumedLostWhileNoLatencyIsKnown() {
         InFlightTracker fresh = new InFlightTracker(modules.active, new WorkloadMeans(200 * MS));
-        fresh.begin(modules.request(0), endpoint, NOW);
+        fresh.addAttempt(modules.request(0), endpoint, NOW);
         fresh.releaseLost(NOW + 1000 * SECOND);
         assertEquals(1, fresh.total());
     }
--- a/decisions/src/test/java/trailthread/LoadEstimatorTest.java
+++ b/decisions/src/test/java/trailthread/LoadEstimatorTest.java
@@ -73,7 +73,7 @@
     void latencyOfASlowEndpointWithoutAttemptsDecaysToIdle() {
         modules.recordResponses(a, 50, 20 * MS, NOW);
         modules.recordResponses(a, 30, 500 * MS, NOW);
-        modules.inFlight.end(modules.begin(a, NOW), NOW);
+        modules.inFlight.attemptEnded(modules.begin(a, NOW), NOW);
         assertTrue(latencyMs(a, NOW) > 400, "" + latencyMs(a, NOW));
         assertEquals(
                 latencyMs(a, NOW), timePerRequestMs(a, NOW + 500 * MS), 0.1); // half a deadline
--- a/decisions/src/test/java/trailthread/LostResponseTest.java
+++ b/decisions/src/test/java/trailthread/LostResponseTest.java
@@ -8,7 +8,7 @@
 import org.junit.Test;
 import trailthread.api.Outcome;
 
-/** How a time-out and a lost response change the treatment of an endpoint. */
+/** How a timeout and a lost response change the treatment of an endpoint. */
 public class LostResponseTest {
     private final ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 7);
 
@@ -43,7 +43,7 @@
     }
 
     /**
-     * A congested endpoint that no longer responds shows it only by time-outs, so those after the
+     * A congested endpoint that no longer responds shows it only by timeouts, so those after the
      * first must count.
      */
     @Test
--- a/decisions/src/test/java/trailthread/ModuleFixture.java
+++ b/decisions/src/test/java/trailthread/ModuleFixture.java
@@ -81,7 +81,7 @@
     /** Begins an attempt of a new idempotent request. */
     Attempt begin(Endpoint endpoint, long now) {
         Request request = request(0);
-        inFlight.begin(request, endpoint, now);
+        inFlight.addAttempt(request, endpoint, now);
         return request.lastAttempt();
     }
 
--- a/decisions/src/test/java/trailthread/OutlierDetectorTest.java
+++ b/decisions/src/test/java/trailthread/OutlierDetectorTest.java
@@ -46,7 +46,7 @@
         assertFalse(outliers.permits(endpoint, unsafe, halfOpen));
         Attempt trial = modules.begin(endpoint, halfOpen);
         assertFalse(outliers.permits(endpoint, idempotent, halfOpen));
-        modules.inFlight.end(trial, halfOpen);
+        modules.inFlight.attemptEnded(trial, halfOpen);
         outliers.recordSuccess(endpoint);
         assertTrue(outliers.permits(endpoint, unsafe, halfOpen));
     }
--- a/decisions/src/test/java/trailthread/RetryPolicyTest.java
+++ b/decisions/src/test/java/trailthread/RetryPolicyTest.java
@@ -48,7 +48,7 @@
         assertTrue(modules.retries.permitsAttempt(requestAfter("unsafe", Outcome.REJECTED), NOW));
         assertFalse(modules.retries.permitsAttempt(requestAfter("unsafe", Outcome.RESET), NOW));
         Request keyed = requestAfter("shared", Outcome.RESET);
-        long lastConnect = NOW + 300 * MS; // the window less the connect time-out
+        long lastConnect = NOW + 300 * MS; // the window less the connect timeout
         assertTrue(modules.retries.permitsAttempt(keyed, lastConnect - 1));
         assertFalse(modules.retries.permitsAttempt(keyed, lastConnect));
         assertEquals(NOW + 400 * MS, modules.retries.writeDeadline(keyed));
@@ -74,7 +74,7 @@
         assertTrue(modules.retries.acquireRetry(requestAfter("safe", Outcome.REJECTED), NOW));
     }
 
-    /** The time-out is five latencies of 20 ms, if two more are left for a retry. */
+    /** The timeout is five latencies of 20 ms, if two more are left for a retry. */
     @Test
     void anIdempotentAttemptTimesOutInTimeForARetry() {
         modules.means.recordLatency(20 * MS);
@@ -91,10 +91,10 @@
     /** After a refusal the client may send the request again, to any endpoint. */
     @Test
     void aRequestThatMayHaveRunIsRefusedOnlyIfItsClientMaySendItAgain() {
-        assertTrue(RetryPolicy.mayRefuse(requestAfter("safe", Outcome.ERROR)));
-        assertTrue(RetryPolicy.mayRefuse(requestAfter("shared", Outcome.ERROR)));
-        assertFalse(RetryPolicy.mayRefuse(requestAfter("keyed", Outcome.ERROR)));
-        assertFalse(RetryPolicy.mayRefuse(requestAfter("unsafe", Outcome.ERROR)));
-        assertTrue(RetryPolicy.mayRefuse(requestAfter("unsafe", Outcome.CONNECT_FAILED)));
+        assertTrue(RetryPolicy.mayReject(requestAfter("safe", Outcome.ERROR)));
+        assertTrue(RetryPolicy.mayReject(requestAfter("shared", Outcome.ERROR)));
+        assertFalse(RetryPolicy.mayReject(requestAfter("keyed", Outcome.ERROR)));
+        assertFalse(RetryPolicy.mayReject(requestAfter("unsafe", Outcome.ERROR)));
+        assertTrue(RetryPolicy.mayReject(requestAfter("unsafe", Outcome.CONNECT_FAILED)));
     }
 }
--- a/decisions/src/test/java/trailthread/TenantStatsTest.java
+++ b/decisions/src/test/java/trailthread/TenantStatsTest.java
@@ -16,20 +16,20 @@
 
     @Test
     void eachNodeAdmitsItsPartOfTheQuota() {
-        assertTrue(tenant.admitWithinQuota(NODES, NOW));
-        assertTrue(tenant.admitWithinQuota(NODES, NOW));
-        assertFalse(tenant.admitWithinQuota(NODES, NOW));
+        assertTrue(tenant.countIfWithinQuota(NODES, NOW));
+        assertTrue(tenant.countIfWithinQuota(NODES, NOW));
+        assertFalse(tenant.countIfWithinQuota(NODES, NOW));
     }
 
     /** After a span, 2 / e = 0.74 are left of two: two more fit, whatever was over the quota. */
     @Test
     void arrivalsOverTheQuotaDoNotUseItUp() {
         for (int i = 0; i < 100; i++) {
-            tenant.admitWithinQuota(NODES, NOW);
+            tenant.countIfWithinQuota(NODES, NOW);
         }
         long later = NOW + 1000 * MS;
-        assertTrue(tenant.admitWithinQuota(NODES, later));
-        assertTrue(tenant.admitWithinQuota(NODES, later));
-        assertFalse(tenant.admitWithinQuota(NODES, later));
+        assertTrue(tenant.countIfWithinQuota(NODES, later));
+        assertTrue(tenant.countIfWithinQuota(NODES, later));
+        assertFalse(tenant.countIfWithinQuota(NODES, later));
     }
 }
--- a/decisions/src/test/java/trailthread/WiredModules.java
+++ b/decisions/src/test/java/trailthread/WiredModules.java
@@ -73,7 +73,7 @@
     /** Makes these endpoints the subset, each shared by {@code sharingNodes} nodes. */
     void useSubset(double sharingNodes, Endpoint... endpoints) {
         subset.replace(List.of(endpoints), sharingNodes);
-        limiter.initialise();
+        limiter.setInitialLimits();
         limiter.updateTotal(NOW);
     }
 
@@ -98,11 +98,11 @@
 
     /** Sends an attempt, and ends it with an outcome unless that is null. */
     Attempt attempt(Request request, Endpoint endpoint, Outcome outcome, long now) {
-        inFlight.begin(request, endpoint, now);
+        inFlight.addAttempt(request, endpoint, now);
         Attempt attempt = request.lastAttempt();
         if (outcome != null) {
             request.endAttempt(attempt, outcome);
-            inFlight.end(attempt, now);
+            inFlight.attemptEnded(attempt, now);
         }
         return attempt;
     }
--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptExchange.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptExchange.java
@@ -37,13 +37,15 @@
     private final EndpointRequest request;
     private final AttemptListener listener;
     private final long startedAt;
-    private final long deadline;
+
+    /** When the attempt times out, unless it streams a body. */
+    private final long timeoutAt;
 
     /** No byte of the request may be written then or later. */
     private final long writeDeadline;
 
-    private XnioExecutor.Key timeout;
-    private XnioExecutor.Key connectTimeout;
+    private XnioExecutor.Key timeoutTimer;
+    private XnioExecutor.Key connectTimer;
 
     /** Cancels the connect that is in progress, or null. */
     private Runnable cancelConnect;
@@ -72,7 +74,7 @@
         this.request = request;
         this.listener = listener;
         startedAt = loop.now();
-        deadline = startedAt + timeoutNs;
+        timeoutAt = startedAt + timeoutNs;
         this.writeDeadline = writeDeadline;
     }
 
@@ -84,13 +86,13 @@
             endAttempt(Outcome.CONNECT_FAILED);
             return;
         }
-        timeout = loop.schedule(deadline - loop.now(), this::handleTimeout);
+        timeoutTimer = loop.schedule(timeoutAt - loop.now(), this::handleTimeout);
         HttpConnection idle = connections.takeIdle(endpoint);
         if (idle != null) {
             sendOn(idle);
             return;
         }
-        connectTimeout =
+        connectTimer =
                 loop.scheduleAfterReading(
                         connections.connectTimeoutNs(), () -> endAttempt(Outcome.CONNECT_FAILED));
         cancelConnect = connections.connect(endpoint, this::connectCompleted);
@@ -104,9 +106,9 @@
     private void connectCompleted(HttpConnection opened) {
         cancelConnect = null;
         if (ended) {
-            return; // a reached connection limit is reported even if the connect was cancelled
+            return; // the pool reports a reached connection limit even after a cancelled connect
         }
-        connectTimeout.remove();
+        connectTimer.remove();
         if (opened == null) {
             endAttempt(Outcome.CONNECT_FAILED);
         } else {
@@ -117,7 +119,7 @@
     private void sendOn(HttpConnection target) {
         boolean maySend = connections.maySend(endpoint, request.isHealthCheck());
         long now = loop.now();
-        if (!maySend || now >= deadline || !mayWriteRequest() || !listener.isResponseWanted()) {
+        if (!maySend || now >= timeoutAt || !mayWriteRequest() || !listener.isResponseWanted()) {
             // Checked right before the write, as these may have happened since the balancer decided
             // on the attempt: the endpoint drains, the deduplication window has passed, or the
             // client has disconnected.
@@ -128,7 +130,7 @@
         connection = target;
         sentAt = now;
         long timeLeftNs =
-                request.bodySource() == null ? deadline - now : request.timeoutAfterBodyNs();
+                request.bodySource() == null ? timeoutAt - now : request.timeoutAfterBodyNs();
         RequestEncoder head = request.encoder(endpoint.hostPort, timeLeftNs);
         if (request.bodySource() != null) {
             target.send(
@@ -186,7 +188,7 @@
         sentAt = loop.now(); // the time to send a long body is not part of the endpoint's latency
         if (request.bodySource() != null && !isStreaming() && !ended) {
             cancelTimeout();
-            timeout = loop.schedule(request.timeoutAfterBodyNs(), this::handleTimeout);
+            timeoutTimer = loop.schedule(request.timeoutAfterBodyNs(), this::handleTimeout);
         }
         listener.requestSent();
     }
@@ -271,7 +273,7 @@
     }
 
     private void cancelTimeout() {
-        timeout = cancelTimer(timeout);
+        timeoutTimer = cancelTimer(timeoutTimer);
     }
 
     /** Cancels a timer unless it is null. Returns null, to be assigned to the timer's field. */
@@ -304,7 +306,7 @@
             response.close(outcome == Outcome.OK);
         }
         cancelTimeout();
-        connectTimeout = cancelTimer(connectTimeout);
+        connectTimer = cancelTimer(connectTimer);
         if (cancelConnect != null) {
             cancelConnect.run();
         }
--- a/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/AttemptResponse.java
@@ -54,8 +54,8 @@
 
     private boolean sinkHasCapacity;
     private long lastPieceAt;
-    private XnioExecutor.Key bufferTimeout;
-    private XnioExecutor.Key silenceTimeout;
+    private XnioExecutor.Key bufferTimer;
+    private XnioExecutor.Key silenceTimer;
 
     /**
      * Creates a response whose head has been received.
@@ -106,7 +106,7 @@
             return; // the body of a failed attempt is not used
         }
         if (bufferedBytes == 0 && !isStreaming() && length == UNKNOWN_LENGTH) {
-            bufferTimeout = loop.schedule(MAX_BUFFERED_NS, this::startStreaming);
+            bufferTimer = loop.schedule(MAX_BUFFERED_NS, this::startStreaming);
         }
         if (!isStreaming() && fitsBuffer(piece)) {
             buffer(piece);
@@ -141,7 +141,7 @@
      * @return whether the attempt has not ended
      */
     private boolean startStreaming() {
-        bufferTimeout = AttemptExchange.cancelTimer(bufferTimeout);
+        bufferTimer = AttemptExchange.cancelTimer(bufferTimer);
         EndpointResponse start = new EndpointResponse(head.status(), forwardedHeaders, NO_BYTES);
         sink = listener.streamingStarted(start, length, head.load(), this::resumeStreaming);
         if (sink == null) {
@@ -149,7 +149,7 @@
             return false;
         }
         attempt.streamingStarted();
-        silenceTimeout = loop.schedule(MAX_SILENCE_NS, this::resetIfSilent);
+        silenceTimer = loop.schedule(MAX_SILENCE_NS, this::resetIfSilent);
         if (bufferedBytes > 0) {
             ByteBuffer buffered = ByteBuffer.wrap(buffer, 0, bufferedBytes);
             buffer = NO_BYTES;
@@ -180,7 +180,7 @@
         if (silentNs >= MAX_SILENCE_NS) {
             attempt.endAttempt(Outcome.RESET);
         } else {
-            silenceTimeout = loop.schedule(MAX_SILENCE_NS - silentNs, this::resetIfSilent);
+            silenceTimer = loop.schedule(MAX_SILENCE_NS - silentNs, this::resetIfSilent);
         }
     }
 
@@ -196,7 +196,7 @@
         } else if (isStreaming()) {
             sink.abortBody();
         }
-        bufferTimeout = AttemptExchange.cancelTimer(bufferTimeout);
-        silenceTimeout = AttemptExchange.cancelTimer(silenceTimeout);
+        bufferTimer = AttemptExchange.cancelTimer(bufferTimer);
+        silenceTimer = AttemptExchange.cancelTimer(silenceTimer);
     }
 }
--- a/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
@@ -83,10 +83,10 @@
      *
      * @param endpointIdleNs how long an endpoint keeps an idle connection open, in nanoseconds
      */
-    void setTimeouts(long connectTimeout, long endpointIdleNs, long graceNs) {
-        connectTimeoutNs = connectTimeout;
+    void setTimeouts(long connectTimeoutNs, long endpointIdleNs, long drainGraceNs) {
+        this.connectTimeoutNs = connectTimeoutNs;
         keepIdleNs = (long) (IDLE_TIME_FRACTION * endpointIdleNs);
-        drainGraceNs = ListLease.usableGraceNs(graceNs);
+        this.drainGraceNs = ListLease.usableGraceNs(drainGraceNs);
     }
 
     long connectTimeoutNs() {
@@ -228,8 +228,8 @@
         }
     }
 
-    private boolean isExpired(IdleConnection connection) {
-        return loop.now() - connection.connection.idleSince() >= keepIdleNs;
+    private boolean isExpired(IdleConnection candidate) {
+        return loop.now() - candidate.connection.idleSince() >= keepIdleNs;
     }
 
     /** Closes up to this many idle connections to any endpoints, those idle longest first. */
@@ -255,19 +255,19 @@
         close(idle.iterator().next());
     }
 
-    private void close(IdleConnection connection) {
-        remove(connection);
-        connection.connection.close();
+    private void close(IdleConnection closing) {
+        remove(closing);
+        closing.connection.close();
     }
 
-    private void remove(IdleConnection connection) {
-        PooledEndpoint endpoint = connection.endpoint;
-        // usually the last connection is removed, which a search from the start would find last
-        if (endpoint.idleConnections.peekLast() == connection) {
+    private void remove(IdleConnection removed) {
+        PooledEndpoint endpoint = removed.endpoint;
+        // usually the last connection is removed; a search from the start would reach it last
+        if (endpoint.idleConnections.peekLast() == removed) {
             endpoint.idleConnections.pollLast();
         } else {
-            endpoint.idleConnections.remove(connection);
+            endpoint.idleConnections.remove(removed);
         }
-        idle.remove(connection);
+        idle.remove(removed);
     }
 }
--- a/engine/src/main/java/trailthread/engine/http/ResponseListener.java
+++ b/engine/src/main/java/trailthread/engine/http/ResponseListener.java
@@ -29,7 +29,8 @@
     void responseCompleted();
 
     /**
-     * The response is malformed or the connection has ended; the connection is closed.
+     * The response is malformed, the connection has ended, or the request may not be written any
+     * more; the connection is closed.
      *
      * @param reason a predicate whose subject is the server, such as "breaks the connection"
      */
--- a/engine/src/main/java/trailthread/engine/metrics/MetricsRecorder.java
+++ b/engine/src/main/java/trailthread/engine/metrics/MetricsRecorder.java
@@ -46,7 +46,7 @@
      *
      * @param latencyNs -1 if the endpoint's latency can't be told from the lateness of the node's
      *     own loop
-     * @param load the load report that came with the answer, or null
+     * @param load the load report that came with the response, or null
      */
     void attemptEnded(String endpoint, Outcome outcome, long latencyNs, LoadReport load);
 
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -15,7 +15,7 @@
 import trailthread.engine.metrics.RequestResult;
 
 /**
- * One client request, from its admission to its answer and the end of its last attempt. The
+ * One client request, from its admission until it is answered and its last attempt has ended. The
  * balancer decides on each attempt; one is in flight at a time.
  */
 final class ActiveRequest {
@@ -41,10 +41,10 @@
     /** The attempt in flight, or null. */
     private AttemptExchange attemptInFlight;
 
-    /** No answer may be sent any more: one was sent or started, or the client has disconnected. */
+    /** The response has been started, or the client has disconnected: no response may follow. */
     private boolean finished;
 
-    /** The answer is being streamed to the client, while the attempt is still in flight. */
+    /** The response is being streamed to the client, while the attempt is still in flight. */
     private boolean streaming;
 
     ActiveRequest(
@@ -93,7 +93,7 @@
 
     /**
      * Starts a timer that fires after the balancer's own timer and the attempt's timeout. Prevents
-     * a request that the balancer has lost from staying open for ever.
+     * a request that the balancer never answers from staying open for ever.
      */
     private void startDeadlineTimer(long timeLeftNs) {
         deadlineTimer =
@@ -185,7 +185,10 @@
         }
     }
 
-    /** Restarts the timer, as the deadline counts from the streamed body's last byte, just sent. */
+    /**
+     * Restarts the deadline timer once the last byte of a streamed body has been sent, as the
+     * client's time counts from then.
+     */
     private void restartDeadlineTimer() {
         if (!finished) {
             deadlineTimer.remove();
@@ -194,8 +197,8 @@
     }
 
     /**
-     * Tells the balancer that the client gets the first byte, so that it makes no further attempt,
-     * and delivers the head's load report like that of a health check.
+     * Tells the balancer that the client gets the first byte, so that the balancer makes no further
+     * attempt, and delivers the head's load report like that of a health check.
      */
     private void deliverFirstByte(String endpoint, int attempt, LoadReport load) {
         driver.deliver(this, (balancer, now) -> balancer.firstByte(now, id, attempt));
@@ -206,21 +209,21 @@
     }
 
     /**
-     * Passes a successful answer on to the client at once, and then the outcome to the balancer,
+     * Passes a successful response on to the client at once, and then the outcome to the balancer,
      * which may retry a failed attempt.
      */
     private void handleAttemptEnd(String endpoint, int attempt, AttemptResult result) {
         boolean succeeded = result.outcome() == Outcome.OK;
         metrics.attemptEnded(endpoint, result.outcome(), result.latencyNs(), result.load());
         if (streaming) {
-            recordAnswer(succeeded ? RequestResult.SERVED : RequestResult.FAILED);
+            recordResult(succeeded ? RequestResult.SERVED : RequestResult.FAILED);
         }
         if (succeeded && !finished) {
             finish();
-            recordAnswer(RequestResult.SERVED);
+            recordResult(RequestResult.SERVED);
             response.respond(result.response());
         }
-        boolean closed = finished;
+        boolean requestFinished = finished;
         driver.deliver(
                 this,
                 (balancer, now) ->
@@ -230,7 +233,7 @@
                                 attempt,
                                 result.outcome(),
                                 result.latencyNs(),
-                                closed,
+                                requestFinished,
                                 result.load()));
         releaseIfDone();
     }
@@ -240,10 +243,10 @@
      *
      * @param retryAfterNs when to retry; 0: no advice
      */
-    void refuse(long retryAfterNs) {
+    void reject(long retryAfterNs) {
         if (!finished) {
             finish();
-            recordAnswer(RequestResult.REFUSED);
+            recordResult(RequestResult.REFUSED);
             response.reject(retryAfterNs);
             releaseIfDone();
         }
@@ -253,15 +256,16 @@
     void fail() {
         if (!finished) {
             finish();
-            recordAnswer(RequestResult.FAILED);
+            recordResult(RequestResult.FAILED);
             response.fail();
             releaseIfDone();
         }
     }
 
     /**
-     * Handles the client's disconnect: no answer is sent. An attempt whose request has been sent
-     * continues, as the endpoint processes the request anyway.
+     * Handles the client's disconnect: no response is started. An attempt whose request has been
+     * sent continues, as the endpoint processes the request anyway, unless a body is being streamed
+     * from or to the client.
      */
     void clientDisconnected() {
         if (!finished) {
@@ -283,12 +287,15 @@
         }
     }
 
-    /** Returns whether no answer may be sent any more. */
+    /** Returns whether the response has been started, or the client has disconnected. */
     boolean isFinished() {
         return finished;
     }
 
-    /** Cancels the attempt in flight of a request that was answered before the attempt ended. */
+    /**
+     * Cancels the attempt in flight of a request that was answered before the attempt ended. The
+     * balancer is told that the client has disconnected, so it makes no further attempt.
+     */
     void abandon() {
         clientDisconnected();
         cancel(attempts - 1);
@@ -305,7 +312,7 @@
         }
     }
 
-    private void recordAnswer(RequestResult result) {
+    private void recordResult(RequestResult result) {
         metrics.requestAnswered(
                 client.requestClass(), result, dispatcher.now() - admittedAt, queuedNs);
     }
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequests.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequests.java
@@ -11,18 +11,18 @@
     private final Map<Long, ActiveRequest> byId = new HashMap<>();
 
     /** The correlation ids of these requests, by which endpoints recognize duplicates. */
-    private final Set<String> clientIds = new HashSet<>();
+    private final Set<String> correlationIds = new HashSet<>();
 
-    void add(long id, String clientId, ActiveRequest request) {
+    void add(long id, String correlationId, ActiveRequest request) {
         byId.put(id, request);
-        clientIds.add(clientId);
+        correlationIds.add(correlationId);
     }
 
     /** Removes a request; returns whether it was present. */
-    boolean remove(long id, String clientId, ActiveRequest request) {
+    boolean remove(long id, String correlationId, ActiveRequest request) {
         boolean removed = byId.remove(id, request);
         if (removed) {
-            clientIds.remove(clientId);
+            correlationIds.remove(correlationId);
         }
         return removed;
     }
@@ -32,8 +32,8 @@
         return byId.get(id);
     }
 
-    boolean hasClientId(String clientId) {
-        return clientIds.contains(clientId);
+    boolean hasCorrelationId(String correlationId) {
+        return correlationIds.contains(correlationId);
     }
 
     boolean isEmpty() {
--- a/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
+++ b/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
@@ -56,7 +56,7 @@
         this.discovery = discovery;
     }
 
-    /** Stops delivering timers that fire to the balancer. */
+    /** Stops the delivery of due timers to the balancer. */
     void stopTimers() {
         timersStopped = true;
     }
@@ -73,7 +73,7 @@
     public void refuse(long id, long retryAfterNs) {
         ActiveRequest request = requests.get(id);
         if (request != null) {
-            request.refuse(retryAfterNs);
+            request.reject(retryAfterNs);
         }
     }
 
--- a/engine/src/main/java/trailthread/engine/request/BalancerDriver.java
+++ b/engine/src/main/java/trailthread/engine/request/BalancerDriver.java
@@ -9,7 +9,8 @@
 
 /**
  * Delivers events to the balancer. The actions that it requests while it handles an event are
- * queued and run after the event, in order: the balancer must not be called from within an event.
+ * queued and run after the event, in order: the balancer must not be called while it handles an
+ * event.
  */
 final class BalancerDriver {
     private static final Logger LOG = LoggerFactory.getLogger(BalancerDriver.class);
--- a/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
@@ -39,7 +39,7 @@
     /** The latest deadline of any request, by {@link EventLoop#now}. */
     private long latestDeadline = Long.MAX_VALUE;
 
-    /** Gives up the open requests; null until {@link #setAnswerDeadlines}. */
+    /** Fires when all open requests are given up; null until {@link #setAnswerDeadlines}. */
     private XnioExecutor.Key giveUpTimer;
 
     /** Runs once the last request has ended after {@link #retire}; null before that. */
@@ -83,6 +83,7 @@
      */
     public void applySettings(Settings settings) {
         applyTimeouts(settings);
+        // Not an event, but run like one, so that an exception is logged.
         driver.deliver((events, now) -> balancer.retune(now, settings));
     }
 
@@ -189,13 +190,13 @@
     }
 
     @Override
-    public boolean isOpen(String clientId) {
-        return requests.hasClientId(clientId);
+    public boolean isOpen(String correlationId) {
+        return requests.hasCorrelationId(correlationId);
     }
 
     /** Releases a finished request without an attempt in flight; a second call does nothing. */
-    void release(ActiveRequest request, long id, String clientId) {
-        if (requests.remove(id, clientId, request)) {
+    void release(ActiveRequest request, long id, String correlationId) {
+        if (requests.remove(id, correlationId, request)) {
             request.notifyReleased();
             finishRetiring();
         }
--- a/engine/src/main/java/trailthread/engine/request/RequestHandler.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestHandler.java
@@ -3,7 +3,7 @@
 /** Handles the requests that clients send. */
 public interface RequestHandler {
     /**
-     * Handles a request that has been received. The answer is given to {@code response} by the
+     * Handles a request that has been received. It is answered through {@code response} by the
      * deadline, unless the client disconnects first.
      *
      * @param deadline when the client stops waiting: Unix time in nanoseconds, by the loop's clock
@@ -15,5 +15,5 @@
      * Returns whether a request with this correlation id is open. A second request with the same id
      * must not be handled while the first one is open.
      */
-    boolean isOpen(String clientId);
+    boolean isOpen(String correlationId);
 }
