--- a/decisions/src/main/java/trailthread/ListPollSchedule.java
+++ b/decisions/src/main/java/trailthread/ListPollSchedule.java
@@ -69,8 +69,8 @@
         if (wasQueued && failedQueuedPolls > 0) {
             schedulePoll((0.5 + random.uniform()) * backoffNs());
         } else {
-            // At fixed intervals, also after the first queued poll that fails: whenever discovery
-            // comes back, the polls of all nodes arrive evenly spread.
+            // Polls at fixed intervals, also after the first queued poll that fails: whenever
+            // discovery comes back, the polls of all nodes arrive evenly spread.
             double spread = watching ? random.uniform() : 1;
             schedulePoll(Math.max(0, spread * retryNs() - waitedNs));
         }
@@ -96,8 +96,8 @@
     }
 
     /**
-     * Records a list, and schedules the first poll if the list must be polled and there is no
-     * watch.
+     * Records that a list was received, and schedules the first poll if the list must be polled and
+     * there is no watch.
      */
     void listReceived(ListKind kind) {
         pollSentAt = Long.MAX_VALUE;
--- a/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
+++ b/engine/src/main/java/trailthread/engine/endpoint/ConnectionPool.java
@@ -195,7 +195,7 @@
         limit.release();
     }
 
-    /** Returns a connection to the pool, or closes it if it cannot carry another request. */
+    /** Returns a connection to the pool, or closes it if it cannot or must not be kept idle. */
     void release(PooledEndpoint endpoint, HttpConnection connection) {
         if (!endpoint.listed || !limit.mayKeepIdle()) {
             connection.close();
--- a/engine/src/main/java/trailthread/engine/http/HttpConnection.java
+++ b/engine/src/main/java/trailthread/engine/http/HttpConnection.java
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Sends a request. Not to be called before the response to the request before is complete.
+     * Sends a request. Must not be called before the response to the previous request is complete.
      *
      * @param maxBodyBytes a response with a longer body is malformed
      */
--- a/engine/src/main/java/trailthread/engine/http/StreamedRequestBody.java
+++ b/engine/src/main/java/trailthread/engine/http/StreamedRequestBody.java
@@ -88,7 +88,10 @@
         return ByteBuffer.allocate(length).put(sizeBytes).put(CRLF).put(piece).put(CRLF).flip();
     }
 
-    /** Returns whether the socket accepted all bytes; if not, the rest is buffered. */
+    /**
+     * Returns whether the socket accepted all bytes; if not, the rest is buffered. The bytes are
+     * dropped once the connection is closed or a write has failed.
+     */
     private boolean writeOrBuffer(ByteBuffer bytes) {
         if (writer.isClosed() || writeFailed) {
             return !writeFailed;
--- a/engine/src/main/java/trailthread/engine/loop/EventLoop.java
+++ b/engine/src/main/java/trailthread/engine/loop/EventLoop.java
@@ -34,8 +34,8 @@
     private static final int POOLED_BUFFERS_PER_THREAD = 16;
 
     /**
-     * A timeout that runs at least this late waits until the ready sockets have been served. After
-     * a longer time without a known poll, an empty task makes the next poll known.
+     * A timeout that runs at least this late waits until the ready sockets have been served. If no
+     * poll is known for longer than this, an empty task makes the next poll known.
      */
     private static final long LATE_NS = 4_000_000L;
 
@@ -157,9 +157,8 @@
         }
         scheduleWakeUp(timers.nextTickAt());
         if (latency.unpolledNs(System.nanoTime()) > LATE_NS) {
-            // The empty task's pipe is ready in the next poll, which latency thus learns of.
-            // Prevents
-            // idle time after a long task from being recorded as lateness.
+            // The empty task makes its pipe ready, so the next poll is known. Prevents idle time
+            // after a long task from being recorded as lateness.
             afterSockets(() -> {});
         }
     }
--- a/engine/src/main/java/trailthread/engine/loop/SocketPass.java
+++ b/engine/src/main/java/trailthread/engine/loop/SocketPass.java
@@ -53,9 +53,8 @@
         tasks.add(task);
         if (tasks.size() == 1) {
             try {
-                sink.write(
-                        ByteBuffer.allocate(
-                                1)); // always fits, as the pipe never holds more than one byte
+                // always fits, as the pipe never holds more than one byte
+                sink.write(ByteBuffer.allocate(1));
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
--- a/engine/src/main/java/trailthread/engine/pool/QuotaReleasingResponse.java
+++ b/engine/src/main/java/trailthread/engine/pool/QuotaReleasingResponse.java
@@ -27,7 +27,7 @@
         this.bufferedBytes = bufferedBytes;
     }
 
-    /** Records that the request holds one of the quota of open requests. */
+    /** Records that the request holds one unit of the quota of open requests. */
     void countAsOpen() {
         countsAsOpen = true;
     }
@@ -54,9 +54,9 @@
 
     @Override
     public ByteSink beginStreaming(
-            EndpointResponse head, long length, Runnable onWritable, Runnable onDisconnect) {
+            EndpointResponse head, long length, Runnable onCapacity, Runnable onDisconnect) {
         return new QuotaReleasingSink(
-                response.beginStreaming(head, length, onWritable, onDisconnect));
+                response.beginStreaming(head, length, onCapacity, onDisconnect));
     }
 
     @Override
--- a/engine/src/main/java/trailthread/engine/request/ClientResponse.java
+++ b/engine/src/main/java/trailthread/engine/request/ClientResponse.java
@@ -17,13 +17,13 @@
      *
      * @param head status and headers, without a body
      * @param length the length of the body in bytes; -1: not known
-     * @param onWritable runs when more bytes can be written to the client, after the returned sink
+     * @param onCapacity runs when more bytes can be written to the client, after the returned sink
      *     had no capacity
      * @param onDisconnect runs if the client disconnects before the end of the body
      * @return receives the body
      */
     ByteSink beginStreaming(
-            EndpointResponse head, long length, Runnable onWritable, Runnable onDisconnect);
+            EndpointResponse head, long length, Runnable onCapacity, Runnable onDisconnect);
 
     /**
      * Checks whether the client is still connected. If it has disconnected, the disconnect callback
