--- a/decisions/src/test/java/trailthread/EndpointChoiceTest.java
+++ b/decisions/src/test/java/trailthread/EndpointChoiceTest.java
@@ -155,7 +155,7 @@
         String[] words = s.transcript.substring(before.length()).split("[ \n]");
         List<String> sent = List.of(words);
         long safeTimeOut = Long.parseLong(sent.get(sent.indexOf(Long.toString(safe)) + 1));
-        assertTrue(safeTimeOut >= 60 * MS && safeTimeOut <= 400 * MS, "time-out " + safeTimeOut);
+        assertTrue(safeTimeOut >= 60 * MS && safeTimeOut <= 400 * MS, "timeout " + safeTimeOut);
         assertEquals("0", sent.get(sent.lastIndexOf(Long.toString(unsafe)) + 1));
     }
 
--- a/decisions/src/test/java/trailthread/ManyNodesTest.java
+++ b/decisions/src/test/java/trailthread/ManyNodesTest.java
@@ -125,7 +125,7 @@
                 burstAfter(400 * MS, Outcome.OK) < burstAfter(20 * MS, Outcome.OK),
                 "slow responses");
         int failing = burstAfter(600 * MS, Outcome.ERROR);
-        assertTrue(burstAfter(600 * MS, Outcome.TIMEOUT) < failing, "time-outs");
+        assertTrue(burstAfter(600 * MS, Outcome.TIMEOUT) < failing, "timeouts");
     }
 
     /**
--- a/engine/src/test/java/trailthread/engine/degradation/ReadingsTest.java
+++ b/engine/src/test/java/trailthread/engine/degradation/ReadingsTest.java
@@ -33,9 +33,8 @@
 
     @Test
     public void anEndpointIsFailingIfOverAThirdOfItsLastAttemptsFailedQuickly() {
-        // A letter for each attempt: o OK, e error, c connect failed, r reset, t timeout, f
-        // rejected,
-        // m not sent, s slow error, u error of unknown latency.
+        // A letter for each attempt: o OK, e error, c connect failed, r reset, t timeout,
+        // f rejected, m not sent, s slow error, u error of unknown latency.
         Object[][] cases = {
             {"", 0.0},
             {"e", 0.0},
