--- a/daemon/src/main/java/trailthread/daemon/Drain.java
+++ b/daemon/src/main/java/trailthread/daemon/Drain.java
@@ -82,7 +82,7 @@
     public boolean resume() {
         if (draining && !shuttingDown) {
             draining = false;
-            LOG.info("drain ended: clients are served again");
+            LOG.info("drain ended: ready for clients again");
             listener.closeAfterResponse(false);
             listener.setDrained(false);
         }
--- a/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
+++ b/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
@@ -127,9 +127,8 @@
                 ShutdownPlan.of(longestDeadlineNs, latenessNs));
         LOG.info("{} is shutting down, begun {} ms after SIGTERM", name, beginsAfterNs / NS_PER_MS);
         logPlan(latenessNs);
-        // Goes through afterSockets only to load its code now: a late timer that fails open
-        // requests
-        // needs it, and loading it then would use up the margin before the kill.
+        // Uses afterSockets only to load its code now: a late timer that fails open requests needs
+        // it, and loading it then would use up the margin before the kill.
         loop.afterSockets(this::replan);
     }
 
