--- a/daemon/src/main/java/trailthread/daemon/Drain.java
+++ b/daemon/src/main/java/trailthread/daemon/Drain.java
@@ -8,8 +8,8 @@
 
 /**
  * Drains a node: moves its clients to other nodes while it keeps running, until it is resumed. A
- * draining node is not ready but keeps accepting connections, as the front end needs one to poll
- * its readiness. Runs on the loop's thread.
+ * draining node is not ready but keeps accepting connections, as the platform's front end polls its
+ * readiness over a connection. Runs on the loop's thread.
  */
 public final class Drain implements NodeControl {
     private static final Logger LOG = LoggerFactory.getLogger(Drain.class);
@@ -18,15 +18,15 @@
      * When responses begin to close their connections. Earlier, the front end may not have learned
      * of the drain, and clients whose connections were closed would reconnect to this node.
      */
-    private static final long CLOSE_WITH_RESPONSES_AFTER_NS = 400_000_000L;
+    private static final long CLOSE_AFTER_RESPONSES_DELAY_NS = 400_000_000L;
 
     /**
-     * When idle connections begin to be closed. This comes last, as a request that is on its way
-     * may be lost with such a connection, but not if the connection closes with a response.
+     * When unused connections begin to be closed. This comes last: a client whose request is on its
+     * way to such a connection must send it again, but not if a response closes the connection.
      */
-    private static final long CLOSE_IDLE_AFTER_NS = 1_500_000_000L;
+    private static final long CLOSE_UNUSED_DELAY_NS = 1_500_000_000L;
 
-    private static final long CLOSE_IDLE_INTERVAL_NS = 100_000_000L;
+    private static final long CLOSE_UNUSED_INTERVAL_NS = 100_000_000L;
 
     private final EventLoop loop;
     private final HttpListener listener;
@@ -57,24 +57,24 @@
         int number = drainNumber;
         LOG.info("drain started: clients are moved to other nodes");
         listener.setDrained(true);
-        loop.schedule(CLOSE_WITH_RESPONSES_AFTER_NS, () -> closeWithResponses(number));
-        loop.schedule(CLOSE_IDLE_AFTER_NS, () -> closeIdle(number));
+        loop.schedule(CLOSE_AFTER_RESPONSES_DELAY_NS, () -> closeAfterResponses(number));
+        loop.schedule(CLOSE_UNUSED_DELAY_NS, () -> closeUnused(number));
     }
 
     private boolean isInProgress(int number) {
         return draining && !shuttingDown && number == drainNumber;
     }
 
-    private void closeWithResponses(int number) {
+    private void closeAfterResponses(int number) {
         if (isInProgress(number)) {
-            listener.closeAfterResponse(true);
+            listener.setCloseAfterResponse(true);
         }
     }
 
-    private void closeIdle(int number) {
+    private void closeUnused(int number) {
         if (isInProgress(number)) {
             listener.closeUnused();
-            loop.schedule(CLOSE_IDLE_INTERVAL_NS, () -> closeIdle(number));
+            loop.schedule(CLOSE_UNUSED_INTERVAL_NS, () -> closeUnused(number));
         }
     }
 
@@ -83,7 +83,7 @@
         if (draining && !shuttingDown) {
             draining = false;
             LOG.info("drain ended: clients are served again");
-            listener.closeAfterResponse(false);
+            listener.setCloseAfterResponse(false);
             listener.setDrained(false);
         }
         return !shuttingDown;
@@ -94,7 +94,7 @@
         shuttingDown = true;
     }
 
-    /** Whether the node shuts down. */
+    /** Whether the node is shutting down. */
     boolean isShuttingDown() {
         return shuttingDown;
     }
--- a/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
+++ b/daemon/src/main/java/trailthread/daemon/GracefulShutdown.java
@@ -33,7 +33,7 @@
      * How long the process waits, past the longest deadline, for clients that read their last
      * response slowly, if it is not killed.
      */
-    private static final long LAST_RESPONSES_NS = 1_700_000_000L;
+    private static final long LAST_RESPONSES_GRACE_NS = 1_700_000_000L;
 
     /** How often the node checks whether the plan must be brought forward. */
     private static final long PLAN_INTERVAL_NS = 25_000_000L;
@@ -46,19 +46,19 @@
     private final OpenRequests requests;
 
     /** The longest deadline by the current settings. */
-    private volatile long currentDeadlineNs;
+    private volatile long longestCurrentDeadlineNs;
 
     /**
      * The longest deadline of all settings since the start: requests keep the deadline they were
      * admitted with.
      */
-    private volatile long longestDeadlineNs;
+    private volatile long longestDeadlineSinceStartNs;
 
     /** When SIGTERM arrived, by the loop's clock in nanoseconds. */
-    private long requestedAt;
+    private long sigtermAt;
 
     /** Counted down once all connections are closed. */
-    private CountDownLatch done;
+    private CountDownLatch allClosed;
 
     /** Whether other processes accept from the listening socket, too. */
     private boolean shared;
@@ -72,8 +72,8 @@
     /** The timers of the plan's steps; some may have run. */
     private final List<XnioExecutor.Key> stepTimers = new ArrayList<>();
 
-    /** Whether the listening socket is closing. */
-    private boolean closing;
+    /** Whether the listener has begun to close. */
+    private boolean listenerClosing;
 
     /** Creates the shutdown of the node that serves with this listener. */
     public GracefulShutdown(
@@ -89,47 +89,51 @@
      * several threads at once.
      */
     public void setLongestDeadline(long deadlineNs) {
-        currentDeadlineNs = deadlineNs;
-        longestDeadlineNs = Math.max(longestDeadlineNs, deadlineNs);
+        longestCurrentDeadlineNs = deadlineNs;
+        longestDeadlineSinceStartNs = Math.max(longestDeadlineSinceStartNs, deadlineNs);
     }
 
     /**
-     * Shuts the node down. Returns once all requests are answered or out of time.
+     * Shuts the node down. Returns once all connections are closed, or the longest deadline and a
+     * grace period have passed.
      *
-     * @param name the node's, for the log
+     * @param name the node's name, for the log
      */
-    public void await(String name) throws InterruptedException {
-        // Read before the task runs, which may be late: the time to a kill counts from now.
-        long requestedAt = loop.now();
-        CountDownLatch done = new CountDownLatch(1);
-        loop.execute(() -> begin(name, requestedAt, done));
-        boolean allEnded = done.await(longestDeadlineNs + LAST_RESPONSES_NS, TimeUnit.NANOSECONDS);
+    public void run(String name) throws InterruptedException {
+        // The time to a kill counts from now, not from when the loop runs the task, which may be
+        // late.
+        long sigtermAt = loop.now();
+        CountDownLatch allClosed = new CountDownLatch(1);
+        loop.execute(() -> begin(name, sigtermAt, allClosed));
+        boolean closedInTime =
+                allClosed.await(
+                        longestDeadlineSinceStartNs + LAST_RESPONSES_GRACE_NS,
+                        TimeUnit.NANOSECONDS);
         LOG.info(
                 "{} exits {} ms after SIGTERM, {}",
                 name,
-                millisecondsSince(requestedAt),
-                allEnded ? "all connections closed" : "connections still open");
+                millisecondsSince(sigtermAt),
+                closedInTime ? "all connections closed" : "connections still open");
     }
 
-    private void begin(String name, long requestedAt, CountDownLatch done) {
-        this.requestedAt = requestedAt;
-        this.done = done;
-        long beginsAfterNs = loop.now() - requestedAt;
+    private void begin(String name, long sigtermAt, CountDownLatch allClosed) {
+        this.sigtermAt = sigtermAt;
+        this.allClosed = allClosed;
+        long begunAfterNs = loop.now() - sigtermAt;
         drain.setShuttingDown();
         listener.setReady(false);
-        // If another process accepts for this node, clients reach it as soon as they reconnect.
+        // If another process accepts for this node, clients that reconnect reach that process.
         shared = listener.stopAcceptingIfShared();
         long latenessNs = latenessNs();
-        // The platform does not say whether a reload changes the deadlines it counts by, so new
-        // requests are planned by the newest ones.
+        // The platform does not say whether it counts the time to a kill by reloaded deadlines, so
+        // the plan for new requests uses the current ones.
         applyPlans(
-                ShutdownPlan.of(currentDeadlineNs, latenessNs),
-                ShutdownPlan.of(longestDeadlineNs, latenessNs));
-        LOG.info("{} is shutting down, begun {} ms after SIGTERM", name, beginsAfterNs / NS_PER_MS);
+                ShutdownPlan.of(longestCurrentDeadlineNs, latenessNs),
+                ShutdownPlan.of(longestDeadlineSinceStartNs, latenessNs));
+        LOG.info("{} is shutting down, begun {} ms after SIGTERM", name, begunAfterNs / NS_PER_MS);
         logPlan(latenessNs);
-        // Goes through afterSockets only to load its code now: a late timer that fails open
-        // requests
-        // needs it, and loading it then would use up the margin before the kill.
+        // Uses afterSockets only to load the code of that method now: a late timer that fails open
+        // requests needs it, and loading it then would use up the margin before the kill.
         loop.afterSockets(this::replan);
     }
 
@@ -138,18 +142,18 @@
     }
 
     /**
-     * Brings the plan forward if the loop has become later, as other processes have become busy, or
-     * if a reload has shortened deadlines.
+     * Brings the plan forward if the lateness of the loop has grown, as other processes have become
+     * busy, or if a reload has shortened deadlines.
      */
     private void replan() {
         long latenessNs = latenessNs();
-        ShutdownPlan next = ShutdownPlan.of(currentDeadlineNs, latenessNs);
+        ShutdownPlan next = ShutdownPlan.of(longestCurrentDeadlineNs, latenessNs);
         if (next.isEarlierThan(plan)) {
-            ShutdownPlan nextForAll = ShutdownPlan.of(longestDeadlineNs, latenessNs);
+            ShutdownPlan nextForAll = ShutdownPlan.of(longestDeadlineSinceStartNs, latenessNs);
             applyPlans(next, ShutdownPlan.earlier(planForAll, nextForAll));
             logPlan(latenessNs);
         }
-        if (loop.now() < requestedAt + planForAll.answeredNs()) {
+        if (loop.now() < sigtermAt + planForAll.answeredNs()) {
             loop.schedule(PLAN_INTERVAL_NS, this::replan);
         }
     }
@@ -158,16 +162,16 @@
         plan = newPlan;
         planForAll = newPlanForAll;
         requests.setAnswerDeadlines(
-                requestedAt + plan.answeredNs(), requestedAt + planForAll.answeredNs());
+                sigtermAt + plan.answeredNs(), sigtermAt + planForAll.answeredNs());
         cancelSteps();
-        stepTimers.add(runAt(closeWithResponsesNs(), () -> listener.closeAfterResponse(true)));
-        if (!closing) {
-            stepTimers.add(runAt(plan.closeNs(), this::close));
+        stepTimers.add(runAt(closeAfterResponsesNs(), () -> listener.setCloseAfterResponse(true)));
+        if (!listenerClosing) {
+            stepTimers.add(runAt(plan.closeListenerNs(), this::closeListener));
         }
     }
 
-    private long closeWithResponsesNs() {
-        return shared ? 0 : plan.closeWithResponsesNs();
+    private long closeAfterResponsesNs() {
+        return shared ? 0 : plan.closeAfterResponsesNs();
     }
 
     private void logPlan(long latenessNs) {
@@ -175,8 +179,8 @@
                 "shutdown plan, in ms after SIGTERM: responses close their connections from {},"
                         + " the listening socket closes at {}, new requests are answered by {},"
                         + " earlier ones by {}; the loop is up to {} ms late",
-                closeWithResponsesNs() / NS_PER_MS,
-                plan.closeNs() / NS_PER_MS,
+                closeAfterResponsesNs() / NS_PER_MS,
+                plan.closeListenerNs() / NS_PER_MS,
                 plan.answeredNs() / NS_PER_MS,
                 planForAll.answeredNs() / NS_PER_MS,
                 latenessNs / NS_PER_MS);
@@ -187,18 +191,18 @@
         stepTimers.clear();
     }
 
-    private XnioExecutor.Key runAt(long afterRequestNs, Runnable step) {
-        return loop.schedule(requestedAt + afterRequestNs - loop.now(), step);
+    private XnioExecutor.Key runAt(long afterSigtermNs, Runnable step) {
+        return loop.schedule(sigtermAt + afterSigtermNs - loop.now(), step);
     }
 
-    private void close() {
-        closing = true;
+    private void closeListener() {
+        listenerClosing = true;
         LOG.info(
                 "the listening socket closes {} ms after SIGTERM, planned {}; connections {}",
-                millisecondsSince(requestedAt),
-                plan.closeNs() / NS_PER_MS,
+                millisecondsSince(sigtermAt),
+                plan.closeListenerNs() / NS_PER_MS,
                 listener.connectionsByState());
-        listener.close(done::countDown);
+        listener.close(allClosed::countDown);
     }
 
     private long millisecondsSince(long time) {
--- a/daemon/src/main/java/trailthread/daemon/Lifecycle.java
+++ b/daemon/src/main/java/trailthread/daemon/Lifecycle.java
@@ -5,14 +5,14 @@
 import java.util.concurrent.CompletableFuture;
 import org.slf4j.LoggerFactory;
 
-/** The life of the process: its start, its signal handlers and its end. */
+/** The start of the process, its signal handlers and its exit. */
 public final class Lifecycle {
     /** Starts serving requests. */
     public interface StartTask {
         /**
          * Returns once the start is under way.
          *
-         * @throws IOException if it can't
+         * @throws IOException if the node can't be started
          */
         void run() throws IOException;
     }
@@ -26,9 +26,9 @@
     private Lifecycle() {}
 
     /**
-     * Sets system properties that shorten the start. Must be called before any logger is made. XNIO
-     * would register MBeans, which loads hundreds of classes; the dates in the log would load the
-     * data of all locales; and the logging provider, and translations of its messages, would be
+     * Sets system properties that shorten the start. Must be called before any logger is created.
+     * XNIO would register MBeans, which loads hundreds of classes; the dates in the log would load
+     * the data of all locales; and the logging provider, and translations of its messages, would be
      * searched for in every jar.
      */
     public static void setSystemProperties() {
--- a/daemon/src/main/java/trailthread/daemon/LoopbackWarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/LoopbackWarmUp.java
@@ -74,7 +74,7 @@
     /** Opening a connection is warmed up as well: many clients connect at once after a restart. */
     private static final int REQUESTS_PER_CONNECTION = 2;
 
-    /** Rejecting a request is warmed up as well: so many clients at once exceed the capacity. */
+    /** Rejecting a request is warmed up as well: many clients at once exceed the capacity. */
     private static final int REQUESTS_PER_REJECTION = 3;
 
     private static final int MAX_CONNECTIONS = 16;
@@ -141,8 +141,8 @@
     void start(InetSocketAddress ownAddress, Start start, Runnable whenDone) {
         this.start = start;
         this.whenDone = whenDone;
-        boolean untilLoadIsKnown = start.probing() || start.replacesProcess();
-        endsAt = start.startedAt() + (untilLoadIsKnown ? IDLE_FLEET_NS : UNKNOWN_FLEET_NS);
+        boolean mayTakeLonger = start.probing() || start.replacesProcess();
+        endsAt = start.startedAt() + (mayTakeLonger ? IDLE_FLEET_NS : UNKNOWN_FLEET_NS);
         setSelfAsEndpoint(ownAddress);
         sendNext();
     }
--- a/daemon/src/main/java/trailthread/daemon/Node.java
+++ b/daemon/src/main/java/trailthread/daemon/Node.java
@@ -217,10 +217,11 @@
 
     /**
      * Shuts the node down gracefully: keeps serving for a while, then finishes the requests in
-     * flight. Returns once all are answered or out of time.
+     * flight. Returns once all connections are closed, or the longest deadline and a grace period
+     * have passed.
      */
     void stop() throws InterruptedException {
-        shutdown.await(config.name());
+        shutdown.run(config.name());
     }
 
     @Override
--- a/daemon/src/main/java/trailthread/daemon/ShutdownPlan.java
+++ b/daemon/src/main/java/trailthread/daemon/ShutdownPlan.java
@@ -3,19 +3,23 @@
 /**
  * The times of the steps of a graceful shutdown, in nanoseconds after SIGTERM.
  *
- * @param closeWithResponsesNs from then on, each response closes its connection
- * @param closeNs when the listening socket is closed
+ * @param closeAfterResponsesNs from then on, each response closes its connection
+ * @param closeListenerNs when the listener is closed: its listening socket, then its connections
  * @param answeredNs by then every request is answered, as the process may be killed soon after
  */
-record ShutdownPlan(long closeWithResponsesNs, long closeNs, long answeredNs) {
-    /** How long new connections may still arrive, as the front end learns of the shutdown late. */
+record ShutdownPlan(long closeAfterResponsesNs, long closeListenerNs, long answeredNs) {
+    /**
+     * How long new connections may still arrive, as the platform's front end learns of the shutdown
+     * late.
+     */
     private static final long KEEP_SERVING_NS = 700_000_000L;
 
     /**
      * How long before the listening socket is closed, responses begin to close their connections.
-     * Kept short: in a rolling restart, clients that reconnect meet a node that has just started.
+     * Kept short: in a rolling restart, clients that reconnect may reach a node that has only just
+     * started.
      */
-    private static final long CLOSE_WITH_RESPONSES_NS = 150_000_000L;
+    private static final long CLOSE_AFTER_RESPONSES_NS = 150_000_000L;
 
     /**
      * The platform kills the process {@link #KEEP_SERVING_NS} plus the longest deadline after
@@ -41,8 +45,9 @@
         long marginNs = MARGIN_NS + Math.min(latenessNs, MARGIN_NS);
         long answeredNs = KEEP_SERVING_NS + deadlineNs - marginNs;
         // The last requests to be accepted have at least half of their deadline left.
-        long closeNs = Math.min(KEEP_SERVING_NS, answeredNs - deadlineNs / 2);
-        return new ShutdownPlan(closeNs - CLOSE_WITH_RESPONSES_NS, closeNs, answeredNs);
+        long closeListenerNs = Math.min(KEEP_SERVING_NS, answeredNs - deadlineNs / 2);
+        return new ShutdownPlan(
+                closeListenerNs - CLOSE_AFTER_RESPONSES_NS, closeListenerNs, answeredNs);
     }
 
     /** Whether this plan is earlier than another by enough to replace it. */
--- a/daemon/src/main/java/trailthread/daemon/listener/ClientConnection.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ClientConnection.java
@@ -73,7 +73,7 @@
         return connection.isOpen();
     }
 
-    /** Records that the request on this connection has ended. */
+    /** Records that the response to the current request has been written. */
     void markUnused(long now) {
         unusedSince = now;
         receivingSince = NO_BYTES;
--- a/daemon/src/main/java/trailthread/daemon/listener/ClientConnections.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/ClientConnections.java
@@ -15,9 +15,8 @@
  *
  * <p>No request is lost to such a close: {@link #closeUnlessReceiving}, the only place where a
  * connection is closed between requests, first reads the available bytes. While many connections
- * are idle, and while the node drains, responses end their connections (Connection: close): the
- * client learns of it before it sends another request. docs/restarts.md describes what a client
- * sees.
+ * are idle, and while the node drains, responses close their connections (Connection: close), which
+ * tells the client before it sends another request. docs/restarts.md describes what a client sees.
  */
 final class ClientConnections {
     /**
@@ -53,7 +52,7 @@
     private static final double ZERO_SHARE = 0;
 
     /**
-     * When idle connections exceed this share of the limit, responses end their connections. Busy
+     * When idle connections exceed this share of the limit, responses close their connections. Busy
      * connections do not count, nor do ones that became idle just now: many concurrent requests
      * cost less on connections that are already open.
      */
@@ -122,7 +121,7 @@
     /**
      * Records that a request's head has arrived; returns the deadline of the rest of the message.
      */
-    long requestStarted(ClientConnection client) {
+    long headArrived(ClientConnection client) {
         long now = loop.now();
         boolean first = silent.remove(client);
         idle.remove(client);
@@ -156,8 +155,8 @@
         notifyIfNoneOpen();
     }
 
-    /** Whether the response to the request on this connection must end the connection. */
-    boolean shouldEndWithResponse(ClientConnection client) {
+    /** Whether the connection must be closed after the response to its current request. */
+    boolean shouldCloseAfterResponse(ClientConnection client) {
         if (closeAfterResponse) {
             return true;
         }
@@ -167,8 +166,8 @@
                 && idle.holdsFairShare(client.owner());
     }
 
-    /** Sets whether every response ends its connection. */
-    void closeAfterResponse(boolean enabled) {
+    /** Sets whether every connection is closed after its next response. */
+    void setCloseAfterResponse(boolean enabled) {
         closeAfterResponse = enabled;
     }
 
@@ -181,9 +180,9 @@
 
     /**
      * Closes all connections: unused ones as soon as they have had time to send a request, the
-     * others after their responses, see {@link #closeAfterResponse}.
+     * others after their responses, see {@link #setCloseAfterResponse}.
      *
-     * @param onNoneOpen runs when no connection is left. If it ran earlier, the end of the process
+     * @param onNoneOpen runs when no connection is left. If it ran earlier, the process's exit
      *     would reset connections with unread requests.
      */
     void closeAll(Runnable onNoneOpen) {
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpListener.java
@@ -18,8 +18,8 @@
 import trailthread.engine.metrics.MetricsRecorder;
 
 /**
- * Accepts clients' HTTP connections, closes them when they are unused or the node stops, and tracks
- * whether the node is ready for clients.
+ * Accepts clients' HTTP connections, closes them when they are unused or the node shuts down, and
+ * tracks whether the node is ready for clients.
  */
 public final class HttpListener {
     private static final int MAX_HEADER_BYTES = 16 * 1024;
@@ -53,18 +53,18 @@
      * Makes a listener; {@link #listen} or {@link #listenOnInherited} follows.
      *
      * @param maxConnections how many connections may be open; further ones wait to be accepted
-     * @param maxClientConnections how many connections clients with requests may hold; unused
+     * @param maxActiveClients how many connections clients with requests may hold; unused
      *     connections are closed when open ones exceed shares of it
      */
     public HttpListener(
             EventLoop loop,
             int maxConnections,
-            int maxClientConnections,
+            int maxActiveClients,
             RequestFrontend frontend,
             MetricsRecorder metrics) {
         this.loop = loop;
         this.maxConnections = maxConnections;
-        connections = new ClientConnections(loop, maxClientConnections);
+        connections = new ClientConnections(loop, maxActiveClients);
         receiver = new RequestReceiver(loop, connections, frontend, this::isReady, metrics);
     }
 
@@ -83,8 +83,8 @@
 
     /**
      * Accepts from an inherited listening socket, which other processes also hold, and closes the
-     * address opened before. The inherited socket is never closed here, as Java would close the
-     * process's log with it.
+     * listening socket opened before. The inherited socket is never closed here, as Java would then
+     * detach the standard streams, and the log with them.
      *
      * @throws IOException if the socket can't be accepted from
      */
@@ -100,7 +100,7 @@
     /**
      * Stops accepting if other processes accept from the same socket.
      *
-     * @return whether they do
+     * @return whether other processes accept from it
      */
     public boolean stopAcceptingIfShared() {
         if (shared) {
@@ -181,13 +181,13 @@
      * Sets whether connections are closed after their next response, so that clients connect to
      * another node.
      */
-    public void closeAfterResponse(boolean enabled) {
-        connections.closeAfterResponse(enabled);
+    public void setCloseAfterResponse(boolean enabled) {
+        connections.setCloseAfterResponse(enabled);
     }
 
     /**
      * Stops accepting, and closes the open connections: idle ones at once, the others after their
-     * responses.
+     * responses, see {@link #setCloseAfterResponse}.
      *
      * @param onClosed runs when no connection is open any more
      */
--- a/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/HttpResponseWriter.java
@@ -38,7 +38,7 @@
     private final Runnable stopBody;
 
     /** The response has started, or the client disconnected before it could. */
-    private boolean answered;
+    private boolean respondedOrDisconnected;
 
     /** Runs if the client disconnects; null before {@link #watchForDisconnect}. */
     private Runnable onDisconnect;
@@ -50,9 +50,9 @@
      * Makes a writer for an exchange.
      *
      * @param forwardsEndpointHeaders whether the client gets the endpoint's headers
-     * @param isLastOnConnection whether the connection ends with this response
-     * @param memory where memory for pipelined bytes is reserved that exceed a pooled buffer
-     * @param onReleased runs once no part of the request is held any more
+     * @param isLastOnConnection whether the connection is closed after this response
+     * @param memory where memory is reserved for pipelined bytes that exceed a pooled buffer
+     * @param onReleased runs once no part of the request is in use any more
      * @param stopBody runs before a response to a request whose body is incomplete
      */
     HttpResponseWriter(
@@ -125,10 +125,10 @@
     }
 
     private void start(int status) {
-        if (answered) {
+        if (respondedOrDisconnected) {
             throw new IllegalStateException("a request must have one response");
         }
-        answered = true;
+        respondedOrDisconnected = true;
         if (!exchange.isRequestComplete()) {
             stopBody.run();
             Connectors.terminateRequest(exchange);
@@ -165,7 +165,7 @@
      * @param onDisconnect runs if the client disconnects before the response has started
      */
     void watchForDisconnect(Runnable onDisconnect) {
-        if (answered) {
+        if (respondedOrDisconnected) {
             return;
         }
         this.onDisconnect = onDisconnect;
@@ -179,7 +179,7 @@
 
     @Override
     public void checkConnected() {
-        if (onDisconnect != null && !answered) {
+        if (onDisconnect != null && !respondedOrDisconnected) {
             readPipelined(connection());
         }
     }
@@ -206,8 +206,8 @@
 
     private void handleDisconnect(AbstractServerConnection connection) {
         connection.getOriginalSourceConduit().suspendReads();
-        if (!answered) {
-            answered = true;
+        if (!respondedOrDisconnected) {
+            respondedOrDisconnected = true;
             onDisconnect.run();
         } else if (streamed != null) {
             streamed.handleDisconnect();
--- a/daemon/src/main/java/trailthread/daemon/listener/RequestReceiver.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/RequestReceiver.java
@@ -20,8 +20,8 @@
  */
 final class RequestReceiver implements HttpHandler {
     /**
-     * The share of the heap that all long bodies together may use; they then fill most of its old
-     * generation.
+     * The share of the heap that all long bodies together may use; they then fill most of the
+     * heap's old generation.
      */
     private static final double BODIES_HEAP_SHARE = 0.3;
 
@@ -78,7 +78,7 @@
      */
     private long track(HttpServerExchange exchange) {
         ClientConnection client = ClientConnection.fromExchange(exchange);
-        long deadlineWithoutBody = connections.requestStarted(client);
+        long deadlineWithoutBody = connections.headArrived(client);
         exchange.addExchangeCompleteListener(
                 (completed, next) -> {
                     connections.responseWritten(client, exchange.isPersistent());
@@ -87,9 +87,9 @@
         return deadlineWithoutBody;
     }
 
-    /** Whether the connection ends with this response. */
+    /** Whether the connection is closed after this response. */
     private boolean isLastOnConnection(HttpServerExchange exchange) {
-        return connections.shouldEndWithResponse(ClientConnection.fromExchange(exchange))
+        return connections.shouldCloseAfterResponse(ClientConnection.fromExchange(exchange))
                 && !PipelinedBytes.hasPipelined(exchange, bodyMemory);
     }
 
@@ -194,8 +194,8 @@
         private void handle(ClientRequest request) {
             long bodyBytes = BodyMemoryLimit.reservationFor(request.body().length);
             HttpResponseWriter response = responseWriter(bodyBytes, () -> {});
-            // The client's time runs from its last byte, which may have arrived while the loop was
-            // late.
+            // The time left counts from the request's last byte, which may have arrived while the
+            // loop was late.
             long deadline = loop.arrivedNotBefore() + request.timeLeftNs();
             Runnable onDisconnect =
                     head.handler().handle(request, deadline, response, reservedBytes);
--- a/daemon/src/main/java/trailthread/daemon/listener/StreamedResponse.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/StreamedResponse.java
@@ -31,7 +31,7 @@
     /** The source has passed on the last byte. */
     private boolean endReached;
 
-    /** The response is complete or was broken off. */
+    /** The response is complete or was aborted. */
     private boolean closed;
 
     private XnioExecutor.Key timeoutTimer;
@@ -66,7 +66,7 @@
     @Override
     public boolean writePiece(ByteBuffer piece) {
         if (closed) {
-            return true; // the attempt is notified separately
+            return true; // a disconnect is reported by onDisconnect
         }
         try {
             if (unwritten == null && !write(piece)) {
@@ -155,8 +155,8 @@
     }
 
     /**
-     * Breaks the response off. The attempt is notified in a separate task, as it may be the caller
-     * of {@link #writePiece}, which must not reenter it.
+     * Aborts the response. The attempt is notified in a separate task, as it may be the caller of
+     * {@link #writePiece}, which must not reenter it.
      */
     void handleDisconnect() {
         if (closed) {
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -179,7 +179,7 @@
             metrics.configurationReloaded(false);
             return;
         }
-        if (!hasSameAddresses(file, next)) {
+        if (!hasSameNameAndAddresses(file, next)) {
             LOG.warn("{}: changes of name and listen take effect at the next start", path);
         }
         apply(next);
@@ -192,7 +192,7 @@
                 && a.bodyBytes() == b.bodyBytes();
     }
 
-    private static boolean hasSameAddresses(OperatorFile a, OperatorFile b) {
+    private static boolean hasSameNameAndAddresses(OperatorFile a, OperatorFile b) {
         return a.listen().equals(b.listen())
                 && a.name().equals(b.name())
                 && Objects.equals(a.operatorListen(), b.operatorListen());
@@ -229,10 +229,11 @@
 
     /**
      * Shuts the node down gracefully: keeps serving for a while, then finishes the requests in
-     * flight. Returns once all are answered or out of time.
+     * flight. Returns once all connections are closed, or the longest deadline and a grace period
+     * have passed.
      */
     public void stop() throws InterruptedException {
-        shutdown.await(file.name());
+        shutdown.run(file.name());
     }
 
     @Override
--- a/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
+++ b/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
@@ -28,7 +28,7 @@
  * platform allows, although endpoints hang and clients use every connection that stays open.
  */
 public class GracefulShutdownTest {
-    /** Clients send in turn, from SIGTERM until after the last connection has ended. */
+    /** Clients send in turn, from SIGTERM until after the last connection is closed. */
     private static final int CLIENTS = 28;
 
     private static final int INTERVAL_MS = 30;
@@ -161,7 +161,7 @@
         assertTrue("some requests sent late are answered", lateResponses.get() > 0);
     }
 
-    private void shutDownUnderLoad(int deadlineMs, int stoppedMs) throws Exception {
+    private void shutDownUnderLoad(int deadlineMs, int suspendedMs) throws Exception {
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             int number = i;
@@ -173,15 +173,15 @@
         endpointsHang = true;
         clients.forEach(Thread::start);
         cluster.terminate();
-        long requestedAt = System.nanoTime();
-        if (stoppedMs > 0) {
+        long sigtermAt = System.nanoTime();
+        if (suspendedMs > 0) {
             Thread.sleep(LATE_MS);
             cluster.signal("STOP");
-            Thread.sleep(stoppedMs);
+            Thread.sleep(suspendedMs);
             cluster.signal("CONT");
         }
         long killAfterMs = 700L + Math.min(deadlineMs, 3_000);
-        Thread.sleep(Math.max(0, killAfterMs - (System.nanoTime() - requestedAt) / 1_000_000));
+        Thread.sleep(Math.max(0, killAfterMs - (System.nanoTime() - sigtermAt) / 1_000_000));
         killed = true;
         if (cluster.isRunning()) {
             cluster.signal("KILL");
@@ -191,11 +191,11 @@
         }
     }
 
-    private void runWithDeadlines(int ms, int stoppedMs) throws Exception {
+    private void runWithDeadlines(int ms, int suspendedMs) throws Exception {
         runUndisturbed(
                 () -> {
                     cluster.start(settings(ms), endpoint(), endpoint());
-                    shutDownUnderLoad(ms, stoppedMs);
+                    shutDownUnderLoad(ms, suspendedMs);
                 });
     }
 
@@ -220,7 +220,7 @@
     }
 
     @Test
-    public void afterTheProcessWasStopped() throws Exception {
+    public void afterTheProcessWasSuspended() throws Exception {
         runWithDeadlines(1_200, 120);
     }
 
--- a/daemon/src/test/java/trailthread/daemon/ShutdownPlanTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ShutdownPlanTest.java
@@ -11,7 +11,7 @@
 
     @Test
     public void stepsForShortAndLongDeadlines() {
-        // In ms: longest deadline, lateness; close with responses, close, answered.
+        // In ms: longest deadline, lateness; close after responses, close listener, answered.
         long[][] cases = {
             {150, 0, 475, 625, 700},
             {300, 0, 550, 700, 850},
@@ -26,8 +26,8 @@
         for (long[] c : cases) {
             ShutdownPlan plan = ShutdownPlan.of(c[0] * MS, c[1] * MS);
             String label = c[0] + " ms, late by " + c[1];
-            assertEquals(label, c[2] * MS, plan.closeWithResponsesNs());
-            assertEquals(label, c[3] * MS, plan.closeNs());
+            assertEquals(label, c[2] * MS, plan.closeAfterResponsesNs());
+            assertEquals(label, c[3] * MS, plan.closeListenerNs());
             assertEquals(label, c[4] * MS, plan.answeredNs());
         }
     }
@@ -37,10 +37,12 @@
         for (long ms = 1; ms < 20_000; ms = ms * 5 / 4 + 1) {
             for (long late = 0; late < 1_000; late = 2 * late + 10) {
                 ShutdownPlan plan = ShutdownPlan.of(ms * MS, late * MS);
-                assertTrue("new connections are accepted for 0.4 s", plan.closeNs() >= 400 * MS);
                 assertTrue(
-                        plan.closeWithResponsesNs() < plan.closeNs()
-                                && plan.closeNs() <= plan.answeredNs());
+                        "new connections are accepted for 0.4 s",
+                        plan.closeListenerNs() >= 400 * MS);
+                assertTrue(
+                        plan.closeAfterResponsesNs() < plan.closeListenerNs()
+                                && plan.closeListenerNs() <= plan.answeredNs());
                 assertTrue(plan.answeredNs() <= (700 + Math.min(ms, 3_000) - 150) * MS);
             }
         }
--- a/daemon/src/test/java/trailthread/daemon/ShutdownReplanTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ShutdownReplanTest.java
@@ -62,7 +62,7 @@
                         (newRequestsBy, allRequestsBy) -> answerDeadlines.add(newRequestsBy));
         shutdown.setLongestDeadline(DEADLINE_NS);
         awaitPunctualLoop();
-        Thread hook = new Thread(this::awaitShutdown);
+        Thread hook = new Thread(this::shutDown);
         hook.setDaemon(true);
         hook.start();
     }
@@ -74,9 +74,9 @@
         }
     }
 
-    private void awaitShutdown() {
+    private void shutDown() {
         try {
-            shutdown.await("n0");
+            shutdown.run("n0");
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
--- a/daemon/src/test/java/trailthread/daemon/listener/ClientDisconnectTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/ClientDisconnectTest.java
@@ -331,7 +331,7 @@
      */
     @Test
     public void onlyTheLastPipelinedResponseEndsTheConnection() throws Exception {
-        loop.execute(() -> listener.closeAfterResponse(true));
+        loop.execute(() -> listener.setCloseAfterResponse(true));
         try (Socket client = connect()) {
             String first = TestCluster.requestText("use", "?1", "");
             Message.send(
@@ -372,7 +372,7 @@
                                 : platform.decode(exchange);
                     }
                 });
-        loop.execute(() -> listener.closeAfterResponse(true));
+        loop.execute(() -> listener.setCloseAfterResponse(true));
         loop.execute(this::listEndpoint);
         for (String path : new String[] {"/ready", "/nowhere"}) {
             try (Socket client = connect()) {
--- a/daemon/src/test/java/trailthread/daemon/listener/GracefulCloseTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/GracefulCloseTest.java
@@ -134,17 +134,17 @@
     public void gracefulShutdownClosesConnectionsInEveryState() throws Exception {
         assertNothingIsLost(
                 () -> {
-                    listener.closeAfterResponse(true);
+                    listener.setCloseAfterResponse(true);
                     listener.close(allClosed::countDown);
                 });
-        assertTrue("all connections have ended", allClosed.await(30, TimeUnit.SECONDS));
+        assertTrue("all connections are closed", allClosed.await(30, TimeUnit.SECONDS));
     }
 
     @Test
     public void drainClosesConnectionsInEveryState() throws Exception {
         assertNothingIsLost(
                 () -> {
-                    listener.closeAfterResponse(true);
+                    listener.setCloseAfterResponse(true);
                     closeUnusedRepeatedly();
                 });
     }
--- a/daemon/src/test/java/trailthread/daemon/listener/LateLoopListenerTest.java
+++ b/daemon/src/test/java/trailthread/daemon/listener/LateLoopListenerTest.java
@@ -182,7 +182,7 @@
     @Test
     public void unreadRequestBehindTheLastResponseIsServed() throws Exception {
         heldResponse = new CompletableFuture<>();
-        loop.execute(() -> listener.closeAfterResponse(true));
+        loop.execute(() -> listener.setCloseAfterResponse(true));
         Socket client = connect();
         send(client);
         ClientResponse response = heldResponse.get(30, TimeUnit.SECONDS);
@@ -339,7 +339,7 @@
         whileLoopIsBlocked(
                 300,
                 () -> {
-                    loop.execute(() -> listener.closeAfterResponse(true));
+                    loop.execute(() -> listener.setCloseAfterResponse(true));
                     loop.execute(() -> listener.close(done::countDown));
                     send(idle);
                     for (int i = 0; i < 5; i++) {
@@ -351,7 +351,7 @@
         for (Socket client : requesters) {
             assertTrue(readResponse(client).contains(CONNECTION_CLOSE));
         }
-        assertTrue("all connections have ended", done.await(30, TimeUnit.SECONDS));
+        assertTrue("all connections are closed", done.await(30, TimeUnit.SECONDS));
     }
 
     /**
@@ -390,7 +390,7 @@
         }
         CountDownLatch closing = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(1);
-        loop.execute(() -> listener.closeAfterResponse(true));
+        loop.execute(() -> listener.setCloseAfterResponse(true));
         loop.execute(
                 () -> {
                     listener.closeUnused();
@@ -408,7 +408,7 @@
                                     .getBytes(StandardCharsets.US_ASCII));
             assertTrue(readResponse(client).contains(CONNECTION_CLOSE));
         }
-        assertTrue("all connections have ended", done.await(30, TimeUnit.SECONDS));
+        assertTrue("all connections are closed", done.await(30, TimeUnit.SECONDS));
     }
 
     /** If clients kept many idle connections open, others could not connect. */
--- a/daemon/src/test/java/trailthread/daemon/soak/RequestHistory.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/RequestHistory.java
@@ -46,10 +46,10 @@
     }
 
     /** Describes the history, with times in milliseconds after SIGTERM. */
-    String describe(long terminatedAt) {
+    String describe(long sigtermAt) {
         StringBuilder received = new StringBuilder();
         for (long at : receivedAt) {
-            received.append(' ').append(milliseconds(at, terminatedAt));
+            received.append(' ').append(milliseconds(at, sigtermAt));
         }
         return String.format(
                 "%s %s, deadline %d ms: started %s, written %s, at servers%s, client left %s,"
@@ -57,15 +57,15 @@
                 kind,
                 id,
                 deadlineMs,
-                milliseconds(startedAt, terminatedAt),
-                milliseconds(writtenAt, terminatedAt),
+                milliseconds(startedAt, sigtermAt),
+                milliseconds(writtenAt, sigtermAt),
                 received.length() == 0 ? " never" : received,
-                milliseconds(clientLeftAt, terminatedAt),
-                milliseconds(endedAt, terminatedAt),
+                milliseconds(clientLeftAt, sigtermAt),
+                milliseconds(endedAt, sigtermAt),
                 result);
     }
 
-    private static String milliseconds(long at, long terminatedAt) {
-        return at == NEVER ? "never" : Long.toString((at - terminatedAt) / 1_000_000);
+    private static String milliseconds(long at, long sigtermAt) {
+        return at == NEVER ? "never" : Long.toString((at - sigtermAt) / 1_000_000);
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/soak/Rule.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/Rule.java
@@ -1,6 +1,6 @@
 package trailthread.daemon.soak;
 
-/** The rules that a run must not break, each by what breaks it. */
+/** The rules that a run must not break. Each comment says what breaks the rule. */
 enum Rule {
     /** A request written before the kill has no complete response. */
     UNANSWERED_AT_KILL,
@@ -9,9 +9,9 @@
     /** A request that must not be repeated reaches servers twice. */
     REPEATED,
     /** An attempt reaches a server more than 0.1 s after its client left. */
-    BEGUN_AFTER_CLIENT_LEFT,
+    ATTEMPT_AFTER_CLIENT_LEFT,
     /** A connection ends without a response, although the request had reached a server. */
-    CLOSED_UNDER_REQUEST,
+    CLOSED_WITHOUT_RESPONSE,
     /** The process does not exit by itself in time, or not with status 0. */
-    DID_NOT_END
+    DID_NOT_EXIT
 }
--- a/daemon/src/test/java/trailthread/daemon/soak/RuleChecker.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/RuleChecker.java
@@ -9,8 +9,8 @@
     private static final long NS_PER_MS = 1_000_000L;
 
     /**
-     * A response may come this long after its deadline, although it earns nothing; later it counts
-     * as lost.
+     * A response this long after its deadline, although useless, is not a violation; a later one
+     * counts as lost.
      */
     private static final long LATE_RESPONSE_NS = 500 * NS_PER_MS;
 
@@ -24,7 +24,7 @@
      * When the signals were sent, by {@link System#nanoTime}; {@code killedAt} may be {@link
      * RequestHistory#NEVER}.
      */
-    record Times(long terminatedAt, long killedAt) {}
+    record Times(long sigtermAt, long killedAt) {}
 
     private final Times times;
     private final List<Violation> violations = new ArrayList<>();
@@ -47,7 +47,7 @@
             require(request, request.writtenAt >= times.killedAt, Rule.UNANSWERED_AT_KILL);
         }
         if (clientStayed && !request.answered && endedBeforeKill) {
-            require(request, request.receivedAt.isEmpty(), Rule.CLOSED_UNDER_REQUEST);
+            require(request, request.receivedAt.isEmpty(), Rule.CLOSED_WITHOUT_RESPONSE);
         }
         if (request.answered) {
             long dueAt = request.startedAt + request.deadlineMs * NS_PER_MS + LATE_RESPONSE_NS;
@@ -61,13 +61,13 @@
             require(
                     request,
                     request.receivedAt.stream().allMatch(at -> at <= latest),
-                    Rule.BEGUN_AFTER_CLIENT_LEFT);
+                    Rule.ATTEMPT_AFTER_CLIENT_LEFT);
         }
     }
 
     private void require(RequestHistory request, boolean kept, Rule rule) {
         if (!kept) {
-            violations.add(new Violation(rule, request.describe(times.terminatedAt)));
+            violations.add(new Violation(rule, request.describe(times.sigtermAt)));
         }
     }
 }
--- a/daemon/src/test/java/trailthread/daemon/soak/Scenario.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/Scenario.java
@@ -33,7 +33,7 @@
     private static final int[] BUSY_THREADS = {0, 0, 8, 48};
 
     /** Before a reload that shortens them, deadlines are this many times longer. */
-    private static final int LONGER_DEADLINES = 4;
+    private static final int DEADLINE_FACTOR_BEFORE_RELOAD = 4;
 
     /**
      * The platform kills the process at the earliest this long plus the longest deadline after
@@ -136,7 +136,7 @@
     }
 
     private int deadlineFactorAtStart() {
-        return reloads() ? LONGER_DEADLINES : 1;
+        return reloads() ? DEADLINE_FACTOR_BEFORE_RELOAD : 1;
     }
 
     /** The longest deadline of the settings that the program starts with, in milliseconds. */
--- a/daemon/src/test/java/trailthread/daemon/soak/ShutdownSoakTest.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/ShutdownSoakTest.java
@@ -11,8 +11,8 @@
 public class ShutdownSoakTest {
     private static final String SEEDS = System.getProperty("soak.seeds", "1-12");
 
-    /** Seeds under which rules were broken beside heavy load. */
-    private static final long[] SEEDS_BROKEN_BESIDE_LOAD = {41, 180, 403, 458, 703};
+    /** Seeds whose runs broke rules while other processes kept the machine busy. */
+    private static final long[] SEEDS_BROKEN_UNDER_LOAD = {41, 180, 403, 458, 703};
 
     private final ShutdownSoak soak = new ShutdownSoak(System.out);
 
@@ -28,7 +28,7 @@
     /** Guards against responses that are late or missing on an overloaded machine. */
     @Test
     public void nothingIsLostUnderSeedsThatBrokeBesideHeavyLoad() throws Exception {
-        for (long seed : SEEDS_BROKEN_BESIDE_LOAD) {
+        for (long seed : SEEDS_BROKEN_UNDER_LOAD) {
             soak.run(seed);
         }
         assertPassed();
--- a/daemon/src/test/java/trailthread/daemon/soak/SoakRun.java
+++ b/daemon/src/test/java/trailthread/daemon/soak/SoakRun.java
@@ -15,7 +15,7 @@
 import trailthread.testkit.ScriptedServer;
 import trailthread.testkit.TestCluster;
 
-/** One run of the program under a {@link Scenario}, from its start to its end. */
+/** One run of the program under a {@link Scenario}, from its start to its exit. */
 final class SoakRun {
     /** The descriptor limit of the program; idle connections may use up its share for clients. */
     private static final int DESCRIPTORS = 256;
@@ -27,7 +27,7 @@
     private static final int NEW_CONNECTIONS_MS = 400;
 
     /** The process exits at the latest this long plus the longest deadline after SIGTERM. */
-    private static final int LAST_RESPONSES_MS = 1_700;
+    private static final int LAST_RESPONSES_GRACE_MS = 1_700;
 
     /**
      * The result of a run.
@@ -55,7 +55,7 @@
     private final List<Thread> threads = new ArrayList<>();
     private ScriptedServer[] servers;
     private long marginBeforeKillMs;
-    private volatile boolean over;
+    private volatile boolean finished;
 
     private SoakRun(Scenario scenario) throws IOException {
         this.scenario = scenario;
@@ -99,7 +99,7 @@
         if (!scenario.killed()) {
             checkExit(times, violations);
         }
-        over = true;
+        finished = true;
         for (Thread thread : threads) {
             thread.join();
         }
@@ -169,7 +169,7 @@
 
     private void keepCpuBusyLater() {
         pause(scenario.busyFromMs());
-        while (!over) {
+        while (!finished) {
             Thread.onSpinWait();
         }
     }
@@ -187,20 +187,20 @@
             sleepUntil(base, -before.get(0).atMs());
         }
         cluster.terminate();
-        long terminatedAt = System.nanoTime();
+        long sigtermAt = System.nanoTime();
         for (Scenario.TimedSignal signal : scenario.signals()) {
             if (signal.atMs() >= 0) {
-                sleepUntil(terminatedAt, signal.atMs());
+                sleepUntil(sigtermAt, signal.atMs());
                 signal(signal.name());
             }
         }
         if (!scenario.killed()) {
-            return new RuleChecker.Times(terminatedAt, RequestHistory.NEVER);
+            return new RuleChecker.Times(sigtermAt, RequestHistory.NEVER);
         }
-        sleepUntil(terminatedAt, scenario.killAtMs());
+        sleepUntil(sigtermAt, scenario.killAtMs());
         long killedAt = System.nanoTime();
         cluster.kill();
-        return new RuleChecker.Times(terminatedAt, killedAt);
+        return new RuleChecker.Times(sigtermAt, killedAt);
     }
 
     private void signal(String name) throws Exception {
@@ -222,23 +222,23 @@
             throws Exception {
         int dueMs =
                 scenario.longestDeadlineAtStartMs()
-                        + LAST_RESPONSES_MS
+                        + LAST_RESPONSES_GRACE_MS
                         + SchedulingDelayMeter.DELAY_LIMIT_MS;
-        long leftMs = dueMs - (System.nanoTime() - times.terminatedAt()) / 1_000_000;
+        long leftMs = dueMs - (System.nanoTime() - times.sigtermAt()) / 1_000_000;
         if (!cluster.exitsWithin(Math.max(0, leftMs), TimeUnit.MILLISECONDS)) {
             violations.add(
                     new RuleChecker.Violation(
-                            Rule.DID_NOT_END, "still running after " + dueMs + " ms"));
+                            Rule.DID_NOT_EXIT, "still running after " + dueMs + " ms"));
             cluster.kill();
         } else if (cluster.exitStatus() != 0) {
             violations.add(
                     new RuleChecker.Violation(
-                            Rule.DID_NOT_END, "exit status " + cluster.exitStatus()));
+                            Rule.DID_NOT_EXIT, "exit status " + cluster.exitStatus()));
         }
     }
 
     private void end() throws IOException, InterruptedException {
-        over = true;
+        finished = true;
         cluster.close();
     }
 
@@ -248,7 +248,7 @@
 
     /** Whether clients keep sending. */
     boolean isRunning() {
-        return !over;
+        return !finished;
     }
 
     Socket connect() throws IOException {
