--- a/daemon/src/main/java/trailthread/daemon/LoopbackWarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/LoopbackWarmUp.java
@@ -67,7 +67,7 @@
 
     /**
      * The time for a warm-up if the fleet is busy. The other nodes serve this node's clients
-     * meanwhile, but in a rolling restart the next of them is about to stop.
+     * meanwhile, but in a rolling restart the next of them is about to shut down.
      */
     private static final long BUSY_FLEET_NS = 100_000_000L;
 
--- a/daemon/src/main/java/trailthread/daemon/NoMBeanServer.java
+++ b/daemon/src/main/java/trailthread/daemon/NoMBeanServer.java
@@ -4,11 +4,13 @@
 
 /**
  * Prevents the Java platform from creating its MBean server. XNIO would register itself there,
- * which loads hundreds of classes at the start, and works without. The constructor throws an error,
- * as the platform would set up its own logging to report an exception.
+ * which loads hundreds of classes at the start, but does not depend on it. The constructor throws
+ * an error, as the Java platform would set up its own logging to report an exception.
  */
 public final class NoMBeanServer extends MBeanServerBuilder {
-    /** Called by the platform, as the property {@code javax.management.builder.initial} says. */
+    /**
+     * Called by the Java platform, as the property {@code javax.management.builder.initial} says.
+     */
     public NoMBeanServer() {
         throw new MBeanServerDisabledError();
     }
--- a/daemon/src/main/java/trailthread/daemon/listener/StreamedResponse.java
+++ b/daemon/src/main/java/trailthread/daemon/listener/StreamedResponse.java
@@ -46,7 +46,7 @@
     /**
      * Starts to stream the body of a response whose status and headers have been set.
      *
-     * @param onWritable runs when the client accepts bytes again after it had not
+     * @param onWritable runs when the client accepts bytes again
      * @param onDisconnect runs if the client disconnects before the last byte is passed on
      */
     StreamedResponse(
--- a/daemon/src/main/java/trailthread/daemon/services/PoolSet.java
+++ b/daemon/src/main/java/trailthread/daemon/services/PoolSet.java
@@ -17,7 +17,7 @@
      *
      * @param kept how many pools stay as they are
      * @param started how many pools are new or changed
-     * @param retired how many old pools end once their requests in flight have
+     * @param retired how many old pools stop once their requests in flight have ended
      */
     record Change(int kept, int started, int retired) {}
 
@@ -55,7 +55,8 @@
             }
         }
         int kept = pools.size();
-        // Before the new pools start, as this frees the shares that were guaranteed to the old.
+        // Before the new pools start, as this frees the shares that were guaranteed to the old
+        // pools.
         retired.values().forEach(Pool::retire);
         for (PoolConfig config : configs) {
             if (!pools.containsKey(config.name())) {
--- a/daemon/src/test/java/trailthread/daemon/DrainTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DrainTest.java
@@ -20,7 +20,8 @@
     }
 
     @Test
-    public void requestsAreServedAndConnectionsCloseWithTheirResponsesOrIdle() throws Exception {
+    public void requestsAreServedAndConnectionsAreClosedAfterResponsesOrWhenIdle()
+            throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         ScriptedServer endpoint =
                 cluster.closeAtEnd(ScriptedServer.respondingAfter(answer, "made"));
--- a/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
+++ b/daemon/src/test/java/trailthread/daemon/GracefulShutdownTest.java
@@ -106,7 +106,7 @@
             }
             assertEquals("no further response", -1, connection.getInputStream().read());
         } catch (IOException e) {
-            // A request that crosses the close of an idle connection was not read; its client
+            // A request sent while the node closes the idle connection was not read; its client
             // retries it at another node.
             if ((killed && sentBeforeKill) || receivedIds.contains(id)) {
                 faults.add("client " + number + " was not answered before the kill: " + e);
--- a/daemon/src/test/java/trailthread/daemon/ShutdownReplanTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ShutdownReplanTest.java
@@ -67,7 +67,7 @@
         hook.start();
     }
 
-    /** A loop that is late already would leave nothing to bring forward. */
+    /** The plan made for a loop that is already late could not be brought forward. */
     private void awaitPunctualLoop() throws InterruptedException {
         while (loop.latency().latenessNs(System.nanoTime()) > PUNCTUAL_NS) {
             Thread.sleep(1);
@@ -106,7 +106,7 @@
      * SIGTERM.
      */
     @Test
-    public void aLoopThatBecomesLateAnswersEarlier() throws Exception {
+    public void aLoopThatBecomesLateBringsThePlanForward() throws Exception {
         long planned = nextAnswerDeadline();
         loop.execute(ShutdownReplanTest::keepBusy);
         assertTrue("the plan is brought forward", nextAnswerDeadline() < planned);
@@ -117,7 +117,7 @@
      * after SIGTERM.
      */
     @Test
-    public void aReloadThatShortensDeadlinesAnswersEarlier() throws Exception {
+    public void aReloadThatShortensDeadlinesBringsThePlanForward() throws Exception {
         long planned = nextAnswerDeadline();
         shutdown.setLongestDeadline(SHORT_DEADLINE_NS);
         assertTrue("the plan is brought forward", nextAnswerDeadline() < planned);
