--- a/daemon/src/main/java/trailthread/daemon/admin/AdminConnections.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminConnections.java
@@ -64,8 +64,8 @@
         return longestIdle;
     }
 
-    /** Records that a request has arrived; returns when its response may be sent. */
-    long requestStarted(StreamConnection connection, long now) {
+    /** Records that a request's head has arrived; returns when its response may be sent. */
+    long headArrived(StreamConnection connection, long now) {
         ConnectionState state = states.get(connection);
         if (state == null) {
             return now; // the connection has been closed
--- a/daemon/src/main/java/trailthread/daemon/admin/AdminHandler.java
+++ b/daemon/src/main/java/trailthread/daemon/admin/AdminHandler.java
@@ -76,7 +76,7 @@
     private long track(HttpServerExchange exchange, long now) {
         StreamConnection connection =
                 ((AbstractServerConnection) exchange.getConnection()).getChannel();
-        long responseAt = connections.requestStarted(connection, now);
+        long responseAt = connections.headArrived(connection, now);
         exchange.addExchangeCompleteListener(
                 (completed, next) -> {
                     connections.responseWritten(connection, loop.now());
