--- a/daemon/src/test/java/trailthread/daemon/ShutdownReplanTest.java
+++ b/daemon/src/test/java/trailthread/daemon/ShutdownReplanTest.java
@@ -62,21 +62,21 @@
                         (newRequestsBy, allRequestsBy) -> answerDeadlines.add(newRequestsBy));
         shutdown.setLongestDeadline(DEADLINE_NS);
         awaitPunctualLoop();
-        Thread hook = new Thread(this::awaitShutdown);
+        Thread hook = new Thread(this::shutDown);
         hook.setDaemon(true);
         hook.start();
     }
 
-    /** A loop that is late already would leave nothing to bring forward. */
+    /** The plan made for a loop that is already late could not be brought forward. */
     private void awaitPunctualLoop() throws InterruptedException {
         while (loop.latency().latenessNs(System.nanoTime()) > PUNCTUAL_NS) {
             Thread.sleep(1);
         }
     }
 
-    private void awaitShutdown() {
+    private void shutDown() {
         try {
-            shutdown.await("n0");
+            shutdown.run("n0");
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
@@ -106,7 +106,7 @@
      * SIGTERM.
      */
     @Test
-    public void aLoopThatBecomesLateAnswersEarlier() throws Exception {
+    public void aLoopThatBecomesLateBringsThePlanForward() throws Exception {
         long planned = nextAnswerDeadline();
         loop.execute(ShutdownReplanTest::keepBusy);
         assertTrue("the plan is brought forward", nextAnswerDeadline() < planned);
@@ -117,7 +117,7 @@
      * after SIGTERM.
      */
     @Test
-    public void aReloadThatShortensDeadlinesAnswersEarlier() throws Exception {
+    public void aReloadThatShortensDeadlinesBringsThePlanForward() throws Exception {
         long planned = nextAnswerDeadline();
         shutdown.setLongestDeadline(SHORT_DEADLINE_NS);
         assertTrue("the plan is brought forward", nextAnswerDeadline() < planned);
