--- a/adapter/src/main/java/trailthread/adapter/EventDispatcher.java
+++ b/adapter/src/main/java/trailthread/adapter/EventDispatcher.java
@@ -51,7 +51,7 @@
         reader.number(2, "rev"); // Checked only: no decision depends on the revision.
         ListKind kind = codec.listKind(3);
         List<EndpointEntry> entries = kind == ListKind.FAILED ? List.of() : pages.namedPage();
-        balancer.list(now, kind, entries);
+        balancer.updateEndpointList(now, kind, entries);
     }
 
     private void request(BalancerEvents balancer, long now) {
@@ -64,20 +64,20 @@
         String tenant = reader.nameOrNull(5);
         long key = reader.hexOrZero(7, "entity");
         boolean clientRetry = WireCodec.isClientRetry(flags);
-        balancer.request(now, id, requestClass, workNs, deadline, tenant, clientRetry, key);
+        balancer.requestArrived(now, id, requestClass, workNs, deadline, tenant, clientRetry, key);
     }
 
     private void firstByte(BalancerEvents balancer, long now) {
         reader.requireFieldCount(5, 5, WireMessages.FIRST_BYTE);
         reader.name(3, "backend"); // Checked only: the attempt says which endpoint it is.
         reader.number(4, "latency_ns");
-        balancer.firstByte(now, reader.number(1, "ref"), attempt());
+        balancer.firstByteReceived(now, reader.number(1, "ref"), attempt());
     }
 
     private void outcome(BalancerEvents balancer, long now) {
         reader.requireFieldCount(7, 8, WireMessages.OUTCOME);
         reader.name(3, "backend"); // Checked only: the attempt says which endpoint it is.
-        balancer.outcome(
+        balancer.attemptEnded(
                 now,
                 reader.number(1, "ref"),
                 attempt(),
@@ -99,7 +99,7 @@
 
     private void timerDue(BalancerEvents balancer, long now) {
         reader.requireFieldCount(2, 2, WireMessages.TIMER_DUE);
-        balancer.timer(now, reader.number(1, "name"));
+        balancer.timerFired(now, reader.number(1, "name"));
     }
 
     private void healthChecked(BalancerEvents balancer, long now) {
@@ -115,6 +115,6 @@
     private void peerMessage(BalancerEvents balancer, long now) {
         reader.requireFieldCount(2, 3, WireMessages.PEER_MESSAGE);
         int peer = (int) reader.number(1, "src_peer");
-        balancer.peerMessage(now, peer, reader.hexBytes(2, "contents"));
+        balancer.peerMessageReceived(now, peer, reader.hexBytes(2, "contents"));
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/DecisionWarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/DecisionWarmUp.java
@@ -60,7 +60,7 @@
         for (int i = 0; i < ENDPOINTS; i++) {
             entries.add(new EndpointEntry("w" + i, 1, EndpointState.READY, settings.zone, 0, i));
         }
-        balancer.list(now, ListKind.FULL, entries);
+        balancer.updateEndpointList(now, ListKind.FULL, entries);
     }
 
     /** Runs a simulation for a limited number of steps and a limited real time. */
@@ -76,7 +76,7 @@
     void step() {
         now += STEP_NS;
         while (!timers.isEmpty() && timers.peek().at <= now) {
-            balancer.timer(now, timers.poll().token);
+            balancer.timerFired(now, timers.poll().token);
         }
         while (!inFlight.isEmpty() && inFlight.peek().endsAt <= now) {
             succeed(inFlight.poll());
@@ -88,7 +88,7 @@
 
     private void succeed(Attempt attempt) {
         LoadReport load = new LoadReport(1, 0, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
-        balancer.outcome(
+        balancer.attemptEnded(
                 now, attempt.request, attempt.number, Outcome.OK, RESPONSE_TIME_NS, true, load);
     }
 
@@ -96,7 +96,7 @@
         lastRequest++;
         int index = (int) (lastRequest % settings.classes.size());
         RequestClass requestClass = settings.classes.get(index);
-        balancer.request(
+        balancer.requestArrived(
                 now,
                 lastRequest,
                 requestClass.name(),
--- a/decisions/src/main/java/trailthread/AdmissionController.java
+++ b/decisions/src/main/java/trailthread/AdmissionController.java
@@ -27,7 +27,7 @@
      * When the lease on the endpoint list ends, by the clock of the events: no attempt is sent then
      * or later.
      */
-    private long listLeaseUntil = Long.MAX_VALUE;
+    private long listLeaseEnd = Long.MAX_VALUE;
 
     AdmissionController(ActiveSettings settings, WorkloadMeans means, RandomSource random) {
         this.settings = settings;
@@ -39,12 +39,12 @@
         admission = next;
     }
 
-    void setListLease(long until) {
-        listLeaseUntil = until;
+    void setListLeaseEnd(long until) {
+        listLeaseEnd = until;
     }
 
     boolean hasListLease(long now) {
-        return now < listLeaseUntil;
+        return now < listLeaseEnd;
     }
 
     /** Whether the host admits the request. */
--- a/decisions/src/main/java/trailthread/Balancer.java
+++ b/decisions/src/main/java/trailthread/Balancer.java
@@ -17,11 +17,12 @@
  * declared in {@link trailthread.api}. Time comes with the events, randomness from the seed. Not
  * thread-safe.
  *
- * <p>The life of a request: {@link #request}; {@link AdmissionController}; {@link AttemptSender}
- * with {@link EndpointPicker}, or {@link RequestQueue} if other requests wait or no endpoint is
- * open ({@link ConcurrencyLimiter#isOpen}); {@link #outcome} with {@link AttemptRecorder}; then the
- * request is served, retried by {@link RetryPolicy}, or rejected or failed by {@link
- * FinalResponder}. The modules keep their own state, and this class calls them in order.
+ * <p>The life of a request: {@link #requestArrived}; {@link AdmissionController}; {@link
+ * AttemptSender} with {@link EndpointPicker}, or {@link RequestQueue} if other requests wait or no
+ * endpoint is open ({@link ConcurrencyLimiter#isOpen}); {@link #attemptEnded} with {@link
+ * AttemptRecorder}; then the request is served, retried by {@link RetryPolicy}, or rejected or
+ * failed by {@link FinalResponder}. The modules keep their own state, and this class calls them in
+ * order.
  */
 public final class Balancer implements BalancerEvents {
     private final BalancerActions actions;
@@ -46,7 +47,7 @@
     private final Map<Long, Request> requests = new HashMap<>();
 
     /**
-     * Creates a balancer without endpoints; {@link BalancerEvents#list} adds them.
+     * Creates a balancer without endpoints; {@link BalancerEvents#updateEndpointList} adds them.
      *
      * @throws IllegalArgumentException if a setting is out of range; the message names the first
      *     one
@@ -75,7 +76,7 @@
                         settings, means, subset, estimator, slowStart, outliers, limiter, affinity,
                         lottery);
         recorder = new AttemptRecorder(means, estimator, inFlight, slowStart, outliers, limiter);
-        fairShare.retune(settings, now);
+        fairShare.applySettings(settings, now);
         priorities = new PriorityPolicy(settings, means, fairShare, now);
         admissions = new AdmissionController(settings, means, random);
         retries = new RetryPolicy(settings, means, retryBudget);
@@ -95,9 +96,9 @@
      * @throws IllegalArgumentException if a setting is out of range; the message names the first
      *     one; the current settings stay in force
      */
-    public void retune(long now, Settings next) {
+    public void applySettings(long now, Settings next) {
         settings.replace(next);
-        fairShare.retune(settings, now);
+        fairShare.applySettings(settings, now);
     }
 
     /** How many listed endpoints get no requests at present because they drain or are ejected. */
@@ -108,7 +109,7 @@
     // ---- the endpoint list ----
 
     @Override
-    public void list(long now, ListKind kind, List<EndpointEntry> entries) {
+    public void updateEndpointList(long now, ListKind kind, List<EndpointEntry> entries) {
         if (kind == ListKind.FAILED) {
             endpoints.listFailed(now);
             return;
@@ -118,8 +119,8 @@
     }
 
     @Override
-    public void listLeaseUntil(long now, long until) {
-        admissions.setListLease(until);
+    public void setListLeaseEnd(long now, long until) {
+        admissions.setListLeaseEnd(until);
         queue.release(now);
     }
 
@@ -135,12 +136,12 @@
     // ---- requests ----
 
     @Override
-    public void admit(Admission admission) {
+    public void setAdmission(Admission admission) {
         admissions.setAdmission(admission);
     }
 
     @Override
-    public void request(
+    public void requestArrived(
             long now,
             long id,
             String requestClass,
@@ -190,7 +191,7 @@
     }
 
     @Override
-    public void timer(long now, long token) {
+    public void timerFired(long now, long token) {
         long id = TimerKind.id(token);
         switch (TimerKind.of(token)) {
             case SENDABLE_UNTIL -> sendableTimerDue(requests.get(id), now);
@@ -251,7 +252,7 @@
     // ---- attempts ----
 
     @Override
-    public void firstByte(long now, long id, int number) {
+    public void firstByteReceived(long now, long id, int number) {
         Request request = requests.get(id);
         Attempt attempt = request == null ? null : request.attempt(number);
         if (attempt != null && !request.streaming) {
@@ -261,7 +262,7 @@
     }
 
     @Override
-    public void outcome(
+    public void attemptEnded(
             long now,
             long id,
             int number,
--- a/decisions/src/main/java/trailthread/FairShare.java
+++ b/decisions/src/main/java/trailthread/FairShare.java
@@ -30,10 +30,10 @@
     private final Map<String, TenantStats> tenants = new LinkedHashMap<>();
 
     /**
-     * Adopts the classes and tenants of the settings; those that have not changed keep their
+     * Applies the classes and tenants of the settings; those that have not changed keep their
      * counts.
      */
-    void retune(ActiveSettings active, long now) {
+    void applySettings(ActiveSettings active, long now) {
         Settings settings = active.get();
         long decayNs = decayNs(active);
         classes.clear();
--- a/decisions/src/main/java/trailthread/api/BalancerActions.java
+++ b/decisions/src/main/java/trailthread/api/BalancerActions.java
@@ -29,7 +29,7 @@
     /** Stop waiting for an attempt; its outcome is still to be reported. */
     void cancel(long id, int attempt);
 
-    /** Call {@link BalancerEvents#timer} after this delay. */
+    /** Call {@link BalancerEvents#timerFired} after this delay. */
     void timer(long delayNs, long token);
 
     /** Check an endpoint's health; {@link BalancerEvents#healthChecked} brings the result. */
--- a/decisions/src/main/java/trailthread/api/BalancerEvents.java
+++ b/decisions/src/main/java/trailthread/api/BalancerEvents.java
@@ -5,7 +5,7 @@
 /** The events that the host reports to the balancer. Times must not decrease. */
 public interface BalancerEvents {
     /** A list event: the complete endpoint list, or the entries that changed. */
-    void list(long now, ListKind kind, List<EndpointEntry> entries);
+    void updateEndpointList(long now, ListKind kind, List<EndpointEntry> entries);
 
     /**
      * A client's request has arrived. It gets exactly one final answer: an {@link Outcome#OK}
@@ -19,7 +19,7 @@
      * @param key what the request concerns, for key affinity; 0: none
      * @throws IllegalArgumentException if the settings hold no such class
      */
-    void request(
+    void requestArrived(
             long now,
             long id,
             String requestClass,
@@ -29,8 +29,8 @@
             boolean clientRetry,
             long key);
 
-    /** The first byte of a streamed response has come on this attempt. */
-    void firstByte(long now, long id, int attempt);
+    /** The first byte of a streamed response has been received on this attempt. */
+    void firstByteReceived(long now, long id, int attempt);
 
     /**
      * An attempt has ended.
@@ -40,7 +40,7 @@
      * @param finished whether the client has its final answer
      * @param load the load report that came with the response, or null
      */
-    void outcome(
+    void attemptEnded(
             long now,
             long id,
             int attempt,
@@ -52,8 +52,8 @@
     /** The client has disconnected; no answer is owed. */
     void clientDisconnected(long now, long id);
 
-    /** A timer set by {@link BalancerActions#timer} is due. */
-    void timer(long now, long token);
+    /** A timer set by {@link BalancerActions#timer} has fired. */
+    void timerFired(long now, long token);
 
     /**
      * A health check has ended.
@@ -63,16 +63,16 @@
     void healthChecked(long now, String endpoint, Outcome outcome, long latencyNs, LoadReport load);
 
     /**
-     * The lease on the endpoint list has been renewed or lost. A host that never calls this holds a
-     * lease that does not end.
+     * Sets when the lease on the endpoint list ends. A host that never calls this holds a lease
+     * that does not end.
      *
-     * @param until when the lease ends, by the clock of the events: nothing is sent then or later
+     * @param until when, by the clock of the events: nothing is sent then or later
      */
-    default void listLeaseUntil(long now, long until) {}
+    default void setListLeaseEnd(long now, long until) {}
 
-    /** The rule by which the host admits requests from now on; null admits all. */
-    default void admit(Admission admission) {}
+    /** Sets the rule by which the host admits requests from now on; null admits all. */
+    default void setAdmission(Admission admission) {}
 
-    /** A message from another node; a balancer that decides alone ignores it. */
-    default void peerMessage(long now, int from, byte[] data) {}
+    /** A message from another node has been received; a balancer that decides alone ignores it. */
+    default void peerMessageReceived(long now, int from, byte[] data) {}
 }
--- a/decisions/src/main/java/trailthread/api/Settings.java
+++ b/decisions/src/main/java/trailthread/api/Settings.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * The settings of a balancer, each with its default. They are read when the balancer is created or
- * retuned. Prices and weights are shares of the goal, which is at most 1.
+ * The settings of a balancer, each with its default. They are read when the balancer is created and
+ * when {@link trailthread.Balancer#applySettings} is called. Prices and weights are shares of the
+ * goal, which is at most 1.
  */
 public final class Settings {
     private static final int RESOLUTION_DIVISOR = 50;
--- a/decisions/src/test/java/trailthread/AdmissionControllerTest.java
+++ b/decisions/src/test/java/trailthread/AdmissionControllerTest.java
@@ -64,10 +64,10 @@
 
     @Test
     void withoutAListLeaseRequestsWaitForAQuarterOfTheTimeToTheirDeadline() {
-        admissions.setListLease(NOW);
+        admissions.setListLeaseEnd(NOW);
         assertFalse(admissions.hasListLease(NOW));
         assertEquals(NOW + 250 * MS, admissions.sendableUntil(modules.request("safe"), NOW));
-        admissions.setListLease(NOW + 1);
+        admissions.setListLeaseEnd(NOW + 1);
         assertTrue(admissions.hasListLease(NOW));
         assertEquals(NOW + 950 * MS, admissions.sendableUntil(modules.request("safe"), NOW));
     }
--- a/decisions/src/test/java/trailthread/AdmissionTest.java
+++ b/decisions/src/test/java/trailthread/AdmissionTest.java
@@ -21,7 +21,7 @@
         ScriptedBalancer s = new ScriptedBalancer(settings, 3);
         s.endpoints("a", "b");
         List<Double> drawn = new ArrayList<>();
-        s.balancer.admit(
+        s.balancer.setAdmission(
                 (requestClass, overQuota, random) -> {
                     drawn.add(random);
                     return !requestClass.equals("safe");
@@ -33,7 +33,7 @@
         assertTrue(s.sendsOf(shed).isEmpty());
         assertEquals(1, s.sendsOf(admitted).size());
         assertTrue(drawn.size() == 2 && drawn.stream().allMatch(d -> d >= 0 && d < 1));
-        s.balancer.admit(null);
+        s.balancer.setAdmission(null);
         assertEquals(1, s.sendsOf(s.request("safe")).size());
     }
 
@@ -42,9 +42,9 @@
         settings.tenants.add(new Tenant("acme", 1, 1));
         ScriptedBalancer s = new ScriptedBalancer(settings, 3);
         s.endpoints("a", "b");
-        s.balancer.admit((requestClass, overQuota, random) -> !overQuota);
-        s.balancer.request(s.now, 1, "safe", 0, s.now + 1000 * MS, "acme", false, 0);
-        s.balancer.request(s.now, 2, "safe", 0, s.now + 1000 * MS, "acme", false, 0);
+        s.balancer.setAdmission((requestClass, overQuota, random) -> !overQuota);
+        s.balancer.requestArrived(s.now, 1, "safe", 0, s.now + 1000 * MS, "acme", false, 0);
+        s.balancer.requestArrived(s.now, 2, "safe", 0, s.now + 1000 * MS, "acme", false, 0);
         assertEquals(List.of(2L), s.refused);
     }
 
@@ -52,8 +52,8 @@
     @Test
     public void drawsNoRandomNumberWithoutAnAdmission() {
         ScriptedBalancer with = new ScriptedBalancer(settings, 3);
-        with.balancer.admit((requestClass, overQuota, random) -> true);
-        with.balancer.admit(null);
+        with.balancer.setAdmission((requestClass, overQuota, random) -> true);
+        with.balancer.setAdmission(null);
         ScriptedBalancer without = new ScriptedBalancer(settings, 3);
         for (ScriptedBalancer s : List.of(with, without)) {
             s.endpoints("a", "b", "c");
--- a/decisions/src/test/java/trailthread/AttemptSenderTest.java
+++ b/decisions/src/test/java/trailthread/AttemptSenderTest.java
@@ -50,7 +50,7 @@
     @Test
     void nothingIsSentWithoutALeaseOnTheEndpointList() {
         modules.useSubset(1, warm);
-        modules.admissions.setListLease(NOW);
+        modules.admissions.setListLeaseEnd(NOW);
         assertFalse(sender.trySend(modules.request("safe"), NOW));
         assertTrue(modules.actions.sends.isEmpty());
     }
--- a/decisions/src/test/java/trailthread/BalancerRulesTest.java
+++ b/decisions/src/test/java/trailthread/BalancerRulesTest.java
@@ -80,7 +80,7 @@
     void aKeyedRequestThatMayHaveRunStaysInItsDeduplicationCell() {
         for (int seed = 0; seed < 30; seed++) {
             ScriptedBalancer t = new ScriptedBalancer(ScriptedBalancer.settings(), seed);
-            t.balancer.list(
+            t.balancer.updateEndpointList(
                     t.now,
                     ListKind.FULL,
                     List.of(inCell("a1", 1), inCell("a2", 1), inCell("b1", 2), inCell("b2", 2)));
@@ -163,10 +163,10 @@
     void aStreamedResponseHasNoDeadlineAndIsNotRetried() {
         s.endpoints("a", "b");
         long id = s.request("safe");
-        s.balancer.firstByte(s.now, id, 0);
+        s.balancer.firstByteReceived(s.now, id, 0);
         s.advance(3000 * MS);
         assertTrue(s.refused.isEmpty() && s.failed.isEmpty());
-        s.balancer.outcome(s.now, id, 0, Outcome.RESET, 3000 * MS, true, null);
+        s.balancer.attemptEnded(s.now, id, 0, Outcome.RESET, 3000 * MS, true, null);
         assertEquals(1, s.sendsOf(id).size());
     }
 
--- a/decisions/src/test/java/trailthread/DiscoveryOutageSimulation.java
+++ b/decisions/src/test/java/trailthread/DiscoveryOutageSimulation.java
@@ -141,7 +141,8 @@
                 node.receivedAtMs = at;
                 return;
             }
-            node.balancer.balancer.list(node.balancer.now, ListKind.FAILED, List.of());
+            node.balancer.balancer.updateEndpointList(
+                    node.balancer.now, ListKind.FAILED, List.of());
         }
         int before = node.balancer.watches;
         node.balancer.advance(TICK_MS * MS);
--- a/decisions/src/test/java/trailthread/EmbeddingTest.java
+++ b/decisions/src/test/java/trailthread/EmbeddingTest.java
@@ -33,11 +33,11 @@
                         1,
                         0.2));
         Balancer balancer = new Balancer(settings, seed, now, actions);
-        balancer.list(
+        balancer.updateEndpointList(
                 now,
                 ListKind.FULL,
                 List.of(new EndpointEntry("10.0.0.1:80", 1, EndpointState.READY, "east", 0, -1)));
-        balancer.request(now, 1, "read", 0, now + 1_000_000_000L, null, false, 0);
+        balancer.requestArrived(now, 1, "read", 0, now + 1_000_000_000L, null, false, 0);
 
         assertEquals("10.0.0.1:80", actions.sends.get(0).endpoint());
     }
--- a/decisions/src/test/java/trailthread/EndpointChoiceTest.java
+++ b/decisions/src/test/java/trailthread/EndpointChoiceTest.java
@@ -125,7 +125,7 @@
             }
             s.advance(20 * MS);
             for (ScriptedBalancer.Send x : List.copyOf(s.sends)) {
-                s.balancer.outcome(
+                s.balancer.attemptEnded(
                         s.now,
                         x.id(),
                         x.attempt(),
@@ -180,7 +180,7 @@
         for (int i = 0; i < 20; i++) {
             long id = s.request("safe");
             s.advance(20 * MS);
-            s.balancer.firstByte(s.now, id, 0);
+            s.balancer.firstByteReceived(s.now, id, 0);
             s.advance(3000 * MS);
             s.end(id, Outcome.OK);
         }
@@ -270,7 +270,7 @@
         ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a");
         serve(s, 50, 60 * MS, 60 * MS);
-        s.balancer.request(s.now, 9999, "safe", 0, s.now + 10 * MS, null, false, 0);
+        s.balancer.requestArrived(s.now, 9999, "safe", 0, s.now + 10 * MS, null, false, 0);
         assertTrue(s.sendsOf(9999).isEmpty());
         s.advance(50 * MS);
         assertTrue(s.refused.contains(9999L));
@@ -282,7 +282,7 @@
         settings.zone = "here";
         settings.crossZonePrice = 0.06;
         ScriptedBalancer s = new ScriptedBalancer(settings, 5);
-        s.balancer.list(
+        s.balancer.updateEndpointList(
                 s.now,
                 ListKind.FULL,
                 List.of(
@@ -297,15 +297,15 @@
         Settings settings = ScriptedBalancer.settings();
         settings.listIsPolled = true;
         ScriptedBalancer s = new ScriptedBalancer(settings, 5);
-        s.balancer.list(s.now, ListKind.CACHED, List.of(ScriptedBalancer.ready("a")));
+        s.balancer.updateEndpointList(s.now, ListKind.CACHED, List.of(ScriptedBalancer.ready("a")));
         s.advance(
                 settings.pollIntervalNs
                         / 300); // the first polls of all nodes are spread: see ListPollTest
         assertEquals(1, s.watches);
-        s.balancer.list(s.now, ListKind.FAILED, List.of());
+        s.balancer.updateEndpointList(s.now, ListKind.FAILED, List.of());
         s.advance(settings.pollIntervalNs / 2);
         assertTrue(s.watches >= 2, "polls: " + s.watches);
-        s.balancer.list(s.now, ListKind.DELTA, List.of());
+        s.balancer.updateEndpointList(s.now, ListKind.DELTA, List.of());
         int polls = s.watches;
         s.advance(10 * settings.pollIntervalNs);
         assertEquals(polls, s.watches, "no poll while there is a watch");
--- a/decisions/src/test/java/trailthread/FairShareTest.java
+++ b/decisions/src/test/java/trailthread/FairShareTest.java
@@ -19,7 +19,7 @@
     FairShareTest() {
         settings.tenants.add(new Tenant("acme", 10, 1));
         settings.tenants.add(new Tenant("zenith", 10, 1));
-        fairShare.retune(new ActiveSettings(settings), NOW);
+        fairShare.applySettings(new ActiveSettings(settings), NOW);
     }
 
     private static void record(DemandStats stats, double requested, double served) {
@@ -41,12 +41,12 @@
     }
 
     @Test
-    void aRetuneKeepsTheCountsOfUnchangedClassesAndTenants() {
+    void applyingSettingsKeepsTheCountsOfUnchangedClassesAndTenants() {
         RequestClassStats safe = fairShare.requestClass("safe");
         TenantStats acme = fairShare.tenant("acme");
         TenantStats zenith = fairShare.tenant("zenith");
         settings.tenants.set(1, new Tenant("zenith", 20, 1));
-        fairShare.retune(new ActiveSettings(settings), NOW);
+        fairShare.applySettings(new ActiveSettings(settings), NOW);
         assertSame(safe, fairShare.requestClass("safe"));
         assertSame(acme, fairShare.tenant("acme"));
         assertNotSame(zenith, fairShare.tenant("zenith"));
@@ -60,7 +60,7 @@
         RequestClassStats removed = fairShare.requestClass("unsafe");
         record(removed, 10, 0);
         settings.classes.removeIf(c -> c.name().equals("unsafe"));
-        fairShare.retune(new ActiveSettings(settings), NOW);
+        fairShare.applySettings(new ActiveSettings(settings), NOW);
         assertSame(removed, fairShare.requestClass("unsafe"));
         assertNull(fairShare.worstClass(NOW));
         Exception unknown =
--- a/decisions/src/test/java/trailthread/FaultHandlingTest.java
+++ b/decisions/src/test/java/trailthread/FaultHandlingTest.java
@@ -64,9 +64,9 @@
         s.endpoints("a");
         serve(s, 20, 20 * MS);
         s.delta(new EndpointEntry("a", 1, EndpointState.GONE, "here", 0, 0));
-        s.balancer.request(s.now, 1001, "safe", 0, s.now + 1000 * MS, "t", false, 0);
+        s.balancer.requestArrived(s.now, 1001, "safe", 0, s.now + 1000 * MS, "t", false, 0);
         s.advance(50 * MS);
-        s.balancer.request(s.now, 1002, "safe", 0, s.now + 1000 * MS, "t", false, 0);
+        s.balancer.requestArrived(s.now, 1002, "safe", 0, s.now + 1000 * MS, "t", false, 0);
         s.delta(ScriptedBalancer.ready("a"));
         assertEquals(1, s.sendsOf(1001).size(), "within the quota");
         assertEquals(0, s.sendsOf(1002).size(), "over the quota");
@@ -141,7 +141,8 @@
             for (ScriptedBalancer.Send x : List.copyOf(inFlight)) {
                 if (x.at() + 44 * MS <= s.now) { // 2.2 idle latencies, whatever this node sends
                     int sent = s.sends.size();
-                    s.balancer.outcome(s.now, x.id(), x.attempt(), Outcome.OK, 44 * MS, true, null);
+                    s.balancer.attemptEnded(
+                            s.now, x.id(), x.attempt(), Outcome.OK, 44 * MS, true, null);
                     inFlight.remove(x);
                     inFlight.addAll(s.sends.subList(sent, s.sends.size()));
                 }
--- a/decisions/src/test/java/trailthread/KeyHomeTest.java
+++ b/decisions/src/test/java/trailthread/KeyHomeTest.java
@@ -51,7 +51,7 @@
             long id = 100_000L + i;
             boolean watched = i % (1 + others) == 0;
             long key = watched ? 42 : 1000 + i % 97;
-            s.balancer.request(s.now, id, "safe", 0, s.now + 1000 * MS, null, false, key);
+            s.balancer.requestArrived(s.now, id, "safe", 0, s.now + 1000 * MS, null, false, key);
             if (watched) {
                 counts.merge(s.sendsOf(id).get(0).endpoint(), 1, Integer::sum);
             }
@@ -70,7 +70,7 @@
         Map<String, Integer> counts = new TreeMap<>();
         for (int i = 0; i < 6; i++) {
             long id = 100_000L + i;
-            s.balancer.request(s.now, id, "safe", 0, s.now + 1000 * MS, null, false, 42);
+            s.balancer.requestArrived(s.now, id, "safe", 0, s.now + 1000 * MS, null, false, 42);
             counts.merge(s.sendsOf(id).get(0).endpoint(), 1, Integer::sum);
         }
         assertTrue(counts.values().stream().allMatch(n -> n <= 2), "a hot spot: " + counts);
@@ -100,7 +100,8 @@
             TreeMap<String, Integer> counts = new TreeMap<>();
             for (int i = 0; i < 20; i++) {
                 long id = firstId + 1000 * key + i;
-                s.balancer.request(s.now, id, "safe", 0, s.now + 1000 * MS, null, false, key);
+                s.balancer.requestArrived(
+                        s.now, id, "safe", 0, s.now + 1000 * MS, null, false, key);
                 counts.merge(s.sendsOf(id).get(0).endpoint(), 1, Integer::sum);
                 s.advance(20 * MS);
                 s.end(id, Outcome.OK);
--- a/decisions/src/test/java/trailthread/ListPollTest.java
+++ b/decisions/src/test/java/trailthread/ListPollTest.java
@@ -25,7 +25,7 @@
     /** Nodes whose watches have just broken. */
     private static List<ScriptedBalancer> fleet(int count) {
         List<ScriptedBalancer> nodes = fleet(count, ListKind.FULL);
-        nodes.forEach(s -> s.balancer.list(s.now, ListKind.FAILED, List.of()));
+        nodes.forEach(s -> s.balancer.updateEndpointList(s.now, ListKind.FAILED, List.of()));
         return nodes;
     }
 
@@ -47,7 +47,7 @@
         settings.pollIntervalNs = POLL_INTERVAL_S * 1000 * MS;
         ScriptedBalancer s = new ScriptedBalancer(settings, seed);
         s.now += startsMs * MS;
-        s.balancer.list(s.now, first, List.of(ScriptedBalancer.ready("a")));
+        s.balancer.updateEndpointList(s.now, first, List.of(ScriptedBalancer.ready("a")));
         return s;
     }
 
@@ -69,7 +69,7 @@
                     last = tick;
                     tick += (int) pollTimeoutMs / 100;
                     s.advance(pollTimeoutMs * MS);
-                    s.balancer.list(s.now, ListKind.FAILED, List.of());
+                    s.balancer.updateEndpointList(s.now, ListKind.FAILED, List.of());
                 }
             }
         }
@@ -169,7 +169,8 @@
                 for (int me = 0; me < count; me++) {
                     nodes.add(node(me, 1_000 * i + me, count, ListKind.FULL, 0));
                 }
-                nodes.forEach(s -> s.balancer.list(s.now, ListKind.FAILED, List.of()));
+                nodes.forEach(
+                        s -> s.balancer.updateEndpointList(s.now, ListKind.FAILED, List.of()));
                 DiscoveryOutageSimulation discovery =
                         new DiscoveryOutageSimulation(
                                 58,
@@ -200,7 +201,8 @@
         settings.pollIntervalNs = 3_600_000 * MS;
         for (int seed = 0; seed < 100; seed++) {
             ScriptedBalancer s = new ScriptedBalancer(settings, seed);
-            s.balancer.list(s.now, ListKind.CACHED, List.of(ScriptedBalancer.ready("a")));
+            s.balancer.updateEndpointList(
+                    s.now, ListKind.CACHED, List.of(ScriptedBalancer.ready("a")));
             s.advance(LIST_DUE_MS * MS);
             assertTrue("seed " + seed, s.watches > 0);
         }
@@ -214,7 +216,7 @@
             int before = s.watches;
             s.advance(DiscoveryOutageSimulation.TICK_MS * MS);
             if (s.watches > before) {
-                s.balancer.list(s.now, ListKind.FAILED, List.of());
+                s.balancer.updateEndpointList(s.now, ListKind.FAILED, List.of());
             }
         }
         assertTrue(s.watches + " polls in a minute", s.watches > 10 && s.watches < 180);
--- a/decisions/src/test/java/trailthread/ListWithoutLeaseTest.java
+++ b/decisions/src/test/java/trailthread/ListWithoutLeaseTest.java
@@ -17,7 +17,7 @@
 
     @Test
     public void requestsWaitForAQuarterOfTheTimeToTheirDeadlineAndAreRejected() {
-        script.balancer.listLeaseUntil(script.now, Long.MIN_VALUE);
+        script.balancer.setListLeaseEnd(script.now, Long.MIN_VALUE);
         long id = script.request("unsafe");
         script.advance(249 * MS); // of 1,000
         assertEquals(List.of(), script.refused);
@@ -28,16 +28,16 @@
 
     @Test
     public void queuedRequestsAreSentOnceTheListIsConfirmed() {
-        script.balancer.listLeaseUntil(script.now, Long.MIN_VALUE);
+        script.balancer.setListLeaseEnd(script.now, Long.MIN_VALUE);
         long id = script.request("unsafe");
         script.advance(100 * MS);
-        script.balancer.listLeaseUntil(script.now, script.now + 6_000 * MS);
+        script.balancer.setListLeaseEnd(script.now, script.now + 6_000 * MS);
         assertEquals(1, script.sendsOf(id).size());
     }
 
     @Test
     public void nothingIsRetriedAfterTheLeaseHasExpired() {
-        script.balancer.listLeaseUntil(script.now, script.now + 50 * MS);
+        script.balancer.setListLeaseEnd(script.now, script.now + 50 * MS);
         long id = script.request("safe");
         script.advance(50 * MS);
         script.end(id, Outcome.RESET);
--- a/decisions/src/test/java/trailthread/ManyNodesTest.java
+++ b/decisions/src/test/java/trailthread/ManyNodesTest.java
@@ -62,7 +62,7 @@
         Map<String, Integer> users = new TreeMap<>();
         for (int me = 0; me < NODES; me++) {
             ScriptedBalancer s = new ScriptedBalancer(settings(me, 0.05), me);
-            s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
+            s.balancer.updateEndpointList(s.now, ListKind.FULL, entries(0, 40));
             Set<String> used = used(s, 60);
             assertTrue(used.size() >= 2 && used.size() <= 6, "node " + me + " uses " + used.size());
             used.forEach(b -> users.merge(b, 1, Integer::sum));
@@ -76,7 +76,7 @@
     @Test
     void withFreeConnectionsANodeUsesAllEndpoints() {
         ScriptedBalancer s = new ScriptedBalancer(settings(7, 0), 7);
-        s.balancer.list(s.now, ListKind.FULL, entries(0, 20));
+        s.balancer.updateEndpointList(s.now, ListKind.FULL, entries(0, 20));
         assertEquals(20, used(s, 400).size());
     }
 
@@ -85,9 +85,9 @@
         int added = 0;
         for (int me = 0; me < NODES; me++) {
             ScriptedBalancer s = new ScriptedBalancer(settings(me, 0.05), me);
-            s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
+            s.balancer.updateEndpointList(s.now, ListKind.FULL, entries(0, 40));
             Set<String> before = used(s, 80);
-            s.balancer.list(s.now, ListKind.FULL, entries(0, 41));
+            s.balancer.updateEndpointList(s.now, ListKind.FULL, entries(0, 41));
             Set<String> after = used(s, 80);
             after.removeAll(before);
             added += after.size();
@@ -98,7 +98,7 @@
     @Test
     void aSubsetThatFailsIsFilledUpWithOtherEndpoints() {
         ScriptedBalancer s = new ScriptedBalancer(settings(3, 0.05), 3);
-        s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
+        s.balancer.updateEndpointList(s.now, ListKind.FULL, entries(0, 40));
         Set<String> failing = used(s, 80);
         Set<String> others = new HashSet<>();
         for (int i = 0; i < 400; i++) { // every endpoint of the first subset fails
@@ -137,7 +137,7 @@
         ScriptedBalancer calm = new ScriptedBalancer(settings(3, 0), 3);
         ScriptedBalancer after = new ScriptedBalancer(settings(3, 0), 3);
         for (ScriptedBalancer s : List.of(calm, after)) {
-            s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
+            s.balancer.updateEndpointList(s.now, ListKind.FULL, entries(0, 40));
             serve(s, 12, s == calm ? 20 * MS : 400 * MS);
             serve(s, 12, 20 * MS);
         }
@@ -167,7 +167,7 @@
         Settings settings = ScriptedBalancer.settings();
         settings.weights = WeightMeaning.LIVE;
         ScriptedBalancer s = new ScriptedBalancer(settings, 5);
-        s.balancer.list(
+        s.balancer.updateEndpointList(
                 s.now,
                 ListKind.FULL,
                 List.of(
@@ -192,7 +192,7 @@
      */
     private static int burstAfter(long latency, Outcome outcome) {
         ScriptedBalancer s = new ScriptedBalancer(settings(3, 0), 3);
-        s.balancer.list(s.now, ListKind.FULL, entries(0, 40));
+        s.balancer.updateEndpointList(s.now, ListKind.FULL, entries(0, 40));
         for (int i = 0; i < 40; i++) {
             long id = s.request("unsafe");
             s.advance(latency);
@@ -207,7 +207,7 @@
     @Test
     void theReportedServiceTimeIdentifiesASlowEndpoint() {
         ScriptedBalancer s = new ScriptedBalancer(settings(3, 0), 3);
-        s.balancer.list(s.now, ListKind.FULL, entries(0, 4));
+        s.balancer.updateEndpointList(s.now, ListKind.FULL, entries(0, 4));
         String slow = "10.0.0.0:80";
         Map<String, Integer> sends = new HashMap<>();
         for (int i = 0; i < 400; i++) {
@@ -230,7 +230,7 @@
     @Test
     void anEndpointThatRejectsGetsFewerTicketsThoughItRespondsAtOnce() {
         ScriptedBalancer s = new ScriptedBalancer(settings(3, 0), 3);
-        s.balancer.list(s.now, ListKind.FULL, entries(0, 8));
+        s.balancer.updateEndpointList(s.now, ListKind.FULL, entries(0, 8));
         Map<String, Integer> sends = new HashMap<>();
         String full = "10.0.0.0:80";
         for (int i = 0; i < 300; i++) {
@@ -273,7 +273,7 @@
         int atOnce = 0;
         for (int me = 0; me < NODES; me++) {
             ScriptedBalancer s = new ScriptedBalancer(settings(me, 0), me);
-            s.balancer.list(
+            s.balancer.updateEndpointList(
                     s.now,
                     ListKind.FULL,
                     List.of(new EndpointEntry("new", 1, EndpointState.READY, "here", s.now, 0)));
--- a/decisions/src/test/java/trailthread/OperatorLogTest.java
+++ b/decisions/src/test/java/trailthread/OperatorLogTest.java
@@ -88,8 +88,8 @@
     void aFailedListPollIsLoggedOnce() {
         ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
-        s.balancer.list(s.now, ListKind.FAILED, List.of());
-        s.balancer.list(s.now, ListKind.FAILED, List.of());
+        s.balancer.updateEndpointList(s.now, ListKind.FAILED, List.of());
+        s.balancer.updateEndpointList(s.now, ListKind.FAILED, List.of());
         assertEquals(List.of("list call failed: going on with the last list of 2"), s.log);
     }
 }
--- a/decisions/src/test/java/trailthread/PriorityPolicyTest.java
+++ b/decisions/src/test/java/trailthread/PriorityPolicyTest.java
@@ -18,7 +18,7 @@
             new PriorityPolicy(modules.settings, modules.means, fairShare, NOW);
 
     private Request arrive(String requestClass, String tenant, long workNs) {
-        fairShare.retune(modules.settings, NOW);
+        fairShare.applySettings(modules.settings, NOW);
         Request request =
                 modules.request(
                         fairShare.requestClass(requestClass),
--- a/decisions/src/test/java/trailthread/RandomizedRulesTest.java
+++ b/decisions/src/test/java/trailthread/RandomizedRulesTest.java
@@ -69,7 +69,7 @@
             EndpointEntry e = entry(i, EndpointState.READY, 0);
             endpoints.put(e.endpoint(), e);
         }
-        s.balancer.list(s.now, ListKind.CACHED, new ArrayList<>(endpoints.values()));
+        s.balancer.updateEndpointList(s.now, ListKind.CACHED, new ArrayList<>(endpoints.values()));
         for (int step = 0; step < 6000; step++) {
             step(random);
             check();
@@ -97,7 +97,7 @@
             request.deadline = s.now + (long) (c.deadlineNs() * (0.3 + 0.7 * random.nextDouble()));
             long id = s.nextId++;
             requests.put(id, request);
-            s.balancer.request(
+            s.balancer.requestArrived(
                     s.now, id, c.name(), 0, request.deadline, null, false, random.nextInt(50));
         } else if (event < 85) {
             endOne(random);
@@ -106,9 +106,9 @@
             EndpointState state = EndpointState.values()[random.nextInt(3)];
             EndpointEntry e = entry(i, state, random.nextBoolean() ? s.now : 0);
             endpoints.put(e.endpoint(), e);
-            s.balancer.list(s.now, ListKind.DELTA, List.of(e));
+            s.balancer.updateEndpointList(s.now, ListKind.DELTA, List.of(e));
         } else if (event < 89) {
-            s.balancer.list(s.now, ListKind.FAILED, List.of());
+            s.balancer.updateEndpointList(s.now, ListKind.FAILED, List.of());
         } else if (event < 91) {
             requests.keySet().stream()
                     .filter(id -> !requests.get(id).ended)
@@ -133,7 +133,7 @@
                     request.outcomes.set(k, o);
                     boolean closes = request.ended || o == Outcome.OK;
                     request.ended |= o == Outcome.OK;
-                    s.balancer.outcome(
+                    s.balancer.attemptEnded(
                             s.now,
                             id,
                             k,
--- a/decisions/src/test/java/trailthread/RequestQueueTest.java
+++ b/decisions/src/test/java/trailthread/RequestQueueTest.java
@@ -37,7 +37,7 @@
                     (request, now) -> late.contains(request));
 
     RequestQueueTest() {
-        fairShare.retune(modules.settings, NOW);
+        fairShare.applySettings(modules.settings, NOW);
     }
 
     /** Adds a class with ten times the priority weight of the others. */
--- a/decisions/src/test/java/trailthread/ScriptedBalancer.java
+++ b/decisions/src/test/java/trailthread/ScriptedBalancer.java
@@ -96,16 +96,16 @@
         for (String name : names) {
             entries.add(ready(name));
         }
-        balancer.list(now, ListKind.FULL, entries);
+        balancer.updateEndpointList(now, ListKind.FULL, entries);
     }
 
     void delta(EndpointEntry entry) {
-        balancer.list(now, ListKind.DELTA, List.of(entry));
+        balancer.updateEndpointList(now, ListKind.DELTA, List.of(entry));
     }
 
     long request(String requestClass) {
         long id = nextId++;
-        balancer.request(now, id, requestClass, 0, now + 1000 * MS, null, false, 0);
+        balancer.requestArrived(now, id, requestClass, 0, now + 1000 * MS, null, false, 0);
         return id;
     }
 
@@ -121,7 +121,7 @@
     /** Ends the last attempt of a request, with the load report that came with its response. */
     void end(long id, Outcome outcome, LoadReport load) {
         Send last = sendsOf(id).get(sendsOf(id).size() - 1);
-        balancer.outcome(
+        balancer.attemptEnded(
                 now, id, last.attempt(), outcome, now - last.at(), outcome == Outcome.OK, load);
     }
 
@@ -144,7 +144,7 @@
             }
             timers.remove(next);
             now = Math.max(now, next.at());
-            balancer.timer(now, next.token());
+            balancer.timerFired(now, next.token());
         }
         now = until;
     }
--- a/decisions/src/test/java/trailthread/SlowStartBudgetTest.java
+++ b/decisions/src/test/java/trailthread/SlowStartBudgetTest.java
@@ -39,7 +39,7 @@
             entries.add(
                     new EndpointEntry("starting-" + i, 1, EndpointState.READY, "here", s.now, 0));
         }
-        s.balancer.list(s.now, ListKind.FULL, entries);
+        s.balancer.updateEndpointList(s.now, ListKind.FULL, entries);
         serve(s, 200); // the token bucket fills with what this node has seen served
         int before = s.sends.size();
         serve(s, REQUESTS);
--- a/decisions/src/test/java/trailthread/SlowStartFleetTest.java
+++ b/decisions/src/test/java/trailthread/SlowStartFleetTest.java
@@ -104,7 +104,7 @@
                             : new EndpointEntry(
                                     "restarted-" + i, 1, EndpointState.READY, "here", readyAt, 0));
         }
-        s.balancer.list(s.now, ListKind.FULL, entries);
+        s.balancer.updateEndpointList(s.now, ListKind.FULL, entries);
     }
 
     /**
--- a/decisions/src/test/java/trailthread/degradation/DegradationFleetNode.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationFleetNode.java
@@ -90,7 +90,7 @@
         order = new SheddingOrder(settings.classes, List.of());
         controller = new DegradationController(new DegradationPlan(), order);
         balancer = new Balancer(settings, random.nextLong(), 0, this);
-        balancer.list(
+        balancer.updateEndpointList(
                 0, ListKind.FULL, endpoints.stream().map(DegradationFleetNode::entry).toList());
         if (withLevels) {
             readAndSchedule();
@@ -131,7 +131,7 @@
         requests.add(new ClientRequest(classIndex, now));
         clock.schedule(requestClass.deadlineNs(), () -> deadlinePassed(id));
         long deadline = now + requestClass.deadlineNs();
-        balancer.request(now, id, requestClass.name(), 0, deadline, null, false, 0);
+        balancer.requestArrived(now, id, requestClass.name(), 0, deadline, null, false, 0);
     }
 
     private boolean isAdmitted(RequestClass requestClass) {
@@ -210,7 +210,7 @@
         }
         long now = clock.now();
         long latencyNs = now - attempt.sentAt;
-        balancer.outcome(
+        balancer.attemptEnded(
                 now, id, attempt.number, outcome, latencyNs, answersClient, endpoint.report());
     }
 
@@ -226,7 +226,7 @@
 
     @Override
     public void timer(long delayNs, long token) {
-        clock.schedule(delayNs, () -> balancer.timer(clock.now(), token));
+        clock.schedule(delayNs, () -> balancer.timerFired(clock.now(), token));
     }
 
     @Override
--- a/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
+++ b/engine/src/main/java/trailthread/engine/request/ActiveRequest.java
@@ -80,7 +80,7 @@
         driver.deliver(
                 this,
                 (balancer, now) ->
-                        balancer.request(
+                        balancer.requestArrived(
                                 now,
                                 id,
                                 client.requestClass(),
@@ -201,7 +201,7 @@
      * attempt, and delivers the head's load report like that of a health check.
      */
     private void deliverFirstByte(String endpoint, int attempt, LoadReport load) {
-        driver.deliver(this, (balancer, now) -> balancer.firstByte(now, id, attempt));
+        driver.deliver(this, (balancer, now) -> balancer.firstByteReceived(now, id, attempt));
         if (load != null) {
             driver.deliver(
                     (balancer, now) -> balancer.healthChecked(now, endpoint, Outcome.OK, -1, load));
@@ -227,7 +227,7 @@
         driver.deliver(
                 this,
                 (balancer, now) ->
-                        balancer.outcome(
+                        balancer.attemptEnded(
                                 now,
                                 id,
                                 attempt,
--- a/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
+++ b/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
@@ -100,7 +100,7 @@
 
     private void timerFired(long token) {
         if (!timersStopped) {
-            driver.deliver((balancer, now) -> balancer.timer(now, token));
+            driver.deliver((balancer, now) -> balancer.timerFired(now, token));
         }
     }
 
--- a/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
+++ b/engine/src/main/java/trailthread/engine/request/RequestDispatcher.java
@@ -84,7 +84,7 @@
     public void applySettings(Settings settings) {
         applyTimeouts(settings);
         // Not an event, but run like one, so that an exception is logged.
-        driver.deliver((events, now) -> balancer.retune(now, settings));
+        driver.deliver((events, now) -> balancer.applySettings(now, settings));
     }
 
     /** Sets the source from which the balancer watches and fetches the endpoint list. */
@@ -160,7 +160,7 @@
 
     /** Sets which requests the balancer admits; null: all. */
     public void setAdmission(Admission admission) {
-        driver.deliver((balancer, now) -> balancer.admit(admission));
+        driver.deliver((balancer, now) -> balancer.setAdmission(admission));
     }
 
     /** Returns how many of the listed endpoints the balancer avoids now. */
@@ -170,12 +170,12 @@
 
     /** Delivers an update of the endpoint list to the balancer. */
     public void updateEndpointList(ListKind kind, List<EndpointEntry> entries) {
-        driver.deliver((balancer, now) -> balancer.list(now, kind, entries));
+        driver.deliver((balancer, now) -> balancer.updateEndpointList(now, kind, entries));
     }
 
     /** Sets until when the endpoint list is valid, by {@link EventLoop#now}. */
     public void setListLeaseEnd(long until) {
-        driver.deliver((balancer, now) -> balancer.listLeaseUntil(now, until));
+        driver.deliver((balancer, now) -> balancer.setListLeaseEnd(now, until));
     }
 
     @Override
--- a/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
+++ b/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
@@ -57,11 +57,11 @@
                                 actions.watch(true);
                             }
                         }));
-        driver.deliver((balancer, now) -> balancer.timer(1, 0));
+        driver.deliver((balancer, now) -> balancer.timerFired(1, 0));
         assertEquals(
                 List.of(
-                        "timer",
-                        "/timer",
+                        "timerFired",
+                        "/timerFired",
                         "send",
                         "clientDisconnected",
                         "/clientDisconnected",
@@ -82,9 +82,9 @@
                                         "thrown by the test: this stack trace is expected");
                             }
                         }));
-        driver.deliver((balancer, now) -> balancer.timer(1, 0));
+        driver.deliver((balancer, now) -> balancer.timerFired(1, 0));
         driver.deliver((balancer, now) -> balancer.clientDisconnected(2, 7));
-        assertEquals(List.of("timer", "clientDisconnected", "/clientDisconnected"), calls);
+        assertEquals(List.of("timerFired", "clientDisconnected", "/clientDisconnected"), calls);
     }
 
     @Test
--- a/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public void list(long now, ListKind kind, List<EndpointEntry> entries) {
+    public void updateEndpointList(long now, ListKind kind, List<EndpointEntry> entries) {
         if (kind == ListKind.FAILED) {
             actions.timer(WATCH_RETRY_NS, WATCH_TIMER);
             return;
@@ -125,7 +125,7 @@
     }
 
     @Override
-    public void request(
+    public void requestArrived(
             long now,
             long id,
             String requestClass,
@@ -200,7 +200,7 @@
     }
 
     @Override
-    public void outcome(
+    public void attemptEnded(
             long now,
             long id,
             int attempt,
@@ -247,14 +247,14 @@
     }
 
     @Override
-    public void timer(long now, long token) {
+    public void timerFired(long now, long token) {
         if (token == WATCH_TIMER) {
             actions.watch(true);
         }
     }
 
     @Override
-    public void firstByte(long now, long id, int attempt) {}
+    public void firstByteReceived(long now, long id, int attempt) {}
 
     @Override
     public void healthChecked(
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
@@ -242,7 +242,7 @@
         simulation.eventQueue().scheduleAt(deadline + slack + 1, () -> clientTimedOut(request));
         notifyBalancer(
                 (balancer, now) ->
-                        balancer.request(
+                        balancer.requestArrived(
                                 now,
                                 request.id,
                                 requestClass.name(),
@@ -291,7 +291,7 @@
                     boolean closed = request.finished;
                     notifyBalancer(
                             (balancer, now) ->
-                                    balancer.outcome(
+                                    balancer.attemptEnded(
                                             now,
                                             request.id,
                                             attempt.number,
@@ -333,7 +333,7 @@
                             entry.endpoint(),
                             entry.state() == EndpointState.READY);
         }
-        notifyBalancer((balancer, now) -> balancer.list(now, kind, entries));
+        notifyBalancer((balancer, now) -> balancer.updateEndpointList(now, kind, entries));
     }
 
     // ---- connections
@@ -397,7 +397,7 @@
                             || attempt >= simulation.scenario().rules().maxAttempts()) {
                         notifyBalancer(
                                 (balancer, now) ->
-                                        balancer.outcome(
+                                        balancer.attemptEnded(
                                                 now,
                                                 id,
                                                 attempt,
@@ -482,7 +482,7 @@
                                         () ->
                                                 notifyBalancer(
                                                         (balancer, now) ->
-                                                                balancer.timer(now, token)));
+                                                                balancer.timerFired(now, token)));
                             }
                         });
     }
