--- a/adapter/src/main/java/trailthread/adapter/WireActions.java
+++ b/adapter/src/main/java/trailthread/adapter/WireActions.java
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public void refuse(long id, long retryAfterNs) {
+    public void reject(long id, long retryAfterNs) {
         writer.beginMessage(instance, WireMessages.REJECT);
         writer.numberField(id);
         writer.numberField(retryAfterNs);
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public void timer(long delayNs, long token) {
+    public void setTimer(long delayNs, long token) {
         writer.beginMessage(instance, WireMessages.START_TIMER);
         writer.numberField(Math.max(0, Math.min(delayNs, MAX_TIMER_NS)));
         writer.numberField(token);
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public void closeIdle(String endpoint) {
+    public void closeIdleConnections(String endpoint) {
         writer.beginMessage(instance, WireMessages.CLOSE_IDLE);
         writer.nameField(endpoint);
         writer.endMessage();
@@ -78,14 +78,14 @@
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchList(boolean on) {
         writer.beginMessage(instance, WireMessages.WATCH_LIST);
         writer.numberField(on ? 1 : 0);
         writer.endMessage();
     }
 
     @Override
-    public void fetch() {
+    public void fetchList() {
         writer.beginMessage(instance, WireMessages.FETCH_LIST);
         writer.endMessage();
     }
--- a/adapter/src/test/java/trailthread/adapter/WireActionsTest.java
+++ b/adapter/src/test/java/trailthread/adapter/WireActionsTest.java
@@ -21,16 +21,16 @@
     void everyActionIsALineOfItsInstance() throws IOException {
         WireActions actions = new WireActions("a", writer);
         actions.send(7, 30, 99, "h:1");
-        actions.refuse(7, 5);
+        actions.reject(7, 5);
         actions.fail(8);
         actions.cancel(7, 1);
         actions.checkHealth("h:2");
-        actions.closeIdle("h:3");
+        actions.closeIdleConnections("h:3");
         actions.sendToPeer(-1, new byte[] {0, (byte) 0xaf});
         actions.sendToPeer(2, new byte[0]);
-        actions.watch(true);
-        actions.watch(false);
-        actions.fetch();
+        actions.watchList(true);
+        actions.watchList(false);
+        actions.fetchList();
         actions.log("a\tb\nc");
         assertEquals(
                 String.join(
@@ -55,8 +55,8 @@
     @Test
     void timersAreNeitherNegativeNorLongerThanSeventyMinutes() throws IOException {
         WireActions actions = new WireActions("a", writer);
-        actions.timer(-1, 0);
-        actions.timer(Long.MAX_VALUE, Long.MIN_VALUE);
+        actions.setTimer(-1, 0);
+        actions.setTimer(Long.MAX_VALUE, Long.MIN_VALUE);
         assertEquals(
                 "from\ta\nafter\t0\t0\nafter\t4200000000000\t-9223372036854775808\nnext\n",
                 reply());
--- a/daemon/src/main/java/trailthread/daemon/DecisionWarmUp.java
+++ b/daemon/src/main/java/trailthread/daemon/DecisionWarmUp.java
@@ -113,12 +113,12 @@
     }
 
     @Override
-    public void timer(long delayNs, long token) {
+    public void setTimer(long delayNs, long token) {
         timers.add(new Timer(now + delayNs, token));
     }
 
     @Override
-    public void refuse(long request, long retryAfterNs) {}
+    public void reject(long request, long retryAfterNs) {}
 
     @Override
     public void fail(long request) {}
@@ -130,16 +130,16 @@
     public void checkHealth(String endpoint) {}
 
     @Override
-    public void closeIdle(String endpoint) {}
+    public void closeIdleConnections(String endpoint) {}
 
     @Override
     public void sendToPeer(int peer, byte[] data) {}
 
     @Override
-    public void watch(boolean on) {}
+    public void watchList(boolean on) {}
 
     @Override
-    public void fetch() {}
+    public void fetchList() {}
 
     @Override
     public void log(String text) {}
--- a/daemon/src/test/java/trailthread/daemon/DecisionWarmUpTest.java
+++ b/daemon/src/test/java/trailthread/daemon/DecisionWarmUpTest.java
@@ -40,7 +40,7 @@
                     }
 
                     @Override
-                    public void refuse(long request, long retryAfterNs) {
+                    public void reject(long request, long retryAfterNs) {
                         rejected.add(request);
                     }
                 };
--- a/decisions/src/main/java/trailthread/Balancer.java
+++ b/decisions/src/main/java/trailthread/Balancer.java
@@ -204,7 +204,7 @@
 
     private void setSendableTimer(Request request, long now) {
         long delayNs = admissions.sendableUntil(request, now) - now;
-        actions.timer(delayNs, TimerKind.SENDABLE_UNTIL.token(request.id));
+        actions.setTimer(delayNs, TimerKind.SENDABLE_UNTIL.token(request.id));
     }
 
     private void sendableTimerDue(Request request, long now) {
--- a/decisions/src/main/java/trailthread/FinalResponder.java
+++ b/decisions/src/main/java/trailthread/FinalResponder.java
@@ -19,7 +19,7 @@
     void rejectOrFail(Request request) {
         request.finished = true;
         if (RetryPolicy.mayReject(request)) {
-            actions.refuse(request.id, retryAfterNs());
+            actions.reject(request.id, retryAfterNs());
         } else {
             actions.fail(request.id);
         }
--- a/decisions/src/main/java/trailthread/HealthChecker.java
+++ b/decisions/src/main/java/trailthread/HealthChecker.java
@@ -57,6 +57,6 @@
         }
         double periodNs = PERIOD_OBJECTIVES * means.objectiveNs() / Math.max(1, endpoints);
         double delayNs = Math.max(settings.get().tickNs, periodNs);
-        actions.timer(random.jittered(delayNs), TimerKind.HEALTH_CHECK.token(0));
+        actions.setTimer(random.jittered(delayNs), TimerKind.HEALTH_CHECK.token(0));
     }
 }
--- a/decisions/src/main/java/trailthread/ListPollSchedule.java
+++ b/decisions/src/main/java/trailthread/ListPollSchedule.java
@@ -121,12 +121,12 @@
             return;
         }
         pollSentAt = Math.min(pollSentAt, now);
-        actions.watch(true);
+        actions.watchList(true);
         schedulePoll(REPEAT_SHARE * settings.get().pollIntervalNs);
     }
 
     private void schedulePoll(double delayNs) {
         serial++;
-        actions.timer(random.jittered(delayNs), TimerKind.LIST_POLL.token(serial));
+        actions.setTimer(random.jittered(delayNs), TimerKind.LIST_POLL.token(serial));
     }
 }
--- a/decisions/src/main/java/trailthread/RequestQueue.java
+++ b/decisions/src/main/java/trailthread/RequestQueue.java
@@ -125,7 +125,7 @@
             releaseTimerSet = true;
             double delayNs = RELEASE_OBJECTIVE_SHARE * settings.tightestObjectiveNs();
             double timerNs = Math.max(settings.get().tickNs, delayNs);
-            actions.timer(random.jittered(timerNs), TimerKind.QUEUE_RELEASE.token(0));
+            actions.setTimer(random.jittered(timerNs), TimerKind.QUEUE_RELEASE.token(0));
         }
     }
 
--- a/decisions/src/main/java/trailthread/api/BalancerActions.java
+++ b/decisions/src/main/java/trailthread/api/BalancerActions.java
@@ -2,8 +2,9 @@
 
 /**
  * The actions that the balancer asks its host to take. The balancer calls them in order, while it
- * handles an event. {@link trailthread.Balancer} never calls {@link #cancel}, {@link #closeIdle},
- * {@link #sendToPeer} and {@link #fetch}; other policies behind this interface may.
+ * handles an event. {@link trailthread.Balancer} never calls {@link #cancel}, {@link
+ * #closeIdleConnections}, {@link #sendToPeer} and {@link #fetchList}; other policies behind this
+ * interface may.
  */
 public interface BalancerActions {
     /**
@@ -21,7 +22,7 @@
      *
      * @param retryAfterNs advice to the client on when to retry; 0: none
      */
-    void refuse(long id, long retryAfterNs);
+    void reject(long id, long retryAfterNs);
 
     /** Give the final answer: the request failed, and an endpoint may have processed it. */
     void fail(long id);
@@ -29,23 +30,23 @@
     /** Stop waiting for an attempt; its outcome is still to be reported. */
     void cancel(long id, int attempt);
 
-    /** Call {@link BalancerEvents#timerFired} after this delay. */
-    void timer(long delayNs, long token);
+    /** Set a timer: call {@link BalancerEvents#timerFired} after this delay. */
+    void setTimer(long delayNs, long token);
 
     /** Check an endpoint's health; {@link BalancerEvents#healthChecked} brings the result. */
     void checkHealth(String endpoint);
 
     /** Close idle connections to an endpoint. */
-    void closeIdle(String endpoint);
+    void closeIdleConnections(String endpoint);
 
     /** Send a message to another node, or to all (-1). */
     void sendToPeer(int peer, byte[] data);
 
     /** Watch the endpoint list, or stop watching. */
-    void watch(boolean on);
+    void watchList(boolean on);
 
     /** Fetch the complete endpoint list once. */
-    void fetch();
+    void fetchList();
 
     /** Log a line for operators. */
     void log(String text);
--- a/decisions/src/main/java/trailthread/api/BalancerEvents.java
+++ b/decisions/src/main/java/trailthread/api/BalancerEvents.java
@@ -9,7 +9,7 @@
 
     /**
      * A client's request has arrived. It gets exactly one final answer: an {@link Outcome#OK}
-     * outcome that finishes the request, {@link BalancerActions#refuse} or {@link
+     * outcome that finishes the request, {@link BalancerActions#reject} or {@link
      * BalancerActions#fail}.
      *
      * @param workNs expected work on a standard core; 0: not known
@@ -52,7 +52,7 @@
     /** The client has disconnected; no answer is owed. */
     void clientDisconnected(long now, long id);
 
-    /** A timer set by {@link BalancerActions#timer} has fired. */
+    /** A timer set by {@link BalancerActions#setTimer} has fired. */
     void timerFired(long now, long token);
 
     /**
--- a/decisions/src/main/java/trailthread/api/Settings.java
+++ b/decisions/src/main/java/trailthread/api/Settings.java
@@ -68,7 +68,7 @@
     /** The most attempts of each request, including the first. */
     public int maxAttempts = 3;
 
-    /** Whether refusals carry a Retry-After. */
+    /** Whether rejections carry a Retry-After. */
     public boolean retryAfter;
 
     /** The longest Retry-After that clients honour. */
--- a/decisions/src/test/java/trailthread/AdmissionTest.java
+++ b/decisions/src/test/java/trailthread/AdmissionTest.java
@@ -28,7 +28,7 @@
                 });
         long shed = s.request("safe");
         long admitted = s.request("unsafe");
-        assertEquals(List.of(shed), s.refused);
+        assertEquals(List.of(shed), s.rejected);
         assertTrue(s.lastRetryAfterNs > 0);
         assertTrue(s.sendsOf(shed).isEmpty());
         assertEquals(1, s.sendsOf(admitted).size());
@@ -45,7 +45,7 @@
         s.balancer.setAdmission((requestClass, overQuota, random) -> !overQuota);
         s.balancer.requestArrived(s.now, 1, "safe", 0, s.now + 1000 * MS, "acme", false, 0);
         s.balancer.requestArrived(s.now, 2, "safe", 0, s.now + 1000 * MS, "acme", false, 0);
-        assertEquals(List.of(2L), s.refused);
+        assertEquals(List.of(2L), s.rejected);
     }
 
     /** Replays of recorded runs without an admission must give the same actions. */
--- a/decisions/src/test/java/trailthread/BalancerRulesTest.java
+++ b/decisions/src/test/java/trailthread/BalancerRulesTest.java
@@ -32,9 +32,9 @@
         s.advance(900 * MS);
         assertTrue(s.sends.isEmpty());
         s.advance(100 * MS);
-        assertEquals(List.of(id), s.refused);
+        assertEquals(List.of(id), s.rejected);
         s.advance(2000 * MS);
-        assertEquals(1, s.refused.size() + s.failed.size());
+        assertEquals(1, s.rejected.size() + s.failed.size());
     }
 
     @Test
@@ -56,7 +56,7 @@
             assertEquals(1, s.sendsOf(id).size());
             assertTrue(s.failed.contains(id));
         }
-        assertTrue(s.refused.isEmpty());
+        assertTrue(s.rejected.isEmpty());
     }
 
     @Test
@@ -145,7 +145,7 @@
             s.advance(100 * MS);
         }
         assertEquals(3, s.sendsOf(id).size());
-        assertEquals(1, s.refused.size() + s.failed.size());
+        assertEquals(1, s.rejected.size() + s.failed.size());
     }
 
     @Test
@@ -156,7 +156,7 @@
         s.end(id, Outcome.ERROR);
         s.advance(2000 * MS);
         assertEquals(1, s.sendsOf(id).size());
-        assertTrue(s.refused.isEmpty() && s.failed.isEmpty());
+        assertTrue(s.rejected.isEmpty() && s.failed.isEmpty());
     }
 
     @Test
@@ -165,7 +165,7 @@
         long id = s.request("safe");
         s.balancer.firstByteReceived(s.now, id, 0);
         s.advance(3000 * MS);
-        assertTrue(s.refused.isEmpty() && s.failed.isEmpty());
+        assertTrue(s.rejected.isEmpty() && s.failed.isEmpty());
         s.balancer.attemptEnded(s.now, id, 0, Outcome.RESET, 3000 * MS, true, null);
         assertEquals(1, s.sendsOf(id).size());
     }
--- a/decisions/src/test/java/trailthread/EndpointChoiceTest.java
+++ b/decisions/src/test/java/trailthread/EndpointChoiceTest.java
@@ -220,7 +220,8 @@
         long sentAtOnce = s.sends.size() - 100L;
         assertTrue(sentAtOnce >= 1 && sentAtOnce <= 4, "sent at once: " + sentAtOnce);
         s.advance(1500 * MS);
-        assertEquals(50 - sentAtOnce, s.refused.size(), "queued requests are rejected, not failed");
+        assertEquals(
+                50 - sentAtOnce, s.rejected.size(), "queued requests are rejected, not failed");
     }
 
     @Test
@@ -273,7 +274,7 @@
         s.balancer.requestArrived(s.now, 9999, "safe", 0, s.now + 10 * MS, null, false, 0);
         assertTrue(s.sendsOf(9999).isEmpty());
         s.advance(50 * MS);
-        assertTrue(s.refused.contains(9999L));
+        assertTrue(s.rejected.contains(9999L));
     }
 
     @Test
--- a/decisions/src/test/java/trailthread/FinalResponderTest.java
+++ b/decisions/src/test/java/trailthread/FinalResponderTest.java
@@ -10,7 +10,7 @@
 import trailthread.api.Outcome;
 import trailthread.api.Settings;
 
-/** Refusals, failures and the spread of Retry-After. */
+/** Rejections, failures and the spread of Retry-After. */
 class FinalResponderTest {
     private final Settings settings = ScriptedBalancer.settings();
     private final WiredModules modules = new WiredModules(settings);
@@ -25,12 +25,12 @@
     }
 
     @Test
-    void aRequestIsRefusedIfItMayBeSentAgainElseFailed() {
-        Request refused = answered("unsafe", Outcome.REJECTED);
+    void aRequestIsRejectedIfItMayBeSentAgainElseFailed() {
+        Request rejected = answered("unsafe", Outcome.REJECTED);
         Request failed = answered("unsafe", Outcome.TIMEOUT);
-        assertEquals(List.of(refused.id), modules.actions.refused);
+        assertEquals(List.of(rejected.id), modules.actions.rejected);
         assertEquals(List.of(failed.id), modules.actions.failed);
-        assertTrue(refused.finished && failed.finished);
+        assertTrue(rejected.finished && failed.finished);
     }
 
     /** With the longest advice of 600 ms: from two thirds of it, 400 ms, up to all of it. */
--- a/decisions/src/test/java/trailthread/ListWithoutLeaseTest.java
+++ b/decisions/src/test/java/trailthread/ListWithoutLeaseTest.java
@@ -20,9 +20,9 @@
         script.balancer.setListLeaseEnd(script.now, Long.MIN_VALUE);
         long id = script.request("unsafe");
         script.advance(249 * MS); // of 1,000
-        assertEquals(List.of(), script.refused);
+        assertEquals(List.of(), script.rejected);
         script.advance(1 * MS);
-        assertEquals(List.of(id), script.refused);
+        assertEquals(List.of(id), script.rejected);
         assertEquals(List.of(), script.sends);
     }
 
@@ -43,6 +43,6 @@
         script.end(id, Outcome.RESET);
         script.advance(1_000 * MS);
         assertEquals(1, script.sendsOf(id).size());
-        assertEquals(List.of(id), script.refused);
+        assertEquals(List.of(id), script.rejected);
     }
 }
--- a/decisions/src/test/java/trailthread/LostResponseTest.java
+++ b/decisions/src/test/java/trailthread/LostResponseTest.java
@@ -106,7 +106,7 @@
     public void attemptsOvertakenByALaterResponseFillNoLimit() {
         s.endpoints("a", "b");
         serve(400);
-        int refused = s.refused.size();
+        int rejected = s.rejected.size();
         ArrayDeque<ScriptedBalancer.Send> inFlight = new ArrayDeque<>();
         int seen = s.sends.size();
         for (int i = 0; i < 600; i++) {
@@ -122,6 +122,7 @@
             }
         }
         assertTrue(
-                "refused of 600: " + (s.refused.size() - refused), s.refused.size() - refused < 30);
+                "refused of 600: " + (s.rejected.size() - rejected),
+                s.rejected.size() - rejected < 30);
     }
 }
--- a/decisions/src/test/java/trailthread/ManyNodesTest.java
+++ b/decisions/src/test/java/trailthread/ManyNodesTest.java
@@ -260,7 +260,7 @@
             s.endpoints();
             s.request("safe");
             s.advance(1000 * MS);
-            assertEquals(1, s.refused.size());
+            assertEquals(1, s.rejected.size());
             assertEquals(honoursRetryAfter, s.lastRetryAfterNs > 0);
             assertTrue(
                     s.lastRetryAfterNs <= 500 * MS,
--- a/decisions/src/test/java/trailthread/OperatorLogTest.java
+++ b/decisions/src/test/java/trailthread/OperatorLogTest.java
@@ -79,7 +79,7 @@
             s.advance(10 * MS);
         }
         s.advance(3000 * MS);
-        assertEquals(50, s.refused.size());
+        assertEquals(50, s.rejected.size());
         long logged = lines(s, "turning requests away: no backend is open, held ");
         assertTrue(logged >= 1 && logged <= 2, s.log.toString());
     }
--- a/decisions/src/test/java/trailthread/QueueingTest.java
+++ b/decisions/src/test/java/trailthread/QueueingTest.java
@@ -54,9 +54,9 @@
         s.endpoints();
         long id = s.request("unsafe");
         s.advance(199 * MS);
-        assertTrue("a response may still earn weight", s.refused.isEmpty());
+        assertTrue("a response may still earn weight", s.rejected.isEmpty());
         s.advance(MS);
-        assertEquals(List.of(id), s.refused);
+        assertEquals(List.of(id), s.rejected);
         assertTrue(s.lastRetryAfterNs > 0);
     }
 
@@ -67,7 +67,7 @@
         s.advance(250 * MS);
         s.endpoints();
         s.end(id, Outcome.REJECTED);
-        assertEquals(List.of(id), s.refused);
+        assertEquals(List.of(id), s.rejected);
     }
 
     /** Prevents a node without ready endpoints from pausing for many latencies. */
@@ -111,6 +111,6 @@
                 s.end(s.sends.get(ended++).id(), Outcome.OK);
             }
         }
-        assertTrue("refused of 500, at the start: " + s.refused.size(), s.refused.size() < 25);
+        assertTrue("refused of 500, at the start: " + s.rejected.size(), s.rejected.size() < 25);
     }
 }
--- a/decisions/src/test/java/trailthread/RandomizedRulesTest.java
+++ b/decisions/src/test/java/trailthread/RandomizedRulesTest.java
@@ -163,7 +163,7 @@
             request.sends.add(send);
             request.outcomes.add(null);
         }
-        for (Long id : s.refused) {
+        for (Long id : s.rejected) {
             if (answeredIds.add(id)) {
                 ClientRequest request = requests.get(id);
                 recordAnswer(request, id);
@@ -183,7 +183,7 @@
                 recordAnswer(requests.get(id), id);
             }
         }
-        assertTrue(answeredIds.size() == s.refused.size() + s.failed.size(), "two final answers");
+        assertTrue(answeredIds.size() == s.rejected.size() + s.failed.size(), "two final answers");
         requests.forEach(
                 (id, request) ->
                         assertTrue(
--- a/decisions/src/test/java/trailthread/RetryPolicyTest.java
+++ b/decisions/src/test/java/trailthread/RetryPolicyTest.java
@@ -88,9 +88,9 @@
         assertEquals(0, modules.retries.timeoutNs(modules.request("unsafe"), a, NOW));
     }
 
-    /** After a refusal the client may send the request again, to any endpoint. */
+    /** After a rejection the client may send the request again, to any endpoint. */
     @Test
-    void aRequestThatMayHaveRunIsRefusedOnlyIfItsClientMaySendItAgain() {
+    void aRequestThatMayHaveRunIsRejectedOnlyIfItsClientMaySendItAgain() {
         assertTrue(RetryPolicy.mayReject(requestAfter("safe", Outcome.ERROR)));
         assertTrue(RetryPolicy.mayReject(requestAfter("shared", Outcome.ERROR)));
         assertFalse(RetryPolicy.mayReject(requestAfter("keyed", Outcome.ERROR)));
--- a/decisions/src/test/java/trailthread/RetryTest.java
+++ b/decisions/src/test/java/trailthread/RetryTest.java
@@ -77,7 +77,9 @@
         ScriptedBalancer s = script(attempts);
         long id = s.request(name);
         s.end(id, outcome);
-        return s.sendsOf(id).size() > 1 ? "retried" : s.refused.contains(id) ? "refused" : "failed";
+        return s.sendsOf(id).size() > 1
+                ? "retried"
+                : s.rejected.contains(id) ? "refused" : "failed";
     }
 
     /** Prevents a retry that was decided within the window from being written after its end. */
--- a/decisions/src/test/java/trailthread/ScriptedBalancer.java
+++ b/decisions/src/test/java/trailthread/ScriptedBalancer.java
@@ -30,7 +30,7 @@
     record Timer(long at, long token) {}
 
     final List<Send> sends = new ArrayList<>();
-    final List<Long> refused = new ArrayList<>();
+    final List<Long> rejected = new ArrayList<>();
     final List<Long> failed = new ArrayList<>();
     final List<Long> cancelled = new ArrayList<>();
     final List<Timer> timers = new ArrayList<>();
@@ -38,7 +38,7 @@
     final StringBuilder transcript = new StringBuilder();
     int watches;
 
-    /** The Retry-After of the last refusal, in nanoseconds; 0: none. */
+    /** The Retry-After of the last rejection, in nanoseconds; 0: none. */
     long lastRetryAfterNs;
 
     long now = 1_000_000_000_000L;
@@ -163,8 +163,8 @@
     }
 
     @Override
-    public void refuse(long id, long retryAfterNs) {
-        refused.add(id);
+    public void reject(long id, long retryAfterNs) {
+        rejected.add(id);
         lastRetryAfterNs = retryAfterNs;
         transcript.append("refuse ").append(id).append('\n');
     }
@@ -182,7 +182,7 @@
     }
 
     @Override
-    public void timer(long delayNs, long token) {
+    public void setTimer(long delayNs, long token) {
         timers.add(new Timer(now + delayNs, token));
         transcript.append("timer ").append(delayNs).append(' ').append(token).append('\n');
     }
@@ -193,7 +193,7 @@
     }
 
     @Override
-    public void closeIdle(String endpoint) {
+    public void closeIdleConnections(String endpoint) {
         transcript.append("close ").append(endpoint).append('\n');
     }
 
@@ -203,13 +203,13 @@
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchList(boolean on) {
         watches++;
         transcript.append("watch ").append(on).append('\n');
     }
 
     @Override
-    public void fetch() {
+    public void fetchList() {
         transcript.append("fetch\n");
     }
 
--- a/decisions/src/test/java/trailthread/degradation/DegradationFleetNode.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationFleetNode.java
@@ -215,7 +215,7 @@
     }
 
     @Override
-    public void refuse(long id, long retryAfterNs) {
+    public void reject(long id, long retryAfterNs) {
         end(id, false);
     }
 
@@ -225,7 +225,7 @@
     }
 
     @Override
-    public void timer(long delayNs, long token) {
+    public void setTimer(long delayNs, long token) {
         clock.schedule(delayNs, () -> balancer.timerFired(clock.now(), token));
     }
 
@@ -236,16 +236,16 @@
     public void checkHealth(String endpoint) {}
 
     @Override
-    public void closeIdle(String endpoint) {}
+    public void closeIdleConnections(String endpoint) {}
 
     @Override
     public void sendToPeer(int peer, byte[] data) {}
 
     @Override
-    public void watch(boolean on) {}
+    public void watchList(boolean on) {}
 
     @Override
-    public void fetch() {}
+    public void fetchList() {}
 
     @Override
     public void log(String text) {}
--- a/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
+++ b/engine/src/main/java/trailthread/engine/request/BalancerActionExecutor.java
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public void refuse(long id, long retryAfterNs) {
+    public void reject(long id, long retryAfterNs) {
         ActiveRequest request = requests.get(id);
         if (request != null) {
             request.reject(retryAfterNs);
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public void timer(long delayNs, long token) {
+    public void setTimer(long delayNs, long token) {
         loop.schedule(delayNs, () -> timerFired(token));
     }
 
@@ -125,7 +125,7 @@
     }
 
     @Override
-    public void closeIdle(String endpoint) {
+    public void closeIdleConnections(String endpoint) {
         endpoints.closeIdle(endpoint);
     }
 
@@ -135,14 +135,14 @@
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchList(boolean on) {
         if (discovery != null) {
             discovery.watch(on);
         }
     }
 
     @Override
-    public void fetch() {
+    public void fetchList() {
         if (discovery != null) {
             discovery.fetch();
         }
--- a/engine/src/main/java/trailthread/engine/request/BalancerDriver.java
+++ b/engine/src/main/java/trailthread/engine/request/BalancerDriver.java
@@ -108,8 +108,8 @@
         }
 
         @Override
-        public void refuse(long id, long retryAfterNs) {
-            queuedActions.add(() -> executor.refuse(id, retryAfterNs));
+        public void reject(long id, long retryAfterNs) {
+            queuedActions.add(() -> executor.reject(id, retryAfterNs));
         }
 
         @Override
@@ -127,9 +127,9 @@
          * time that the balancer and the actions before this one took.
          */
         @Override
-        public void timer(long delayNs, long token) {
+        public void setTimer(long delayNs, long token) {
             long dueAt = eventAt + delayNs;
-            queuedActions.add(() -> executor.timer(dueAt - clock.getAsLong(), token));
+            queuedActions.add(() -> executor.setTimer(dueAt - clock.getAsLong(), token));
         }
 
         @Override
@@ -138,8 +138,8 @@
         }
 
         @Override
-        public void closeIdle(String endpoint) {
-            queuedActions.add(() -> executor.closeIdle(endpoint));
+        public void closeIdleConnections(String endpoint) {
+            queuedActions.add(() -> executor.closeIdleConnections(endpoint));
         }
 
         @Override
@@ -148,13 +148,13 @@
         }
 
         @Override
-        public void watch(boolean on) {
-            queuedActions.add(() -> executor.watch(on));
+        public void watchList(boolean on) {
+            queuedActions.add(() -> executor.watchList(on));
         }
 
         @Override
-        public void fetch() {
-            queuedActions.add(executor::fetch);
+        public void fetchList() {
+            queuedActions.add(executor::fetchList);
         }
 
         @Override
--- a/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
+++ b/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
@@ -54,7 +54,7 @@
                         () -> {
                             if (calls.size() == 1) {
                                 actions.send(7, 0, Long.MAX_VALUE, "w");
-                                actions.watch(true);
+                                actions.watchList(true);
                             }
                         }));
         driver.deliver((balancer, now) -> balancer.timerFired(1, 0));
@@ -66,8 +66,8 @@
                         "clientDisconnected",
                         "/clientDisconnected",
                         "/send",
-                        "watch",
-                        "/watch"),
+                        "watchList",
+                        "/watchList"),
                 calls);
     }
 
@@ -106,8 +106,8 @@
                         BalancerEvents.class,
                         () -> {
                             now += 7; // the balancer itself takes time
-                            actions.timer(100, 1);
-                            actions.timer(100, 2);
+                            actions.setTimer(100, 1);
+                            actions.setTimer(100, 2);
                         }));
         driver.deliver((balancer, at) -> balancer.clientDisconnected(at, 7));
         assertEquals(List.of(93L, 1L, 63L, 2L), scheduled);
--- a/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
@@ -98,7 +98,7 @@
     @Override
     public void updateEndpointList(long now, ListKind kind, List<EndpointEntry> entries) {
         if (kind == ListKind.FAILED) {
-            actions.timer(WATCH_RETRY_NS, WATCH_TIMER);
+            actions.setTimer(WATCH_RETRY_NS, WATCH_TIMER);
             return;
         }
         if (kind != ListKind.DELTA) {
@@ -116,7 +116,7 @@
                         .filter(endpoint -> endpoint.state == EndpointState.READY)
                         .toList();
         if (kind == ListKind.CACHED && settings.listIsPolled) {
-            actions.watch(true);
+            actions.watchList(true);
         }
     }
 
@@ -150,7 +150,7 @@
             requests.remove(id);
             if (request.firstExecuted < 0
                     || request.requestClass.idempotency() == Idempotency.IDEMPOTENT) {
-                actions.refuse(id, 0);
+                actions.reject(id, 0);
             } else {
                 actions.fail(id);
             }
@@ -249,7 +249,7 @@
     @Override
     public void timerFired(long now, long token) {
         if (token == WATCH_TIMER) {
-            actions.watch(true);
+            actions.watchList(true);
         }
     }
 
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
@@ -425,7 +425,7 @@
     }
 
     @Override
-    public void refuse(long id, long retryAfterNs) {
+    public void reject(long id, long retryAfterNs) {
         pendingActions.add(
                 () -> {
                     SimulatedRequest request = requests.get(id);
@@ -465,7 +465,7 @@
     }
 
     @Override
-    public void timer(long delayNs, long token) {
+    public void setTimer(long delayNs, long token) {
         int expectedIncarnation = incarnation;
         if (++timerCount > MAX_TIMERS) {
             throw new BalancerFailureException(
@@ -563,7 +563,7 @@
     }
 
     @Override
-    public void closeIdle(String endpoint) {
+    public void closeIdleConnections(String endpoint) {
         pendingActions.add(
                 () -> {
                     SimulatedServer server = server(endpoint);
@@ -589,12 +589,12 @@
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchList(boolean on) {
         pendingActions.add(() -> simulation.discovery().watch(this, on));
     }
 
     @Override
-    public void fetch() {
+    public void fetchList() {
         pendingActions.add(() -> simulation.discovery().fetch(this));
     }
 
--- a/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
+++ b/lab/src/test/java/trailthread/lab/simulation/SimulationTest.java
@@ -168,8 +168,8 @@
         }
 
         @Override
-        public void refuse(long id, long retryAfterNs) {
-            target.refuse(id, retryAfterNs);
+        public void reject(long id, long retryAfterNs) {
+            target.reject(id, retryAfterNs);
         }
 
         @Override
@@ -183,8 +183,8 @@
         }
 
         @Override
-        public void timer(long delayNs, long token) {
-            target.timer(delayNs, token);
+        public void setTimer(long delayNs, long token) {
+            target.setTimer(delayNs, token);
         }
 
         @Override
@@ -193,8 +193,8 @@
         }
 
         @Override
-        public void closeIdle(String endpoint) {
-            target.closeIdle(endpoint);
+        public void closeIdleConnections(String endpoint) {
+            target.closeIdleConnections(endpoint);
         }
 
         @Override
@@ -203,13 +203,13 @@
         }
 
         @Override
-        public void watch(boolean on) {
-            target.watch(on);
+        public void watchList(boolean on) {
+            target.watchList(on);
         }
 
         @Override
-        public void fetch() {
-            target.fetch();
+        public void fetchList() {
+            target.fetchList();
         }
 
         @Override
@@ -234,8 +234,8 @@
                 (actions, balancer) ->
                         new ForwardingActions(actions) {
                             @Override
-                            public void timer(long delayNs, long token) {
-                                super.timer(0, token);
+                            public void setTimer(long delayNs, long token) {
+                                super.setTimer(0, token);
                             }
 
                             @Override
@@ -243,7 +243,7 @@
                                     long id, long timeoutNs, long writtenBy, String endpoint) {
                                 // Each timer event schedules the next: the balancer
                                 // schedules this timer again.
-                                super.timer(0, 2);
+                                super.setTimer(0, 2);
                                 super.send(id, timeoutNs, writtenBy, endpoint);
                             }
                         });
@@ -294,7 +294,7 @@
                                                     long writtenBy,
                                                     String endpoint) {
                                                 super.send(id, timeoutNs, writtenBy, endpoint);
-                                                super.refuse(id, 0);
+                                                super.reject(id, 0);
                                                 super.fail(id);
                                             }
                                         }),
@@ -325,7 +325,7 @@
                                             }
 
                                             @Override
-                                            public void refuse(long id, long retryAfterNs) {
+                                            public void reject(long id, long retryAfterNs) {
                                                 // drops the request
                                             }
                                         }),
