--- a/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
+++ b/daemon/src/main/java/trailthread/daemon/EndpointListUpdater.java
@@ -92,7 +92,7 @@
      * @param pushed whether an agent pushes the list
      */
     void applySettings(long drainGraceNs, boolean pushed) {
-        lease.retune(drainGraceNs, pushed);
+        lease.applySettings(drainGraceNs, pushed);
         publishLease();
     }
 
@@ -108,13 +108,13 @@
 
     @Override
     public void listConfirmed(long asOf) {
-        lease.confirmed(asOf);
+        lease.renew(asOf);
         publishLease();
     }
 
     @Override
     public void pollFailed(long waitedSince) {
-        lease.pollFailed(waitedSince, loop.now());
+        lease.recordPollFailure(waitedSince, loop.now());
         publishLease();
     }
 
--- a/decisions/src/main/java/trailthread/ListLease.java
+++ b/decisions/src/main/java/trailthread/ListLease.java
@@ -61,11 +61,11 @@
      *     that a poll is never queued, and while it is silent, there is no change to be notified of
      */
     public ListLease(long drainGraceNs, boolean pushed) {
-        retune(drainGraceNs, pushed);
+        applySettings(drainGraceNs, pushed);
     }
 
     /** Changes the settings, as in the constructor. Earlier renewals of the lease still count. */
-    public void retune(long drainGraceNs, boolean isPushed) {
+    public void applySettings(long drainGraceNs, boolean isPushed) {
         graceNs = usableGraceNs(drainGraceNs);
         pushed = isPushed;
     }
@@ -79,7 +79,7 @@
     }
 
     /** Renews the lease: discovery has notified the node of all changes made up to a time. */
-    public void confirmed(long asOf) {
+    public void renew(long asOf) {
         renewedAt = renewed ? Math.max(renewedAt, asOf) : asOf;
         renewed = true;
         sourceSwitched = false;
@@ -102,10 +102,10 @@
      *
      * @param waitedSince since when the poll may have been queued at discovery
      */
-    public void pollFailed(long waitedSince, long now) {
+    public void recordPollFailure(long waitedSince, long now) {
         boolean queued = now - waitedSince >= QUEUED_POLL_NS;
         if (pushed || renewed || !queued || queuedPollFailed) {
-            confirmed(now);
+            renew(now);
         }
         queuedPollFailed |= queued;
     }
