--- a/decisions/src/main/java/trailthread/degradation/Change.java
+++ b/decisions/src/main/java/trailthread/degradation/Change.java
@@ -46,7 +46,7 @@
     private String describe(Cause cause) {
         Reading reading = cause.reading();
         String relation = down ? " >= " : " < ";
-        return reading.word()
+        return reading.key()
                 + " "
                 + reading.show(cause.value())
                 + relation
--- a/decisions/src/main/java/trailthread/degradation/ConditionTracker.java
+++ b/decisions/src/main/java/trailthread/degradation/ConditionTracker.java
@@ -46,7 +46,7 @@
      * @param step counted time since the previous readings
      */
     void update(Readings readings, long now, long step) {
-        double latest = condition.reading().of(readings);
+        double latest = condition.reading().valueIn(readings);
         known = !Double.isNaN(latest);
         if (known) {
             updateKnown(latest, now, step);
--- a/decisions/src/main/java/trailthread/degradation/DegradationController.java
+++ b/decisions/src/main/java/trailthread/degradation/DegradationController.java
@@ -10,14 +10,14 @@
  * <p>Going down, the node enters the deepest level of which any condition has been met for {@link
  * Condition#holdNs}, and may skip levels. Going up, it moves by one level at a time: when all
  * conditions of the level have been under their leave bounds for {@link DegradationLevel#leaveNs},
- * no more has been shed in that time than the level above may shed, and the level's least stay
+ * no more has been shed in that time than the level above may shed, and the level's minimum stay
  * since the last change is over ({@link FlapDamping}). {@link SheddingDepth} sets how much a level
  * sheds.
  *
  * <p>Counted time: the time between two readings counts only if it is no longer than {@link
  * DegradationPlan#gapNs} and does not run backwards, as a process that was stopped has measured
- * nothing. An unknown value (see {@link Reading#of}) neither enters nor leaves a level, and its
- * time does not count. A reading is ignored before its first known value, and after {@link
+ * nothing. An unknown value (see {@link Reading#valueIn}) neither enters nor leaves a level, and
+ * its time does not count. A reading is ignored before its first known value, and after {@link
  * DegradationPlan#trustNs} without one.
  */
 public final class DegradationController {
@@ -68,8 +68,8 @@
         return sheddingPolicy;
     }
 
-    /** Handles the latest readings; returns the change of level that they cause, if any. */
-    public Optional<Change> read(Readings readings) {
+    /** Updates the level with the latest readings; returns the change of level, if any. */
+    public Optional<Change> update(Readings readings) {
         long step = countTime(readings.now());
         for (LevelTracker level : levels) {
             level.update(readings, countedNs, step);
@@ -122,7 +122,7 @@
         }
         LevelTracker level = levels.get(current);
         return level.isClearLongEnough()
-                && countedNs - changedAt >= level.leastStayNs()
+                && countedNs - changedAt >= level.minStayNs()
                 && depth.withinLevelAboveNs() >= level.level().leaveNs();
     }
 
@@ -147,7 +147,7 @@
         boolean down = target > current;
         current = target;
         changedAt = countedNs;
-        long stayNs = levels.get(target).leastStayNs();
+        long stayNs = levels.get(target).minStayNs();
         return new Change(from, level().name(), down, now, causes, stayNs);
     }
 
--- a/decisions/src/main/java/trailthread/degradation/DegradationLevel.java
+++ b/decisions/src/main/java/trailthread/degradation/DegradationLevel.java
@@ -9,10 +9,10 @@
  *
  * @param conditions any of them enters the level; all must be under their leave bounds to leave it
  * @param leaveNs for how long all conditions must be under their leave bounds, ns
- * @param leastStayNs the level is left no sooner than this after the last change, ns, and later if
+ * @param minStayNs the level is left no sooner than this after the last change, ns, and later if
  *     the level flaps ({@link FlapDamping})
  * @param reach which classes the level may shed
- * @param leastShed share of the classes in its reach that the level sheds on entry and while any of
+ * @param minShed share of the classes in its reach that the level sheds on entry and while any of
  *     its conditions holds, 0 to 1; more is shed while a reading that shedding relieves stays too
  *     high
  * @param probeFactor the periods of health checks are multiplied by this, 1 to 100
@@ -21,9 +21,9 @@
         String name,
         List<Condition> conditions,
         long leaveNs,
-        long leastStayNs,
+        long minStayNs,
         Reach reach,
-        double leastShed,
+        double minShed,
         double probeFactor) {
     private static final double MAX_PROBE_FACTOR = 100;
 
@@ -51,13 +51,13 @@
         Set<Reading> seen = EnumSet.noneOf(Reading.class);
         for (Condition condition : conditions) {
             Reading reading = condition.reading();
-            String conditionAt = at + "." + reading.word();
+            String conditionAt = at + "." + reading.key();
             DegradationPlan.require(seen.add(reading), conditionAt + ": more than one condition");
             condition.check(conditionAt);
         }
         DegradationPlan.requireNs(leaveNs, 0, at + ".leaveNs");
-        DegradationPlan.requireNs(leastStayNs, 1, at + ".leastStayNs");
-        DegradationPlan.require(leastShed >= 0 && leastShed <= 1, at + ".leastShed: not in [0, 1]");
+        DegradationPlan.requireNs(minStayNs, 1, at + ".leastStayNs");
+        DegradationPlan.require(minShed >= 0 && minShed <= 1, at + ".leastShed: not in [0, 1]");
         DegradationPlan.require(
                 probeFactor >= 1 && probeFactor <= MAX_PROBE_FACTOR,
                 at + ".probeFactor: not in [1, " + (int) MAX_PROBE_FACTOR + "]");
--- a/decisions/src/main/java/trailthread/degradation/DegradationPlan.java
+++ b/decisions/src/main/java/trailthread/degradation/DegradationPlan.java
@@ -35,8 +35,8 @@
      */
     public long halfLifeNs = 120 * S;
 
-    /** The least stay of a level never grows beyond this, ns; see {@link FlapDamping}. */
-    public long mostStayNs = 300 * S;
+    /** The minimum stay of a level never grows beyond this, ns; see {@link FlapDamping}. */
+    public long maxStayNs = 300 * S;
 
     /**
      * While a reading that shedding relieves is too high, what is not yet shed of the level's reach
@@ -112,7 +112,7 @@
         requireNs(gapNs, 1, "gapNs");
         requireNs(trustNs, 1, "trustNs");
         requireNs(halfLifeNs, 1, "halfLifeNs");
-        requireNs(mostStayNs, 1, "mostStayNs");
+        requireNs(maxStayNs, 1, "mostStayNs");
         requireNs(riseNs, 1, "riseNs");
         requireNs(recoveryNs, 1, "fallNs"); // as the key: fall_s
         require(keep > 0 && keep <= 1, "keep: not in (0, 1]");
@@ -135,15 +135,15 @@
                     !isFirstLevel || level.reach() == Reach.NONE,
                     at + ".reach: the first sheds nothing");
             level.check();
-            require(level.leastStayNs() <= mostStayNs, at + ".leastStayNs: above mostStayNs");
+            require(level.minStayNs() <= maxStayNs, at + ".leastStayNs: above mostStayNs");
         }
     }
 
-    /** Requires a time, ns, from {@code least} to {@link #LONGEST_NS}. */
-    static void requireNs(long ns, long least, String field) {
+    /** Requires a time, ns, from {@code min} to {@link #LONGEST_NS}. */
+    static void requireNs(long ns, long min, String field) {
         require(
-                ns >= least && ns <= LONGEST_NS,
-                field + ": not in [" + least + ", " + LONGEST_NS + "] ns");
+                ns >= min && ns <= LONGEST_NS,
+                field + ": not in [" + min + ", " + LONGEST_NS + "] ns");
     }
 
     /** Throws an IllegalArgumentException with the given message unless the condition holds. */
--- a/decisions/src/main/java/trailthread/degradation/LevelTracker.java
+++ b/decisions/src/main/java/trailthread/degradation/LevelTracker.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Tracks one level: its conditions, for how long none of them has held the level, and its least
+ * Tracks one level: its conditions, for how long none of them has held the level, and its minimum
  * stay. Times are counted time, see {@link DegradationController}, in ns.
  */
 final class LevelTracker {
@@ -37,7 +37,7 @@
         this.level = level;
         this.maxDepth = maxDepth;
         conditions = level.conditions().stream().map(c -> new ConditionTracker(c, plan)).toList();
-        damping = new FlapDamping(level.leastStayNs(), plan);
+        damping = new FlapDamping(level.minStayNs(), plan);
     }
 
     DegradationLevel level() {
@@ -103,11 +103,11 @@
 
     /** How many classes the level sheds as soon as it is entered. */
     double entryDepth() {
-        return level.leastShed() * maxDepth;
+        return level.minShed() * maxDepth;
     }
 
     /**
-     * The least number of classes that the level sheds at present. Once no condition holds the
+     * The minimum number of classes that the level sheds at present. Once no condition holds the
      * level, this is no more than the level above may shed; otherwise, the level could not be left.
      */
     double minDepth(int maxDepthAbove) {
@@ -125,8 +125,8 @@
     }
 
     /** How long the level stays in force at least, ns. */
-    long leastStayNs() {
-        return damping.leastStayNs();
+    long minStayNs() {
+        return damping.minStayNs();
     }
 
     /** The conditions that enter the level now. */
--- a/decisions/src/main/java/trailthread/degradation/Reading.java
+++ b/decisions/src/main/java/trailthread/degradation/Reading.java
@@ -14,7 +14,7 @@
     DESCRIPTORS(true, true),
     /** Share of memory in use. */
     MEMORY(true, true),
-    /** Recent share of guarded requests that lacked an endpoint. */
+    /** Recent share of requests outside the safe reach that lacked an endpoint. */
     STARVED(true, true),
     /** Share of the time in which the node wanted CPU and got none. */
     CPU_WITHHELD(true, true);
@@ -46,7 +46,7 @@
      * The value of this reading, or NaN if the value is unusable: not a number, infinite, negative,
      * or a share above 1. If no load reports are expected (age NaN or -1), their age is 0.
      */
-    public double of(Readings readings) {
+    public double valueIn(Readings readings) {
         double value =
                 switch (this) {
                     case FAILING -> readings.failing();
@@ -67,8 +67,8 @@
         return noneExpected ? 0 : age;
     }
 
-    /** The name in settings and in the log, such as {@code report_age}. */
-    public String word() {
+    /** The reading's key in settings and in the log, such as {@code report_age}. */
+    public String key() {
         return name().toLowerCase(Locale.ROOT);
     }
 
--- a/decisions/src/main/java/trailthread/degradation/Readings.java
+++ b/decisions/src/main/java/trailthread/degradation/Readings.java
@@ -14,12 +14,12 @@
  * @param descriptors share of the descriptors that the node may hold, 0 to 1
  * @param memory share of the memory that the node may use, 0 to 1: what was in use after the last
  *     garbage collection, as a heap always fills up between two
- * @param starved recent share of guarded requests ({@link SheddingOrder#isGuarded}) that lacked an
- *     endpoint, 0 to 1 ({@link DecayingShare} over 10 s): rejected, failed, not answered by their
- *     deadline, or first sent to an endpoint later than a tenth of their latency objective after
- *     they arrived. Requests that a {@link SheddingPolicy} sheds must not be counted, as a level
- *     would then keep itself in force; nor late responses, as slow endpoints would then look like
- *     too many requests
+ * @param starved recent share of requests outside the safe reach ({@link
+ *     SheddingOrder#isOutsideSafeReach}) that lacked an endpoint, 0 to 1 ({@link DecayingShare}
+ *     over 10 s): rejected, failed, not answered by their deadline, or first sent to an endpoint
+ *     later than a tenth of their latency objective after they arrived. Requests that a {@link
+ *     SheddingPolicy} sheds must not be counted, as a level would then keep itself in force; nor
+ *     late responses, as slow endpoints would then look like too many requests
  * @param cpuWithheld share of the time in which the node wanted CPU and got none, 0 to 1
  */
 public record Readings(
--- a/decisions/src/main/java/trailthread/degradation/SheddingOrder.java
+++ b/decisions/src/main/java/trailthread/degradation/SheddingOrder.java
@@ -64,10 +64,10 @@
     }
 
     /**
-     * Whether a class is not in {@link Reach#SAFE}: the classes in it are shed so that this one is
-     * served.
+     * Whether a class is not in {@link Reach#SAFE}. The classes in that reach are shed so that the
+     * classes outside are served.
      */
-    public boolean isGuarded(String name) {
+    public boolean isOutsideSafeReach(String name) {
         return position(name) >= idempotentReach;
     }
 
--- a/decisions/src/test/java/trailthread/degradation/ControllerDriver.java
+++ b/decisions/src/test/java/trailthread/degradation/ControllerDriver.java
@@ -53,7 +53,7 @@
     ControllerDriver step(long ns) {
         now += ns;
         controller
-                .read(
+                .update(
                         new Readings(
                                 now,
                                 value(Reading.FAILING),
--- a/decisions/src/test/java/trailthread/degradation/DegradationControllerPropertyTest.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationControllerPropertyTest.java
@@ -85,7 +85,7 @@
             long stayed = countedNs - changedAt;
             assertTrue(
                     "left too soon: " + change,
-                    change.down() || stayed >= levels.get(from).leastStayNs());
+                    change.down() || stayed >= levels.get(from).minStayNs());
             changedAt = countedNs;
         }
     }
--- a/decisions/src/test/java/trailthread/degradation/DegradationFleetNode.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationFleetNode.java
@@ -115,7 +115,7 @@
                         0,
                         starvedShare,
                         0);
-        controller.read(readings).ifPresent(results.changes::add);
+        controller.update(readings).ifPresent(results.changes::add);
         clock.schedule(READING_INTERVAL_NS, this::readAndSchedule);
     }
 
@@ -154,7 +154,7 @@
         if (answered && clock.now() - request.arrivedAt <= objectiveNs) {
             results.served[request.requestClass]++;
         }
-        if (order.isGuarded(requestClass.name())) {
+        if (order.isOutsideSafeReach(requestClass.name())) {
             boolean sentLate = request.firstSentAt - request.arrivedAt > objectiveNs / 10;
             starved.count(clock.now(), !answered || sentLate);
         }
--- a/decisions/src/test/java/trailthread/degradation/DegradationPlanTest.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationPlanTest.java
@@ -19,19 +19,19 @@
     private static final double NS_PER_SECOND = 1e9;
 
     private static DegradationLevel level(
-            String name, double enter, double leave, long holdNs, double leastShed) {
+            String name, double enter, double leave, long holdNs, double minShed) {
         List<Condition> failing = List.of(new Condition(Reading.FAILING, enter, leave, holdNs));
-        return new DegradationLevel(name, failing, 1, 1, Reach.SAFE, leastShed, 1);
+        return new DegradationLevel(name, failing, 1, 1, Reach.SAFE, minShed, 1);
     }
 
     @Test
     public void errorsNameTheFieldAndItsRange() {
         Map<String, Consumer<DegradationPlan>> table = new LinkedHashMap<>();
         table.put("gapNs: not in [1, 3600000000000] ns", p -> p.gapNs = 0);
-        table.put("mostStayNs: not in [1, 3600000000000] ns", p -> p.mostStayNs = Long.MAX_VALUE);
+        table.put("mostStayNs: not in [1, 3600000000000] ns", p -> p.maxStayNs = Long.MAX_VALUE);
         table.put(
                 "levels.essential.leastStayNs: above mostStayNs",
-                p -> p.mostStayNs = 25_000_000_000L);
+                p -> p.maxStayNs = 25_000_000_000L);
         table.put("keep: not in (0, 1]", p -> p.keep = 0);
         table.put("levels: at least one is needed", p -> p.levels.clear());
         table.put("levels: a name is blank or twice there", p -> p.levels.set(1, p.levels.get(2)));
@@ -81,7 +81,7 @@
         return String.format(
                 "| %s | %s | %s | %s | %s |",
                 level.name(),
-                condition.reading().word(),
+                condition.reading().key(),
                 condition.enter() / unit,
                 condition.leave() / unit,
                 condition.holdNs() / NS_PER_SECOND);
--- a/decisions/src/test/java/trailthread/degradation/SheddingPolicyTest.java
+++ b/decisions/src/test/java/trailthread/degradation/SheddingPolicyTest.java
@@ -27,14 +27,14 @@
         assertEquals(List.of("s1", "s0", "s2", "k", "u"), order.names());
         assertEquals(3, order.classesIn(Reach.SAFE));
         assertEquals(4, order.classesIn(Reach.ALL_BUT_LAST));
-        assertFalse(order.isGuarded("s2"));
-        assertTrue(order.isGuarded("k"));
+        assertFalse(order.isOutsideSafeReach("s2"));
+        assertTrue(order.isOutsideSafeReach("k"));
         SheddingOrder named = new SheddingOrder(CLASSES, List.of("k", "s2"));
         assertEquals(List.of("k", "s2", "s1", "s0", "u"), named.names());
         assertEquals("to the last that is idempotent", 4, named.classesIn(Reach.SAFE));
         SheddingOrder safe = new SheddingOrder(CLASSES.subList(2, 5), List.of());
         assertEquals("the last is in no reach", 2, safe.classesIn(Reach.SAFE));
-        assertTrue(safe.isGuarded("s2"));
+        assertTrue(safe.isOutsideSafeReach("s2"));
         assertEquals(
                 0,
                 new SheddingOrder(CLASSES.subList(0, 1), List.of()).classesIn(Reach.ALL_BUT_LAST));
--- a/engine/src/main/java/trailthread/engine/degradation/DegradationConfig.java
+++ b/engine/src/main/java/trailthread/engine/degradation/DegradationConfig.java
@@ -80,7 +80,7 @@
         plan.gapNs = settings.durationNs("gap_s", plan.gapNs);
         plan.trustNs = settings.durationNs("trust_s", plan.trustNs);
         plan.halfLifeNs = settings.durationNs("half_life_s", plan.halfLifeNs);
-        plan.mostStayNs = settings.durationNs("most_stay_s", plan.mostStayNs);
+        plan.maxStayNs = settings.durationNs("most_stay_s", plan.maxStayNs);
         plan.riseNs = settings.durationNs("rise_s", plan.riseNs);
         plan.recoveryNs = settings.durationNs("fall_s", plan.recoveryNs);
         plan.keep = settings.number("keep", plan.keep);
@@ -98,9 +98,9 @@
                 defaultLevel.name(),
                 parseConditions(settings, prefix, defaultLevel.conditions()),
                 settings.durationNs(prefix + "leave_s", defaultLevel.leaveNs()),
-                settings.durationNs(prefix + "least_stay_s", defaultLevel.leastStayNs()),
+                settings.durationNs(prefix + "least_stay_s", defaultLevel.minStayNs()),
                 defaultLevel.reach(),
-                settings.number(prefix + "least_shed", defaultLevel.leastShed()),
+                settings.number(prefix + "least_shed", defaultLevel.minShed()),
                 settings.number(prefix + "probe_factor", defaultLevel.probeFactor()));
     }
 
@@ -112,7 +112,7 @@
         for (Reading reading : Reading.values()) {
             Condition condition =
                     parseCondition(
-                            settings, prefix + reading.word(), reading, defaults.get(reading));
+                            settings, prefix + reading.key(), reading, defaults.get(reading));
             if (condition != null) {
                 conditions.add(condition);
             }
--- a/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
+++ b/engine/src/main/java/trailthread/engine/degradation/DegradationService.java
@@ -90,8 +90,8 @@
         if (readings != null) {
             for (Reading reading : Reading.values()) {
                 named.put(
-                        reading.word() + (reading.isShare() ? "_ratio" : "_seconds"),
-                        inOutputUnit(reading, reading.of(readings)));
+                        reading.key() + (reading.isShare() ? "_ratio" : "_seconds"),
+                        inOutputUnit(reading, reading.valueIn(readings)));
             }
         }
         return named;
@@ -107,7 +107,7 @@
     private void takeReadings() {
         long now = loop.now();
         readings = collector.collect(now, Math.max(0, now - dueAt));
-        levels.read(readings).ifPresent(this::levelChanged);
+        levels.update(readings).ifPresent(this::levelChanged);
         dueAt = loop.now() + READING_PERIOD_NS;
         loop.schedule(READING_PERIOD_NS, this::takeReadings);
     }
@@ -116,7 +116,7 @@
         LOG.atInfo()
                 .addKeyValue("from", change.from())
                 .addKeyValue("to", change.to())
-                .addKeyValue("reading", joinCauses(change, cause -> cause.reading().word()))
+                .addKeyValue("reading", joinCauses(change, cause -> cause.reading().key()))
                 .addKeyValue("value", joinCauses(change, cause -> valueText(cause, cause.value())))
                 .addKeyValue("bound", joinCauses(change, cause -> valueText(cause, cause.bound())))
                 .log(change.toString());
--- a/engine/src/main/java/trailthread/engine/degradation/StarvationRate.java
+++ b/engine/src/main/java/trailthread/engine/degradation/StarvationRate.java
@@ -5,14 +5,15 @@
 import java.util.Map;
 import trailthread.api.RequestClass;
 import trailthread.degradation.DecayingShare;
+import trailthread.degradation.DegradationLevel.Reach;
 import trailthread.degradation.SheddingOrder;
 import trailthread.engine.metrics.RequestResult;
 
 /**
- * The fraction of recent requests of guarded classes that lacked an endpoint: they were not served,
- * or were queued for longer than a tenth of their latency objective before their first attempt.
- * Requests that a degradation level has shed do not count: prevents a level from staying in force
- * because of its own shedding.
+ * The fraction of recent requests outside {@link Reach#SAFE} that lacked an endpoint: they were not
+ * served, or were queued for longer than a tenth of their latency objective before their first
+ * attempt. Requests that a degradation level has shed do not count: prevents a level from staying
+ * in force because of its own shedding.
  */
 final class StarvationRate {
     private static final double DECAY_NS = 10e9;
@@ -20,7 +21,7 @@
 
     private final DecayingShare starved;
 
-    /** How long a request of a guarded class may be queued, ns. */
+    /** How long a request of a class outside the safe reach may be queued, ns. */
     private final Map<String, Long> maxQueuedNs = new HashMap<>();
 
     /**
@@ -32,7 +33,7 @@
     StarvationRate(List<RequestClass> classes, SheddingOrder order, long now) {
         starved = new DecayingShare(DECAY_NS, now);
         for (RequestClass c : classes) {
-            if (order.isGuarded(c.name())) {
+            if (order.isOutsideSafeReach(c.name())) {
                 maxQueuedNs.put(c.name(), c.latencyObjectiveNs() / MAX_QUEUED_DIVISOR);
             }
         }
--- a/engine/src/test/java/trailthread/engine/degradation/ReadingsTest.java
+++ b/engine/src/test/java/trailthread/engine/degradation/ReadingsTest.java
@@ -99,7 +99,7 @@
     }
 
     @Test
-    public void guardedRequestsThatLackAnEndpointAreStarvedUnlessTheyWereShed() {
+    public void requestsOutsideTheSafeReachThatLackAnEndpointAreStarvedUnlessTheyWereShed() {
         List<RequestClass> classes =
                 List.of(
                         new RequestClass(
