--- a/command/src/main/java/trailthread/command/CheckCommand.java
+++ b/command/src/main/java/trailthread/command/CheckCommand.java
@@ -28,7 +28,7 @@
     static OperatorFile readOrReport(Path file) {
         OperatorFile.Result result = OperatorFileReader.read(file);
         result.faults().forEach(System.err::println);
-        return result.read();
+        return result.contents();
     }
 
     @Override
--- a/configuration/src/main/java/trailthread/configuration/OperatorFile.java
+++ b/configuration/src/main/java/trailthread/configuration/OperatorFile.java
@@ -24,8 +24,8 @@
     /**
      * The outcome of reading a file.
      *
-     * @param read the contents, or null if there are faults
+     * @param contents of the file, or null if there are faults
      * @param faults in the order of the file
      */
-    public record Result(OperatorFile read, List<Fault> faults) {}
+    public record Result(OperatorFile contents, List<Fault> faults) {}
 }
--- a/configuration/src/main/java/trailthread/configuration/Section.java
+++ b/configuration/src/main/java/trailthread/configuration/Section.java
@@ -214,7 +214,7 @@
                 key,
                 defaultValue,
                 value -> {
-                    Long ns = parseOrReport(key, value, Units::nanoseconds, expected);
+                    Long ns = parseOrReport(key, value, Units::parseNanoseconds, expected);
                     return ns == null
                             ? defaultValue
                             : clampOrReport(key, ns, min, max, Units::formatDuration);
@@ -228,7 +228,7 @@
                 key,
                 defaultValue,
                 value -> {
-                    Long bytes = parseOrReport(key, value, Units::bytes, expected);
+                    Long bytes = parseOrReport(key, value, Units::parseBytes, expected);
                     return bytes == null
                             ? defaultValue
                             : clampOrReport(key, bytes, min, max, Units::formatSize);
--- a/configuration/src/main/java/trailthread/configuration/Units.java
+++ b/configuration/src/main/java/trailthread/configuration/Units.java
@@ -43,7 +43,7 @@
      * @throws IllegalArgumentException if the text is no duration, or one that is not a whole
      *     number of nanoseconds
      */
-    public static long nanoseconds(String text) {
+    public static long parseNanoseconds(String text) {
         return parse(text, DURATION_UNITS);
     }
 
@@ -54,7 +54,7 @@
      * @throws IllegalArgumentException if the text is no size, or one that is not a whole number of
      *     bytes
      */
-    public static long bytes(String text) {
+    public static long parseBytes(String text) {
         return parse(text, SIZE_UNITS);
     }
 
--- a/configuration/src/test/java/trailthread/configuration/OperatorFileTest.java
+++ b/configuration/src/test/java/trailthread/configuration/OperatorFileTest.java
@@ -34,7 +34,7 @@
         OperatorFile.Result result = OperatorFileReader.read("f", text);
         assertEquals(
                 "a result has either contents or faults",
-                result.read() == null,
+                result.contents() == null,
                 !result.faults().isEmpty());
         return result.faults().stream().map(Fault::toString).toList();
     }
@@ -47,7 +47,7 @@
 
     @Test
     public void aMinimalFileHasDefaults() {
-        OperatorFile file = OperatorFileReader.read("f", MINIMAL).read();
+        OperatorFile file = OperatorFileReader.read("f", MINIMAL).contents();
         PoolConfig pool = file.services().pools().get(0);
         assertEquals(new Source.Fixed(List.of("127.0.0.1:1")), pool.source());
         assertEquals(
@@ -61,7 +61,7 @@
         assertEquals(
                 "equal files have equal contents",
                 file.services(),
-                OperatorFileReader.read("f", MINIMAL).read().services());
+                OperatorFileReader.read("f", MINIMAL).contents().services());
     }
 
     @Test
@@ -232,12 +232,12 @@
 
     @Test
     public void durationsAndSizes() {
-        assertEquals(250_000_000L, Units.nanoseconds("250ms"));
-        assertEquals(1_200_000_000L, Units.nanoseconds("1.2s"));
-        assertEquals(90_000_000_000L, Units.nanoseconds("1.5min"));
-        assertEquals(5_000L, Units.nanoseconds("5us"));
-        assertEquals(65_536, Units.bytes("64KiB"));
-        assertEquals(1_572_864, Units.bytes("1.5MiB"));
+        assertEquals(250_000_000L, Units.parseNanoseconds("250ms"));
+        assertEquals(1_200_000_000L, Units.parseNanoseconds("1.2s"));
+        assertEquals(90_000_000_000L, Units.parseNanoseconds("1.5min"));
+        assertEquals(5_000L, Units.parseNanoseconds("5us"));
+        assertEquals(65_536, Units.parseBytes("64KiB"));
+        assertEquals(1_572_864, Units.parseBytes("1.5MiB"));
         for (String bad :
                 new String[] {
                     "",
@@ -254,9 +254,9 @@
                     "99999999999999999h",
                     "\u0661s"
                 }) {
-            assertThrows(bad, IllegalArgumentException.class, () -> Units.nanoseconds(bad));
+            assertThrows(bad, IllegalArgumentException.class, () -> Units.parseNanoseconds(bad));
         }
-        assertThrows(IllegalArgumentException.class, () -> Units.bytes("64KB"));
+        assertThrows(IllegalArgumentException.class, () -> Units.parseBytes("64KB"));
     }
 
     @Test
@@ -311,7 +311,7 @@
         OperatorFile.Result example =
                 OperatorFileReader.read(Path.of("..", "deploy", "operator.example.toml"));
         assertEquals(List.of(), example.faults());
-        assertNotNull(example.read().operatorListen());
-        assertEquals(2, example.read().services().pools().size());
+        assertNotNull(example.contents().operatorListen());
+        assertEquals(2, example.contents().services().pools().size());
     }
 }
--- a/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
+++ b/daemon/src/main/java/trailthread/daemon/services/ServiceNode.java
@@ -163,12 +163,12 @@
         for (Fault fault : result.faults()) {
             LOG.error("{}", fault);
         }
-        if (result.read() == null) {
+        if (result.contents() == null) {
             LOG.error("{} was not applied: {} faults", path, result.faults().size());
             loop.execute(() -> metrics.configurationReloaded(false));
             return;
         }
-        loop.execute(() -> applyReloaded(result.read()));
+        loop.execute(() -> applyReloaded(result.contents()));
     }
 
     private void applyReloaded(OperatorFile next) {
--- a/lab/src/main/java/trailthread/lab/scenario/ScenarioTable.java
+++ b/lab/src/main/java/trailthread/lab/scenario/ScenarioTable.java
@@ -130,9 +130,9 @@
         Long time =
                 read(
                         key,
-                        defaultValue == null ? null : Units.nanoseconds(defaultValue),
+                        defaultValue == null ? null : Units.parseNanoseconds(defaultValue),
                         "a duration with its unit, such as 250ms",
-                        value -> Units.nanoseconds((String) value));
+                        value -> Units.parseNanoseconds((String) value));
         return time == null ? 1 : time;
     }
 
@@ -159,13 +159,13 @@
 
     /** A range of durations in ns, given as two durations or as one that is both bounds. */
     long[] durationRangeNs(String key, String defaultValue) {
-        long bound = defaultValue == null ? 1 : Units.nanoseconds(defaultValue);
+        long bound = defaultValue == null ? 1 : Units.parseNanoseconds(defaultValue);
         List<Long> pair =
                 pair(
                         key,
                         defaultValue == null ? null : List.of(bound, bound),
                         "a duration, or a list of the least and the greatest",
-                        value -> Units.nanoseconds((String) value));
+                        value -> Units.parseNanoseconds((String) value));
         if (pair == null) {
             return new long[] {bound, bound};
         }
