--- a/decisions/src/test/java/trailthread/BalancerRulesTest.java
+++ b/decisions/src/test/java/trailthread/BalancerRulesTest.java
@@ -32,9 +32,9 @@
         s.advance(900 * MS);
         assertTrue(s.sends.isEmpty());
         s.advance(100 * MS);
-        assertEquals(List.of(id), s.refused);
+        assertEquals(List.of(id), s.rejected);
         s.advance(2000 * MS);
-        assertEquals(1, s.refused.size() + s.failed.size());
+        assertEquals(1, s.rejected.size() + s.failed.size());
     }
 
     @Test
@@ -56,7 +56,7 @@
             assertEquals(1, s.sendsOf(id).size());
             assertTrue(s.failed.contains(id));
         }
-        assertTrue(s.refused.isEmpty());
+        assertTrue(s.rejected.isEmpty());
     }
 
     @Test
@@ -80,7 +80,7 @@
     void aKeyedRequestThatMayHaveRunStaysInItsDeduplicationCell() {
         for (int seed = 0; seed < 30; seed++) {
             ScriptedBalancer t = new ScriptedBalancer(ScriptedBalancer.settings(), seed);
-            t.balancer.list(
+            t.balancer.updateEndpointList(
                     t.now,
                     ListKind.FULL,
                     List.of(inCell("a1", 1), inCell("a2", 1), inCell("b1", 2), inCell("b2", 2)));
@@ -145,7 +145,7 @@
             s.advance(100 * MS);
         }
         assertEquals(3, s.sendsOf(id).size());
-        assertEquals(1, s.refused.size() + s.failed.size());
+        assertEquals(1, s.rejected.size() + s.failed.size());
     }
 
     @Test
@@ -156,17 +156,17 @@
         s.end(id, Outcome.ERROR);
         s.advance(2000 * MS);
         assertEquals(1, s.sendsOf(id).size());
-        assertTrue(s.refused.isEmpty() && s.failed.isEmpty());
+        assertTrue(s.rejected.isEmpty() && s.failed.isEmpty());
     }
 
     @Test
     void aStreamedResponseHasNoDeadlineAndIsNotRetried() {
         s.endpoints("a", "b");
         long id = s.request("safe");
-        s.balancer.firstByte(s.now, id, 0);
+        s.balancer.firstByteReceived(s.now, id, 0);
         s.advance(3000 * MS);
-        assertTrue(s.refused.isEmpty() && s.failed.isEmpty());
-        s.balancer.outcome(s.now, id, 0, Outcome.RESET, 3000 * MS, true, null);
+        assertTrue(s.rejected.isEmpty() && s.failed.isEmpty());
+        s.balancer.attemptEnded(s.now, id, 0, Outcome.RESET, 3000 * MS, true, null);
         assertEquals(1, s.sendsOf(id).size());
     }
 
--- a/decisions/src/test/java/trailthread/OperatorLogTest.java
+++ b/decisions/src/test/java/trailthread/OperatorLogTest.java
@@ -79,7 +79,7 @@
             s.advance(10 * MS);
         }
         s.advance(3000 * MS);
-        assertEquals(50, s.refused.size());
+        assertEquals(50, s.rejected.size());
         long logged = lines(s, "turning requests away: no backend is open, held ");
         assertTrue(logged >= 1 && logged <= 2, s.log.toString());
     }
@@ -88,8 +88,8 @@
     void aFailedListPollIsLoggedOnce() {
         ScriptedBalancer s = new ScriptedBalancer(ScriptedBalancer.settings(), 5);
         s.endpoints("a", "b");
-        s.balancer.list(s.now, ListKind.FAILED, List.of());
-        s.balancer.list(s.now, ListKind.FAILED, List.of());
+        s.balancer.updateEndpointList(s.now, ListKind.FAILED, List.of());
+        s.balancer.updateEndpointList(s.now, ListKind.FAILED, List.of());
         assertEquals(List.of("list call failed: going on with the last list of 2"), s.log);
     }
 }
--- a/decisions/src/test/java/trailthread/degradation/DegradationFleetNode.java
+++ b/decisions/src/test/java/trailthread/degradation/DegradationFleetNode.java
@@ -90,7 +90,7 @@
         order = new SheddingOrder(settings.classes, List.of());
         controller = new DegradationController(new DegradationPlan(), order);
         balancer = new Balancer(settings, random.nextLong(), 0, this);
-        balancer.list(
+        balancer.updateEndpointList(
                 0, ListKind.FULL, endpoints.stream().map(DegradationFleetNode::entry).toList());
         if (withLevels) {
             readAndSchedule();
@@ -115,7 +115,7 @@
                         0,
                         starvedShare,
                         0);
-        controller.read(readings).ifPresent(results.changes::add);
+        controller.update(readings).ifPresent(results.changes::add);
         clock.schedule(READING_INTERVAL_NS, this::readAndSchedule);
     }
 
@@ -131,7 +131,7 @@
         requests.add(new ClientRequest(classIndex, now));
         clock.schedule(requestClass.deadlineNs(), () -> deadlinePassed(id));
         long deadline = now + requestClass.deadlineNs();
-        balancer.request(now, id, requestClass.name(), 0, deadline, null, false, 0);
+        balancer.requestArrived(now, id, requestClass.name(), 0, deadline, null, false, 0);
     }
 
     private boolean isAdmitted(RequestClass requestClass) {
@@ -154,7 +154,7 @@
         if (answered && clock.now() - request.arrivedAt <= objectiveNs) {
             results.served[request.requestClass]++;
         }
-        if (order.isGuarded(requestClass.name())) {
+        if (order.isOutsideSafeReach(requestClass.name())) {
             boolean sentLate = request.firstSentAt - request.arrivedAt > objectiveNs / 10;
             starved.count(clock.now(), !answered || sentLate);
         }
@@ -210,12 +210,12 @@
         }
         long now = clock.now();
         long latencyNs = now - attempt.sentAt;
-        balancer.outcome(
+        balancer.attemptEnded(
                 now, id, attempt.number, outcome, latencyNs, answersClient, endpoint.report());
     }
 
     @Override
-    public void refuse(long id, long retryAfterNs) {
+    public void reject(long id, long retryAfterNs) {
         end(id, false);
     }
 
@@ -225,8 +225,8 @@
     }
 
     @Override
-    public void timer(long delayNs, long token) {
-        clock.schedule(delayNs, () -> balancer.timer(clock.now(), token));
+    public void setTimer(long delayNs, long token) {
+        clock.schedule(delayNs, () -> balancer.timerFired(clock.now(), token));
     }
 
     @Override
@@ -236,16 +236,16 @@
     public void checkHealth(String endpoint) {}
 
     @Override
-    public void closeIdle(String endpoint) {}
+    public void closeIdleConnections(String endpoint) {}
 
     @Override
     public void sendToPeer(int peer, byte[] data) {}
 
     @Override
-    public void watch(boolean on) {}
+    public void watchList(boolean on) {}
 
     @Override
-    public void fetch() {}
+    public void fetchList() {}
 
     @Override
     public void log(String text) {}
--- a/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
+++ b/engine/src/test/java/trailthread/engine/request/BalancerDriverTest.java
@@ -54,20 +54,20 @@
                         () -> {
                             if (calls.size() == 1) {
                                 actions.send(7, 0, Long.MAX_VALUE, "w");
-                                actions.watch(true);
+                                actions.watchList(true);
                             }
                         }));
-        driver.deliver((balancer, now) -> balancer.timer(1, 0));
+        driver.deliver((balancer, now) -> balancer.timerFired(1, 0));
         assertEquals(
                 List.of(
-                        "timer",
-                        "/timer",
+                        "timerFired",
+                        "/timerFired",
                         "send",
                         "clientDisconnected",
                         "/clientDisconnected",
                         "/send",
-                        "watch",
-                        "/watch"),
+                        "watchList",
+                        "/watchList"),
                 calls);
     }
 
@@ -82,9 +82,9 @@
                                         "thrown by the test: this stack trace is expected");
                             }
                         }));
-        driver.deliver((balancer, now) -> balancer.timer(1, 0));
+        driver.deliver((balancer, now) -> balancer.timerFired(1, 0));
         driver.deliver((balancer, now) -> balancer.clientDisconnected(2, 7));
-        assertEquals(List.of("timer", "clientDisconnected", "/clientDisconnected"), calls);
+        assertEquals(List.of("timerFired", "clientDisconnected", "/clientDisconnected"), calls);
     }
 
     @Test
@@ -106,8 +106,8 @@
                         BalancerEvents.class,
                         () -> {
                             now += 7; // the balancer itself takes time
-                            actions.timer(100, 1);
-                            actions.timer(100, 2);
+                            actions.setTimer(100, 1);
+                            actions.setTimer(100, 2);
                         }));
         driver.deliver((balancer, at) -> balancer.clientDisconnected(at, 7));
         assertEquals(List.of(93L, 1L, 63L, 2L), scheduled);
--- a/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
+++ b/lab/src/main/java/trailthread/lab/baseline/PlainPolicy.java
@@ -96,9 +96,9 @@
     }
 
     @Override
-    public void list(long now, ListKind kind, List<EndpointEntry> entries) {
+    public void updateEndpointList(long now, ListKind kind, List<EndpointEntry> entries) {
         if (kind == ListKind.FAILED) {
-            actions.timer(WATCH_RETRY_NS, WATCH_TIMER);
+            actions.setTimer(WATCH_RETRY_NS, WATCH_TIMER);
             return;
         }
         if (kind != ListKind.DELTA) {
@@ -116,7 +116,7 @@
                         .filter(endpoint -> endpoint.state == EndpointState.READY)
                         .toList();
         if (kind == ListKind.CACHED && settings.listIsPolled) {
-            actions.watch(true);
+            actions.watchList(true);
         }
     }
 
@@ -125,7 +125,7 @@
     }
 
     @Override
-    public void request(
+    public void requestArrived(
             long now,
             long id,
             String requestClass,
@@ -150,7 +150,7 @@
             requests.remove(id);
             if (request.firstExecuted < 0
                     || request.requestClass.idempotency() == Idempotency.IDEMPOTENT) {
-                actions.refuse(id, 0);
+                actions.reject(id, 0);
             } else {
                 actions.fail(id);
             }
@@ -200,7 +200,7 @@
     }
 
     @Override
-    public void outcome(
+    public void attemptEnded(
             long now,
             long id,
             int attempt,
@@ -247,14 +247,14 @@
     }
 
     @Override
-    public void timer(long now, long token) {
+    public void timerFired(long now, long token) {
         if (token == WATCH_TIMER) {
-            actions.watch(true);
+            actions.watchList(true);
         }
     }
 
     @Override
-    public void firstByte(long now, long id, int attempt) {}
+    public void firstByteReceived(long now, long id, int attempt) {}
 
     @Override
     public void healthChecked(
--- a/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
+++ b/lab/src/main/java/trailthread/lab/simulation/SimulatedNode.java
@@ -242,7 +242,7 @@
         simulation.eventQueue().scheduleAt(deadline + slack + 1, () -> clientTimedOut(request));
         notifyBalancer(
                 (balancer, now) ->
-                        balancer.request(
+                        balancer.requestArrived(
                                 now,
                                 request.id,
                                 requestClass.name(),
@@ -291,7 +291,7 @@
                     boolean closed = request.finished;
                     notifyBalancer(
                             (balancer, now) ->
-                                    balancer.outcome(
+                                    balancer.attemptEnded(
                                             now,
                                             request.id,
                                             attempt.number,
@@ -333,7 +333,7 @@
                             entry.endpoint(),
                             entry.state() == EndpointState.READY);
         }
-        notifyBalancer((balancer, now) -> balancer.list(now, kind, entries));
+        notifyBalancer((balancer, now) -> balancer.updateEndpointList(now, kind, entries));
     }
 
     // ---- connections
@@ -397,7 +397,7 @@
                             || attempt >= simulation.scenario().rules().maxAttempts()) {
                         notifyBalancer(
                                 (balancer, now) ->
-                                        balancer.outcome(
+                                        balancer.attemptEnded(
                                                 now,
                                                 id,
                                                 attempt,
@@ -425,7 +425,7 @@
     }
 
     @Override
-    public void refuse(long id, long retryAfterNs) {
+    public void reject(long id, long retryAfterNs) {
         pendingActions.add(
                 () -> {
                     SimulatedRequest request = requests.get(id);
@@ -465,7 +465,7 @@
     }
 
     @Override
-    public void timer(long delayNs, long token) {
+    public void setTimer(long delayNs, long token) {
         int expectedIncarnation = incarnation;
         if (++timerCount > MAX_TIMERS) {
             throw new BalancerFailureException(
@@ -482,7 +482,7 @@
                                         () ->
                                                 notifyBalancer(
                                                         (balancer, now) ->
-                                                                balancer.timer(now, token)));
+                                                                balancer.timerFired(now, token)));
                             }
                         });
     }
@@ -563,7 +563,7 @@
     }
 
     @Override
-    public void closeIdle(String endpoint) {
+    public void closeIdleConnections(String endpoint) {
         pendingActions.add(
                 () -> {
                     SimulatedServer server = server(endpoint);
@@ -589,12 +589,12 @@
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchList(boolean on) {
         pendingActions.add(() -> simulation.discovery().watch(this, on));
     }
 
     @Override
-    public void fetch() {
+    public void fetchList() {
         pendingActions.add(() -> simulation.discovery().fetch(this));
     }
 
